--- /dev/null
+++ b/gateway/src/main/java/ploverdale/budgets/UnitDemand.java
@@ -0,0 +1,34 @@
+package ploverdale.budgets;
+
+/**
+ * Compares what this gateway holds of each budget with what it needs: the recent demand and some headroom above it.
+ * Counts are units, times tenths of a millisecond of a monotonic clock. Has no state beside the held units that it
+ * reads; not thread-safe, called on the thread of {@link Budgets}.
+ */
+final class UnitDemand {
+    private static final double HEADROOM = 0.25; // as a share of the demand, since requests arrive at random
+
+    private final Purse[] held;
+
+    /** @param held by budget, shared with {@link Budgets} */
+    UnitDemand(Purse[] held) {
+        this.held = held;
+    }
+
+    /** Units needed for the recent demand, headroom included. */
+    private int target(long now, int budget) {
+        int wanted = held[budget].wanted(now);
+        return wanted + (int) Math.ceil(wanted * HEADROOM);
+    }
+
+    /** Units needed beyond those held; negative where more are held. */
+    int missing(long now, int budget) {
+        return target(now, budget) - held[budget].parts(now);
+    }
+
+    /** Units held that are neither in use nor needed; negative where some are missing. */
+    int spare(long now, int budget) {
+        Purse units = held[budget];
+        return units.parts(now) - Math.max(units.inUse(), target(now, budget));
+    }
+}
