--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -18,9 +18,10 @@
             delimiterString = " -> ",
             value = {
                 "Keepers.java -> return copies / 2 + 1; -> return 1;",
-                "Replicas.java -> Math.max(store.blank(), Math.min(startedAt, missed)) -> store.blank()",
-                "Replicas.java -> !mayKnowAll || !free -> !free",
-                "Replicas.java -> f.isFreeBut(claim) && f.hasRoom(claim) -> (f.claims().containsKey(claim) || f.free())"
+                "CompletenessBound.java -> Math.max(store.blank(), Math.min(startedAt, missed)) -> store.blank()",
+                "ReplicaHolder.java -> !mayKnowAll || !free -> !free",
+                "ReplicaHolder.java -> f.isFreeBut(claim) && f.hasRoom(claim)"
+                        + " -> (f.claims().containsKey(claim) || f.free())"
             })
     void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
         try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replica/" + file, guard, instead)) {
