--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -32,6 +32,9 @@
     /** A wake-up that was asked for. */
     record WakeUp(long mark) implements Event {}
 
+    /** The event loop did not run in this span: nothing was read, written or timed. */
+    record LoopDelayed(long from, long until) implements Event {}
+
     /** A probe has ended; the report may be null. */
     record ProbeEnded(ServerId server, Outcome outcome, Report report) implements Event {}
 
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -38,6 +38,7 @@
 
     private static final long TICK_MS = 10;
     private static final long READ_ON_MS = 1; // after a standstill, for what came during it
+    private static final long DELAY_REPORTED_MS = 50; // shorter ones make no health check fail
     private static final long STANDSTILL_MS = 250; // of the loop; half of what answers may be late
 
     private final Vertx vertx;
@@ -60,6 +61,7 @@
         vertx.setPeriodic(TICK_MS, x -> {
             tickBefore = lastTick;
             lastTick = Clock.now();
+            reportDelay(tickBefore, lastTick);
             if (lastTick - tickBefore > STANDSTILL_MS * 10) {
                 log.often("stood still", "for " + (lastTick - tickBefore) / 10 + " ms");
             }
@@ -110,8 +112,21 @@
         context.runOnContext(x -> what.run());
     }
 
+    /** Has the module take into account, before all that is queued, that this loop did not run meanwhile. */
+    private void reportDelay(long lastRun, long now) {
+        if (now - lastRun > (TICK_MS + DELAY_REPORTED_MS) * 10) {
+            queue.addFirst(new Event.LoopDelayed(lastRun, now));
+        }
+    }
+
+    /** Whether the module has been handed all events. */
+    public boolean isDrained() {
+        return queue.isEmpty();
+    }
+
     private void drain() {
         due = false;
+        reportDelay(lastTick, Clock.now());
         for (Event h = queue.poll(); h != null; h = queue.poll()) {
             try {
                 for (Action a : logic.on(Clock.now(), h)) {
--- a/gateway/src/main/java/ploverdale/state/Member.java
+++ b/gateway/src/main/java/ploverdale/state/Member.java
@@ -36,6 +36,10 @@
     public long fullFor;
     public long probedAt = Report.UNTOLD;
     public boolean probeOut;
+    public long respondedAt = Report.UNTOLD; // any answer to this gateway itself, to an op or a health check
+    public long checkMissedAt = Report.UNTOLD; // a health check was given up after a wait
+    public int inconclusiveChecks; // health checks since the last answer that told nothing
+    public long inconclusiveWait; // for these, less what explains them
 
     public boolean silent;
     public long silentSince;
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
@@ -0,0 +1,44 @@
+package ploverdale.routing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+import ploverdale.model.GroupId;
+import ploverdale.model.ServerId;
+import ploverdale.state.Group;
+import ploverdale.state.Member;
+
+/** How many health checks nobody waits for are out at once. */
+class HealthCheckQueueTest {
+    private final HealthCheckQueue queue = new HealthCheckQueue();
+    private final Group group = new Group(new GroupId(1));
+
+    private Member server(int number) {
+        return new Member(new ServerId("s" + number), group, 8);
+    }
+
+    @Test
+    void serversAreTakenInTheirOrderWhileChecksOutAreUnderTheBound() {
+        Member first = server(0);
+        Member second = server(1);
+        queue.add(first);
+        queue.add(second);
+        queue.add(first);
+        for (int i = 0; i < HealthCheckQueue.IN_FLIGHT_MOST - 1; i++) {
+            queue.sent(server(10 + i));
+        }
+        assertThat(queue.next()).isSameAs(first);
+        queue.sent(first);
+        assertThat(queue.next()).isNull();
+        queue.ended();
+        assertThat(queue.next()).isSameAs(second);
+    }
+
+    @Test
+    void aServerThatWasCheckedMeanwhileWaitsNoMore() {
+        Member server = server(0);
+        queue.add(server);
+        queue.sent(server);
+        assertThat(queue.next()).isNull();
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -0,0 +1,101 @@
+package ploverdale.routing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import ploverdale.model.GroupId;
+import ploverdale.model.ServerId;
+import ploverdale.state.Group;
+import ploverdale.state.Member;
+
+/** Which silence is put down to this gateway itself or to a common cause. */
+class LocalHealthTest {
+    private static final long START = 1_000_000;
+    private static final long CHECK = 2_500; // a health check's limit
+
+    private final LocalHealth health = new LocalHealth();
+    private final List<Member> members = new ArrayList<>();
+
+    private void servers(int count, int checksMissed) {
+        Group group = new Group(new GroupId(1));
+        for (int i = 0; i < count; i++) {
+            Member m = new Member(new ServerId("s" + i), group, 8);
+            m.heardAt = m.respondedAt = START - 10_000;
+            m.checkMissedAt = i < checksMissed ? START : m.checkMissedAt;
+            members.add(m);
+        }
+    }
+
+    private boolean doubt(long now) {
+        return health.commonSilence(now, members.get(0), now - CHECK, members);
+    }
+
+    @Test
+    void aCheckThatFellIntoADelayOfThisProcessIsInconclusive() {
+        health.processDelayed(START + 100, START + 3_000);
+        assertThat(health.inconclusive(START, START + 3_100)).isTrue();
+        assertThat(health.inconclusive(START - 2_400, START + 100)).isFalse();
+    }
+
+    @Test
+    void aShortDelayLeavesALongWaitConclusive() {
+        health.processDelayed(START, START + 500);
+        assertThat(health.inconclusive(START, START + CHECK)).isFalse();
+    }
+
+    @Test
+    void whatComesRightAfterADelayIsInconclusiveForAsLongAsItLasted() {
+        health.processDelayed(START, START + 3_000);
+        assertThat(health.inconclusive(START + 3_000, START + 5_500)).isTrue();
+        assertThat(health.inconclusive(START + 5_500, START + 8_000)).isFalse();
+    }
+
+    @Test
+    void overlappingReportsOfOneDelayCountOnce() {
+        health.processDelayed(START, START + 3_000);
+        health.processDelayed(START, START + 3_050);
+        assertThat(health.explainedIn(START - 100, START + 9_000)).isEqualTo(3_050);
+    }
+
+    @Test
+    void theSilenceOfMoreThanThreeQuartersOfTheOthersIsDoubt() {
+        servers(16, 13);
+        assertThat(doubt(START + 10)).isTrue();
+        assertThat(health.explainedIn(START - CHECK, START + 10)).isEqualTo(CHECK);
+    }
+
+    @Test
+    void theSilenceOfTwoThirdsIsTheirs() {
+        servers(15, 10);
+        assertThat(doubt(START + 10)).isFalse();
+    }
+
+    @Test
+    void theSilenceOfAllOfASmallFleetIsTheirs() {
+        servers(4, 4);
+        assertThat(doubt(START + 10)).isFalse();
+    }
+
+    @Test
+    void doubtEndsByItselfAndDoesNotBeginAgainWhileTheSilenceLasts() {
+        servers(16, 16);
+        for (long at = START; at < START + 100_000; at += 1_000) {
+            long now = at;
+            members.forEach(m -> m.checkMissedAt = now);
+            assertThat(doubt(now)).as("%d after the start", now - START).isEqualTo(now - START < LocalHealth.DOUBT_MOST);
+        }
+    }
+
+    @Test
+    void onceMostHaveAnsweredTheNextCommonSilenceIsDoubtAgain() {
+        servers(16, 16);
+        assertThat(doubt(START)).isTrue();
+        assertThat(doubt(START + 2 * LocalHealth.DOUBT_MOST)).as("spent").isFalse();
+        members.forEach(m -> m.respondedAt = START + 11_000);
+        health.observe(START + 11_000, members);
+        members.forEach(m -> m.checkMissedAt = START + 15_000);
+        assertThat(doubt(START + 15_000)).isTrue();
+    }
+}
