--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -12,6 +12,8 @@
 import ploverdale.model.OpType.Needs;
 import ploverdale.model.OpType.Repeats;
 import ploverdale.model.Report.Role;
+import ploverdale.routing.HealthCheckQueue;
+import ploverdale.routing.LocalHealth;
 import ploverdale.state.*;
 
 /**
@@ -45,6 +47,8 @@
     private final Map<OpId, Op> ops = new LinkedHashMap<>();
     private final SessionWrites sessionWrites = new SessionWrites(50_000); // some megabytes
     private final List<Pace> paces = new ArrayList<>();
+    private final LocalHealth localHealth = new LocalHealth();
+    private final HealthCheckQueue healthChecks = new HealthCheckQueue();
     private Allotment allotment;
     private double shedPrice;
     private long scarceUntil = Report.UNTOLD;
@@ -70,6 +74,8 @@
             beat();
         } else if (h instanceof Event.ProbeEnded e && members.containsKey(e.server())) {
             probeEnded(e);
+        } else if (h instanceof Event.LoopDelayed d) {
+            localHealth.processDelayed(d.from(), d.until());
         } else if (h instanceof Event.ListTold l) {
             listTold(l);
         } else if (h instanceof Event.ClientLeft c && ops.containsKey(c.op())) {
@@ -129,7 +135,7 @@
                 members.put(m.id, m);
                 m.group.members.add(m);
                 if (l.stage() == Listing.Stage.IN && chance.nextDouble() < firstLimit) {
-                    probe(m, Probing.OTHER);
+                    checkWhenDue(m);
                 }
             }
             missing.remove(m);
@@ -513,6 +519,7 @@
     private boolean probe(Member m, Probing why) {
         boolean may = permits.probes() && !m.probeOut && allotment.probe(why);
         if (may) {
+            healthChecks.sent(m);
             m.probeOut = true;
             m.probedAt = now;
             out.add(new Action.Probe(m.id));
@@ -520,6 +527,18 @@
         return may;
     }
 
+    /** Has a server checked at once, or when fewer checks are out. */
+    private void checkWhenDue(Member m) {
+        healthChecks.add(m);
+        checkNext();
+    }
+
+    private void checkNext() {
+        for (Member m = healthChecks.next(); m != null; m = healthChecks.next()) {
+            probe(m, Probing.OTHER);
+        }
+    }
+
     /** Guards gateways with few ops against dead servers and listed ones that never were. */
     private boolean heardLately(Member m) {
         return now - m.heardAt <= HEARD_LASTS || !permits.probes();
@@ -548,10 +567,14 @@
         Member m = members.get(e.server());
         long heardBefore = Math.max(m.aliveAt, m.positionToldAt); // by anyone; else the list's word does
         heardBefore = heardBefore == Report.UNTOLD ? now : Math.max(m.silentSince, heardBefore);
+        if (m.probeOut) {
+            healthChecks.ended();
+        }
         m.probeOut = false;
         if (e.outcome() == Outcome.ACKED || e.outcome() == Outcome.FULL) {
             m.deadSigns = 0;
             m.heardAt = m.aliveAt = now;
+            answered(m);
             if (m.refusesConnects && now - m.connectFailedAt < BRIEF) {
                 // Guards against servers that take few connections: idle ones are given up for others to use;
                 // a handshake costs less than an op that finds none.
@@ -562,15 +585,56 @@
             if (m.silent && now >= m.retryAt) {
                 returns(m, heardBefore, "answers probes");
             }
-        } else if (m.silent) {
-            long longest = askAgain() == ASK_AGAIN ? PENALTY_MOST : 4 * PENALTY_MOST; // others would tell
-            m.penalty = neverThere(m) ? longest : Math.min(PENALTY_MOST / 4, m.penalty * 2);
+        } else {
+            healthCheckMissed(m);
+        }
+        release(m.group);
+        checkNext();
+    }
+
+    private void healthCheckMissed(Member m) {
+        boolean waited = now - m.probedAt >= PATIENCE; // what fails at once is no silence
+        m.checkMissedAt = waited ? now : m.checkMissedAt;
+        if (m.silent) {
+            if (!waited || !localHealth.inconclusive(m.probedAt, now)) {
+                long longest = askAgain() == ASK_AGAIN ? PENALTY_MOST : 4 * PENALTY_MOST; // others would tell
+                m.penalty = neverThere(m) ? longest : Math.min(PENALTY_MOST / 4, m.penalty * 2);
+            }
             m.retryAt = now + m.penalty;
-        } else if (now - m.answeredAt > SILENCE_LEAST
-                && (++m.deadSigns >= DEAD_SIGNS || m.heardAt == Report.UNTOLD)) {
+        } else if (now - m.answeredAt <= SILENCE_LEAST) {
+            return; // answers to ops say more
+        } else if (waited && isInconclusive(m)) {
+            suspect(m);
+        } else if (++m.deadSigns >= DEAD_SIGNS || m.heardAt == Report.UNTOLD && m.inconclusiveChecks == 0) {
             silent(m, "probes unanswered " + m.deadSigns);
         }
-        release(m.group);
+    }
+
+    private void answered(Member m) {
+        m.respondedAt = now;
+        m.inconclusiveChecks = 0;
+        m.inconclusiveWait = 0;
+    }
+
+    /** Where checks are inconclusive again and again, what they waited beyond that adds up to a verdict. */
+    private boolean isInconclusive(Member m) {
+        boolean inconclusive = localHealth.inconclusive(m.probedAt, now)
+                || localHealth.commonSilence(now, m, m.probedAt, members.values());
+        if (inconclusive) {
+            m.inconclusiveChecks++;
+            m.inconclusiveWait += now - m.probedAt - localHealth.explainedIn(m.probedAt, now);
+        }
+        return inconclusive && m.inconclusiveWait < SILENCE_LEAST;
+    }
+
+    /** No verdict: nothing new is sent there until a further health check is answered. */
+    private void suspect(Member m) {
+        if (now - m.respondedAt > ASK_AGAIN) {
+            m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1);
+        }
+        if (now - Math.max(m.respondedAt, m.probedAt) > PATIENCE) {
+            checkWhenDue(m);
+        }
     }
 
     /** Guards against old reports that revive a lost role: a primary's position tells when it said so. */
@@ -624,6 +688,7 @@
             out.add(new Action.FollowList());
             askListAt = Long.MAX_VALUE;
         }
+        localHealth.observe(now, members.values());
         Member due = null;
         long oldest = now - (askAgain() > ASK_AGAIN ? askAgain() : probeEvery); // what others tell costs less
         for (Member m : members.values()) {
@@ -638,7 +703,7 @@
             long toldAt = Math.max(m.positionToldAt, hearsay == null ? 0 : m.position + probeEvery);
             boolean inUse = m.isIn() && now - m.group.askedAt < probeEvery;
             if (inUse && !m.isPromising() && now >= m.retryAt) {
-                probe(m, Probing.OTHER);
+                checkWhenDue(m);
             } else if (inUse && Math.max(m.probedAt, toldAt) <= oldest) {
                 due = m;
                 oldest = Math.max(m.probedAt, toldAt);
@@ -731,7 +796,9 @@
 
     private void learnHealth(Member m, Op op, Event.SendEnded e) {
         Outcome outcome = e.outcome();
-        if (outcome == Outcome.NOT_CONNECTED) {
+        long took = Math.max(0, e.took() - localHealth.explainedIn(op.sentAt, now));
+        boolean inconclusive = outcome == Outcome.NOT_CONNECTED && localHealth.inconclusive(op.sentAt, now);
+        if (outcome == Outcome.NOT_CONNECTED && !inconclusive) {
             // Guards against networks that reset by chance: refusals in a row or slow ones are the server's.
             m.refusesConnects = e.took() < PATIENCE && now - m.connectFailedAt < BRIEF / 3;
             m.connectFailedAt = now;
@@ -742,6 +809,7 @@
             probe(m, Probing.OTHER);
         } else if (outcome.byServer) {
             m.answeredAt = m.heardAt = m.aliveAt = now;
+            answered(m);
             m.deadSigns = 0;
             if (m.silent && m.failShare < FAIL_SHARE) {
                 returns(m, now, "answers"); // to a send from before, so it has not started anew
@@ -761,14 +829,15 @@
                 m.fullFor = 0;
                 m.takenWork = takenWork(m) + op.pace.usual;
                 m.lostShare *= 1 - NEWEST;
-                m.ackedStretch += NEWEST * (e.took() / op.pace.usual - m.ackedStretch);
-                learnPace(m, op, e.took(), e.took());
+                m.ackedStretch += NEWEST * (took / op.pace.usual - m.ackedStretch);
+                learnPace(m, op, took, took);
                 m.failShare *= 1 - NEWEST;
             }
             case ERRORED, BROKEN_OFF, CUT_OFF, NOT_CONNECTED -> {
                 // Guards against servers that fail fast and so draw traffic; leaves the group enough others.
                 // What may be the network's doing counts half.
-                m.failShare += NEWEST * ((outcome == Outcome.ERRORED ? 1 : 0.5) - m.failShare);
+                double counted = inconclusive ? m.failShare : outcome == Outcome.ERRORED ? 1 : 0.5;
+                m.failShare += NEWEST * (counted - m.failShare);
                 long well = m.group.members.stream().filter(o -> o != m && o.isIn() && !o.silent).count();
                 if (m.failShare >= FAIL_SHARE && m != m.group.primary && well * 2 >= m.group.members.size()) {
                     silent(m, "fails " + Math.round(m.failShare * 100) + " %");
@@ -779,8 +848,8 @@
                 boolean lost = ++m.missedInARow <= 2 && m.ackedStretch < LOST_BELOW;
                 m.lostShare += lost ? NEWEST * (1 - m.lostShare) : 0;
                 double like = op.pace.usual * m.stretch;
-                long took = (long) Math.max(e.took(), like);
-                learnPace(m, op, took, lost ? Math.min(took, (long) (LOST_BELOW * like)) : took);
+                long waited = (long) Math.max(took, like);
+                learnPace(m, op, waited, lost ? Math.min(waited, (long) (LOST_BELOW * like)) : waited);
             }
             case TURNED_AWAY -> {
                 m.turnedAwayAt = now;
@@ -827,13 +896,31 @@
         if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && heardSince && now - m.probedAt > quiet) {
             probe(m, Probing.OTHER);
         } else if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && !heardSince) {
-            silent(m, "quiet " + quiet / MS + " ms with " + m.out.size() + " out");
+            if (quiet - localHealth.explainedIn(now - quiet, now) < SILENCE_LEAST
+                    || localHealth.commonSilence(now, m, now - quiet, members.values())) {
+                suspectQuiet(m, now - quiet);
+            } else {
+                silent(m, "quiet " + quiet / MS + " ms with " + m.out.size() + " out");
+            }
         }
     }
 
+    /** As {@link #suspect}; ops that may be repeated go where answers have come meanwhile. */
+    private void suspectQuiet(Member m, long since) {
+        suspect(m);
+        if (m.group.members.stream().anyMatch(o -> o != m && o.isPromising() && o.respondedAt >= since)) {
+            callOffRetryable(m);
+        }
+    }
+
+    private void callOffRetryable(Member m) {
+        m.out.values().stream().filter(o -> o.type.repeats() == Repeats.RETRYABLE).forEach(this::callOff);
+    }
+
     /** Not so where nobody was heard: guards against a slow start, of this gateway or of all servers. */
     private boolean neverThere(Member m) {
-        return m.heardAt == Report.UNTOLD && members.values().stream().anyMatch(Member::isPromising);
+        return m.heardAt == Report.UNTOLD && !localHealth.explainedLately(now)
+                && members.values().stream().anyMatch(Member::isPromising);
     }
 
     private void silent(Member m, String why) {
@@ -844,7 +931,7 @@
             m.penalty = neverThere(m) ? PENALTY_MOST
                     : now - m.returnedAt < BRIEF ? Math.min(PENALTY_MOST, m.penalty * 2) : PENALTY_FIRST;
             m.retryAt = now + m.penalty;
-            m.out.values().stream().filter(o -> o.type.repeats() == Repeats.RETRYABLE).forEach(this::callOff);
+            callOffRetryable(m);
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -137,8 +137,8 @@
             listed(file.known());
             discovery.follow();
             long since = System.nanoTime();
-            when(() -> peers == null ? probesOut == 0 : peers.heard() ? probesEnded > 0
-                            : probesOut == 0 && System.nanoTime() - since > WORDS_WITHIN_NS,
+            when(() -> peers == null ? firstProbesEnded() : peers.heard() ? probesEnded > 0
+                            : firstProbesEnded() && System.nanoTime() - since > WORDS_WITHIN_NS,
                     (int) (file.terms().connectLimit() / 10 / START_LOOK_MS) + 1, 1, () -> {
                 clients.ready();
                 log.line("gateway " + file.name() + " listens at " + file.listen().getAddress().getHostAddress()
@@ -148,6 +148,11 @@
         });
     }
 
+    /** Also that the module knows of all ends, after which it may have sent further ones. */
+    private boolean firstProbesEnded() {
+        return probesOut == 0 && loop.isDrained();
+    }
+
     /** What the module is told; where the fleet keeps sessions, each op brings how far its reads must reach. */
     private Event.Started started() {
         Event.Started s = file.terms().started();
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -0,0 +1,269 @@
+package ploverdale;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import ploverdale.model.Action;
+import ploverdale.model.CopyKeeping;
+import ploverdale.model.Event;
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.GroupId;
+import ploverdale.model.Listing;
+import ploverdale.model.OpId;
+import ploverdale.model.OpTypeId;
+import ploverdale.model.Report;
+import ploverdale.model.Report.Role;
+import ploverdale.model.ServerId;
+import ploverdale.model.TenantId;
+import ploverdale.model.ZoneId;
+
+/**
+ * The decision module of one gateway among many database servers, in virtual time: groups of five whose first member is the
+ * primary, clients that ask all groups evenly, servers that die without a word, and hold-ups of the servers, or of all machines
+ * at once. After a hold-up of the gateway its timers fire before it reads the answers that came meanwhile. Times in ms.
+ */
+final class VirtualFleet {
+    static final int HEALTH_CHECK_LIMIT_MS = 250;
+    private static final int GROUP_SIZE = 5;
+    private static final int HEALTH_CHECK_MS = 2;
+    private static final int OP_MS = 10;
+    private static final int RESUME_WITHIN_MS = 150; // of servers, one after the other, on a machine that was held up
+    private static final int GATEWAYS = 6;
+    private static final int TIMERS = 0;
+    private static final int READS = 1;
+
+    /** All machines, or those of the servers only, stand still in [from, until). */
+    private record HoldUp(long from, long until, boolean gatewayToo) {}
+
+    private record Due(long at, int order, long sequence, Runnable what) {}
+
+    private final FakeHost host;
+    private final Random random;
+    private final int servers;
+    private final List<HoldUp> holdUps = new ArrayList<>();
+    private final Map<String, Long> diesAt = new LinkedHashMap<>();
+    private final PriorityQueue<Due> queue = new PriorityQueue<>(
+            Comparator.comparingLong(Due::at).thenComparingInt(Due::order).thenComparingLong(Due::sequence));
+    private final Set<String> pending = new HashSet<>(); // attempts and health checks that have not ended
+    private final Map<String, Long> silentSince = new LinkedHashMap<>();
+    private final Map<String, Long> silentAtFirst = new LinkedHashMap<>();
+    private final Map<OpId, Integer> attempts = new LinkedHashMap<>();
+    private final Map<String, ServerId> sentTo = new HashMap<>();
+    private long sequence;
+    private long lastReturn;
+    private int healthChecksOut;
+    private int healthChecksOutMost;
+    int succeeded;
+    private int names;
+
+    VirtualFleet(int servers, long seed) {
+        this.servers = servers;
+        random = new Random(seed);
+        host = new FakeHost(CopyKeeping.Checks.NONE, false, true, GATEWAYS);
+    }
+
+    /** Holds up the servers, and the gateway, too, unless told otherwise. */
+    VirtualFleet heldUp(long from, long lasts, boolean gatewayToo) {
+        holdUps.add(new HoldUp(start() + from, start() + from + lasts, gatewayToo));
+        return this;
+    }
+
+    /** From then on the servers with these numbers answer nothing. */
+    VirtualFleet die(long at, int from, int until) {
+        for (int i = from; i < until; i++) {
+            diesAt.put(id(i), start() + at);
+        }
+        return this;
+    }
+
+    private long start() {
+        return 100_000;
+    }
+
+    static String id(int number) {
+        return String.format("s%03d", number);
+    }
+
+    /** Lists all servers and plays for so long, with so many client ops a second after the first health checks. */
+    VirtualFleet play(long lasts, int opsPerSecond) {
+        for (HoldUp h : holdUps) {
+            if (h.gatewayToo) {
+                later(h.until, -1, () -> tell(new Event.LoopDelayed(h.from * 10, h.until * 10)));
+            }
+        }
+        later(start(), READS, () -> {
+            carryOut(List.copyOf(host.acts)); // what the module wanted at its start
+            tell(new Event.ListTold(true, false, listings()));
+        });
+        long gap = opsPerSecond == 0 ? lasts : 1000 / opsPerSecond;
+        for (long at = HEALTH_CHECK_LIMIT_MS; opsPerSecond > 0 && at < lasts; at += gap) {
+            gateway(start() + at, READS, this::arrival);
+        }
+        long end = start() + lasts;
+        while (!queue.isEmpty() && queue.peek().at < end) {
+            Due due = queue.poll();
+            host.nowMs = due.at;
+            due.what.run();
+        }
+        return this;
+    }
+
+    private List<Listing> listings() {
+        List<Listing> all = new ArrayList<>();
+        for (int i = 0; i < servers; i++) {
+            all.add(new Listing(new ServerId(id(i)), group(i), new ZoneId(0), Listing.Stage.IN, isPrimary(i), 0));
+        }
+        return all;
+    }
+
+    private static GroupId group(int server) {
+        return new GroupId(server / GROUP_SIZE);
+    }
+
+    private static boolean isPrimary(int server) {
+        return server % GROUP_SIZE == 0;
+    }
+
+    private void arrival() {
+        int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT).get(random.nextInt(4));
+        GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
+        tell(new Event.OpArrived(new OpId("op" + names++), new OpTypeId(type), new TenantId(0), group, null,
+                host.nowMs * 10 + 30_000, false, 0, 0));
+    }
+
+    private void tell(Event event) {
+        host.acts.clear(); // which would keep all there ever was
+        carryOut(host.tell(event));
+    }
+
+    private void carryOut(List<Action> actions) {
+        for (Action action : actions) {
+            if (action instanceof Action.Send a) {
+                int attempt = attempts.merge(a.op(), 1, Integer::sum) - 1;
+                String name = "send " + a.op().text() + " " + attempt;
+                sentTo.put(name, a.server());
+                exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
+                    succeeded += outcome == Outcome.ACKED ? 1 : 0;
+                    tell(new Event.SendEnded(a.op(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
+                            null, outcome == Outcome.ACKED ? report(a.server()) : null));
+                });
+            } else if (action instanceof Action.CallOff a) {
+                String name = "send " + a.op().text() + " " + a.send();
+                if (pending.remove(name)) {
+                    ServerId at = sentTo.get(name);
+                    gateway(host.nowMs, TIMERS, () -> tell(new Event.SendEnded(
+                            a.op(), a.send(), at, Outcome.CALLED_OFF, 0, false, null, null)));
+                }
+            } else if (action instanceof Action.Probe a) {
+                healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
+                exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + names++, (outcome, took) -> {
+                    healthChecksOut--;
+                    tell(new Event.ProbeEnded(
+                            a.server(), outcome, outcome == Outcome.ACKED ? report(a.server()) : null));
+                });
+            } else if (action instanceof Action.Wake a) {
+                gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.WakeUp(a.mark())));
+            } else if (action instanceof Action.LogLine a) {
+                logged(a.text().split(" "));
+            }
+        }
+    }
+
+    private interface Ended {
+        void with(Outcome outcome, long tookMs);
+    }
+
+    private void exchange(ServerId server, int work, long limit, String name, Ended ended) {
+        long began = host.nowMs;
+        pending.add(name);
+        gateway(began + Math.max(1, limit), TIMERS, () -> {
+            if (pending.remove(name)) {
+                ended.with(Outcome.TIMED_OUT, host.nowMs - began);
+            }
+        });
+        later(began + work, READS, () -> answer(server, name, began, ended));
+    }
+
+    /** At the server, which does it once its machine goes on. */
+    private void answer(ServerId server, String name, long began, Ended ended) {
+        if (host.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
+            return;
+        }
+        for (HoldUp h : holdUps) {
+            if (h.from <= host.nowMs && host.nowMs < h.until) {
+                later(h.until + random.nextInt(RESUME_WITHIN_MS), READS, () -> answer(server, name, began, ended));
+                return;
+            }
+        }
+        gateway(host.nowMs + 1, READS, () -> {
+            if (pending.remove(name)) {
+                ended.with(Outcome.ACKED, host.nowMs - began);
+            }
+        });
+    }
+
+    private Report report(ServerId server) {
+        boolean primary = isPrimary(Integer.parseInt(server.text().substring(1)));
+        return new Report(primary ? Role.PRIMARY : Role.REPLICA, (host.nowMs - 20) * 10);
+    }
+
+    /** In the gateway's process, which does it once it goes on. */
+    private void gateway(long at, int order, Runnable what) {
+        long goesOn = at;
+        for (HoldUp h : holdUps) {
+            goesOn = h.gatewayToo && h.from <= goesOn && goesOn < h.until ? h.until : goesOn;
+        }
+        later(goesOn, order, what);
+    }
+
+    private void later(long at, int order, Runnable what) {
+        queue.add(new Due(at, order, sequence++, what));
+    }
+
+    private void logged(String[] words) {
+        if (words[0].equals("server") && words[2].equals("silent:")) {
+            silentSince.put(words[1], host.nowMs - start());
+            silentAtFirst.putIfAbsent(words[1], host.nowMs - start());
+        } else if (words[0].equals("server") && words[2].equals("returns:")) {
+            silentSince.remove(words[1]);
+            lastReturn = host.nowMs - start();
+        }
+    }
+
+    /** Servers called silent at any time, by when that was first. */
+    Map<String, Long> calledSilent() {
+        return silentAtFirst;
+    }
+
+    /** Servers that are called silent still. */
+    Set<String> silent() {
+        return silentSince.keySet();
+    }
+
+    /** When the last of the servers that had been called silent returned. */
+    long lastReturn() {
+        return lastReturn;
+    }
+
+    /** The most health checks that were out at once. */
+    int healthChecksOutMost() {
+        return healthChecksOutMost;
+    }
+
+    /** Between the death of these servers and the last of them being called silent. */
+    long lastDetectedAfter(long death) {
+        return silentAtFirst.values().stream().mapToLong(Long::longValue).max().orElse(Long.MAX_VALUE) - death;
+    }
+
+    /** The same, on average. */
+    double detectedAfter(long death) {
+        return silentAtFirst.values().stream().mapToLong(Long::longValue).average().orElse(Double.MAX_VALUE) - death;
+    }
+}
