--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -14,6 +14,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.Set;
+import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
 import ploverdale.shutdown.Traffic;
 import ploverdale.log.Log;
@@ -36,14 +37,26 @@
  */
 public final class ClientSide {
     private static final int AHEAD_MOST = 8; // commands of one client taken before their answers are out
-    // Bytes of one client read beyond these, so that its leaving is seen: the end of a connection comes behind its bytes.
+    // Bytes of requests of one client that wait behind these; further requests are refused. The end of a connection comes
+    // behind its bytes, so a client that has closed is known only once all that it wrote has been read.
     private static final int READ_AHEAD_MOST = 64 * 1024;
+    private static final int QUEUED_COST = 64; // bytes that a queued message takes beside its text
+    private static final int QUEUED_MOST = 4 * READ_AHEAD_MOST; // then no more is read, and what is queued is refused
+    private static final int BEHIND_MOST = 1000; // requests answered behind a message that ends the connection
+    // An attempt may begin up to 100 ms after its client closed; a connection read longer ago than this is read once more first.
+    private static final long READ_LATELY_MS = 20;
     private static final int DROPPED_MOST = 64 * 1024; // of what a client writes after its end
     private static final long PARTING_MS = 500; // for a client to close, too, once its connection has been ended here
     private static final long LOOK_MS = 20;
     private static final long SILENT_MS = 20; // for a greeting, once the gateway ends connections
     private static final double TRAFFIC_FADES_MS = 1000;
     private static final long LOAD_MOST = 16 * 1024 * 1024; // see makeLighter
+    private static final int READS_MOST = 4; // of a connection at a time
+    private static final String BUSY = "53300";
+    private static final PgCodec.BadAsk TOO_MUCH =
+            new PgCodec.BadAsk(BUSY, "too many requests at once, trying again does no harm", false);
+    private static final PgCodec.BadAsk CANCELED =
+            new PgCodec.BadAsk("57014", "canceled on the client's request; whether it ran is not known", false);
     private static final long UNREAD_LEAST_MS = 5000; // for a client to read on, or as long as an op may take, before it is closed
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
@@ -91,7 +104,10 @@
     private final Map<OpId, Taken> taken = new HashMap<>();
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final List<Session> early = new ArrayList<>(); // asked before the module was told what it needs
-    private final Set<Session> heldBack = new LinkedHashSet<>(); // until the load is less
+    private final Map<Integer, Session> byProcess = new HashMap<>(); // by the number that a cancel message names
+    // Numbers that others cannot know by counting; connections have no password, so this needs no stronger source.
+    private final SplittableRandom secrets = new SplittableRandom();
+    private int processes;
     private long load; // bytes of ops in hand, of messages not yet whole and of answers not yet read
     private LongConsumer asked = x -> { };
     private Past past; // null where gateways keep nothing together
@@ -264,6 +280,15 @@
         return taken.size();
     }
 
+    /**
+     * Whether the client of an op still waits for it; asked right before an attempt is written. Where its connection was not
+     * read a moment ago, as for a retry, a request that was held, or behind a pause of this process, it is read now.
+     */
+    boolean waits(Taken t) {
+        OpId op = new OpId(t.ask.id());
+        return taken.get(op) == t && !t.session.leftUnseen() && taken.get(op) == t;
+    }
+
     /** The op if it is still in hand. */
     public Taken taken(OpId op) {
         return taken.get(op);
@@ -315,24 +340,20 @@
     }
 
     /**
-     * Guards against what clients make a gateway hold: over the bound, those whose message has been unfinished longest
-     * lose their connections, after the answers to what came before it; if that is not enough, no more is read for now.
+     * Bounds what clients make a gateway hold: over the bound, those whose message has been unfinished longest lose their
+     * connections, after the answers to what came before it, and new requests are refused. All go on being read: a client that
+     * was not read would get its answer too late because of what others hold here.
      */
     private void makeLighter() {
         while (load >= LOAD_MOST && limits.longestUnfinished() != null) {
             Session s = limits.longestUnfinished();
             log.often("too much unfinished", "given up with " + s.partial + " bytes, " + load + " held in all");
-            s.giveUp("08P01", "too much is unfinished here");
+            s.giveUp(BUSY, "too much is unfinished here, trying again does no harm");
         }
     }
 
     private void lighter(long by) {
         load -= by;
-        if (load < LOAD_MOST && !heldBack.isEmpty()) {
-            List<Session> all = List.copyOf(heldBack);
-            heldBack.clear();
-            vertx.runOnContext(x -> all.forEach(Session::read));
-        }
     }
 
     private void answer(OpId op, Buffer answer) {
@@ -344,14 +365,32 @@
         }
     }
 
+    private static int cost(PgCodec.FromClient m) {
+        return QUEUED_COST + (m instanceof PgCodec.OpAsk ask ? ask.text().length : 0);
+    }
+
+    /** Cancels the requests of the connection that the message names, if it is one of these. */
+    private void cancel(PgCodec.Cancel c) {
+        Session s = byProcess.get(c.process());
+        if (s != null && s.secret == c.secret()) {
+            s.cancelRequests();
+        }
+    }
+
     /** One client's connection. */
     public final class Session {
         private final NetSocket socket;
         private final PgCodec.ClientStream stream = new PgCodec.ClientStream();
         private final Deque<Slot> slots = new ArrayDeque<>();
+        private final Deque<PgCodec.FromClient> waiting = new ArrayDeque<>(); // cut, behind as many as may be in hand
+        private final int process = ++processes; // with the secret, what a cancel message names
+        private final int secret = secrets.nextInt();
+        private int waitingBytes;
         private boolean closed;
         private boolean reading; // bytes that came are being taken in
-        private boolean deaf;
+        private boolean deaf; // a message that ends the connection has come; nothing behind it is run
+        private boolean framingLost; // no message can be found any more in what comes
+        private int behind; // requests that came behind the message that ends the connection
         private boolean paused;
         private boolean readsOn;
         private boolean unread;
@@ -360,6 +399,8 @@
         private long firstAt;
         private int partial;
         private long unreadBytes;
+        private long readAt = nowMs();
+        private long bytesRead;
 
         private Session(NetSocket socket) {
             this.socket = socket;
@@ -367,10 +408,13 @@
             socket.closeHandler(x -> gone());
             socket.exceptionHandler(e -> log.often("client connection", String.valueOf(e.getMessage())));
             limits.came(this, nowMs());
+            byProcess.put(process, this);
         }
 
         private void bytes(Buffer more) {
-            if (closed || deaf) {
+            readAt = nowMs();
+            bytesRead += more.length();
+            if (closed || framingLost) {
                 log.often("client bytes after its end", more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
                 return;
             }
@@ -390,21 +434,15 @@
         }
 
         private void read() {
-            boolean cut = false;
-            boolean part = false;
-            while (!closed && !deaf && load < LOAD_MOST && slots.size() < AHEAD_MOST && !unread && first == null) {
-                PgCodec.FromClient m = stream.next();
-                part = m == null;
-                if (part) {
-                    break;
-                }
-                cut = true;
-                message(m);
+            if (closed) {
+                return;
             }
+            take();
+            boolean cut = cut();
             if (!closed) {
                 load += stream.held() - partial;
                 partial = stream.held();
-                boolean begun = part && partial > 0 && stream.greeted(); // not what waits here for answers before it
+                boolean begun = partial > 0 && stream.greeted() && !deaf && waitingBytes < QUEUED_MOST;
                 if (!begun || cut) {
                     limits.whole(this);
                 }
@@ -416,6 +454,114 @@
             }
         }
 
+        /** Cuts what has come into messages; true if there were any. A client that terminates has gone, whatever waits here. */
+        private boolean cut() {
+            boolean cut = false;
+            while (!closed && !deaf && waitingBytes < QUEUED_MOST) {
+                PgCodec.FromClient m = stream.next();
+                if (m == null) {
+                    return cut;
+                }
+                cut = true;
+                if (m instanceof PgCodec.Bye) {
+                    close();
+                } else {
+                    enqueue(m);
+                    take();
+                }
+            }
+            if (deaf && !closed) {
+                countBehind();
+            }
+            return cut;
+        }
+
+        private void enqueue(PgCodec.FromClient m) {
+            boolean tooMuch = waitingBytes >= READ_AHEAD_MOST || load >= LOAD_MOST;
+            queue(tooMuch && m instanceof PgCodec.OpAsk ? TOO_MUCH : m);
+            if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+                endInput();
+            }
+        }
+
+        private void queue(PgCodec.FromClient m) {
+            waiting.add(m);
+            waitingBytes += cost(m);
+            load += cost(m);
+        }
+
+        /** Takes as many of the messages that wait as may be in hand; none is forwarded while its client's end cannot be seen. */
+        private void take() {
+            while (!closed && slots.size() < AHEAD_MOST && !unread && first == null && !waiting.isEmpty()) {
+                PgCodec.FromClient m = waiting.poll();
+                waitingBytes -= cost(m);
+                lighter(cost(m));
+                message(paused && m instanceof PgCodec.OpAsk ? TOO_MUCH : m);
+            }
+        }
+
+        /** From now on what comes is not run: the message at the head of the stream ends the connection. */
+        private void endInput() {
+            deaf = true;
+            framingLost = !stream.skipMessage();
+        }
+
+        /** Counts the requests behind the message that ends the connection: each is refused before the connection ends. */
+        private void countBehind() {
+            while (!framingLost) {
+                PgCodec.FromClient m = stream.next();
+                if (m == null) {
+                    return;
+                }
+                if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+                    framingLost = !stream.skipMessage();
+                } else if (m instanceof PgCodec.OpAsk || m instanceof PgCodec.EmptyAsk || m instanceof PgCodec.BadAsk) {
+                    behind = Math.min(BEHIND_MOST, behind + 1);
+                }
+            }
+            stream.clear();
+        }
+
+        /** Whether the client has closed its connection, which may not have been read for a while. */
+        private boolean leftUnseen() {
+            if (closed || nowMs() - readAt < READ_LATELY_MS) {
+                return closed;
+            }
+            readToTheEnd();
+            readAt = nowMs();
+            if (!closed && !NioSockets.isOpen(socket)) {
+                over();
+            }
+            return closed;
+        }
+
+        /** Reads until nothing more is there; the end of a connection comes behind its bytes. */
+        private void readToTheEnd() {
+            long before = -1;
+            for (int i = 0; i < READS_MOST && bytesRead != before && !closed; i++) {
+                before = bytesRead;
+                NioSockets.readNow(socket);
+            }
+        }
+
+        /** Ends every request that has come and has no answer yet: none of them is attempted from now on. */
+        private void cancelRequests() {
+            for (Slot s : slots) {
+                if (s.op != null && s.answer == null) {
+                    lighter(taken.remove(s.op).ask.text().length);
+                    loop.tell(new Event.ClientLeft(s.op));
+                    s.answer = PgCodec.problem(CANCELED.code(), CANCELED.text(), null, false, true);
+                }
+            }
+            first = first instanceof PgCodec.OpAsk ? CANCELED : first;
+            List<PgCodec.FromClient> queued = List.copyOf(waiting);
+            waiting.clear();
+            lighter(waitingBytes);
+            waitingBytes = 0;
+            queued.forEach(m -> queue(m instanceof PgCodec.OpAsk ? CANCELED : m));
+            flush();
+        }
+
         private void takeEarly() {
             PgCodec.FromClient m = first;
             first = null;
@@ -437,12 +583,13 @@
                 op(ask, cameAt());
             } else if (m instanceof PgCodec.Hello) {
                 limits.greeted(this);
-                put(PgCodec.welcome());
+                put(PgCodec.welcome(process, secret));
             } else if (m instanceof PgCodec.WantsCover) {
                 put(Buffer.buffer("N"));
             } else if (m instanceof PgCodec.EmptyAsk && !skipping) {
                 put(PgCodec.emptyDone());
-            } else if (m instanceof PgCodec.Bye) {
+            } else if (m instanceof PgCodec.Cancel c) {
+                cancel(c);
                 close();
             } else if (m instanceof PgCodec.Sync) {
                 skipping = false;
@@ -450,6 +597,10 @@
             } else if (m instanceof PgCodec.NotSpoken n && !skipping) {
                 skipping = n.untilSync();
                 put(PgCodec.problem("0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
+            } else if ((m == TOO_MUCH || m == CANCELED) && !skipping) {
+                PgCodec.BadAsk not = (PgCodec.BadAsk) m;
+                log.often("client's request not run", not.text());
+                refuse(not.code(), not.text(), false);
             } else if (m instanceof PgCodec.BadAsk bad && (!skipping || bad.ends())) {
                 bad(bad.code(), bad.text(), bad.ends());
             }
@@ -464,10 +615,14 @@
         private void giveUp(String code, String why) {
             limits.greeted(this); // no stranger any more, since it is being answered
             limits.whole(this);
-            stream.clear();
+            endInput();
             lighter(partial);
             partial = 0;
-            refuse(code, why, true);
+            if (framingLost) {
+                stream.clear();
+            }
+            queue(new PgCodec.BadAsk(code, why, true));
+            take();
         }
 
         private void bad(String code, String text, boolean ends) {
@@ -536,11 +691,14 @@
                     load += s.answer.length();
                 }
                 if (s.ends) {
+                    for (int i = 0; i < behind && !closed; i++) {
+                        socket.write(PgCodec.problem(BUSY, "not run, this connection ends", null, false, true));
+                    }
                     close();
                 }
             }
             if (!closed && slots.isEmpty()) {
-                if (stream.held() == 0 && !limits.isUnfinished(this)) {
+                if (stream.held() == 0 && waiting.isEmpty() && !limits.isUnfinished(this)) {
                     limits.idle(this, nowMs());
                 }
                 if (ending) {
@@ -561,7 +719,7 @@
                     read();
                 });
             }
-            if (!readsOn && stream.held() > 0) {
+            if (!readsOn && (stream.held() > 0 || !waiting.isEmpty())) {
                 readsOn = true;
                 vertx.runOnContext(x -> {
                     readsOn = false;
@@ -593,19 +751,15 @@
         }
 
         private boolean waitsForNothing() {
-            return !closed && slots.isEmpty() && stream.greeted() && stream.held() == 0 && first == null;
+            return !closed && slots.isEmpty() && waiting.isEmpty() && stream.greeted() && stream.held() == 0 && first == null;
         }
 
-        /** Guards against clients that write more than they read: they are held back. */
+        /** Holds back a client that writes far more than it reads. */
         private void flow() {
             if (closed) {
                 return;
             }
-            boolean waits = slots.size() >= AHEAD_MOST || unread || first != null; // not for the rest of a message
-            boolean hold = waits && stream.held() >= READ_AHEAD_MOST || load >= LOAD_MOST;
-            if (load >= LOAD_MOST) {
-                heldBack.add(this);
-            }
+            boolean hold = waitingBytes >= QUEUED_MOST;
             if (hold != paused) {
                 paused = hold;
                 if (hold) {
@@ -639,10 +793,12 @@
             closed = true;
             limits.left(this);
             stream.clear(); // what refers to an ended session must not keep its bytes
-            lighter(partial + unreadBytes);
+            lighter(partial + unreadBytes + waitingBytes);
             partial = 0;
             unreadBytes = 0;
-            heldBack.remove(this);
+            waiting.clear();
+            waitingBytes = 0;
+            byProcess.remove(process);
             early.remove(this);
             sessions.remove(this);
             for (Slot s : slots) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -210,7 +210,7 @@
         }
         // Guards against a send that waited for its connection: its client may have gone, a position may have aged.
         servers.send(a.op(), a.server(), a.timeLimit(),
-                () -> clients.taken(a.op()) == t && LogicLoop.Clock.now() <= a.writeBy(), waitMs -> PgCodec.ask(t.ask(), waitMs),
+                () -> clients.waits(t) && LogicLoop.Clock.now() <= a.writeBy(), waitMs -> PgCodec.ask(t.ask(), waitMs),
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -37,7 +37,9 @@
     }
 
     private static final long TICK_MS = 10;
+    private static final long LATE = 200; // from an event to its turn, in tenths of a millisecond; usually a part of one
     private static final long READ_ON_MS = 1; // after a standstill, for what came during it
+    private static final int READ_ON_TURNS = 3; // one to accept the connection of a cancel message, one to read it
     private static final long STANDSTILL_MS = 250; // of the loop; half of what answers may be late
 
     private final Vertx vertx;
@@ -47,6 +49,8 @@
     private final Logic logic;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean due;
+    private boolean late; // the loop was held up before the first event in the queue was read
+    private long firstQueuedAt;
     private long lastTick = Clock.now();
     private long tickBefore = lastTick;
 
@@ -89,19 +93,34 @@
     }
 
     /**
-     * Queues what happened; the module hears of it right after what is being read now. Guards against ops sent for clients
-     * that went while this loop stood still: their requests are read first, their closes in the turn after it.
+     * Queues what happened; the module is handed it right after what is being read now. Where the loop was held up before that
+     * reading, or is held up between it and this turn, it reads on first: a request is read before the close or the cancel
+     * message of its client, and no attempt may begin for one that went meanwhile.
      */
     public void tell(Event h) {
         queue.add(h);
         if (!due) {
             due = true;
-            if (behind() > 0) {
-                // The first may come in this very turn of the loop, the second not before what is ready has been read.
-                vertx.setTimer(READ_ON_MS, x -> vertx.setTimer(READ_ON_MS, y -> drain()));
-            } else {
-                context.runOnContext(x -> drain());
-            }
+            late = behind() > 0;
+            firstQueuedAt = Clock.now();
+            context.runOnContext(x -> drainOnTime());
+        }
+    }
+
+    private void drainOnTime() {
+        if (late || Clock.now() - firstQueuedAt > LATE) {
+            readOn(READ_ON_TURNS);
+        } else {
+            drain();
+        }
+    }
+
+    /** Hands the module the queue after so many timers, the first of which may run in this very turn of the loop. */
+    private void readOn(int turns) {
+        if (turns == 0) {
+            drain();
+        } else {
+            vertx.setTimer(READ_ON_MS, x -> readOn(turns - 1));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/NioSockets.java
+++ b/gateway/src/main/java/ploverdale/net/NioSockets.java
@@ -23,6 +23,11 @@
         }
     }
 
+    /** Whether the connection is still open, as far as this process has read it; false right after its end was read. */
+    static boolean isOpen(NetSocket socket) {
+        return channel(socket).isOpen();
+    }
+
     /** Sends the end of the output at once; false, with nothing done, where earlier output has not been taken by the system. */
     static boolean shutdownOutputNow(NetSocket socket) {
         Channel channel = channel(socket);
--- a/gateway/src/main/java/ploverdale/net/PgCodec.java
+++ b/gateway/src/main/java/ploverdale/net/PgCodec.java
@@ -16,6 +16,7 @@
     public static final int VALUE_MOST = 64 * 1024;
     private static final int HELLO_MOST = 10_000;
     private static final int ASK_MOST = 2 * VALUE_MOST + 8 * 1024; // hex takes two characters a byte
+    private static final int CANCEL_LENGTH = 16;
     private static final int SKIP_MOST = 1024 * 1024; // longer ones end the connection unread
     private static final int TOLD_MOST = VALUE_MOST + 8 * 1024;
 
@@ -32,9 +33,12 @@
     /** SSLRequest or GSSENCRequest. */
     public record WantsCover() implements FromClient {}
 
-    /** CancelRequest or Terminate. */
+    /** Terminate. */
     public record Bye() implements FromClient {}
 
+    /** CancelRequest: names the connection whose requests are to be cancelled by its BackendKeyData. */
+    public record Cancel(int process, int secret) implements FromClient {}
+
     /** A query without any statement. */
     public record EmptyAsk() implements FromClient {}
 
@@ -74,6 +78,22 @@
             return frames.size();
         }
 
+        /**
+         * Skips the message at the head of the stream, which is incomplete or unacceptable; false, with nothing skipped, where
+         * its header is missing or its length cannot be believed, so that no later message can be found.
+         */
+        public boolean skipMessage() {
+            if (!greeted || !frames.skipped() || frames.size() < 5) {
+                return false;
+            }
+            int length = frames.int32(1);
+            if (length < 4 || length > SKIP_MOST) {
+                return false;
+            }
+            frames.skip(1 + length);
+            return true;
+        }
+
         /** The next message, or null until more bytes have come. */
         public FromClient next() {
             return greeted ? nextMessage() : nextHello();
@@ -91,12 +111,14 @@
                 return null;
             }
             int code = frames.int32(4);
+            boolean cancels = code == 80877102 && length == CANCEL_LENGTH;
+            FromClient cancel = cancels ? new Cancel(frames.int32(8), frames.int32(12)) : new Bye();
             frames.drop(length);
             if (code == 80877103 || code == 80877104) {
                 return new WantsCover();
             }
             if (code == 80877102) {
-                return new Bye();
+                return cancel;
             }
             greeted = code >> 16 == 3;
             return greeted ? new Hello()
@@ -261,14 +283,19 @@
 
     // -- What is said to clients
 
-    /** The answer to a startup message. */
+    /** The answer to a startup message, with a BackendKeyData that no cancel message is matched with. */
     public static Buffer welcome() {
+        return welcome(0, 0);
+    }
+
+    /** The answer to a startup message; a CancelRequest names the connection by these two numbers. */
+    public static Buffer welcome(int process, int secret) {
         Buffer b = Buffer.buffer(128);
         b.appendByte((byte) 'R').appendInt(8).appendInt(0);
         told(b, "server_version", "15.0");
         told(b, "client_encoding", "UTF8");
         told(b, "standard_conforming_strings", "on");
-        b.appendByte((byte) 'K').appendInt(12).appendInt(0).appendInt(0);
+        b.appendByte((byte) 'K').appendInt(12).appendInt(process).appendInt(secret);
         return ready(b);
     }
 
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -0,0 +1,68 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import ploverdale.FakeHost.Got;
+import ploverdale.FakeHost.Server;
+
+/** Records when each attempt of a request arrived, complete, at a stand-in database server. */
+final class AttemptRecorder implements AutoCloseable {
+    /** An attempt and the time of its last byte, by the monotonic clock. */
+    record Arrival(Got attempt, long atNanos) {
+        private String id() {
+            return attempt.text().replaceAll(".*/\\* id=([^,]*),.*", "$1");
+        }
+    }
+
+    /** How long after its client closed an attempt may begin. */
+    static final long GRACE_MS = 100;
+
+    private final List<Arrival> arrivals = new CopyOnWriteArrayList<>();
+    private final Thread recorder;
+
+    AttemptRecorder(Server server) {
+        recorder = new Thread(() -> record(server));
+        recorder.setDaemon(true);
+        recorder.start();
+    }
+
+    private void record(Server server) {
+        try {
+            while (true) {
+                Got attempt = server.got.take();
+                arrivals.add(new Arrival(attempt, System.nanoTime()));
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Waits until so many attempts have arrived in all. */
+    List<Arrival> await(int count) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeHost.Net.PATIENCE_S);
+        while (arrivals.size() < count) {
+            assertThat(System.nanoTime()).as("%d attempts, there are %s", count, arrivals).isLessThan(end);
+            Thread.sleep(1);
+        }
+        return List.copyOf(arrivals);
+    }
+
+    int count() {
+        return arrivals.size();
+    }
+
+    /** The ids of the attempts that began later than the grace after this time, by the monotonic clock. */
+    List<String> begunAfter(long closedAtNanos) {
+        long latest = closedAtNanos + TimeUnit.MILLISECONDS.toNanos(GRACE_MS);
+        return arrivals.stream().filter(a -> a.atNanos() > latest).map(Arrival::id).toList();
+    }
+
+    @Override
+    public void close() throws InterruptedException {
+        recorder.interrupt();
+        recorder.join();
+    }
+}
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -284,13 +284,23 @@
             return Gateway.start(vertx, new Log(log), read).toCompletionStage().toCompletableFuture();
         }
 
+        /** An action that may throw. */
+        interface ThrowingRunnable {
+            void run() throws Exception;
+        }
+
         /** Pauses the gateway's event loop while it reads what a client wrote; {@link #goOn} ends that. */
         void pauseWhileReading() throws Exception {
             Client bad = client();
+            pauseWhileReading(() -> bad.ask(op("no such type")));
+        }
+
+        /** The same; what is done has a client write something whose error is logged. */
+        void pauseWhileReading(ThrowingRunnable writes) throws Exception {
             paused = new CountDownLatch(1);
             goesOn = new CountDownLatch(1);
             pausesAt = "bad input from a client"; // the log is written in the middle of reading
-            bad.ask(op("no such type"));
+            writes.run();
             assertThat(paused.await(PATIENCE_S, TimeUnit.SECONDS)).as(this::log).isTrue();
         }
 
