--- a/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
+++ b/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
@@ -17,7 +17,12 @@
     public enum Why { NO_GREETING, UNFINISHED, IDLE }
 
     /** Who is to end, and why. */
-    public record Leave<C>(C who, Why why, long sinceMs) {}
+    public record Leave<C>(C who, Why why, long sinceMs) {
+        /** Whether it ends for lack of room, before the time that any client has for a greeting or a message is up. */
+        public boolean forRoom() {
+            return sinceMs < UNFINISHED_MS;
+        }
+    }
 
     private static final int CLIENTS_OF_TEN = 7; // of what connections may take
     private static final int MANY_PART = 3; // of the clients' share; above it long idle ones end
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -47,6 +47,7 @@
     private static final long READ_LATELY_MS = 20;
     private static final int DROPPED_MOST = 64 * 1024; // of what a client writes after its end
     private static final long PARTING_MS = 500; // for a client to close, too, once its connection has been ended here
+    private static final long GREETING_WAIT_MS = 100; // of a connection that is refused, for what its client has written
     private static final long LOOK_MS = 20;
     private static final long SILENT_MS = 20; // for a greeting, once the gateway ends connections
     private static final double TRAFFIC_FADES_MS = 1000;
@@ -164,7 +165,8 @@
         }
         String what = l.why() == ConnectionLimits.Why.NO_GREETING ? "client without a greeting" : "client with an unfinished message";
         log.often(what, "closed after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
-        l.who().giveUp("08P01", what);
+        // What ends for this gateway's sake is refused, since its client may have written a request meanwhile.
+        l.who().giveUp(ending ? "57P03" : l.forRoom() ? BUSY : "08P01", what);
     }
 
     /** Takes in a connection, in place of one that does nothing where there are many, or turns it away. */
@@ -178,9 +180,13 @@
             log.often("no room for a connection", "of a client, " + limits.clients() + " of clients");
             limits.turnedAway();
             socket.exceptionHandler(e -> { });
-            socket.closeHandler(x -> ended(socket));
-            socket.write(PgCodec.problem("53300", "too many connections", null, true, false));
-            part(socket);
+            long waitMs = limits.over() > 0 ? 0 : GREETING_WAIT_MS;
+            RefusedConnection refused = new RefusedConnection(socket, this::cancel, () -> part(socket));
+            socket.closeHandler(x -> {
+                refused.closed();
+                ended(socket);
+            });
+            refused.refuseWithin(waitMs, vertx);
             return;
         }
         sessions.add(new Session(socket));
@@ -736,7 +742,7 @@
             if (reading || !waitsForNothing()) {
                 return false; // once what came has been taken in this is asked again
             }
-            NioSockets.readNow(socket);
+            NioSockets.readUndisturbed(() -> NioSockets.readNow(socket), System::nanoTime);
             if (!waitsForNothing()) {
                 return false;
             }
