--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -49,6 +49,7 @@
     private static final long PARTING_MS = 500; // for a client to close, too, once its connection has been ended here
     private static final long GREETING_WAIT_MS = 100; // of a connection that is refused, for what its client has written
     private static final long LOOK_MS = 20;
+    private static final long LAST_RESORT_MS = 250; // after a request's time; half of what an answer may be late
     private static final long SILENT_MS = 20; // for a greeting, once the gateway ends connections
     private static final double TRAFFIC_FADES_MS = 1000;
     private static final long LOAD_MOST = 16 * 1024 * 1024; // see makeLighter
@@ -70,9 +71,11 @@
         private final PgCodec.OpAsk ask;
         private final Session session;
         private final Slot slot;
+        private final long lastResortMs;
         private int sends;
 
-        private Taken(PgCodec.OpAsk ask, Session session, Slot slot) {
+        private Taken(PgCodec.OpAsk ask, Session session, Slot slot, long lastResortMs) {
+            this.lastResortMs = lastResortMs;
             this.ask = ask;
             this.session = session;
             this.slot = slot;
@@ -135,6 +138,9 @@
 
     /** Ends what the limits say is to end by now. */
     private void look() {
+        if (loop.behind() == 0) {
+            answerOverdue();
+        }
         for (ConnectionLimits.Leave<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
             end(l);
         }
@@ -144,6 +150,18 @@
         }
     }
 
+    /** Answers what the router has left unanswered beyond its time, whatever the cause: each request gets its final answer. */
+    private void answerOverdue() {
+        long now = nowMs();
+        List<Taken> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
+        for (Taken t : overdue) {
+            OpId op = new OpId(t.ask.id());
+            log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
+            loop.tell(new Event.ClientLeft(op)); // it is answered here
+            errored(op);
+        }
+    }
+
     /**
      * Ends a connection that is to make way: one that began something is told so, an idle one is closed. One whose client has
      * asked by now stays: what the system holds for it is read first, since after a pause of this process a timer fires before
@@ -672,12 +690,13 @@
             Slot slot = new Slot();
             slot.op = op;
             slots.add(slot);
-            taken.put(op, new Taken(ask, this, slot));
+            long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.waitMs() * 10));
+            long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
+            taken.put(op, new Taken(ask, this, slot, lastResortMs));
             load += ask.text().length;
             Needs needs = terms.started().opTypes().get(type).needs();
             boolean inSession = ask.key() != null && (needs == Needs.WRITE || needs == Needs.SESSION);
             long tokenAge = ask.afterMs() <= 0 ? 0 : Math.max(1, now - ask.afterMs() * 10); // 0 is the word for none
-            long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.waitMs() * 10));
             Event.OpArrived arrived = new Event.OpArrived(op, new OpTypeId(type), new TenantId(tenant),
                     new GroupId(ask.group()), inSession ? new SessionId(ask.key()) : null, timeoutAt, ask.again(), 0, tokenAge);
             if (past == null) {
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -0,0 +1,113 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import io.vertx.core.net.NetServer;
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Registry;
+import ploverdale.limits.ConnectionLimits;
+import ploverdale.log.Log;
+import ploverdale.model.Action;
+import ploverdale.net.ClientSide;
+import ploverdale.net.Gateway;
+import ploverdale.net.GatewayFile;
+import ploverdale.net.LogicLoop;
+
+/** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
+@Timeout(120)
+class FinalAnswerTest {
+    private static final long ANSWER_SLACK_MS = 500; // how late a final answer may be
+
+    private static long sinceMs(long beganNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
+    }
+
+    @Test
+    void aRequestIsAnsweredInTimeThoughOtherClientsHoldAsMuchAsTheGatewayKeeps() throws Exception {
+        try (Net net = new Net("p").started(1024, 30_000)) {
+            for (int valueBytes : new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
+                fill(net, valueBytes, valueBytes == 60_000 ? 145 : 20);
+            }
+            Client client = net.client();
+            long asked = System.nanoTime();
+            String answer = client.ask(net.op("quick", 1000)).answer();
+            assertThat(answer).as(net::log).startsWith("53300");
+            assertThat(sinceMs(asked)).as(net::log).isLessThan(1000 + ANSWER_SLACK_MS);
+        }
+    }
+
+    /** So many clients, each with a request that the server does not answer. */
+    private static void fill(Net net, int valueBytes, int clients) throws Exception {
+        for (int i = 0; i < clients; i++) {
+            net.client().ask(net.op("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
+        }
+    }
+
+    /** Takes every action of the router and carries none out, as if its answers were lost. */
+    private static final class LosesActions implements LogicLoop.Hands {
+        @Override
+        public void send(Action.Send send) {}
+
+        @Override
+        public void callOff(Action.CallOff callOff) {}
+
+        @Override
+        public void busyReply(Action.BusyReply reply) {}
+
+        @Override
+        public void errorReply(Action.ErrorReply reply) {}
+
+        @Override
+        public void probe(Action.Probe probe) {}
+
+        @Override
+        public void closeIdle(Action.CloseIdle close) {}
+
+        @Override
+        public void followList() {}
+
+        @Override
+        public void tell(Action.Tell tell) {}
+    }
+
+    @Test
+    void aRequestThatNobodyAnswersFailsRightAfterItsTime() throws Exception {
+        Vertx vertx = Gateway.vertx();
+        try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
+            Path file = Files.createTempFile("gateway", ".json");
+            GatewayFile settings = GatewayFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
+            Files.delete(file);
+            ByteArrayOutputStream lines = new ByteArrayOutputStream();
+            Log log = new Log(new PrintStream(lines, true));
+            CompletableFuture<NetServer> listening = new CompletableFuture<>();
+            Context context = vertx.getOrCreateContext();
+            context.runOnContext(x -> {
+                LogicLoop loop = new LogicLoop(vertx, context, log, new LosesActions(), null);
+                ClientSide clients = new ClientSide(vertx, log, loop, settings.terms(), new ConnectionLimits<>(256));
+                clients.ready();
+                vertx.createNetServer().connectHandler(clients::accept).listen(0, "127.0.0.1")
+                        .onComplete(r -> listening.complete(r.result()));
+            });
+            int port = listening.get(Net.PATIENCE_S, TimeUnit.SECONDS).actualPort();
+            try (Client client = new Client(port).greeted()) {
+                long asked = System.nanoTime();
+                String query = "SELECT val FROM state WHERE uid = 'k' /* id=1,c=quick,t=north,d=400,cluster=1 */";
+                assertThat(client.ask(query).answer()).as(lines::toString).isEqualTo("58000 ready");
+                assertThat(sinceMs(asked)).as(lines::toString).isBetween(400L, 400 + ANSWER_SLACK_MS);
+            }
+        } finally {
+            vertx.close().toCompletionStage().toCompletableFuture().get(Net.PATIENCE_S, TimeUnit.SECONDS);
+        }
+    }
+}
