--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -8,6 +8,7 @@
 import io.vertx.core.file.FileSystemOptions;
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetServerOptions;
+import io.vertx.core.spi.transport.Transport;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -85,8 +86,17 @@
 
     /** One event loop for all; nothing looked up by name, no files kept. */
     public static Vertx vertx() {
+        return vertx(new SleepingTransport());
+    }
+
+    /** The same, with channels made by this; for tests in which system calls fail. */
+    public static Vertx vertx(Transport channels) {
+        return vertx(new SleepingTransport(channels));
+    }
+
+    private static Vertx vertx(SleepingTransport transport) {
         System.setProperty("vertx.disableDnsResolver", "true");
-        return Vertx.builder().withTransport(new SleepingTransport()).with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
+        return Vertx.builder().withTransport(transport).with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
                 .setInternalBlockingPoolSize(1).setBlockedThreadCheckInterval(60_000)
                 .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
                         .setClassPathResolvingEnabled(false))).build();
--- a/gateway/src/main/java/ploverdale/net/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/SleepingTransport.java
@@ -28,7 +28,17 @@
     private static final long LATE = 5 * MS; // longer than a wait and the reading behind it usually take beyond the wait
     private static final int READS_AGAIN_MOST = 2; // in a turn, so that a flood keeps no timer from running
 
-    private final Transport nio = io.vertx.core.transport.Transport.NIO.implementation();
+    private final AcceptRetry acceptRetry = new AcceptRetry();
+    private final Transport nio;
+
+    SleepingTransport() {
+        this(io.vertx.core.transport.Transport.NIO.implementation());
+    }
+
+    /** Makes its channels with this one. */
+    SleepingTransport(Transport nio) {
+        this.nio = nio;
+    }
 
     @Override
     public String name() {
@@ -73,7 +83,12 @@
 
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-        return nio.serverChannelFactory(domainSocket);
+        ChannelFactory<? extends ServerChannel> listeners = nio.serverChannelFactory(domainSocket);
+        return () -> {
+            ServerChannel listener = listeners.newChannel();
+            listener.pipeline().addFirst(acceptRetry);
+            return listener;
+        };
     }
 
     /** The wait for a timer that is due in so many nanoseconds. */
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -28,6 +28,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.UnaryOperator;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
@@ -216,7 +217,7 @@
         private volatile CountDownLatch paused;
         private volatile CountDownLatch goesOn;
         private final List<AutoCloseable> open = new ArrayList<>();
-        final Vertx vertx = Gateway.vertx();
+        final Vertx vertx;
         final Map<String, Server> servers = new LinkedHashMap<>();
         final Registry registry;
         Gateway gateway;
@@ -226,6 +227,12 @@
 
         /** A gateway among servers, the first of them the primary; not yet started. */
         Net(String... ids) throws IOException {
+            this(Gateway.vertx(), ids);
+        }
+
+        /** The same, with an event loop of the test's. */
+        Net(Vertx vertx, String... ids) throws IOException {
+            this.vertx = vertx;
             for (String id : ids) {
                 servers.put(id, new Server(id.startsWith("p")));
             }
@@ -466,19 +473,26 @@
             return listener.getLocalPort();
         }
 
-        @Override
-        public void close() throws IOException {
-            listener.close();
+        /** Closes the connections that there are; new ones may come. */
+        void closeConnections() throws IOException {
             for (Socket s : List.copyOf(sockets)) {
                 s.close();
             }
         }
+
+        @Override
+        public void close() throws IOException {
+            listener.close();
+            closeConnections();
+        }
     }
 
     /** A database server: answers probes by itself, and hands each op's query to the story. */
     static final class Server extends Stand {
         final BlockingQueue<Got> got = new LinkedBlockingQueue<>();
         final BlockingQueue<String> connects = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> ran = new LinkedBlockingQueue<>(); // every op's query that came whole
+        final AtomicInteger open = new AtomicInteger(); // connections on which a greeting has come
         private final boolean primary;
         volatile boolean mute; // takes connections, says nothing
         volatile boolean shut; // takes connections, closes them at once
@@ -506,6 +520,7 @@
             DataInputStream in = new DataInputStream(s.getInputStream());
             in.readFully(new byte[in.readInt() - 4]);
             CountDownLatch ended = new CountDownLatch(1);
+            open.incrementAndGet();
             try {
                 awaits(holdsGreetings);
                 if (!mute) {
@@ -522,6 +537,9 @@
                     byte[] body = new byte[in.readInt() - 4];
                     in.readFully(body);
                     Got g = new Got(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), ended);
+                    if (!g.text.startsWith("SHOW")) {
+                        ran.add(g.text);
+                    }
                     if (mute) {
                         continue;
                     }
@@ -537,6 +555,7 @@
                 }
             } finally {
                 ended.countDown();
+                open.decrementAndGet();
             }
         }
 
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -0,0 +1,412 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.EOFException;
+import java.io.IOException;
+import java.net.SocketException;
+import java.util.EnumMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.IntFunction;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import org.junit.jupiter.api.AfterAll;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Got;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Server;
+import ploverdale.FaultyTransport.Call;
+import ploverdale.FaultyTransport.Errno;
+import ploverdale.FaultyTransport.Fault;
+import ploverdale.net.Gateway;
+import ploverdale.net.PgCodec;
+
+/** A real gateway whose system calls fail as Linux documents, between stand-ins on loopback. */
+@Timeout(120)
+class SystemCallFailuresTest {
+    private static final String ROW_7 = "row 07 ready";
+    private static final List<Logger> LIBRARIES = List.of(Logger.getLogger("io.netty"), Logger.getLogger("io.vertx"));
+    private static final int LASTING = Integer.MAX_VALUE;
+    private static final int A_MOMENT = 3; // calls
+    private static final int SHORT_IDLE_MS = 400; // idle connections to servers end so soon that requests need new ones
+    private static final int TOLD_WITHIN_MS = 6000; // after discovery had a change and could be reached
+    private static final int NETTY_PAUSE_MS = 1000; // for which its acceptor would accept nothing
+
+    private final FaultyTransport system = new FaultyTransport();
+
+    @BeforeAll
+    static void keepLibrariesFromLoggingEachFailure() {
+        LIBRARIES.forEach(l -> l.setLevel(Level.OFF));
+    }
+
+    @AfterAll
+    static void letLibrariesLog() {
+        LIBRARIES.forEach(l -> l.setLevel(null));
+    }
+
+    private Net net(String... servers) throws IOException {
+        return new Net(Gateway.vertx(system), servers);
+    }
+
+    private static long since(long began) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+    }
+
+    private static void waitForNoConnection(Net net, Server server) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        while (server.open.get() > 0) {
+            assertThat(System.nanoTime()).as(net::log).isLessThan(end);
+            Thread.sleep(5);
+        }
+    }
+
+    // -- accept
+
+    @ParameterizedTest
+    @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR"})
+    void aClientIsServedSoonAfterAcceptsThatFailedForAMoment(Errno errno) throws Exception {
+        try (Net net = net("p").started()) {
+            net.servers.get("p").writes = true;
+            Client other = net.client();
+            Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
+            long began = System.nanoTime();
+            Client c = net.client();
+            assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
+            assertThat(fault.failed()).isEqualTo(A_MOMENT);
+            assertThat(other.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+        }
+    }
+
+    @Test
+    void acceptsThatFailForLongNeitherEndTheListenerNorSpin() throws Exception {
+        try (Net net = net("p").started()) {
+            net.servers.get("p").writes = true;
+            Client other = net.client();
+            Fault fault = system.fail(Call.ACCEPT, Errno.EMFILE, LASTING);
+            long callsBefore = system.calls(Call.ACCEPT);
+            long began = System.nanoTime();
+            Client waits = new Client(net.gateway.port());
+            while (since(began) < 500) {
+                assertThat(other.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            }
+            assertThat(system.calls(Call.ACCEPT) - callsBefore).as("accepts in half a second").isBetween(2L, 200L);
+            fault.end();
+            long ended = System.nanoTime();
+            assertThat(waits.greeted().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(since(ended)).isLessThan(NETTY_PAUSE_MS / 2);
+            waits.close();
+        }
+    }
+
+    @Test
+    void aClientWhoseSocketTakesNoOptionsHarmsNoOther() throws Exception {
+        try (Net net = net("p").started()) {
+            net.servers.get("p").writes = true;
+            Client other = net.client();
+            Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
+            Client reset = new Client(net.gateway.port());
+            assertThat(net.client().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(fault.failed()).isEqualTo(1);
+            assertThat(other.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+            reset.close();
+        }
+    }
+
+    // -- socket and connect
+
+    @ParameterizedTest
+    @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "SOCKET,ENOBUFS", "SOCKET,ENOMEM", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS",
+            "CONNECT,ENOMEM", "CONNECT,ENETUNREACH", "CONNECT,EPERM", "CONNECT,EINTR", "FINISH_CONNECT,ENETUNREACH",
+            "SET_OPTION,EINVAL"})
+    void aRequestWhoseConnectionCannotBeMadeForAMomentIsServedAllTheSame(Call call, Errno errno) throws Exception {
+        try (Net net = net("p").started(256, SHORT_IDLE_MS)) {
+            Server p = net.servers.get("p");
+            p.writes = true;
+            Client c = net.client();
+            waitForNoConnection(net, p);
+            boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
+            Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
+            assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(fault.failed()).isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
+            assertThat(net.log()).doesNotContain("silent");
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENOMEM"})
+    void aLackOfThisMachineEjectsNoServerHoweverLongItLasts(Call call, Errno errno) throws Exception {
+        try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
+            Client c = net.client();
+            assertThat(net.read(c)).isEqualTo(ROW_7);
+            Fault fault = system.fail(call, errno, LASTING);
+            for (Server s : net.servers.values()) {
+                waitForNoConnection(net, s);
+            }
+            long began = System.nanoTime();
+            int rejected = 0;
+            while (since(began) < 3500) { // longer than a server counts as heard, so that health checks come in, too
+                rejected += c.ask(net.op("quick", 200)).answer().startsWith("53300") ? 1 : 0;
+            }
+            assertThat(rejected).as(net::log).isPositive();
+            assertThat(fault.failed()).isPositive();
+            assertThat(net.log()).doesNotContain("silent");
+            fault.end();
+            long ended = System.nanoTime();
+            while (!c.ask(net.op("quick", 200)).answer().equals(ROW_7)) {
+                assertThat(since(ended)).as(net::log).isLessThan(1500);
+            }
+            assertThat(net.log()).doesNotContain("silent");
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({"CONNECT,ENETUNREACH", "FINISH_CONNECT,EHOSTUNREACH", "FINISH_CONNECT,ETIMEDOUT", "FINISH_CONNECT,ECONNREFUSED"})
+    void aServerThatCannotBeReachedLeavesItsRequestsToOthers(Call call, Errno errno) throws Exception {
+        try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
+            Client c = net.client();
+            assertThat(net.read(c)).isEqualTo(ROW_7);
+            Server r1 = net.servers.get("r1");
+            Fault fault = system.fail(call, r1.port(), errno, LASTING);
+            waitForNoConnection(net, r1);
+            int before = r1.ran.size();
+            for (int i = 0; i < 40; i++) {
+                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+            }
+            assertThat(fault.failed()).isPositive();
+            assertThat(r1.ran).as(net::log).hasSize(before);
+            fault.end();
+            long ended = System.nanoTime();
+            while (r1.ran.size() == before) {
+                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+                assertThat(since(ended)).as(net::log).isLessThan(10_000);
+            }
+        }
+    }
+
+    // -- read and write
+
+    @ParameterizedTest
+    @CsvSource({"1,ETIMEDOUT", "1,EHOSTUNREACH", "40,ECONNRESET", "40,ENOBUFS", "40,ENOMEM"})
+    void aQueryOfWhichAPartWasTakenCountsAsNotRun(int taken, Errno errno) throws Exception {
+        try (Net net = net("p").started()) {
+            aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteAfter(taken, port, errno));
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"})
+    void aQueryOfWhichOnlyTheLastByteWasNotTakenCountsAsNotRun(Errno errno) throws Exception {
+        try (Net net = net("p").started()) {
+            aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteBeforeLastByte(port, errno));
+        }
+    }
+
+    private static void aQueryNotTakenWholeRunsOnce(Net net, IntFunction<Fault> installs) throws Exception {
+        Server p = net.servers.get("p");
+        p.writes = true;
+        Client c = net.client();
+        assertThat(c.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+        Fault fault = installs.apply(p.port());
+        assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        assertThat(fault.failed()).isEqualTo(1);
+        assertThat(p.ran).as("queries that came whole").hasSize(2);
+        net.logged("NOT_WRITTEN");
+        assertThat(net.log()).doesNotContain("silent");
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENOMEM"})
+    void aQueryThatWasTakenWholeIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
+        try (Net net = net("p").started()) {
+            Server p = net.servers.get("p");
+            Client c = net.client().ask(net.op("order"));
+            Got g = p.next();
+            Fault fault = system.fail(Call.READ, p.port(), errno, 1);
+            g.row(new byte[] {7});
+            assertThat(c.answer()).as(net::log).isEqualTo("58000 ready");
+            assertThat(fault.failed()).isEqualTo(1);
+            c.ask(net.op("order"));
+            p.next().row(new byte[] {7});
+            assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(p.ran).hasSize(2);
+        }
+    }
+
+    @Test
+    void readsAndWritesOfAByteAtATimeChangeNothing() throws Exception {
+        try (Net net = net("p", "r1").started()) {
+            Server p = net.servers.get("p");
+            system.shorten(1);
+            Client c = net.client();
+            byte[] value = new byte[1000];
+            for (int i = 0; i < 3; i++) {
+                c.ask(net.op("order"));
+                Got g = p.next();
+                g.row(value);
+                assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
+            }
+            assertThat(p.ran).hasSize(3);
+            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
+            net.logged("server r1 listed DRAINING");
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOMEM"})
+    void aClientWhoseConnectionFailsToBeReadHasGone(Errno errno) throws Exception {
+        try (Net net = net("p").started()) {
+            Server p = net.servers.get("p");
+            Client other = net.client();
+            Client c = net.client().ask(net.op("order"));
+            Got g = p.next();
+            Fault fault = system.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
+            c.ask(net.op("order"));
+            g.endedByGateway();
+            assertThat(fault.failed()).isEqualTo(1);
+            assertThat(p.got).isEmpty();
+            other.ask(net.op("order"));
+            p.next().row(new byte[] {7});
+            assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"})
+    void aClientWhoseConnectionFailsToBeWrittenHarmsNoOther(Errno errno) throws Exception {
+        try (Net net = net("p").started()) {
+            Server p = net.servers.get("p");
+            Client other = net.client();
+            Client c = net.client().ask(net.op("order"));
+            Got g = p.next();
+            Fault fault = system.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
+            g.row(new byte[] {7});
+            assertThat(c.answer()).as(net::log).isEqualTo("closed");
+            assertThat(fault.failed()).isEqualTo(1);
+            other.ask(net.op("order"));
+            p.next().row(new byte[] {7});
+            assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
+        }
+    }
+
+    @Test
+    void anIdleClientWhoseOutputCannotBeShutIsClosedAllTheSame() throws Exception {
+        try (Net net = net("p").started()) {
+            Client idle = net.client();
+            Fault fault = system.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
+            CountDownLatch ended = new CountDownLatch(1);
+            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            assertThat(idle.answer()).as(net::log).isEqualTo("closed");
+            assertThat(fault.failed()).isEqualTo(1);
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        }
+    }
+
+    // -- discovery
+
+    @ParameterizedTest
+    @CsvSource({"CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENETUNREACH", "SOCKET,EMFILE", "SOCKET,ENOMEM",
+            "FINISH_CONNECT,EHOSTUNREACH", "FINISH_CONNECT,ETIMEDOUT", "WRITE,ETIMEDOUT", "READ,EHOSTUNREACH"})
+    void aChangeIsHeardInTimeThoughCallsToDiscoveryFail(Call call, Errno errno) throws Exception {
+        try (Net net = net("p", "r1").started()) {
+            int port = net.registry.port();
+            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
+            Fault fault = call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
+            net.registry.changes = net.list(2, false, "r1:DRAINING");
+            net.registry.closeConnections(); // so that the next call needs a new one
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            while (fault.failed() < A_MOMENT) {
+                assertThat(System.nanoTime()).as(net::log).isLessThan(end);
+                Thread.sleep(5);
+            }
+            fault.end();
+            long reachable = System.nanoTime();
+            net.logged("server r1 listed DRAINING");
+            assertThat(since(reachable)).as(net::log).isLessThan(TOLD_WITHIN_MS);
+        }
+    }
+
+    // -- all at once
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed) throws Exception {
+        Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
+        errnos.put(Call.ACCEPT, List.of(Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR));
+        errnos.put(Call.SOCKET, List.of(Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM));
+        errnos.put(Call.CONNECT, List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS, Errno.EINTR));
+        errnos.put(Call.FINISH_CONNECT, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH));
+        errnos.put(Call.READ, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
+        errnos.put(Call.WRITE, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
+        try (Net net = net("p", "r1").readable().started()) {
+            Server p = net.servers.get("p");
+            p.writes = true;
+            system.storm(seed, 0.05, errnos);
+            system.shorten(50);
+            Map<String, String> answers = new LinkedHashMap<>(); // by the id of a request
+            Client c = null;
+            for (int i = 0; i < 300; i++) {
+                c = c == null ? clientInStorm(net) : c;
+                String query = net.op("order");
+                String answer = answerInStorm(c, query);
+                answers.put(query.replaceAll(".* id=(\\w+),.*", "$1"), answer);
+                c = answer.endsWith("closed") ? null : c;
+            }
+            system.calm();
+            Client after = net.client();
+            long began = System.nanoTime();
+            String last = "";
+            while (!last.equals(ROW_7) && since(began) < 5000) {
+                last = after.ask(net.op("order")).answer();
+            }
+            assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
+            for (Map.Entry<String, String> e : answers.entrySet()) {
+                long runs = p.ran.stream().filter(q -> q.contains(" id=" + e.getKey() + ",")).count();
+                String what = "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
+                assertThat(runs).as(what).isLessThanOrEqualTo(1);
+                assertThat(e.getValue()).as(what).matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
+                if (e.getValue().equals(ROW_7)) {
+                    assertThat(runs).as(what).isEqualTo(1);
+                } else if (e.getValue().startsWith("53300")) {
+                    assertThat(runs).as(what).isZero();
+                }
+            }
+            assertThat(answers.values().stream().filter(ROW_7::equals).count()).as(answers.toString()).isGreaterThan(100);
+        }
+    }
+
+    /** Its connection may fail as well; then it comes back. */
+    private static Client clientInStorm(Net net) throws IOException {
+        for (int i = 0; i < 50; i++) {
+            Client c = new Client(net.gateway.port());
+            try {
+                if (c.write(PgCodec.hello()).answer().equals("ready")) {
+                    return c;
+                }
+            } catch (EOFException | SocketException e) {
+                c.close();
+            }
+        }
+        throw new IOException("no connection came up");
+    }
+
+    /** What the client got, "closed" where its connection failed. */
+    private static String answerInStorm(Client c, String query) throws IOException {
+        try {
+            return c.ask(query).answer();
+        } catch (EOFException | SocketException e) {
+            return "closed";
+        }
+    }
+}
