--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -549,7 +549,9 @@
         long heardBefore = Math.max(m.aliveAt, m.positionToldAt); // by anyone; else the list's word does
         heardBefore = heardBefore == Report.UNTOLD ? now : Math.max(m.silentSince, heardBefore);
         m.probeOut = false;
-        if (e.outcome() == Outcome.ACKED || e.outcome() == Outcome.FULL) {
+        if (e.outcome() == Outcome.NEVER_SENT) { // a lack on this machine; says nothing about the server
+            m.retryAt = Math.max(m.retryAt, now + ASK_AGAIN);
+        } else if (e.outcome() == Outcome.ACKED || e.outcome() == Outcome.FULL) {
             m.deadSigns = 0;
             m.heardAt = m.aliveAt = now;
             if (m.refusesConnects && now - m.connectFailedAt < BRIEF) {
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -1,13 +1,11 @@
 package ploverdale.net;
 
-import io.netty.channel.ChannelException;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
-import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -106,6 +104,8 @@
         private Connection on;
         private Reach reach = Reach.NO_CONNECTION;
         private boolean over;
+        private int opensLeft = OPEN_TRIES;
+        private boolean lacksLocally; // descriptors, ports or the like kept its connection from being made
 
         private Sending(OpId op, Server server, long limit, BooleanSupplier wanted, Text text, Ear ear) {
             this.wanted = wanted;
@@ -158,22 +158,39 @@
             return;
         }
         s.waiting.add(x);
-        openOrWait(s, x, OPEN_TRIES);
+        openOrWait(s, x);
     }
 
     /** Opens a connection, perhaps once others have given back their descriptors; a free one may come first. */
-    private void openOrWait(Server s, Sending x, int tries) {
+    private void openOrWait(Server s, Sending x) {
         if (x.over || x.on != null || open(s, x)) {
             return;
         }
-        if (tries == 0 || s.address == null) {
+        x.lacksLocally = s.address != null;
+        if (s.address == null || !openAgainLater(s, x)) {
             log.often("no room for a connection", "to server " + s.id.text() + ", " + limits.servers() + " to servers");
-            x.end(Outcome.NEVER_SENT, null, null, null);
-        } else {
-            vertx.setTimer(OPEN_AGAIN_MS, y -> openOrWait(s, x, tries - 1));
+            x.end(unsentOutcome(x, Outcome.NOT_CONNECTED), null, null, null);
         }
     }
 
+    /** Opens a connection a moment later, or takes one that is free by then; false where that was done often enough. */
+    private boolean openAgainLater(Server s, Sending x) {
+        if (x.opensLeft == 0) {
+            return false;
+        }
+        x.opensLeft--;
+        vertx.setTimer(OPEN_AGAIN_MS, y -> openOrWait(s, x));
+        return true;
+    }
+
+    /**
+     * The outcome of an attempt that found no connection. A request was never sent, whatever the cause; a health check says
+     * nothing about its server only where the cause was a local one.
+     */
+    private static Outcome unsentOutcome(Sending x, Outcome ofServer) {
+        return x.op != null || x.lacksLocally ? Outcome.NEVER_SENT : ofServer;
+    }
+
     /**
      * The connection for the next send, or null. Guards against those closed right behind an answer, by taking one that
      * has rested for a moment where there is one, and against those that the way has forgotten, by leaving out what has
@@ -259,7 +276,7 @@
             c.close();
         }
         boolean unwritten = x.reach == Reach.NO_CONNECTION || x.reach == Reach.NOT_WRITTEN;
-        x.end(unwritten ? Outcome.NEVER_SENT : outcome, null, null, null);
+        x.end(unwritten ? unsentOutcome(x, outcome) : outcome, null, null, null);
     }
 
     private void closeOld() {
@@ -281,6 +298,7 @@
         if (s.address == null || !makeRoom.getAsBoolean()) {
             return false;
         }
+        opener.lacksLocally = false;
         new Connection(s, opener).open();
         return true;
     }
@@ -338,7 +356,7 @@
                         lost("fault");
                     }
                 });
-                socket.write(PgCodec.hello());
+                socket.write(PgCodec.hello()).onFailure(this::connect);
             });
         }
 
@@ -438,7 +456,7 @@
             socket.write(x.text.bytes(Math.max(1, (left + 9) / 10))).onComplete(r -> {
                 x.reach = r.succeeded() ? Reach.WRITTEN : Reach.NOT_WRITTEN;
                 if (r.failed()) {
-                    lost("not written whole");
+                    lost("not written whole", ConnectionFailure.of(r.cause()).outcome());
                 }
             });
         }
@@ -510,13 +528,18 @@
         }
 
         /**
-         * Why no connection was made. Guards against taking a network's doing, or a lack here, for the server's: only
-         * what was refused or took too long counts against it.
+         * No connection was made. Only what was refused or took too long counts against the server; what may be over in a
+         * moment is tried again first.
          */
         private void connect(Throwable e) {
-            boolean here = e instanceof ChannelException; // no descriptor left
-            lost(String.valueOf(e.getMessage()), here ? Outcome.NEVER_SENT
-                    : e instanceof ConnectException ? Outcome.NOT_CONNECTED : Outcome.CUT_OFF);
+            ConnectionFailure failure = ConnectionFailure.of(e);
+            opener.lacksLocally = failure == ConnectionFailure.LOCAL;
+            if (!closed && failure.isTransient() && !opener.over && opener.on == null && openAgainLater(server, opener)) {
+                log.often("connection not made yet", server.id.text() + " " + e.getMessage());
+                close();
+            } else {
+                lost(String.valueOf(e.getMessage()), failure.outcome());
+            }
         }
 
         /** The connection has ended; what was out on it ends with it. */
