--- a/gateway/src/main/java/ploverdale/net/PeerSide.java
+++ b/gateway/src/main/java/ploverdale/net/PeerSide.java
@@ -21,42 +21,87 @@
  * among the instances'.
  */
 final class PeerSide {
+    private static final long REOPEN_FIRST_MS = 20; // after a failure; doubled each time, until a datagram has come
+    private static final long REOPEN_MOST_MS = 2000;
+
     private final Log log;
     private final LogicLoop loop;
     private final List<InetSocketAddress> peers;
     private final Map<String, Integer> numbers = new HashMap<>();
-    private final DatagramSocket socket;
-    private boolean listens;
+    private final Vertx vertx;
+    private InetSocketAddress at;
+    private DatagramSocket socket; // null while there is none that listens
+    private boolean closed;
+    private long reopenAfterMs = REOPEN_FIRST_MS;
     private boolean heard;
     private BiPredicate<Integer, byte[]> others = (from, bytes) -> false;
 
     PeerSide(Vertx vertx, Log log, LogicLoop loop, List<InetSocketAddress> peers) {
+        this.vertx = vertx;
         this.log = log;
         this.loop = loop;
         this.peers = peers;
         for (int i = 0; i < peers.size(); i++) {
             numbers.put(name(peers.get(i).getAddress().getHostAddress(), peers.get(i).getPort()), i);
         }
-        socket = vertx.createDatagramSocket(new DatagramSocketOptions());
     }
 
     private static String name(String host, int port) {
         return host + ":" + port;
     }
 
-    /** Done when it hears; a socket that cannot be had costs the words of others and nothing else. */
+    /**
+     * Done when it listens, or when that has failed for the first time. Without a socket only the other instances' messages are
+     * missed, and it is opened again and again until there is one.
+     */
     Future<Void> listen(InetSocketAddress at) {
-        return socket.listen(at.getPort(), at.getAddress().getHostAddress()).<Void>mapEmpty().onSuccess(x -> {
-            listens = true;
-            socket.handler(this::came);
-            socket.exceptionHandler(e -> log.often("instances' socket", String.valueOf(e.getMessage())));
+        this.at = at;
+        return open();
+    }
+
+    private Future<Void> open() {
+        DatagramSocket opening;
+        try {
+            opening = vertx.createDatagramSocket(new DatagramSocketOptions());
+        } catch (RuntimeException e) { // no descriptor or memory for it now
+            reopenLater("cannot be opened: " + e);
+            return Future.succeededFuture();
+        }
+        return opening.listen(at.getPort(), at.getAddress().getHostAddress()).<Void>mapEmpty().onSuccess(x -> {
+            socket = opening;
+            opening.handler(this::came);
+            opening.exceptionHandler(e -> failed(opening, e));
         }).otherwise(e -> {
-            log.line("no words with other instances, nothing heard at " + at + ": " + e);
+            opening.close();
+            reopenLater("cannot be bound: " + e);
             return null;
         });
     }
 
+    /** The socket failed to receive; Vert.x closes it then, whatever the failure was. */
+    private void failed(DatagramSocket which, Throwable e) {
+        if (which == socket) {
+            socket = null;
+            which.close();
+            reopenLater(String.valueOf(e.getMessage()));
+        }
+    }
+
+    private void reopenLater(String why) {
+        if (closed) {
+            return;
+        }
+        log.often("no words with other instances", "socket at " + at + ", again in " + reopenAfterMs + " ms: " + why);
+        vertx.setTimer(reopenAfterMs, x -> {
+            if (!closed) {
+                open();
+            }
+        });
+        reopenAfterMs = Math.min(REOPEN_MOST_MS, reopenAfterMs * 2);
+    }
+
     private void came(DatagramPacket p) {
+        reopenAfterMs = REOPEN_FIRST_MS;
         Integer from = numbers.get(name(p.sender().hostAddress(), p.sender().port()));
         if (from == null) {
             log.often("a word of a stranger", p.sender() + ", not read");
@@ -86,7 +131,7 @@
 
     /** Guards against a word before it hears: that would bind the socket to any port, and it would stay deaf. */
     void send(int peer, byte[] bytes) {
-        if (listens && peer >= 0 && peer < peers.size()) {
+        if (socket != null && peer >= 0 && peer < peers.size()) {
             InetSocketAddress to = peers.get(peer);
             socket.send(Buffer.buffer(bytes), to.getPort(), to.getAddress().getHostAddress())
                     .onFailure(e -> log.often("a word not sent", String.valueOf(e.getMessage())));
@@ -94,6 +139,9 @@
     }
 
     void close() {
-        socket.close();
+        closed = true;
+        if (socket != null) {
+            socket.close();
+        }
     }
 }
