--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -571,7 +571,9 @@
             healthChecks.ended();
         }
         m.probeOut = false;
-        if (e.outcome() == Outcome.ACKED || e.outcome() == Outcome.FULL) {
+        if (e.outcome() == Outcome.NEVER_SENT) { // a lack on this machine; says nothing about the server
+            m.retryAt = Math.max(m.retryAt, now + ASK_AGAIN);
+        } else if (e.outcome() == Outcome.ACKED || e.outcome() == Outcome.FULL) {
             m.deadSigns = 0;
             m.heardAt = m.aliveAt = now;
             answered(m);
