--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -908,6 +908,7 @@
     /** As {@link #suspect}; ops that may be repeated go where answers have come meanwhile. */
     private void suspectQuiet(Member m, long since) {
         suspect(m);
+        m.deadSigns = Math.max(m.deadSigns, DEAD_SIGNS - 1); // missing answers and one more lost check are enough
         if (m.group.members.stream().anyMatch(o -> o != m && o.isPromising() && o.respondedAt >= since)) {
             callOffRetryable(m);
         }
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -23,8 +23,8 @@
  */
 public final class LocalHealth {
     /**
-     * How long the silence of nearly all servers is put down to a common cause. With the silence before it is noticed and the
-     * one that is needed again after it (400 ms each in the router) it is shorter than any restart of a server (1.5 s).
+     * How long the silence of nearly all servers is put down to a common cause. With the silence before it is noticed (100 ms)
+     * and the one that is needed again after it (400 ms in the router) it is shorter than any restart of a server (1.5 s).
      */
     public static final long DOUBT_MOST = 5_000;
 
@@ -42,7 +42,8 @@
     private static final double ANSWERS_MISSING = 3; // of a server, by chance once in twenty times; of nearly all, never
     private static final int SPANS_KEPT = 64; // those of the last seconds at the least; older ones explain nothing more
 
-    private record Span(long from, long until) {}
+    /** Explained from one time until the other; what was held up meanwhile is worked off by the third. */
+    private record Span(long from, long until, long workedOff) {}
 
     private final Deque<Span> explained = new ArrayDeque<>(); // ordered, not overlapping
     private boolean episodeOver = true;
@@ -51,7 +52,7 @@
 
     /** This process did not run in this span; spans come in order and may overlap earlier ones. */
     public void processDelayed(long from, long until) {
-        explain(from, until);
+        explain(from, until, until + Math.min(until - from, DOUBT_MOST));
     }
 
     /** How much of this span is explained without any single server. */
@@ -76,8 +77,7 @@
         long sum = 0;
         for (Iterator<Span> i = explained.descendingIterator(); i.hasNext(); ) {
             Span s = i.next();
-            long workedOff = s.until + Math.min(s.until - s.from, DOUBT_MOST);
-            sum += Math.max(0, Math.min(until, workedOff) - Math.max(from, s.from));
+            sum += Math.max(0, Math.min(until, s.workedOff) - Math.max(from, s.from));
         }
         return sum > 0 && 2 * sum >= until - from;
     }
@@ -101,7 +101,7 @@
         lastSign = now;
         boolean doubt = now - doubtSince < DOUBT_MOST;
         if (doubt) {
-            explain(since, now);
+            explain(since, now, now + Math.min(NOTICED_AFTER + now - doubtSince, DOUBT_MOST));
         }
         return doubt;
     }
@@ -179,11 +179,11 @@
                 || oldest.hasNext() && oldest.next().sentAt <= overdue;
     }
 
-    private void explain(long from, long until) {
+    private void explain(long from, long until, long workedOff) {
         Span last = explained.peekLast();
         long begin = last == null ? from : Math.max(from, last.until);
         if (begin < until) {
-            explained.addLast(new Span(begin, until));
+            explained.addLast(new Span(begin, until, workedOff));
         }
         if (explained.size() > SPANS_KEPT) {
             explained.removeFirst();
