--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -9,6 +9,7 @@
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetServerOptions;
 import io.vertx.core.spi.transport.Transport;
+import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -34,6 +35,8 @@
  * anything about an op or a server, nor stop while an op taken in time has no answer.
  */
 public final class Gateway implements LogicLoop.Hands {
+    private static final int LISTEN_TRIES = 50; // 5 s, half of what a restart may take
+    private static final long LISTEN_AGAIN_MS = 100;
     private static final int CALM_LOOKS = 5; // at the clock, with the loop on time, before service begins
     private static final int CALM_MOST = 50;
     private static final long START_LOOK_MS = 10;
@@ -125,9 +128,7 @@
     }
 
     private void listen(Promise<Gateway> listening) {
-        vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true).setAcceptBacklog(1024))
-                .connectHandler(clients::accept)
-                .listen(file.listen().getPort(), file.listen().getAddress().getHostAddress())
+        bindListener(LISTEN_TRIES)
                 .compose(s -> {
                     server = s;
                     return peers == null ? Future.<Void>succeededFuture() : peers.listen(file.peerListen());
@@ -136,6 +137,21 @@
                 .onFailure(listening::fail);
     }
 
+    /** Listens for clients; again a little later where this machine lacked descriptors or buffers for the socket. */
+    private Future<NetServer> bindListener(int triesLeft) {
+        return vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true).setAcceptBacklog(1024))
+                .connectHandler(clients::accept)
+                .listen(file.listen().getPort(), file.listen().getAddress().getHostAddress())
+                .recover(e -> {
+                    boolean addressAtFault = e instanceof BindException; // taken, not this machine's, or not allowed
+                    if (triesLeft <= 1 || addressAtFault || ConnectionFailure.of(e) != ConnectionFailure.LOCAL) {
+                        return Future.failedFuture(e);
+                    }
+                    log.often("cannot listen yet", String.valueOf(e.getMessage()));
+                    return vertx.timer(LISTEN_AGAIN_MS).compose(x -> bindListener(triesLeft - 1));
+                });
+    }
+
     /**
      * Guards against first probes and first ops that are late because this program is: the module hears of the servers
      * once the loop is on time, and the first client is let in once the first probes have ended, or, where another instance
--- a/gateway/src/test/java/ploverdale/FaultyTransport.java
+++ b/gateway/src/test/java/ploverdale/FaultyTransport.java
@@ -48,7 +48,7 @@
     private static final int ALL_BUT_LAST = Integer.MAX_VALUE;
 
     /** A system call. */
-    public enum Call { ACCEPT, SOCKET, CONNECT, FINISH_CONNECT, READ, WRITE, SHUTDOWN, SET_OPTION, DATAGRAM_SOCKET, SEND, RECEIVE }
+    public enum Call { LISTENER_SOCKET, ACCEPT, SOCKET, CONNECT, FINISH_CONNECT, READ, WRITE, SHUTDOWN, SET_OPTION, DATAGRAM_SOCKET, SEND, RECEIVE }
 
     /** A failure, with the C library's text for it. */
     public enum Errno {
@@ -114,7 +114,12 @@
     private volatile int bytesAtOnce = Integer.MAX_VALUE;
     private volatile Storm storm;
 
-    private record Storm(Random random, double share, Map<Call, List<Errno>> errnos) {}
+    private record Storm(Random random, double share, Map<Call, List<Errno>> errnos, boolean clientsToo) {
+        private boolean covers(Call call, int port) {
+            boolean ofClient = port == CLIENTS && (call == Call.READ || call == Call.WRITE);
+            return errnos.containsKey(call) && (clientsToo || !ofClient);
+        }
+    }
 
     public FaultyTransport() {
         for (Call call : Call.values()) {
@@ -147,9 +152,13 @@
         return fault;
     }
 
-    /** From now on this share of the calls named fails, with one of their errnos, by chance from the seed. */
-    public void storm(long seed, double share, Map<Call, List<Errno>> errnos) {
-        storm = new Storm(new Random(seed), share, errnos);
+    /**
+     * From now on this share of the calls named fails, with one of their errnos, by chance from the seed.
+     *
+     * @param clientsToo whether reads and writes of the clients' connections are among them
+     */
+    public void storm(long seed, double share, Map<Call, List<Errno>> errnos, boolean clientsToo) {
+        storm = new Storm(new Random(seed), share, errnos, clientsToo);
     }
 
     public void calm() {
@@ -176,10 +185,10 @@
             }
         }
         Storm now = storm;
-        List<Errno> errnos = now == null ? null : now.errnos.get(call);
-        if (errnos == null) {
+        if (now == null || !now.covers(call, port)) {
             return null;
         }
+        List<Errno> errnos = now.errnos.get(call);
         synchronized (now.random) { // the listener has an event loop of its own
             return now.random.nextDouble() < now.share ? errnos.get(now.random.nextInt(errnos.size())) : null;
         }
@@ -258,7 +267,10 @@
 
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-        return Listener::new;
+        return () -> {
+            opened(Call.LISTENER_SOCKET);
+            return new Listener();
+        };
     }
 
     private final class Listener extends NioServerSocketChannel {
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -1,9 +1,13 @@
 package ploverdale;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.EOFException;
 import java.io.IOException;
+import java.net.BindException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
 import java.net.SocketException;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
@@ -21,7 +25,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
@@ -71,7 +74,29 @@
         }
     }
 
-    // -- accept
+    // -- listen and accept
+
+    @ParameterizedTest
+    @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
+    void aGatewayStartsThoughItsListenerCannotBeOpenedForAMoment(Errno errno) throws Exception {
+        Fault fault = system.fail(Call.LISTENER_SOCKET, errno, A_MOMENT); // the first of them is the practice's
+        try (Net net = net("p").started()) {
+            net.servers.get("p").writes = true;
+            assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
+            assertThat(net.client().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        }
+    }
+
+    @Test
+    void anAddressThatIsTakenIsToldAtOnce() throws Exception {
+        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); Net net = net("p")) {
+            net.settings = told -> told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
+            long began = System.nanoTime();
+            assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
+            assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            assertThat(net.log()).doesNotContain("cannot listen yet");
+        }
+    }
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR"})
@@ -340,8 +365,8 @@
     // -- all at once
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
-    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed) throws Exception {
+    @CsvSource({"1,true", "2,true", "3,false", "4,false"})
+    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed, boolean clientsToo) throws Exception {
         Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
         errnos.put(Call.ACCEPT, List.of(Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR));
         errnos.put(Call.SOCKET, List.of(Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM));
@@ -352,7 +377,7 @@
         try (Net net = net("p", "r1").readable().started()) {
             Server p = net.servers.get("p");
             p.writes = true;
-            system.storm(seed, 0.05, errnos);
+            system.storm(seed, 0.05, errnos, clientsToo);
             system.shorten(50);
             Map<String, String> answers = new LinkedHashMap<>(); // by the id of a request
             Client c = null;
@@ -376,6 +401,9 @@
                 String what = "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
                 assertThat(runs).as(what).isLessThanOrEqualTo(1);
                 assertThat(e.getValue()).as(what).matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
+                if (!clientsToo) {
+                    assertThat(e.getValue()).as(what).endsWith(" ready"); // each has its answer
+                }
                 if (e.getValue().equals(ROW_7)) {
                     assertThat(runs).as(what).isEqualTo(1);
                 } else if (e.getValue().startsWith("53300")) {
