--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import org.kohsuke.args4j.Argument;
@@ -117,16 +118,19 @@
             GatewayFile file = file();
             Optional<Sharing> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
             Vertx vertx = Gateway.vertx();
+            // The JVM by itself ends the program at SIGHUP, so this comes first: one that comes before the gateway has started
+            // is followed once it has.
+            CompletableFuture<Gateway> started = new CompletableFuture<>();
+            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
+                log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
+            }
             Gateway gateway;
             try {
                 gateway = await(Gateway.start(vertx, log, file, fleet));
             } catch (IOException e) {
                 throw new IOException("cannot listen at " + file.listen() + ": " + e.getMessage());
             }
-            // Guards against a SIGHUP that would end the program, which is what the JVM does by itself.
-            if (Signal.handle(new Signal("HUP"), x -> gateway.renew(path())) == SignalHandler.SIG_IGN) {
-                log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
-            }
+            started.complete(gateway);
             CountDownLatch ended = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 gateway.runOnLoop(() -> gateway.endPlanned(ended));
