--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -54,6 +54,8 @@
     private static final int TOLD_MOST = 64; // a bound on memory; an answer tells a few
     private static final int BESIDE_MOST = 1000; // values told and notices beside one answer, or between two
     private static final long AHEAD_MOST = 500; // of the clock, in tenths of a ms; commits are rounded up
+    private static final long LONG_IDLE = 20_000; // as long as a server counts as heard; a probe goes before the next request
+    private static final long PROBE_PATIENCE_MS = 100; // many times what a probe takes, short beside what a request may take
     private static final long REST = 50; // after an answer, in tenths of a ms; a close behind it has come by then
     private static final int OPEN_TRIES = 10; // for room
     private static final long OPEN_AGAIN_MS = 2;
@@ -106,6 +108,7 @@
         private Connection on;
         private Reach reach = Reach.NO_CONNECTION;
         private boolean over;
+        private long silentAfter = -1; // idle time of the connection that this probe was moved from; below 0: it was not
 
         private Sending(OpId op, Server server, long limit, BooleanSupplier wanted, Text text, Ear ear) {
             this.wanted = wanted;
@@ -150,6 +153,11 @@
         if (op != null) {
             byOp.put(op, x);
         }
+        assign(s, x);
+    }
+
+    /** Writes to a free connection, or to a new one once it is up. */
+    private void assign(Server s, Sending x) {
         Connection c = free(s);
         if (c != null) {
             s.free.remove(c);
@@ -219,9 +227,49 @@
         }
     }
 
-    /** A probe: how the server is, in as long as a connection may take to make. */
+    /**
+     * A probe: how the server is, in as long as a connection may take to make. Where it goes to a connection that has been idle for
+     * long and is not answered soon, it moves to a new one: the server or the way may have forgotten the old one.
+     */
     public void probe(ServerId id, Ear ear) {
-        send(null, id, terms.connectLimit(), () -> true, waitMs -> PgCodec.probe(terms.reportsInProbes()), ear);
+        Server s = servers.computeIfAbsent(id, Server::new);
+        Sending x = new Sending(null, s, terms.connectLimit(), () -> true, waitMs -> PgCodec.probe(terms.reportsInProbes()), ear);
+        assign(s, x);
+        if (x.on != null && x.on.rest >= LONG_IDLE) {
+            vertx.setTimer(PROBE_PATIENCE_MS, y -> moveSilentProbe(x));
+        }
+    }
+
+    private void moveSilentProbe(Sending probe) {
+        if (!probe.over && probe.on != null && probe.silentAfter < 0) {
+            NioSockets.readNow(probe.on.socket); // its answer may have come during a pause of this process
+        }
+        if (!probe.over && probe.on != null && probe.silentAfter < 0) {
+            moveProbe(probe);
+        }
+    }
+
+    /** Gives up the connection of a probe, and opens a new one for it. */
+    private void moveProbe(Sending probe) {
+        Connection old = probe.on;
+        probe.silentAfter = old.rest;
+        old.sending = null;
+        old.close();
+        probe.on = null;
+        probe.reach = Reach.NO_CONNECTION;
+        probe.server.waiting.add(probe);
+        openOrWait(probe.server, probe, OPEN_TRIES);
+    }
+
+    /** A connection was found dead after this idle time though its server lives: those that were idle for as long are closed. */
+    private void forgotten(Server s, long rest) {
+        long now = Clock.now();
+        losses.learn(rest, true, now);
+        for (Connection c : List.copyOf(s.free)) {
+            if (rest >= LONG_IDLE && now - c.idleSince >= rest) {
+                c.close();
+            }
+        }
     }
 
     /** Stops waiting for the op's send, if one is out. */
@@ -473,7 +521,12 @@
         private void finish() {
             Sending x = sending;
             sending = null;
-            rested(false);
+            if (rest >= 0) {
+                losses.learn(rest, false, Clock.now());
+            }
+            if (x.silentAfter >= 0) {
+                forgotten(server, x.silentAfter);
+            }
             Report note = note();
             Report report = terms.reportsInAnswers() ? report(told.get("vitals")) : null;
             boolean probe = x.op == null;
@@ -489,12 +542,6 @@
             }
         }
 
-        private void rested(boolean lost) {
-            if (rest >= 0) {
-                losses.learn(rest, lost, Clock.now());
-            }
-        }
-
         private void close() {
             if (!closed) {
                 closed = true;
@@ -539,8 +586,12 @@
                 finish();
                 return;
             }
-            if (up && column == null) {
-                rested(true);
+            if (up && column == null && rest >= 0) {
+                forgotten(server, rest);
+            }
+            if (up && x.op == null && rest >= LONG_IDLE && x.silentAfter < 0) {
+                moveProbe(x);
+                return;
             }
             boolean written = x.reach == Reach.IN_DOUBT || x.reach == Reach.WRITTEN;
             x.end(written ? Outcome.BROKEN_OFF : unwritten, null, null, null);
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/AnsweringServer.java
@@ -0,0 +1,65 @@
+package ploverdale;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import ploverdale.FakeHost.Got;
+import ploverdale.FakeHost.Server;
+
+/** Answers the queries that reach a stand-in server, on a thread of its own, and keeps their texts. */
+final class AnsweringServer implements AutoCloseable {
+    private static final long POLL_MS = 50;
+
+    /** What is done with a query. */
+    interface Reply {
+        void to(Got query) throws IOException;
+    }
+
+    /** Texts of all queries that came, in the order of their coming. */
+    final List<String> queries = new CopyOnWriteArrayList<>();
+
+    private final Server server;
+    private final Reply reply;
+    private volatile boolean closed;
+
+    AnsweringServer(Server server, Reply reply) {
+        this.server = server;
+        this.reply = reply;
+        Thread answers = new Thread(this::run, "answering-server");
+        answers.setDaemon(true);
+        answers.start();
+    }
+
+    private void run() {
+        try {
+            while (!closed) {
+                Got query = server.got.poll(POLL_MS, TimeUnit.MILLISECONDS);
+                if (query != null) {
+                    answer(query);
+                }
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private void answer(Got query) {
+        queries.add(query.text());
+        try {
+            reply.to(query);
+        } catch (IOException e) {
+            return; // the gateway has given this attempt up
+        }
+    }
+
+    /** How many attempts of the request with this id came. */
+    long attempts(String id) {
+        return queries.stream().filter(text -> text.contains("id=" + id + ",")).count();
+    }
+
+    @Override
+    public void close() {
+        closed = true;
+    }
+}
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -466,6 +466,16 @@
             return listener.getLocalPort();
         }
 
+        /** Ends every connection accepted so far, by a reset or in order. */
+        void endConnections(boolean reset) throws IOException {
+            for (Socket s : List.copyOf(sockets)) {
+                if (reset && !s.isClosed()) {
+                    s.setSoLinger(true, 0);
+                }
+                s.close();
+            }
+        }
+
         @Override
         public void close() throws IOException {
             listener.close();
@@ -490,6 +500,7 @@
         volatile int probed;
         volatile long forgetsMs; // resets a connection that was idle for so long, at its next query
         volatile int forgotten;
+        volatile boolean dropsSilently; // where it forgets a connection, says nothing on it instead of a reset
         volatile String vitals; // a report that is none of its own
 
         Server(boolean primary) throws IOException {
@@ -515,6 +526,10 @@
                     in.readByte();
                     if (forgetsMs > 0 && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(forgetsMs)) {
                         forgotten++;
+                        if (dropsSilently) {
+                            in.transferTo(java.io.OutputStream.nullOutputStream());
+                            return;
+                        }
                         s.setSoLinger(true, 0);
                         s.close();
                         return;
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -0,0 +1,119 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Server;
+
+/** Database servers that end or forget idle connections during a quiet time: what the first requests after it get. */
+@Timeout(120)
+class IdleServerConnectionTest {
+    private static final String ROW_7 = "row 07 ready";
+    private static final long QUIET_MS = 2600; // longer than any server counts as heard, shorter than surplus connections are kept
+    private static final long FORGOTTEN_AFTER_MS = 1000;
+    private static final int WARM_UP_REQUESTS = 20;
+
+    /** What a server does with connections that are idle. */
+    enum IdleEnd {
+        CLOSED,
+        RESET,
+        RESET_AT_NEXT_QUERY,
+        SILENT
+    }
+
+    private static void end(Server server, IdleEnd how) throws Exception {
+        switch (how) {
+            case CLOSED -> server.endConnections(false);
+            case RESET -> server.endConnections(true);
+            case SILENT -> server.dropsSilently = true;
+            default -> { }
+        }
+    }
+
+    private static void forgetIdle(Server server, IdleEnd how) {
+        server.dropsSilently = how == IdleEnd.SILENT;
+        server.forgetsMs = how == IdleEnd.CLOSED || how == IdleEnd.RESET ? 0 : FORGOTTEN_AFTER_MS;
+    }
+
+    private static void quietTime(Net net, IdleEnd how) throws Exception {
+        for (Server server : net.servers.values()) {
+            forgetIdle(server, how);
+        }
+        Thread.sleep(QUIET_MS); // the quiet time itself
+        for (Server server : net.servers.values()) {
+            end(server, how);
+        }
+    }
+
+    private static void warmUp(Net net, Client client) throws Exception {
+        for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+            assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        }
+    }
+
+    /** Leaves this many connections to the primary idle, by as many writes at once. */
+    private static List<Client> idleConnections(Net net, int many) throws Exception {
+        Server primary = net.servers.get("p");
+        primary.writes = false;
+        List<Client> clients = new ArrayList<>();
+        List<FakeHost.Got> out = new ArrayList<>();
+        for (int i = 0; i < many; i++) {
+            clients.add(net.client().ask(net.op("order")));
+            out.add(primary.next());
+        }
+        for (int i = 0; i < many; i++) {
+            out.get(i).row(new byte[] {7});
+        }
+        for (Client client : clients) {
+            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+        }
+        primary.writes = true;
+        return clients;
+    }
+
+    @ParameterizedTest
+    @EnumSource(IdleEnd.class)
+    void theFirstReadAfterAQuietTimeIsServedInTime(IdleEnd how) throws Exception {
+        try (Net net = new Net("p", "r1").readable().started()) {
+            net.servers.get("p").writes = true;
+            Client client = net.client();
+            warmUp(net, client);
+            for (int round = 0; round < 3; round++) {
+                quietTime(net, how);
+                long asked = System.nanoTime();
+                assertThat(client.ask(net.op("quick", 900)).answer()).as("round %d:\n%s", round, net.log()).isEqualTo(ROW_7);
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked)).as(net::log).isLessThan(900);
+            }
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(IdleEnd.class)
+    void theFirstNonIdempotentWritesAfterAQuietTimeAreServedAndRunOnce(IdleEnd how) throws Exception {
+        try (Net net = new Net("p").readable().started()) {
+            Server primary = net.servers.get("p");
+            primary.writes = true;
+            warmUp(net, net.client());
+            List<Client> clients = idleConnections(net, 3);
+            primary.writes = false;
+            try (AnsweringServer answers = new AnsweringServer(primary, query -> query.row(new byte[] {7}))) {
+                quietTime(net, how);
+                for (Client client : clients) {
+                    client.ask(net.op("order", 4000));
+                }
+                for (Client client : clients) {
+                    assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+                }
+                assertThat(answers.queries).doesNotHaveDuplicates().hasSize(clients.size());
+            }
+        }
+    }
+}
