--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -295,6 +295,12 @@
             guess.turnedAwayAt = now; // until it answers
             return guess;
         }
+        // Nobody was heard lately, and the health check that tells is on its way: perhaps on a second connection, where a server
+        // has forgotten the first while it was idle.
+        if (g.members.stream().noneMatch(this::heardLately)
+                && g.members.stream().anyMatch(m -> m.isPromising() && m.probeOut && now - m.probedAt < CHECK_WAIT)) {
+            return HOLD;
+        }
         // Waits for room, or for a replica little too old by a report that is old itself to be asked again.
         return g.members.stream().anyMatch(m -> m != p && m.isIn() && !m.silent && heardLately(m)
                 && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, op) || op.type.needs() == Needs.BOUNDED
@@ -507,6 +513,7 @@
     private static final long HEARD_LASTS = 2000 * MS; // no op to a server not heard of for longer
     private static final long ASK_AGAIN = 150 * MS; // about how often reports are made anew
     private static final long SCARCE_LASTS = 10_000 * MS; // after a refused connect that a probe outlived
+    private static final long CHECK_WAIT = 250 * MS; // a health check on an idle connection, 100 ms in vain, and on a new one
     private static final long PATIENCE = 50 * MS; // what needs no work takes a few: probes, refused connects
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
