--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -86,6 +86,12 @@
         return out;
     }
 
+    /** Whether requests may still be written to this server: not once it is known to drain or to be gone. */
+    public boolean mayReceive(ServerId server) {
+        Member m = members.get(server);
+        return m != null && m.isIn();
+    }
+
     private void started(Event.Started s) {
         chance = new SplittableRandom(s.seed());
         int gateways = Math.max(1, s.gateways());
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -208,9 +208,11 @@
         if (past != null) {
             past.sent(a.op());
         }
-        // Guards against a send that waited for its connection: its client may have gone, a position may have aged.
+        // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its server may
+        // drain by now, with the grace for that long over.
         servers.send(a.op(), a.server(), a.timeLimit(),
-                () -> clients.taken(a.op()) == t && LogicLoop.Clock.now() <= a.writeBy(), waitMs -> PgCodec.ask(t.ask(), waitMs),
+                () -> clients.taken(a.op()) == t && LogicLoop.Clock.now() <= a.writeBy() && loop.mayReceive(a.server()),
+                waitMs -> PgCodec.ask(t.ask(), waitMs),
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -10,6 +10,7 @@
 import ploverdale.model.Action;
 import ploverdale.model.Allotment;
 import ploverdale.model.Event;
+import ploverdale.model.ServerId;
 
 /**
  * Sole owner of the decision module: takes events from a queue, hands each to the module with the clock,
@@ -105,6 +106,11 @@
         }
     }
 
+    /** Whether requests may still be written to this server; for attempts that had to wait for their connection. */
+    public boolean mayReceive(ServerId server) {
+        return logic.mayReceive(server);
+    }
+
     /** Runs what another thread wants done on the thread that owns all this. */
     public void run(Runnable what) {
         context.runOnContext(x -> what.run());
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -0,0 +1,74 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Got;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Server;
+
+/** A server that begins to drain while an attempt waits for its connection, or while the gateway is held up. */
+@Timeout(120)
+class DrainWhileConnectingTest {
+    private static final String ROW_7 = "row 07 ready";
+    private static final long DRAIN_GRACE_MS = 500; // as in the example settings; counted to the first byte of an attempt
+    private static final long HELD_UP_MS = 150;
+
+    @Test
+    void anAttemptThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
+        try (Net net = new Net("p").started()) {
+            Server primary = net.servers.get("p");
+            Client first = net.client().ask(net.op("order"));
+            Got inHand = primary.next(); // has the connection that the probe opened
+            primary.holdsGreetings = new CountDownLatch(1);
+            primary.connects.clear();
+            Client second = net.client().ask(net.op("order", 4000));
+            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isNotNull();
+            net.registry.news.add(net.list(2, false, "p:DRAINING"));
+            net.logged("server p listed DRAINING");
+            Thread.sleep(DRAIN_GRACE_MS + 100); // the connection comes up later than the grace ends
+            primary.holdsGreetings.countDown();
+            assertThat(second.answer()).as(net::log).startsWith("53300");
+            assertThat(primary.got).as("attempts after the grace").isEmpty();
+            inHand.row(new byte[] {7}); // what it has begun it ends
+            assertThat(first.answer()).isEqualTo(ROW_7);
+        }
+    }
+
+    @Test
+    void whatComesWhileTheGatewayIsHeldUpAndItsServerBeginsToDrainIsForwardedWithinTheGraceOrNot() throws Exception {
+        try (Net net = new Net("p", "r1", "r2").readable().started()) {
+            Server draining = net.servers.get("r1");
+            draining.reads = false;
+            try (AnsweringServer answers = new AnsweringServer(draining, got -> got.row(new byte[] {7}))) {
+                Client client = net.client();
+                for (int i = 0; i < 20; i++) {
+                    assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+                }
+                net.registry.asked("/registry/instances?from=1&hold_ms=2000");
+                net.pauseWhileReading();
+                net.registry.news.add(net.list(2, false, "r1:DRAINING"));
+                long told = System.nanoTime();
+                for (int i = 0; i < 8; i++) {
+                    client.ask(net.op("page"));
+                }
+                Thread.sleep(HELD_UP_MS); // the pause itself
+                net.goOn();
+                for (int i = 0; i < 8; i++) {
+                    assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+                }
+                net.logged("server r1 listed DRAINING");
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told)).as(net::log).isLessThan(DRAIN_GRACE_MS);
+                int before = answers.queries.size();
+                for (int i = 0; i < 50; i++) {
+                    assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+                }
+                assertThat(answers.queries).hasSize(before);
+            }
+        }
+    }
+}
