--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -318,8 +318,11 @@
     /**
      * Reads the configuration again, under load. Discovery and the descriptors hold from now on; what the module and
      * the listening socket were started with holds until a restart. One that cannot be read changes nothing.
+     *
+     * <p>Synchronized, since each signal has a thread of its own: an earlier call that reads for longer must not put its older
+     * configuration in force behind a later one.
      */
-    public void renew(Path path) {
+    public synchronized void renew(Path path) {
         GatewayFile next;
         try {
             next = GatewayFile.read(path);
