--- a/gateway/src/main/java/ploverdale/net/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/Discovery.java
@@ -11,6 +11,9 @@
 import io.vertx.core.http.PoolOptions;
 import io.vertx.core.http.RequestOptions;
 import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import ploverdale.log.Log;
@@ -28,10 +31,13 @@
     // A change counts as told 6 s after discovery had it and could be reached, whatever became of a call. Within that time a
     // watch that fell silent is given up and a few further calls may fail: 2 + 1.2 s, then calls of 1.2 s each.
     private static final long HOLD_MS = 2000; // a watch
-    private static final long GRACE_MS = 1200; // past a watch, or for a call without one
+    private static final long GRACE_MS = 1200; // past a watch, or for a call without one, before the next call is made
     private static final long AGAIN_FIRST_MS = 100; // after a failed call; doubled, and up to half as much more by chance
     private static final long AGAIN_MOST_MS = 400;
-    private static final int CONNECTIONS_MOST = 3; // one that does not come up holds up no later call
+    // One that does not come up holds up no later call. A call that is overdue keeps its connection until a later one is
+    // answered or needs it: discovery may be slow rather than gone, and then no call is answered within the grace.
+    private static final int CONNECTIONS_MOST = 3;
+    private static final int KEEP_ALIVE_S = 2; // for an idle connection; longer than the longest wait between two calls
     private static final int BODY_MOST = 4 * 1024 * 1024;
 
     private final Vertx vertx;
@@ -41,10 +47,9 @@
     private final HttpClient http;
     private final RandomGenerator chance;
     private InetSocketAddress at;
-    private HttpClientRequest out; // the call under way, once it has a connection
     private long askTimer = -1; // a call to come
     private long revision = -1; // below 0: the whole list is wanted
-    private long call;
+    private final Deque<Call> calls = new ArrayDeque<>(); // under way, the latest last
     private long again = AGAIN_FIRST_MS;
     private long lostAt;
     private boolean lost;
@@ -58,13 +63,31 @@
         this.terms = terms;
         this.at = at;
         this.told = told;
-        http = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout((int) GRACE_MS).setTcpNoDelay(true),
+        http = vertx.createHttpClient(
+                new HttpClientOptions().setConnectTimeout((int) GRACE_MS).setTcpNoDelay(true).setKeepAliveTimeout(KEEP_ALIVE_S),
                 new PoolOptions().setHttp1MaxSize(CONNECTIONS_MOST).setMaxWaitQueueSize(CONNECTIONS_MOST));
     }
 
-    /** Asks for the whole list, and for its changes from then on; the call under way ends. */
+    /** One call, from its making to its answer, its failure or the moment at which nobody wants its answer any more. */
+    private final class Call {
+        private HttpClientRequest request; // once it has a connection
+        private long graceTimer;
+        private boolean over;
+
+        private void end() {
+            over = true;
+            calls.remove(this);
+            vertx.cancelTimer(graceTimer);
+            if (request != null) {
+                request.reset();
+            }
+        }
+    }
+
+    /** Asks for the whole list, and for its changes from then on; the calls under way end. */
     public void follow() {
         revision = -1;
+        endCalls();
         ask();
     }
 
@@ -78,6 +101,7 @@
     /** Asks no more. */
     public void stop() {
         stopped = true;
+        endCalls();
         vertx.cancelTimer(askTimer);
     }
 
@@ -86,36 +110,39 @@
         askTimer = stopped ? -1 : vertx.setTimer(ms, x -> ask());
     }
 
+    private void endCalls() {
+        List.copyOf(calls).forEach(Call::end);
+    }
+
     private void ask() {
-        long mine = ++call;
         vertx.cancelTimer(askTimer);
-        if (out != null) {
-            out.reset();
-            out = null;
+        if (calls.size() >= CONNECTIONS_MOST) {
+            calls.peekFirst().end();
         }
         long hold = revision < 0 || lost ? 0 : HOLD_MS; // after a loss the first call is to show soon whether it is over
         String uri = revision < 0 ? PATH : PATH + "?from=" + revision + "&hold_ms=" + hold;
         RequestOptions what = new RequestOptions().setMethod(HttpMethod.GET).setURI(uri)
                 .setHost(at.getAddress().getHostAddress()).setPort(at.getPort());
-        long timer = vertx.setTimer(hold + GRACE_MS, x -> failed(mine, "no answer"));
+        Call call = new Call();
+        calls.addLast(call);
+        call.graceTimer = vertx.setTimer(hold + GRACE_MS, x -> overdue(call, hold > 0));
         http.request(what).compose(r -> {
-            if (mine != call) {
-                r.reset(); // a call made since then has taken its place
+            if (call.over) {
+                r.reset(); // a later call has taken its place
                 return Future.failedFuture("not wanted any more");
             }
-            out = r;
+            call.request = r;
             return r.send();
         }).onComplete(r -> {
             if (r.failed()) {
-                vertx.cancelTimer(timer);
-                failed(mine, String.valueOf(r.cause().getMessage()));
+                failed(call, String.valueOf(r.cause().getMessage()));
             } else {
-                collect(mine, timer, r.result());
+                collect(call, r.result());
             }
         });
     }
 
-    private void collect(long mine, long timer, HttpClientResponse answer) {
+    private void collect(Call call, HttpClientResponse answer) {
         Buffer body = Buffer.buffer();
         answer.handler(b -> {
             if (body.length() + b.length() > BODY_MOST) {
@@ -124,32 +151,30 @@
                 body.appendBuffer(b);
             }
         });
-        answer.exceptionHandler(e -> {
-            vertx.cancelTimer(timer);
-            failed(mine, "broken off: " + e.getMessage());
-        });
+        answer.exceptionHandler(e -> failed(call, "broken off: " + e.getMessage()));
         answer.endHandler(x -> {
-            vertx.cancelTimer(timer);
+            call.request = null; // complete: there is nothing to reset, and its connection is free for the next call
             if (answer.statusCode() != 200) {
-                failed(mine, "status " + answer.statusCode());
+                failed(call, "status " + answer.statusCode());
             } else {
-                read(mine, body.toString());
+                read(call, body.toString());
             }
         });
     }
 
-    private void read(long mine, String body) {
-        if (mine != call) {
+    private void read(Call call, String body) {
+        if (call.over) {
             return;
         }
-        out = null;
         ServerList list;
         try {
             list = GatewayFile.serverList(Fields.of("list", GatewayFile.json(body, "list")), terms);
         } catch (Unreadable e) {
-            failed(mine, e.getMessage()); // changes nothing
+            failed(call, e.getMessage()); // changes nothing
             return;
         }
+        call.end();
+        endCalls(); // what they would tell is as old, or older
         if (lost) {
             log.line("discovery back after " + (System.nanoTime() / 1_000_000 - lostAt) + " ms, revision "
                     + list.revision());
@@ -174,15 +199,26 @@
         ask();
     }
 
-    private void failed(long mine, String why) {
-        if (mine != call) {
+    /** A call has had its time: another is made soon, whose answer or this one's counts, whichever comes first. */
+    private void overdue(Call call, boolean watch) {
+        if (watch) {
+            call.end(); // a watch that has fallen silent is broken
+        }
+        askAgain("no answer");
+    }
+
+    private void failed(Call call, String why) {
+        if (call.over) {
             return;
         }
-        call++; // a late answer to this call is nobody's
-        if (out != null) {
-            out.reset();
-            out = null;
+        boolean latest = call == calls.peekLast();
+        call.end();
+        if (latest) { // where an overdue one fails, a later one is under way already
+            askAgain(why);
         }
+    }
+
+    private void askAgain(String why) {
         if (!lost) {
             lost = true;
             lostAt = System.nanoTime() / 1_000_000;
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -0,0 +1,149 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.io.RandomAccessFile;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Registry;
+
+/** New configurations, one soon after another, while discovery is slow or does not answer. */
+@Timeout(120)
+class ConfigurationReloadTest {
+    private static final long IN_FORCE_WITHIN_MS = 4000; // after SIGHUP, the list of the discovery that it names
+    private static final int SOCKETS = 256;
+    private static final int RELOADS = 24;
+
+    @TempDir
+    private Path directory;
+
+    private static String configuration(int discoveryPort, Net net) {
+        return Net.configuration(net.registry, SOCKETS, 30_000)
+                .replace("\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + discoveryPort);
+    }
+
+    private void reload(Net net, int discoveryPort) throws IOException {
+        Path file = directory.resolve("gateway.json");
+        Files.writeString(file, configuration(discoveryPort, net));
+        net.gateway.renew(file);
+    }
+
+    private static long msSince(long began) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {0, 500, 1100, 1500, 2500})
+    void theListOfASlowDiscoveryIsInForceInTimeAfterTheLastOfManyConfigurations(long answersAfterMs) throws Exception {
+        try (Net net = new Net("p", "r1", "r2").started();
+                Registry silent = new Registry(net.list(9, true, "p"));
+                SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r2"), answersAfterMs);
+                SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r1"), answersAfterMs)) {
+            silent.mute = true;
+            for (int i = 0; i < RELOADS; i++) {
+                reload(net, i % 2 == 0 ? silent.port() : former.port());
+            }
+            reload(net, last.port());
+            long reloaded = System.nanoTime();
+            net.logged("server r2 listed GONE");
+            assertThat(msSince(reloaded)).as(net::log).isLessThan(IN_FORCE_WITHIN_MS);
+            List<String> r1 = net.log().lines().filter(l -> l.contains("server r1 listed")).toList();
+            assertThat(r1.isEmpty() || r1.get(r1.size() - 1).endsWith(" IN")).as(net::log).isTrue(); // also where a former list held
+        }
+    }
+
+    @Test
+    void noConnectionToAFormerDiscoveryStaysOpen() throws Exception {
+        try (Net net = new Net("p", "r1").started();
+                SlowDiscovery one = new SlowDiscovery(net.list(3, true, "p", "r1"), 100);
+                SlowDiscovery other = new SlowDiscovery(net.list(4, true, "p", "r1"), 100);
+                SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r1"), 0)) {
+            List<SlowDiscovery> former = List.of(one, other);
+            for (int i = 0; i < RELOADS; i++) {
+                reload(net, former.get(i % 2).port());
+                Thread.sleep(i % 3 * 60L); // some calls are answered before the next configuration, some not
+            }
+            reload(net, last.port());
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+            while (one.open.get() + other.open.get() > 0) {
+                assertThat(System.nanoTime()).as("%d and %d connections are open, %d to the last:\n%s", one.open.get(),
+                        other.open.get(), last.open.get(), net.log()).isLessThan(end);
+                Thread.sleep(20);
+            }
+            int calls = one.calls.get() + other.calls.get();
+            Thread.sleep(3000); // longer than a watch
+            assertThat(one.calls.get() + other.calls.get()).as("calls to former ones").isEqualTo(calls);
+            assertThat(last.open.get()).as(net::log).isBetween(1, 3);
+        }
+    }
+
+    @Test
+    void theConfigurationReadLastHoldsWhereAnEarlierReadTakesLonger() throws Exception {
+        Path file = directory.resolve("gateway.json");
+        try (Net net = new Net("p", "r1", "r2").started();
+                SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r1"), 0);
+                SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r2"), 0)) {
+            assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor()).isZero();
+            Thread first = new Thread(() -> net.gateway.renew(file)); // as the JVM does: each signal on a thread of its own
+            Thread second = new Thread(() -> net.gateway.renew(file));
+            try (RandomAccessFile slow = new RandomAccessFile(file.toFile(), "rw")) {
+                first.start();
+                awaitReading(first);
+                Path next = directory.resolve("next.json");
+                Files.writeString(next, configuration(last.port(), net));
+                Files.move(next, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+                second.start();
+                second.join(500); // done by now, unless it waits for the first
+                slow.write(configuration(former.port(), net).getBytes(StandardCharsets.UTF_8));
+            }
+            first.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            second.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            List<String> taken = new ArrayList<>(net.log().lines().filter(l -> l.contains("new configuration: ")).toList());
+            for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+                    taken.size() < 2 && System.nanoTime() < end; Thread.sleep(20)) {
+                taken = new ArrayList<>(net.log().lines().filter(l -> l.contains("new configuration: ")).toList());
+            }
+            assertThat(taken).as(net::log).hasSize(2).last().asString().contains(":" + last.port() + ",");
+        }
+    }
+
+    /** Waits until this thread is in the system call that reads the named pipe. */
+    private static void awaitReading(Thread reader) throws InterruptedException {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S); System.nanoTime() < end;
+                Thread.sleep(10)) {
+            if (List.of(reader.getStackTrace()).toString().contains("read0")) {
+                return;
+            }
+        }
+        throw new AssertionError("the configuration is not being read: " + List.of(reader.getStackTrace()));
+    }
+
+    @Test
+    void aConfigurationThatIsCutOffAnywhereChangesNothing() throws Exception {
+        try (Net net = new Net("p", "r1").started();
+                SlowDiscovery elsewhere = new SlowDiscovery(net.list(3, true, "p"), 0)) {
+            Path file = directory.resolve("gateway.json");
+            String whole = configuration(elsewhere.port(), net);
+            for (int length = 0; length < whole.length(); length++) {
+                Files.writeString(file, whole.substring(0, length));
+                net.gateway.renew(file);
+            }
+            Files.delete(file);
+            net.gateway.renew(file); // between the removal and the new file of a deployment
+            net.gateway.renew(directory);
+            assertThat(net.log()).doesNotContain("new configuration: ").contains("new configuration not taken");
+            assertThat(elsewhere.calls).hasValue(0);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -0,0 +1,60 @@
+package ploverdale;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.net.Socket;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/**
+ * Discovery that answers each call for the whole list some time after it came, as one that is crowded does, and holds each
+ * watch until the gateway gives it up.
+ */
+final class SlowDiscovery extends FakeHost.Stand {
+    /** Connections that the gateway has not ended yet. */
+    final AtomicInteger open = new AtomicInteger();
+
+    /** Calls that came, the watches included. */
+    final AtomicInteger calls = new AtomicInteger();
+
+    private final String list;
+    private final long answersAfterMs;
+
+    SlowDiscovery(String list, long answersAfterMs) throws IOException {
+        this.list = list;
+        this.answersAfterMs = answersAfterMs;
+    }
+
+    @Override
+    void serve(Socket socket) throws IOException {
+        open.incrementAndGet();
+        try {
+            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8));
+            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                if (line.startsWith("GET ")) {
+                    calls.incrementAndGet();
+                    answer(socket, line.contains("?"));
+                }
+            }
+        } finally {
+            open.decrementAndGet();
+            socket.close();
+        }
+    }
+
+    private void answer(Socket socket, boolean watch) throws IOException {
+        if (watch) {
+            return;
+        }
+        try {
+            Thread.sleep(answersAfterMs);
+        } catch (InterruptedException e) {
+            throw new IOException(e);
+        }
+        byte[] body = list.getBytes(UTF_8);
+        socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(UTF_8));
+        socket.getOutputStream().write(body);
+    }
+}
