--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -414,7 +414,8 @@
         long until = op.type.repeats() == Repeats.RETRYABLE ? worthUntil(op) : answerBy(op);
         // Guards against servers whose answers get lost while they work: sends again in time.
         long early = now + (long) (FEW_TAKE * op.pace.usual * stretchNow(m));
-        if (m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE
+        boolean last = op.sends + 1 >= permits.sendsPerOp(); // it has all the time that is left, since none follows
+        if (m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE && !last
                 && worthUntil(op) - early > op.pace.usual * stretchNow(m)) {
             until = Math.min(until, early);
         }
