--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -92,6 +92,12 @@
         return out;
     }
 
+    /** Whether requests may still be written to this server: not once it is known to drain or to be gone. */
+    public boolean mayReceive(ServerId server) {
+        Member m = members.get(server);
+        return m != null && m.isIn();
+    }
+
     private void started(Event.Started s) {
         chance = new SplittableRandom(s.seed());
         int gateways = Math.max(1, s.gateways());
@@ -301,6 +307,12 @@
             guess.turnedAwayAt = now; // until it answers
             return guess;
         }
+        // Nobody was heard lately, and the health check that tells is on its way: perhaps on a second connection, where a server
+        // has forgotten the first while it was idle.
+        if (g.members.stream().noneMatch(this::heardLately)
+                && g.members.stream().anyMatch(m -> m.isPromising() && m.probeOut && now - m.probedAt < CHECK_WAIT)) {
+            return HOLD;
+        }
         // Waits for room, or for a replica little too old by a report that is old itself to be asked again.
         return g.members.stream().anyMatch(m -> m != p && m.isIn() && !m.silent && heardLately(m)
                 && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, op) || op.type.needs() == Needs.BOUNDED
@@ -408,7 +420,8 @@
         long until = op.type.repeats() == Repeats.RETRYABLE ? worthUntil(op) : answerBy(op);
         // Guards against servers whose answers get lost while they work: sends again in time.
         long early = now + (long) (FEW_TAKE * op.pace.usual * stretchNow(m));
-        if (m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE
+        boolean last = op.sends + 1 >= permits.sendsPerOp(); // it has all the time that is left, since none follows
+        if (m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE && !last
                 && worthUntil(op) - early > op.pace.usual * stretchNow(m)) {
             until = Math.min(until, early);
         }
@@ -513,6 +526,7 @@
     private static final long HEARD_LASTS = 2000 * MS; // no op to a server not heard of for longer
     private static final long ASK_AGAIN = 150 * MS; // about how often reports are made anew
     private static final long SCARCE_LASTS = 10_000 * MS; // after a refused connect that a probe outlived
+    private static final long CHECK_WAIT = 250 * MS; // a health check on an idle connection, 100 ms in vain, and on a new one
     private static final long PATIENCE = 50 * MS; // what needs no work takes a few: probes, refused connects
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -239,9 +239,11 @@
         if (past != null) {
             past.sent(a.op());
         }
-        // Guards against a send that waited for its connection: its client may have gone, a position may have aged.
+        // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its server may
+        // drain by now, with the grace for that long over.
         servers.send(a.op(), a.server(), a.timeLimit(),
-                () -> clients.waits(t) && LogicLoop.Clock.now() <= a.writeBy(), waitMs -> PgCodec.ask(t.ask(), waitMs),
+                () -> clients.waits(t) && LogicLoop.Clock.now() <= a.writeBy() && loop.mayReceive(a.server()),
+                waitMs -> PgCodec.ask(t.ask(), waitMs),
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
@@ -347,8 +349,11 @@
     /**
      * Reads the configuration again, under load. Discovery and the descriptors hold from now on; what the module and
      * the listening socket were started with holds until a restart. One that cannot be read changes nothing.
+     *
+     * <p>Synchronized, since each signal has a thread of its own: an earlier call that reads for longer must not put its older
+     * configuration in force behind a later one.
      */
-    public void renew(Path path) {
+    public synchronized void renew(Path path) {
         GatewayFile next;
         try {
             next = GatewayFile.read(path);
