--- a/gateway/src/main/java/ploverdale/budgets/Shared.java
+++ b/gateway/src/main/java/ploverdale/budgets/Shared.java
@@ -118,7 +118,8 @@
             return List.of();
         }
         if (!membership.hears(now, from, p.incarnation())) {
-            return List.of();
+            membership.corrects(from, packing);
+            return letters(now);
         }
         boolean same = p.division() == id;
         for (Parcel.Part part : p.parts()) {
--- a/gateway/src/main/java/ploverdale/fleet/Membership.java
+++ b/gateway/src/main/java/ploverdale/fleet/Membership.java
@@ -82,7 +82,7 @@
 
     /**
      * @param startedMs Unix ms, by which later starts of a name are told from earlier ones; where the clock has stepped back
-     *     meanwhile, what others have heard of an earlier start sets it right
+     *     meanwhile, {@link #corrects} tells it of the earlier start, and it takes a later one
      */
     public Membership(int me, int size, long startedMs, RandomGenerator chance) {
         this.me = me;
@@ -170,6 +170,15 @@
         return true;
     }
 
+    /**
+     * A parcel of an earlier start than the last one known has come: a delayed one, or the process has been restarted while its
+     * wall clock was behind that of the earlier start. Tells it the incarnation known here, to which a live process answers
+     * with a higher one (SWIM's refutation).
+     */
+    public void corrects(int from, Packing out) {
+        out.add(from, new Part(NEWS, update(ByteBuffer.allocate(NEWS_BYTES), from).array()));
+    }
+
     /** One part of it; other kinds are somebody else's. */
     public void part(long now, int from, Part part, Packing out) {
         ByteBuffer b = ByteBuffer.wrap(part.content());
@@ -335,9 +344,14 @@
         for (int i : part) {
             Member m = members[i];
             m.tellLeft = Math.max(0, m.tellLeft - 1);
-            b.putShort((short) i).putShort((short) (m.incarnation >>> 32)).putInt((int) m.incarnation)
-                    .put((byte) m.standing.ordinal());
+            update(b, i);
         }
         out.add(to, new Part(NEWS, b.array()));
     }
+
+    private ByteBuffer update(ByteBuffer b, int member) {
+        Member m = members[member];
+        return b.putShort((short) member).putShort((short) (m.incarnation >>> 32)).putInt((int) m.incarnation)
+                .put((byte) m.standing.ordinal());
+    }
 }
