--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -76,6 +76,8 @@
             callOff(ops.remove(c.op()));
         } else if (h instanceof Event.PeerMessage p && hearsay != null) {
             heard(p);
+        } else if (h instanceof Event.ClockOffsetChanged c) {
+            clockOffsetChanged(c);
         } else if (h instanceof Event.ShutdownBegun && hearsay != null) {
             tell(hearsay.leaves(now));
         } else if (h instanceof Event.ShutdownDeadline) {
@@ -172,6 +174,22 @@
         }
     }
 
+    /** What others dated before cannot be compared with what they will; a session's last write is at most as late as now. */
+    private void clockOffsetChanged(Event.ClockOffsetChanged c) {
+        for (Member m : members.values()) {
+            m.position = Report.UNTOLD;
+            m.positionToldAt = Report.UNTOLD;
+            long startedAt = c.startedAt().getOrDefault(m.id, m.startedAt);
+            m.coldSince = m.coldSince == m.startedAt ? startedAt : m.coldSince;
+            m.startedAt = startedAt;
+        }
+        sessionWrites.allBy(now);
+        ops.values().forEach(op -> op.needPosition = op.needPosition == Report.UNTOLD ? Report.UNTOLD : now);
+        if (hearsay != null) {
+            hearsay.forgetPositions();
+        }
+    }
+
     private void arrived(Event.OpArrived a) {
         OpType type = opTypes.get(a.type().index());
         long target = now + type.latencyTarget() + (long) (type.targetPerWork() * a.expectedWork())
--- a/gateway/src/main/java/ploverdale/hearsay/Datagram.java
+++ b/gateway/src/main/java/ploverdale/hearsay/Datagram.java
@@ -36,6 +36,7 @@
     private static final byte MARK = (byte) 0xB1;
     private static final int VERSION = 1;
     private static final int HEAD = 10;
+    private static final int SENT_AT = 4; // offset of the time of sending
     private static final int CHECK = 4;
     private static final int ENTRY = 20;
     private static final int ENTRY_LEAST = 7; // number, parts, and the age of a role
@@ -134,6 +135,22 @@
         b.putShort((short) Math.min(units, AGE_NONE));
     }
 
+    /**
+     * The same datagram with its time of sending moved, in tenths of a millisecond; as all other times in it are ages, they move
+     * along. What is no sound datagram is returned as it is, for the reader to refuse.
+     */
+    public static byte[] redated(byte[] bytes, long by) {
+        if (by == 0 || read(bytes).refusal() != null) {
+            return bytes;
+        }
+        ByteBuffer b = ByteBuffer.wrap(bytes.clone());
+        long ms = ((b.getShort(SENT_AT) & 0xFFFFL) << 32 | b.getInt(SENT_AT + 2) & 0xFFFFFFFFL) + Math.floorDiv(by, MS);
+        b.putShort(SENT_AT, (short) (ms >> 32)).putInt(SENT_AT + 2, (int) ms);
+        CRC32C crc = new CRC32C();
+        crc.update(b.array(), 0, bytes.length - CHECK);
+        return b.putInt(bytes.length - CHECK, (int) crc.getValue()).array();
+    }
+
     /** Reads what came; nothing is allocated by a length that is only told. */
     public static Read read(byte[] bytes) {
         if (bytes.length > MOST) {
--- a/gateway/src/main/java/ploverdale/hearsay/Hearsay.java
+++ b/gateway/src/main/java/ploverdale/hearsay/Hearsay.java
@@ -138,6 +138,12 @@
         }
     }
 
+    /** Positions told so far cannot be dated any more. */
+    public void forgetPositions() {
+        servers.values().forEach(k -> k.picture = k.picture.withoutPosition());
+        rota.forgetAll();
+    }
+
     /** An op has come; it pays for words. */
     public void op() {
         purse = Math.min(BYTES_SAVED, purse + BYTES_AN_OP);
--- a/gateway/src/main/java/ploverdale/hearsay/Rota.java
+++ b/gateway/src/main/java/ploverdale/hearsay/Rota.java
@@ -67,6 +67,11 @@
         }
     }
 
+    void forgetAll() {
+        places.clear();
+        pending.clear();
+    }
+
     void forget(ServerId id) {
         places.remove(id);
         pending.remove(id);
--- a/gateway/src/main/java/ploverdale/hearsay/Word.java
+++ b/gateway/src/main/java/ploverdale/hearsay/Word.java
@@ -52,6 +52,11 @@
         return new Word(Role.UNKNOWN, Report.UNTOLD, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
+    /** The same with no position. */
+    public Word withoutPosition() {
+        return new Word(role, roleAt, Report.UNTOLD, Report.UNTOLD, aliveAt, silentAt, coldSince, drainAt);
+    }
+
     /** The same, its role told earlier by so much. */
     public Word withRoleOlder(long by) {
         return by == 0 || roleAt == Report.UNTOLD ? this : new Word(role, roleAt - by, position, positionAt, aliveAt,
--- a/gateway/src/main/java/ploverdale/log/Log.java
+++ b/gateway/src/main/java/ploverdale/log/Log.java
@@ -2,7 +2,6 @@
 
 import java.io.PrintStream;
 import java.time.Instant;
-import java.time.temporal.ChronoUnit;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.logging.Handler;
@@ -10,6 +9,7 @@
 import java.util.logging.LogManager;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
+import ploverdale.clock.Clock;
 
 /**
  * The program's log: one line an event on standard error, time first. What may come often is told under a kind,
@@ -21,20 +21,26 @@
     private static final int KINDS_MOST = 200; // kinds are few; the rest is a guard
 
     private final PrintStream to;
+    private final Clock clock;
     private final Map<String, long[]> kinds = new HashMap<>(); // kind: last written, left out since
 
     public Log(PrintStream to) {
+        this(to, Clock.system());
+    }
+
+    public Log(PrintStream to, Clock clock) {
         this.to = to;
+        this.clock = clock;
     }
 
     /** Writes a line. */
     public synchronized void line(String text) {
-        to.println(Instant.now().truncatedTo(ChronoUnit.MILLIS) + " " + oneLine(text));
+        to.println(Instant.ofEpochMilli(clock.wallMs()) + " " + oneLine(text));
     }
 
     /** Writes a line, at most one a second of this kind. */
     public synchronized void often(String kind, String text) {
-        long now = System.nanoTime() / 1_000_000;
+        long now = clock.monotonicMs();
         if (!kinds.containsKey(kind) && kinds.size() >= KINDS_MOST) {
             kinds.clear();
         }
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -1,6 +1,7 @@
 package ploverdale.model;
 
 import java.util.List;
+import java.util.Map;
 
 /** All that can happen to a gateway. Times in tenths of a millisecond. */
 public sealed interface Event {
@@ -13,7 +14,10 @@
     /** The list of servers, whole or its changes; failed when asking for it brought none. */
     record ListTold(boolean whole, boolean failed, List<Listing> listings) implements Event {}
 
-    /** A client's op; a token age of 0 means that the session has no earlier write. */
+    /**
+     * A client's op; a token age of 0 means that the session has no earlier write, one below 0 that the write is dated a
+     * little later than now.
+     */
     record OpArrived(
             OpId op, OpTypeId type, TenantId tenant, GroupId group, SessionId session, long timeoutAt,
             boolean again, long expectedWork, long tokenAge) implements Event {}
@@ -44,6 +48,12 @@
     /** The gateway ends in a moment: each op in hand is to have its answer now, however long its client would wait. */
     record ShutdownDeadline() implements Event {}
 
+    /**
+     * How far the servers' wall clock is from service time has turned out to be another, or is unknown now: positions told before
+     * count as unknown, and the servers started at these times, where the list has one.
+     */
+    record ClockOffsetChanged(Map<ServerId, Long> startedAt) implements Event {}
+
     /** How a send ended. Cut off: on the way to a connection, by whom is not known; broken off: after it was sent. */
     enum Outcome {
         ACKED(false, true), ERRORED(false, true), FULL(true, true), TIMED_OUT(false, false),
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -25,7 +25,6 @@
 import ploverdale.model.OpTypeId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
-import ploverdale.net.LogicLoop.Clock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.terms.Terms;
 
@@ -86,6 +85,7 @@
     private final LogicLoop loop;
     private final Terms terms;
     private final ConnectionLimits<Session> limits;
+    private final ServerClock time;
     private final long unreadMs;
     private final Traffic traffic = new Traffic(TRAFFIC_FADES_MS);
     private final Map<OpId, Taken> taken = new HashMap<>();
@@ -101,7 +101,8 @@
     private final Set<NetSocket> parting = new LinkedHashSet<>(); // ended here and not yet by their clients
     private long answersBy = Long.MAX_VALUE;
 
-    public ClientSide(Vertx vertx, Log log, LogicLoop loop, Terms terms, ConnectionLimits<Session> limits) {
+    ClientSide(Vertx vertx, Log log, LogicLoop loop, Terms terms, ConnectionLimits<Session> limits, ServerClock time) {
+        this.time = time;
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
@@ -112,8 +113,8 @@
         vertx.setPeriodic(LOOK_MS, x -> look());
     }
 
-    private static long nowMs() {
-        return System.nanoTime() / 1_000_000;
+    private long nowMs() {
+        return time.clock().monotonicMs();
     }
 
     /** Ends what the limits say is to end by now. */
@@ -457,7 +458,7 @@
 
         /** The earliest time at which what is read now may have come; its client counts from there. */
         private long cameAt() {
-            return Clock.now() - loop.behind();
+            return time.now() - loop.behind();
         }
 
         /** Ends with what it began; ops taken before that are answered first. */
@@ -515,7 +516,7 @@
             load += ask.text().length;
             Needs needs = terms.started().opTypes().get(type).needs();
             boolean inSession = ask.key() != null && (needs == Needs.WRITE || needs == Needs.SESSION);
-            long tokenAge = ask.afterMs() <= 0 ? 0 : Math.max(1, now - ask.afterMs() * 10); // 0 is the word for none
+            long tokenAge = ask.afterMs() <= 0 ? 0 : time.tokenAge(now, ask.afterMs() * 10);
             long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.waitMs() * 10));
             Event.OpArrived arrived = new Event.OpArrived(op, new OpTypeId(type), new TenantId(tenant),
                     new GroupId(ask.group()), inSession ? new SessionId(ask.key()) : null, timeoutAt, ask.again(), 0, tokenAge);
--- a/gateway/src/main/java/ploverdale/net/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/Discovery.java
@@ -13,6 +13,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.net.GatewayFile.ServerList;
 import ploverdale.terms.Fields;
@@ -40,6 +41,7 @@
     private final Consumer<ServerList> told;
     private final HttpClient http;
     private final RandomGenerator chance;
+    private final Clock clock;
     private InetSocketAddress at;
     private HttpClientRequest out; // the call under way, once it has a connection
     private long askTimer = -1; // a call to come
@@ -51,7 +53,8 @@
     private boolean stopped;
 
     public Discovery(Vertx vertx, Log log, Terms terms, InetSocketAddress at, RandomGenerator chance,
-            Consumer<ServerList> told) {
+            Consumer<ServerList> told, Clock clock) {
+        this.clock = clock;
         this.chance = chance;
         this.vertx = vertx;
         this.log = log;
@@ -151,7 +154,7 @@
             return;
         }
         if (lost) {
-            log.line("discovery back after " + (System.nanoTime() / 1_000_000 - lostAt) + " ms, revision "
+            log.line("discovery back after " + (clock.monotonicMs() - lostAt) + " ms, revision "
                     + list.revision());
         }
         lost = false;
@@ -185,7 +188,7 @@
         }
         if (!lost) {
             lost = true;
-            lostAt = System.nanoTime() / 1_000_000;
+            lostAt = clock.monotonicMs();
             log.line("discovery lost: " + why);
         }
         askIn(again + chance.nextLong(again / 2)); // so that gateways that lost it together do not all come back at once
--- a/gateway/src/main/java/ploverdale/net/FleetSide.java
+++ b/gateway/src/main/java/ploverdale/net/FleetSide.java
@@ -26,10 +26,10 @@
     private final Shared shared;
     private Runnable heard = () -> { };
 
-    FleetSide(Vertx vertx, Log log, Sharing sharing, Started told, Out out) {
+    FleetSide(Vertx vertx, Log log, Sharing sharing, Started told, Out out, ServerClock time) {
         this.log = log;
         this.out = out;
-        shared = new Shared(sharing, told, System.currentTimeMillis(), () -> System.nanoTime() / 100_000, LogicLoop.Clock::now);
+        shared = new Shared(sharing, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
         vertx.setPeriodic(Shared.LOOK / 10, x -> sends(shared.due()));
         vertx.setPeriodic(LINE_MS, x -> log.line(shared.figures()));
         lines();
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -10,12 +10,16 @@
 import io.vertx.core.net.NetServerOptions;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
+import java.util.stream.Collectors;
 import ploverdale.budgets.Sharing;
+import ploverdale.clock.Clock;
 import ploverdale.shutdown.GracefulShutdown;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
@@ -36,7 +40,7 @@
     private static final int CALM_LOOKS = 5; // at the clock, with the loop on time, before service begins
     private static final int CALM_MOST = 50;
     private static final long START_LOOK_MS = 10;
-    private static final long WORDS_WITHIN_NS = 100_000_000; // of other instances, before service begins without them
+    private static final long WORDS_WITHIN_MS = 100; // of other instances, before service begins without them
     private static final long LOOK_MS = 20;
     private static final long LONGEST_COUNTED_MS = 3000; // the platform kills no earlier than after the longest op timeout,
     private static final long KILLED_AFTER_MS = 700; // counted up to this, and this much more
@@ -52,31 +56,43 @@
     private final FleetSide fleet; // null but where a fleet file switches it on
     private final ReplicaSide past; // null but where that file has something kept
     private final ConnectionLimits<ClientSide.Session> limits;
+    private final ServerClock time;
+    private final Map<ServerId, Start> starts = new HashMap<>();
     private int probesOut;
     private int probesEnded;
     private NetServer server; // held, since one that nobody holds may be closed
 
-    private Gateway(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> sharing) {
+    /** When a server last started, as the list dates it and as service time. */
+    private record Start(long wall, long serviceTime) {}
+
+    private Gateway(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> sharing,
+            Clock clock) {
         this.vertx = vertx;
         this.log = log;
         this.file = file;
+        time = new ServerClock(log, clock);
+        vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
         fleet = sharing.isEmpty() || file.peerListen() == null ? null
-                : new FleetSide(vertx, log, sharing.get(), file.terms().started(), (to, bytes) -> peers().send(to, bytes));
-        loop = new LogicLoop(vertx, context, log, this, fleet == null ? null : fleet.shared());
-        clients = new ClientSide(vertx, log, loop, file.terms(), limits);
-        servers = new ServerSide(vertx, log, file.terms(), limits, this::makeRoom);
+                : new FleetSide(vertx, log, sharing.get(), file.terms().started(), (to, bytes) -> peers().send(to, bytes), time);
+        loop = new LogicLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
+        clients = new ClientSide(vertx, log, loop, file.terms(), limits, time);
+        servers = new ServerSide(vertx, log, file.terms(), limits, this::makeRoom, time);
         peers = file.peerListen() == null ? null : new PeerSide(vertx, log, loop, file.peers());
+        if (peers != null) {
+            peers.datedBy(time);
+        }
         if (fleet != null) {
             peers.readFirst(fleet::hears);
         }
         past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicaSide(vertx, log, loop, clients,
-                file.terms(), sharing.get().keeping(), fleet.shared().replicas(), fleet::keeps);
+                file.terms(), sharing.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
         if (past != null) {
             clients.past(past);
             fleet.whenHeard(past::ended);
         }
-        discovery = new Discovery(vertx, log, file.terms(), file.discovery(), new SplittableRandom(file.seed()), this::listed);
+        discovery = new Discovery(vertx, log, file.terms(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
+        time.whenChanged(this::datedAnew);
     }
 
     private PeerSide peers() {
@@ -97,20 +113,35 @@
         return start(vertx, log, file, Optional.empty());
     }
 
+    /** The same, by that clock. */
+    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Clock clock) {
+        return start(vertx, log, file, Optional.empty(), clock);
+    }
+
     /** The same, with the fleet's parts that this file switches on. Optional, so that where there is none its class is not loaded. */
     public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<Sharing> fleet) {
+        return start(vertx, log, file, fleet, Clock.system());
+    }
+
+    private static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<Sharing> fleet, Clock clock) {
         Context context = vertx.getOrCreateContext();
-        return WarmUp.run(vertx, log, file).compose(x -> unpractised(vertx, context, log, file, fleet));
+        return WarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
     }
 
     /** Starts a gateway as it is, for one that has practised in this process; done when it listens. */
     public static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file) {
-        return unpractised(vertx, context, log, file, Optional.empty());
+        return unpractised(vertx, context, log, file, Clock.system());
     }
 
-    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> fleet) {
+    /** The same, by that clock. */
+    static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Clock clock) {
+        return unpractised(vertx, context, log, file, Optional.empty(), clock);
+    }
+
+    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> fleet,
+            Clock clock) {
         Promise<Gateway> listening = Promise.promise();
-        context.runOnContext(x -> new Gateway(vertx, context, log, file, fleet).listen(listening));
+        context.runOnContext(x -> new Gateway(vertx, context, log, file, fleet, clock).listen(listening));
         return listening.future();
     }
 
@@ -136,9 +167,9 @@
         when(() -> loop.behind() == 0, CALM_MOST, CALM_LOOKS, () -> {
             listed(file.known());
             discovery.follow();
-            long since = System.nanoTime();
+            long since = time.clock().monotonicMs();
             when(() -> peers == null ? probesOut == 0 : peers.heard() ? probesEnded > 0
-                            : probesOut == 0 && System.nanoTime() - since > WORDS_WITHIN_NS,
+                            : probesOut == 0 && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
                     (int) (file.terms().connectLimit() / 10 / START_LOOK_MS) + 1, 1, () -> {
                 clients.ready();
                 log.line("gateway " + file.name() + " listens at " + file.listen().getAddress().getHostAddress()
@@ -167,7 +198,7 @@
     /** Has ended what the limits say makes way for one more connection to a server; false where none may be opened yet. */
     private boolean makeRoom() {
         while (!limits.serverFits()) {
-            ConnectionLimits.Leave<ClientSide.Session> way = limits.wayForServer(System.nanoTime() / 1_000_000);
+            ConnectionLimits.Leave<ClientSide.Session> way = limits.wayForServer(time.clock().monotonicMs());
             if (way != null) {
                 clients.end(way);
             } else if (!servers.closeLongestIdle()) {
@@ -184,7 +215,10 @@
     }
 
     private void listed(ServerList list) {
-        List<Listing> listings = list.entries().stream().map(GatewayFile.Entry::listing).toList();
+        if (list.whole()) {
+            starts.keySet().retainAll(list.entries().stream().map(e -> e.listing().server()).collect(Collectors.toSet()));
+        }
+        List<Listing> listings = list.entries().stream().map(e -> dated(e.listing())).toList();
         for (GatewayFile.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
@@ -196,6 +230,30 @@
         loop.tell(new Event.ListTold(list.whole(), false, listings));
     }
 
+    /** The listing with its start as service time, the same each time that the same start is listed. */
+    private Listing dated(Listing l) {
+        Start start = starts.get(l.server());
+        if (start == null || start.wall() != l.startedAt()) {
+            start = new Start(l.startedAt(), time.start(l.startedAt()));
+        }
+        if (l.stage() == Listing.Stage.GONE) {
+            starts.remove(l.server());
+        } else {
+            starts.put(l.server(), start);
+        }
+        return new Listing(l.server(), l.group(), l.zone(), l.stage(), l.primary(), start.serviceTime());
+    }
+
+    private void datedAnew() {
+        Map<ServerId, Long> startedAt = new HashMap<>();
+        starts.replaceAll((id, start) -> new Start(start.wall(), time.start(start.wall())));
+        starts.forEach((id, start) -> startedAt.put(id, start.serviceTime()));
+        loop.tell(new Event.ClockOffsetChanged(startedAt));
+        if (past != null) {
+            past.clockOffsetChanged();
+        }
+    }
+
     @Override
     public void send(Action.Send a) {
         ClientSide.Taken t = clients.taken(a.op());
@@ -205,12 +263,14 @@
             return;
         }
         int number = t.nextSend();
+        int changes = time.changes();
         if (past != null) {
             past.sent(a.op());
         }
         // Guards against a send that waited for its connection: its client may have gone, a position may have aged.
         servers.send(a.op(), a.server(), a.timeLimit(),
-                () -> clients.taken(a.op()) == t && LogicLoop.Clock.now() <= a.writeBy(), waitMs -> PgCodec.ask(t.ask(), waitMs),
+                () -> clients.taken(a.op()) == t && (a.writeBy() == Long.MAX_VALUE
+                        || time.changes() == changes && time.now() <= a.writeBy()), waitMs -> PgCodec.ask(t.ask(), waitMs),
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
@@ -284,11 +344,11 @@
     public void endPlanned(CountDownLatch done) {
         long longest = file.terms().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
-        long began = System.nanoTime() / 1_000_000;
+        long began = time.clock().monotonicMs();
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
         log.line("planned restart: " + clients.sessions() + " connections, " + clients.opsInHand()
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
-        clients.answerAllBy(LogicLoop.Clock.now() + shutdown.answersBy() * 10);
+        clients.answerAllBy(time.now() + shutdown.answersBy() * 10);
         loop.tell(new Event.ShutdownBegun());
         // Guards against ops from before the word to leave whose own timeouts are later than the end.
         vertx.setTimer(shutdown.answersBy(), x -> {
@@ -300,7 +360,7 @@
         }
         clients.whenAsked(now -> shutdown.asked(now - began));
         vertx.setPeriodic(LOOK_MS, x -> {
-            long passed = System.nanoTime() / 1_000_000 - began;
+            long passed = time.clock().monotonicMs() - began;
             switch (shutdown.at(passed, clients.greeted() + clients.unsent(), clients.opsInHand())) {
                 case ENDS -> clients.endIdle();
                 case OVER -> {
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -2,10 +2,10 @@
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
-import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import ploverdale.Logic;
+import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.Allotment;
@@ -45,13 +45,17 @@
     private final Log log;
     private final Hands hands;
     private final Logic logic;
+    private final Clock clock;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean due;
-    private long lastTick = Clock.now();
-    private long tickBefore = lastTick;
+    private long lastTick;
+    private long tickBefore;
 
     /** @param allotment what the module may spend of the fleet's budgets, or null */
-    public LogicLoop(Vertx vertx, Context context, Log log, Hands hands, Allotment allotment) {
+    public LogicLoop(Vertx vertx, Context context, Log log, Hands hands, Allotment allotment, Clock clock) {
+        this.clock = clock;
+        lastTick = clock.now();
+        tickBefore = lastTick;
         logic = new Logic(allotment);
         this.vertx = vertx;
         this.context = context;
@@ -59,7 +63,7 @@
         this.hands = hands;
         vertx.setPeriodic(TICK_MS, x -> {
             tickBefore = lastTick;
-            lastTick = Clock.now();
+            lastTick = clock.now();
             if (lastTick - tickBefore > STANDSTILL_MS * 10) {
                 log.often("stood still", "for " + (lastTick - tickBefore) / 10 + " ms");
             }
@@ -72,20 +76,7 @@
      * last counts, since after a standstill the loop ticks once before it reads on.
      */
     public long behind() {
-        return Math.max(0, Clock.now() - tickBefore - 3 * TICK_MS * 10);
-    }
-
-    /** Unix time in tenths of a millisecond, rounded down, as every machine reads it. */
-    public static final class Clock {
-        private static long last = Long.MIN_VALUE;
-
-        private Clock() {}
-
-        public static synchronized long now() {
-            Instant t = Instant.now();
-            last = Math.max(last, t.getEpochSecond() * 10_000 + t.getNano() / 100_000);
-            return last;
-        }
+        return Math.max(0, clock.now() - tickBefore - 3 * TICK_MS * 10);
     }
 
     /**
@@ -114,7 +105,7 @@
         due = false;
         for (Event h = queue.poll(); h != null; h = queue.poll()) {
             try {
-                for (Action a : logic.on(Clock.now(), h)) {
+                for (Action a : logic.on(clock.now(), h)) {
                     act(a);
                 }
             } catch (RuntimeException e) {
@@ -152,8 +143,8 @@
 
     /** Guards against timers that count another clock: an early one is set again, since the module asks once. */
     private void wakeAt(Action.Wake wake) {
-        vertx.setTimer(Math.max(1, (wake.at() - Clock.now() + 9) / 10), x -> {
-            if (Clock.now() < wake.at()) {
+        vertx.setTimer(Math.max(1, (wake.at() - clock.now() + 9) / 10), x -> {
+            if (clock.now() < wake.at()) {
                 wakeAt(wake);
             } else {
                 tell(new Event.WakeUp(wake.mark()));
--- a/gateway/src/main/java/ploverdale/net/PeerSide.java
+++ b/gateway/src/main/java/ploverdale/net/PeerSide.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiPredicate;
+import ploverdale.hearsay.Datagram;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
@@ -29,6 +30,7 @@
     private boolean listens;
     private boolean heard;
     private BiPredicate<Integer, byte[]> others = (from, bytes) -> false;
+    private ServerClock time; // null: all read the same clock
 
     PeerSide(Vertx vertx, Log log, LogicLoop loop, List<InetSocketAddress> peers) {
         this.log = log;
@@ -66,8 +68,11 @@
         if (others.test(from, bytes)) {
             return;
         }
+        if (time != null && !time.isKnown()) {
+            return; // all that it says is dated
+        }
         heard = true;
-        loop.tell(new Event.PeerMessage(from, bytes));
+        loop.tell(new Event.PeerMessage(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
     }
 
     /** Whether any other instance has spoken. */
@@ -80,8 +85,15 @@
         this.others = others;
     }
 
+    /** Datagrams are dated by the servers' wall clock; while that is unknown, none goes out and none is read. */
+    void datedBy(ServerClock time) {
+        this.time = time;
+    }
+
     void tell(Action.Tell a) {
-        send(a.peer(), a.bytes());
+        if (time == null || time.isKnown()) {
+            send(a.peer(), time == null ? a.bytes() : Datagram.redated(a.bytes(), time.offset()));
+        }
     }
 
     /** Guards against a word before it hears: that would bind the socket to any port, and it would stay deaf. */
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -19,7 +19,6 @@
 import ploverdale.model.OpType.Repeats;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
-import ploverdale.net.LogicLoop.Clock;
 import ploverdale.replica.Claim;
 import ploverdale.replica.Fate;
 import ploverdale.replica.Keeping;
@@ -47,14 +46,15 @@
     private static final class InHand {
         private final OpArrived asked;
         private final boolean waits;
-        private final long arrivedAt = Clock.now();
+        private final long arrivedAt; // on the servers' wall clock
         private Claim claim;
         private int out;
         private boolean mayHaveRun;
         private int copies; // not there yet
         private boolean notCopied;
 
-        private InHand(OpArrived asked, boolean waits) {
+        private InHand(OpArrived asked, boolean waits, long arrivedAt) {
+            this.arrivedAt = arrivedAt;
             this.asked = asked;
             this.waits = waits;
         }
@@ -68,11 +68,13 @@
     private final Keeping keeping;
     private final Replicas replicas;
     private final Way way;
+    private final ServerClock time;
     private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
     private final Map<OpId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker = new HashMap<>(); // by group, the number of the server of the last acked write
 
-    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, Terms terms, Keeping keeping, Replicas replicas, Way way) {
+    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, Terms terms, Keeping keeping, Replicas replicas, Way way,
+            ServerClock time) {
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
@@ -81,11 +83,17 @@
         this.keeping = keeping;
         this.replicas = replicas;
         this.way = way;
+        this.time = time;
         // Clients that left while their op was held: nothing is sent for it any more.
         vertx.setPeriodic(LOOK_MS, x -> List.copyOf(inHand.keySet()).stream().filter(op -> clients.taken(op) == null)
                 .forEach(this::over));
     }
 
+    /** What this gateway vouched for was dated wrongly; from now on it vouches for what comes from here on. */
+    void clockOffsetChanged() {
+        replicas.startsAnew();
+    }
+
     /** How the module takes session reads: by what comes with each. */
     CopyKeeping copies(CopyKeeping told) {
         return new CopyKeeping(told.checks(), told.checkWait(), told.tokensCarried() || keeping.sessions());
@@ -120,17 +128,20 @@
         OpType type = terms.started().opTypes().get(a.type().index());
         boolean waits = keeping.waits().contains(terms.opTypes().get(a.type().index()));
         if (keeping.sessions() && type.needs() == Needs.SESSION && key != null) {
-            long arrived = Clock.now();
+            long arrived = time.now();
             asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
-                long reach = d.end() == End.KNOWN ? d.position() : arrived;
                 int leads = acker.getOrDefault(a.group(), d.server());
                 if (d.end() == End.KNOWN && d.server() >= 0 && d.server() != leads) {
                     log.often("a session over a takeover", "its last write was acked by another server than the group's last");
                 }
-                arrived(a, Math.max(1, Clock.now() - reach));
+                arrived(a, time.tokenAge(time.now(), d.end() == End.KNOWN ? d.position() : time.toWall(arrived)));
             });
         } else if (type.needs() == Needs.WRITE) {
-            InHand i = new InHand(a, waits);
+            if (!time.isKnown()) {
+                arrivesLater(a, key);
+                return;
+            }
+            InHand i = new InHand(a, waits, time.wallNow());
             inHand.put(a.op(), i);
             if (keeping.submits() && type.repeats() != Repeats.RETRYABLE) {
                 claims(i);
@@ -142,6 +153,21 @@
         }
     }
 
+    /** While the offset of the servers' clock is unknown, what becomes of a write cannot be dated, and so it is not sent. */
+    private void arrivesLater(OpArrived a, String key) {
+        if (time.now() + JOIN_AGAIN_MS * MS < a.timeoutAt()) {
+            vertx.setTimer(JOIN_AGAIN_MS, x -> {
+                if (clients.taken(a.op()) != null) {
+                    arrives(a, key);
+                }
+            });
+        } else if (a.again()) {
+            clients.errored(a.op()); // an earlier submit may have run
+        } else {
+            clients.busyReplied(a.op(), 0);
+        }
+    }
+
     private void arrived(OpArrived a, long tokenAge) {
         if (clients.taken(a.op()) != null) {
             loop.tell(new OpArrived(a.op(), a.type(), a.tenant(), a.group(), a.session(), a.timeoutAt(), a.again(),
@@ -170,7 +196,7 @@
                 } else {
                     clients.errored(op);
                 }
-            } else if (Clock.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
+            } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
                 vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
             } else {
                 inHand.remove(op);
@@ -227,17 +253,22 @@
             return;
         }
         acker.put(i.asked.group(), Datagram.number(server) & 0xFFFF);
+        if (!time.isKnown() && keeping.sessions() && i.asked.session() != null) {
+            clients.errored(op); // its position cannot be dated, so that nothing may be promised to the session
+            log.often("an acked write while the clock is in doubt", "errored");
+            return;
+        }
         if (!i.waits) {
             clients.acked(op, row);
         }
-        long left = Math.max(1, Math.min(keeping.waitWithin(), i.asked.timeoutAt() - Clock.now()));
+        long left = Math.max(1, Math.min(keeping.waitWithin(), i.asked.timeoutAt() - time.now()));
         String session = i.asked.session() == null ? null : i.asked.session().text();
         i.copies = (keeping.sessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
         if (i.waits && i.copies == 0) {
             clients.acked(op, row);
         }
         if (keeping.sessions() && session != null) {
-            long at = note != null && note.position() != Report.UNTOLD ? note.position() : Clock.now();
+            long at = note != null && note.position() != Report.UNTOLD ? time.toWall(note.position()) : time.wallNow();
             asks((now, to) -> replicas.wrote(now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
                     d -> copied(i, row, d));
         }
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -23,7 +23,6 @@
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
-import ploverdale.net.LogicLoop.Clock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.terms.Terms;
 
@@ -53,7 +52,6 @@
     private static final int SURPLUS_PARTS = 8; // of that time, for one where another is idle, too
     private static final int TOLD_MOST = 64; // a bound on memory; an answer tells a few
     private static final int BESIDE_MOST = 1000; // values told and notices beside one answer, or between two
-    private static final long AHEAD_MOST = 500; // of the clock, in tenths of a ms; commits are rounded up
     private static final long REST = 50; // after an answer, in tenths of a ms; a close behind it has come by then
     private static final int OPEN_TRIES = 10; // for room
     private static final long OPEN_AGAIN_MS = 2;
@@ -65,18 +63,20 @@
     private final Terms terms;
     private final ConnectionLimits<?> limits;
     private final BooleanSupplier makeRoom;
+    private final ServerClock time;
     private final NetClient net;
     private final Map<ServerId, Server> servers = new HashMap<>();
     private final Map<OpId, Sending> byOp = new HashMap<>();
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
     private final Losses losses = new Losses();
 
-    public ServerSide(Vertx vertx, Log log, Terms terms, ConnectionLimits<?> limits, BooleanSupplier makeRoom) {
+    ServerSide(Vertx vertx, Log log, Terms terms, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
         this.vertx = vertx;
         this.log = log;
         this.terms = terms;
         this.limits = limits;
         this.makeRoom = makeRoom;
+        this.time = time;
         net = vertx.createNetClient(new NetClientOptions().setConnectTimeout((int) ((terms.connectLimit() + 9) / 10))
                 .setReconnectAttempts(0).setTcpNoDelay(true));
         vertx.setPeriodic(Math.max(10, terms.idleLimit() / 10 / LOOKS), x -> closeOld());
@@ -100,7 +100,7 @@
         private final BooleanSupplier wanted; // right before it is written
         private final Text text;
         private final Ear ear;
-        private final long startedAt = Clock.now();
+        private final long startedAt = time.now();
         private final long limit;
         private final long timer;
         private Connection on;
@@ -127,7 +127,7 @@
             if (op != null) {
                 byOp.remove(op, this);
             }
-            ear.ended(new AttemptEnd(outcome, reach, row, note, report, Math.max(0, Clock.now() + 1 - startedAt)));
+            ear.ended(new AttemptEnd(outcome, reach, row, note, report, Math.max(0, time.now() + 1 - startedAt)));
         }
     }
 
@@ -180,7 +180,7 @@
      * been idle for as long as many that were lost at their next send. One on which the server had too much must have rested.
      */
     private Connection free(Server s) {
-        long now = Clock.now();
+        long now = time.now();
         Connection best = null;
         for (Connection c : List.copyOf(s.free)) { // latest last
             long rested = now - c.idleSince;
@@ -264,7 +264,7 @@
 
     private void closeOld() {
         long keep = terms.idleLimit() - terms.idleLimit() / IDLE_PARTS;
-        long now = Clock.now();
+        long now = time.now();
         while (!idle.isEmpty() && now - idle.iterator().next().idleSince > keep) {
             idle.iterator().next().close();
         }
@@ -308,6 +308,7 @@
         private PgCodec.Value value;
         private PgCodec.Done done;
         private PgCodec.Problem problem;
+        private long writtenAt;
 
         private Connection(Server server, Sending opener) {
             this.server = server;
@@ -425,7 +426,7 @@
             }
             sending = x;
             rested = false;
-            rest = idleSince == 0 ? -1 : Clock.now() - idleSince;
+            rest = idleSince == 0 ? -1 : time.now() - idleSince;
             x.on = this;
             x.reach = Reach.IN_DOUBT;
             told.clear();
@@ -434,7 +435,8 @@
             value = null;
             done = null;
             problem = null;
-            long left = x.limit - (Clock.now() - x.startedAt);
+            writtenAt = time.now();
+            long left = x.limit - (writtenAt - x.startedAt);
             socket.write(x.text.bytes(Math.max(1, (left + 9) / 10))).onComplete(r -> {
                 x.reach = r.succeeded() ? Reach.WRITTEN : Reach.NOT_WRITTEN;
                 if (r.failed()) {
@@ -463,7 +465,7 @@
             } else if (!address.equals(server.address)) {
                 close();
             } else {
-                idleSince = Clock.now();
+                idleSince = time.now();
                 server.free.addLast(this);
                 idle.add(this);
             }
@@ -475,14 +477,14 @@
             sending = null;
             rested(false);
             Report note = note();
-            Report report = terms.reportsInAnswers() ? report(told.get("vitals")) : null;
+            Report report = terms.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
             boolean probe = x.op == null;
             if (problem != null) {
                 x.end(outcome(problem.code(), probe), null, note, report);
             } else if (value == null) {
                 x.end(Outcome.ERRORED, null, note, report);
             } else if (probe) {
-                Report asked = terms.reportsInProbes() ? report(text(value.bytes())) : null;
+                Report asked = terms.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
             } else {
                 x.end(Outcome.ACKED, new PgCodec.Row(column, value.bytes(), done.tag()), note, report);
@@ -491,7 +493,7 @@
 
         private void rested(boolean lost) {
             if (rest >= 0) {
-                losses.learn(rest, lost, Clock.now());
+                losses.learn(rest, lost, time.now());
             }
         }
 
@@ -548,10 +550,13 @@
 
         private Report note() {
             Role role = role(told.get("rank"));
-            double position = number(told.get("as_of"));
-            position = ahead(position) ? Double.NaN : position;
-            return role == Role.UNKNOWN && Double.isNaN(position) ? null
-                    : new Report(role, Double.isNaN(position) ? Report.UNTOLD : (long) Math.floor(position) * 10);
+            double told = number(this.told.get("as_of"));
+            long position = Double.isNaN(told) ? Report.UNTOLD : (long) Math.floor(told) * 10;
+            if (position != Report.UNTOLD) {
+                time.heard(server.id, position, writtenAt, role == Role.PRIMARY);
+                position = time.isAhead(position) ? Report.UNTOLD : time.position(position);
+            }
+            return role == Role.UNKNOWN && position == Report.UNTOLD ? null : new Report(role, position);
         }
     }
 
@@ -572,7 +577,7 @@
      * A load report as text, its positions in Unix seconds. Guards against reports that would mislead: one that is in any
      * part misshapen, of the future, or from before the server made its first counts as not told.
      */
-    private static Report report(String text) {
+    private Report report(ServerId server, String text, long writtenAt) {
         if (text == null) {
             return null;
         }
@@ -587,14 +592,16 @@
         }
         Double position = values.get("x0");
         Double role = values.get("x1");
-        boolean sound = (position == null || position > 0 && !ahead(position * 1000))
-                && (role == null || role == 0 || role == 1);
-        return sound ? Terms.report(position, role, values.getOrDefault("util", values.get("busy")), 0) : null;
-    }
-
-    /** Every machine reads the same clock; a position beyond it is spoilt. */
-    private static boolean ahead(double positionMs) {
-        return positionMs * 10 > Clock.now() + AHEAD_MOST;
+        if (position != null && position <= 0 || role != null && role != 0 && role != 1) {
+            return null;
+        }
+        Report told = Terms.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
+        if (position == null) {
+            return told;
+        }
+        time.heard(server, told.position(), writtenAt, false); // made some time ago, by a primary too
+        return time.isAhead(told.position()) ? null
+                : new Report(told.role(), time.position(told.position()), told.busy());
     }
 
     private static String text(byte[] bytes) {
--- a/gateway/src/main/java/ploverdale/net/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/SleepingTransport.java
@@ -11,6 +11,7 @@
 import io.netty.channel.socket.DatagramChannel;
 import io.netty.channel.socket.InternetProtocolFamily;
 import io.vertx.core.spi.transport.Transport;
+import ploverdale.clock.Clock;
 
 /**
  * Owns how the event loop waits: as Java's selector does, but asleep up to its next timer. That selector waits for whole
@@ -85,11 +86,11 @@
     record Sleeping(IoHandler inner) implements IoHandler {
         @Override
         public int run(IoHandlerContext loop) {
-            long began = System.nanoTime();
+            long began = Clock.system().nanos();
             long longest = loop.canBlock() ? wholeMs(loop.delayNanos(began)) : 0;
             int handled = inner.run(new Rounded(loop, true));
-            for (int i = 0; i < READS_AGAIN_MOST && System.nanoTime() - began - longest > LATE; i++) {
-                began = System.nanoTime();
+            for (int i = 0; i < READS_AGAIN_MOST && Clock.system().nanos() - began - longest > LATE; i++) {
+                began = Clock.system().nanos();
                 longest = 0;
                 handled += inner.run(new Rounded(loop, false));
             }
--- a/gateway/src/main/java/ploverdale/net/WarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUp.java
@@ -18,6 +18,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.GroupId;
 import ploverdale.model.Listing;
@@ -43,23 +44,26 @@
     private WarmUp() {}
 
     /** Practises; done when all of it is gone again, however it went. */
-    static Future<Void> run(Vertx vertx, Log log, GatewayFile file) {
-        long began = System.nanoTime();
-        return vertx.deployVerticle(new Practice(file)).compose(vertx::undeploy).otherwise(e -> {
+    static Future<Void> run(Vertx vertx, Log log, GatewayFile file, Clock clock) {
+        long began = clock.monotonicMs();
+        return vertx.deployVerticle(new Practice(file, clock)).compose(vertx::undeploy).otherwise(e -> {
             log.line("service begins without practice: " + e.getMessage());
             return null;
-        }).onSuccess(x -> log.line("practised for " + (System.nanoTime() - began) / 1_000_000 + " ms"));
+        }).onSuccess(x -> log.line("practised for " + (clock.monotonicMs() - began) + " ms"));
     }
 
     /** All that it opens, its timers too, ends with it. */
     private static final class Practice extends VerticleBase {
         private final GatewayFile file;
         private final int ops;
-        private final long began = System.nanoTime();
+        private final Clock clock;
+        private final long began;
         private NetClient client;
 
-        private Practice(GatewayFile file) {
+        private Practice(GatewayFile file, Clock clock) {
             this.file = file;
+            this.clock = clock;
+            began = clock.monotonicMs();
             double agreed = file.terms().started().tenants().stream().mapToDouble(Tenant::opsPerSecond).sum()
                     / Math.max(1, file.terms().started().gateways());
             ops = agreed == 0 ? OPS_MOST : (int) Math.max(OPS_LEAST, Math.min(OPS_MOST, agreed * OF_A_SECOND));
@@ -76,7 +80,7 @@
                             Listing.Stage.IN, true, 0), server));
                 }
                 return Gateway.unpractised(vertx, context, nowhere, new GatewayFile("practice", at(0), list, file.seed(),
-                        file.sockets(), file.terms(), new GatewayFile.ServerList(0, true, made, List.of()), null, List.of()));
+                        file.sockets(), file.terms(), new GatewayFile.ServerList(0, true, made, List.of()), null, List.of()), clock);
             })).compose(g -> ops(at(g.port())).onComplete(x -> g.unfollow())).timeout(MOST_MS, TimeUnit.MILLISECONDS);
         }
 
@@ -97,7 +101,7 @@
         }
 
         private void op(InetSocketAddress gateway, int i, Promise<Void> all) {
-            if (i == ops || System.nanoTime() - began >= ENOUGH_MS * 1_000_000) {
+            if (i == ops || clock.monotonicMs() - began >= ENOUGH_MS) {
                 all.tryComplete();
                 return;
             }
@@ -140,7 +144,7 @@
                         s.write(PgCodec.welcome());
                         continue;
                     }
-                    long now = System.currentTimeMillis();
+                    long now = clock.now() / 10; // the made-up server's wall clock is right
                     String vitals = "x0=" + now / 1000 + "." + (1000 + now % 1000 + "").substring(1) + ",x1=1,util=0.1";
                     Buffer answer = Buffer.buffer();
                     PgCodec.told(answer, "rank", "source");
--- a/gateway/src/main/java/ploverdale/replica/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replica/Replicas.java
@@ -92,7 +92,7 @@
     private final Keepers keepers;
     private final Store store;
     private final CatchUp catchUp;
-    private final long startedAt; // Unix time; what was copied to an earlier start of this name is lost
+    private long startedAt; // Unix time; what was copied to an earlier start of this name is lost
     private final Map<Integer, Out> out = new LinkedHashMap<>(); // by number, oldest first
     private final List<Done> done = new ArrayList<>();
     private final List<Out> givenUp = new ArrayList<>();
@@ -138,6 +138,11 @@
         }
     }
 
+    /** The Unix clock was off: what came until now cannot be vouched for. */
+    public void startsAnew() {
+        startedAt = wall.getAsLong() + keeping.clocksApart();
+    }
+
     /** Which start of its name this gateway speaks as from now on. */
     public void speaksAs(long start) {
         this.start = start;
--- a/gateway/src/main/java/ploverdale/state/SessionWrites.java
+++ b/gateway/src/main/java/ploverdale/state/SessionWrites.java
@@ -28,6 +28,12 @@
         last.put(session, committedAt);
     }
 
+    /** All were committed by then; more is not known of any. */
+    public void allBy(long time) {
+        floor = time;
+        last.clear();
+    }
+
     public long of(SessionId session) {
         return last.getOrDefault(session, floor);
     }
--- a/gateway/src/main/java/ploverdale/toy/ToyServers.java
+++ b/gateway/src/main/java/ploverdale/toy/ToyServers.java
@@ -14,6 +14,7 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import ploverdale.clock.Clock;
 import ploverdale.net.GatewayFile;
 import ploverdale.net.PgCodec;
 
@@ -30,7 +31,7 @@
     private final List<String> members = new ArrayList<>();
     private final List<GatewayFile.Entry> entries = new ArrayList<>();
     private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
-    private long writtenAt = System.currentTimeMillis();
+    private long writtenAt = Clock.system().wallMs();
     private InetSocketAddress discovery;
 
     private ToyServers(Vertx vertx) {
@@ -124,7 +125,7 @@
     }
 
     private Buffer answer(String text, boolean primary) {
-        long now = System.currentTimeMillis();
+        long now = Clock.system().wallMs();
         String vitals = "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0)
                 + ",busy=0.1";
         Buffer b = Buffer.buffer();
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -4,14 +4,20 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
+import com.tngtech.archunit.core.domain.JavaAccess;
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import java.time.Instant;
+import com.tngtech.archunit.lang.ArchCondition;
+import com.tngtech.archunit.lang.ConditionEvents;
+import com.tngtech.archunit.lang.SimpleConditionEvent;
 import org.junit.jupiter.api.Test;
+import ploverdale.clock.Clock;
 
 /** What may depend on what: decisions and state on no input or output and no clock, and each package only on those below it. */
 class ArchitectureTest {
+    private static final String CLOCK = "ploverdale.clock..";
     private static final String[] DECISIONS = {
         "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.hearsay..",
         "ploverdale.fleet..", "ploverdale.budgets..", "ploverdale.replica..",
@@ -30,14 +36,36 @@
         noClasses().that().belongToAnyOf(Logic.class).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
     }
 
+    @Test
+    void onlyTheClockPackageReadsClocks() {
+        noClasses().that().resideOutsideOfPackage(CLOCK).should(readAClock()).check(classes);
+    }
+
+    /** Calls of the JDK that read a clock: by name, since most have overloads that take a zone or a clock. */
+    private static ArchCondition<JavaClass> readAClock() {
+        return new ArchCondition<>("read a clock") {
+            @Override
+            public void check(JavaClass item, ConditionEvents events) {
+                item.getAccessesFromSelf().stream().filter(ArchitectureTest::readsAClock).forEach(access -> events.add(
+                        SimpleConditionEvent.satisfied(access, access.getDescription())));
+            }
+        };
+    }
+
+    private static boolean readsAClock(JavaAccess<?> access) {
+        String owner = access.getTargetOwner().getName();
+        String name = access.getTarget().getName();
+        boolean ofSystem = owner.equals("java.lang.System") && (name.equals("currentTimeMillis") || name.equals("nanoTime"));
+        boolean ofTime = owner.startsWith("java.time.") && (name.equals("now") || name.startsWith("system"));
+        boolean ofOldTime = owner.equals("java.util.Date") && name.equals("<init>")
+                || owner.equals("java.util.Calendar") && name.equals("getInstance");
+        return ofSystem || ofTime || ofOldTime;
+    }
+
     @Test
     void decisionsAreHandedTheirClockAndChance() {
-        for (String method : new String[] {"currentTimeMillis", "nanoTime"}) {
-            noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Logic.class)
-                    .should().callMethod(System.class, method).check(classes);
-        }
         noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Logic.class)
-                .should().callMethod(Instant.class, "now").check(classes);
+                .should().dependOnClassesThat().belongToAnyOf(Clock.class).check(classes);
         noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Logic.class)
                 .should().callMethod(Math.class, "random").check(classes);
     }
@@ -53,6 +81,7 @@
                 .layer("budgets").definedBy("ploverdale.budgets..")
                 .layer("limits").definedBy("ploverdale.limits..")
                 .layer("shutdown").definedBy("ploverdale.shutdown..")
+                .layer("clock").definedBy(CLOCK)
                 .layer("log").definedBy("ploverdale.log..")
                 .layer("settings").definedBy("ploverdale.terms..")
                 .layer("router").definedBy(belongToAnyOf(Logic.class))
@@ -64,6 +93,7 @@
                 .whereLayer("simulator").mayOnlyBeAccessedByLayers("main")
                 .whereLayer("net").mayOnlyBeAccessedByLayers("main", "toy", "simulator")
                 .whereLayer("settings").mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
+                .whereLayer("clock").mayOnlyBeAccessedByLayers("main", "net", "log", "simulator", "toy")
                 .whereLayer("log").mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
                 .whereLayer("shutdown").mayOnlyBeAccessedByLayers("net")
                 .whereLayer("limits").mayOnlyBeAccessedByLayers("net")
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/ClockOffsetInLogicTest.java
@@ -0,0 +1,84 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import ploverdale.model.CopyKeeping;
+import ploverdale.model.Event;
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.Listing.Stage;
+import ploverdale.model.OpId;
+import ploverdale.model.Report;
+import ploverdale.model.Report.Role;
+import ploverdale.model.ServerId;
+
+/** What the decisions make of a servers' clock whose offset turns out to be another. */
+class ClockOffsetInLogicTest {
+    private static final long HOUR_MS = 3_600_000;
+
+    private final FakeHost host = FakeHost.settled();
+
+    private void offsetChanges(FakeHost host, Map<String, Long> startedMs) {
+        Map<ServerId, Long> startedAt = new java.util.HashMap<>();
+        startedMs.forEach((id, at) -> startedAt.put(new ServerId(id), at * 10));
+        host.tell(new Event.ClockOffsetChanged(startedAt));
+    }
+
+    @Test
+    void positionsToldBeforeCountAsTooStaleUntilTheyAreToldAgain() {
+        host.probed("r1", Role.REPLICA, host.nowMs);
+        offsetChanges(host, Map.of());
+        OpId read = host.ask(FakeHost.VIEW);
+        assertThat(host.sends(read)).doesNotContain("r1", "r2");
+        host.nowMs += 200;
+        host.probed("r1", Role.REPLICA, host.nowMs - 100);
+        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
+    }
+
+    @Test
+    void writesAndReadsOfThePrimaryGoOn() {
+        offsetChanges(host, Map.of());
+        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(FakeHost.FRESH))).containsExactly("p");
+    }
+
+    @Test
+    void aSessionsLastWriteThatWasDatedWronglyIsReachedByWhatStandsAtThePresent() {
+        FakeHost h = new FakeHost(CopyKeeping.Checks.NONE, false, true, 1);
+        h.list(true, "p", "r1");
+        h.levelled("p", "r1");
+        OpId write = h.ask(FakeHost.SUBMIT, "s", 0);
+        h.ends(write, 0, "p", Outcome.ACKED, new Report(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
+        offsetChanges(h, Map.of());
+        h.nowMs += 200;
+        h.probed("r1", Role.REPLICA, h.nowMs - 300);
+        assertThat(h.sends(h.ask(FakeHost.SESSION, "s", 0))).containsExactly("p");
+        h.probed("r1", Role.REPLICA, h.nowMs);
+        assertThat(h.sends(h.ask(FakeHost.SESSION, "s", 0))).containsExactly("r1");
+    }
+
+    @Test
+    void aServerWhoseStartWasDatedTooLateIsWarmOnceItIsDatedAnew() {
+        host.listed("r1", Stage.IN, host.nowMs);
+        offsetChanges(host, Map.of("r1", host.nowMs - HOUR_MS));
+        host.probed("r1", Role.REPLICA, host.nowMs);
+        int at = 0;
+        for (int i = 0; i < 20; i++) { // only r1 has a position
+            at += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
+        }
+        assertThat(at).isEqualTo(20);
+    }
+
+    @Test
+    void aServerThatIsColdStaysColdWhenItsStartIsDatedAsBefore() {
+        host.listed("r1", Stage.IN, host.nowMs);
+        offsetChanges(host, Map.of("r1", host.nowMs));
+        host.probed("r1", Role.REPLICA, host.nowMs);
+        int at = 0;
+        for (int i = 0; i < 20; i++) {
+            at += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
+        }
+        assertThat(at).isLessThanOrEqualTo(1);
+    }
+}
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -29,6 +29,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
+import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.CopyKeeping;
@@ -221,6 +222,7 @@
         final Registry registry;
         Gateway gateway;
         UnaryOperator<String> settings = told -> told; // what a story changes of the configuration
+        Clock clock = Clock.system(); // the gateway's
         private int listen; // 0: at a free port
         private int names;
 
@@ -281,7 +283,7 @@
                     pauseAt(line);
                 }
             };
-            return Gateway.start(vertx, new Log(log), read).toCompletionStage().toCompletableFuture();
+            return Gateway.start(vertx, new Log(log, clock), read, clock).toCompletionStage().toCompletableFuture();
         }
 
         /** Pauses the gateway's event loop while it reads what a client wrote; {@link #goOn} ends that. */
--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import ploverdale.net.LogicLoop.Clock;
+import ploverdale.clock.Clock;
 import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
@@ -84,7 +84,7 @@
                 5000 * MS,
                 4);
         GroupModel model =
-                new GroupModel(plan, chance.split(), SERVERS, Clock.now(), (now, what) -> note("world", what));
+                new GroupModel(plan, chance.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
         world = new TestCluster(vertx, model, ledger, SERVERS, LIST_LATE_MS);
         world.traffic(shape.traffic());
         world.hearsLists(g -> !cutOff.getOrDefault(g, false));
@@ -185,7 +185,7 @@
             sums[2] += c.tally(true, false).asked();
             sums[3] += c.tally(true, false).acked();
         }
-        List<Ledger.Broken> broken = ledger.close(Clock.now());
+        List<Ledger.Broken> broken = ledger.close(Clock.system().now());
         broken.forEach(b -> note("ledger", b.toString()));
         return new FleetResult(
                 day,
@@ -258,7 +258,7 @@
         });
         return Future.fromCompletionStage(ready, vertx.getOrCreateContext()).onSuccess(x -> {
             startsMs.add((System.nanoTime() - from) / 1_000_000);
-            ledger.answersAgain(Integer.toString(me), Clock.now());
+            ledger.answersAgain(Integer.toString(me), Clock.system().now());
         });
     }
 
@@ -269,17 +269,17 @@
             int me = w.get(0).startsWith("n") ? Integer.parseInt(w.get(0).substring(1)) : -1;
             switch (s.what()) {
                 case KILL -> {
-                    ledger.excused(Integer.toString(me), Clock.now());
+                    ledger.excused(Integer.toString(me), Clock.system().now());
                     gateways.get(me).kill();
                 }
                 case START -> up(me).onFailure(e -> note("script", "start fails: " + e.getMessage()));
                 case STOP -> {
-                    ledger.paused(Integer.toString(me), Clock.now());
+                    ledger.paused(Integer.toString(me), Clock.system().now());
                     gateways.get(me).stop();
                 }
                 case GO_ON -> {
                     gateways.get(me).goOn();
-                    ledger.answersAgain(Integer.toString(me), Clock.now());
+                    ledger.answersAgain(Integer.toString(me), Clock.system().now());
                 }
                 case LEAVE -> gateways.get(me).term();
                 case WAY -> way(me, w.get(1), w.get(2));
@@ -298,9 +298,9 @@
             cutOff.put(Integer.toString(me), !what.equals("OPEN"));
         }
         if (end.equals("clients") && !what.equals("OPEN")) {
-            ledger.excused(Integer.toString(me), Clock.now());
+            ledger.excused(Integer.toString(me), Clock.system().now());
         } else if (end.equals("clients")) {
-            ledger.answersAgain(Integer.toString(me), Clock.now());
+            ledger.answersAgain(Integer.toString(me), Clock.system().now());
         }
         if (what.startsWith("delay:")) {
             way.delay(Long.parseLong(what.substring(6)));
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import ploverdale.net.LogicLoop.Clock;
+import ploverdale.clock.Clock;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
 import ploverdale.tools.model.Plan;
@@ -196,7 +196,7 @@
                     plan,
                     chance.split(),
                     IDS,
-                    Clock.now(),
+                    Clock.system().now(),
                     (now, what) -> changes.append(now / 10 % 100_000)
                             .append(' ')
                             .append(what)
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
-import ploverdale.net.LogicLoop.Clock;
+import ploverdale.clock.Clock;
 import ploverdale.net.PgCodec;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.ledger.Ledger.Answer;
@@ -186,7 +186,7 @@
         private void ended(Answer answer) {
             long tookUs = (System.nanoTime() - writtenAt) / 1000;
             late.recordValue(Math.max(0, Math.min(LONGEST_US, tookUs - waitsMs() * 1000)));
-            ledger.answered(id, answer, Clock.now());
+            ledger.answered(id, answer, Clock.system().now());
             for (Tally t : counted) {
                 t.acked += answer == Answer.ACKED ? 1 : 0;
                 t.busy += answer == Answer.BUSY ? 1 : 0;
@@ -241,7 +241,7 @@
             answer = null;
             long waits = a.waitsMs() * 10;
             a.writtenAt = System.nanoTime();
-            long now = Clock.now();
+            long now = Clock.system().now();
             ledger.taken(a.id, new Ledger.Kind(a.write, false, a.write ? 0 : bound), a.name, gateway, now, now + waits);
             socket.write(a.text());
             vertx.setTimer(waits / 10 + GIVES_UP_AFTER_MS, x -> {
@@ -289,7 +289,7 @@
                     neverTaken(a); // turned away at the greeting
                 }
             } else if (alive.getAsBoolean()) {
-                ledger.endedUnanswered(a.id, Clock.now());
+                ledger.endedUnanswered(a.id, Clock.system().now());
                 new Conn(a); // it crossed the gateway's close: once more, on a new connection
             } else {
                 neverTaken(a);
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
-import ploverdale.net.LogicLoop.Clock;
+import ploverdale.clock.Clock;
 import ploverdale.net.PgCodec;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.ledger.Ledger.Answer;
@@ -154,7 +154,7 @@
         }
 
         private void asks(NetSocket socket) {
-            long now = Clock.now();
+            long now = Clock.system().now();
             taken = true;
             asked++;
             if (times == 0) {
@@ -179,7 +179,7 @@
             }
             over = true;
             if (taken && how != null) {
-                ledger.answered(id, how, Clock.now());
+                ledger.answered(id, how, Clock.system().now());
             } else if (taken) {
                 ledger.left(id);
             }
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -18,7 +18,7 @@
 import java.util.function.Predicate;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ploverdale.net.LogicLoop.Clock;
+import ploverdale.clock.Clock;
 import ploverdale.net.PgCodec;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
@@ -135,7 +135,7 @@
         to.end(list(gateway, true)); // an agent may always answer with the whole list
         phase.forEach((id, p) -> {
             if (p.equals("DRAINING") && hearsLists.test(gateway)) {
-                ledger.toldOfDrain(gateway, id, Clock.now());
+                ledger.toldOfDrain(gateway, id, Clock.system().now());
             }
         });
     }
@@ -178,7 +178,7 @@
 
     /** Something goes wrong with a server; its connections stay, but for one that refuses. */
     public void fault(String id, Fault fault) {
-        model.fault(Clock.now(), id, fault);
+        model.fault(Clock.system().now(), id, fault);
         if (fault == Fault.REFUSING) {
             List.copyOf(open.get(id)).forEach(NetSocket::close);
         }
@@ -186,7 +186,7 @@
 
     /** It is back; after a restart its connections are reset and discovery tells of the start, late. */
     public void heals(String id, boolean restarted) {
-        long now = Clock.now();
+        long now = Clock.system().now();
         model.heals(now, id, restarted);
         if (restarted) {
             List.copyOf(open.get(id)).forEach(NetSocket::close);
@@ -196,7 +196,7 @@
 
     /** It drains; discovery tells so, late. */
     public void drains(String id) {
-        model.drains(Clock.now(), id);
+        model.drains(Clock.system().now(), id);
         listLater(() -> phase.put(id, "DRAINING"));
     }
 
@@ -234,7 +234,7 @@
             socket.closeHandler(x -> {
                 gone = true;
                 open.get(server).remove(socket);
-                out.forEach(op -> over(op, Clock.now()));
+                out.forEach(op -> over(op, Clock.system().now()));
             });
         }
 
@@ -264,7 +264,7 @@
         }
 
         private void query(String text) {
-            long now = Clock.now();
+            long now = Clock.system().now();
             if (text.startsWith("SHOW") || text.startsWith("SELECT 1")) {
                 probes++;
                 if (!silent()) {
@@ -307,7 +307,7 @@
 
         private void no(String op, String code) {
             ledger.proved(op);
-            traffic.op(op, server, Clock.now(), false);
+            traffic.op(op, server, Clock.system().now(), false);
             socket.write(PgCodec.problem(code, "no", null, false, true));
         }
 
@@ -315,7 +315,7 @@
             if (gone && !w.write()) {
                 return; // stopped with its connection
             }
-            long now = Clock.now();
+            long now = Clock.system().now();
             Done d = model.ends(now, w);
             if (d.applied()) {
                 ledger.applied(w.op(), d.position());
