--- a/gateway/src/main/java/ploverdale/net/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/Discovery.java
@@ -16,6 +16,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.net.GatewayFile.ServerList;
 import ploverdale.terms.Fields;
@@ -46,6 +47,7 @@
     private final Consumer<ServerList> told;
     private final HttpClient http;
     private final RandomGenerator chance;
+    private final Clock clock;
     private InetSocketAddress at;
     private long askTimer = -1; // a call to come
     private long revision = -1; // below 0: the whole list is wanted
@@ -56,7 +58,8 @@
     private boolean stopped;
 
     public Discovery(Vertx vertx, Log log, Terms terms, InetSocketAddress at, RandomGenerator chance,
-            Consumer<ServerList> told) {
+            Consumer<ServerList> told, Clock clock) {
+        this.clock = clock;
         this.chance = chance;
         this.vertx = vertx;
         this.log = log;
@@ -176,7 +179,7 @@
         call.end();
         endCalls(); // what they would tell is as old, or older
         if (lost) {
-            log.line("discovery back after " + (System.nanoTime() / 1_000_000 - lostAt) + " ms, revision "
+            log.line("discovery back after " + (clock.monotonicMs() - lostAt) + " ms, revision "
                     + list.revision());
         }
         lost = false;
@@ -221,7 +224,7 @@
     private void askAgain(String why) {
         if (!lost) {
             lost = true;
-            lostAt = System.nanoTime() / 1_000_000;
+            lostAt = clock.monotonicMs();
             log.line("discovery lost: " + why);
         }
         askIn(again + chance.nextLong(again / 2)); // so that gateways that lost it together do not all come back at once
--- a/gateway/src/main/java/ploverdale/replica/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replica/CompletenessBound.java
@@ -16,7 +16,7 @@
     private final Keepers placement;
     private final Store store;
     private final CatchUp catchUp;
-    private final long startedAt;
+    private long startedAt;
 
     /** @param startedAt what was copied to this gateway's name before it is lost */
     CompletenessBound(
@@ -29,6 +29,11 @@
         this.startedAt = startedAt;
     }
 
+    /** The Unix clock was off: what was copied to this gateway until this time cannot be vouched for. */
+    void startsAnew(long startedAt) {
+        this.startedAt = startedAt;
+    }
+
     private boolean hasOtherReplicas() {
         return placement.copies() > 1;
     }
--- a/gateway/src/main/java/ploverdale/replica/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replica/Replicas.java
@@ -109,6 +109,11 @@
         }
     }
 
+    /** The Unix clock was off: what came until now cannot be vouched for. */
+    public void startsAnew() {
+        bound.startsAnew(wall.getAsLong() + keeping.clocksApart());
+    }
+
     /** Which start of its name this gateway speaks as from now on. */
     public void speaksAs(long start) {
         this.start = start;
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -16,6 +16,7 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Registry;
+import ploverdale.clock.Clock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
@@ -23,6 +24,7 @@
 import ploverdale.net.Gateway;
 import ploverdale.net.GatewayFile;
 import ploverdale.net.LogicLoop;
+import ploverdale.net.ServerClock;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
 @Timeout(120)
@@ -93,8 +95,10 @@
             CompletableFuture<NetServer> listening = new CompletableFuture<>();
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
-                LogicLoop loop = new LogicLoop(vertx, context, log, new LosesActions(), null);
-                ClientSide clients = new ClientSide(vertx, log, loop, settings.terms(), new ConnectionLimits<>(256));
+                LogicLoop loop = new LogicLoop(vertx, context, log, new LosesActions(), null, Clock.system());
+                ServerClock time = new ServerClock(log, Clock.system());
+                ClientSide clients =
+                        new ClientSide(vertx, log, loop, settings.terms(), new ConnectionLimits<>(256), time);
                 clients.ready();
                 vertx.createNetServer().connectHandler(clients::accept).listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
