--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -12,6 +12,7 @@
 import ploverdale.model.OpType.Needs;
 import ploverdale.model.OpType.Repeats;
 import ploverdale.model.Report.Role;
+import ploverdale.routing.SlowStart;
 import ploverdale.state.*;
 
 /**
@@ -45,6 +46,7 @@
     private final Map<OpId, Op> ops = new LinkedHashMap<>();
     private final SessionWrites sessionWrites = new SessionWrites(50_000); // some megabytes
     private final List<Pace> paces = new ArrayList<>();
+    private SlowStart slowStart;
     private Allotment allotment;
     private double shedPrice;
     private long scarceUntil = Report.UNTOLD;
@@ -69,6 +71,7 @@
         } else if (h instanceof Event.WakeUp) {
             beat();
         } else if (h instanceof Event.ProbeEnded e && members.containsKey(e.server())) {
+            chargeProbe(members.get(e.server()), e.outcome());
             probeEnded(e);
         } else if (h instanceof Event.ListTold l) {
             listTold(l);
@@ -97,6 +100,7 @@
         pledges = s.pledges();
         permits = s.permits();
         copies = s.copies();
+        slowStart = new SlowStart(pledges, gateways, requestsPerWindow(s.tenants()), chance);
         probeEvery = 1000 * MS; // where no read has a bound; roles only
         for (OpType t : opTypes) {
             paces.add(new Pace(t.latencyTarget() / 5.0));
@@ -357,41 +361,36 @@
         return op.type.needs() == Needs.UNBOUNDED && op.pace.usual > tightestBound;
     }
 
-    // -- Cold servers
+    // -- Cold servers; how much of the requests they get is decided in ploverdale.routing.SlowStart
 
-    private static final double COLD_SHARE = 0.5; // of the told multiple; the rest is for chance and repeats
+    private double requestsPerWindow(List<Tenant> tenants) {
+        return tenants.stream().mapToDouble(Tenant::opsPerSecond).sum() * pledges.overloadWindow() / (1000 * MS);
+    }
 
     private double warmth(Member m) {
-        double share = Math.max(0, (now - m.coldSince) / (double) Math.max(1, pledges.warmWithin()));
-        return Math.min(1, pledges.startCapacity() + (1 - pledges.startCapacity()) * share);
+        return slowStart.warmth(m, now);
     }
 
-    // Guards against all gateways together pushing a cold server over: each sends it no more than its present
-    // capacity's part of what a warm peer takes from it, so the sum keeps that part of them all. Parts of
-    // an op add up as credit, from a start by chance, for gateways that send less than an op a window.
     private boolean coldAllows(Member m, Op op) {
-        double warmth = warmth(m);
-        if (warmth >= 1) {
-            return true;
-        }
-        double work = op.pace.usual;
-        double peers = members.values().stream()
-                .filter(p -> p != m && p.isIn() && !p.silent && warmth(p) >= 1)
-                .mapToDouble(this::takenWork).average().orElse(firstLimit * work);
-        double allowed = COLD_SHARE * pledges.overloadMultiple() * warmth * peers;
-        double windows = (now - Math.max(m.coldSince, m.coldCreditAt)) / (double) pledges.overloadWindow();
-        if (m.coldCreditAt < m.coldSince) {
-            m.coldCredit = chance.nextDouble() * work; // so that all gateways' first ops don't come at once
-        }
-        m.coldCredit = Math.min(m.coldCredit + allowed * windows, Math.max(work, allowed));
-        m.coldCreditAt = now;
-        return m.coldCredit >= work && m.busy < REPLICA_BUSY - BUSY_BAND;
+        return warmth(m) >= 1 || m.busy < REPLICA_BUSY - BUSY_BAND
+                && slowStart.admits(m, op.pace.usual, meanWork(), members.values(), now);
+    }
+
+    /** What a request usually takes, over the op types as often as they come. */
+    private double meanWork() {
+        double samples = paces.stream().mapToDouble(p -> 1 + p.samples).sum();
+        return paces.stream().mapToDouble(p -> p.usual * (1 + p.samples)).sum() / samples;
     }
 
     private double takenWork(Member m) {
-        m.takenWork *= Math.exp(-(now - m.takenWorkAt) / (double) Math.max(MS, pledges.overloadWindow()));
-        m.takenWorkAt = now;
-        return m.takenWork;
+        return slowStart.recentWork(m, now);
+    }
+
+    /** Only those answered: others may not have reached the server. */
+    private void chargeProbe(Member m, Outcome outcome) {
+        if (m.probeOut && outcome == Outcome.ACKED) {
+            slowStart.probeAnswered(m, now - m.probedAt, now);
+        }
     }
 
     // -- Sends and their ends
@@ -416,7 +415,7 @@
         op.sentAt = now;
         op.calledOff = false;
         m.out.put(op.asked.op(), op);
-        m.coldCredit -= op.pace.usual;
+        slowStart.attempted(m, op.pace.usual, now);
     }
 
     private void sendEnded(Event.SendEnded e) {
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -0,0 +1,170 @@
+package ploverdale.routing;
+
+import java.util.Collection;
+import java.util.random.RandomGenerator;
+import ploverdale.model.Pledges;
+import ploverdale.model.Report;
+import ploverdale.state.Member;
+
+/**
+ * Slow start: limits what this gateway sends a recovering server, so that all gateways together stay within what the contract
+ * lets it bear in each window. No gateway knows what the others send. Each spends only its own part of that budget, as a token
+ * bucket in units of work; a gateway whose part is less than one request draws lots for a whole one, since saved-up parts of a
+ * hundred gateways would be a hundred requests at once. Not thread-safe. Times and work in tenths of a millisecond.
+ */
+public final class SlowStart {
+    // Of the budget, what is planned for. A full bucket and a window's refill may meet in one window: together
+    // BUDGET_SHARE * (1 + BURST) of the budget; the rest is for servers that are slower than their peers.
+    private static final double BUDGET_SHARE = 0.6;
+    private static final double BURST = 0.25; // of a window's refill, which the bucket holds at most
+    private static final double SLACK_SHARE = 0.4; // of the rule's slack, which it holds besides; the rest is for chance
+    private static final double LOT_LASTS = 0.5; // windows
+    private static final double AGREED_SHARE = 0.5; // of the equal part, kept where peers take less; most goes by use
+    private static final double UNAGREED = 24; // requests a window and server, over all gateways, where none are agreed
+    private static final double UPDATES_PER_WINDOW = 50; // of what peers take, which changes over a window
+
+    private final Pledges contract;
+    private final int gateways;
+    private final double agreedPerWindow;
+    private final RandomGenerator random;
+    private double shortestProbe = Double.MAX_VALUE;
+    private int mostServers = 1;
+    private double workOfPeers;
+    private boolean warmPeers;
+    private long workOfPeersAt = Report.UNTOLD;
+
+    /**
+     * @param gateways that share the servers
+     * @param requestsPerWindow of all tenants at all servers, as agreed, in the contract's overload window
+     */
+    public SlowStart(Pledges contract, int gateways, double requestsPerWindow, RandomGenerator random) {
+        this.contract = contract;
+        this.gateways = gateways;
+        this.agreedPerWindow = requestsPerWindow;
+        this.random = random;
+    }
+
+    /** The part of its capacity that a server has by the contract, from its start capacity up to 1. */
+    public double warmth(Member server, long now) {
+        double share = Math.max(0, (now - server.coldSince) / (double) Math.max(1, contract.warmWithin()));
+        return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
+    }
+
+    /**
+     * Whether a request may go to the server now. A won lot stays valid for a moment, for the case that another server is
+     * chosen.
+     *
+     * @param work that the request is expected to take
+     * @param meanWork of a request
+     * @param servers all that are known
+     */
+    public boolean admits(Member server, double work, double meanWork, Collection<Member> servers, long now) {
+        if (warmth(server, now) >= 1) {
+            return true;
+        }
+        if (now <= server.coldLotUntil) {
+            server.coldCreditAt = now;
+            return true;
+        }
+        double refill = refillPerWindow(server, meanWork, servers, now);
+        double full = refill * BURST + SLACK_SHARE * slack(server, now) * meanWork / gateways;
+        refill(server, refill, full, now);
+        return full >= work ? server.coldCredit >= work : drawsLot(server, work, now);
+    }
+
+    private void refill(Member server, double perWindow, double full, long now) {
+        if (server.coldCreditAt < server.coldSince) {
+            server.coldCredit = Math.min(0, server.coldCredit);
+        }
+        server.coldLotUntil = Report.UNTOLD; // not used in time: back to what the bucket holds
+        double windows = (now - Math.max(server.coldSince, server.coldCreditAt)) / (double) window();
+        server.coldCredit = Math.min(full, server.coldCredit + perWindow * Math.max(0, windows));
+        server.coldCreditAt = now;
+    }
+
+    private boolean drawsLot(Member server, double work, long now) {
+        if (server.coldCredit <= 0) {
+            return false;
+        }
+        boolean won = random.nextDouble() < server.coldCredit / work;
+        server.coldCredit = won ? work : 0;
+        server.coldLotUntil = won ? now + (long) (LOT_LASTS * window()) : Report.UNTOLD;
+        return won;
+    }
+
+    /**
+     * This gateway's part of the planned work at the server in a window. Of a warm server's capacity it has as much as a warm
+     * peer took from it lately, so that the sum over the gateways is what peers take in all; and, for idle peers and idle
+     * gateways, a share of the equal part of the agreed traffic, for which the servers are taken to be enough. Without a warm
+     * peer there is only the equal part.
+     */
+    private double refillPerWindow(Member server, double meanWork, Collection<Member> servers, long now) {
+        measurePeers(servers, now);
+        double equalPart = agreedPerServer() * meanWork / gateways;
+        double part = warmPeers ? Math.max(workOfPeers, AGREED_SHARE * equalPart) : equalPart;
+        return BUDGET_SHARE * contract.overloadMultiple() * warmth(server, now) * part;
+    }
+
+    /** Requests a window, at a warm server. */
+    private double agreedPerServer() {
+        return agreedPerWindow > 0 ? agreedPerWindow / mostServers : UNAGREED;
+    }
+
+    /** What the rule allows beyond the budget of a window, for chance, in requests: less of it, the larger the budget. */
+    private double slack(Member server, long now) {
+        double budget = contract.overloadMultiple() * warmth(server, now) * agreedPerServer();
+        return budget < 30 ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
+    }
+
+    private void measurePeers(Collection<Member> servers, long now) {
+        if (now - workOfPeersAt < window() / UPDATES_PER_WINDOW) {
+            return;
+        }
+        workOfPeersAt = now;
+        int listed = 0;
+        int warm = 0;
+        double sum = 0;
+        for (Member server : servers) {
+            listed += server.isIn() ? 1 : 0;
+            if (server.isIn() && !server.silent && warmth(server, now) >= 1) {
+                warm++;
+                sum += recentWork(server, now);
+            }
+        }
+        mostServers = Math.max(mostServers, listed); // those of a lost zone come back
+        warmPeers = warm > 0;
+        workOfPeers = sum / Math.max(1, warm);
+    }
+
+    /** The work that the server has answered in the last window, with older answers fading out. */
+    public double recentWork(Member server, long now) {
+        server.takenWork *= Math.exp(-(now - server.takenWorkAt) / (double) window());
+        server.takenWorkAt = now;
+        return server.takenWork;
+    }
+
+    /** An attempt goes to the server, first or further. */
+    public void attempted(Member server, double work, long now) {
+        charge(server, work, now);
+        if (server.coldLotUntil != Report.UNTOLD) {
+            server.coldLotUntil = Report.UNTOLD;
+            server.coldCreditAt = now;
+        }
+    }
+
+    /** A health check was answered. None takes more work than the shortest one took time. */
+    public void probeAnswered(Member server, long took, long now) {
+        shortestProbe = Math.min(shortestProbe, took);
+        charge(server, shortestProbe, now);
+    }
+
+    private void charge(Member server, double work, long now) {
+        if (warmth(server, now) < 1) {
+            server.coldCredit -= work;
+        }
+    }
+
+    private long window() {
+        return Math.max(1, contract.overloadWindow());
+    }
+}
--- a/gateway/src/main/java/ploverdale/state/Member.java
+++ b/gateway/src/main/java/ploverdale/state/Member.java
@@ -50,6 +50,7 @@
     public long coldSince = Report.UNTOLD;
     public double coldCredit;
     public long coldCreditAt = Report.UNTOLD;
+    public long coldLotUntil = Report.UNTOLD; // until then one request may go there
 
     public final Map<OpId, Op> out = new LinkedHashMap<>();
     public long answeredAt = Report.UNTOLD;
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -14,7 +14,7 @@
 class ArchitectureTest {
     private static final String[] DECISIONS = {
         "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.hearsay..",
-        "ploverdale.fleet..", "ploverdale.budgets..", "ploverdale.replica..",
+        "ploverdale.fleet..", "ploverdale.budgets..", "ploverdale.replica..", "ploverdale.routing..",
     };
 
     private final JavaClasses classes =
@@ -55,6 +55,7 @@
                 .layer("shutdown").definedBy("ploverdale.shutdown..")
                 .layer("log").definedBy("ploverdale.log..")
                 .layer("settings").definedBy("ploverdale.terms..")
+                .layer("routing").definedBy("ploverdale.routing..")
                 .layer("router").definedBy(belongToAnyOf(Logic.class))
                 .layer("main").definedBy(belongToAnyOf(Main.class))
                 .layer("net").definedBy("ploverdale.net..")
@@ -69,7 +70,8 @@
                 .whereLayer("limits").mayOnlyBeAccessedByLayers("net")
                 .whereLayer("budgets").mayOnlyBeAccessedByLayers("router", "main", "net", "simulator")
                 .whereLayer("replica").mayOnlyBeAccessedByLayers("main", "net", "budgets", "simulator")
-                .whereLayer("state").mayOnlyBeAccessedByLayers("router")
+                .whereLayer("routing").mayOnlyBeAccessedByLayers("router")
+                .whereLayer("state").mayOnlyBeAccessedByLayers("router", "routing")
                 .check(classes);
     }
 
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/SlowStartFleetTest.java
@@ -0,0 +1,61 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.assertj.core.api.SoftAssertions;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.SlowStartFleet.Deployment;
+import ploverdale.SlowStartFleet.Result;
+import ploverdale.SlowStartFleet.Scenario;
+
+/**
+ * What all routers of a fleet together send a recovering server, against the budget of the slow start rule. Prints a row for
+ * each run. Runs more seeds with {@code -Dslowstart.seeds=N}.
+ */
+class SlowStartFleetTest {
+    private static final List<Deployment> DEPLOYMENTS = List.of(
+            new Deployment("large", 0.21, 16_000, 2.5, 1000, 5, 55),
+            new Deployment("small", 0.15, 13_000, 2, 1500, 1, 12));
+    private static final int SEEDS = Integer.getInteger("slowstart.seeds", 1);
+
+    @ParameterizedTest
+    @ValueSource(ints = {1, 2, 6, 30, 100})
+    void theFleetKeepsTheBudgetOfEachRecoveringServerAndStillUsesIt(int gateways) {
+        List<String> overloaded = new ArrayList<>();
+        SoftAssertions floors = new SoftAssertions();
+        for (Scenario scenario : Scenario.values()) {
+            List<Result> results = new ArrayList<>();
+            for (Deployment deployment : DEPLOYMENTS) {
+                for (int run = 0; run < 2 * SEEDS; run++) {
+                    boolean gossip = run % 2 == 0;
+                    long seed = 1 + run / 2;
+                    Result result = SlowStartFleet.run(gateways, scenario, gossip, deployment, seed);
+                    results.add(result);
+                    String row = row(gateways, scenario, deployment, gossip, seed, result);
+                    System.out.println(row);
+                    if (result.worstLoad() > 1) {
+                        overloaded.add(row);
+                    }
+                }
+            }
+            floors.assertThat(results.stream().mapToDouble(Result::served).average().orElseThrow())
+                    .as("served in the mean, %s", scenario).isGreaterThan(scenario.leastServed);
+            floors.assertThat(results.stream().mapToDouble(Result::coldServed).average().orElseThrow())
+                    .as("part of the recovering servers' capacity used, %s", scenario)
+                    .isGreaterThan(scenario.leastColdServed);
+        }
+        assertThat(overloaded).as("recovering servers that got more than their budget").isEmpty();
+        floors.assertAll();
+    }
+
+    private static String row(
+            int gateways, Scenario scenario, Deployment deployment, boolean gossip, long seed, Result result) {
+        return String.format(
+                "%3d gateways  %-26s %-6s gossip %-5s seed %d  worst %.2f  served %.3f  cold %.3f",
+                gateways, scenario, deployment.name(), gossip, seed, result.worstLoad(), result.served(),
+                result.coldServed());
+    }
+}
