--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import org.kohsuke.args4j.Argument;
@@ -116,6 +117,11 @@
             log.takeOver();
             GatewayFile file = file();
             Optional<Sharing> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
+            CompletableFuture<Gateway> started = new CompletableFuture<>();
+            // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted on behind it.
+            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
+                log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
+            }
             Vertx vertx = Gateway.vertx();
             Gateway gateway;
             try {
@@ -123,13 +129,11 @@
             } catch (IOException e) {
                 throw new IOException("cannot listen at " + file.listen() + ": " + e.getMessage());
             }
-            // Guards against a SIGHUP that would end the program, which is what the JVM does by itself.
-            if (Signal.handle(new Signal("HUP"), x -> gateway.renew(path())) == SignalHandler.SIG_IGN) {
-                log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
-            }
+            started.complete(gateway);
             CountDownLatch ended = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                gateway.runOnLoop(() -> gateway.endPlanned(ended));
+                long signalNanos = System.nanoTime();
+                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
                 try {
                     ended.await();
                 } catch (InterruptedException e) {
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -44,6 +44,7 @@
     private static final long SILENT_MS = 20; // for a greeting, once the gateway ends connections
     private static final double TRAFFIC_FADES_MS = 1000;
     private static final long LOAD_MOST = 16 * 1024 * 1024; // see makeLighter
+    private static final String ENDS_SOON = "this gateway ends, trying again does no harm";
     private static final long UNREAD_LEAST_MS = 5000; // for a client to read on, or as long as an op may take, before it is closed
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
@@ -97,6 +98,7 @@
     private Past past; // null where gateways keep nothing together
     private boolean ready;
     private boolean ending;
+    private boolean stopped; // reads nothing more
     private int unsent;
     private final Set<NetSocket> parting = new LinkedHashSet<>(); // ended here and not yet by their clients
     private long answersBy = Long.MAX_VALUE;
@@ -153,6 +155,10 @@
 
     /** Takes in a connection, in place of one that does nothing where there are many, or turns it away. */
     public void accept(NetSocket socket) {
+        if (stopped) {
+            NioSockets.stopReading(socket); // the process exits in a moment
+            return;
+        }
         ConnectionLimits.Leave<Session> way = limits.clientFits() ? null : limits.wayForClient(nowMs());
         while (way != null) {
             end(way);
@@ -269,6 +275,26 @@
         return taken.get(op);
     }
 
+    /** Connections on which something has been read whole and not been answered. */
+    public int unanswered() {
+        return (int) sessions.stream().filter(Session::owesAnswer).count();
+    }
+
+    /**
+     * Reads nothing more, on connections that come later neither: what is read right before the process exits could not be
+     * answered, while clients send again what they find unread. What has been read is answered as before.
+     */
+    public void stopReading() {
+        stopped = true;
+        sessions.forEach(s -> NioSockets.stopReading(s.socket));
+        for (Session s : List.copyOf(sessions)) {
+            if (s.hasPartOfGreeting()) {
+                s.giveUp("57P03", ENDS_SOON);
+            }
+        }
+        refuseUnfinished();
+    }
+
     /** Whatever is taken from now on must be answered by this time. */
     public void answerAllBy(long time) {
         answersBy = time;
@@ -291,7 +317,7 @@
      */
     public void refuseUnfinished() {
         for (Session s = limits.longestUnfinished(); s != null; s = limits.longestUnfinished()) {
-            s.giveUp("57P03", "this gateway ends, trying again does no harm");
+            s.giveUp("57P03", ENDS_SOON);
         }
     }
 
@@ -575,7 +601,7 @@
          * read yet. Nothing stands between that last look and the end of output: what comes during a pause there is lost.
          */
         private boolean closeIfIdle() {
-            if (reading || !waitsForNothing()) {
+            if (stopped || reading || !waitsForNothing()) {
                 return false; // once what came has been taken in this is asked again
             }
             NioSockets.readNow(socket);
@@ -596,9 +622,17 @@
             return !closed && slots.isEmpty() && stream.greeted() && stream.held() == 0 && first == null;
         }
 
+        private boolean owesAnswer() {
+            return !slots.isEmpty() || stream.greeted() && stream.held() > 0 && !limits.isUnfinished(this);
+        }
+
+        private boolean hasPartOfGreeting() {
+            return !stream.greeted() && stream.held() > 0;
+        }
+
         /** Guards against clients that write more than they read: they are held back. */
         private void flow() {
-            if (closed) {
+            if (closed || stopped) {
                 return;
             }
             boolean waits = slots.size() >= AHEAD_MOST || unread || first != null; // not for the rest of a message
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -282,28 +282,40 @@
      * its own op timeout.
      */
     public void endPlanned(CountDownLatch done) {
+        endPlanned(System.nanoTime(), done);
+    }
+
+    /** The same, with its times counted from the signal, which this loop may have come to late. */
+    public void endPlanned(long signalNanos, CountDownLatch done) {
         long longest = file.terms().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
-        long began = System.nanoTime() / 1_000_000;
+        long began = signalNanos / 1_000_000;
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
         log.line("planned restart: " + clients.sessions() + " connections, " + clients.opsInHand()
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
-        clients.answerAllBy(LogicLoop.Clock.now() + shutdown.answersBy() * 10);
+        long answersIn = Math.max(1, shutdown.answersBy() - (System.nanoTime() / 1_000_000 - began));
+        clients.answerAllBy(LogicLoop.Clock.now() + answersIn * 10);
         loop.tell(new Event.ShutdownBegun());
         // Guards against ops from before the word to leave whose own timeouts are later than the end.
-        vertx.setTimer(shutdown.answersBy(), x -> {
-            loop.tell(new Event.ShutdownDeadline());
-            clients.refuseUnfinished();
-        });
+        vertx.setTimer(answersIn, x -> loop.tell(new Event.ShutdownDeadline()));
         if (fleet != null) {
             fleet.leaves();
         }
         clients.whenAsked(now -> shutdown.asked(now - began));
-        vertx.setPeriodic(LOOK_MS, x -> {
+        vertx.setPeriodic(LOOK_MS, timer -> {
             long passed = System.nanoTime() / 1_000_000 - began;
-            switch (shutdown.at(passed, clients.greeted() + clients.unsent(), clients.opsInHand())) {
+            if (passed >= shutdown.answersBy()) {
+                clients.refuseUnfinished(); // at each look: a message may begin at any time
+            }
+            switch (shutdown.at(passed, clients.greeted() + clients.unsent(), clients.unanswered())) {
                 case ENDS -> clients.endIdle();
+                case FINISHES -> {
+                    clients.stopReading();
+                    loop.tell(new Event.ShutdownDeadline());
+                }
                 case OVER -> {
+                    vertx.cancelTimer(timer);
+                    clients.stopReading(); // before the process exits, which takes a moment
                     log.line("planned restart: ends after " + passed + " ms, " + clients.opsInHand() + " ops unanswered, "
                             + clients.sessions() + " connections");
                     done.countDown();
--- a/gateway/src/main/java/ploverdale/net/NioSockets.java
+++ b/gateway/src/main/java/ploverdale/net/NioSockets.java
@@ -23,6 +23,11 @@
         }
     }
 
+    /** Leaves what comes from now on unread, in the operating system. */
+    static void stopReading(NetSocket socket) {
+        channel(socket).config().setAutoRead(false);
+    }
+
     /** Sends the end of the output at once; false, with nothing done, where earlier output has not been taken by the system. */
     static boolean shutdownOutputNow(NetSocket socket) {
         Channel channel = channel(socket);
--- a/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
+++ b/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
@@ -6,12 +6,14 @@
  * after it, so it ends at once. Times in milliseconds from the word to leave.
  */
 public final class GracefulShutdown {
-    /** What to do now: serve on, end connections that wait for nothing, or stop. */
-    public enum Step { SERVES, ENDS, OVER }
+    /** What to do now: serve on, end connections that wait for nothing, only answer what has been read, or stop. */
+    public enum Step { SERVES, ENDS, FINISHES, OVER }
 
     private static final long STILL_ARRIVING_MS = 500; // new connections are served as before
     private static final long ENDING_TAKES_MS = 1200; // for ops in hand, many times what one usually takes
-    private static final long SPARE_MS = 100; // to exit
+    // The process may be paused for 150 ms at any moment; what is left of this is for the exit itself.
+    private static final long SPARE_MS = 200;
+    private static final long EXIT_MS = 50; // without its last answers, if they cannot be written
     // Guards against a standstill right before the end: elsewhere an answer half a second late is only worth nothing, but
     // whatever the platform's kill finds unanswered is lost.
     private static final long ANSWERED_BEFORE_MS = 500;
@@ -21,6 +23,7 @@
 
     private final long endsBy;
     private final long answersBy;
+    private final long readsUntil;
     private final long overBy;
     private final double before;
     private final Traffic lately;
@@ -31,8 +34,10 @@
      */
     public GracefulShutdown(long killedAfterMs, double opsPerSecond) {
         endsBy = Math.max(STILL_ARRIVING_MS, killedAfterMs - ENDING_TAKES_MS);
-        answersBy = killedAfterMs - ANSWERED_BEFORE_MS;
-        overBy = killedAfterMs - SPARE_MS;
+        // With short op timeouts the end is so near that half a second before it clients still arrive, who are to be served.
+        answersBy = Math.max(STILL_ARRIVING_MS, killedAfterMs - ANSWERED_BEFORE_MS);
+        readsUntil = killedAfterMs - SPARE_MS;
+        overBy = killedAfterMs - EXIT_MS;
         before = opsPerSecond;
         lately = new Traffic(Math.max(LOOKS_BACK_MS, before > 0 ? LOOKS_BACK_OPS * 1000 / before : 0));
         lately.startAt(before, 0);
@@ -53,10 +58,15 @@
         lately.op(ms);
     }
 
-    /** What to do; asked every few milliseconds. Clients are those that have greeted. */
+    /**
+     * What to do; asked every few milliseconds.
+     *
+     * @param clients that have greeted
+     * @param opsInHand taken or at least read, and not yet answered
+     */
     public Step at(long ms, int clients, int opsInHand) {
-        if (ms >= overBy) {
-            return Step.OVER;
+        if (ms >= readsUntil) {
+            return opsInHand == 0 || ms >= overBy ? Step.OVER : Step.FINISHES;
         }
         if (ms < STILL_ARRIVING_MS) {
             return Step.SERVES;
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -315,6 +315,14 @@
             assertThat(pausedAgain.await(PATIENCE_S, TimeUnit.SECONDS)).as(this::log).isTrue();
         }
 
+        /** Pauses whoever logs a line with this, once; {@link #goOn} ends that. */
+        CountDownLatch pauseAtLog(String part) {
+            paused = new CountDownLatch(1);
+            goesOn = new CountDownLatch(1);
+            pausesAt = part;
+            return paused;
+        }
+
         void goOn() {
             goesOn.countDown();
         }
@@ -698,6 +706,11 @@
             }
         }
 
+        /** Whether anything has come that was not read yet. */
+        boolean hasAnswer() throws IOException {
+            return in.available() > 0;
+        }
+
         int readByte() throws IOException {
             return in.read();
         }
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -0,0 +1,107 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.vertx.core.buffer.Buffer;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Net;
+import ploverdale.net.PgCodec;
+
+/** What crosses the last moment of a graceful shutdown is answered, or left unread. */
+@Timeout(120)
+class LastMomentTest {
+    private static final long KILLED_AFTER_MS = 1000; // with a longest deadline of 300 ms
+    private static final long ANSWERS_BY_MS = 500;
+
+    private static Net shortDeadlines(Net net) throws Exception {
+        net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":300")
+                .replace("\"deadlineMs\":1000", "\"deadlineMs\":300");
+        return net.started();
+    }
+
+    /** Begins a graceful shutdown whose signal came so long ago, and waits for its end. */
+    private static void ends(Net net, long signalledMsAgo) throws Exception {
+        CountDownLatch ended = new CountDownLatch(1);
+        long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(signalledMsAgo);
+        net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
+        assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+    }
+
+    @Test
+    void whatComesOnAnOpenConnectionBehindTheEndIsLeftUnread() throws Exception {
+        try (Net net = shortDeadlines(new Net("p"))) {
+            net.servers.get("p").writes = true;
+            Client client = net.client();
+            ends(net, KILLED_AFTER_MS); // so late that idle connections have not been ended
+            client.ask(net.op("order", 300));
+            Thread.sleep(300); // in which it would be answered
+            assertThat(client.hasAnswer()).as(net::log).isFalse();
+        }
+    }
+
+    @Test
+    void whatComesOnANewConnectionBehindTheEndIsLeftUnread() throws Exception {
+        try (Net net = shortDeadlines(new Net("p"))) {
+            net.servers.get("p").writes = true;
+            ends(net, 0);
+            try (Client late = new Client(net.gateway.port())) {
+                late.write(PgCodec.hello()).ask(net.op("order", 300));
+                Thread.sleep(300); // in which it would be answered
+                assertThat(late.hasAnswer()).as(net::log).isFalse();
+            }
+        }
+    }
+
+    @Test
+    void whatIsReadInTheLastTurnIsAnswered() throws Exception {
+        try (Net net = shortDeadlines(new Net("p"))) {
+            net.servers.get("p").writes = true;
+            Client client = net.client();
+            CountDownLatch ended = new CountDownLatch(1);
+            long signalNanos = System.nanoTime();
+            net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
+            net.logged("planned restart");
+            net.pauseWhileReading();
+            client.ask(net.op("order", 300));
+            Thread.sleep(KILLED_AFTER_MS - 140 - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos));
+            net.goOn(); // it reads the request, and then comes the look that is due, when nothing more is to be read
+            assertThat(client.answer()).as(net::log).endsWith("ready");
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(net.log()).contains(" 0 ops unanswered");
+        }
+    }
+
+    @Test
+    void aRequestThatBeginsBehindTheDeadlineOfAnswersAndNeverEndsIsRefused() throws Exception {
+        try (Net net = shortDeadlines(new Net("p"))) {
+            Client half = net.client();
+            CountDownLatch ended = new CountDownLatch(1);
+            CountDownLatch endsIdle = net.pauseAtLog("planned restart: idle connections end");
+            long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ANSWERS_BY_MS + 100);
+            net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
+            assertThat(endsIdle.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+            half.write(halfARequest()); // is read right before its connection would end as idle
+            net.goOn();
+            assertThat(half.answer()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        }
+    }
+
+    private static Buffer halfARequest() {
+        return Buffer.buffer().appendByte((byte) 'Q').appendInt(200).appendString("SELECT");
+    }
+
+    @Test
+    void theTimesOfAShutdownCountFromItsSignalThoughTheLoopCameToItLate() throws Exception {
+        try (Net net = shortDeadlines(new Net("p"))) {
+            net.client();
+            ends(net, 650);
+            String end = net.log().replaceAll("(?s).*ends after (\\d+) ms.*", "$1");
+            assertThat(Integer.parseInt(end)).as(net::log).isGreaterThanOrEqualTo(650);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -0,0 +1,162 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.net.ConnectException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Got;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Server;
+
+/** A gateway as a process, its deadlines 300 ms, which gets SIGTERM under load and SIGKILL 1.0 s later. */
+@Timeout(120)
+class ShutdownProcessTest {
+    private static final long DEADLINE_MS = 300;
+    private static final long KILLED_AFTER_MS = DEADLINE_MS + 700;
+    private static final int CLIENTS = 20;
+    /** A request sent so shortly before its connection was seen to end has crossed that end. */
+    private static final long CROSSING_MS = 100;
+
+    @TempDir
+    Path directory;
+
+    private Path configuration(Net net) throws IOException {
+        String settings = Net.configuration(net.registry, 256, 30_000)
+                .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + DEADLINE_MS)
+                .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + DEADLINE_MS)
+                .replace("\"aimMs\":10000", "\"aimMs\":200");
+        return Files.writeString(directory.resolve("gateway.json"), settings);
+    }
+
+    /** Clients that go on sending, on new connections where theirs have ended, until there is nobody to connect to. */
+    private static final class Load {
+        private final int port;
+        private final Net net;
+        private final AtomicInteger names = new AtomicInteger();
+        private final Map<String, String> answers = new ConcurrentHashMap<>();
+        private final Map<String, Long> lost = new ConcurrentHashMap<>(); // how long before the end it was sent
+        private final List<Thread> threads = new ArrayList<>();
+
+        private Load(Net net, int port) {
+            this.net = net;
+            this.port = port;
+            for (int i = 0; i < CLIENTS; i++) {
+                Thread thread = new Thread(this::sendsOn);
+                threads.add(thread);
+                thread.start();
+            }
+        }
+
+        private void sendsOn() {
+            while (true) {
+                try (Client client = new Client(port)) {
+                    client.write(ploverdale.net.PgCodec.hello());
+                    if (client.answer().equals("ready")) {
+                        asksUntilItEnds(client);
+                    }
+                } catch (ConnectException e) {
+                    return;
+                } catch (IOException e) {
+                    Thread.onSpinWait(); // reset before anything was asked on it
+                }
+            }
+        }
+
+        private void asksUntilItEnds(Client client) throws IOException {
+            while (true) {
+                String id = "f" + Integer.toHexString(names.incrementAndGet());
+                long sent = System.nanoTime();
+                String answer;
+                try {
+                    client.ask(net.op("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
+                    answer = client.answer();
+                } catch (IOException e) {
+                    answer = "closed";
+                }
+                if (answer.equals("closed")) {
+                    lost.put(id, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent));
+                    return;
+                }
+                answers.put(id, answer);
+            }
+        }
+
+        private void join() throws InterruptedException {
+            for (Thread thread : threads) {
+                thread.join();
+            }
+        }
+    }
+
+    /** Queries that have reached the server, answered or not. */
+    private static List<String> forwarded(Server server) {
+        List<String> ids = new ArrayList<>();
+        for (Got query = server.got.poll(); query != null; query = server.got.poll()) {
+            ids.add(query.text().replaceAll("(?s).*id=([0-9a-f]+),.*", "$1"));
+        }
+        return ids;
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void noRequestThatWasReadIsLeftUnansweredAndTheProcessExitsByItself(boolean serversAnswer) throws Exception {
+        try (Net net = new Net("p");
+                ServingProcess gateway =
+                        ServingProcess.start(directory, ServingProcess.onClassPath(configuration(net)))) {
+            Server server = net.servers.get("p");
+            server.writes = serversAnswer;
+            Load load = new Load(net, gateway.port());
+            Thread.sleep(1000); // of load
+            CountDownLatch exited = new CountDownLatch(1);
+            gateway.process.onExit().thenRun(exited::countDown);
+            long signalled = System.nanoTime();
+            gateway.process.destroy();
+            boolean byItself = exited.await(
+                    KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - signalled), TimeUnit.NANOSECONDS);
+            gateway.process.destroyForcibly();
+            load.join();
+            System.out.println("shutdown with deadlines of " + DEADLINE_MS + " ms: "
+                    + gateway.line("planned restart: ends") + "; " + load.answers.size() + " answered, "
+                    + load.lost.size() + " crossed an end");
+
+            assertThat(byItself).as(gateway.log()).isTrue();
+            assertThat(gateway.process.exitValue()).isZero();
+            assertThat(gateway.line("planned restart: ends")).contains(" 0 ops unanswered");
+            assertThat(load.lost.values()).as(gateway.log()).allMatch(ms -> ms < CROSSING_MS);
+            assertThat(forwarded(server)).doesNotContainAnyElementsOf(load.lost.keySet());
+        }
+    }
+
+    @Test
+    void aHangUpDuringTheStartIsActedOnBehindIt() throws Exception {
+        Path file = directory.resolve("gateway.json");
+        try (Net net = new Net("p");
+                FakeHost.Registry elsewhere = new FakeHost.Registry(net.list(5, true, "p"))) {
+            net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these are in
+            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+            try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
+                gateway.line("practised for");
+                Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+                gateway.hangUp();
+                net.servers.get("p").holdsProbes.countDown();
+                elsewhere.asked("/registry/instances");
+                assertThat(gateway.process.isAlive()).isTrue();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/shutdown/ShortDeadlinesTest.java
@@ -0,0 +1,49 @@
+package ploverdale.shutdown;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.shutdown.GracefulShutdown.Step;
+
+/**
+ * The phases of a graceful shutdown where deadlines are short: the process is killed 0.7 s and the longest deadline after
+ * SIGTERM, here 50 to 400 ms.
+ */
+class ShortDeadlinesTest {
+    private static final long CLIENTS_ARRIVE_MS = 500;
+    private static final long PAUSE_MS = 150; // that the process has to bear at any moment
+
+    @ParameterizedTest
+    @ValueSource(longs = {750, 900, 1000, 1100})
+    void servesHalfASecondWithTimeForEachRequest(long killedAfterMs) {
+        GracefulShutdown shutdown = new GracefulShutdown(killedAfterMs, 100);
+        for (long ms = 0; ms < CLIENTS_ARRIVE_MS; ms += 10) {
+            shutdown.asked(ms);
+            assertThat(shutdown.at(ms, 20, 2)).as("after %d ms", ms).isEqualTo(Step.SERVES);
+        }
+        assertThat(shutdown.answersBy()).isGreaterThanOrEqualTo(CLIENTS_ARRIVE_MS);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {750, 900, 1000, 1100})
+    void hasAnsweredAPauseAheadOfTheKill(long killedAfterMs) {
+        assertThat(new GracefulShutdown(killedAfterMs, 100).answersBy()).isLessThan(killedAfterMs - PAUSE_MS);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {750, 900, 1000, 1100, 3700})
+    void exitsAPauseAheadOfTheKillHoweverManyClientsThereAre(long killedAfterMs) {
+        GracefulShutdown shutdown = new GracefulShutdown(killedAfterMs, 100);
+        assertThat(shutdown.at(killedAfterMs - PAUSE_MS - 30, 20, 0)).isEqualTo(Step.OVER);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {750, 900, 1000, 1100, 3700})
+    void answersWhatHasBeenReadBeforeItExits(long killedAfterMs) {
+        GracefulShutdown shutdown = new GracefulShutdown(killedAfterMs, 100);
+        assertThat(shutdown.at(killedAfterMs - 100, 20, 1)).isEqualTo(Step.FINISHES);
+        assertThat(shutdown.at(killedAfterMs - 99, 20, 0)).isEqualTo(Step.OVER);
+        assertThat(shutdown.at(killedAfterMs - 20, 20, 1)).isEqualTo(Step.OVER);
+    }
+}
