--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -208,8 +208,10 @@
         if (past != null) {
             past.sent(a.op());
         }
+        // The process may have been paused since the module read the clock; its limit goes on from there.
+        long left = a.timeLimit() - (LogicLoop.Clock.now() - loop.decidedAt());
         // Guards against a send that waited for its connection: its client may have gone, a position may have aged.
-        servers.send(a.op(), a.server(), a.timeLimit(),
+        servers.send(a.op(), a.server(), left,
                 () -> clients.taken(a.op()) == t && LogicLoop.Clock.now() <= a.writeBy(), waitMs -> PgCodec.ask(t.ask(), waitMs),
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -47,6 +47,7 @@
     private final Logic logic;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean due;
+    private long decidedAt;
     private long lastTick = Clock.now();
     private long tickBefore = lastTick;
 
@@ -105,6 +106,11 @@
         }
     }
 
+    /** The time by which the module decided on the action that is being carried out; spans in it count from then. */
+    public long decidedAt() {
+        return decidedAt;
+    }
+
     /** Runs what another thread wants done on the thread that owns all this. */
     public void run(Runnable what) {
         context.runOnContext(x -> what.run());
@@ -114,7 +120,8 @@
         due = false;
         for (Event h = queue.poll(); h != null; h = queue.poll()) {
             try {
-                for (Action a : logic.on(Clock.now(), h)) {
+                decidedAt = Clock.now();
+                for (Action a : logic.on(decidedAt, h)) {
                     act(a);
                 }
             } catch (RuntimeException e) {
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -44,7 +44,7 @@
         void ended(AttemptEnd outcome);
     }
 
-    /** What a send or probe writes, given the wait that is left. */
+    /** What a send or probe writes, given the wait that is left, at least 1. */
     public interface Text {
         Buffer bytes(long waitMs);
     }
@@ -55,6 +55,7 @@
     private static final int BESIDE_MOST = 1000; // values told and notices beside one answer, or between two
     private static final long AHEAD_MOST = 500; // of the clock, in tenths of a ms; commits are rounded up
     private static final long REST = 50; // after an answer, in tenths of a ms; a close behind it has come by then
+    private static final int TENTHS_A_MS = 10;
     private static final int OPEN_TRIES = 10; // for room
     private static final long OPEN_AGAIN_MS = 2;
     private static final String TURNED_OFF = "53300"; // queue full, too many connections, draining
@@ -417,7 +418,9 @@
         }
 
         private void write(Sending x) {
-            if (!x.wanted.getAsBoolean()) {
+            // Rounded down: the server must not be told more time than its client has left.
+            long leftMs = (x.limit - (Clock.now() - x.startedAt)) / TENTHS_A_MS;
+            if (leftMs <= 0 || !x.wanted.getAsBoolean()) {
                 x.on = this;
                 x.end(Outcome.NEVER_SENT, null, null, null);
                 free();
@@ -434,8 +437,7 @@
             value = null;
             done = null;
             problem = null;
-            long left = x.limit - (Clock.now() - x.startedAt);
-            socket.write(x.text.bytes(Math.max(1, (left + 9) / 10))).onComplete(r -> {
+            socket.write(x.text.bytes(leftMs)).onComplete(r -> {
                 x.reach = r.succeeded() ? Reach.WRITTEN : Reach.NOT_WRITTEN;
                 if (r.failed()) {
                     lost("not written whole");
