--- /dev/null
+++ b/gateway/src/test/java/ploverdale/DeployedGateway.java
@@ -0,0 +1,163 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.ByteArrayOutputStream;
+import java.io.File;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Enumeration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.jar.Attributes;
+import java.util.jar.JarEntry;
+import java.util.jar.JarFile;
+import java.util.jar.JarOutputStream;
+import java.util.jar.Manifest;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+
+/**
+ * A directory as {@code build} of deploy/balancer.toml leaves it, with one jar of the classes under test and their libraries,
+ * and gateways started there as {@code run} says.
+ */
+final class DeployedGateway {
+    private static final long BUILD_WITHIN_S = 60;
+
+    final Path root;
+
+    /** Lays it out; the class archive and the launcher are made by {@link #archive} and {@link #launcher}. */
+    DeployedGateway(Path root) throws IOException {
+        this.root = root;
+        for (String directory : List.of("deploy", "gateway/target", "example")) {
+            Files.createDirectories(root.resolve(directory));
+        }
+        for (String file : List.of("deploy/gateway.args", "deploy/launcher.sh", "example/gateway.json")) {
+            Files.copy(ServingProcess.root().resolve(file), root.resolve(file));
+        }
+        writeJar(root.resolve("gateway/target/ploverdale.jar"));
+    }
+
+    Path classArchive() {
+        return root.resolve("gateway/target/ploverdale.jsa");
+    }
+
+    /** Makes the class archive, by the command that {@code build} has for it. */
+    void archive() throws Exception {
+        Matcher command = Pattern.compile("java [^&|]*ArchiveClassesAtExit[^&|]*").matcher(entry("build"));
+        assertThat(command.find()).isTrue();
+        finishes(new ProcessBuilder("sh", "-c", "exec " + command.group().strip()));
+        assertThat(classArchive()).exists();
+    }
+
+    /** Makes the file of the launcher, by the command that {@code build} has for it. */
+    void launcher(Map<String, String> environment) throws Exception {
+        Matcher command = Pattern.compile("sh deploy/launcher.sh[^&|]*").matcher(entry("build"));
+        assertThat(command.find()).isTrue();
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", command.group().strip());
+        builder.environment().putAll(environment);
+        finishes(builder);
+    }
+
+    private void finishes(ProcessBuilder builder) throws Exception {
+        File output = Files.createTempFile(root, "build", ".log").toFile();
+        Process process = builder.directory(root.toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(output)
+                .start();
+        assertThat(process.waitFor(BUILD_WITHIN_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(process.exitValue()).as(Files.readString(output.toPath())).isZero();
+    }
+
+    /** Starts a gateway by {@code run}, with more shell words before it and behind it. */
+    ServingProcess start(Path configuration, String before, String behind) throws IOException {
+        return start(configuration, before, behind, Map.of());
+    }
+
+    ServingProcess start(Path configuration, String before, String behind, Map<String, String> environment)
+            throws IOException {
+        File log = Files.createTempFile(root, "gateway", ".log").toFile();
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", before + "exec sh -c \"$RUN\"" + behind)
+                .directory(root.toFile())
+                .redirectError(log);
+        builder.environment().putAll(environment);
+        builder.environment().put("RUN", entry("run"));
+        builder.environment().put("EDGE_CONFIG", configuration.toString());
+        return ServingProcess.start(builder, log);
+    }
+
+    /** A command of the deployment file. */
+    private static String entry(String name) throws IOException {
+        String file = Files.readString(ServingProcess.root().resolve("deploy/balancer.toml"));
+        Matcher line = Pattern.compile("(?m)^" + name + " = \"([^\"]*)\"").matcher(file);
+        assertThat(line.find()).isTrue();
+        return line.group(1);
+    }
+
+    private static void writeJar(Path jar) throws IOException {
+        Map<String, byte[]> entries = new LinkedHashMap<>();
+        List<Path> libraries = new ArrayList<>();
+        for (String place : ServingProcess.classPath().split(File.pathSeparator)) {
+            Path path = Path.of(place);
+            if (Files.isDirectory(path)) {
+                addDirectory(path, entries);
+            } else if (Files.exists(path)) {
+                libraries.add(path);
+            }
+        }
+        for (Path library : libraries) {
+            addJar(library, entries);
+        }
+        Manifest manifest = new Manifest();
+        manifest.getMainAttributes().put(Attributes.Name.MANIFEST_VERSION, "1.0");
+        manifest.getMainAttributes().put(Attributes.Name.MAIN_CLASS, "ploverdale.Main");
+        try (OutputStream file = Files.newOutputStream(jar);
+                JarOutputStream out = new JarOutputStream(file, manifest)) {
+            for (Map.Entry<String, byte[]> entry : entries.entrySet()) {
+                out.putNextEntry(new JarEntry(entry.getKey()));
+                out.write(entry.getValue());
+            }
+        }
+    }
+
+    private static void addDirectory(Path directory, Map<String, byte[]> entries) throws IOException {
+        try (Stream<Path> files = Files.walk(directory)) {
+            for (Path file : files.filter(Files::isRegularFile).toList()) {
+                add(directory.relativize(file).toString(), Files.readAllBytes(file), entries);
+            }
+        }
+    }
+
+    private static void addJar(Path jar, Map<String, byte[]> entries) throws IOException {
+        try (JarFile file = new JarFile(jar.toFile())) {
+            for (Enumeration<JarEntry> all = file.entries(); all.hasMoreElements(); ) {
+                JarEntry entry = all.nextElement();
+                if (!entry.isDirectory()) {
+                    try (InputStream in = file.getInputStream(entry)) {
+                        add(entry.getName(), in.readAllBytes(), entries);
+                    }
+                }
+            }
+        }
+    }
+
+    /** The first of a name counts; what names the services of a library is put together. */
+    private static void add(String name, byte[] content, Map<String, byte[]> entries) throws IOException {
+        if (name.startsWith("META-INF/services/") && entries.containsKey(name)) {
+            ByteArrayOutputStream both = new ByteArrayOutputStream();
+            both.write(entries.get(name));
+            both.write('\n');
+            both.write(content);
+            entries.put(name, both.toByteArray());
+        } else if (!name.equals(JarFile.MANIFEST_NAME) && !name.endsWith("module-info.class")) {
+            entries.putIfAbsent(name, content);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -0,0 +1,91 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.PosixFilePermissions;
+import java.util.Map;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Net;
+import ploverdale.FakeHost.Registry;
+
+/** Gateways started by {@code run} of deploy/balancer.toml from a shell that ignores SIGHUP, as nohup makes it. */
+@Timeout(120)
+class HangUpIgnoredTest {
+    private static final String IGNORED = "trap '' HUP; ";
+    private static final String WILL_NOT_BE_READ = "SIGHUP is ignored by what started this program";
+
+    @TempDir
+    Path root;
+
+    private DeployedGateway deployed;
+    private Path configuration;
+
+    @BeforeEach
+    void lay() throws IOException {
+        deployed = new DeployedGateway(root);
+        configuration = root.resolve("gateway.json");
+    }
+
+    private void configure(Registry discovery) throws IOException {
+        Files.writeString(configuration, Net.configuration(discovery, 256, 30_000));
+    }
+
+    private static void serves(Net net, ServingProcess gateway) throws Exception {
+        try (Client client = new Client(gateway.port()).greeted()) {
+            assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
+        }
+    }
+
+    @Test
+    void aHangUpMovesDiscovery() throws Exception {
+        deployed.launcher(Map.of());
+        try (Net net = new Net("p", "r1").readable();
+                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+            configure(net.registry);
+            try (ServingProcess gateway = deployed.start(configuration, IGNORED, "")) {
+                serves(net, gateway);
+                configure(elsewhere);
+                gateway.hangUp();
+                gateway.line("new configuration: discovery at 127.0.0.1:" + elsewhere.port());
+                elsewhere.asked("/registry/instances");
+                gateway.line("server r1 listed GONE");
+                assertThat(gateway.log()).doesNotContain(WILL_NOT_BE_READ);
+            }
+        }
+    }
+
+    @Test
+    void whereEnvCannotResetSignalsTheGatewayServesAndSaysThatItWillNotReadConfigurations() throws Exception {
+        Path tools = Files.createDirectory(root.resolve("tools"));
+        Path env = Files.writeString(tools.resolve("env"), "#!/bin/sh\necho env: unrecognized option >&2; exit 125\n");
+        Files.setPosixFilePermissions(env, PosixFilePermissions.fromString("rwxr-xr-x"));
+        Map<String, String> path = Map.of("PATH", tools + ":" + System.getenv("PATH"));
+        deployed.launcher(path);
+        try (Net net = new Net("p", "r1").readable()) {
+            configure(net.registry);
+            try (ServingProcess gateway = deployed.start(configuration, IGNORED, "", path)) {
+                serves(net, gateway);
+                gateway.line(WILL_NOT_BE_READ);
+                gateway.hangUp();
+                serves(net, gateway);
+            }
+        }
+    }
+
+    @Test
+    void withoutTheFileOfTheLauncherTheGatewayServes() throws Exception {
+        try (Net net = new Net("p", "r1").readable()) {
+            configure(net.registry);
+            try (ServingProcess gateway = deployed.start(configuration, "", "")) {
+                serves(net, gateway);
+            }
+        }
+    }
+}
