--- a/gateway/src/test/java/ploverdale/DeployedGateway.java
+++ b/gateway/src/test/java/ploverdale/DeployedGateway.java
@@ -49,12 +49,11 @@
         return root.resolve("gateway/target/ploverdale.jsa");
     }
 
-    /** Makes the class archive, by the command that {@code build} has for it. */
-    void archive() throws Exception {
-        Matcher command = Pattern.compile("java [^&|]*ArchiveClassesAtExit[^&|]*").matcher(entry("build"));
-        assertThat(command.find()).isTrue();
-        finishes(new ProcessBuilder("sh", "-c", "exec " + command.group().strip()));
-        assertThat(classArchive()).exists();
+    /** Makes the class archive, by the commands that {@code build} has for it, with more shell words before them. */
+    void archive(String before) throws Exception {
+        Matcher commands = Pattern.compile("\\(rm -f .*\\)$").matcher(entry("build"));
+        assertThat(commands.find()).isTrue();
+        finishes(new ProcessBuilder("sh", "-c", before + commands.group()));
     }
 
     /** Makes the file of the launcher, by the command that {@code build} has for it. */
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -0,0 +1,127 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.net.ConnectException;
+import java.net.ServerSocket;
+import java.nio.file.Files;
+import java.nio.file.LinkOption;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Net;
+
+/** A gateway serves, and follows its signals, where neither its log nor any other file can be written. */
+@Timeout(120)
+class UnwritableFilesTest {
+    @TempDir
+    Path directory;
+
+    private Path configuration(Net net, int port) throws IOException {
+        String settings = Net.configuration(net.registry, 256, 30_000).replace("127.0.0.1:0", "127.0.0.1:" + port);
+        return Files.writeString(directory.resolve("gateway.json"), settings);
+    }
+
+    private static int freePort() throws IOException {
+        try (ServerSocket free = new ServerSocket(0)) {
+            return free.getLocalPort();
+        }
+    }
+
+    /** A client of a gateway whose log cannot be read, once that serves. */
+    private static Client connects(int port, Process gateway) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        while (true) {
+            try {
+                return new Client(port).greeted();
+            } catch (ConnectException e) {
+                assertThat(gateway.isAlive()).isTrue();
+                assertThat(System.nanoTime()).isLessThan(end);
+                Thread.sleep(20);
+            }
+        }
+    }
+
+    private Process start(Path configuration, Path workingDirectory, String before, String behind, String... options)
+            throws IOException {
+        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "exec \"$@\"" + behind, "sh"));
+        command.addAll(ServingProcess.java());
+        command.addAll(List.of(options));
+        command.addAll(List.of("-cp", ServingProcess.classPath(), "ploverdale.Main", "serve", "--config"));
+        command.add(configuration.toString());
+        return new ProcessBuilder(command)
+                .directory(workingDirectory.toFile())
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
+    }
+
+    /** It serves, logs what it cannot write, and ends in order. */
+    private static void serves(Net net, Process gateway, int port) throws Exception {
+        try (Client client = connects(port, gateway)) {
+            for (int i = 0; i < 20; i++) {
+                assertThat(net.read(client)).isEqualTo("row 07 ready");
+                assertThat(client.ask(net.op("no such type")).answer()).isEqualTo("22023 ready"); // which is logged
+            }
+        }
+        gateway.destroy();
+        assertThat(gateway.waitFor(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(gateway.exitValue()).isZero();
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {" 2>/dev/full", " 2>&-", " <&- >&- 2>&-", " >/dev/full 2>/dev/full"})
+    void whereItsLogCannotBeWritten(String redirection) throws Exception {
+        int port = freePort();
+        try (Net net = new Net("p", "r1").readable()) {
+            Process gateway = start(configuration(net, port), directory, "", redirection);
+            try {
+                connects(port, gateway).close();
+                for (int descriptor = 0; descriptor <= 2; descriptor++) {
+                    Path open = Path.of("/proc/" + gateway.pid() + "/fd/" + descriptor);
+                    if (Files.exists(open, LinkOption.NOFOLLOW_LINKS)) { // no log line may go to a connection
+                        assertThat(Files.readSymbolicLink(open).toString()).doesNotStartWith("socket:");
+                    }
+                }
+                serves(net, gateway, port);
+            } finally {
+                gateway.destroyForcibly();
+            }
+        }
+    }
+
+    @Test
+    void whereTheDiskIsFull() throws Exception { // of no file, the log included, may any byte be written
+        int port = freePort();
+        try (Net net = new Net("p", "r1").readable()) {
+            Path log = directory.resolve("log");
+            Process gateway = start(configuration(net, port), directory, "ulimit -f 0; ", " 2>" + log);
+            try {
+                serves(net, gateway, port);
+                assertThat(log).isEmptyFile();
+            } finally {
+                gateway.destroyForcibly();
+            }
+        }
+    }
+
+    @Test
+    void whereWorkingAndTemporaryDirectoriesCannotBeWritten() throws Exception {
+        int port = freePort();
+        try (Net net = new Net("p", "r1").readable()) {
+            Process gateway = start(configuration(net, port), Path.of("/proc"), "", "", "-Djava.io.tmpdir=/proc/none");
+            try {
+                serves(net, gateway, port);
+            } finally {
+                gateway.destroyForcibly();
+            }
+        }
+    }
+}
