--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -16,6 +16,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 import ploverdale.benchlink.BenchLink;
+import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.budgets.Division;
 import ploverdale.budgets.Sharing;
@@ -117,13 +118,12 @@
             log.takeOver();
             GatewayFile file = file();
             Optional<Sharing> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
-            Vertx vertx = Gateway.vertx();
-            // The JVM by itself ends the program at SIGHUP, so this comes first: one that comes before the gateway has started
-            // is followed once it has.
             CompletableFuture<Gateway> started = new CompletableFuture<>();
+            // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted on behind it.
             if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
                 log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
             }
+            Vertx vertx = Gateway.vertx();
             Gateway gateway;
             try {
                 gateway = await(Gateway.start(vertx, log, file, fleet));
@@ -133,7 +133,8 @@
             started.complete(gateway);
             CountDownLatch ended = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                gateway.runOnLoop(() -> gateway.endPlanned(ended));
+                long signalNanos = Clock.system().nanos();
+                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
                 try {
                     ended.await();
                 } catch (InterruptedException e) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -298,9 +298,11 @@
         if (past != null) {
             past.sent(a.op());
         }
+        // The process may have been paused since the module read the clock; its limit goes on from there.
+        long left = a.timeLimit() - (time.now() - loop.decidedAt());
         // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its server may
         // drain by now, with the grace for that long over.
-        servers.send(a.op(), a.server(), a.timeLimit(),
+        servers.send(a.op(), a.server(), left,
                 () -> clients.waits(t) && loop.mayReceive(a.server()) && (a.writeBy() == Long.MAX_VALUE
                         || time.changes() == changes && time.now() <= a.writeBy()),
                 waitMs -> PgCodec.ask(t.ask(), waitMs),
@@ -375,28 +377,40 @@
      * its own op timeout.
      */
     public void endPlanned(CountDownLatch done) {
+        endPlanned(time.clock().nanos(), done);
+    }
+
+    /** The same, with its times counted from the signal, which this loop may have come to late. */
+    public void endPlanned(long signalNanos, CountDownLatch done) {
         long longest = file.terms().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
-        long began = time.clock().monotonicMs();
+        long began = signalNanos / 1_000_000;
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
         log.line("planned restart: " + clients.sessions() + " connections, " + clients.opsInHand()
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
-        clients.answerAllBy(time.now() + shutdown.answersBy() * 10);
+        long answersIn = Math.max(1, shutdown.answersBy() - (time.clock().monotonicMs() - began));
+        clients.answerAllBy(time.now() + answersIn * 10);
         loop.tell(new Event.ShutdownBegun());
         // Guards against ops from before the word to leave whose own timeouts are later than the end.
-        vertx.setTimer(shutdown.answersBy(), x -> {
-            loop.tell(new Event.ShutdownDeadline());
-            clients.refuseUnfinished();
-        });
+        vertx.setTimer(answersIn, x -> loop.tell(new Event.ShutdownDeadline()));
         if (fleet != null) {
             fleet.leaves();
         }
         clients.whenAsked(now -> shutdown.asked(now - began));
-        vertx.setPeriodic(LOOK_MS, x -> {
+        vertx.setPeriodic(LOOK_MS, timer -> {
             long passed = time.clock().monotonicMs() - began;
-            switch (shutdown.at(passed, clients.greeted() + clients.unsent(), clients.opsInHand())) {
+            if (passed >= shutdown.answersBy()) {
+                clients.refuseUnfinished(); // at each look: a message may begin at any time
+            }
+            switch (shutdown.at(passed, clients.greeted() + clients.unsent(), clients.unanswered())) {
                 case ENDS -> clients.endIdle();
+                case FINISHES -> {
+                    clients.stopReading();
+                    loop.tell(new Event.ShutdownDeadline());
+                }
                 case OVER -> {
+                    vertx.cancelTimer(timer);
+                    clients.stopReading(); // before the process exits, which takes a moment
                     log.line("planned restart: ends after " + passed + " ms, " + clients.opsInHand() + " ops unanswered, "
                             + clients.sessions() + " connections");
                     done.countDown();
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -54,6 +54,7 @@
     private boolean due;
     private boolean late; // the loop was held up before the first event in the queue was read
     private long firstQueuedAt;
+    private long decidedAt;
     private long lastTick;
     private long tickBefore;
 
@@ -123,6 +124,11 @@
         return logic.mayReceive(server);
     }
 
+    /** The time by which the module decided on the action that is being carried out; spans in it count from then. */
+    public long decidedAt() {
+        return decidedAt;
+    }
+
     /** Runs what another thread wants done on the thread that owns all this. */
     public void run(Runnable what) {
         context.runOnContext(x -> what.run());
@@ -145,7 +151,8 @@
         reportDelay(lastTick, clock.now());
         for (Event h = queue.poll(); h != null; h = queue.poll()) {
             try {
-                for (Action a : logic.on(clock.now(), h)) {
+                decidedAt = clock.now();
+                for (Action a : logic.on(decidedAt, h)) {
                     act(a);
                 }
             } catch (RuntimeException e) {
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -41,7 +41,7 @@
         void ended(AttemptEnd outcome);
     }
 
-    /** What a send or probe writes, given the wait that is left. */
+    /** What a send or probe writes, given the wait that is left, at least 1. */
     public interface Text {
         Buffer bytes(long waitMs);
     }
@@ -53,6 +53,7 @@
     private static final long LONG_IDLE = 20_000; // as long as a server counts as heard; a probe goes before the next request
     private static final long PROBE_PATIENCE_MS = 100; // many times what a probe takes, short beside what a request may take
     private static final long REST = 50; // after an answer, in tenths of a ms; a close behind it has come by then
+    private static final int TENTHS_A_MS = 10;
     private static final int OPEN_TRIES = 10; // for room
     private static final long OPEN_AGAIN_MS = 2;
     private static final String TURNED_OFF = "53300"; // queue full, too many connections, draining
@@ -485,7 +486,9 @@
         }
 
         private void write(Sending x) {
-            if (!x.wanted.getAsBoolean()) {
+            // Rounded down: the server must not be told more time than its client has left.
+            long leftMs = (x.limit - (time.now() - x.startedAt)) / TENTHS_A_MS;
+            if (leftMs <= 0 || !x.wanted.getAsBoolean()) {
                 x.on = this;
                 x.end(Outcome.NEVER_SENT, null, null, null);
                 free();
@@ -503,8 +506,7 @@
             done = null;
             problem = null;
             writtenAt = time.now();
-            long left = x.limit - (writtenAt - x.startedAt);
-            socket.write(x.text.bytes(Math.max(1, (left + 9) / 10))).onComplete(r -> {
+            socket.write(x.text.bytes(leftMs)).onComplete(r -> {
                 x.reach = r.succeeded() ? Reach.WRITTEN : Reach.NOT_WRITTEN;
                 if (r.failed()) {
                     lost("not written whole", ConnectionFailure.of(r.cause()).outcome());
