--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -761,7 +761,7 @@
             if (reading || !waitsForNothing()) {
                 return false; // once what came has been taken in this is asked again
             }
-            NioSockets.readUndisturbed(() -> NioSockets.readNow(socket), System::nanoTime);
+            NioSockets.readNow(socket);
             if (!waitsForNothing()) {
                 return false;
             }
--- a/gateway/src/main/java/ploverdale/net/NioSockets.java
+++ b/gateway/src/main/java/ploverdale/net/NioSockets.java
@@ -6,13 +6,9 @@
 import io.netty.channel.socket.DuplexChannel;
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
-import java.util.function.LongSupplier;
 
 /** What can be done to a socket at once, within a turn of the event loop, and Vert.x leaves to later turns. */
 final class NioSockets {
-    private static final int UNDISTURBED_TRIES = 3; // more would keep the loop from its other work
-    private static final long DISTURBED_NANOS = 2_000_000; // a read of an idle socket takes some microseconds
-
     private NioSockets() {}
 
     /**
@@ -27,20 +23,6 @@
         }
     }
 
-    /**
-     * Reads, and again where reading took longer than it does: the process was paused then, and more may have come during the
-     * pause. What is left is a pause between the last reading of the clock and the caller's next system call.
-     */
-    static void readUndisturbed(Runnable read, LongSupplier nanoTime) {
-        for (int i = 0; i < UNDISTURBED_TRIES; i++) {
-            long began = nanoTime.getAsLong();
-            read.run();
-            if (nanoTime.getAsLong() - began < DISTURBED_NANOS) {
-                return;
-            }
-        }
-    }
-
     /** Whether the connection is still open, as far as this process has read it; false right after its end was read. */
     static boolean isOpen(NetSocket socket) {
         return channel(socket).isOpen();
