--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -788,7 +788,7 @@
             if (stopped || reading || !waitsForNothing()) {
                 return false; // once what came has been taken in this is asked again
             }
-            NioSockets.readUndisturbed(() -> NioSockets.readNow(socket), time.clock()::nanos);
+            NioSockets.readNow(socket);
             if (!waitsForNothing()) {
                 return false;
             }
