--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -53,6 +53,7 @@
     private SlowStart slowStart;
     private Allotment allotment;
     private double shedPrice;
+    private int earlyTimeouts; // attempts out that end early for a retry, each of which has one reserved
     private long scarceUntil = Report.UNTOLD;
     private long nextBeat = Long.MIN_VALUE, askListAt = Long.MAX_VALUE;
 
@@ -437,9 +438,12 @@
         long until = op.type.repeats() == Repeats.RETRYABLE ? worthUntil(op) : answerBy(op);
         // Guards against servers whose answers get lost while they work: sends again in time.
         long early = now + (long) (FEW_TAKE * op.pace.usual * stretchNow(m));
-        boolean last = op.sends + 1 >= permits.sendsPerOp(); // it has all the time that is left, since none follows
-        if (m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE && !last
-                && worthUntil(op) - early > op.pace.usual * stretchNow(m)) {
+        // Only where a retry may follow and can be paid for: an attempt without one has all the time that is left.
+        boolean retryFollows = op.sends + 1 < permits.sendsPerOp() && allotment.hasAgain(earlyTimeouts);
+        op.hasEarlyTimeout = m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE && retryFollows
+                && worthUntil(op) - early > op.pace.usual * stretchNow(m);
+        if (op.hasEarlyTimeout) {
+            earlyTimeouts++;
             until = Math.min(until, early);
         }
         // Guards against positions that age while a connection is made; servers that check reads see to it.
@@ -463,6 +467,8 @@
         if (op != null) {
             allotment.sendEnded(m.id, op.cold);
             learnHealth(m, op, e);
+            earlyTimeouts -= op.hasEarlyTimeout ? 1 : 0;
+            op.hasEarlyTimeout = false;
         }
         Op live = ops.get(e.op());
         if (e.outcome() == Outcome.ACKED && op != null && op.type.needs() == Needs.WRITE) {
--- a/gateway/src/main/java/ploverdale/budgets/Apart.java
+++ b/gateway/src/main/java/ploverdale/budgets/Apart.java
@@ -54,6 +54,11 @@
     @Override
     public void sendEnded(ServerId server, boolean cold) {}
 
+    @Override
+    public boolean hasAgain(int reserved) {
+        return earned.hasAgain(reserved);
+    }
+
     @Override
     public boolean again() {
         return earned.again();
--- a/gateway/src/main/java/ploverdale/budgets/Earned.java
+++ b/gateway/src/main/java/ploverdale/budgets/Earned.java
@@ -20,6 +20,11 @@
         probes = Math.min(SAVED_MOST, probes + PROBES_PER_OP);
     }
 
+    /** Whether a further send is left, beside so many others that are reserved. */
+    boolean hasAgain(int reserved) {
+        return sends >= 1 + reserved;
+    }
+
     /** Spends a further send; false where none is left. */
     boolean again() {
         return sends >= 1 && sends-- >= 1;
--- a/gateway/src/main/java/ploverdale/budgets/Shared.java
+++ b/gateway/src/main/java/ploverdale/budgets/Shared.java
@@ -224,6 +224,14 @@
         }
     }
 
+    /** Where the fleet pays for further sends, units that others have reserved here are not counted. */
+    @Override
+    public boolean hasAgain(int reserved) {
+        return sharing.secondSends() == 0
+                ? apart.hasAgain(reserved)
+                : budgets.has(clock.getAsLong(), sharing.again(tenants));
+    }
+
     @Override
     public boolean again() {
         return sharing.secondSends() == 0 ? apart.again() : spends(sharing.again(tenants));
--- a/gateway/src/main/java/ploverdale/model/Allotment.java
+++ b/gateway/src/main/java/ploverdale/model/Allotment.java
@@ -30,6 +30,9 @@
     /** A send has ended; cold as it was told with the send. */
     void sendEnded(ServerId server, boolean cold);
 
+    /** Whether a send beyond an op's first could be had now, beside so many others that are reserved. */
+    boolean hasAgain(int reserved);
+
     /** Spends a send beyond an op's first; false where none is to be had now. */
     boolean again();
 
--- a/gateway/src/main/java/ploverdale/state/Op.java
+++ b/gateway/src/main/java/ploverdale/state/Op.java
@@ -19,6 +19,7 @@
     public long sentAt;
     public boolean cold; // the server, when it was sent there
     public boolean calledOff;
+    public boolean hasEarlyTimeout; // the attempt that is out, so that a retry is in time
     public boolean mayHaveRun;
     public long repeatUntil = Long.MAX_VALUE;
     public Member firstMaybeServer;
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -163,6 +163,8 @@
     void duringSlowStartTheBudgetFillsAsBeforeWhateverTheStep(long step) throws Exception {
         try (Net net = net(clock, "p").readable()) {
             net.servers.get("p").writes = true;
+            // Slow start goes by the agreed traffic where there are no warm peers to go by.
+            net.settings = told -> told.replace("\"quotaPerS\":1000", "\"quotaPerS\":15");
             startedAt(net, Clock.system().wallMs());
             net.started();
             Client one = net.client();
@@ -174,7 +176,7 @@
                 others.add(net.client().ask(net.op("order", 5_000)));
             }
             Thread.sleep(500);
-            int atOnce = net.servers.get("p").got.size(); // 10 of usual work a second, at 3 of 10 of its capacity
+            int atOnce = net.servers.get("p").got.size(); // some 10 of usual work, at 3 of 10 of its capacity
             assertThat(atOnce).as(net::log).isBetween(2, 15);
             assertUndisturbed(net);
         }
