--- /dev/null
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -0,0 +1,48 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.Map;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import ploverdale.FakeHost.Client;
+import ploverdale.FakeHost.Net;
+
+/** A class archive that was cut short under its final name. The commands of {@code build} leave none such. */
+@Timeout(180)
+class CutClassArchiveTest {
+    @TempDir
+    static Path root;
+
+    private static DeployedGateway deployed;
+    private static byte[] whole;
+
+    @BeforeAll
+    static void build() throws Exception {
+        deployed = new DeployedGateway(root);
+        deployed.launcher(Map.of());
+        deployed.archive("");
+        whole = Files.readAllBytes(deployed.classArchive());
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {1, 100, 4096, 100_000, 7_000_000})
+    void aGatewayServesWithoutIt(int length) throws Exception {
+        Files.delete(deployed.classArchive());
+        Files.write(deployed.classArchive(), Arrays.copyOf(whole, length));
+        try (Net net = new Net("p", "r1").readable()) {
+            Path configuration = root.resolve("gateway.json");
+            Files.writeString(configuration, Net.configuration(net.registry, 256, 30_000));
+            try (ServingProcess gateway = deployed.start(configuration, "", "");
+                    Client client = new Client(gateway.port()).greeted()) {
+                assertThat(net.read(client)).isEqualTo("row 07 ready");
+            }
+        }
+    }
+}
