--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -284,10 +284,10 @@
     }
 
     private void send(Request request) {
-        OpId op = new OpId("op" + names++);
-        requests.put(op, request);
+        OpId id = new OpId("op" + names++);
+        requests.put(id, request);
         long timeout = request.type == VIEW ? 2000 * MS : request.type == HISTORY ? 1000 * MS : 3000 * MS;
-        tell(request.gateway, new Event.OpArrived(op, new OpTypeId(request.type), new TenantId(0),
+        tell(request.gateway, new Event.OpArrived(id, new OpTypeId(request.type), new TenantId(0),
                 new GroupId(request.group), new SessionId("c"), now + timeout, request.tries > 0, 0, 0));
     }
 
