--- /dev/null
+++ b/gateway/src/test/java/ploverdale/benchlink/RecordedActions.java
@@ -0,0 +1,44 @@
+package ploverdale.benchlink;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import ploverdale.terms.Fields;
+
+/** Reads the actions of one reply line of the simulator's wire. */
+final class RecordedActions {
+    private RecordedActions() {}
+
+    /** One action with its fields. */
+    record Action(String name, Fields fields) {
+        String gateway() {
+            return fields.text("gateway");
+        }
+
+        String text(String field) {
+            return fields.text(field);
+        }
+
+        double number(String field) {
+            return fields.number(field);
+        }
+    }
+
+    static List<Action> read(String reply) {
+        try (JsonParser parser = new JsonFactory().createParser(reply)) {
+            parser.nextToken();
+            List<Action> actions = new ArrayList<>();
+            for (Object action : Fields.of("reply", Fields.read(parser)).list("out")) {
+                Map.Entry<?, ?> entry = ((Map<?, ?>) action).entrySet().iterator().next();
+                actions.add(new Action((String) entry.getKey(), Fields.of("action", entry.getValue())));
+            }
+            return actions;
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
