--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -1,5 +1,9 @@
 package ploverdale.net;
 
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
 import io.netty.channel.socket.DuplexChannel;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -54,10 +58,10 @@
     private static final long LOAD_MOST = 16 * 1024 * 1024; // see makeLighter
     private static final int READS_MOST = 4; // of a connection at a time
     private static final String BUSY = "53300";
-    private static final PgCodec.BadAsk TOO_MUCH =
-            new PgCodec.BadAsk(BUSY, "too many requests at once, trying again does no harm", false);
-    private static final PgCodec.BadAsk CANCELED =
-            new PgCodec.BadAsk("57014", "canceled on the client's request; whether it ran is not known", false);
+    private static final ClientMessage.InvalidQuery TOO_MUCH =
+            new ClientMessage.InvalidQuery(BUSY, "too many requests at once, trying again does no harm", false);
+    private static final ClientMessage.InvalidQuery CANCELED =
+            new ClientMessage.InvalidQuery("57014", "canceled on the client's request; whether it ran is not known", false);
     private static final String ENDS_SOON = "this gateway ends, trying again does no harm";
     private static final long UNREAD_LEAST_MS = 5000; // for a client to read on, or as long as an op may take, before it is closed
 
@@ -68,20 +72,20 @@
 
     /** An op in hand. */
     public static final class Taken {
-        private final PgCodec.OpAsk ask;
+        private final ClientMessage.RequestQuery ask;
         private final Session session;
         private final Slot slot;
         private final long lastResortMs;
         private int sends;
 
-        private Taken(PgCodec.OpAsk ask, Session session, Slot slot, long lastResortMs) {
+        private Taken(ClientMessage.RequestQuery ask, Session session, Slot slot, long lastResortMs) {
             this.lastResortMs = lastResortMs;
             this.ask = ask;
             this.session = session;
             this.slot = slot;
         }
 
-        public PgCodec.OpAsk ask() {
+        public ClientMessage.RequestQuery ask() {
             return ask;
         }
 
@@ -371,8 +375,8 @@
         }
     }
 
-    public void acked(OpId op, PgCodec.Row row) {
-        answer(op, PgCodec.acked(row));
+    public void acked(OpId op, ResultRow row) {
+        answer(op, MessageWriter.resultRow(row));
     }
 
     /** The write ran before, under the same id; this is what its client was answered then. */
@@ -383,11 +387,11 @@
     /** Tells the client that trying again does no harm; after how long, in tenths of a millisecond, or 0. */
     public void busyReplied(OpId op, long comeBackIn) {
         String detail = comeBackIn > 0 ? Long.toString((comeBackIn + 9) / 10) : null;
-        answer(op, PgCodec.problem("53300", "busy, trying again does no harm", detail, false, true));
+        answer(op, MessageWriter.errorResponse("53300", "busy, trying again does no harm", detail, false, true));
     }
 
     public void errored(OpId op) {
-        answer(op, PgCodec.problem("58000", "the op failed; whether it ran is not known", null, false, true));
+        answer(op, MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
     }
 
     /**
@@ -416,12 +420,12 @@
         }
     }
 
-    private static int cost(PgCodec.FromClient m) {
-        return QUEUED_COST + (m instanceof PgCodec.OpAsk ask ? ask.text().length : 0);
+    private static int cost(ClientMessage m) {
+        return QUEUED_COST + (m instanceof ClientMessage.RequestQuery ask ? ask.text().length : 0);
     }
 
     /** Cancels the requests of the connection that the message names, if it is one of these. */
-    private void cancel(PgCodec.Cancel c) {
+    private void cancel(ClientMessage.CancelRequest c) {
         Session s = byProcess.get(c.process());
         if (s != null && s.secret == c.secret()) {
             s.cancelRequests();
@@ -431,9 +435,9 @@
     /** One client's connection. */
     public final class Session {
         private final NetSocket socket;
-        private final PgCodec.ClientStream stream = new PgCodec.ClientStream();
+        private final ClientMessageReader stream = new ClientMessageReader();
         private final Deque<Slot> slots = new ArrayDeque<>();
-        private final Deque<PgCodec.FromClient> waiting = new ArrayDeque<>(); // cut, behind as many as may be in hand
+        private final Deque<ClientMessage> waiting = new ArrayDeque<>(); // cut, behind as many as may be in hand
         private final int process = ++processes; // with the secret, what a cancel message names
         private final int secret = secrets.nextInt();
         private int waitingBytes;
@@ -446,7 +450,7 @@
         private boolean readsOn;
         private boolean unread;
         private boolean skipping;
-        private PgCodec.FromClient first;
+        private ClientMessage first;
         private long firstAt;
         private int partial;
         private long unreadBytes;
@@ -509,12 +513,12 @@
         private boolean cut() {
             boolean cut = false;
             while (!closed && !deaf && waitingBytes < QUEUED_MOST) {
-                PgCodec.FromClient m = stream.next();
+                ClientMessage m = stream.next();
                 if (m == null) {
                     return cut;
                 }
                 cut = true;
-                if (m instanceof PgCodec.Bye) {
+                if (m instanceof ClientMessage.Terminate) {
                     close();
                 } else {
                     enqueue(m);
@@ -527,15 +531,15 @@
             return cut;
         }
 
-        private void enqueue(PgCodec.FromClient m) {
+        private void enqueue(ClientMessage m) {
             boolean tooMuch = waitingBytes >= READ_AHEAD_MOST || load >= LOAD_MOST;
-            queue(tooMuch && m instanceof PgCodec.OpAsk ? TOO_MUCH : m);
-            if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+            queue(tooMuch && m instanceof ClientMessage.RequestQuery ? TOO_MUCH : m);
+            if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                 endInput();
             }
         }
 
-        private void queue(PgCodec.FromClient m) {
+        private void queue(ClientMessage m) {
             waiting.add(m);
             waitingBytes += cost(m);
             load += cost(m);
@@ -544,10 +548,10 @@
         /** Takes as many of the messages that wait as may be in hand; none is forwarded while its client's end cannot be seen. */
         private void take() {
             while (!closed && slots.size() < AHEAD_MOST && !unread && first == null && !waiting.isEmpty()) {
-                PgCodec.FromClient m = waiting.poll();
+                ClientMessage m = waiting.poll();
                 waitingBytes -= cost(m);
                 lighter(cost(m));
-                message(paused && m instanceof PgCodec.OpAsk ? TOO_MUCH : m);
+                message(paused && m instanceof ClientMessage.RequestQuery ? TOO_MUCH : m);
             }
         }
 
@@ -560,13 +564,13 @@
         /** Counts the requests behind the message that ends the connection: each is refused before the connection ends. */
         private void countBehind() {
             while (!framingLost) {
-                PgCodec.FromClient m = stream.next();
+                ClientMessage m = stream.next();
                 if (m == null) {
                     return;
                 }
-                if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+                if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                     framingLost = !stream.skipMessage();
-                } else if (m instanceof PgCodec.OpAsk || m instanceof PgCodec.EmptyAsk || m instanceof PgCodec.BadAsk) {
+                } else if (m instanceof ClientMessage.RequestQuery || m instanceof ClientMessage.EmptyQuery || m instanceof ClientMessage.InvalidQuery) {
                     behind = Math.min(BEHIND_MOST, behind + 1);
                 }
             }
@@ -601,22 +605,22 @@
                 if (s.op != null && s.answer == null) {
                     lighter(taken.remove(s.op).ask.text().length);
                     loop.tell(new Event.ClientLeft(s.op));
-                    s.answer = PgCodec.problem(CANCELED.code(), CANCELED.text(), null, false, true);
+                    s.answer = MessageWriter.errorResponse(CANCELED.code(), CANCELED.text(), null, false, true);
                 }
             }
-            first = first instanceof PgCodec.OpAsk ? CANCELED : first;
-            List<PgCodec.FromClient> queued = List.copyOf(waiting);
+            first = first instanceof ClientMessage.RequestQuery ? CANCELED : first;
+            List<ClientMessage> queued = List.copyOf(waiting);
             waiting.clear();
             lighter(waitingBytes);
             waitingBytes = 0;
-            queued.forEach(m -> queue(m instanceof PgCodec.OpAsk ? CANCELED : m));
+            queued.forEach(m -> queue(m instanceof ClientMessage.RequestQuery ? CANCELED : m));
             flush();
         }
 
         private void takeEarly() {
-            PgCodec.FromClient m = first;
+            ClientMessage m = first;
             first = null;
-            if (m instanceof PgCodec.OpAsk ask) {
+            if (m instanceof ClientMessage.RequestQuery ask) {
                 op(ask, firstAt);
             } else {
                 message(m);
@@ -624,35 +628,35 @@
             read();
         }
 
-        private void message(PgCodec.FromClient m) {
-            if (!ready && (m instanceof PgCodec.OpAsk || m instanceof PgCodec.EmptyAsk)) {
+        private void message(ClientMessage m) {
+            if (!ready && (m instanceof ClientMessage.RequestQuery || m instanceof ClientMessage.EmptyQuery)) {
                 first = m;
                 firstAt = cameAt();
                 early.add(this);
                 limits.asks(this); // it waits for an answer, and so makes way for nobody
-            } else if (m instanceof PgCodec.OpAsk ask && !skipping) {
+            } else if (m instanceof ClientMessage.RequestQuery ask && !skipping) {
                 op(ask, cameAt());
-            } else if (m instanceof PgCodec.Hello) {
+            } else if (m instanceof ClientMessage.Startup) {
                 limits.greeted(this);
-                put(PgCodec.welcome(process, secret));
-            } else if (m instanceof PgCodec.WantsCover) {
+                put(MessageWriter.startupResponse(process, secret));
+            } else if (m instanceof ClientMessage.EncryptionRequest) {
                 put(Buffer.buffer("N"));
-            } else if (m instanceof PgCodec.EmptyAsk && !skipping) {
-                put(PgCodec.emptyDone());
-            } else if (m instanceof PgCodec.Cancel c) {
+            } else if (m instanceof ClientMessage.EmptyQuery && !skipping) {
+                put(MessageWriter.emptyQueryResponse());
+            } else if (m instanceof ClientMessage.CancelRequest c) {
                 cancel(c);
                 close();
-            } else if (m instanceof PgCodec.Sync) {
+            } else if (m instanceof ClientMessage.Sync) {
                 skipping = false;
-                put(PgCodec.synced());
-            } else if (m instanceof PgCodec.NotSpoken n && !skipping) {
+                put(MessageWriter.readyForQuery());
+            } else if (m instanceof ClientMessage.UnsupportedMessage n && !skipping) {
                 skipping = n.untilSync();
-                put(PgCodec.problem("0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
+                put(MessageWriter.errorResponse("0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
             } else if ((m == TOO_MUCH || m == CANCELED) && !skipping) {
-                PgCodec.BadAsk not = (PgCodec.BadAsk) m;
+                ClientMessage.InvalidQuery not = (ClientMessage.InvalidQuery) m;
                 log.often("client's request not run", not.text());
                 refuse(not.code(), not.text(), false);
-            } else if (m instanceof PgCodec.BadAsk bad && (!skipping || bad.ends())) {
+            } else if (m instanceof ClientMessage.InvalidQuery bad && (!skipping || bad.ends())) {
                 bad(bad.code(), bad.text(), bad.ends());
             }
         }
@@ -672,7 +676,7 @@
             if (framingLost) {
                 stream.clear();
             }
-            queue(new PgCodec.BadAsk(code, why, true));
+            queue(new ClientMessage.InvalidQuery(code, why, true));
             take();
         }
 
@@ -686,7 +690,7 @@
         private void refuse(String code, String text, boolean ends) {
             deaf |= ends;
             Slot slot = new Slot();
-            slot.answer = PgCodec.problem(code, text, null, ends, !ends);
+            slot.answer = MessageWriter.errorResponse(code, text, null, ends, !ends);
             slot.ends = ends;
             slots.add(slot);
             flush();
@@ -699,8 +703,8 @@
             flush();
         }
 
-        private void op(PgCodec.OpAsk ask, long now) {
-            int type = terms.opTypes().indexOf(ask.type());
+        private void op(ClientMessage.RequestQuery ask, long now) {
+            int type = terms.opTypes().indexOf(ask.requestClass());
             int tenant = terms.tenants().isEmpty() ? 0 : terms.tenants().indexOf(ask.tenant());
             OpId op = new OpId(ask.id());
             if (type < 0 || tenant < 0) {
@@ -717,7 +721,7 @@
             Slot slot = new Slot();
             slot.op = op;
             slots.add(slot);
-            long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.waitMs() * 10));
+            long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.timeoutMs() * 10));
             long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
             taken.put(op, new Taken(ask, this, slot, lastResortMs));
             load += ask.text().length;
@@ -744,7 +748,7 @@
                 }
                 if (s.ends) {
                     for (int i = 0; i < behind && !closed; i++) {
-                        socket.write(PgCodec.problem(BUSY, "not run, this connection ends", null, false, true));
+                        socket.write(MessageWriter.errorResponse(BUSY, "not run, this connection ends", null, false, true));
                     }
                     close();
                 }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -1,5 +1,6 @@
 package ploverdale.net;
 
+import ploverdale.net.postgres.MessageWriter;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -305,7 +306,7 @@
         servers.send(a.op(), a.server(), left,
                 () -> clients.waits(t) && loop.mayReceive(a.server()) && (a.writeBy() == Long.MAX_VALUE
                         || time.changes() == changes && time.now() <= a.writeBy()),
-                waitMs -> PgCodec.ask(t.ask(), waitMs),
+                waitMs -> MessageWriter.request(t.ask(), waitMs),
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
--- a/gateway/src/main/java/ploverdale/net/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/RefusedConnection.java
@@ -1,5 +1,8 @@
 package ploverdale.net;
 
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetSocket;
@@ -15,16 +18,16 @@
     private static final int REQUESTS_MOST = 1000; // answered one by one
 
     private final NetSocket socket;
-    private final Consumer<PgCodec.Cancel> cancels;
+    private final Consumer<ClientMessage.CancelRequest> cancels;
     private final Runnable end;
-    private final PgCodec.ClientStream stream = new PgCodec.ClientStream();
+    private final ClientMessageReader stream = new ClientMessageReader();
     private boolean over;
 
     /**
      * @param cancels takes a cancel message, which needs no room
      * @param end ends the connection, in order, once all is written
      */
-    RefusedConnection(NetSocket socket, Consumer<PgCodec.Cancel> cancels, Runnable end) {
+    RefusedConnection(NetSocket socket, Consumer<ClientMessage.CancelRequest> cancels, Runnable end) {
         this.socket = socket;
         this.cancels = cancels;
         this.end = end;
@@ -48,12 +51,12 @@
 
     private void bytes(Buffer more) {
         stream.feed(more);
-        PgCodec.FromClient first = stream.next();
-        while (first instanceof PgCodec.WantsCover) {
+        ClientMessage first = stream.next();
+        while (first instanceof ClientMessage.EncryptionRequest) {
             socket.write(Buffer.buffer("N"));
             first = stream.next();
         }
-        if (first instanceof PgCodec.Cancel cancel) {
+        if (first instanceof ClientMessage.CancelRequest cancel) {
             over = true;
             cancels.accept(cancel);
             end.run();
@@ -64,11 +67,11 @@
 
     private int requestsBehind() {
         int requests = 0;
-        for (PgCodec.FromClient m = stream.next(); m != null && requests < REQUESTS_MOST; m = stream.next()) {
-            if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+        for (ClientMessage m = stream.next(); m != null && requests < REQUESTS_MOST; m = stream.next()) {
+            if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                 return requests;
             }
-            requests += m instanceof PgCodec.OpAsk || m instanceof PgCodec.EmptyAsk || m instanceof PgCodec.BadAsk ? 1 : 0;
+            requests += m instanceof ClientMessage.RequestQuery || m instanceof ClientMessage.EmptyQuery || m instanceof ClientMessage.InvalidQuery ? 1 : 0;
         }
         return requests;
     }
@@ -79,9 +82,9 @@
             return;
         }
         over = true;
-        socket.write(PgCodec.problem(TOO_MANY_CONNECTIONS, "too many connections", null, true, false));
+        socket.write(MessageWriter.errorResponse(TOO_MANY_CONNECTIONS, "too many connections", null, true, false));
         for (int i = 1; i < requests; i++) {
-            socket.write(PgCodec.problem(TOO_MANY_CONNECTIONS, "not run, too many connections", null, false, true));
+            socket.write(MessageWriter.errorResponse(TOO_MANY_CONNECTIONS, "not run, too many connections", null, false, true));
         }
         end.run();
     }
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -1,5 +1,7 @@
 package ploverdale.net;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
 import io.vertx.core.Vertx;
 import java.util.HashMap;
 import java.util.List;
@@ -246,7 +248,7 @@
     }
 
     /** A server has acked an op: what is to be known of that is copied, and its client answered, at once or then. */
-    void acked(OpId op, PgCodec.Row row, Report note, ServerId server) {
+    void acked(OpId op, ResultRow row, Report note, ServerId server) {
         InHand i = inHand.remove(op);
         if (i == null) {
             clients.acked(op, row);
@@ -274,11 +276,11 @@
         }
         if (i.claim != null) {
             asks((now, to) -> replicas.became(now, Replicas.key(false, op.text()), i.claim, Fate.ACKED,
-                    PgCodec.acked(row).getBytes(), left, i.waits, to), d -> copied(i, row, d));
+                    MessageWriter.resultRow(row).getBytes(), left, i.waits, to), d -> copied(i, row, d));
         }
     }
 
-    private void copied(InHand i, PgCodec.Row row, Done d) {
+    private void copied(InHand i, ResultRow row, Done d) {
         i.notCopied |= d.end() != End.COPIED;
         if (--i.copies > 0) {
             return;
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -1,5 +1,9 @@
 package ploverdale.net;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
@@ -34,7 +38,7 @@
     public enum Reach { NO_CONNECTION, NOT_WRITTEN, IN_DOUBT, WRITTEN }
 
     /** How a send ended. The row is there when it was acked; note and report may be null. */
-    public record AttemptEnd(Outcome outcome, Reach reach, PgCodec.Row row, Report note, Report report, long took) {}
+    public record AttemptEnd(Outcome outcome, Reach reach, ResultRow row, Report note, Report report, long took) {}
 
     /** Hears the outcome of a send or probe, once. */
     public interface Ear {
@@ -121,7 +125,7 @@
             timer = vertx.setTimer(Math.max(1, (limit + 9) / 10), x -> giveUp(this, Outcome.TIMED_OUT));
         }
 
-        private void end(Outcome outcome, PgCodec.Row row, Report note, Report report) {
+        private void end(Outcome outcome, ResultRow row, Report note, Report report) {
             if (over) {
                 return;
             }
@@ -251,7 +255,7 @@
      */
     public void probe(ServerId id, Ear ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Sending x = new Sending(null, s, terms.connectLimit(), () -> true, waitMs -> PgCodec.probe(terms.reportsInProbes()), ear);
+        Sending x = new Sending(null, s, terms.connectLimit(), () -> true, waitMs -> MessageWriter.healthCheck(terms.reportsInProbes()), ear);
         assign(s, x);
         if (x.on != null && x.on.rest >= LONG_IDLE) {
             vertx.setTimer(PROBE_PATIENCE_MS, y -> moveSilentProbe(x));
@@ -358,7 +362,7 @@
         private final Server server;
         private final InetSocketAddress address;
         private final Sending opener;
-        private final PgCodec.ServerStream stream = new PgCodec.ServerStream();
+        private final ServerMessageReader stream = new ServerMessageReader();
         private NetSocket socket;
         private boolean up;
         private boolean ready; // but what has come with the answer is not looked through yet
@@ -372,10 +376,10 @@
         private Sending sending;
         private int saidBeside;
         private final Map<String, String> told = new HashMap<>();
-        private PgCodec.Column column;
-        private PgCodec.Value value;
-        private PgCodec.Done done;
-        private PgCodec.Problem problem;
+        private ServerMessage.RowDescription column;
+        private ServerMessage.DataRow value;
+        private ServerMessage.CommandComplete done;
+        private ServerMessage.ErrorResponse problem;
         private long writtenAt;
 
         private Connection(Server server, Sending opener) {
@@ -407,13 +411,13 @@
                         lost("fault");
                     }
                 });
-                socket.write(PgCodec.hello()).onFailure(this::connect);
+                socket.write(MessageWriter.startup()).onFailure(this::connect);
             });
         }
 
         private void bytes(Buffer more) {
             stream.feed(more);
-            for (PgCodec.FromServer m = closed ? null : stream.next(); m != null; m = closed ? null : stream.next()) {
+            for (ServerMessage m = closed ? null : stream.next(); m != null; m = closed ? null : stream.next()) {
                 message(m);
             }
             if (ready && !closed) {
@@ -426,42 +430,42 @@
             }
         }
 
-        private void message(PgCodec.FromServer m) {
+        private void message(ServerMessage m) {
             // Guards against a server that says ever more and answers nothing, also on a connection that nobody uses.
-            boolean beside = m instanceof PgCodec.Aside || m instanceof PgCodec.Told;
+            boolean beside = m instanceof ServerMessage.Ignorable || m instanceof ServerMessage.ParameterStatus;
             if (beside && ++saidBeside > BESIDE_MOST) {
                 outOfOrder(BESIDE_MOST + " values and notices beside an answer");
-            } else if (m instanceof PgCodec.Garbled g) {
+            } else if (m instanceof ServerMessage.Malformed g) {
                 outOfOrder(g.what());
-            } else if (m instanceof PgCodec.Aside) {
+            } else if (m instanceof ServerMessage.Ignorable) {
                 return;
-            } else if (m instanceof PgCodec.Told t) {
+            } else if (m instanceof ServerMessage.ParameterStatus t) {
                 if (told.size() >= TOLD_MOST) {
                     outOfOrder(TOLD_MOST + " values told before an answer");
                 }
                 told.put(t.name(), t.value());
             } else if (!up) {
-                if (m instanceof PgCodec.Ready) {
+                if (m instanceof ServerMessage.ReadyForQuery) {
                     vertx.cancelTimer(openTimer);
                     up = true;
                     ready = true;
-                } else if (m instanceof PgCodec.Problem p) {
+                } else if (m instanceof ServerMessage.ErrorResponse p) {
                     lost("refused with " + p.code(), Outcome.NOT_CONNECTED);
-                } else if (!(m instanceof PgCodec.LetIn)) {
+                } else if (!(m instanceof ServerMessage.AuthenticationOk)) {
                     outOfOrder("an answer before any query");
                 }
             } else if (sending == null) {
                 // Guards against answers nobody asked for: they must not reach the next op.
                 outOfOrder("an answer without a query");
-            } else if (m instanceof PgCodec.Column c && column == null && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.RowDescription c && column == null && done == null && problem == null) {
                 column = c;
-            } else if (m instanceof PgCodec.Value v && column != null && value == null && done == null) {
+            } else if (m instanceof ServerMessage.DataRow v && column != null && value == null && done == null) {
                 value = v;
-            } else if (m instanceof PgCodec.Done d && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.CommandComplete d && done == null && problem == null) {
                 done = d;
-            } else if (m instanceof PgCodec.Problem p && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.ErrorResponse p && done == null && problem == null) {
                 problem = p;
-            } else if (m instanceof PgCodec.Ready r && (done != null || problem != null)) {
+            } else if (m instanceof ServerMessage.ReadyForQuery r && (done != null || problem != null)) {
                 mayClose = problem != null && TURNED_OFF.equals(problem.code());
                 finish();
                 ready = r.idle();
@@ -561,7 +565,7 @@
                 Report asked = terms.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
             } else {
-                x.end(Outcome.ACKED, new PgCodec.Row(column, value.bytes(), done.tag()), note, report);
+                x.end(Outcome.ACKED, new ResultRow(column, value.bytes(), done.tag()), note, report);
             }
         }
 
--- a/gateway/src/main/java/ploverdale/net/WarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUp.java
@@ -1,5 +1,11 @@
 package ploverdale.net;
 
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.VerticleBase;
@@ -111,46 +117,46 @@
                     return;
                 }
                 NetSocket s = r.result();
-                PgCodec.ServerStream stream = new PgCodec.ServerStream();
+                ServerMessageReader stream = new ServerMessageReader();
                 int[] ready = {0};
                 s.handler(b -> {
                     stream.feed(b);
-                    for (PgCodec.FromServer m = stream.next(); m != null; m = stream.next()) {
-                        if (m instanceof PgCodec.Ready && ++ready[0] == 2) { // the greeting and the op
+                    for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
+                        if (m instanceof ServerMessage.ReadyForQuery && ++ready[0] == 2) { // the greeting and the op
                             s.close();
                         }
                     }
                 });
                 s.closeHandler(x -> op(gateway, i + 1, all));
-                s.write(PgCodec.hello().appendBuffer(query(i)));
+                s.write(MessageWriter.startup().appendBuffer(query(i)));
             });
         }
 
         private Buffer query(int i) {
             int type = i % file.terms().opTypes().size();
             String tenant = file.terms().tenants().isEmpty() ? "" : ",t=" + file.terms().tenants().get(0);
-            return PgCodec.query("SELECT " + COLUMN + " FROM state WHERE uid = 'k" + i % 9 + "' /* id=" + i + ",c="
+            return MessageWriter.query("SELECT " + COLUMN + " FROM state WHERE uid = 'k" + i % 9 + "' /* id=" + i + ",c="
                     + file.terms().opTypes().get(type) + tenant + ",d=900,cluster=0 */");
         }
 
         /** The made-up server, which ends its connections so that opening them is practised, too. */
         private void serve(NetSocket s) {
-            PgCodec.ClientStream stream = new PgCodec.ClientStream();
+            ClientMessageReader stream = new ClientMessageReader();
             int[] answers = {0};
             s.handler(b -> {
                 stream.feed(b);
-                for (PgCodec.FromClient m = stream.next(); m != null; m = stream.next()) {
-                    if (m instanceof PgCodec.Hello) {
-                        s.write(PgCodec.welcome());
+                for (ClientMessage m = stream.next(); m != null; m = stream.next()) {
+                    if (m instanceof ClientMessage.Startup) {
+                        s.write(MessageWriter.startupResponse());
                         continue;
                     }
                     long now = clock.now() / 10; // the made-up server's wall clock is right
                     String vitals = "x0=" + now / 1000 + "." + (1000 + now % 1000 + "").substring(1) + ",x1=1,util=0.1";
                     Buffer answer = Buffer.buffer();
-                    PgCodec.told(answer, "rank", "source");
-                    PgCodec.told(answer, "as_of", Long.toString(now));
-                    PgCodec.told(answer, "vitals", vitals);
-                    s.write(answer.appendBuffer(PgCodec.acked(new PgCodec.Row(new PgCodec.Column(COLUMN, 0, (short) 0, 17,
+                    MessageWriter.parameterStatus(answer, "rank", "source");
+                    MessageWriter.parameterStatus(answer, "as_of", Long.toString(now));
+                    MessageWriter.parameterStatus(answer, "vitals", vitals);
+                    s.write(answer.appendBuffer(MessageWriter.resultRow(new ResultRow(new ServerMessage.RowDescription(COLUMN, 0, (short) 0, 17,
                             (short) -1, -1, (short) 1), vitals.getBytes(StandardCharsets.UTF_8), "SELECT 1"))));
                     if (++answers[0] == ANSWERS_A_CONNECTION) {
                         s.close();
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -0,0 +1,147 @@
+package ploverdale.net.postgres;
+
+import io.vertx.core.buffer.Buffer;
+import ploverdale.net.postgres.ClientMessage.CancelRequest;
+import ploverdale.net.postgres.ClientMessage.EncryptionRequest;
+import ploverdale.net.postgres.ClientMessage.InvalidQuery;
+import ploverdale.net.postgres.ClientMessage.Startup;
+import ploverdale.net.postgres.ClientMessage.Sync;
+import ploverdale.net.postgres.ClientMessage.Terminate;
+import ploverdale.net.postgres.ClientMessage.UnsupportedMessage;
+
+/** Decodes what one client writes. Used by the thread that owns the connection. */
+public final class ClientMessageReader {
+    /** The longest value that a request may carry or a server may answer, in bytes. */
+    public static final int MAX_VALUE_BYTES = 64 * 1024;
+
+    private static final int MAX_STARTUP_BYTES = 10_000;
+    private static final int MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 8 * 1024; // hex takes two characters a byte
+    private static final int MAX_SKIPPED_BYTES = 1024 * 1024; // a longer message ends the connection unread
+    private static final int MIN_STARTUP_BYTES = 8;
+    private static final int CANCEL_REQUEST_BYTES = 16;
+    private static final int HEADER_BYTES = 5; // type and length
+    private static final int SSL_REQUEST = 80877103;
+    private static final int GSS_ENCRYPTION_REQUEST = 80877104;
+    private static final int CANCEL_REQUEST = 80877102;
+    private static final int PROTOCOL_MAJOR_VERSION = 3;
+    private static final String MESSAGE_TYPES = "QXSPBDECHFdcfp";
+
+    private final FrameBuffer frames = new FrameBuffer();
+    private boolean greeted;
+
+    /** Adds bytes that were received. */
+    public void feed(Buffer more) {
+        frames.feed(more);
+    }
+
+    /** Whether the startup message has been read. */
+    public boolean greeted() {
+        return greeted;
+    }
+
+    /** Discards the bytes that are not decoded yet. */
+    public void clear() {
+        frames.drop(frames.size());
+    }
+
+    /** Number of bytes received and not decoded yet. */
+    public int held() {
+        return frames.size();
+    }
+
+    /**
+     * Skips the message at the head of the stream, which is incomplete or unacceptable; false, with nothing skipped, where its
+     * header is missing or its length cannot be believed, so that no later message can be found.
+     */
+    public boolean skipMessage() {
+        if (!greeted || !frames.skipped() || frames.size() < HEADER_BYTES) {
+            return false;
+        }
+        int length = frames.int32(1);
+        if (length < 4 || length > MAX_SKIPPED_BYTES) {
+            return false;
+        }
+        frames.skip(1 + length);
+        return true;
+    }
+
+    /** The next message, or null until more bytes have been received. */
+    public ClientMessage next() {
+        return greeted ? nextMessage() : nextStartup();
+    }
+
+    private ClientMessage nextStartup() {
+        if (frames.size() < 4) {
+            return null;
+        }
+        int length = frames.int32(0);
+        if (length < MIN_STARTUP_BYTES || length > MAX_STARTUP_BYTES) {
+            return new InvalidQuery("08P01", "a first message of " + length + " bytes", true);
+        }
+        if (frames.size() < length) {
+            return null;
+        }
+        int code = frames.int32(4);
+        if (code == CANCEL_REQUEST) {
+            return cancelRequest(length);
+        }
+        frames.drop(length);
+        if (code == SSL_REQUEST || code == GSS_ENCRYPTION_REQUEST) {
+            return new EncryptionRequest();
+        }
+        greeted = code >> 16 == PROTOCOL_MAJOR_VERSION;
+        if (greeted) {
+            return new Startup();
+        }
+        return new InvalidQuery("0A000", "protocol " + (code >> 16) + "." + (code & 0xffff) + " is not spoken", true);
+    }
+
+    private ClientMessage cancelRequest(int length) {
+        ClientMessage request = length == CANCEL_REQUEST_BYTES
+                ? new CancelRequest(frames.int32(8), frames.int32(12))
+                : new Terminate();
+        frames.drop(length);
+        return request;
+    }
+
+    private ClientMessage nextMessage() {
+        if (!frames.skipped() || frames.size() < HEADER_BYTES) {
+            return null;
+        }
+        char type = (char) frames.int8(0);
+        int length = frames.int32(1);
+        if (MESSAGE_TYPES.indexOf(type) < 0) {
+            return new InvalidQuery("08P01", "an unknown message type " + (int) type, true);
+        }
+        if (length < 4 || length > MAX_SKIPPED_BYTES) {
+            return new InvalidQuery("08P01", "a message of " + length + " bytes", true);
+        }
+        if (type != 'Q') {
+            frames.skip(1 + length);
+            return withoutQuery(type);
+        }
+        if (length > MAX_QUERY_BYTES) {
+            frames.skip(1 + length);
+            return new InvalidQuery("54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
+        }
+        return frames.size() < 1 + length ? null : query(length);
+    }
+
+    private static ClientMessage withoutQuery(char type) {
+        return switch (type) {
+            case 'X' -> new Terminate();
+            case 'S' -> new Sync();
+            default -> new UnsupportedMessage(type != 'F');
+        };
+    }
+
+    private ClientMessage query(int length) {
+        byte[] text = frames.bytes(HEADER_BYTES, Math.max(0, length - HEADER_BYTES));
+        boolean complete = length >= HEADER_BYTES && frames.int8(length) == 0;
+        frames.drop(1 + length);
+        if (!complete) {
+            return new InvalidQuery("08P01", "a query without its closing zero", false);
+        }
+        return RequestQueryParser.parse(text);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -0,0 +1,130 @@
+package ploverdale.net.postgres;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import io.vertx.core.buffer.Buffer;
+
+/** Encodes what is written to clients and to database servers. */
+public final class MessageWriter {
+    private static final int PROTOCOL_VERSION = 3 << 16;
+
+    private MessageWriter() {}
+
+    /** To a client: the answer to its startup message, with a BackendKeyData that no cancel request is matched with. */
+    public static Buffer startupResponse() {
+        return startupResponse(0, 0);
+    }
+
+    /** To a client: the answer to its startup message; a cancel request names the connection by these two numbers. */
+    public static Buffer startupResponse(int process, int secret) {
+        Buffer buffer = Buffer.buffer(128);
+        buffer.appendByte((byte) 'R').appendInt(8).appendInt(0);
+        parameterStatus(buffer, "server_version", "15.0");
+        parameterStatus(buffer, "client_encoding", "UTF8");
+        parameterStatus(buffer, "standard_conforming_strings", "on");
+        buffer.appendByte((byte) 'K').appendInt(12).appendInt(process).appendInt(secret);
+        return readyForQuery(buffer);
+    }
+
+    /** Appends a ParameterStatus message of ASCII text. */
+    public static void parameterStatus(Buffer buffer, String name, String value) {
+        buffer.appendByte((byte) 'S').appendInt(6 + name.length() + value.length());
+        buffer.appendString(name).appendByte((byte) 0);
+        buffer.appendString(value).appendByte((byte) 0);
+    }
+
+    private static Buffer readyForQuery(Buffer buffer) {
+        return buffer.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
+    }
+
+    /** To a client: the answer to a Sync. */
+    public static Buffer readyForQuery() {
+        return readyForQuery(Buffer.buffer(6));
+    }
+
+    /** To a client: the answer to an empty query. */
+    public static Buffer emptyQueryResponse() {
+        return readyForQuery(Buffer.buffer(11).appendByte((byte) 'I').appendInt(4));
+    }
+
+    /** To a client: the row as the database server gave it. */
+    public static Buffer resultRow(ResultRow row) {
+        int size = row.value() == null ? 0 : row.value().length;
+        byte[] name = row.column().name().getBytes(UTF_8);
+        byte[] tag = row.tag().getBytes(UTF_8);
+        Buffer buffer = Buffer.buffer(size + name.length + tag.length + 64);
+        buffer.appendByte((byte) 'T').appendInt(6 + name.length + 19).appendShort((short) 1);
+        buffer.appendBytes(name).appendByte((byte) 0);
+        buffer.appendInt(row.column().table()).appendShort(row.column().number());
+        buffer.appendInt(row.column().type()).appendShort(row.column().size());
+        buffer.appendInt(row.column().modifier()).appendShort(row.column().format());
+        buffer.appendByte((byte) 'D').appendInt(10 + size).appendShort((short) 1);
+        buffer.appendInt(row.value() == null ? -1 : size);
+        if (row.value() != null) {
+            buffer.appendBytes(row.value());
+        }
+        buffer.appendByte((byte) 'C').appendInt(5 + tag.length).appendBytes(tag).appendByte((byte) 0);
+        return readyForQuery(buffer);
+    }
+
+    /**
+     * To a client: an ErrorResponse.
+     *
+     * @param detail may be null
+     * @param ends whether the connection ends with it
+     * @param ready whether ReadyForQuery follows
+     */
+    public static Buffer errorResponse(String code, String text, String detail, boolean ends, boolean ready) {
+        String severity = ends ? "FATAL" : "ERROR";
+        Buffer fields = Buffer.buffer(128);
+        appendField(fields, 'S', severity);
+        appendField(fields, 'V', severity);
+        appendField(fields, 'C', code);
+        appendField(fields, 'M', text);
+        if (detail != null) {
+            appendField(fields, 'D', detail);
+        }
+        fields.appendByte((byte) 0);
+        Buffer buffer = Buffer.buffer(fields.length() + 16);
+        buffer.appendByte((byte) 'E').appendInt(4 + fields.length()).appendBuffer(fields);
+        return ready ? readyForQuery(buffer) : buffer;
+    }
+
+    private static void appendField(Buffer fields, char type, String value) {
+        fields.appendByte((byte) type).appendString(value).appendByte((byte) 0);
+    }
+
+    /** To a server: the startup message. */
+    public static Buffer startup() {
+        Buffer buffer = Buffer.buffer(48);
+        buffer.appendInt(0).appendInt(PROTOCOL_VERSION);
+        for (String text : new String[] {"user", "client", "database", "core"}) {
+            buffer.appendString(text).appendByte((byte) 0);
+        }
+        buffer.appendByte((byte) 0);
+        return buffer.setInt(0, buffer.length());
+    }
+
+    /** To a server: the request's statement as it came, but for the time that the server has for it. */
+    public static Buffer request(ClientMessage.RequestQuery query, long timeoutMs) {
+        byte[] timeout = Long.toString(timeoutMs).getBytes(UTF_8);
+        int size = query.text().length - (query.timeoutTo() - query.timeoutFrom()) + timeout.length;
+        Buffer buffer = Buffer.buffer(size + 6);
+        buffer.appendByte((byte) 'Q').appendInt(size + 5);
+        buffer.appendBytes(query.text(), 0, query.timeoutFrom()).appendBytes(timeout);
+        buffer.appendBytes(query.text(), query.timeoutTo(), query.text().length - query.timeoutTo());
+        return buffer.appendByte((byte) 0);
+    }
+
+    /** To a server: a health check, which asks for the load report where there is one. */
+    public static Buffer healthCheck(boolean forReport) {
+        return query(forReport ? "SHOW vitals" : "SELECT 1");
+    }
+
+    /** To a server: a query with this text. */
+    public static Buffer query(String text) {
+        byte[] bytes = text.getBytes(UTF_8);
+        Buffer buffer = Buffer.buffer(bytes.length + 6);
+        return buffer.appendByte((byte) 'Q').appendInt(5 + bytes.length).appendBytes(bytes).appendByte((byte) 0);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
@@ -0,0 +1,179 @@
+package ploverdale.net.postgres;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import java.util.HashMap;
+import java.util.Map;
+import ploverdale.net.postgres.ClientMessage.EmptyQuery;
+import ploverdale.net.postgres.ClientMessage.InvalidQuery;
+import ploverdale.net.postgres.ClientMessage.RequestQuery;
+
+/** Parses the one statement of a query and the comment behind it, which describes the request. */
+final class RequestQueryParser {
+    private static final String[] REQUIRED_FIELDS = {"id", "c", "d"};
+    private static final double MAX_TIMEOUT_MS = 1e9;
+    private static final int MAX_NUMBER_LENGTH = 24;
+    private static final String NUMBER_CHARACTERS = "0123456789.-";
+
+    private final byte[] text;
+    private final Map<String, String> fields = new HashMap<>();
+    private int commentFrom = -1;
+    private int commentTo = -1;
+    private int timeoutFrom = -1;
+    private int timeoutTo = -1;
+    private String key;
+    private boolean hasStatement;
+    private boolean statementEnded;
+    private InvalidQuery invalid;
+
+    private RequestQueryParser(byte[] text) {
+        this.text = text;
+    }
+
+    static ClientMessage parse(byte[] text) {
+        RequestQueryParser parser = new RequestQueryParser(text);
+        parser.scanStatement();
+        if (parser.invalid != null) {
+            return parser.invalid;
+        }
+        return parser.hasStatement ? parser.requestQuery() : new EmptyQuery();
+    }
+
+    private void scanStatement() {
+        for (int i = 0; i < text.length && invalid == null; i++) {
+            byte b = text[i];
+            if (b == '/' && i + 1 < text.length && text[i + 1] == '*') {
+                i = scanComment(i);
+            } else if (b == 0) {
+                invalid = new InvalidQuery("42601", "a zero byte within a query", false);
+            } else if (b == ';') {
+                statementEnded = hasStatement;
+            } else if (b > ' ' || b < 0) {
+                i = scanStatementByte(i);
+            }
+        }
+    }
+
+    /** Returns the index of the last byte that belongs to what begins at the given index. */
+    private int scanStatementByte(int from) {
+        if (statementEnded) {
+            invalid = new InvalidQuery("42601", "more than one statement in a query", false);
+        }
+        hasStatement = true;
+        byte b = text[from];
+        return b == '\'' || b == '"' ? scanQuoted(from, b) : from;
+    }
+
+    private int scanComment(int from) {
+        int end = from + 2;
+        while (end + 1 < text.length && !(text[end] == '*' && text[end + 1] == '/')) {
+            end++;
+        }
+        if (end + 1 >= text.length) {
+            invalid = new InvalidQuery("42601", "a comment that does not end", false);
+            return text.length;
+        }
+        commentFrom = from + 2;
+        commentTo = end;
+        return end + 1;
+    }
+
+    private int scanQuoted(int from, byte quote) {
+        int end = from + 1;
+        while (end < text.length && (text[end] != quote || end + 1 < text.length && text[end + 1] == quote)) {
+            end += text[end] == quote ? 2 : 1;
+        }
+        int length = end - from - 1;
+        boolean hex = end - from > 2 && text[from + 1] == '\\' && text[from + 2] == 'x';
+        int maxLength = hex ? 2 + 2 * ClientMessageReader.MAX_VALUE_BYTES : ClientMessageReader.MAX_VALUE_BYTES;
+        if (end >= text.length) {
+            invalid = new InvalidQuery("42601", "a quoted text that does not end", false);
+        } else if (length > maxLength) {
+            invalid = new InvalidQuery("54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
+        } else if (quote == '\'' && !hex && key == null) {
+            key = new String(text, from + 1, length, UTF_8);
+        }
+        return end;
+    }
+
+    private ClientMessage requestQuery() {
+        if (commentFrom < 0) {
+            return new InvalidQuery("42601", "a query without the comment that names its op", false);
+        }
+        parseComment();
+        for (String name : REQUIRED_FIELDS) {
+            if (fields.getOrDefault(name, "").isEmpty()) {
+                return new InvalidQuery("22023", "a comment without " + name, false);
+            }
+        }
+        double timeoutMs = number(fields.get("d"));
+        double group = number(fields.getOrDefault("cluster", "0"));
+        double after = number(fields.getOrDefault("after", "0"));
+        if (Double.isNaN(timeoutMs) || Double.isNaN(group) || Double.isNaN(after)) {
+            return new InvalidQuery("22023", "a number that is none", false);
+        }
+        if (timeoutMs <= 0 || timeoutMs > MAX_TIMEOUT_MS) {
+            return new InvalidQuery("22023", "a wait of " + timeoutMs + " ms", false);
+        }
+        return new RequestQuery(
+                fields.get("id"),
+                fields.get("c"),
+                fields.getOrDefault("t", ""),
+                (long) group,
+                key,
+                timeoutMs,
+                fields.getOrDefault("r", "0").equals("1"),
+                (long) after,
+                text,
+                timeoutFrom,
+                timeoutTo);
+    }
+
+    private void parseComment() {
+        int from = commentFrom;
+        while (from < commentTo) {
+            int end = from;
+            while (end < commentTo && text[end] != ',') {
+                end++;
+            }
+            parseField(from, end);
+            from = end + 1;
+        }
+    }
+
+    private void parseField(int begin, int end) {
+        int from = begin;
+        while (from < end && text[from] == ' ') {
+            from++;
+        }
+        int to = end;
+        while (to > from && text[to - 1] == ' ') {
+            to--;
+        }
+        int equals = begin;
+        while (equals < end && text[equals] != '=') {
+            equals++;
+        }
+        if (equals <= from || equals >= to) {
+            return;
+        }
+        String name = new String(text, from, equals - from, UTF_8);
+        fields.put(name, new String(text, equals + 1, to - equals - 1, UTF_8));
+        if (name.equals("d")) {
+            timeoutFrom = equals + 1;
+            timeoutTo = to;
+        }
+    }
+
+    private static double number(String text) {
+        boolean plain = !text.isEmpty() && text.length() < MAX_NUMBER_LENGTH;
+        for (int i = 0; plain && i < text.length(); i++) {
+            plain = NUMBER_CHARACTERS.indexOf(text.charAt(i)) >= 0;
+        }
+        try {
+            return plain ? Double.parseDouble(text) : Double.NaN;
+        } catch (NumberFormatException e) {
+            return Double.NaN;
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
@@ -0,0 +1,105 @@
+package ploverdale.net.postgres;
+
+import io.vertx.core.buffer.Buffer;
+import ploverdale.net.postgres.ServerMessage.AuthenticationOk;
+import ploverdale.net.postgres.ServerMessage.CommandComplete;
+import ploverdale.net.postgres.ServerMessage.DataRow;
+import ploverdale.net.postgres.ServerMessage.ErrorResponse;
+import ploverdale.net.postgres.ServerMessage.Ignorable;
+import ploverdale.net.postgres.ServerMessage.Malformed;
+import ploverdale.net.postgres.ServerMessage.ParameterStatus;
+import ploverdale.net.postgres.ServerMessage.ReadyForQuery;
+import ploverdale.net.postgres.ServerMessage.RowDescription;
+
+/** Decodes what one database server writes. Used by the thread that owns the connection. */
+public final class ServerMessageReader {
+    private static final int MAX_MESSAGE_BYTES = ClientMessageReader.MAX_VALUE_BYTES + 8 * 1024;
+    private static final int HEADER_BYTES = 5; // type and length
+
+    private final FrameBuffer frames = new FrameBuffer();
+
+    /** Adds bytes that were received. */
+    public void feed(Buffer more) {
+        frames.feed(more);
+    }
+
+    /** Number of bytes received and not decoded yet. */
+    public int held() {
+        return frames.size();
+    }
+
+    /** The next message, or null until more bytes have been received. */
+    public ServerMessage next() {
+        if (frames.size() < HEADER_BYTES) {
+            return null;
+        }
+        char type = (char) frames.int8(0);
+        int length = frames.int32(1);
+        if (length < 4 || length > MAX_MESSAGE_BYTES) {
+            return new Malformed("a message of " + length + " bytes");
+        }
+        if (frames.size() < 1 + length) {
+            return null;
+        }
+        byte[] body = frames.bytes(HEADER_BYTES, length - 4);
+        frames.drop(1 + length);
+        return message(type, new MessageFields(body));
+    }
+
+    private static ServerMessage message(char type, MessageFields fields) {
+        ServerMessage message = decode(type, fields);
+        if (fields.truncated()) {
+            return new Malformed("a message of type " + type + " cut short");
+        }
+        // A value that was cut by a spoilt length looks complete but for the bytes that are left behind it.
+        if (!(message instanceof Ignorable) && fields.remaining() > 0) {
+            return new Malformed("a message of type " + type + " longer than its fields");
+        }
+        return message;
+    }
+
+    private static ServerMessage decode(char type, MessageFields fields) {
+        return switch (type) {
+            case 'R' -> fields.int32() == 0 ? new AuthenticationOk() : new Malformed("a password asked for");
+            case 'S' -> new ParameterStatus(fields.text(), fields.text());
+            case 'T' -> rowDescription(fields);
+            case 'D' -> fields.int16() == 1
+                    ? new DataRow(fields.sizedBytes())
+                    : new Malformed("a row that has not one value");
+            case 'C' -> new CommandComplete(fields.text());
+            case 'E' -> errorResponse(fields);
+            case 'Z' -> new ReadyForQuery(fields.int8() == 'I');
+            case 'N', 'K', 'A' -> new Ignorable();
+            case 'I' -> new CommandComplete("");
+            default -> new Malformed("a message of type " + (int) type);
+        };
+    }
+
+    private static ServerMessage rowDescription(MessageFields fields) {
+        if (fields.int16() != 1) {
+            return new Malformed("a row that has not one column");
+        }
+        return new RowDescription(
+                fields.text(),
+                fields.int32(),
+                fields.int16(),
+                fields.int32(),
+                fields.int16(),
+                fields.int32(),
+                fields.int16());
+    }
+
+    private static ServerMessage errorResponse(MessageFields fields) {
+        String code = "";
+        String text = "";
+        for (int field = fields.int8(); field != 0 && !fields.truncated(); field = fields.int8()) {
+            String value = fields.text();
+            if (field == 'C') {
+                code = value;
+            } else if (field == 'M') {
+                text = value;
+            }
+        }
+        return new ErrorResponse(code, text);
+    }
+}
--- a/gateway/src/main/java/ploverdale/toy/ToyClient.java
+++ b/gateway/src/main/java/ploverdale/toy/ToyClient.java
@@ -1,5 +1,8 @@
 package ploverdale.toy;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import io.vertx.core.Future;
@@ -13,7 +16,6 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import ploverdale.net.PgCodec;
 
 /**
  * Owns one connection to a gateway and asks queries on it, one after another, for a first try of the gateway.
@@ -21,7 +23,7 @@
  */
 public final class ToyClient {
     private final NetSocket socket;
-    private final PgCodec.ServerStream stream = new PgCodec.ServerStream();
+    private final ServerMessageReader stream = new ServerMessageReader();
     private final Deque<Promise<String>> waiting = new ArrayDeque<>();
     private final StringBuilder answer = new StringBuilder();
 
@@ -33,7 +35,7 @@
         waiting.add(Promise.promise());
         socket.handler(this::bytes);
         socket.closeHandler(x -> waiting.forEach(p -> p.tryFail("the gateway closed the connection")));
-        socket.write(PgCodec.hello());
+        socket.write(MessageWriter.startup());
     }
 
     /** Connects and greets. */
@@ -54,24 +56,24 @@
     public Future<String> ask(String text) {
         Promise<String> p = Promise.promise();
         waiting.add(p);
-        socket.write(PgCodec.query(text));
+        socket.write(MessageWriter.query(text));
         return p.future();
     }
 
     private void bytes(Buffer more) {
         stream.feed(more);
-        for (PgCodec.FromServer m = stream.next(); m != null; m = stream.next()) {
-            if (m instanceof PgCodec.Value v) {
+        for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
+            if (m instanceof ServerMessage.DataRow v) {
                 answer.append("row ").append(v.bytes() == null ? "null" : new String(v.bytes(), UTF_8)).append("; ");
-            } else if (m instanceof PgCodec.Done d) {
+            } else if (m instanceof ServerMessage.CommandComplete d) {
                 answer.append(d.tag().isEmpty() ? "empty" : d.tag());
-            } else if (m instanceof PgCodec.Problem p) {
+            } else if (m instanceof ServerMessage.ErrorResponse p) {
                 answer.append("refused or failed: ").append(p.code()).append(' ').append(p.text());
-            } else if (m instanceof PgCodec.Garbled g) {
+            } else if (m instanceof ServerMessage.Malformed g) {
                 waiting.poll().tryFail("cannot be read: " + g.what());
                 socket.close();
                 return;
-            } else if (m instanceof PgCodec.Ready) {
+            } else if (m instanceof ServerMessage.ReadyForQuery) {
                 Promise<String> p = waiting.poll();
                 String text = answer.toString();
                 answer.setLength(0);
--- a/gateway/src/main/java/ploverdale/toy/ToyServers.java
+++ b/gateway/src/main/java/ploverdale/toy/ToyServers.java
@@ -1,5 +1,6 @@
 package ploverdale.toy;
 
+import ploverdale.net.postgres.MessageWriter;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import io.vertx.core.Future;
@@ -16,7 +17,6 @@
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
 import ploverdale.net.GatewayFile;
-import ploverdale.net.PgCodec;
 
 /**
  * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
@@ -129,8 +129,8 @@
         String vitals = "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0)
                 + ",busy=0.1";
         Buffer b = Buffer.buffer();
-        PgCodec.told(b, "rank", primary ? "source" : "copy");
-        PgCodec.told(b, "vitals", vitals);
+        MessageWriter.parameterStatus(b, "rank", primary ? "source" : "copy");
+        MessageWriter.parameterStatus(b, "vitals", vitals);
         Matcher quoted = QUOTED.matcher(text);
         String key = quoted.find() ? quoted.group(1) : "";
         if (text.startsWith("SHOW")) {
@@ -140,7 +140,7 @@
             return row(b, "1".getBytes(ISO_8859_1), "SELECT 1");
         }
         if (text.startsWith("SELECT")) {
-            PgCodec.told(b, "as_of", Long.toString(now));
+            MessageWriter.parameterStatus(b, "as_of", Long.toString(now));
             return row(b, bytes(table.getOrDefault(key, "")), "SELECT 1");
         }
         if (!primary) {
@@ -149,7 +149,7 @@
         String value = quoted.find() ? quoted.group(1) : "";
         table.put(key, value);
         writtenAt = now;
-        PgCodec.told(b, "as_of", Long.toString(writtenAt));
+        MessageWriter.parameterStatus(b, "as_of", Long.toString(writtenAt));
         return row(b, bytes(value), "INSERT 0 1");
     }
 
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -18,7 +19,6 @@
 import ploverdale.AttemptRecorder.Arrival;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
-import ploverdale.net.PgCodec;
 
 /** No attempt begins later than the grace after its client closed or cancelled, whatever the request waits for by then. */
 @Timeout(120)
@@ -48,7 +48,7 @@
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
-            write(PgCodec.hello());
+            write(MessageWriter.startup());
             DataInputStream in = new DataInputStream(socket.getInputStream());
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 int length = in.readInt();
@@ -68,7 +68,7 @@
         }
 
         LeavingClient ask(String text) throws IOException {
-            return write(PgCodec.query(text));
+            return write(MessageWriter.query(text));
         }
 
         /** Leaves; returns the time by the monotonic clock. */
@@ -147,7 +147,7 @@
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 3 * IN_HAND_MOST; i++) {
-                    all.appendBuffer(PgCodec.query(net.op("order")));
+                    all.appendBuffer(MessageWriter.query(net.op("order")));
                 }
                 client.write(all);
                 List<Arrival> inHand = recorder.await(IN_HAND_MOST);
@@ -176,7 +176,7 @@
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 200; i++) { // 1.8 MB, taken by the systems on the way
-                    all.appendBuffer(PgCodec.query(longStatement(net)));
+                    all.appendBuffer(MessageWriter.query(longStatement(net)));
                 }
                 client.write(all);
                 List<Arrival> inHand = recorder.await(IN_HAND_MOST);
@@ -332,7 +332,7 @@
         try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
-            Buffer both = PgCodec.query(net.op("order")).appendBuffer(PgCodec.query(net.op("no such type")));
+            Buffer both = MessageWriter.query(net.op("order")).appendBuffer(MessageWriter.query(net.op("no such type")));
             net.pauseWhileReading(() -> client.write(both));
             long leftAt = System.nanoTime();
             Thread leaves = new Thread(() -> leaveAll(List.of(client), how));
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -200,7 +201,7 @@
             net.client(); // greeted behind those, so they have been let in
             net.pauseBeforeTimers(() -> net.renew(64)); // 20 without a greeting are too many then
             for (Client c : strangers) {
-                c.write(ploverdale.net.PgCodec.hello()).ask(net.op("order"));
+                c.write(MessageWriter.startup()).ask(net.op("order"));
             }
             Thread.sleep(400); // the pause itself
             net.goOn();
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -1,5 +1,8 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -54,7 +57,6 @@
 import ploverdale.model.ZoneId;
 import ploverdale.net.Gateway;
 import ploverdale.net.GatewayFile;
-import ploverdale.net.PgCodec;
 
 /**
  * Stands in for the module's surroundings; the clock moves only when a story says so. Times in milliseconds. Its
@@ -388,7 +390,7 @@
                     continue;
                 }
                 open.add(c);
-                c.write(PgCodec.hello().appendBuffer(PgCodecTest.query(text)));
+                c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(text)));
                 assertThat(c.answer()).isEqualTo("ready");
                 assertThat(ready).as(this::log).isNotDone();
                 ready.thenAccept(g -> gateway = g);
@@ -632,17 +634,17 @@
 
         Buffer answer(byte[] value) {
             Buffer b = Buffer.buffer();
-            PgCodec.told(b, "rank", at.primary ? "source" : "copy");
+            MessageWriter.parameterStatus(b, "rank", at.primary ? "source" : "copy");
             if (at.vitals == null) {
-                PgCodec.told(b, "as_of", Long.toString(System.currentTimeMillis()));
+                MessageWriter.parameterStatus(b, "as_of", Long.toString(System.currentTimeMillis()));
             }
-            PgCodec.told(b, "vitals", at.report());
-            return b.appendBuffer(PgCodec.acked(new PgCodec.Row(
-                    new PgCodec.Column("val", 0, (short) 0, 17, (short) -1, -1, (short) 1), value, "SELECT 1")));
+            MessageWriter.parameterStatus(b, "vitals", at.report());
+            return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
+                    new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1), value, "SELECT 1")));
         }
 
         void problem(String code) throws IOException {
-            Server.write(socket, PgCodec.problem(code, "no", null, false, true), false);
+            Server.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
         }
 
         void reset() throws IOException {
@@ -724,7 +726,7 @@
         }
 
         Client greeted() throws IOException {
-            write(PgCodec.hello());
+            write(MessageWriter.startup());
             assertThat(answer()).isEqualTo("ready");
             return this;
         }
@@ -735,7 +737,7 @@
         }
 
         Client ask(String text) throws IOException {
-            return write(PgCodecTest.query(text));
+            return write(MessageWriter.query(text));
         }
 
         /** Reads to the end: "end" where it is one in order, "reset" else. */
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -1,5 +1,8 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -80,11 +83,11 @@
     void theFirstQueryMayComeRightBehindTheGreetingAndQueriesAreAnsweredInTheirOrder() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = new Client(net.gateway.port());
-            c.write(PgCodecTest.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
+            c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
             assertThat(c.answer()).startsWith("08P01");
             c = new Client(net.gateway.port());
-            c.write(ploverdale.net.PgCodec.hello().appendBuffer(PgCodecTest.query(net.op("order")))
-                    .appendBuffer(PgCodecTest.query(net.op("order"))).appendBuffer(PgCodecTest.query(" ;")));
+            c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.op("order")))
+                    .appendBuffer(MessageWriter.query(net.op("order"))).appendBuffer(MessageWriter.query(" ;")));
             assertThat(c.answer()).isEqualTo("ready");
             Got one = net.servers.get("p").next();
             Got other = net.servers.get("p").next();
@@ -270,12 +273,12 @@
     void aSpoiltAnswerIsNoneWhateverItBeginsWith() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = net.client();
-            Buffer cut = Buffer.buffer().appendBuffer(ploverdale.net.PgCodec.acked(new ploverdale.net.PgCodec.Row(
-                    new ploverdale.net.PgCodec.Column("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+            Buffer cut = Buffer.buffer().appendBuffer(MessageWriter.resultRow(new ResultRow(
+                    new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
                     new byte[] {1, 2, 3}, "SELECT 1")));
             int value = 1 + cut.getInt(1) + 7;
             cut.setInt(value, 2); // says that the value is shorter than its message
-            Buffer full = ploverdale.net.PgCodec.problem("53300", "full", null, false, false);
+            Buffer full = MessageWriter.errorResponse("53300", "full", null, false, false);
             for (Buffer b : List.of(cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
                 c.ask(net.op("order"));
                 Got g = net.servers.get("p").next();
@@ -404,7 +407,7 @@
             boolean away = false;
             for (int i = 0; i < 64 && !away; i++) {
                 Client c = new Client(net.gateway.port());
-                c.write(ploverdale.net.PgCodec.hello());
+                c.write(MessageWriter.startup());
                 String greeting = c.answer();
                 away = greeting.equals("53300 closed");
                 if (!away) {
@@ -428,7 +431,7 @@
             net.logged("no room for a connection");
             String greeting = "53300 closed";
             while (greeting.equals("53300 closed")) { // until those that were answered have been idle for a moment
-                Client c = new Client(net.gateway.port()).write(ploverdale.net.PgCodec.hello());
+                Client c = new Client(net.gateway.port()).write(MessageWriter.startup());
                 greeting = c.answer();
                 if (greeting.equals("ready")) {
                     assertThat(c.ask(net.op("order")).answer()).isEqualTo(ROW_7);
@@ -444,7 +447,7 @@
             net.servers.values().forEach(x -> x.value = new byte[60_000]);
             List<Client> all = new ArrayList<>();
             for (int i = 0; i < 28; i++) {
-                all.add(new Client(net.gateway.port()).write(ploverdale.net.PgCodec.hello()));
+                all.add(new Client(net.gateway.port()).write(MessageWriter.startup()));
             }
             for (Client c : all) {
                 assertThat(c.answer()).isEqualTo("ready");
@@ -475,7 +478,7 @@
             assertThat(net.read(later)).isEqualTo(ROW_7);
             net.logged("planned restart: idle connections end");
             Client last = new Client(net.gateway.port());
-            last.write(ploverdale.net.PgCodec.hello().appendBuffer(PgCodecTest.query(net.op("page"))));
+            last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.op("page"))));
             assertThat(List.of(last.answer(), last.answer(), last.answer())).containsExactly("ready", ROW_7, "closed");
             assertThat(idle.answer()).isEqualTo("closed");
             assertThat(ended.getCount()).isEqualTo(1);
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -9,7 +10,6 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Net;
-import ploverdale.net.PgCodec;
 
 /** What crosses the last moment of a graceful shutdown is answered, or left unread. */
 @Timeout(120)
@@ -49,7 +49,7 @@
             net.servers.get("p").writes = true;
             ends(net, 0);
             try (Client late = new Client(net.gateway.port())) {
-                late.write(PgCodec.hello()).ask(net.op("order", 300));
+                late.write(MessageWriter.startup()).ask(net.op("order", 300));
                 Thread.sleep(300); // in which it would be answered
                 assertThat(late.hasAnswer()).as(net::log).isFalse();
             }
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -65,7 +66,7 @@
         private void sendsOn() {
             while (true) {
                 try (Client client = new Client(port)) {
-                    client.write(ploverdale.net.PgCodec.hello());
+                    client.write(MessageWriter.startup());
                     if (client.answer().equals("ready")) {
                         asksUntilItEnds(client);
                     }
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -13,7 +14,6 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
-import ploverdale.net.PgCodec;
 
 /** Clients that stop in the middle of something and stay connected: each is owed an error or a close within 3 s. */
 @Timeout(120)
@@ -28,17 +28,17 @@
         CONNECTED(Buffer.buffer()),
         PART_OF_A_LENGTH(Buffer.buffer().appendByte((byte) 0).appendByte((byte) 0)),
         LENGTH_OF_A_STARTUP(Buffer.buffer().appendInt(40)),
-        HALF_A_STARTUP(firstHalf(PgCodec.hello())),
+        HALF_A_STARTUP(firstHalf(MessageWriter.startup())),
         SSL_REQUESTED(Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST)),
         HALF_AN_SSL_REQUEST(Buffer.buffer().appendInt(8).appendShort((short) 1234)),
         SSL_REQUESTED_AND_HALF_A_STARTUP(
-                Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST).appendBuffer(firstHalf(PgCodec.hello()))),
+                Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST).appendBuffer(firstHalf(MessageWriter.startup()))),
         HALF_A_CANCEL_REQUEST(Buffer.buffer().appendInt(16).appendInt(CANCEL_REQUEST).appendInt(1)),
-        TYPE_OF_A_QUERY(PgCodec.hello().appendByte((byte) 'Q')),
-        PART_OF_A_QUERY_LENGTH(PgCodec.hello().appendByte((byte) 'Q').appendShort((short) 0)),
-        HALF_A_QUERY(PgCodec.hello().appendBuffer(firstHalf(PgCodecTest.query("SELECT 1")))),
+        TYPE_OF_A_QUERY(MessageWriter.startup().appendByte((byte) 'Q')),
+        PART_OF_A_QUERY_LENGTH(MessageWriter.startup().appendByte((byte) 'Q').appendShort((short) 0)),
+        HALF_A_QUERY(MessageWriter.startup().appendBuffer(firstHalf(MessageWriter.query("SELECT 1")))),
         HALF_A_QUERY_BEHIND_AN_EMPTY_ONE(
-                PgCodec.hello().appendBuffer(PgCodecTest.query("")).appendBuffer(firstHalf(PgCodecTest.query("SELECT 1"))));
+                MessageWriter.startup().appendBuffer(MessageWriter.query("")).appendBuffer(firstHalf(MessageWriter.query("SELECT 1"))));
 
         private final Buffer written;
 
@@ -89,7 +89,7 @@
     void aClientThatWritesAByteNowAndThenIsEndedInTime() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client();
-            Buffer query = PgCodecTest.query(net.op("page"));
+            Buffer query = MessageWriter.query(net.op("page"));
             long began = System.nanoTime();
             Thread writes = new Thread(() -> {
                 try {
@@ -114,7 +114,7 @@
         try (Net net = new Net("p").started()) {
             Client client = net.client().ask(net.op("order"));
             Got first = net.servers.get("p").next();
-            Buffer second = PgCodecTest.query(net.op("order"));
+            Buffer second = MessageWriter.query(net.op("order"));
             client.write(second.getBuffer(0, second.length() / 2));
             net.logged("client with an unfinished message");
             first.row(new byte[] {7});
@@ -133,9 +133,9 @@
             Client client = net.client();
             Buffer all = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
-                all.appendBuffer(PgCodecTest.query(net.op("order")));
+                all.appendBuffer(MessageWriter.query(net.op("order")));
             }
-            Buffer last = PgCodecTest.query(net.op("order"));
+            Buffer last = MessageWriter.query(net.op("order"));
             client.write(all.appendBuffer(last.getBuffer(0, last.length() / 2)));
             for (int i = 0; i < PIPELINED; i++) {
                 assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -33,7 +34,6 @@
 import ploverdale.FaultyTransport.Errno;
 import ploverdale.FaultyTransport.Fault;
 import ploverdale.net.Gateway;
-import ploverdale.net.PgCodec;
 
 /** A real gateway whose system calls fail as Linux documents, between stand-ins on loopback. */
 @Timeout(120)
@@ -419,7 +419,7 @@
         for (int i = 0; i < 50; i++) {
             Client c = new Client(net.gateway.port());
             try {
-                if (c.write(PgCodec.hello()).answer().equals("ready")) {
+                if (c.write(MessageWriter.startup()).answer().equals("ready")) {
                     return c;
                 }
             } catch (EOFException | SocketException e) {
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -11,7 +12,6 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
-import ploverdale.net.PgCodec;
 
 /** A request that has been read is answered before the gateway ends its connection, on a new connection too. */
 @Timeout(120)
@@ -23,7 +23,7 @@
     private static final Buffer UNKNOWN_MESSAGE = Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
     private static Buffer order(Net net) {
-        return PgCodec.query(net.op("order"));
+        return MessageWriter.query(net.op("order"));
     }
 
     /** As many clients as there may be, each with a request that waits for a group without servers, so that none is idle. */
@@ -38,7 +38,7 @@
     void aRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Client client = new Client(net.gateway.port()).write(PgCodec.hello().appendBuffer(order(net)));
+            Client client = new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo("53300 closed");
             assertThat(client.howItEnds()).isEqualTo("end");
         }
@@ -48,7 +48,7 @@
     void eachRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Buffer all = PgCodec.hello().appendBuffer(order(net)).appendBuffer(order(net)).appendBuffer(order(net));
+            Buffer all = MessageWriter.startup().appendBuffer(order(net)).appendBuffer(order(net)).appendBuffer(order(net));
             Client client = new Client(net.gateway.port()).write(all);
             assertThat(client.answer()).as(net::log).isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
             assertThat(client.answer()).isEqualTo(REFUSED);
@@ -107,7 +107,7 @@
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
-                all.appendBuffer(PgCodec.query(net.op("order").replace("\\x01", "\\x" + "01".repeat(4500))));
+                all.appendBuffer(MessageWriter.query(net.op("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
             List<Got> inHand = new ArrayList<>();
--- a/gateway/src/test/java/ploverdale/PgCodecTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.net.postgres;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -10,41 +10,36 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.net.PgCodec;
-import ploverdale.net.PgCodec.BadAsk;
-import ploverdale.net.PgCodec.FromClient;
-import ploverdale.net.PgCodec.FromServer;
-import ploverdale.net.PgCodec.OpAsk;
 
 /** The codec alone: no sockets. */
-class PgCodecTest {
+class PostgresMessagesTest {
     private static final String READ = "SELECT val FROM state WHERE uid = 'k''1;/*' /* id=a1,c=page,t=north,d=480,cluster=2 */";
 
     static Buffer query(String text) {
-        return PgCodec.query(text);
+        return MessageWriter.query(text);
     }
 
     private static Buffer first(int length, int code) {
         return Buffer.buffer().appendInt(length).appendInt(code);
     }
 
-    private static PgCodec.ClientStream greeted() {
-        PgCodec.ClientStream s = new PgCodec.ClientStream();
-        s.feed(PgCodec.hello());
-        assertThat(s.next()).isInstanceOf(PgCodec.Hello.class);
+    private static ClientMessageReader greeted() {
+        ClientMessageReader s = new ClientMessageReader();
+        s.feed(MessageWriter.startup());
+        assertThat(s.next()).isInstanceOf(ClientMessage.Startup.class);
         return s;
     }
 
-    private static String told(FromClient m) {
-        return m instanceof OpAsk o ? o.id() + " " + o.key() + " " + new String(o.text(), UTF_8) : String.valueOf(m);
+    private static String told(ClientMessage m) {
+        return m instanceof ClientMessage.RequestQuery o ? o.id() + " " + o.key() + " " + new String(o.text(), UTF_8) : String.valueOf(m);
     }
 
     private static List<String> read(Buffer all, int piece) {
-        PgCodec.ClientStream s = new PgCodec.ClientStream();
+        ClientMessageReader s = new ClientMessageReader();
         List<String> out = new ArrayList<>();
         for (int i = 0; i < all.length(); i += piece) {
             s.feed(all.getBuffer(i, Math.min(all.length(), i + piece)));
-            for (FromClient m = s.next(); m != null; m = s.next()) {
+            for (ClientMessage m = s.next(); m != null; m = s.next()) {
                 out.add(told(m));
             }
         }
@@ -53,7 +48,7 @@
 
     @Test
     void aClientsBytesMeanTheSameHoweverTheyAreSplit() {
-        Buffer all = first(8, 80877103).appendBuffer(PgCodec.hello()).appendBuffer(query(READ)).appendBuffer(query(" ; "))
+        Buffer all = first(8, 80877103).appendBuffer(MessageWriter.startup()).appendBuffer(query(READ)).appendBuffer(query(" ; "))
                 .appendBuffer(query("x".repeat(200_000))).appendBuffer(query(READ)).appendByte((byte) 'S').appendInt(4)
                 .appendByte((byte) 'X').appendInt(4);
         List<String> whole = read(all, all.length());
@@ -68,16 +63,16 @@
     @ValueSource(ints = {Integer.MIN_VALUE, -1, 0, 3, 2_000_000, Integer.MAX_VALUE})
     void aHostileLengthEndsTheConnectionBeforeAnythingIsSetAside(int length) {
         for (char type : new char[] {'Q', 'P', 'X'}) {
-            PgCodec.ClientStream s = greeted();
+            ClientMessageReader s = greeted();
             s.feed(Buffer.buffer().appendByte((byte) type).appendInt(length));
-            assertThat(s.next()).isInstanceOfSatisfying(BadAsk.class, b -> assertThat(b.ends()).isTrue());
+            assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, b -> assertThat(b.ends()).isTrue());
         }
-        PgCodec.ClientStream s = new PgCodec.ClientStream();
+        ClientMessageReader s = new ClientMessageReader();
         s.feed(first(length, 196608));
-        assertThat(s.next()).isInstanceOfSatisfying(BadAsk.class, b -> assertThat(b.ends()).isTrue());
-        PgCodec.ServerStream server = new PgCodec.ServerStream();
+        assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, b -> assertThat(b.ends()).isTrue());
+        ServerMessageReader server = new ServerMessageReader();
         server.feed(Buffer.buffer().appendByte((byte) 'D').appendInt(length));
-        assertThat(server.next()).isInstanceOf(PgCodec.Garbled.class);
+        assertThat(server.next()).isInstanceOf(ServerMessage.Malformed.class);
     }
 
     @ParameterizedTest
@@ -94,9 +89,9 @@
         "SELECT 1 /* id=1,c=page,d=5,cluster=x */ | 22023",
         "SELECT 1 /* id=1,c=page,d=1e99 */ | 22023"})
     void aQueryThatNamesNoOpIsAnsweredWithACodeThatNeverMeansRefused(String text, String code) {
-        PgCodec.ClientStream s = greeted();
+        ClientMessageReader s = greeted();
         s.feed(query(text));
-        assertThat(s.next()).isInstanceOfSatisfying(BadAsk.class, b -> {
+        assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, b -> {
             assertThat(b.code()).isEqualTo(code);
             assertThat(b.ends()).isFalse();
         });
@@ -105,30 +100,30 @@
     @Test
     void aValueOfSixtyFourKiloBytesPassesAndOneByteMoreDoesNot() {
         String comment = " /* id=1,c=order,d=5 */";
-        PgCodec.ClientStream s = greeted();
+        ClientMessageReader s = greeted();
         s.feed(query("INSERT '\\x" + "ab".repeat(65536) + "'" + comment));
-        assertThat(s.next()).isInstanceOf(OpAsk.class);
+        assertThat(s.next()).isInstanceOf(ClientMessage.RequestQuery.class);
         s.feed(query("INSERT '\\x" + "ab".repeat(65537) + "'" + comment));
-        assertThat(s.next()).isInstanceOfSatisfying(BadAsk.class, b -> assertThat(b.code()).isEqualTo("54000"));
+        assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, b -> assertThat(b.code()).isEqualTo("54000"));
         s.feed(query(READ));
-        assertThat(s.next()).isInstanceOf(OpAsk.class);
+        assertThat(s.next()).isInstanceOf(ClientMessage.RequestQuery.class);
     }
 
     @Test
     void theStatementGoesOnUnchangedButForTheWait() {
-        PgCodec.ClientStream s = greeted();
+        ClientMessageReader s = greeted();
         s.feed(query(READ));
-        Buffer sent = PgCodec.ask((OpAsk) s.next(), 79);
+        Buffer sent = MessageWriter.request((ClientMessage.RequestQuery) s.next(), 79);
         assertThat(sent).isEqualTo(query(READ.replace("d=480", "d=79")));
     }
 
     @Test
     void anOpAskHoldsWhatItsCommentSays() {
-        PgCodec.ClientStream s = greeted();
+        ClientMessageReader s = greeted();
         s.feed(query("SELECT 'k' /* id=z, c=page ,t=south,d=12.5,cluster=7,after=1767225600123,r=1 */"));
-        assertThat(s.next()).isInstanceOfSatisfying(OpAsk.class, o -> {
-            assertThat(List.of(o.id(), o.type(), o.tenant(), o.key())).containsExactly("z", "page", "south", "k");
-            assertThat(o.waitMs()).isEqualTo(12.5);
+        assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.RequestQuery.class, o -> {
+            assertThat(List.of(o.id(), o.requestClass(), o.tenant(), o.key())).containsExactly("z", "page", "south", "k");
+            assertThat(o.timeoutMs()).isEqualTo(12.5);
             assertThat(o.group()).isEqualTo(7);
             assertThat(o.afterMs()).isEqualTo(1767225600123L);
             assertThat(o.again()).isTrue();
@@ -138,24 +133,24 @@
     @Test
     void aServersAnswerMeansTheSameHoweverItIsSplitAndAShortOneIsGarbled() {
         byte[] value = "va\0lue".getBytes(UTF_8);
-        Buffer answer = PgCodec.acked(new PgCodec.Row(
-                new PgCodec.Column("val", 0, (short) 0, 17, (short) -1, -1, (short) 1), value, "SELECT 1"));
+        Buffer answer = MessageWriter.resultRow(new ResultRow(
+                new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1), value, "SELECT 1"));
         for (int piece = 1; piece <= answer.length(); piece++) {
-            PgCodec.ServerStream s = new PgCodec.ServerStream();
-            List<FromServer> out = new ArrayList<>();
+            ServerMessageReader s = new ServerMessageReader();
+            List<ServerMessage> out = new ArrayList<>();
             for (int i = 0; i < answer.length(); i += piece) {
                 s.feed(answer.getBuffer(i, Math.min(answer.length(), i + piece)));
-                for (FromServer m = s.next(); m != null; m = s.next()) {
+                for (ServerMessage m = s.next(); m != null; m = s.next()) {
                     out.add(m);
                 }
             }
             assertThat(out).hasSize(4);
-            assertThat(((PgCodec.Value) out.get(1)).bytes()).isEqualTo(value);
-            assertThat(out.get(2)).isEqualTo(new PgCodec.Done("SELECT 1"));
-            assertThat(out.get(3)).isEqualTo(new PgCodec.Ready(true));
+            assertThat(((ServerMessage.DataRow) out.get(1)).bytes()).isEqualTo(value);
+            assertThat(out.get(2)).isEqualTo(new ServerMessage.CommandComplete("SELECT 1"));
+            assertThat(out.get(3)).isEqualTo(new ServerMessage.ReadyForQuery(true));
         }
-        PgCodec.ServerStream s = new PgCodec.ServerStream();
+        ServerMessageReader s = new ServerMessageReader();
         s.feed(Buffer.buffer().appendByte((byte) 'D').appendInt(10).appendShort((short) 1).appendInt(70_000));
-        assertThat(s.next()).isInstanceOf(PgCodec.Garbled.class);
+        assertThat(s.next()).isInstanceOf(ServerMessage.Malformed.class);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -1,5 +1,8 @@
 package ploverdale.tools.stand;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
@@ -13,7 +16,6 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import ploverdale.clock.Clock;
-import ploverdale.net.PgCodec;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.ledger.Ledger.Answer;
 
@@ -177,7 +179,7 @@
         private Buffer text() {
             String comment = " /* id=" + id + ",c=" + (write ? "put" : "view") + ",t=all,d=" + waitsMs() + ",cluster=0"
                     + (again ? ",r=1" : "") + " */";
-            return PgCodec.query((write
+            return MessageWriter.query((write
                             ? "INSERT INTO state (uid, val) VALUES ('" + name + "', '\\x00') RETURNING val"
                             : "SELECT val FROM state WHERE uid = '" + name + "'")
                     + comment);
@@ -213,7 +215,7 @@
     }
 
     private final class Conn {
-        private final PgCodec.ServerStream stream = new PgCodec.ServerStream();
+        private final ServerMessageReader stream = new ServerMessageReader();
         private NetSocket socket;
         private boolean up;
         private Ask ask;
@@ -232,7 +234,7 @@
                 socket.handler(this::bytes);
                 socket.exceptionHandler(e -> {});
                 socket.closeHandler(x -> closed());
-                socket.write(PgCodec.hello());
+                socket.write(MessageWriter.startup());
             });
         }
 
@@ -255,8 +257,8 @@
 
         private void bytes(Buffer more) {
             stream.feed(more);
-            for (PgCodec.FromServer m = stream.next(); m != null; m = stream.next()) {
-                if (m instanceof PgCodec.Ready) {
+            for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
+                if (m instanceof ServerMessage.ReadyForQuery) {
                     if (!up) {
                         up = true;
                         write(ask);
@@ -266,9 +268,9 @@
                         idle.addLast(this);
                         done.ended(answer == null ? Answer.ERRORED : answer);
                     }
-                } else if (m instanceof PgCodec.Done) {
+                } else if (m instanceof ServerMessage.CommandComplete) {
                     answer = Answer.ACKED;
-                } else if (m instanceof PgCodec.Problem p) {
+                } else if (m instanceof ServerMessage.ErrorResponse p) {
                     answer = p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
                 }
             }
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -1,5 +1,8 @@
 package ploverdale.tools.stand;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
@@ -10,7 +13,6 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import ploverdale.clock.Clock;
-import ploverdale.net.PgCodec;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.ledger.Ledger.Answer;
 
@@ -106,7 +108,7 @@
         private final int times;
         private final int gateway = chance.nextInt(ports.size());
         private final long at = System.nanoTime();
-        private final PgCodec.ServerStream stream = new PgCodec.ServerStream();
+        private final ServerMessageReader stream = new ServerMessageReader();
         private boolean taken;
         private boolean over;
         private Answer answer;
@@ -130,22 +132,22 @@
                 socket.closeHandler(x -> ends(null));
                 socket.handler(more -> {
                     stream.feed(more);
-                    for (PgCodec.FromServer m = stream.next(); m != null; m = stream.next()) {
-                        if (m instanceof PgCodec.Ready && !up[0]) {
+                    for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
+                        if (m instanceof ServerMessage.ReadyForQuery && !up[0]) {
                             up[0] = true;
                             asks(socket);
-                        } else if (m instanceof PgCodec.Ready) {
+                        } else if (m instanceof ServerMessage.ReadyForQuery) {
                             ends(answer == null ? Answer.ERRORED : answer);
                             socket.close();
-                        } else if (m instanceof PgCodec.Done) {
+                        } else if (m instanceof ServerMessage.CommandComplete) {
                             answer = Answer.ACKED;
-                        } else if (m instanceof PgCodec.Problem p) {
+                        } else if (m instanceof ServerMessage.ErrorResponse p) {
                             answer =
                                     p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
                         }
                     }
                 });
-                socket.write(PgCodec.hello());
+                socket.write(MessageWriter.startup());
                 vertx.setTimer(WAITS_MS + GIVES_UP_AFTER_MS, x -> {
                     ends(null);
                     socket.close();
@@ -167,7 +169,7 @@
             }
             String comment = " /* id=" + id + ",c=" + (write ? "put" : "mine") + ",t=all,d=" + WAITS_MS + ",cluster=0"
                     + (times > 0 ? ",r=1" : "") + " */";
-            socket.write(PgCodec.query((write
+            socket.write(MessageWriter.query((write
                             ? "INSERT INTO state (uid, val) VALUES ('s" + session + "', '\\x00') RETURNING val"
                             : "SELECT val FROM state WHERE uid = 's" + session + "'")
                     + comment));
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -1,5 +1,8 @@
 package ploverdale.tools.stand;
 
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -19,7 +22,6 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
-import ploverdale.net.PgCodec;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
 import ploverdale.tools.model.GroupModel.Done;
@@ -253,7 +255,7 @@
                 if (!greeted) {
                     greeted = true;
                     if (!silent()) {
-                        socket.write(PgCodec.welcome());
+                        socket.write(MessageWriter.startupResponse());
                     }
                 } else if (held.getByte(from) == 'Q') {
                     query(held.getString(from + 5, from + length, "UTF-8"));
@@ -274,7 +276,7 @@
             }
             Matcher id = ID.matcher(text);
             if (!id.find()) {
-                socket.write(PgCodec.problem("08P01", "not a client's words", null, true, false));
+                socket.write(MessageWriter.errorResponse("08P01", "not a client's words", null, true, false));
                 socket.close();
                 return;
             }
@@ -308,7 +310,7 @@
         private void no(String op, String code) {
             ledger.proved(op);
             traffic.op(op, server, Clock.system().now(), false);
-            socket.write(PgCodec.problem(code, "no", null, false, true));
+            socket.write(MessageWriter.errorResponse(code, "no", null, false, true));
         }
 
         private void ends(Work w, String value) {
@@ -337,11 +339,11 @@
 
         private Buffer row(long now, byte[] value, long position) {
             Buffer b = Buffer.buffer();
-            PgCodec.told(b, "rank", leads(now) ? "source" : "copy");
-            PgCodec.told(b, "as_of", Long.toString(Math.floorDiv(position, 10)));
-            PgCodec.told(b, "vitals", vitals(now));
-            return b.appendBuffer(PgCodec.acked(new PgCodec.Row(
-                    new PgCodec.Column("val", 0, (short) 0, OID_BYTES, (short) -1, -1, (short) 1), value, "SELECT 1")));
+            MessageWriter.parameterStatus(b, "rank", leads(now) ? "source" : "copy");
+            MessageWriter.parameterStatus(b, "as_of", Long.toString(Math.floorDiv(position, 10)));
+            MessageWriter.parameterStatus(b, "vitals", vitals(now));
+            return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
+                    new ServerMessage.RowDescription("val", 0, (short) 0, OID_BYTES, (short) -1, -1, (short) 1), value, "SELECT 1")));
         }
 
         private boolean leads(long now) {
