--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -4,8 +4,8 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import ploverdale.budgets.Apart;
-import ploverdale.hearsay.Hearsay;
-import ploverdale.hearsay.Word;
+import ploverdale.gossip.GossipProtocol;
+import ploverdale.gossip.ServerObservation;
 import ploverdale.model.*;
 import ploverdale.model.Allotment.Probing;
 import ploverdale.model.Event.Outcome;
@@ -33,7 +33,7 @@
     private static final double COME_BACK = 0.25; // of the target; later, a second try would be in vain
 
     private RandomGenerator chance;
-    private Hearsay hearsay; // null where gateways tell each other nothing
+    private GossipProtocol gossip; // null where gateways tell each other nothing
     private double firstLimit, leastLimit;
     private List<OpType> opTypes;
     private double beyondShareValue;
@@ -84,12 +84,12 @@
             listTold(l);
         } else if (h instanceof Event.ClientLeft c && ops.containsKey(c.op())) {
             callOff(ops.remove(c.op()));
-        } else if (h instanceof Event.PeerMessage p && hearsay != null) {
+        } else if (h instanceof Event.PeerMessage p && gossip != null) {
             heard(p);
         } else if (h instanceof Event.ClockOffsetChanged c) {
             clockOffsetChanged(c);
-        } else if (h instanceof Event.ShutdownBegun && hearsay != null) {
-            tell(hearsay.leaves(now));
+        } else if (h instanceof Event.ShutdownBegun && gossip != null) {
+            tell(gossip.leaves(now));
         } else if (h instanceof Event.ShutdownDeadline) {
             List.copyOf(ops.values()).forEach(this::giveUp);
         } else if (h instanceof Event.Started s) {
@@ -127,9 +127,9 @@
         askListAt = s.listOnDemand() ? now : Long.MAX_VALUE;
         if (permits.peerMessages() && gateways > 1) {
             double ops = s.tenants().stream().mapToDouble(Tenant::opsPerSecond).sum();
-            hearsay = new Hearsay(s.me(), gateways, ops, tightestBound, new SplittableRandom(~s.seed()),
+            gossip = new GossipProtocol(s.me(), gateways, ops, tightestBound, new SplittableRandom(~s.seed()),
                     id -> word(members.get(id)));
-            hearsay.starts(now);
+            gossip.starts(now);
         }
         beat();
     }
@@ -153,8 +153,8 @@
             }
             missing.remove(m);
             m.zone = l.zone();
-            if (hearsay != null && l.stage() != Listing.Stage.GONE) {
-                hearsay.listed(m.id);
+            if (gossip != null && l.stage() != Listing.Stage.GONE) {
+                gossip.listed(m.id);
             }
             boolean drained = m.listed == Listing.Stage.DRAINING; // by the list itself, which may undo it
             m.drainTold = l.stage() == Listing.Stage.DRAINING ? now : drained ? Report.UNTOLD : m.drainTold;
@@ -186,8 +186,8 @@
             m.drainSeen &= stage != Listing.Stage.IN;
             log("server " + m.id.text() + " listed " + stage);
         }
-        if (hearsay != null && m.stage == Listing.Stage.GONE) {
-            hearsay.forget(m.id);
+        if (gossip != null && m.stage == Listing.Stage.GONE) {
+            gossip.forget(m.id);
         }
     }
 
@@ -202,8 +202,8 @@
         }
         sessionWrites.allBy(now);
         ops.values().forEach(op -> op.needPosition = op.needPosition == Report.UNTOLD ? Report.UNTOLD : now);
-        if (hearsay != null) {
-            hearsay.forgetPositions();
+        if (gossip != null) {
+            gossip.forgetPositions();
         }
     }
 
@@ -217,8 +217,8 @@
         ops.put(a.op(), op);
         wakeIn(BEAT);
         groups.computeIfAbsent(a.group(), Group::new).askedAt = now;
-        if (hearsay != null) {
-            hearsay.op();
+        if (gossip != null) {
+            gossip.op();
         }
         place(op);
     }
@@ -691,8 +691,8 @@
         if (t.position() != Report.UNTOLD) {
             m.position = Math.max(m.position, t.position() - MS); // a write's commit is rounded up
             m.positionToldAt = now;
-            if (hearsay != null) {
-                hearsay.placed(now, m.id);
+            if (gossip != null) {
+                gossip.placed(now, m.id);
             }
         }
         if (t.role() == Role.UNKNOWN || toldAt < m.roleToldAt) {
@@ -722,7 +722,7 @@
             return; // an earlier look round made this one needless
         }
         nextBeat = Long.MAX_VALUE;
-        wakeIn(ops.isEmpty() && (hearsay == null || !hearsay.wantsToTell(now)) ? IDLE_BEAT : BEAT);
+        wakeIn(ops.isEmpty() && (gossip == null || !gossip.wantsToTell(now)) ? IDLE_BEAT : BEAT);
         if (now >= askListAt) {
             out.add(new Action.FollowList());
             askListAt = Long.MAX_VALUE;
@@ -732,14 +732,14 @@
         long oldest = now - (askAgain() > ASK_AGAIN ? askAgain() : probeEvery); // what others tell costs less
         for (Member m : members.values()) {
             lookForSilence(m);
-            if (hearsay != null) {
-                hearsay.learnt(now, m.id);
+            if (gossip != null) {
+                gossip.learnt(now, m.id);
                 if (m.stage == Listing.Stage.DRAINING && m.listed == Listing.Stage.IN && !heardOfDrain(m)) {
                     stage(m, Listing.Stage.IN); // no list knew of that drain
                 }
             }
             // A position heard from others that is still fresh saves a probe.
-            long toldAt = Math.max(m.positionToldAt, hearsay == null ? 0 : m.position + probeEvery);
+            long toldAt = Math.max(m.positionToldAt, gossip == null ? 0 : m.position + probeEvery);
             boolean inUse = m.isIn() && now - m.group.askedAt < probeEvery;
             if (inUse && !m.isPromising() && now >= m.retryAt) {
                 checkWhenDue(m);
@@ -752,8 +752,8 @@
             probe(due, Probing.TIMED);
         }
         groups.values().forEach(this::release);
-        if (hearsay != null) {
-            tell(hearsay.due(now));
+        if (gossip != null) {
+            tell(gossip.due(now));
         }
     }
 
@@ -763,25 +763,25 @@
 
     /** Where positions come round, asking tells no more than waiting. */
     private long askAgain() {
-        return hearsay != null && hearsay.needsOthers() ? ASK_AGAIN + Hearsay.PLACES_EVERY : ASK_AGAIN;
+        return gossip != null && gossip.needsOthers() ? ASK_AGAIN + GossipProtocol.PLACES_EVERY : ASK_AGAIN;
     }
 
-    private Word word(Member m) {
-        return new Word(m.role, m.role == Role.UNKNOWN ? Report.UNTOLD : Math.min(now, m.roleToldAt),
+    private ServerObservation word(Member m) {
+        return new ServerObservation(m.role, m.role == Role.UNKNOWN ? Report.UNTOLD : Math.min(now, m.roleToldAt),
                 m.position, m.positionToldAt, m.aliveAt, m.silentAt,
                 warmth(m) < 1 ? m.coldSince : Report.UNTOLD,
                 m.stage == Listing.Stage.DRAINING ? m.drainTold : Report.UNTOLD);
     }
 
     private void heard(Event.PeerMessage p) {
-        Hearsay.Heard h = hearsay.hears(now, p.from(), p.bytes());
+        GossipProtocol.ReceivedGossip h = gossip.hears(now, p.from(), p.bytes());
         h.words().forEach((id, w) -> believe(members.get(id), w));
         tell(h.letters());
         Optional.ofNullable(h.line()).ifPresent(this::log);
     }
 
     /** Own words win over others as old; nothing gets newer than it was at its source. */
-    private void believe(Member m, Word w) {
+    private void believe(Member m, ServerObservation w) {
         if (w.drainAt() > m.drainTold && m.isIn()) {
             m.drainTold = w.drainAt();
             stage(m, now - w.drainAt() < DRAIN_HEARD_LASTS ? Listing.Stage.DRAINING : m.stage);
@@ -807,12 +807,12 @@
     }
 
     private void proved(Member m, Op op, boolean right) {
-        if (hearsay != null && op.type.needs() == Needs.WRITE) {
-            hearsay.proved(now, m.id, right);
+        if (gossip != null && op.type.needs() == Needs.WRITE) {
+            gossip.proved(now, m.id, right);
         }
     }
 
-    private void tell(List<Hearsay.Letter> letters) {
+    private void tell(List<GossipProtocol.Letter> letters) {
         letters.forEach(l -> out.add(new Action.Tell(l.peer(), l.bytes())));
     }
 
--- a/gateway/src/main/java/ploverdale/budgets/Shared.java
+++ b/gateway/src/main/java/ploverdale/budgets/Shared.java
@@ -9,7 +9,7 @@
 import ploverdale.fleet.Membership;
 import ploverdale.fleet.Packing;
 import ploverdale.fleet.Parcel;
-import ploverdale.hearsay.Datagram;
+import ploverdale.gossip.Datagram;
 import ploverdale.model.Allotment;
 import ploverdale.model.Event.Started;
 import ploverdale.model.ServerId;
--- a/gateway/src/main/java/ploverdale/fleet/Parcel.java
+++ b/gateway/src/main/java/ploverdale/fleet/Parcel.java
@@ -9,7 +9,7 @@
  * One datagram between gateways of a fleet, of at most {@value #MOST} bytes. Layout, big-endian: mark, version, incarnation
  * of the sender (6 bytes), division that it goes by (4), parts, checksum of all before it (4). A part: kind (1), length (1),
  * content. A part of a kind that the reader does not know is passed over, so versions can run side by side; so is what is
- * longer than the reader expects. The mark is none of the words' ({@code ploverdale.hearsay}), and older versions leave it.
+ * longer than the reader expects. The mark is none of the words' ({@code ploverdale.gossip}), and older versions leave it.
  *
  * @param incarnation which start of the sender this is from; higher is later
  * @param division which division of the budgets the sender goes by, see {@code ploverdale.budgets}
--- a/gateway/src/main/java/ploverdale/hearsay/Datagram.java
+++ b/gateway/src/main/java/ploverdale/gossip/Datagram.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
  * @param sentAt by the sender's clock, in tenths of a millisecond
  * @param words by server number, at most {@link #ENTRIES_MOST}
  */
-public record Datagram(Kind kind, long sentAt, Map<Integer, Word> words) {
+public record Datagram(Kind kind, long sentAt, Map<Integer, ServerObservation> words) {
     /** What a datagram is for. */
     public enum Kind { ASKS, TELLS, LEAVES, PLACES_UP, PLACES_ON, PLACES }
 
@@ -121,11 +121,11 @@
         return b.putInt((int) crc.getValue()).array();
     }
 
-    private static Word place(int age, Kind kind, long sentAt) {
+    private static ServerObservation place(int age, Kind kind, long sentAt) {
         boolean told = (age & PLACE_AGE) < PLACE_AGE;
-        long learnt = sentAt - (kind == Kind.PLACES_UP ? Rota.UP_WITHIN : Rota.WITHIN);
+        long learnt = sentAt - (kind == Kind.PLACES_UP ? PeerSelector.UP_WITHIN : PeerSelector.WITHIN);
         long at = told ? Math.max(learnt, sentAt - (age & PLACE_AGE) * MS) : learnt; // no position is learnt before it is so
-        return new Word((age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA, at,
+        return new ServerObservation((age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA, at,
                 told ? sentAt - (age & PLACE_AGE) * MS : Report.UNTOLD, told ? at : Report.UNTOLD, at, Report.UNTOLD,
                 Report.UNTOLD, Report.UNTOLD);
     }
@@ -180,23 +180,23 @@
             return new Read(null, Refusal.MISSHAPEN);
         }
         long sentAt = ((b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL) * MS;
-        Map<Integer, Word> words = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         for (int at = HEAD; at < HEAD + room; at += entry) {
             if (places) {
                 words.merge(b.getShort(at) & 0xFFFF, place(b.getShort(at + 2) & 0xFFFF, Kind.values()[kind], sentAt),
-                        Word::join);
+                        ServerObservation::join);
                 continue;
             }
-            Word w = word(ByteBuffer.wrap(bytes, at + 4, entry - 4), sentAt);
+            ServerObservation w = word(ByteBuffer.wrap(bytes, at + 4, entry - 4), sentAt);
             if (w == null) {
                 return new Read(null, Refusal.MISSHAPEN);
             }
-            words.merge(b.getInt(at), w, Word::join);
+            words.merge(b.getInt(at), w, ServerObservation::join);
         }
         return new Read(new Datagram(Kind.values()[kind], sentAt, words), null);
     }
 
-    private static Word word(ByteBuffer b, long sentAt) {
+    private static ServerObservation word(ByteBuffer b, long sentAt) {
         int role = b.get() & ROLE_PARTS;
         if (role >= Role.values().length) {
             return null;
@@ -214,7 +214,7 @@
         long drainAt = at(b, sentAt);
         boolean led = role > 0 && roleAt != Report.UNTOLD;
         boolean placed = position != Report.UNTOLD && positionAt != Report.UNTOLD;
-        return new Word(led ? Role.values()[role] : Role.UNKNOWN, led ? roleAt : Report.UNTOLD,
+        return new ServerObservation(led ? Role.values()[role] : Role.UNKNOWN, led ? roleAt : Report.UNTOLD,
                 placed ? position : Report.UNTOLD, placed ? positionAt : Report.UNTOLD, aliveAt, silentAt, coldSince,
                 drainAt);
     }
--- a/gateway/src/main/java/ploverdale/hearsay/Hearsay.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
-import ploverdale.hearsay.Datagram.Kind;
+import ploverdale.gossip.Datagram.Kind;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -22,16 +22,16 @@
  * on only changes are told, each to a few by chance, and whoever hears one as news tells it on. Nobody tells everyone.
  * What goes out is paid from a budget that ops and time fill. Times in tenths of a millisecond.
  */
-public final class Hearsay {
+public final class GossipProtocol {
     /** Bytes for one other instance. */
     public record Letter(int peer, byte[] bytes) {}
 
     /** What came of a datagram: words on servers known here, what to send, and a line for the log or null. */
-    public record Heard(Map<ServerId, Word> words, List<Letter> letters, String line) {}
+    public record ReceivedGossip(Map<ServerId, ServerObservation> words, List<Letter> letters, String line) {}
 
     private static final long MS = 10;
     /** From one telling of positions to the age that they have at the next, at most; see the rota. */
-    public static final long PLACES_EVERY = Rota.EVERY + Rota.WITHIN;
+    public static final long PLACES_EVERY = PeerSelector.EVERY + PeerSelector.WITHIN;
     private static final long PROVES_FOR = 30_000 * MS; // who leads or is silent; older words prove nothing
     private static final long ON_ITS_WAY_MOST = 2000 * MS; // later, something is wrong with the way or a clock
     private static final long CLOCKS_APART = 500 * MS; // at most; a word from the future is one of now
@@ -55,32 +55,32 @@
     private static final long LINE_EVERY = 10_000 * MS;
 
     /** One server that this instance was told of. */
-    private static final class Known {
+    private static final class KnownServer {
         private final ServerId id;
-        private Word picture = Word.NONE; // what the others have been told or have told
+        private ServerObservation picture = ServerObservation.NONE; // what the others have been told or have told
         private int roleFrom = -1;
         private int newsFrom = -1; // whose news it is; that one need not be told
         private int roundsLeft;
         private long tellAt;
 
-        private Known(ServerId id) {
+        private KnownServer(ServerId id) {
             this.id = id;
         }
     }
 
     private final int me;
     private final RandomGenerator chance;
-    private final Function<ServerId, Word> own;
+    private final Function<ServerId, ServerObservation> own;
     private final double[] trust;
     private final long[] trustAt;
     private final long[] leftAt;
-    private final Map<ServerId, Known> servers = new LinkedHashMap<>();
-    private final Map<Integer, Known> byNumber = new HashMap<>();
-    private final Map<Integer, Known> byShort = new HashMap<>();
-    private final Rota rota; // null where each instance hears enough by itself
+    private final Map<ServerId, KnownServer> servers = new LinkedHashMap<>();
+    private final Map<Integer, KnownServer> byNumber = new HashMap<>();
+    private final Map<Integer, KnownServer> byShort = new HashMap<>();
+    private final PeerSelector rota; // null where each instance hears enough by itself
     private final double opsHere;
     private final double bound;
-    private final Set<Known> news = new LinkedHashSet<>();
+    private final Set<KnownServer> news = new LinkedHashSet<>();
     private final Map<Object, Integer> refusals = new HashMap<>();
     private long lineAt = Report.UNTOLD;
     private int asks;
@@ -96,9 +96,9 @@
      * @param bound the tightest staleness bound, in tenths of a millisecond
      * @param own what this instance knows of a server, hearsay that it believed included
      */
-    public Hearsay(int me, int instances, double opsPerSecond, long bound, RandomGenerator chance,
-            Function<ServerId, Word> own) {
-        rota = new Rota(me, instances);
+    public GossipProtocol(int me, int instances, double opsPerSecond, long bound, RandomGenerator chance,
+            Function<ServerId, ServerObservation> own) {
+        rota = new PeerSelector(me, instances);
         opsHere = opsPerSecond / instances;
         this.bound = bound / (1000.0 * MS);
         this.me = me;
@@ -120,16 +120,16 @@
     /** The list names this server; two whose numbers are the same are not spoken of. */
     public void listed(ServerId id) {
         if (!servers.containsKey(id)) {
-            Known k = new Known(id);
+            KnownServer k = new KnownServer(id);
             servers.put(id, k);
-            byNumber.merge(Datagram.number(id), k, (a, b) -> new Known(null));
-            byShort.merge(Datagram.shortNumber(id), k, (a, b) -> new Known(null));
+            byNumber.merge(Datagram.number(id), k, (a, b) -> new KnownServer(null));
+            byShort.merge(Datagram.shortNumber(id), k, (a, b) -> new KnownServer(null));
         }
     }
 
     /** The list does not name it any more. */
     public void forget(ServerId id) {
-        Known k = servers.remove(id);
+        KnownServer k = servers.remove(id);
         if (k != null) {
             news.remove(k);
             byNumber.remove(Datagram.number(id), k);
@@ -152,7 +152,7 @@
     // -- Hearing
 
     /** A datagram has come from another instance. */
-    public Heard hears(long now, int from, byte[] bytes) {
+    public ReceivedGossip hears(long now, int from, byte[] bytes) {
         Datagram.Read read = from < 0 || from >= trust.length || from == me ? null : Datagram.read(bytes);
         if (read == null || read.refusal() != null) {
             return refused(now, from, read == null ? "STRANGER" : read.refusal());
@@ -167,10 +167,10 @@
         } else if (now - leftAt[from] > ON_ITS_WAY_MOST) {
             leftAt[from] = Report.UNTOLD; // another instance is there
         }
-        Map<ServerId, Word> words = new LinkedHashMap<>();
+        Map<ServerId, ServerObservation> words = new LinkedHashMap<>();
         boolean places = d.kind().ordinal() >= Kind.PLACES_UP.ordinal();
         d.words().forEach((number, w) -> {
-            Known k = (places ? byShort : byNumber).get(number);
+            KnownServer k = (places ? byShort : byNumber).get(number);
             if (k != null && k.id != null) {
                 words.put(k.id, take(now, from, k, w, Math.max(0, ahead), !places));
                 if (places) {
@@ -178,15 +178,15 @@
                 }
             }
         });
-        return new Heard(words, switch (d.kind()) {
+        return new ReceivedGossip(words, switch (d.kind()) {
             case ASKS -> answer(now, from);
             case PLACES_ON -> rota.tellOn(from, d);
             default -> List.of();
         }, null);
     }
 
-    private Word take(long now, int from, Known k, Word told, long ahead, boolean toSpread) {
-        Word w = (ahead > 0 ? told.notAfter(now) : told).since(now - PROVES_FOR);
+    private ServerObservation take(long now, int from, KnownServer k, ServerObservation told, long ahead, boolean toSpread) {
+        ServerObservation w = (ahead > 0 ? told.notAfter(now) : told).since(now - PROVES_FOR);
         double t = trust(now, from);
         w = t < NO_TRUST ? w.withoutRole() : w.withRoleOlder((long) ((1 - t) * DOUBT));
         if (w.role() != Role.UNKNOWN && w.roleAt() > k.picture.roleAt()) {
@@ -200,7 +200,7 @@
         return w;
     }
 
-    private void spread(long now, Known k, Word w, int from) {
+    private void spread(long now, KnownServer k, ServerObservation w, int from) {
         boolean isNews = w.isNewsAfter(k.picture);
         if (isNews) {
             k.roundsLeft = ROUNDS;
@@ -211,16 +211,16 @@
         k.picture = k.picture.join(w);
     }
 
-    private Heard refused(long now, int from, Object why) {
+    private ReceivedGossip refused(long now, int from, Object why) {
         refusals.merge(why, 1, Integer::sum);
         if (now - lineAt < LINE_EVERY) {
-            return new Heard(Map.of(), List.of(), null);
+            return new ReceivedGossip(Map.of(), List.of(), null);
         }
         lineAt = now;
         String all = refusals.entrySet().stream().map(e -> e.getValue() + " " + e.getKey()).sorted()
                 .collect(Collectors.joining(", "));
         refusals.clear();
-        return new Heard(Map.of(), List.of(), "words of instances not read: " + all + ", the last of instance " + from);
+        return new ReceivedGossip(Map.of(), List.of(), "words of instances not read: " + all + ", the last of instance " + from);
     }
 
     /** All that this instance knows, for one that starts; nothing where it knows nothing or was asked too often. */
@@ -235,19 +235,19 @@
     }
 
     private List<Letter> picture(long now, Kind kind, List<Integer> to) {
-        Map<Integer, Word> all = new LinkedHashMap<>();
-        for (Known k : servers.values()) {
-            Word w = own.apply(k.id).since(now - PROVES_FOR);
-            if (!w.equals(Word.NONE) && all.size() < ENOUGH_ENTRIES && byNumber.get(Datagram.number(k.id)) == k) {
+        Map<Integer, ServerObservation> all = new LinkedHashMap<>();
+        for (KnownServer k : servers.values()) {
+            ServerObservation w = own.apply(k.id).since(now - PROVES_FOR);
+            if (!w.equals(ServerObservation.NONE) && all.size() < ENOUGH_ENTRIES && byNumber.get(Datagram.number(k.id)) == k) {
                 all.put(Datagram.number(k.id), w);
             }
         }
         List<Letter> letters = new ArrayList<>();
-        Iterator<Map.Entry<Integer, Word>> i = all.entrySet().iterator();
+        Iterator<Map.Entry<Integer, ServerObservation>> i = all.entrySet().iterator();
         while (i.hasNext()) {
-            Map<Integer, Word> part = new LinkedHashMap<>();
+            Map<Integer, ServerObservation> part = new LinkedHashMap<>();
             while (i.hasNext() && part.size() < Datagram.ENTRIES_MOST) {
-                Map.Entry<Integer, Word> e = i.next();
+                Map.Entry<Integer, ServerObservation> e = i.next();
                 part.put(e.getKey(), e.getValue());
             }
             byte[] bytes = new Datagram(kind, now, part).bytes();
@@ -266,7 +266,7 @@
 
     /** What was believed of who leads has turned out wrong or right at the server itself. */
     public void proved(long now, ServerId id, boolean right) {
-        Known k = servers.get(id);
+        KnownServer k = servers.get(id);
         if (k != null && k.roleFrom >= 0) {
             double t = trust(now, k.roleFrom);
             trust[k.roleFrom] = right ? t + RIGHT * (1 - t) : t * WRONG;
@@ -278,7 +278,7 @@
 
     /** This instance's own knowledge of a server may have changed. */
     public void learnt(long now, ServerId id) {
-        Known k = servers.get(id);
+        KnownServer k = servers.get(id);
         if (k != null) {
             spread(now, k, own.apply(id), -1);
         }
@@ -316,11 +316,11 @@
         if (needsOthers()) {
             letters.addAll(rota.due(now, own));
         }
-        Map<Integer, Word> part = new LinkedHashMap<>();
-        List<Known> told = new ArrayList<>();
-        for (Known k : news) {
+        Map<Integer, ServerObservation> part = new LinkedHashMap<>();
+        List<KnownServer> told = new ArrayList<>();
+        for (KnownServer k : news) {
             if (now >= k.tellAt && part.size() < Datagram.ENTRIES_MOST) {
-                Word w = own.apply(k.id).join(k.picture).since(now - PROVES_FOR);
+                ServerObservation w = own.apply(k.id).join(k.picture).since(now - PROVES_FOR);
                 part.put(Datagram.number(k.id), w);
                 told.add(k);
             }
@@ -333,7 +333,7 @@
             byte[] bytes = new Datagram(Kind.TELLS, now, part).bytes();
             to.forEach(peer -> letters.add(new Letter(peer, bytes)));
             purse -= cost * to.size();
-            for (Known k : told) {
+            for (KnownServer k : told) {
                 k.tellAt = now + ROUND_EVERY;
                 if (--k.roundsLeft <= 0) {
                     news.remove(k);
--- a/gateway/src/main/java/ploverdale/hearsay/Rota.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import ploverdale.hearsay.Datagram.Kind;
-import ploverdale.hearsay.Hearsay.Letter;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.GossipProtocol.Letter;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -19,7 +19,7 @@
  * the positions that its own answers brought; the collector sends all of them, a few bytes a server, to some, and each of
  * these to its part of the others. Times in tenths of a millisecond.
  */
-final class Rota {
+final class PeerSelector {
     private static final long MS = 10;
     private static final long TURN = 2000 * MS;
     static final long EVERY = 250 * MS; // between two tellings; half of the tightest bound in use
@@ -39,7 +39,7 @@
     private long upAt = Report.UNTOLD;
     private long toldAt = Report.UNTOLD;
 
-    Rota(int me, int instances) {
+    PeerSelector(int me, int instances) {
         this.me = me;
         this.instances = instances;
     }
@@ -49,7 +49,7 @@
     }
 
     /** An answer to this instance told a server's position. */
-    void placed(long now, ServerId id, Word w) {
+    void placed(long now, ServerId id, ServerObservation w) {
         Place was = places.get(id);
         if (pending.size() < PENDING_MOST && (was == null || now - was.at > KNOWN_ANYWAY || collector(now) == me)) {
             pending.add(id);
@@ -60,7 +60,7 @@
     }
 
     /** Another instance told a server's position. */
-    void place(ServerId id, Word w, long at) {
+    void place(ServerId id, ServerObservation w, long at) {
         if (w.position() != Report.UNTOLD && w.role() != Role.UNKNOWN) {
             Place p = places.get(id);
             places.put(id, new Place(p == null ? w.position() : Math.max(p.position, w.position()), w.role(), at));
@@ -78,7 +78,7 @@
     }
 
     /** What is to be sent by now; own gives what is known of a server here. */
-    List<Letter> due(long now, Function<ServerId, Word> own) {
+    List<Letter> due(long now, Function<ServerId, ServerObservation> own) {
         if (collector(now) == me) {
             pending.clear();
             return now - toldAt < EVERY ? List.of() : tellAll(now);
@@ -86,9 +86,9 @@
         if (pending.isEmpty() || now - upAt < UP_EVERY) {
             return List.of();
         }
-        Map<Integer, Word> words = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         for (ServerId id : pending) {
-            Word w = own.apply(id);
+            ServerObservation w = own.apply(id);
             if (now - w.positionAt() <= UP_WITHIN && w.role() != Role.UNKNOWN) {
                 words.put(Datagram.shortNumber(id), w);
             }
@@ -100,10 +100,10 @@
     }
 
     private List<Letter> tellAll(long now) {
-        Map<Integer, Word> words = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         places.forEach((id, p) -> {
             if (now - p.at <= WITHIN - UP_WITHIN && words.size() < Datagram.PLACES_MOST) {
-                words.put(Datagram.shortNumber(id), new Word(p.role, now, p.position, now, now, Report.UNTOLD,
+                words.put(Datagram.shortNumber(id), new ServerObservation(p.role, now, p.position, now, now, Report.UNTOLD,
                         Report.UNTOLD, Report.UNTOLD));
             }
         });
--- a/gateway/src/main/java/ploverdale/hearsay/Word.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -17,49 +17,49 @@
  * @param coldSince when it last began cold
  * @param drainAt when it was listed as draining
  */
-public record Word(Role role, long roleAt, long position, long positionAt, long aliveAt, long silentAt, long coldSince,
+public record ServerObservation(Role role, long roleAt, long position, long positionAt, long aliveAt, long silentAt, long coldSince,
         long drainAt) {
 
     /** Nothing known. */
-    public static final Word NONE = new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
+    public static final ServerObservation NONE = new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
             Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
 
     /** Both words in one. */
-    public Word join(Word o) {
+    public ServerObservation join(ServerObservation o) {
         boolean role = o.roleAt > roleAt || o.roleAt == roleAt && o.role.ordinal() > this.role.ordinal();
-        return new Word(role ? o.role : this.role, Math.max(roleAt, o.roleAt), Math.max(position, o.position),
+        return new ServerObservation(role ? o.role : this.role, Math.max(roleAt, o.roleAt), Math.max(position, o.position),
                 Math.max(positionAt, o.positionAt), Math.max(aliveAt, o.aliveAt), Math.max(silentAt, o.silentAt),
                 Math.max(coldSince, o.coldSince), Math.max(drainAt, o.drainAt));
     }
 
     /** The same without what was learnt before a time, since it proves nothing any more; a drain and a cold start stay. */
-    public Word since(long time) {
+    public ServerObservation since(long time) {
         boolean role = roleAt >= time;
         boolean placed = positionAt >= time;
-        return new Word(role ? this.role : Role.UNKNOWN, role ? roleAt : Report.UNTOLD,
+        return new ServerObservation(role ? this.role : Role.UNKNOWN, role ? roleAt : Report.UNTOLD,
                 placed ? position : Report.UNTOLD, placed ? positionAt : Report.UNTOLD,
                 aliveAt >= time ? aliveAt : Report.UNTOLD, silentAt >= time ? silentAt : Report.UNTOLD, coldSince, drainAt);
     }
 
     /** The same with nothing learnt after a time; for words of a clock that runs ahead. */
-    public Word notAfter(long time) {
-        return new Word(role, Math.min(roleAt, time), position, Math.min(positionAt, time), Math.min(aliveAt, time),
+    public ServerObservation notAfter(long time) {
+        return new ServerObservation(role, Math.min(roleAt, time), position, Math.min(positionAt, time), Math.min(aliveAt, time),
                 Math.min(silentAt, time), Math.min(coldSince, time), Math.min(drainAt, time));
     }
 
     /** The same with a role that is not believed left out. */
-    public Word withoutRole() {
-        return new Word(Role.UNKNOWN, Report.UNTOLD, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
+    public ServerObservation withoutRole() {
+        return new ServerObservation(Role.UNKNOWN, Report.UNTOLD, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** The same with no position. */
-    public Word withoutPosition() {
-        return new Word(role, roleAt, Report.UNTOLD, Report.UNTOLD, aliveAt, silentAt, coldSince, drainAt);
+    public ServerObservation withoutPosition() {
+        return new ServerObservation(role, roleAt, Report.UNTOLD, Report.UNTOLD, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** The same, its role told earlier by so much. */
-    public Word withRoleOlder(long by) {
-        return by == 0 || roleAt == Report.UNTOLD ? this : new Word(role, roleAt - by, position, positionAt, aliveAt,
+    public ServerObservation withRoleOlder(long by) {
+        return by == 0 || roleAt == Report.UNTOLD ? this : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt,
                 silentAt, coldSince, drainAt);
     }
 
@@ -72,7 +72,7 @@
      * Whether this says something that others act on and that the older word did not: who leads, that a server went
      * silent or answers again, drains or began cold.
      */
-    public boolean isNewsAfter(Word older) {
+    public boolean isNewsAfter(ServerObservation older) {
         boolean leads = role == Role.PRIMARY;
         return role != Role.UNKNOWN && leads != (older.role == Role.PRIMARY) && roleAt > older.roleAt
                 || silent() != older.silent() && Math.max(silentAt, aliveAt) > Math.max(older.silentAt, older.aliveAt)
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
 import ploverdale.fleet.Packing;
-import ploverdale.hearsay.Datagram;
+import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
 import ploverdale.model.CopyKeeping;
 import ploverdale.model.GroupId;
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -19,7 +19,7 @@
 class ArchitectureTest {
     private static final String CLOCK = "ploverdale.clock..";
     private static final String[] DECISIONS = {
-        "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.hearsay..",
+        "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.gossip..",
         "ploverdale.fleet..", "ploverdale.budgets..", "ploverdale.replica..", "ploverdale.routing..",
     };
 
@@ -76,7 +76,7 @@
                 .layer("model").definedBy("ploverdale.model..")
                 .layer("state").definedBy("ploverdale.state..")
                 .layer("fleet").definedBy("ploverdale.fleet..")
-                .layer("gossip").definedBy("ploverdale.hearsay..")
+                .layer("gossip").definedBy("ploverdale.gossip..")
                 .layer("replica").definedBy("ploverdale.replica..")
                 .layer("budgets").definedBy("ploverdale.budgets..")
                 .layer("limits").definedBy("ploverdale.limits..")
--- a/gateway/src/test/java/ploverdale/HearsayInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ploverdale.hearsay.Datagram;
-import ploverdale.hearsay.Datagram.Kind;
-import ploverdale.hearsay.Word;
+import ploverdale.gossip.Datagram;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.ServerObservation;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
@@ -17,11 +17,11 @@
 import ploverdale.model.Report.Role;
 
 /** What the module makes of words of other gateways. */
-class HearsayInLogicTest {
+class GossipInRouterTest {
     private final FakeHost host = FakeHost.talking(3);
 
-    private Word word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
-        return new Word(role, at(roleMs), at(positionMs), at(positionMs), at(aliveMs), at(silentMs), Report.UNTOLD,
+    private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
+        return new ServerObservation(role, at(roleMs), at(positionMs), at(positionMs), at(aliveMs), at(silentMs), Report.UNTOLD,
                 Report.UNTOLD);
     }
 
@@ -29,7 +29,7 @@
         return ms < 0 ? Report.UNTOLD : ms * 10;
     }
 
-    private void told(int from, String server, Word w) {
+    private void told(int from, String server, ServerObservation w) {
         host.tell(new Event.PeerMessage(from, new Datagram(Kind.TELLS, host.nowMs * 10,
                 Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
     }
@@ -147,7 +147,7 @@
     void aDrainHeardBindsAtOnceAndAnOlderListDoesNotUndoIt() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        Word drains = new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
+        ServerObservation drains = new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
                 Report.UNTOLD, host.nowMs * 10 - 100);
         told(1, "r1", drains);
         host.list(true, "p", "r1", "r2");
@@ -162,7 +162,7 @@
     void aDrainThatNoListConfirmsLapses() {
         host.list(true, "p", "r1");
         host.levelled("p", "r1");
-        told(1, "r1", new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
+        told(1, "r1", new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
                 Report.UNTOLD, host.nowMs * 10));
         host.pass(10_500);
         host.levelled("p", "r1");
@@ -173,7 +173,7 @@
     void coldHeardIsCold() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        told(1, "r1", new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
+        told(1, "r1", new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
                 host.nowMs * 10 - 100, Report.UNTOLD));
         int cold = 0;
         for (int i = 0; i < 20; i++) {
@@ -218,7 +218,7 @@
         host.acts.clear();
         host.tell(new Event.PeerMessage(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
         assertThat(tells()).hasSize(1);
-        Map<Integer, Word> words = Datagram.read(tells().get(0).bytes()).datagram().words();
+        Map<Integer, ServerObservation> words = Datagram.read(tells().get(0).bytes()).datagram().words();
         assertThat(words.get(Datagram.number(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
         assertThat(words.get(Datagram.number(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
     }
@@ -235,7 +235,7 @@
         host.unanswered("r1");
         host.pass(100);
         assertThat(tells()).anyMatch(t -> Datagram.read(t.bytes()).datagram().words()
-                .getOrDefault(Datagram.number(new ServerId("r1")), Word.NONE).silent());
+                .getOrDefault(Datagram.number(new ServerId("r1")), ServerObservation.NONE).silent());
         host.acts.clear();
         host.tell(new Event.ShutdownBegun());
         assertThat(tells()).hasSize(2).allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
--- a/gateway/src/test/java/ploverdale/hearsay/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -1,7 +1,7 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static ploverdale.hearsay.WordTest.NOW;
+import static ploverdale.gossip.ServerObservationTest.NOW;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -11,15 +11,15 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import ploverdale.hearsay.Datagram.Kind;
-import ploverdale.hearsay.Datagram.Refusal;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.Datagram.Refusal;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
 
 /** What fits a datagram, and what is not read. */
 class DatagramTest {
-    private static final Word PRIMARY = new Word(Role.PRIMARY, NOW - 5000, NOW - 5010, NOW - 5000, NOW - 5000,
+    private static final ServerObservation PRIMARY = new ServerObservation(Role.PRIMARY, NOW - 5000, NOW - 5010, NOW - 5000, NOW - 5000,
             Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
 
     private static byte[] checked(byte[] b) {
@@ -31,7 +31,7 @@
 
     @Test
     void aFullOneFits() {
-        Map<Integer, Word> words = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         for (int i = 0; i < Datagram.ENTRIES_MOST; i++) {
             words.put(Datagram.number(new ServerId("s-" + i)), PRIMARY);
         }
@@ -81,8 +81,8 @@
         byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
         byte[] older = Arrays.copyOf(b, 10 + 7 + 4); // number, role and its age only
         older[3] = 7;
-        Word w = Datagram.read(checked(older)).datagram().words().get(7);
-        assertThat(w).isEqualTo(new Word(Role.PRIMARY, NOW - 5000, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
+        ServerObservation w = Datagram.read(checked(older)).datagram().words().get(7);
+        assertThat(w).isEqualTo(new ServerObservation(Role.PRIMARY, NOW - 5000, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
                 Report.UNTOLD, Report.UNTOLD, Report.UNTOLD));
     }
 
--- a/gateway/src/test/java/ploverdale/hearsay/HearsayTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -1,7 +1,7 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static ploverdale.hearsay.WordTest.NOW;
+import static ploverdale.gossip.ServerObservationTest.NOW;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,29 +9,29 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ploverdale.hearsay.Hearsay.Heard;
-import ploverdale.hearsay.Hearsay.Letter;
+import ploverdale.gossip.GossipProtocol.ReceivedGossip;
+import ploverdale.gossip.GossipProtocol.Letter;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
 
 /** What instances make of one another's words, with their letters carried by hand. */
-class HearsayTest {
+class GossipProtocolTest {
     private static final ServerId P = new ServerId("p");
     private static final ServerId R = new ServerId("r");
     private static final long MS = 10;
 
     /** Instances with what each knows; believes what it hears, as the module does. */
     private static final class Tier {
-        private final List<Hearsay> all = new ArrayList<>();
-        private final List<Map<ServerId, Word>> known = new ArrayList<>();
+        private final List<GossipProtocol> all = new ArrayList<>();
+        private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
         private int letters;
         private int bytes;
 
         private Tier(int instances) {
             for (int i = 0; i < instances; i++) {
-                Map<ServerId, Word> mine = new HashMap<>();
-                Hearsay h = new Hearsay(i, instances, 1e9, 5000, new SplittableRandom(i), id -> mine.getOrDefault(id, Word.NONE));
+                Map<ServerId, ServerObservation> mine = new HashMap<>();
+                GossipProtocol h = new GossipProtocol(i, instances, 1e9, 5000, new SplittableRandom(i), id -> mine.getOrDefault(id, ServerObservation.NONE));
                 h.listed(P);
                 h.listed(R);
                 all.add(h);
@@ -39,9 +39,9 @@
             }
         }
 
-        private Heard hear(long now, int at, int from, byte[] bytes) {
-            Heard h = all.get(at).hears(now, from, bytes);
-            h.words().forEach((id, w) -> known.get(at).merge(id, w, Word::join));
+        private ReceivedGossip hear(long now, int at, int from, byte[] bytes) {
+            ReceivedGossip h = all.get(at).hears(now, from, bytes);
+            h.words().forEach((id, w) -> known.get(at).merge(id, w, ServerObservation::join));
             return h;
         }
 
@@ -64,21 +64,21 @@
             }
         }
 
-        private void learns(long now, int at, ServerId id, Word w) {
-            known.get(at).merge(id, w, Word::join);
+        private void learns(long now, int at, ServerId id, ServerObservation w) {
+            known.get(at).merge(id, w, ServerObservation::join);
             all.get(at).learnt(now, id);
         }
 
         private long knowing(ServerId id, Role role) {
-            return known.stream().filter(m -> m.getOrDefault(id, Word.NONE).role() == role).count();
+            return known.stream().filter(m -> m.getOrDefault(id, ServerObservation.NONE).role() == role).count();
         }
     }
 
-    static Word role(Role role, long at) {
-        return new Word(role, at, Report.UNTOLD, Report.UNTOLD, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+    static ServerObservation role(Role role, long at) {
+        return new ServerObservation(role, at, Report.UNTOLD, Report.UNTOLD, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
     }
 
-    private static byte[] told(long sentAt, ServerId id, Word w) {
+    private static byte[] told(long sentAt, ServerId id, ServerObservation w) {
         return new Datagram(Datagram.Kind.TELLS, sentAt, Map.of(Datagram.number(id), w)).bytes();
     }
 
@@ -127,7 +127,7 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW, P, role(Role.PRIMARY, NOW - 31_000 * MS)));
         assertThat(t.known.get(0).get(P).role()).isEqualTo(Role.UNKNOWN);
-        Heard late = t.hear(NOW, 0, 1, told(NOW - 3000 * MS, P, role(Role.PRIMARY, NOW - 3000 * MS)));
+        ReceivedGossip late = t.hear(NOW, 0, 1, told(NOW - 3000 * MS, P, role(Role.PRIMARY, NOW - 3000 * MS)));
         assertThat(late.words()).isEmpty();
         assertThat(late.line()).contains("1 LATE");
     }
@@ -167,7 +167,7 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW, P, role(Role.PRIMARY, NOW)));
         t.all.get(0).proved(NOW, P, false);
-        Word w = t.hear(NOW + MS, 0, 1, told(NOW + MS, P, role(Role.PRIMARY, NOW))).words().get(P);
+        ServerObservation w = t.hear(NOW + MS, 0, 1, told(NOW + MS, P, role(Role.PRIMARY, NOW))).words().get(P);
         assertThat(w.roleAt()).isBetween(NOW - 520 * MS, NOW - 480 * MS);
     }
 
@@ -199,7 +199,7 @@
     @Test
     void wordsArePaidForAndThoseNotPaidWait() {
         Tier t = new Tier(300);
-        Hearsay h = t.all.get(0);
+        GossipProtocol h = t.all.get(0);
         h.starts(NOW - 10_000 * MS);
         h.due(NOW - 9_999 * MS);
         int sent = 0;
--- a/gateway/src/test/java/ploverdale/hearsay/RotaTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
@@ -1,7 +1,7 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static ploverdale.hearsay.WordTest.NOW;
+import static ploverdale.gossip.ServerObservationTest.NOW;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,36 +13,36 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ploverdale.hearsay.Hearsay.Letter;
+import ploverdale.gossip.GossipProtocol.Letter;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
 
 /** Positions that few hear get round to all. */
-class RotaTest {
+class PeerSelectorTest {
     private static final ServerId R = new ServerId("r");
     private static final long MS = 10;
 
     private record Way(int from, Letter letter) {}
 
-    private final Map<Integer, Map<ServerId, Word>> known = new HashMap<>();
-    private final List<Hearsay> all = new ArrayList<>();
+    private final Map<Integer, Map<ServerId, ServerObservation>> known = new HashMap<>();
+    private final List<GossipProtocol> all = new ArrayList<>();
     private int letters;
     private int bytes;
 
     private void tier(int instances, double opsPerSecond) {
         for (int i = 0; i < instances; i++) {
-            Map<ServerId, Word> mine = new HashMap<>();
+            Map<ServerId, ServerObservation> mine = new HashMap<>();
             known.put(i, mine);
-            Hearsay h = new Hearsay(i, instances, opsPerSecond, 500 * MS, new SplittableRandom(i),
-                    id -> mine.getOrDefault(id, Word.NONE));
+            GossipProtocol h = new GossipProtocol(i, instances, opsPerSecond, 500 * MS, new SplittableRandom(i),
+                    id -> mine.getOrDefault(id, ServerObservation.NONE));
             h.listed(R);
             all.add(h);
         }
     }
 
-    private static Word place(long now, long position) {
-        return new Word(Role.REPLICA, now, position, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+    private static ServerObservation place(long now, long position) {
+        return new ServerObservation(Role.REPLICA, now, position, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
     }
 
     private void pass(long from, long until, Set<Integer> dead) {
@@ -59,8 +59,8 @@
                 letters++;
                 bytes += w.letter().bytes().length;
                 if (!dead.contains(w.letter().peer())) {
-                    Hearsay.Heard h = all.get(w.letter().peer()).hears(now, w.from(), w.letter().bytes());
-                    h.words().forEach((id, x) -> known.get(w.letter().peer()).merge(id, x, Word::join));
+                    GossipProtocol.ReceivedGossip h = all.get(w.letter().peer()).hears(now, w.from(), w.letter().bytes());
+                    h.words().forEach((id, x) -> known.get(w.letter().peer()).merge(id, x, ServerObservation::join));
                     h.letters().forEach(l -> ways.add(new Way(w.letter().peer(), l)));
                 }
             }
@@ -68,12 +68,12 @@
     }
 
     private void hears(int instance, long now) {
-        known.get(instance).merge(R, place(now, now - 3 * MS), Word::join);
+        known.get(instance).merge(R, place(now, now - 3 * MS), ServerObservation::join);
         all.get(instance).placed(now, R);
     }
 
     private long knowing(long position) {
-        return known.values().stream().filter(m -> m.getOrDefault(R, Word.NONE).position() >= position).count();
+        return known.values().stream().filter(m -> m.getOrDefault(R, ServerObservation.NONE).position() >= position).count();
     }
 
     @Test
@@ -93,9 +93,9 @@
         pass(NOW, NOW + 1000 * MS, Set.of());
         known.forEach((i, m) -> {
             if (i != 7) {
-                assertThat(m.getOrDefault(R, Word.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
-                assertThat(m.getOrDefault(R, Word.NONE).positionAt()).isLessThanOrEqualTo(NOW);
-                assertThat(m.getOrDefault(R, Word.NONE).aliveAt()).isLessThanOrEqualTo(NOW);
+                assertThat(m.getOrDefault(R, ServerObservation.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
+                assertThat(m.getOrDefault(R, ServerObservation.NONE).positionAt()).isLessThanOrEqualTo(NOW);
+                assertThat(m.getOrDefault(R, ServerObservation.NONE).aliveAt()).isLessThanOrEqualTo(NOW);
             }
         });
     }
@@ -103,9 +103,9 @@
     @Test
     void aCollectorThatIsDeadCostsItsTurnOnly() {
         tier(20, 1);
-        Set<Integer> dead = new HashSet<>(Set.of(new Rota(0, 20).collector(NOW)));
+        Set<Integer> dead = new HashSet<>(Set.of(new PeerSelector(0, 20).collector(NOW)));
         long next = NOW;
-        while (dead.contains(new Rota(0, 20).collector(next))) {
+        while (dead.contains(new PeerSelector(0, 20).collector(next))) {
             next += 100 * MS;
         }
         int talker = dead.contains(3) ? 4 : 3;
@@ -121,7 +121,7 @@
     void turnsGoToAllInTime() {
         Set<Integer> had = new HashSet<>();
         for (int turn = 0; turn < 400; turn++) {
-            had.add(new Rota(0, 20).collector(NOW + turn * 2000 * MS));
+            had.add(new PeerSelector(0, 20).collector(NOW + turn * 2000 * MS));
         }
         assertThat(had).hasSize(20);
     }
--- a/gateway/src/test/java/ploverdale/hearsay/RedatedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.hearsay.Datagram.Kind;
+import ploverdale.gossip.Datagram.Kind;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
 import ploverdale.model.ServerId;
@@ -19,8 +19,8 @@
     private static final long NOW = 1_700_000_000L * SECOND;
     private static final int SERVER = Datagram.number(new ServerId("r1"));
 
-    private static Word placed(long position, long at) {
-        return new Word(Role.REPLICA, at, position, at, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+    private static ServerObservation placed(long position, long at) {
+        return new ServerObservation(Role.REPLICA, at, position, at, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
     }
 
     @ParameterizedTest
@@ -45,10 +45,10 @@
         long position = NOW - 3 * SECOND;
         byte[] sent = new Datagram(Kind.TELLS, NOW + senderAhead,
                 Map.of(SERVER, placed(position, NOW + senderAhead))).bytes();
-        Hearsay hearsay = new Hearsay(0, 3, 100, 5000, new SplittableRandom(1), id -> Word.NONE);
-        hearsay.listed(new ServerId("r1"));
-        hearsay.starts(NOW);
-        Map<ServerId, Word> words = hearsay.hears(NOW, 1, sent).words();
+        GossipProtocol gossip = new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
+        gossip.listed(new ServerId("r1"));
+        gossip.starts(NOW);
+        Map<ServerId, ServerObservation> words = gossip.hears(NOW, 1, sent).words();
         assertThat(words.values()).allSatisfy(w -> assertThat(w.position()).isLessThanOrEqualTo(position));
     }
 
@@ -62,14 +62,14 @@
     @Test
     void positionsThatCannotBeDatedAreNotTold() {
         ServerId server = new ServerId("r1");
-        Hearsay hearsay = new Hearsay(0, 3, 100, 5000, new SplittableRandom(1), id -> Word.NONE);
-        hearsay.listed(server);
-        hearsay.starts(NOW);
-        Word drained = // news, which is told on
-                new Word(Role.REPLICA, NOW, NOW, NOW, NOW, Report.UNTOLD, Report.UNTOLD, NOW);
-        hearsay.hears(NOW, 1, new Datagram(Kind.TELLS, NOW, Map.of(SERVER, drained)).bytes());
-        hearsay.forgetPositions();
-        assertThat(hearsay.due(NOW + SECOND)).isNotEmpty().allSatisfy(letter -> assertThat(
+        GossipProtocol gossip = new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
+        gossip.listed(server);
+        gossip.starts(NOW);
+        ServerObservation drained = // news, which is told on
+                new ServerObservation(Role.REPLICA, NOW, NOW, NOW, NOW, Report.UNTOLD, Report.UNTOLD, NOW);
+        gossip.hears(NOW, 1, new Datagram(Kind.TELLS, NOW, Map.of(SERVER, drained)).bytes());
+        gossip.forgetPositions();
+        assertThat(gossip.due(NOW + SECOND)).isNotEmpty().allSatisfy(letter -> assertThat(
                 Datagram.read(letter.bytes()).datagram().words().values())
                 .allSatisfy(w -> assertThat(w.position()).isEqualTo(Report.UNTOLD)));
     }
--- a/gateway/src/test/java/ploverdale/hearsay/WordTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,7 +18,7 @@
 import ploverdale.model.Report.Role;
 
 /** Words in any order, lost and doubled, give the same picture or an older one, never a fresher. */
-class WordTest {
+class ServerObservationTest {
     static final long NOW = 17_672_256_000_000L; // tenths of a ms, Unix
 
     /** A time of the last ten seconds, or unknown. */
@@ -27,22 +27,22 @@
     }
 
     @Provide
-    static Arbitrary<Word> words() {
-        Arbitrary<Word> known = Combinators.combine(Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(),
+    static Arbitrary<ServerObservation> words() {
+        Arbitrary<ServerObservation> known = Combinators.combine(Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(),
                 time(), time(), time())
-                .as((role, roleAt, placedAt, alive, silent, cold, drain) -> new Word(
+                .as((role, roleAt, placedAt, alive, silent, cold, drain) -> new ServerObservation(
                         roleAt == Report.UNTOLD ? Role.UNKNOWN : role, roleAt,
                         placedAt == Report.UNTOLD ? placedAt : placedAt - 500, placedAt, alive, silent, cold, drain));
         return known;
     }
 
-    private static Word all(List<Word> words) {
-        return words.stream().reduce(Word.NONE, Word::join);
+    private static ServerObservation all(List<ServerObservation> words) {
+        return words.stream().reduce(ServerObservation.NONE, ServerObservation::join);
     }
 
     @Property(seed = "7")
-    void orderAndRepetitionChangeNothing(@ForAll @Size(max = 8) List<@From("words") Word> words, @ForAll Random chance) {
-        List<Word> other = new ArrayList<>(words);
+    void orderAndRepetitionChangeNothing(@ForAll @Size(max = 8) List<@From("words") ServerObservation> words, @ForAll Random chance) {
+        List<ServerObservation> other = new ArrayList<>(words);
         other.addAll(words.subList(0, words.size() / 2));
         Collections.shuffle(other, chance);
         assertThat(all(other)).isEqualTo(all(words));
@@ -50,16 +50,16 @@
     }
 
     @Property(seed = "8")
-    void lossMakesOlderNeverFresher(@ForAll @Size(min = 1, max = 8) List<@From("words") Word> words) {
-        Word part = all(words.subList(0, words.size() - 1));
+    void lossMakesOlderNeverFresher(@ForAll @Size(min = 1, max = 8) List<@From("words") ServerObservation> words) {
+        ServerObservation part = all(words.subList(0, words.size() - 1));
         assertOlder(part, all(words));
         assertThat(part.join(all(words))).isEqualTo(all(words));
     }
 
     @Property(seed = "9")
-    void aWordLosesOnItsWayButNeverGains(@ForAll("words") Word word) {
+    void aWordLosesOnItsWayButNeverGains(@ForAll("words") ServerObservation word) {
         Datagram sent = new Datagram(Datagram.Kind.TELLS, NOW + 7, java.util.Map.of(5, word));
-        Word came = Datagram.read(sent.bytes()).datagram().words().get(5);
+        ServerObservation came = Datagram.read(sent.bytes()).datagram().words().get(5);
         assertOlder(came, word);
         assertThat(came.role()).isEqualTo(word.role());
         if (word.position() != Report.UNTOLD) {
@@ -68,7 +68,7 @@
         }
     }
 
-    private static void assertOlder(Word older, Word newer) {
+    private static void assertOlder(ServerObservation older, ServerObservation newer) {
         assertThat(older.roleAt()).isLessThanOrEqualTo(newer.roleAt());
         assertThat(older.position()).isLessThanOrEqualTo(newer.position());
         assertThat(older.positionAt()).isLessThanOrEqualTo(newer.positionAt());
@@ -79,9 +79,9 @@
     }
 
     @Property(seed = "10")
-    void whatIsTooOldIsForgottenButADrainAndAColdStart(@ForAll("words") Word word) {
-        Word later = word.since(NOW + 1);
-        assertThat(later.withRoleOlder(0)).isEqualTo(new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
+    void whatIsTooOldIsForgottenButADrainAndAColdStart(@ForAll("words") ServerObservation word) {
+        ServerObservation later = word.since(NOW + 1);
+        assertThat(later.withRoleOlder(0)).isEqualTo(new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
                 Report.UNTOLD, Report.UNTOLD, word.coldSince(), word.drainAt()));
         assertThat(word.since(NOW - 200_000)).isEqualTo(word);
     }
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ploverdale.hearsay.Hearsay;
-import ploverdale.hearsay.Hearsay.Letter;
-import ploverdale.hearsay.Word;
+import ploverdale.gossip.GossipProtocol;
+import ploverdale.gossip.GossipProtocol.Letter;
+import ploverdale.gossip.ServerObservation;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
 import ploverdale.model.ServerId;
@@ -40,8 +40,8 @@
     private record OnItsWay(long at, long order, int from, Letter letter) {}
 
     private final SplittableRandom chance;
-    private final List<Hearsay> all = new ArrayList<>();
-    private final List<Map<ServerId, Word>> known = new ArrayList<>();
+    private final List<GossipProtocol> all = new ArrayList<>();
+    private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
     private final PriorityQueue<OnItsWay> ways =
             new PriorityQueue<>(java.util.Comparator.comparingLong(OnItsWay::at).thenComparingLong(OnItsWay::order));
     private final List<ServerId> servers = new ArrayList<>();
@@ -104,8 +104,8 @@
             servers.add(new ServerId("s-" + named++));
         }
         for (int i = 0; i < INSTANCES; i++) {
-            Map<ServerId, Word> mine = new HashMap<>();
-            Hearsay h = new Hearsay(i, INSTANCES, OPS, BOUND, chance.split(), id -> mine.getOrDefault(id, Word.NONE));
+            Map<ServerId, ServerObservation> mine = new HashMap<>();
+            GossipProtocol h = new GossipProtocol(i, INSTANCES, OPS, BOUND, chance.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
             servers.forEach(h::listed);
             h.starts(START);
             all.add(h);
@@ -131,7 +131,7 @@
         startBytes = passed == 2000 * MS ? bytes : startBytes;
         if (lost != null && reached < 0) {
             long silent = known.stream()
-                    .filter(m -> m.getOrDefault(lost, Word.NONE).silent())
+                    .filter(m -> m.getOrDefault(lost, ServerObservation.NONE).silent())
                     .count();
             reached = silent >= INSTANCES * TOLD ? (passed - SILENT_AT) / MS : -1;
         }
@@ -142,7 +142,7 @@
 
     private void goesSilent(long now) {
         lost = servers.get(1);
-        Word silent = new Word(
+        ServerObservation silent = new ServerObservation(
                 Role.UNKNOWN,
                 Report.UNTOLD,
                 Report.UNTOLD,
@@ -151,7 +151,7 @@
                 now,
                 Report.UNTOLD,
                 Report.UNTOLD);
-        known.get(3).merge(lost, silent, Word::join);
+        known.get(3).merge(lost, silent, ServerObservation::join);
         all.get(3).learnt(now, lost);
     }
 
@@ -159,18 +159,18 @@
         while (!ways.isEmpty() && ways.peek().at() <= now) {
             OnItsWay w = ways.poll();
             int to = w.letter().peer();
-            Hearsay.Heard h = all.get(to).hears(now, w.from(), w.letter().bytes());
-            h.words().forEach((id, x) -> known.get(to).merge(id, x, Word::join));
+            GossipProtocol.ReceivedGossip h = all.get(to).hears(now, w.from(), w.letter().bytes());
+            h.words().forEach((id, x) -> known.get(to).merge(id, x, ServerObservation::join));
             order = send(now, to, h.letters(), order);
         }
     }
 
     private void countFresh(long now) {
-        for (Map<ServerId, Word> m : known) {
+        for (Map<ServerId, ServerObservation> m : known) {
             for (ServerId id : servers) {
                 if (!id.equals(lost)) {
                     looked++;
-                    fresh += now - m.getOrDefault(id, Word.NONE).position() <= BOUND ? 1 : 0;
+                    fresh += now - m.getOrDefault(id, ServerObservation.NONE).position() <= BOUND ? 1 : 0;
                 }
             }
         }
@@ -212,8 +212,8 @@
             known.get(at)
                     .merge(
                             id,
-                            new Word(role, now, now - 5 * MS, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD),
-                            Word::join);
+                            new ServerObservation(role, now, now - 5 * MS, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD),
+                            ServerObservation::join);
             all.get(at).placed(now, id);
             all.get(at).learnt(now, id);
         }
