--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -812,7 +812,7 @@
         }
     }
 
-    private void tell(List<GossipProtocol.Letter> letters) {
+    private void tell(List<GossipProtocol.OutboundPacket> letters) {
         letters.forEach(l -> out.add(new Action.Tell(l.peer(), l.bytes())));
     }
 
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -20,7 +20,7 @@
 import ploverdale.Logic;
 import ploverdale.budgets.Shared;
 import ploverdale.budgets.Sharing;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Started;
@@ -149,13 +149,13 @@
     }
 
     private boolean sharedHears(JsonGenerator g, String gateway, Host host, Fields f) throws IOException {
-        List<Packing.Letter> answers = host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
+        List<PacketQueue.OutboundPacket> answers = host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
         write(g, gateway, host.shared(), answers == null ? List.of() : answers);
         return answers != null;
     }
 
-    private static void write(JsonGenerator g, String gateway, Shared shared, List<Packing.Letter> letters) throws IOException {
-        for (Packing.Letter l : letters) {
+    private static void write(JsonGenerator g, String gateway, Shared shared, List<PacketQueue.OutboundPacket> letters) throws IOException {
+        for (PacketQueue.OutboundPacket l : letters) {
             Writer.write(g, gateway, new Action.Tell(l.to(), l.bytes()));
         }
         for (String line : shared.lines()) {
--- a/gateway/src/main/java/ploverdale/budgets/Budgets.java
+++ b/gateway/src/main/java/ploverdale/budgets/Budgets.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet.Part;
 
 /**
  * The fleet's quota as one gateway has it. Of each budget it owns guaranteed units outright. The rest of its
@@ -154,7 +154,7 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, Packing out) {
+    public void due(long now, IntPredicate present, PacketQueue out) {
         updateHeldUnits(now);
         leaseHolder.onTick(now, start, present, out);
         borrower.onTick(now, present, out);
@@ -188,7 +188,7 @@
     }
 
     /** Handles a message of another gateway of the same division; ignores kinds that are not of this class. */
-    public void part(long now, int from, long itsStart, Part part, Packing out) {
+    public void part(long now, int from, long itsStart, Part part, PacketQueue out) {
         updateHeldUnits(now);
         ByteBuffer content = ByteBuffer.wrap(part.content());
         switch (part.kind()) {
@@ -202,7 +202,7 @@
         updateHeldUnits(now);
     }
 
-    private void onLeaseRequest(long now, int from, long itsStart, ByteBuffer content, Packing out) {
+    private void onLeaseRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
         if (content.remaining() < QuotaMessages.LEASE_REQUEST_BYTES) {
             return;
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    private void onUnitRequest(long now, int from, long itsStart, ByteBuffer content, Packing out) {
+    private void onUnitRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
         if (content.remaining() < QuotaMessages.UNIT_REQUEST_HEAD_BYTES) {
             return;
         }
--- a/gateway/src/main/java/ploverdale/budgets/LeaseHolder.java
+++ b/gateway/src/main/java/ploverdale/budgets/LeaseHolder.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import java.util.function.IntPredicate;
 import java.util.function.IntSupplier;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 
 /**
  * The lease partitions that this gateway holds or asks for: its own, and those of absent gateways whose successor it
@@ -99,7 +99,7 @@
      * @param start which start of its name this gateway speaks as
      * @param present whether a gateway is alive as far as this one knows
      */
-    void onTick(long now, long start, IntPredicate present, Packing out) {
+    void onTick(long now, long start, IntPredicate present, PacketQueue out) {
         if (hasOtherAcceptors()) {
             takeOver(now, present);
         }
@@ -156,7 +156,7 @@
         return best;
     }
 
-    private void renew(long now, long start, Estate partition, Packing out) {
+    private void renew(long now, long start, Estate partition, PacketQueue out) {
         int round = partition.asks(now, nextNumber.getAsInt());
         for (int place = 0; place < division.keepers(); place++) {
             int gateway = division.keeper(partition.number, place);
--- a/gateway/src/main/java/ploverdale/budgets/QuotaMessages.java
+++ b/gateway/src/main/java/ploverdale/budgets/QuotaMessages.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
 
 /**
  * Encoding of the messages by which gateways lease partitions and lend units. Numbers are big-endian; a list of units
--- a/gateway/src/main/java/ploverdale/budgets/Shared.java
+++ b/gateway/src/main/java/ploverdale/budgets/Shared.java
@@ -6,9 +6,9 @@
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
-import ploverdale.fleet.Membership;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
+import ploverdale.membership.Membership;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet;
 import ploverdale.gossip.Datagram;
 import ploverdale.model.Allotment;
 import ploverdale.model.Event.Started;
@@ -31,7 +31,7 @@
     private final Division division;
     private final Membership membership;
     private final Budgets budgets;
-    private final Packing packing;
+    private final PacketQueue packing;
     private final Replicas replicas; // null where nothing is kept
     private final int id; // by which parcels of gateways that divide or keep otherwise are told apart
     private final Apart apart; // what is no budget of the fleet
@@ -51,7 +51,7 @@
         membership = new Membership(told.me(), told.gateways(), startedMs, chance.split());
         budgets = new Budgets(told.me(), Membership.start(membership.incarnation()), division, sharing.leasing(),
                 chance.split(), now);
-        packing = new Packing(sharing.bytesPerSecond(), now);
+        packing = new PacketQueue(sharing.bytesPerSecond(), now);
         apart = new Apart(told.tenants(), told.gateways());
         replicas = sharing.keeping() == null ? null : new Replicas(told.me(), told.gateways(),
                 Membership.start(membership.incarnation()), sharing.keeping(), chance.split(), wall);
@@ -72,7 +72,7 @@
     }
 
     /** Looks round: what is to be told by now. */
-    public List<Packing.Letter> due() {
+    public List<PacketQueue.OutboundPacket> due() {
         long now = clock.getAsLong();
         membership.due(now, packing);
         for (Membership.Change c : membership.changes()) {
@@ -92,7 +92,7 @@
         return letters(now);
     }
 
-    private List<Packing.Letter> letters(long now) {
+    private List<PacketQueue.OutboundPacket> letters(long now) {
         if (replicas != null) {
             lines.addAll(replicas.lines());
         }
@@ -100,18 +100,18 @@
     }
 
     /** Has something asked or told by what is kept; tells what is to be sent for it. */
-    public List<Packing.Letter> keeps(ObjLongConsumer<Packing> what) {
+    public List<PacketQueue.OutboundPacket> keeps(ObjLongConsumer<PacketQueue> what) {
         long now = clock.getAsLong();
         what.accept(packing, now);
         return letters(now);
     }
 
     /** Reads a datagram and tells what is to be answered; null where it is none of the fleet's. */
-    public List<Packing.Letter> hears(int from, byte[] bytes) {
-        if (!Parcel.isOne(bytes)) {
+    public List<PacketQueue.OutboundPacket> hears(int from, byte[] bytes) {
+        if (!Packet.isOne(bytes)) {
             return null;
         }
-        Parcel p = Parcel.read(bytes);
+        Packet p = Packet.read(bytes);
         long now = clock.getAsLong();
         if (p == null) {
             lines.add("parcels of the fleet not read: of n" + from + ", " + bytes.length + " bytes");
@@ -122,7 +122,7 @@
             return letters(now);
         }
         boolean same = p.division() == id;
-        for (Parcel.Part part : p.parts()) {
+        for (Packet.Part part : p.parts()) {
             membership.part(now, from, part, packing);
             if (same) {
                 budgets.part(now, from, Membership.start(p.incarnation()), part, packing);
--- a/gateway/src/main/java/ploverdale/budgets/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/budgets/UnitBorrower.java
@@ -8,7 +8,7 @@
 import java.util.function.IntPredicate;
 import java.util.function.IntSupplier;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 
 /**
  * Borrows units of lease holders where this gateway needs more than it holds. A loan that is needed is extended at
@@ -91,7 +91,7 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    void onTick(long now, IntPredicate present, Packing out) {
+    void onTick(long now, IntPredicate present, PacketQueue out) {
         questions.values().removeIf(question -> now - question.at > leasing.loan());
         loans.values().removeIf(loan -> now >= loan.until);
         loans.forEach((own, loan) -> {
@@ -104,7 +104,7 @@
         }
     }
 
-    private void requestMissingUnits(long now, IntPredicate present, Packing out) {
+    private void requestMissingUnits(long now, IntPredicate present, PacketQueue out) {
         int[] missing = new int[budgets];
         boolean any = false;
         for (int budget = 0; budget < budgets; budget++) {
@@ -189,7 +189,7 @@
     }
 
     /** Of each budget of which units were spare for a while, half of those goes back to the lender. */
-    private void returnIdleUnits(long now, Borrowed loan, Packing out) {
+    private void returnIdleUnits(long now, Borrowed loan, PacketQueue out) {
         int[] kept = new int[budgets];
         boolean idle = false;
         boolean returns = false;
@@ -212,7 +212,7 @@
     }
 
     /** Asks for more time from half of the loan's time on; again where no answer has come for an eighth of it. */
-    private void extendIfDue(long now, int own, Borrowed loan, Packing out) {
+    private void extendIfDue(long now, int own, Borrowed loan, PacketQueue out) {
         boolean any = Arrays.stream(loan.units).anyMatch(count -> count > 0);
         if (any && loan.extension == 0 && loan.until - now < leasing.loan() / 2) {
             loan.extension = nextNumber.getAsInt();
--- a/gateway/src/main/java/ploverdale/budgets/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/budgets/UnitLender.java
@@ -1,6 +1,6 @@
 package ploverdale.budgets;
 
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 
 /**
  * Lends units of the partitions that this gateway holds. A borrower gets at most half of what can be spared of each
@@ -30,7 +30,7 @@
      *
      * @param wanted units by budget; lowered by what is lent
      */
-    void lend(long now, int borrower, long borrowersStart, int request, int[] wanted, Packing out) {
+    void lend(long now, int borrower, long borrowersStart, int request, int[] wanted, PacketQueue out) {
         for (Estate partition : leaseHolder.partitions()) {
             int[] lent = new int[budgets];
             boolean any = false;
@@ -52,7 +52,7 @@
     }
 
     /** Extends a loan; of each budget that this gateway lacks units of, it takes back up to half of those lent. */
-    void extend(long now, int borrower, long borrowersStart, int request, int loan, int[] wanted, Packing out) {
+    void extend(long now, int borrower, long borrowersStart, int request, int loan, int[] wanted, PacketQueue out) {
         for (Estate partition : leaseHolder.partitions()) {
             Estate.Loan found = partition.serves(now) ? partition.loan(now, borrower, borrowersStart, loan) : null;
             if (found == null) {
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -24,10 +24,10 @@
  */
 public final class GossipProtocol {
     /** Bytes for one other instance. */
-    public record Letter(int peer, byte[] bytes) {}
+    public record OutboundPacket(int peer, byte[] bytes) {}
 
     /** What came of a datagram: words on servers known here, what to send, and a line for the log or null. */
-    public record ReceivedGossip(Map<ServerId, ServerObservation> words, List<Letter> letters, String line) {}
+    public record ReceivedGossip(Map<ServerId, ServerObservation> words, List<OutboundPacket> letters, String line) {}
 
     private static final long MS = 10;
     /** From one telling of positions to the age that they have at the next, at most; see the rota. */
@@ -224,17 +224,17 @@
     }
 
     /** All that this instance knows, for one that starts; nothing where it knows nothing or was asked too often. */
-    private List<Letter> answer(long now, int to) {
+    private List<OutboundPacket> answer(long now, int to) {
         earn(now);
         if (pictures < 1) {
             return List.of();
         }
-        List<Letter> letters = picture(now, Kind.TELLS, List.of(to));
+        List<OutboundPacket> letters = picture(now, Kind.TELLS, List.of(to));
         pictures -= letters.isEmpty() ? 0 : 1;
         return letters;
     }
 
-    private List<Letter> picture(long now, Kind kind, List<Integer> to) {
+    private List<OutboundPacket> picture(long now, Kind kind, List<Integer> to) {
         Map<Integer, ServerObservation> all = new LinkedHashMap<>();
         for (KnownServer k : servers.values()) {
             ServerObservation w = own.apply(k.id).since(now - PROVES_FOR);
@@ -242,7 +242,7 @@
                 all.put(Datagram.number(k.id), w);
             }
         }
-        List<Letter> letters = new ArrayList<>();
+        List<OutboundPacket> letters = new ArrayList<>();
         Iterator<Map.Entry<Integer, ServerObservation>> i = all.entrySet().iterator();
         while (i.hasNext()) {
             Map<Integer, ServerObservation> part = new LinkedHashMap<>();
@@ -251,7 +251,7 @@
                 part.put(e.getKey(), e.getValue());
             }
             byte[] bytes = new Datagram(kind, now, part).bytes();
-            to.forEach(peer -> letters.add(new Letter(peer, bytes)));
+            to.forEach(peer -> letters.add(new OutboundPacket(peer, bytes)));
         }
         return letters;
     }
@@ -302,15 +302,15 @@
     }
 
     /** What is to be sent by now. */
-    public List<Letter> due(long now) {
+    public List<OutboundPacket> due(long now) {
         earn(now);
-        List<Letter> letters = new ArrayList<>();
+        List<OutboundPacket> letters = new ArrayList<>();
         if (!servers.isEmpty() && asks < ASKS_AFTER.length && now - startedAt >= ASKS_AFTER[asks]) {
             asks++;
             boolean unheard = servers.values().stream().anyMatch(k -> own.apply(k.id).aliveAt() == Report.UNTOLD);
             if (unheard) {
                 byte[] bytes = new Datagram(Kind.ASKS, now, Map.of()).bytes();
-                some(now, ASKED, -1).forEach(peer -> letters.add(new Letter(peer, bytes)));
+                some(now, ASKED, -1).forEach(peer -> letters.add(new OutboundPacket(peer, bytes)));
             }
         }
         if (needsOthers()) {
@@ -331,7 +331,7 @@
             from = told.stream().allMatch(k -> k.newsFrom == told.get(0).newsFrom) ? from : -1;
             List<Integer> to = some(now, (int) Math.min(FAN, purse / cost), from);
             byte[] bytes = new Datagram(Kind.TELLS, now, part).bytes();
-            to.forEach(peer -> letters.add(new Letter(peer, bytes)));
+            to.forEach(peer -> letters.add(new OutboundPacket(peer, bytes)));
             purse -= cost * to.size();
             for (KnownServer k : told) {
                 k.tellAt = now + ROUND_EVERY;
@@ -344,12 +344,12 @@
     }
 
     /** This instance leaves: what it knows, for a few that stay. */
-    public List<Letter> leaves(long now) {
+    public List<OutboundPacket> leaves(long now) {
         List<Integer> to = some(now, FAN, -1);
-        List<Letter> letters = picture(now, Kind.LEAVES, to);
+        List<OutboundPacket> letters = picture(now, Kind.LEAVES, to);
         if (letters.isEmpty()) {
             byte[] bytes = new Datagram(Kind.LEAVES, now, Map.of()).bytes();
-            to.forEach(peer -> letters.add(new Letter(peer, bytes)));
+            to.forEach(peer -> letters.add(new OutboundPacket(peer, bytes)));
         }
         return letters;
     }
--- a/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import ploverdale.gossip.Datagram.Kind;
-import ploverdale.gossip.GossipProtocol.Letter;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -78,7 +78,7 @@
     }
 
     /** What is to be sent by now; own gives what is known of a server here. */
-    List<Letter> due(long now, Function<ServerId, ServerObservation> own) {
+    List<OutboundPacket> due(long now, Function<ServerId, ServerObservation> own) {
         if (collector(now) == me) {
             pending.clear();
             return now - toldAt < EVERY ? List.of() : tellAll(now);
@@ -96,10 +96,10 @@
         pending.clear();
         upAt = now;
         return words.isEmpty() ? List.of()
-                : List.of(new Letter(collector(now), new Datagram(Kind.PLACES_UP, now, words).bytes()));
+                : List.of(new OutboundPacket(collector(now), new Datagram(Kind.PLACES_UP, now, words).bytes()));
     }
 
-    private List<Letter> tellAll(long now) {
+    private List<OutboundPacket> tellAll(long now) {
         Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         places.forEach((id, p) -> {
             if (now - p.at <= WITHIN - UP_WITHIN && words.size() < Datagram.PLACES_MOST) {
@@ -108,12 +108,12 @@
             }
         });
         toldAt = words.isEmpty() ? toldAt : now;
-        List<Letter> letters = new ArrayList<>();
+        List<OutboundPacket> letters = new ArrayList<>();
         if (!words.isEmpty()) {
             boolean directly = instances - 1 <= DIRECTLY;
             byte[] bytes = new Datagram(directly ? Kind.PLACES : Kind.PLACES_ON, now, words).bytes();
             for (int place = 0; place < instances - 1; place += directly ? 1 : part()) {
-                letters.add(new Letter(at(place, me, now), bytes));
+                letters.add(new OutboundPacket(at(place, me, now), bytes));
             }
         }
         return letters;
@@ -134,13 +134,13 @@
     }
 
     /** Tells on what the collector told this instance for its part of the others. */
-    List<Letter> tellOn(int collector, Datagram d) {
-        List<Letter> letters = new ArrayList<>();
+    List<OutboundPacket> tellOn(int collector, Datagram d) {
+        List<OutboundPacket> letters = new ArrayList<>();
         int mine = Math.floorMod(Math.floorMod(me - collector - 1, instances) - turned(d.sentAt()), instances - 1);
         if (mine % part() == 0) { // else it was not for this instance to tell on
             byte[] bytes = new Datagram(Kind.PLACES, d.sentAt(), d.words()).bytes();
             for (int place = mine + 1; place < Math.min(mine + part(), instances - 1); place++) {
-                letters.add(new Letter(at(place, collector, d.sentAt()), bytes));
+                letters.add(new OutboundPacket(at(place, collector, d.sentAt()), bytes));
             }
         }
         return letters;
--- a/gateway/src/main/java/ploverdale/fleet/Membership.java
+++ b/gateway/src/main/java/ploverdale/membership/Membership.java
@@ -1,4 +1,4 @@
-package ploverdale.fleet;
+package ploverdale.membership;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
 
 /**
  * Who of the fleet is alive, as one gateway knows it. Each period it asks one other, in an order drawn anew each round; who
@@ -19,15 +19,15 @@
  */
 public final class Membership {
     /** How a member stands, in the order in which later words of the same incarnation override earlier ones. */
-    public enum Standing { UNHEARD, ALIVE, SUSPECTED, LEAVING, GONE }
+    public enum MemberState { UNHEARD, ALIVE, SUSPECTED, LEAVING, GONE }
 
     /** A member's standing has changed. */
-    public record Change(int member, Standing was, Standing is, long incarnation) {}
+    public record Change(int member, MemberState was, MemberState is, long incarnation) {}
 
-    public static final int ASKS = 1;
-    public static final int ANSWERS = 2;
-    public static final int ASKS_FOR = 3;
-    public static final int NEWS = 4;
+    public static final int PING = 1;
+    public static final int ACK = 2;
+    public static final int PING_REQUEST = 3;
+    public static final int UPDATES = 4;
 
     private static final long MS = 10;
     static final long PERIOD = 500 * MS;
@@ -41,7 +41,7 @@
     private static final double TOLD_TIMES = 3; // each piece of news, times the logarithm of the number of members
 
     private static final class Member {
-        private Standing standing = Standing.UNHEARD;
+        private MemberState standing = MemberState.UNHEARD;
         private long incarnation;
         private long since;
         private long heardAt = Long.MIN_VALUE / 2; // itself, here
@@ -49,7 +49,7 @@
     }
 
     /** A question that is out. */
-    private static final class Question {
+    private static final class OutstandingPing {
         private final int of;
         private final int forWhom; // who asked for it; this gateway itself: me
         private final int theirNumber;
@@ -58,7 +58,7 @@
         private boolean witness; // asked since another suspects it
         private boolean othersAsked;
 
-        private Question(int of, int forWhom, int theirNumber, long at, long incarnation) {
+        private OutstandingPing(int of, int forWhom, int theirNumber, long at, long incarnation) {
             this.of = of;
             this.forWhom = forWhom;
             this.theirNumber = theirNumber;
@@ -70,7 +70,7 @@
     private final int me;
     private final Member[] members;
     private final RandomGenerator chance;
-    private final Map<Integer, Question> questions = new LinkedHashMap<>();
+    private final Map<Integer, OutstandingPing> questions = new LinkedHashMap<>();
     private final List<Integer> round = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
     private final int toldTimes;
@@ -95,7 +95,7 @@
         double log = Math.max(1, Math.log(size) / Math.log(2));
         toldTimes = (int) Math.ceil(TOLD_TIMES * log);
         goneAfter = (long) (SUSPECTED_PERIODS * log * PERIOD / 2);
-        members[me].standing = Standing.ALIVE;
+        members[me].standing = MemberState.ALIVE;
         members[me].incarnation = incarnation;
         members[me].tellLeft = toldTimes;
     }
@@ -113,7 +113,7 @@
         return members.length;
     }
 
-    public Standing standing(int member) {
+    public MemberState standing(int member) {
         return members[member].standing;
     }
 
@@ -124,7 +124,7 @@
 
     /** Whether it may be reckoned with: heard of, and neither leaving nor gone. */
     public boolean isPresent(int member) {
-        return members[member].standing == Standing.ALIVE || members[member].standing == Standing.SUSPECTED;
+        return members[member].standing == MemberState.ALIVE || members[member].standing == MemberState.SUSPECTED;
     }
 
     public int present() {
@@ -150,7 +150,7 @@
     /** This gateway leaves; it says so with all that it still sends. */
     public void leaves(long now) {
         leaving = true;
-        set(now, me, incarnation, Standing.LEAVING);
+        set(now, me, incarnation, MemberState.LEAVING);
     }
 
     // -- Hearing
@@ -162,9 +162,9 @@
             return false;
         }
         m.heardAt = now;
-        if (itsIncarnation > m.incarnation || m.standing == Standing.UNHEARD) {
-            set(now, from, itsIncarnation, Standing.ALIVE);
-        } else if (m.standing == Standing.SUSPECTED || m.standing == Standing.GONE) {
+        if (itsIncarnation > m.incarnation || m.standing == MemberState.UNHEARD) {
+            set(now, from, itsIncarnation, MemberState.ALIVE);
+        } else if (m.standing == MemberState.SUSPECTED || m.standing == MemberState.GONE) {
             m.tellLeft = toldTimes; // it is told so, and says a higher incarnation; then all know
         }
         return true;
@@ -175,39 +175,39 @@
      * wall clock was behind that of the earlier start. Tells it the incarnation known here, to which a live process answers
      * with a higher one (SWIM's refutation).
      */
-    public void corrects(int from, Packing out) {
-        out.add(from, new Part(NEWS, update(ByteBuffer.allocate(NEWS_BYTES), from).array()));
+    public void corrects(int from, PacketQueue out) {
+        out.add(from, new Part(UPDATES, update(ByteBuffer.allocate(NEWS_BYTES), from).array()));
     }
 
     /** One part of it; other kinds are somebody else's. */
-    public void part(long now, int from, Part part, Packing out) {
+    public void part(long now, int from, Part part, PacketQueue out) {
         ByteBuffer b = ByteBuffer.wrap(part.content());
         switch (part.kind()) {
-            case ASKS -> {
+            case PING -> {
                 if (b.remaining() >= 4) {
                     answer(from, b.getInt(), out);
                 }
             }
-            case ANSWERS -> {
-                Question q = b.remaining() >= 4 ? questions.remove(b.getInt()) : null;
+            case ACK -> {
+                OutstandingPing q = b.remaining() >= 4 ? questions.remove(b.getInt()) : null;
                 if (q != null && q.forWhom != me) {
                     answer(q.forWhom, q.theirNumber, out);
                 }
             }
-            case ASKS_FOR -> {
+            case PING_REQUEST -> {
                 int number = b.remaining() >= 6 ? b.getInt() : 0;
                 int of = b.remaining() >= 2 ? b.getShort() & 0xFFFF : members.length;
                 if (of < members.length && of != me) {
                     ask(now, of, from, number, out);
                 }
             }
-            case NEWS -> {
+            case UPDATES -> {
                 while (b.remaining() >= NEWS_BYTES) {
                     int of = b.getShort() & 0xFFFF;
                     long inc = (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
                     int standing = b.get();
-                    if (of < members.length && standing > 0 && standing < Standing.values().length) {
-                        news(now, of, inc, Standing.values()[standing], out);
+                    if (of < members.length && standing > 0 && standing < MemberState.values().length) {
+                        news(now, of, inc, MemberState.values()[standing], out);
                     }
                 }
             }
@@ -215,35 +215,35 @@
         }
     }
 
-    private void answer(int to, int number, Packing out) {
-        out.add(to, new Part(ANSWERS, ByteBuffer.allocate(4).putInt(number).array()));
+    private void answer(int to, int number, PacketQueue out) {
+        out.add(to, new Part(ACK, ByteBuffer.allocate(4).putInt(number).array()));
         tellNews(to, out);
     }
 
-    private void news(long now, int of, long inc, Standing is, Packing out) {
+    private void news(long now, int of, long inc, MemberState is, PacketQueue out) {
         Member m = members[of];
         if (of == me) {
-            if (inc > incarnation || inc == incarnation && is.ordinal() > Standing.ALIVE.ordinal() && !leaving) {
+            if (inc > incarnation || inc == incarnation && is.ordinal() > MemberState.ALIVE.ordinal() && !leaving) {
                 // A false suspicion, or an earlier start of this name by a clock ahead: what is said now is newer.
                 incarnation = start(inc) == start(incarnation) ? inc + 1 : start(inc) + 1 << WORD_BITS;
-                set(now, me, incarnation, leaving ? Standing.LEAVING : Standing.ALIVE);
+                set(now, me, incarnation, leaving ? MemberState.LEAVING : MemberState.ALIVE);
             }
         } else if (inc > m.incarnation || inc == m.incarnation && is.ordinal() > m.standing.ordinal()) {
             // Guards against a suspicion of one that was heard here just now: it is not taken over, it is refuted.
-            if (is == Standing.SUSPECTED && inc == m.incarnation && now - m.heardAt < PERIOD) {
+            if (is == MemberState.SUSPECTED && inc == m.incarnation && now - m.heardAt < PERIOD) {
                 return;
             }
             set(now, of, inc, is);
             // A few of all who hear of a suspicion look for themselves, so that the dead are known soon in a large fleet too.
-            if (is == Standing.SUSPECTED && chance.nextDouble() * (members.length - 1) < WITNESSES) {
+            if (is == MemberState.SUSPECTED && chance.nextDouble() * (members.length - 1) < WITNESSES) {
                 questions.get(ask(now, of, me, 0, out)).witness = true;
             }
         }
     }
 
-    private void set(long now, int of, long inc, Standing is) {
+    private void set(long now, int of, long inc, MemberState is) {
         Member m = members[of];
-        Standing was = m.standing;
+        MemberState was = m.standing;
         boolean anew = inc > m.incarnation;
         m.incarnation = inc;
         m.standing = is;
@@ -257,30 +257,30 @@
     // -- Asking and telling
 
     /** What is due by now. */
-    public void due(long now, Packing out) {
+    public void due(long now, PacketQueue out) {
         questions.entrySet().removeIf(e -> now - e.getValue().at > 2 * PERIOD && e.getValue().forWhom != me);
-        for (Map.Entry<Integer, Question> e : List.copyOf(questions.entrySet())) {
-            Question q = e.getValue();
+        for (Map.Entry<Integer, OutstandingPing> e : List.copyOf(questions.entrySet())) {
+            OutstandingPing q = e.getValue();
             if (q.forWhom != me) {
                 continue;
             }
             if (now - q.at >= PERIOD) {
                 questions.remove(e.getKey());
                 Member m = members[q.of];
-                if (m.heardAt < q.at && (m.standing == Standing.ALIVE || m.standing == Standing.UNHEARD)) {
-                    set(now, q.of, m.incarnation, m.standing == Standing.UNHEARD ? Standing.GONE : Standing.SUSPECTED);
-                } else if (m.heardAt < q.at && m.standing == Standing.SUSPECTED && q.witness && m.incarnation == q.incarnation) {
-                    set(now, q.of, m.incarnation, Standing.GONE); // found so by two who asked apart from one another
+                if (m.heardAt < q.at && (m.standing == MemberState.ALIVE || m.standing == MemberState.UNHEARD)) {
+                    set(now, q.of, m.incarnation, m.standing == MemberState.UNHEARD ? MemberState.GONE : MemberState.SUSPECTED);
+                } else if (m.heardAt < q.at && m.standing == MemberState.SUSPECTED && q.witness && m.incarnation == q.incarnation) {
+                    set(now, q.of, m.incarnation, MemberState.GONE); // found so by two who asked apart from one another
                 }
             } else if (!q.othersAsked && now - q.at >= ANSWER_WITHIN && members[q.of].heardAt < q.at) {
                 q.othersAsked = true;
                 byte[] content = ByteBuffer.allocate(6).putInt(e.getKey()).putShort((short) q.of).array();
-                some(OTHERS, q.of).forEach(other -> out.add(other, new Part(ASKS_FOR, content)));
+                some(OTHERS, q.of).forEach(other -> out.add(other, new Part(PING_REQUEST, content)));
             }
         }
         for (int i = 0; i < members.length; i++) {
-            if (members[i].standing == Standing.SUSPECTED && now - members[i].since > goneAfter) {
-                set(now, i, members[i].incarnation, Standing.GONE);
+            if (members[i].standing == MemberState.SUSPECTED && now - members[i].since > goneAfter) {
+                set(now, i, members[i].incarnation, MemberState.GONE);
             }
         }
         if (now >= nextAt) {
@@ -297,7 +297,7 @@
     private int next() {
         if (round.isEmpty()) {
             for (int i = 0; i < members.length; i++) {
-                boolean away = members[i].standing == Standing.GONE || members[i].standing == Standing.LEAVING;
+                boolean away = members[i].standing == MemberState.GONE || members[i].standing == MemberState.LEAVING;
                 if (i != me && (!away || chance.nextInt(4) == 0)) {
                     round.add(i);
                 }
@@ -307,10 +307,10 @@
         return round.isEmpty() ? -1 : round.remove(round.size() - 1);
     }
 
-    private int ask(long now, int of, int forWhom, int theirNumber, Packing out) {
+    private int ask(long now, int of, int forWhom, int theirNumber, PacketQueue out) {
         int number = ++numbers;
-        questions.put(number, new Question(of, forWhom, theirNumber, now, members[of].incarnation));
-        out.add(of, new Part(ASKS, ByteBuffer.allocate(4).putInt(number).array()));
+        questions.put(number, new OutstandingPing(of, forWhom, theirNumber, now, members[of].incarnation));
+        out.add(of, new Part(PING, ByteBuffer.allocate(4).putInt(number).array()));
         tellNews(of, out);
         return number;
     }
@@ -318,7 +318,7 @@
     private List<Integer> some(int most, int but) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < members.length; i++) {
-            if (i != me && i != but && members[i].standing == Standing.ALIVE) {
+            if (i != me && i != but && members[i].standing == MemberState.ALIVE) {
                 all.add(i);
             }
         }
@@ -327,11 +327,11 @@
     }
 
     /** The news told least often yet, to whom a question or an answer goes anyway; its own standing to itself always. */
-    private void tellNews(int to, Packing out) {
+    private void tellNews(int to, PacketQueue out) {
         List<Integer> told = new ArrayList<>();
         for (int i = 0; i < members.length; i++) {
-            boolean itself = i == to && (members[i].standing == Standing.SUSPECTED || members[i].standing == Standing.GONE);
-            if (members[i].tellLeft > 0 && members[i].standing != Standing.UNHEARD || itself) {
+            boolean itself = i == to && (members[i].standing == MemberState.SUSPECTED || members[i].standing == MemberState.GONE);
+            if (members[i].tellLeft > 0 && members[i].standing != MemberState.UNHEARD || itself) {
                 told.add(i);
             }
         }
@@ -346,7 +346,7 @@
             m.tellLeft = Math.max(0, m.tellLeft - 1);
             update(b, i);
         }
-        out.add(to, new Part(NEWS, b.array()));
+        out.add(to, new Part(UPDATES, b.array()));
     }
 
     private ByteBuffer update(ByteBuffer b, int member) {
--- a/gateway/src/main/java/ploverdale/fleet/Parcel.java
+++ b/gateway/src/main/java/ploverdale/membership/Packet.java
@@ -1,4 +1,4 @@
-package ploverdale.fleet;
+package ploverdale.membership;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
  * @param incarnation which start of the sender this is from; higher is later
  * @param division which division of the budgets the sender goes by, see {@code ploverdale.budgets}
  */
-public record Parcel(long incarnation, int division, List<Part> parts) {
+public record Packet(long incarnation, int division, List<Part> parts) {
     public static final int MOST = 256;
     private static final byte MARK = (byte) 0xB2;
     private static final int VERSION = 1;
@@ -53,7 +53,7 @@
     }
 
     /** Reads a datagram; null where it is none, spoilt, or cut short. */
-    public static Parcel read(byte[] bytes) {
+    public static Packet read(byte[] bytes) {
         if (bytes.length < HEAD + CHECK || bytes.length > MOST || bytes[0] != MARK || bytes[1] < VERSION) {
             return null;
         }
@@ -78,6 +78,6 @@
             b.get(content);
             parts.add(new Part(kind, content));
         }
-        return new Parcel(incarnation, division, parts);
+        return new Packet(incarnation, division, parts);
     }
 }
--- a/gateway/src/main/java/ploverdale/fleet/Packing.java
+++ b/gateway/src/main/java/ploverdale/membership/PacketQueue.java
@@ -1,18 +1,18 @@
-package ploverdale.fleet;
+package ploverdale.membership;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
 
 /**
  * Puts the parts for each other gateway into as few parcels as hold them, within a budget of bytes that time fills. What
  * does not fit waits for its next turn or is dropped by whoever made it: parts say by themselves whether they are urgent.
  */
-public final class Packing {
+public final class PacketQueue {
     /** A parcel's bytes for another gateway. */
-    public record Letter(int to, byte[] bytes) {}
+    public record OutboundPacket(int to, byte[] bytes) {}
 
     private static final double SAVED_SECONDS = 2;
     private static final double SECOND = 10_000; // times are tenths of a millisecond
@@ -25,7 +25,7 @@
     private long dropped;
 
     /** @param bytesPerSecond that may go out, on the average of some seconds */
-    public Packing(double bytesPerSecond, long now) {
+    public PacketQueue(double bytesPerSecond, long now) {
         this.bytesPerSecond = bytesPerSecond;
         purse = bytesPerSecond * SAVED_SECONDS;
         purseAt = now;
@@ -42,24 +42,24 @@
     }
 
     /** What can go now; parts over the budget are dropped, since each is told again when it still matters. */
-    public List<Letter> letters(long now, long incarnation, int division) {
+    public List<OutboundPacket> letters(long now, long incarnation, int division) {
         purse = Math.min(bytesPerSecond * SAVED_SECONDS, purse + Math.max(0, now - purseAt) / SECOND * bytesPerSecond);
         purseAt = Math.max(purseAt, now);
-        List<Letter> letters = new ArrayList<>();
+        List<OutboundPacket> letters = new ArrayList<>();
         waiting.forEach((to, parts) -> {
             int from = 0;
             while (from < parts.size()) {
                 int next = from;
                 int length = 0;
-                while (next < parts.size() && length + parts.get(next).length() <= Parcel.ROOM) {
+                while (next < parts.size() && length + parts.get(next).length() <= Packet.ROOM) {
                     length += parts.get(next++).length();
                 }
-                byte[] bytes = new Parcel(incarnation, division, List.copyOf(parts.subList(from, next))).bytes();
+                byte[] bytes = new Packet(incarnation, division, List.copyOf(parts.subList(from, next))).bytes();
                 from = next;
                 if (bytes.length <= purse) {
                     purse -= bytes.length;
                     spent += bytes.length;
-                    letters.add(new Letter(to, bytes));
+                    letters.add(new OutboundPacket(to, bytes));
                 } else {
                     dropped++;
                 }
--- a/gateway/src/main/java/ploverdale/net/FleetSide.java
+++ b/gateway/src/main/java/ploverdale/net/FleetSide.java
@@ -5,7 +5,7 @@
 import java.util.function.ObjLongConsumer;
 import ploverdale.budgets.Shared;
 import ploverdale.budgets.Sharing;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Started;
 
@@ -40,7 +40,7 @@
         return shared;
     }
 
-    private void sends(List<Packing.Letter> letters) {
+    private void sends(List<PacketQueue.OutboundPacket> letters) {
         letters.forEach(l -> out.send(l.to(), l.bytes()));
         lines();
         heard.run();
@@ -52,7 +52,7 @@
     }
 
     /** Has something asked or told by what is kept, and sends what that brings. */
-    void keeps(ObjLongConsumer<Packing> what) {
+    void keeps(ObjLongConsumer<PacketQueue> what) {
         shared.keeps(what).forEach(l -> out.send(l.to(), l.bytes()));
         lines();
     }
@@ -70,7 +70,7 @@
 
     /** Whether this datagram is the fleet's; it has been read if it is. */
     boolean hears(int from, byte[] bytes) {
-        List<Packing.Letter> answers = shared.hears(from, bytes);
+        List<PacketQueue.OutboundPacket> answers = shared.hears(from, bytes);
         if (answers != null) {
             sends(answers);
         }
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
 import ploverdale.model.CopyKeeping;
@@ -41,7 +41,7 @@
 
     /** Has something asked or told by what is kept, and its letters sent. */
     interface Way {
-        void keeps(ObjLongConsumer<Packing> what);
+        void keeps(ObjLongConsumer<PacketQueue> what);
     }
 
     /** An op in hand of which something is kept. */
@@ -112,7 +112,7 @@
     }
 
     private interface Question {
-        long ask(long now, Packing to);
+        long ask(long now, PacketQueue to);
     }
 
     private void asks(Question q, Consumer<Done> then) {
--- a/gateway/src/main/java/ploverdale/replica/CatchUp.java
+++ b/gateway/src/main/java/ploverdale/replica/CatchUp.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet.Part;
 
 /**
  * Makes copies equal: walks with one other gateway at a time over the ranges of keys that both keep, compares digests, goes
@@ -109,7 +109,7 @@
         return l;
     }
 
-    void due(long now, long wall, IntPredicate present, Packing to) {
+    void due(long now, long wall, IntPredicate present, PacketQueue to) {
         if (with >= 0 && (!present.test(with) || now - heardAt > GIVES_UP)) {
             ends(now);
         }
@@ -173,7 +173,7 @@
         nextAt = now + EVERY;
     }
 
-    private void goesOn(long now, long wall, Packing to) {
+    private void goesOn(long now, long wall, PacketQueue to) {
         while (with >= 0 && out.size() < STEPS_OUT && !todo.isEmpty() && to.left(now) > PURSE_KEPT) {
             int number = ++numbers;
             Step s = new Step(todo.pollLast(), now); // depth first, so that little is to do at any time
@@ -189,7 +189,7 @@
         }
     }
 
-    private void asks(long wall, int number, Node n, Packing to) {
+    private void asks(long wall, int number, Node n, PacketQueue to) {
         if (n.level == LEAF) {
             to.add(with, new Part(FETCHES, ByteBuffer.allocate(15).putInt(number).putShort((short) n.index)
                     .put((byte) (n.after == null ? 0 : 1)).putLong(n.after == null ? 0 : n.after).array()));
@@ -215,7 +215,7 @@
     }
 
     /** A part that has come; the start that an answer was for has been looked at. */
-    void part(long now, long wall, int from, long start, int kind, ByteBuffer b, long askersStart, long ownBlank, Packing to) {
+    void part(long now, long wall, int from, long start, int kind, ByteBuffer b, long askersStart, long ownBlank, PacketQueue to) {
         switch (kind) {
             case COMPARES -> {
                 if (b.remaining() >= COMPARE_HEAD + 8 * FANOUT) {
@@ -291,7 +291,7 @@
         return out.remove(number);
     }
 
-    private void tells(long wall, int to, long askersStart, int number, int bucket, boolean after, long key, Packing out) {
+    private void tells(long wall, int to, long askersStart, int number, int bucket, boolean after, long key, PacketQueue out) {
         if (bucket >= Store.BUCKETS) {
             return;
         }
--- a/gateway/src/main/java/ploverdale/replica/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replica/QuorumCoordinator.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 import ploverdale.replica.QuorumRequest.Kind;
 import ploverdale.replica.Replicas.Done;
 import ploverdale.replica.Replicas.End;
@@ -79,7 +79,7 @@
     }
 
     /** Copies a fact to the replicas of its key; the ticket, or 0 where nobody waits. */
-    long copy(long now, long key, Held fact, long within, boolean waits, Packing to) {
+    long copy(long now, long key, Held fact, long within, boolean waits, PacketQueue to) {
         long deadline = now + (waits ? within : COPY_TIMEOUT);
         QuorumRequest request = new QuorumRequest(++lastTicket, Kind.COPY, key, placement, deadline, waits);
         request.fact = fact;
@@ -90,14 +90,14 @@
 
     /** Copies what is proven of a claim that was granted to this gateway. */
     long copyOutcome(
-            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, Packing to) {
+            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
         Fate held = holder.outcomeOf(key);
         long at = held != null ? held.at() : wall.getAsLong();
         return copy(now, key, Fate.of(at, claim, proof, answer), within, waits, to);
     }
 
     /** Asks for the position that a session's reads must reach; its ticket. */
-    long askPosition(long now, long key, Packing to) {
+    long askPosition(long now, long key, PacketQueue to) {
         QuorumRequest request =
                 new QuorumRequest(++lastTicket, Kind.ASK, key, placement, now + keeping.askWithin(), true);
         asked++;
@@ -116,7 +116,7 @@
      * @param first whether its client has marked it as a first submission
      * @param arrivedAt when it came here, Unix time
      */
-    long claim(long now, long key, long start, boolean first, long arrivedAt, Packing to) {
+    long claim(long now, long key, long start, boolean first, long arrivedAt, PacketQueue to) {
         QuorumRequest request =
                 new QuorumRequest(++lastTicket, Kind.CLAIM, key, placement, now + keeping.askWithin(), true);
         request.claim = new Claim(me, start, ++lastNumber);
@@ -127,7 +127,7 @@
         return request.ticket;
     }
 
-    private void begin(long now, QuorumRequest request, Packing to) {
+    private void begin(long now, QuorumRequest request, PacketQueue to) {
         int number = ++lastNumber;
         if (pending.size() >= MAX_PENDING) {
             end(request, End.UNKNOWN);
@@ -162,7 +162,7 @@
     }
 
     /** To all other replicas that have not answered yet. */
-    private void send(int number, QuorumRequest request, Packing to) {
+    private void send(int number, QuorumRequest request, PacketQueue to) {
         for (int place = 0; place < placement.copies(); place++) {
             int gateway = request.gateway(place);
             if (gateway != me && !request.isAnsweredBy(place)) {
@@ -267,7 +267,7 @@
     }
 
     /** Ends requests whose time is over, repeats others, and reports claims that are given up. */
-    void onTick(long now, Packing to) {
+    void onTick(long now, PacketQueue to) {
         pending.entrySet().removeIf(entry -> {
             QuorumRequest request = entry.getValue();
             if (request.isExpired(now)) {
--- a/gateway/src/main/java/ploverdale/replica/ReplicaHolder.java
+++ b/gateway/src/main/java/ploverdale/replica/ReplicaHolder.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 
 /**
  * This gateway as a replica of keys: takes copies of facts, tells positions and grants claims, from what is held here
@@ -86,7 +86,7 @@
      * Handles another gateway's request, whose head is complete; ignores facts of a kind that this version does not
      * know.
      */
-    void onRequest(int from, long itsStart, int kind, ByteBuffer content, Packing to) {
+    void onRequest(int from, long itsStart, int kind, ByteBuffer content, PacketQueue to) {
         int number = content.getInt();
         long key = content.getLong();
         if (kind == ReplicaMessages.POSITION_REQUEST) {
--- a/gateway/src/main/java/ploverdale/replica/ReplicaMessages.java
+++ b/gateway/src/main/java/ploverdale/replica/ReplicaMessages.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
 
 /**
  * Encoding of requests to the replicas of a key and of their answers. A request begins with its number and the key;
--- a/gateway/src/main/java/ploverdale/replica/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replica/Replicas.java
@@ -9,8 +9,8 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet.Part;
 
 /**
  * Facts replicated among the gateways of a fleet, as one gateway holds and asks for them. A fact is copied to the
@@ -123,7 +123,7 @@
      * A session's write was acknowledged at that position by a server of that number. Where somebody waits, the
      * ticket ends as copied or unknown; else it is 0.
      */
-    public long wrote(long now, long key, long position, int server, long within, boolean waits, Packing to) {
+    public long wrote(long now, long key, long position, int server, long within, boolean waits, PacketQueue to) {
         // A position wrongly in the future would force the session's reads to the primary until then.
         long bounded = Math.min(position, wall.getAsLong() + keeping.clocksApart());
         return coordinator.copy(now, key, new Position(bounded, server & 0xFFFF), within, waits, to);
@@ -134,12 +134,12 @@
      * #wrote}.
      */
     public long became(
-            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, Packing to) {
+            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
         return coordinator.copyOutcome(now, key, claim, proof, answer, within, waits, to);
     }
 
     /** Asks how far a session's reads must reach; the ticket ends as known or unknown. */
-    public long asks(long now, long key, Packing to) {
+    public long asks(long now, long key, PacketQueue to) {
         return coordinator.askPosition(now, key, to);
     }
 
@@ -149,7 +149,7 @@
      * @param first whether its client has marked it as a first submission
      * @param arrivedAt when it came here, Unix time
      */
-    public long claims(long now, long key, boolean first, long arrivedAt, Packing to) {
+    public long claims(long now, long key, boolean first, long arrivedAt, PacketQueue to) {
         return coordinator.claim(now, key, start, first, arrivedAt, to);
     }
 
@@ -159,7 +159,7 @@
     }
 
     /** Handles a message of another gateway. */
-    public void part(long now, int from, long itsStart, Part part, Packing to) {
+    public void part(long now, int from, long itsStart, Part part, PacketQueue to) {
         ByteBuffer content = ByteBuffer.wrap(part.content());
         int kind = part.kind();
         switch (kind) {
@@ -193,7 +193,7 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, Packing to) {
+    public void due(long now, IntPredicate present, PacketQueue to) {
         coordinator.onTick(now, to);
         store.sweep(wall.getAsLong());
         catchUp.due(now, wall.getAsLong(), present, to);
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -20,7 +20,7 @@
     private static final String CLOCK = "ploverdale.clock..";
     private static final String[] DECISIONS = {
         "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.gossip..",
-        "ploverdale.fleet..", "ploverdale.budgets..", "ploverdale.replica..", "ploverdale.routing..",
+        "ploverdale.membership..", "ploverdale.budgets..", "ploverdale.replica..", "ploverdale.routing..",
     };
 
     private final JavaClasses classes =
@@ -75,7 +75,7 @@
         layeredArchitecture().consideringOnlyDependenciesInAnyPackage("ploverdale..")
                 .layer("model").definedBy("ploverdale.model..")
                 .layer("state").definedBy("ploverdale.state..")
-                .layer("fleet").definedBy("ploverdale.fleet..")
+                .layer("fleet").definedBy("ploverdale.membership..")
                 .layer("gossip").definedBy("ploverdale.gossip..")
                 .layer("replica").definedBy("ploverdale.replica..")
                 .layer("budgets").definedBy("ploverdale.budgets..")
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.GossipProtocol.ReceivedGossip;
-import ploverdale.gossip.GossipProtocol.Letter;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -45,8 +45,8 @@
             return h;
         }
 
-        private void carry(long now, int from, List<Letter> out, double loss, SplittableRandom chance) {
-            for (Letter l : out) {
+        private void carry(long now, int from, List<OutboundPacket> out, double loss, SplittableRandom chance) {
+            for (OutboundPacket l : out) {
                 letters++;
                 bytes += l.bytes().length;
                 if (chance.nextDouble() >= loss) {
@@ -180,7 +180,7 @@
         t.learns(NOW, 0, R, role(Role.PRIMARY, NOW));
         assertThat(t.all.get(0).due(NOW + MS)).isEmpty();
         t.hear(NOW + 2500 * MS, 0, 1, new Datagram(Datagram.Kind.ASKS, NOW + 2500 * MS, Map.of()).bytes());
-        assertThat(t.all.get(0).due(NOW + 2500 * MS)).extracting(Letter::peer).containsExactly(1);
+        assertThat(t.all.get(0).due(NOW + 2500 * MS)).extracting(OutboundPacket::peer).containsExactly(1);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ploverdale.gossip.GossipProtocol.Letter;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -23,7 +23,7 @@
     private static final ServerId R = new ServerId("r");
     private static final long MS = 10;
 
-    private record Way(int from, Letter letter) {}
+    private record Way(int from, OutboundPacket letter) {}
 
     private final Map<Integer, Map<ServerId, ServerObservation>> known = new HashMap<>();
     private final List<GossipProtocol> all = new ArrayList<>();
--- a/gateway/src/test/java/ploverdale/fleet/RestartedMemberTest.java
+++ b/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
@@ -1,4 +1,4 @@
-package ploverdale.fleet;
+package ploverdale.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.fleet.Membership.Standing;
+import ploverdale.membership.Membership.MemberState;
 
 /** A process that is started again under its name while its wall clock is behind that of its earlier start. */
 class RestartedMemberTest {
@@ -17,9 +17,9 @@
 
     private long now = SECOND;
     private final Membership peer = member(0, STARTED_MS);
-    private final Packing fromPeer = new Packing(100_000, now);
+    private final PacketQueue fromPeer = new PacketQueue(100_000, now);
     private Membership returner = member(1, STARTED_MS);
-    private Packing fromReturner = new Packing(100_000, now);
+    private PacketQueue fromReturner = new PacketQueue(100_000, now);
 
     private static Membership member(int me, long startedMs) {
         return new Membership(me, 2, startedMs, new SplittableRandom(me));
@@ -35,9 +35,9 @@
         now += 20 * MS;
     }
 
-    private void carry(Membership sender, Packing from, int number, Membership receiver, Packing answers) {
-        for (Packing.Letter letter : from.letters(now, sender.incarnation(), 1)) {
-            Parcel p = Parcel.read(letter.bytes());
+    private void carry(Membership sender, PacketQueue from, int number, Membership receiver, PacketQueue answers) {
+        for (PacketQueue.OutboundPacket letter : from.letters(now, sender.incarnation(), 1)) {
+            Packet p = Packet.read(letter.bytes());
             if (!receiver.hears(now, number, p.incarnation())) {
                 receiver.corrects(number, answers);
                 continue;
@@ -54,7 +54,7 @@
 
     private void restarts(long startedMs) {
         returner = member(1, startedMs);
-        fromReturner = new Packing(100_000, now);
+        fromReturner = new PacketQueue(100_000, now);
     }
 
     @ParameterizedTest
@@ -62,10 +62,10 @@
     void itIsTakenInWithinAPeriodAndSpeaksAsAnotherStartThanTheOneBefore(long behindMs) {
         exchangeFor(3 * SECOND);
         long before = returner.incarnation();
-        assertThat(peer.standing(1)).isEqualTo(Standing.ALIVE);
+        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
         restarts(STARTED_MS - behindMs);
         exchangeFor(SECOND);
-        assertThat(peer.standing(1)).isEqualTo(Standing.ALIVE);
+        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
         assertThat(returner.incarnation()).isGreaterThan(before);
         assertThat(Membership.start(returner.incarnation())).isGreaterThan(Membership.start(before));
         assertThat(peer.incarnation(1)).isEqualTo(returner.incarnation());
@@ -77,10 +77,10 @@
         exchangeFor(3 * SECOND);
         returner.leaves(now);
         exchangeFor(20 * SECOND);
-        assertThat(peer.standing(1)).isEqualTo(Standing.LEAVING);
+        assertThat(peer.standing(1)).isEqualTo(MemberState.LEAVING);
         restarts(STARTED_MS - behindMs);
         exchangeFor(5 * SECOND);
-        assertThat(peer.standing(1)).isEqualTo(Standing.ALIVE);
+        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
@@ -93,7 +93,7 @@
         peer.corrects(1, fromPeer);
         exchangeFor(SECOND);
         assertThat(returner.incarnation()).isEqualTo(incarnation);
-        assertThat(peer.standing(1)).isEqualTo(Standing.ALIVE);
+        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
@@ -102,6 +102,6 @@
         restarts(STARTED_MS + 1);
         exchangeFor(SECOND);
         assertThat(returner.incarnation()).isEqualTo((STARTED_MS + 1) << 7);
-        assertThat(List.of(peer.standing(1), returner.standing(0))).containsOnly(Standing.ALIVE);
+        assertThat(List.of(peer.standing(1), returner.standing(0))).containsOnly(MemberState.ALIVE);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -7,9 +7,9 @@
 import ploverdale.budgets.Budgets;
 import ploverdale.budgets.Division;
 import ploverdale.budgets.Leasing;
-import ploverdale.fleet.Membership;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
+import ploverdale.membership.Membership;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet;
 
 /**
  * Instances of membership and budgets in simulated time, with clocks of their own that run fast or slow, datagrams that are
@@ -44,7 +44,7 @@
         private final long zero;
         private Membership membership;
         private Budgets budgets;
-        private Packing packing;
+        private PacketQueue packing;
         private boolean stopped;
         private int process; // counts its starts
         private final List<Runnable> held = new ArrayList<>();
@@ -97,7 +97,7 @@
                     world.leasing,
                     chance.split(),
                     local());
-            packing = new Packing(world.bytesPerSecond, local());
+            packing = new PacketQueue(world.bytesPerSecond, local());
             stopped = false;
             int p = ++process;
             at(now() + 1, () -> look(p));
@@ -142,7 +142,7 @@
         }
 
         private void sends() {
-            for (Packing.Letter l : packing.letters(local(), membership.incarnation(), world.division.id())) {
+            for (PacketQueue.OutboundPacket l : packing.letters(local(), membership.incarnation(), world.division.id())) {
                 network.send(number, l.to(), l.bytes());
             }
         }
@@ -157,9 +157,9 @@
                 }
                 return;
             }
-            Parcel p = Parcel.read(bytes);
+            Packet p = Packet.read(bytes);
             if (p != null && membership.hears(local(), from, p.incarnation())) {
-                for (Parcel.Part part : p.parts()) {
+                for (Packet.Part part : p.parts()) {
                     membership.part(local(), from, part, packing);
                     if (p.division() == world.division.id()) {
                         budgets.part(local(), from, Membership.start(p.incarnation()), part, packing);
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -8,9 +8,9 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import ploverdale.fleet.Membership;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
+import ploverdale.membership.Membership;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet;
 import ploverdale.replica.Claim;
 import ploverdale.replica.Fate;
 import ploverdale.replica.Keeping;
@@ -52,7 +52,7 @@
         private final long wallOff;
         private Membership membership;
         private Replicas replicas;
-        private Packing packing;
+        private PacketQueue packing;
         private boolean stopped;
         private int process;
         private long bytes;
@@ -88,7 +88,7 @@
         /** Starts it with nothing but its name. */
         public void start() {
             membership = new Membership(number, world.gateways, wall() / MS, chance.split());
-            packing = new Packing(world.bytesPerSecond, local());
+            packing = new PacketQueue(world.bytesPerSecond, local());
             replicas = new Replicas(
                     number,
                     world.gateways,
@@ -140,7 +140,7 @@
         }
 
         private void sends() {
-            for (Packing.Letter l : packing.letters(local(), membership.incarnation(), 1)) {
+            for (PacketQueue.OutboundPacket l : packing.letters(local(), membership.incarnation(), 1)) {
                 network.send(number, l.to(), l.bytes());
             }
             for (Done d : replicas.done()) {
@@ -161,9 +161,9 @@
                 }
                 return;
             }
-            Parcel p = Parcel.read(bytes);
+            Packet p = Packet.read(bytes);
             if (p != null && membership.hears(local(), from, p.incarnation())) {
-                for (Parcel.Part part : p.parts()) {
+                for (Packet.Part part : p.parts()) {
                     membership.part(local(), from, part, packing);
                     replicas.part(local(), from, Membership.start(p.incarnation()), part, packing);
                 }
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet;
 import ploverdale.replica.Keeping;
 import ploverdale.replica.Replicas;
 import ploverdale.replica.Replicas.Done;
@@ -38,7 +38,7 @@
     /** One course. */
     private static final class State {
         private final Replicas[] gateways = new Replicas[GATEWAYS];
-        private final Packing[] packing = new Packing[GATEWAYS];
+        private final PacketQueue[] packing = new PacketQueue[GATEWAYS];
         private final long[] start = new long[GATEWAYS];
         private final List<Message> onTheWay = new ArrayList<>();
         private final long startsAsIf;
@@ -61,7 +61,7 @@
             long now = wall;
             wall -= ago;
             gateways[i] = new Replicas(i, GATEWAYS, ++start[i], KEEPING, new SplittableRandom(i), () -> wall);
-            packing[i] = new Packing(1e9, 0);
+            packing[i] = new PacketQueue(1e9, 0);
             wall = now;
         }
 
@@ -87,7 +87,7 @@
             int n = choice.endsWith("submit") ? 0 : Integer.parseInt(choice.substring(choice.indexOf(' ') + 1));
             if (choice.startsWith("deliver")) {
                 Message m = onTheWay.remove(n);
-                for (Parcel.Part p : Parcel.read(m.bytes).parts()) {
+                for (Packet.Part p : Packet.read(m.bytes).parts()) {
                     gateways[m.to].part(0, m.from, m.start, p, packing[m.to]);
                 }
                 sends(m.to);
@@ -110,7 +110,7 @@
         }
 
         private void sends(int i) {
-            for (Packing.Letter l : packing[i].letters(0, start[i], 1)) {
+            for (PacketQueue.OutboundPacket l : packing[i].letters(0, start[i], 1)) {
                 onTheWay.add(new Message(i, start[i], l.to(), l.bytes()));
             }
             onTheWay.sort(Comparator.comparingInt((Message m) -> m.from * GATEWAYS + m.to)
--- a/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
@@ -9,8 +9,8 @@
 import ploverdale.budgets.Budgets;
 import ploverdale.budgets.Division;
 import ploverdale.budgets.Leasing;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
+import ploverdale.membership.PacketQueue;
+import ploverdale.membership.Packet;
 
 /**
  * A world small enough to try all that can happen in it: three gateways, four parts, time in steps, and faults that are
@@ -55,7 +55,7 @@
         private final int number;
         private final double rate;
         private Budgets budgets;
-        private Packing packing;
+        private PacketQueue packing;
         private long start;
         private int stoppedFor;
         private int cutUntil;
@@ -76,7 +76,7 @@
         private void starts() {
             start += startsAlike ? 0 : 1;
             budgets = new Budgets(number, start, division, leasing, new SplittableRandom(number), local());
-            packing = new Packing(1e9, local());
+            packing = new PacketQueue(1e9, local());
         }
 
         private boolean runs() {
@@ -84,7 +84,7 @@
         }
 
         private void sends() {
-            for (Packing.Letter l : packing.letters(local(), start, 1)) {
+            for (PacketQueue.OutboundPacket l : packing.letters(local(), start, 1)) {
                 onTheWay.add(new Message(number, start, l.to(), l.bytes()));
             }
         }
@@ -97,7 +97,7 @@
                 held.add(m);
                 return;
             }
-            for (Parcel.Part p : Parcel.read(m.bytes).parts()) {
+            for (Packet.Part p : Packet.read(m.bytes).parts()) {
                 budgets.part(local(), m.from, m.start, p, packing);
             }
             sends();
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -9,7 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import ploverdale.gossip.GossipProtocol;
-import ploverdale.gossip.GossipProtocol.Letter;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.gossip.ServerObservation;
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
@@ -37,7 +37,7 @@
     private static final int MOST_WAY = 40;
     private static final long START = 17_672_256_000_000L;
 
-    private record OnItsWay(long at, long order, int from, Letter letter) {}
+    private record OnItsWay(long at, long order, int from, OutboundPacket letter) {}
 
     private final SplittableRandom chance;
     private final List<GossipProtocol> all = new ArrayList<>();
@@ -231,8 +231,8 @@
         }
     }
 
-    private long send(long now, int from, List<Letter> out, long order) {
-        for (Letter l : out) {
+    private long send(long now, int from, List<OutboundPacket> out, long order) {
+        for (OutboundPacket l : out) {
             letters++;
             bytes += l.bytes().length;
             longest = Math.max(longest, l.bytes().length);
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -10,7 +10,7 @@
 import ploverdale.budgets.Budget;
 import ploverdale.budgets.Division;
 import ploverdale.budgets.Leasing;
-import ploverdale.fleet.Membership.Standing;
+import ploverdale.membership.Membership.MemberState;
 import ploverdale.tools.lab.FleetModel.Instance;
 import ploverdale.tools.lab.FleetModel.Settings;
 
@@ -227,14 +227,14 @@
         m.instance(17).kill();
         m.until(37 * SECOND); // a round of asking, a few who look for themselves, and the news of it
         long know = m.instances().stream()
-                .filter(i -> i.alive() && i.membership().standing(17) == Standing.GONE)
+                .filter(i -> i.alive() && i.membership().standing(17) == MemberState.GONE)
                 .count();
         assertThat(know).isGreaterThan(295);
         m.until(60 * SECOND);
         for (int x = 0; x < 300; x++) {
             int of = x;
             long wrong = m.instances().stream()
-                    .filter(i -> i.alive() && i.membership().standing(of) == Standing.GONE)
+                    .filter(i -> i.alive() && i.membership().standing(of) == MemberState.GONE)
                     .count();
             assertThat(of == 17 || wrong < 3)
                     .as("n%d is taken for dead by %d", of, wrong)
@@ -250,8 +250,8 @@
             m.cut(i / 6, i % 6, i / 6 < 3 != i % 6 < 3);
         }
         m.until(20 * SECOND);
-        assertThat(m.instance(0).membership().standing(5)).isEqualTo(Standing.GONE);
-        assertThat(m.instance(5).membership().standing(0)).isEqualTo(Standing.GONE);
+        assertThat(m.instance(0).membership().standing(5)).isEqualTo(MemberState.GONE);
+        assertThat(m.instance(5).membership().standing(0)).isEqualTo(MemberState.GONE);
         for (int i = 0; i < 36; i++) {
             m.cut(i / 6, i % 6, false);
         }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ploverdale.fleet.Packing;
+import ploverdale.membership.PacketQueue;
 import ploverdale.replica.Keeping;
 import ploverdale.replica.Replicas;
 import ploverdale.replica.Replicas.End;
@@ -113,7 +113,7 @@
     void aFirstSubmitThatWaitedInAGatewayThatStoodStillIsNotLetInByAKeeperThatStartedSince() {
         long[] wall = {17_000_000_000_000L};
         Replicas one = new Replicas(0, 1, 1, ReplicaTrial.keeping(1), new SplittableRandom(1), () -> wall[0]);
-        Packing none = new Packing(1000, 0);
+        PacketQueue none = new PacketQueue(1000, 0);
         long arrived = wall[0]
                 - SECOND; // its client may have submitted it elsewhere since, and the keepers' copies may be gone
         wall[0] += SECOND;
@@ -135,7 +135,7 @@
     void twoHundredThousandSessionsTakeLessThanAThirdOfWhatAGatewayMayTake() {
         Replicas one =
                 new Replicas(0, 1, 1, ReplicaTrial.keeping(1), new SplittableRandom(1), () -> 17_000_000_000_000L);
-        Packing none = new Packing(1000, 0);
+        PacketQueue none = new PacketQueue(1000, 0);
         System.gc();
         long before = used();
         for (int i = 0; i < 200_000; i++) {
@@ -157,7 +157,7 @@
         Keeping few = new Keeping(1, true, 600 * SECOND, MS, 0, false, Set.of(), MS, 100, 0);
         long[] wall = {17_000_000_000_000L};
         Replicas one = new Replicas(0, 1, 1, few, new SplittableRandom(1), () -> wall[0]);
-        Packing none = new Packing(1000, 0);
+        PacketQueue none = new PacketQueue(1000, 0);
         wall[0] += 100 * SECOND;
         for (int i = 0; i < 300; i++) {
             wall[0]++;
