--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -3,11 +3,11 @@
 import java.util.*;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import ploverdale.budgets.Apart;
+import ploverdale.quota.StaticQuota;
 import ploverdale.gossip.GossipProtocol;
 import ploverdale.gossip.ServerObservation;
 import ploverdale.model.*;
-import ploverdale.model.Allotment.Probing;
+import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.OpType.Needs;
 import ploverdale.model.OpType.Repeats;
@@ -51,7 +51,7 @@
     private final LocalHealth localHealth = new LocalHealth();
     private final HealthCheckQueue healthChecks = new HealthCheckQueue();
     private SlowStart slowStart;
-    private Allotment allotment;
+    private Quota quota;
     private double shedPrice;
     private int earlyTimeouts; // attempts out that end early for a retry, each of which has one reserved
     private long scarceUntil = Report.UNTOLD;
@@ -60,9 +60,9 @@
     private long now;
     private List<Action> out;
 
-    /** @param allotment of what all gateways share, or null: each takes its part of the whole */
-    public Logic(Allotment allotment) {
-        this.allotment = allotment;
+    /** @param quota of what all gateways share, or null: each takes its part of the whole */
+    public Logic(Quota quota) {
+        this.quota = quota;
     }
 
     /** The one way in: takes what happened, returns what is to be done. */
@@ -107,8 +107,8 @@
     private void started(Event.Started s) {
         chance = new SplittableRandom(s.seed());
         int gateways = Math.max(1, s.gateways());
-        allotment = allotment != null ? allotment : new Apart(s.tenants(), gateways);
-        leastLimit = allotment.limitsSends() ? LEAST_LIMIT : Math.min(2, Math.max(1, LEAST_LIMIT / gateways));
+        quota = quota != null ? quota : new StaticQuota(s.tenants(), gateways);
+        leastLimit = quota.limitsSends() ? LEAST_LIMIT : Math.min(2, Math.max(1, LEAST_LIMIT / gateways));
         firstLimit = FIRST_LIMIT / gateways;
         opTypes = s.opTypes();
         beyondShareValue = s.beyondShareValue();
@@ -213,7 +213,7 @@
                 - (a.again() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
         Op op = new Op(a, type, paces.get(a.type().index()), now, Math.min(target, now + type.opTimeout()));
         op.needPosition = needPosition(a, type);
-        op.beyondShare = !allotment.op(now, a.tenant());
+        op.beyondShare = !quota.op(now, a.tenant());
         ops.put(a.op(), op);
         wakeIn(BEAT);
         groups.computeIfAbsent(a.group(), Group::new).askedAt = now;
@@ -267,7 +267,7 @@
         g.held.remove(op);
         boolean go = to != null && to != HOLD && !shed(op, to)
                 && worthUntil(op) - now >= WORTH_SENDING * op.pace.usual * to.stretch
-                && allotment.send(to.id, op.cold = warmth(to) < 1);
+                && quota.send(to.id, op.cold = warmth(to) < 1);
         shedPrice += op.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(op)) - shedPrice);
         if (go) {
             send(op, to);
@@ -379,7 +379,7 @@
     /** Counts only sends made since it last returned; older ones may be stuck. None where just found full. */
     private boolean hasRoom(Member m, double share) {
         return now - m.fullAt >= m.fullFor && m.outSinceReturn().size() < m.limit * share
-                && allotment.hasSend(m.id, warmth(m) < 1);
+                && quota.hasSend(m.id, warmth(m) < 1);
     }
 
     // Guards against reads longer than the tightest bound, which may stop a replica's apply: all gateways put
@@ -439,7 +439,7 @@
         // Guards against servers whose answers get lost while they work: sends again in time.
         long early = now + (long) (FEW_TAKE * op.pace.usual * stretchNow(m));
         // Only where a retry may follow and can be paid for: an attempt without one has all the time that is left.
-        boolean retryFollows = op.sends + 1 < permits.sendsPerOp() && allotment.hasAgain(earlyTimeouts);
+        boolean retryFollows = op.sends + 1 < permits.sendsPerOp() && quota.hasAgain(earlyTimeouts);
         op.hasEarlyTimeout = m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE && retryFollows
                 && worthUntil(op) - early > op.pace.usual * stretchNow(m);
         if (op.hasEarlyTimeout) {
@@ -465,7 +465,7 @@
         learnRole(m, e.note(), now);
         learnReport(m, e.report());
         if (op != null) {
-            allotment.sendEnded(m.id, op.cold);
+            quota.sendEnded(m.id, op.cold);
             learnHealth(m, op, e);
             earlyTimeouts -= op.hasEarlyTimeout ? 1 : 0;
             op.hasEarlyTimeout = false;
@@ -495,7 +495,7 @@
             op.firstMaybeServer = m;
         }
         boolean wrongRole = outcome == Outcome.TURNED_AWAY && op.type.needs() == Needs.WRITE;
-        if (wrongRole || allotment.again()) {
+        if (wrongRole || quota.again()) {
             place(op);
         } else {
             finish(op); // guards against storms: repeats stay a small part of all sends
@@ -506,7 +506,7 @@
         ops.remove(op.asked.op());
         boolean harmless = !op.mayHaveRun || op.type.repeats() == Repeats.RETRYABLE
                 || op.type.repeats() == Repeats.TOKENED && op.type.scope() == OpType.Scope.ALL;
-        long budget = op.beyondShare ? allotment.comeBackIn(now, op.asked.tenant()) : 0;
+        long budget = op.beyondShare ? quota.comeBackIn(now, op.asked.tenant()) : 0;
         long back = Math.max((long) (COME_BACK * op.type.latencyTarget()), budget);
         back = Math.min(back, permits.longestComeBack());
         out.add(harmless ? new Action.BusyReply(op.asked.op(), permits.comeBackTimes() ? back : 0)
@@ -553,8 +553,8 @@
     private static final long PATIENCE = 50 * MS; // what needs no work takes a few: probes, refused connects
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
-    private boolean probe(Member m, Probing why) {
-        boolean may = permits.probes() && !m.probeOut && allotment.probe(why);
+    private boolean probe(Member m, HealthCheckReason why) {
+        boolean may = permits.probes() && !m.probeOut && quota.probe(why);
         if (may) {
             healthChecks.sent(m);
             m.probeOut = true;
@@ -572,7 +572,7 @@
 
     private void checkNext() {
         for (Member m = healthChecks.next(); m != null; m = healthChecks.next()) {
-            probe(m, Probing.OTHER);
+            probe(m, HealthCheckReason.OTHER);
         }
     }
 
@@ -597,7 +597,7 @@
             due &= !m.probeOut && now - m.probedAt > ASK_AGAIN;
             pick = wanted && due && chance.nextInt(++count) == 0 ? m : pick;
         }
-        return pick != null && probe(pick, Probing.ASKED);
+        return pick != null && probe(pick, HealthCheckReason.ASKED);
     }
 
     private void probeEnded(Event.ProbeEnded e) {
@@ -749,7 +749,7 @@
             }
         }
         if (due != null) {
-            probe(due, Probing.TIMED);
+            probe(due, HealthCheckReason.TIMED);
         }
         groups.values().forEach(this::release);
         if (gossip != null) {
@@ -845,7 +845,7 @@
         }
         if (outcome.isOfConnection() && m.answeredAt < op.sentAt) {
             m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // dead, or no room; a probe tells
-            probe(m, Probing.OTHER);
+            probe(m, HealthCheckReason.OTHER);
         } else if (outcome.byServer) {
             m.answeredAt = m.heardAt = m.aliveAt = now;
             answered(m);
@@ -933,7 +933,7 @@
         // Guards against slow servers taken for dead by gateways with few ops, while others hear them.
         boolean heardSince = askAgain() > ASK_AGAIN && now - m.positionToldAt < quiet;
         if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && heardSince && now - m.probedAt > quiet) {
-            probe(m, Probing.OTHER);
+            probe(m, HealthCheckReason.OTHER);
         } else if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && !heardSince) {
             if (quiet - localHealth.explainedIn(now - quiet, now) < SILENCE_LEAST
                     || localHealth.commonSilence(now, m, now - quiet, members.values())) {
--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -18,8 +18,8 @@
 import ploverdale.benchlink.BenchLink;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Sharing;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.net.FleetFile;
 import ploverdale.net.Gateway;
 import ploverdale.net.GatewayFile;
@@ -117,7 +117,7 @@
             Log log = new Log(System.err);
             log.takeOver();
             GatewayFile file = file();
-            Optional<Sharing> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
+            Optional<QuotaSettings> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
             CompletableFuture<Gateway> started = new CompletableFuture<>();
             // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted on behind it.
             if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
@@ -155,9 +155,9 @@
             System.out.println("gateway " + f.name() + " listens at " + f.listen() + ", discovery at " + f.discovery());
             System.out.println(f.terms().opTypes().size() + " op types, " + f.terms().tenants().size() + " tenants, "
                     + f.known().entries().size() + " servers known, " + f.sockets() + " descriptors");
-            Sharing fleet = fleetFile() == null ? null : FleetFile.fits(FleetFile.read(fleetFile()), f.terms());
+            QuotaSettings fleet = fleetFile() == null ? null : FleetFile.fits(FleetFile.read(fleetFile()), f.terms());
             if (fleet != null) {
-                Division d = fleet.division(f.terms().started());
+                QuotaAllocation d = fleet.division(f.terms().started());
                 System.out.println("fleet of " + d.gateways() + ", division " + Integer.toHexString(d.id()) + ", floor "
                         + fleet.floorShare() + " of each right");
                 for (int b = 0; b < d.budgets().size(); b++) {
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -18,8 +18,8 @@
 import java.util.Map;
 import java.util.Set;
 import ploverdale.Logic;
-import ploverdale.budgets.Shared;
-import ploverdale.budgets.Sharing;
+import ploverdale.quota.QuotaNode;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
@@ -34,7 +34,7 @@
     private static final long SHARED_MARK = 1; // of wake-ups for the fleet's parts; the module's is 0
 
     /** @param shared null but where a fleet file switches it on */
-    private record Host(Logic logic, Reader reader, Shared shared) {}
+    private record Host(Logic logic, Reader reader, QuotaNode shared) {}
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -42,12 +42,12 @@
     private final Map<Long, List<Listing>> ledgers = new HashMap<>();
     private final Map<String, Host> hosts = new HashMap<>();
     private final Set<String> stopped = new HashSet<>();
-    private final Sharing sharing;
+    private final QuotaSettings quotaSettings;
     private long now;
 
-    /** @param sharing what gateways that may talk divide among themselves; null: nothing */
-    public BenchLink(InputStream in, OutputStream out, Sharing sharing) {
-        this.sharing = sharing;
+    /** @param quotaSettings what gateways that may talk divide among themselves; null: nothing */
+    public BenchLink(InputStream in, OutputStream out, QuotaSettings quotaSettings) {
+        this.quotaSettings = quotaSettings;
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = new BufferedOutputStream(out, 1 << 16);
     }
@@ -113,11 +113,11 @@
                 Fields f = Fields.of(name, body);
                 Reader reader = new Reader(f);
                 Started told = reader.started();
-                if (sharing != null && sharing.keeping() != null) {
+                if (quotaSettings != null && quotaSettings.keeping() != null) {
                     throw new Unreadable("fleet file with a field sessions or submits, which are kept on sockets only");
                 }
-                Shared shared = sharing == null || !told.permits().peerMessages() || told.gateways() < 2 ? null
-                        : new Shared(sharing, told, 1 + now / 10, () -> this.now, () -> this.now); // 0 would be no start at all
+                QuotaNode shared = quotaSettings == null || !told.permits().peerMessages() || told.gateways() < 2 ? null
+                        : new QuotaNode(quotaSettings, told, 1 + now / 10, () -> this.now, () -> this.now); // 0 would be no start at all
                 Host host = new Host(new Logic(shared), reader, shared);
                 hosts.put(f.text("gateway"), host);
                 tell(g, now, f.text("gateway"), host, told);
@@ -144,7 +144,7 @@
     private void lookRound(JsonGenerator g, String gateway, Host host) throws IOException {
         if (host.shared() != null) {
             write(g, gateway, host.shared(), host.shared().due());
-            Writer.write(g, gateway, new Action.Wake(now + Shared.LOOK, SHARED_MARK));
+            Writer.write(g, gateway, new Action.Wake(now + QuotaNode.LOOK, SHARED_MARK));
         }
     }
 
@@ -154,7 +154,7 @@
         return answers != null;
     }
 
-    private static void write(JsonGenerator g, String gateway, Shared shared, List<PacketQueue.OutboundPacket> letters) throws IOException {
+    private static void write(JsonGenerator g, String gateway, QuotaNode shared, List<PacketQueue.OutboundPacket> letters) throws IOException {
         for (PacketQueue.OutboundPacket l : letters) {
             Writer.write(g, gateway, new Action.Tell(l.to(), l.bytes()));
         }
--- a/gateway/src/main/java/ploverdale/membership/Packet.java
+++ b/gateway/src/main/java/ploverdale/membership/Packet.java
@@ -12,7 +12,7 @@
  * longer than the reader expects. The mark is none of the words' ({@code ploverdale.gossip}), and older versions leave it.
  *
  * @param incarnation which start of the sender this is from; higher is later
- * @param division which division of the budgets the sender goes by, see {@code ploverdale.budgets}
+ * @param division which division of the budgets the sender goes by, see {@code ploverdale.quota}
  */
 public record Packet(long incarnation, int division, List<Part> parts) {
     public static final int MOST = 256;
--- a/gateway/src/main/java/ploverdale/model/Allotment.java
+++ b/gateway/src/main/java/ploverdale/model/Quota.java
@@ -4,9 +4,9 @@
  * Parts of what belongs to all gateways together, as this one may spend them. The module asks before it spends; who holds
  * which parts is decided elsewhere.
  */
-public interface Allotment {
+public interface Quota {
     /** What a probe is for: its time has come, an op needs the word, or a sign of trouble. */
-    enum Probing { TIMED, ASKED, OTHER }
+    enum HealthCheckReason { TIMED, ASKED, OTHER }
 
     /**
      * Spends one op of a tenant's agreed traffic; false where none is to be had now.
@@ -37,5 +37,5 @@
     boolean again();
 
     /** Spends a probe; false where none is to be had now. */
-    boolean probe(Probing why);
+    boolean probe(HealthCheckReason why);
 }
--- a/gateway/src/main/java/ploverdale/net/FleetFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetFile.java
@@ -6,8 +6,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import ploverdale.budgets.Leasing;
-import ploverdale.budgets.Sharing;
+import ploverdale.quota.LeaseDurations;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.replica.Keeping;
 import ploverdale.terms.Fields;
 import ploverdale.terms.Terms;
@@ -31,7 +31,7 @@
     private FleetFile() {}
 
     /** Reads the file; a mistake is named by its field. */
-    public static Sharing read(Path file) {
+    public static QuotaSettings read(Path file) {
         String text;
         try {
             text = Files.readString(file);
@@ -40,9 +40,9 @@
         }
         Fields f = Fields.of("fleet file", GatewayFile.json(text, "fleet file"));
         f.only(FIELDS);
-        Sharing s = new Sharing(f.mark("tenants"), parts(f, "sends_at_server"), parts(f, "cold_sends_at_server"),
+        QuotaSettings s = new QuotaSettings(f.mark("tenants"), parts(f, "sends_at_server"), parts(f, "cold_sends_at_server"),
                 (int) within(f, "server_slots", 64, 1, 512), parts(f, "second_sends_per_second"), parts(f, "probes_per_second"),
-                within(f, "floor_share", 0.5, 0, 0.5), new Leasing((long) within(f, "steward_ms", 3000, 200, 60_000) * MS,
+                within(f, "floor_share", 0.5, 0, 0.5), new LeaseDurations((long) within(f, "steward_ms", 3000, 200, 60_000) * MS,
                         (long) within(f, "loan_ms", 2000, 100, 60_000) * MS, within(f, "clocks_apart", 0.05, 0.001, 0.5)),
                 within(f, "bytes_per_second", 2000, 200, 1_000_000), keeping(f));
         if (!s.any()) {
@@ -79,7 +79,7 @@
     }
 
     /** Whether the file fits what the gateway is told; a field that does not is named. */
-    public static Sharing fits(Sharing s, Terms told) {
+    public static QuotaSettings fits(QuotaSettings s, Terms told) {
         if (s.keeping() != null) {
             for (String name : s.keeping().waits()) {
                 if (!told.opTypes().contains(name)) {
--- a/gateway/src/main/java/ploverdale/net/FleetSide.java
+++ b/gateway/src/main/java/ploverdale/net/FleetSide.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.function.ObjLongConsumer;
-import ploverdale.budgets.Shared;
-import ploverdale.budgets.Sharing;
+import ploverdale.quota.QuotaNode;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.membership.PacketQueue;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Started;
@@ -23,20 +23,20 @@
 
     private final Log log;
     private final Out out;
-    private final Shared shared;
+    private final QuotaNode shared;
     private Runnable heard = () -> { };
 
-    FleetSide(Vertx vertx, Log log, Sharing sharing, Started told, Out out, ServerClock time) {
+    FleetSide(Vertx vertx, Log log, QuotaSettings quotaSettings, Started told, Out out, ServerClock time) {
         this.log = log;
         this.out = out;
-        shared = new Shared(sharing, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
-        vertx.setPeriodic(Shared.LOOK / 10, x -> sends(shared.due()));
+        shared = new QuotaNode(quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
+        vertx.setPeriodic(QuotaNode.LOOK / 10, x -> sends(shared.due()));
         vertx.setPeriodic(LINE_MS, x -> log.line(shared.figures()));
         lines();
     }
 
     /** What the module may spend. */
-    Shared shared() {
+    QuotaNode shared() {
         return shared;
     }
 
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
-import ploverdale.budgets.Sharing;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.clock.Clock;
 import ploverdale.shutdown.GracefulShutdown;
 import ploverdale.log.Log;
@@ -70,7 +70,7 @@
     /** When a server last started, as the list dates it and as service time. */
     private record Start(long wall, long serviceTime) {}
 
-    private Gateway(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> sharing,
+    private Gateway(Vertx vertx, Context context, Log log, GatewayFile file, Optional<QuotaSettings> quotaSettings,
             Clock clock) {
         this.vertx = vertx;
         this.log = log;
@@ -78,8 +78,8 @@
         time = new ServerClock(log, clock);
         vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
-        fleet = sharing.isEmpty() || file.peerListen() == null ? null
-                : new FleetSide(vertx, log, sharing.get(), file.terms().started(), (to, bytes) -> peers().send(to, bytes), time);
+        fleet = quotaSettings.isEmpty() || file.peerListen() == null ? null
+                : new FleetSide(vertx, log, quotaSettings.get(), file.terms().started(), (to, bytes) -> peers().send(to, bytes), time);
         loop = new LogicLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
         clients = new ClientSide(vertx, log, loop, file.terms(), limits, time);
         servers = new ServerSide(vertx, log, file.terms(), limits, this::makeRoom, time);
@@ -91,7 +91,7 @@
             peers.readFirst(fleet::hears);
         }
         past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicaSide(vertx, log, loop, clients,
-                file.terms(), sharing.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
+                file.terms(), quotaSettings.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
         if (past != null) {
             clients.past(past);
             fleet.whenHeard(past::ended);
@@ -133,11 +133,11 @@
     }
 
     /** The same, with the fleet's parts that this file switches on. Optional, so that where there is none its class is not loaded. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<Sharing> fleet) {
+    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<QuotaSettings> fleet) {
         return start(vertx, log, file, fleet, Clock.system());
     }
 
-    private static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<Sharing> fleet, Clock clock) {
+    private static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Context context = vertx.getOrCreateContext();
         return WarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
     }
@@ -152,7 +152,7 @@
         return unpractised(vertx, context, log, file, Optional.empty(), clock);
     }
 
-    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> fleet,
+    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Optional<QuotaSettings> fleet,
             Clock clock) {
         Promise<Gateway> listening = Promise.promise();
         context.runOnContext(x -> new Gateway(vertx, context, log, file, fleet, clock).listen(listening));
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -8,7 +8,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.Allotment;
+import ploverdale.model.Quota;
 import ploverdale.model.Event;
 import ploverdale.model.ServerId;
 
@@ -58,12 +58,12 @@
     private long lastTick;
     private long tickBefore;
 
-    /** @param allotment what the module may spend of the fleet's budgets, or null */
-    public LogicLoop(Vertx vertx, Context context, Log log, Hands hands, Allotment allotment, Clock clock) {
+    /** @param quota what the module may spend of the fleet's budgets, or null */
+    public LogicLoop(Vertx vertx, Context context, Log log, Hands hands, Quota quota, Clock clock) {
         this.clock = clock;
         lastTick = clock.now();
         tickBefore = lastTick;
-        logic = new Logic(allotment);
+        logic = new Logic(quota);
         this.vertx = vertx;
         this.context = context;
         this.log = log;
--- a/gateway/src/main/java/ploverdale/budgets/Budget.java
+++ b/gateway/src/main/java/ploverdale/quota/Budget.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 /**
  * A whole number of parts of something that a fleet may spend.
@@ -14,7 +14,7 @@
     public enum Kind { RATE, IN_USE }
 
     public Budget {
-        if (whole < 0 || whole > Division.WHOLE_MOST || holds <= 0) {
+        if (whole < 0 || whole > QuotaAllocation.WHOLE_MOST || holds <= 0) {
             throw new IllegalArgumentException("budget " + name + " of " + whole + " parts held for " + holds);
         }
     }
--- a/gateway/src/main/java/ploverdale/budgets/Budgets.java
+++ b/gateway/src/main/java/ploverdale/quota/Budgets.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -46,12 +46,12 @@
     private static final String GUARANTEED = "floor";
 
     private final int me;
-    private final Division division;
-    private final Leasing leasing;
+    private final QuotaAllocation division;
+    private final LeaseDurations leaseDurations;
     private final int budgets;
     private final long longestUse;
-    private final Purse[] held;
-    private final Keeper acceptor;
+    private final HeldUnits[] held;
+    private final LeaseAcceptor acceptor;
     private final LeaseHolder leaseHolder;
     private final UnitLender lender;
     private final UnitBorrower borrower;
@@ -66,27 +66,27 @@
      * @param start which start of its name this is, by which acceptors and lenders tell it from earlier ones
      * @param chance chooses lenders
      */
-    public Budgets(int me, long start, Division division, Leasing leasing, RandomGenerator chance, long now) {
+    public Budgets(int me, long start, QuotaAllocation division, LeaseDurations leaseDurations, RandomGenerator chance, long now) {
         this.me = me;
         this.start = start;
         this.division = division;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         budgets = division.budgets().size();
         longestUse = longestUse(division);
         startedAt = now;
-        held = new Purse[budgets];
+        held = new HeldUnits[budgets];
         for (int budget = 0; budget < budgets; budget++) {
-            held[budget] = new Purse(division.budgets().get(budget), now);
+            held[budget] = new HeldUnits(division.budgets().get(budget), now);
         }
-        acceptor = new Keeper(division.gateways(), leasing, now);
-        leaseHolder = new LeaseHolder(me, division, leasing, longestUse, held, acceptor, this::nextNumber, now);
+        acceptor = new LeaseAcceptor(division.gateways(), leaseDurations, now);
+        leaseHolder = new LeaseHolder(me, division, leaseDurations, longestUse, held, acceptor, this::nextNumber, now);
         UnitDemand demand = new UnitDemand(held);
         lender = new UnitLender(division, leaseHolder, demand);
-        borrower = new UnitBorrower(me, division, leasing, chance, held, demand, this::nextNumber);
+        borrower = new UnitBorrower(me, division, leaseDurations, chance, held, demand, this::nextNumber);
         holdGuaranteedUnits(now, Budget.Kind.RATE);
     }
 
-    private static long longestUse(Division division) {
+    private static long longestUse(QuotaAllocation division) {
         return division.budgets().stream()
                 .filter(budget -> budget.kind() == Budget.Kind.IN_USE)
                 .mapToLong(Budget::holds)
@@ -106,7 +106,7 @@
         }
     }
 
-    public Division division() {
+    public QuotaAllocation division() {
         return division;
     }
 
@@ -143,7 +143,7 @@
      * the same name has taken has ended. Loans end by themselves.
      */
     private void updateHeldUnits(long now) {
-        if (now - startedAt >= leasing.overFor(longestUse)) {
+        if (now - startedAt >= leaseDurations.overFor(longestUse)) {
             holdGuaranteedUnits(now, Budget.Kind.IN_USE);
         }
         leaseHolder.updateHeldUnits(now);
@@ -259,7 +259,7 @@
         updateHeldUnits(now);
         List<Figures> all = new ArrayList<>();
         for (int budget = 0; budget < budgets; budget++) {
-            Purse units = held[budget];
+            HeldUnits units = held[budget];
             all.add(new Figures(
                     division.budgets().get(budget).name(),
                     units.parts(now),
@@ -279,7 +279,7 @@
         updateHeldUnits(now);
         StringBuilder text = new StringBuilder().append(acceptor.told(now));
         leaseHolder.partitions().forEach(partition -> text.append(" | ").append(partition.told(now)));
-        for (Purse units : held) {
+        for (HeldUnits units : held) {
             text.append(" | ").append(units.told(now));
         }
         borrower.describe(now, text);
--- a/gateway/src/main/java/ploverdale/budgets/Purse.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -9,7 +9,7 @@
  * use. The clock is looked at before each spending; what has lapsed meanwhile counts as lapsed at its own time. Times in
  * tenths of a millisecond.
  */
-final class Purse {
+final class HeldUnits {
     private static final double SECOND = 10_000;
     private static final double FADES_IN = 1000 * 10; // of what was wanted lately
 
@@ -36,7 +36,7 @@
     private long spent;
     private long refused;
 
-    Purse(Budget budget, long now) {
+    HeldUnits(Budget budget, long now) {
         this.budget = budget;
         at = now;
         wantedAt = now;
@@ -179,7 +179,7 @@
     String told(long now) {
         passes(now);
         StringBuilder b = new StringBuilder().append(inUse).append(' ').append(Math.round(saved * 100));
-        held.forEach(h -> b.append(' ').append(h.of instanceof Estate e ? "e" + e.number : h.of instanceof String t ? t : "b").append('=').append(h.parts).append('@')
+        held.forEach(h -> b.append(' ').append(h.of instanceof LeasePartition e ? "e" + e.number : h.of instanceof String t ? t : "b").append('=').append(h.parts).append('@')
                 .append(h.until == Long.MAX_VALUE ? -1 : h.until - now));
         return b.toString();
     }
--- a/gateway/src/main/java/ploverdale/budgets/Keeper.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.Arrays;
 
@@ -7,31 +7,31 @@
  * a later start of the same one. A gateway that has just started may have forgotten promises and makes none until each of
  * them is over.
  */
-final class Keeper {
-    private final Leasing leasing;
+final class LeaseAcceptor {
+    private final LeaseDurations leaseDurations;
     private final long abstainsUntil;
     private final int[] to;
     private final long[] start;
     private final long[] until;
 
-    Keeper(int estates, Leasing leasing, long now) {
-        this.leasing = leasing;
-        abstainsUntil = now + leasing.overFor(leasing.steward());
-        to = new int[estates];
+    LeaseAcceptor(int partitions, LeaseDurations leaseDurations, long now) {
+        this.leaseDurations = leaseDurations;
+        abstainsUntil = now + leaseDurations.overFor(leaseDurations.leaseHolder());
+        to = new int[partitions];
         Arrays.fill(to, -1);
-        start = new long[estates];
-        until = new long[estates];
+        start = new long[partitions];
+        until = new long[partitions];
     }
 
     /** Somebody asks to be or to stay the steward of an estate; whether it is promised. */
-    boolean asked(long now, int estate, int who, long whoseStart) {
-        boolean same = to[estate] == who && start[estate] == whoseStart;
-        if (now < abstainsUntil || !same && now < until[estate]) {
+    boolean asked(long now, int partition, int who, long whoseStart) {
+        boolean same = to[partition] == who && start[partition] == whoseStart;
+        if (now < abstainsUntil || !same && now < until[partition]) {
             return false;
         }
-        to[estate] = who;
-        start[estate] = whoseStart;
-        until[estate] = now + leasing.overFor(leasing.steward());
+        to[partition] = who;
+        start[partition] = whoseStart;
+        until[partition] = now + leaseDurations.overFor(leaseDurations.leaseHolder());
         return true;
     }
 
--- a/gateway/src/main/java/ploverdale/budgets/LeaseHolder.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.Collection;
 import java.util.Map;
@@ -20,14 +20,14 @@
             4; // in the time that a promise lasts, so that lost messages do not end the lease
 
     private final int me;
-    private final Division division;
-    private final Leasing leasing;
+    private final QuotaAllocation division;
+    private final LeaseDurations leaseDurations;
     private final long longestUse;
-    private final Purse[] held;
-    private final Keeper acceptor;
+    private final HeldUnits[] held;
+    private final LeaseAcceptor acceptor;
     private final IntSupplier nextNumber;
     private final long startedAt;
-    private final Map<Integer, Estate> partitions = new TreeMap<>();
+    private final Map<Integer, LeasePartition> partitions = new TreeMap<>();
 
     /**
      * @param longestUse how long a unit may stay in use once it was taken
@@ -37,22 +37,22 @@
      */
     LeaseHolder(
             int me,
-            Division division,
-            Leasing leasing,
+            QuotaAllocation division,
+            LeaseDurations leaseDurations,
             long longestUse,
-            Purse[] held,
-            Keeper acceptor,
+            HeldUnits[] held,
+            LeaseAcceptor acceptor,
             IntSupplier nextNumber,
             long now) {
         this.me = me;
         this.division = division;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         this.longestUse = longestUse;
         this.held = held;
         this.acceptor = acceptor;
         this.nextNumber = nextNumber;
         startedAt = now;
-        Estate own = new Estate(me, leasing, longestUse);
+        LeasePartition own = new LeasePartition(me, leaseDurations, longestUse);
         partitions.put(me, own);
         if (!hasOtherAcceptors()) {
             own.owned(now);
@@ -64,7 +64,7 @@
     }
 
     /** In the order of their numbers; this gateway's own is always among them. */
-    Collection<Estate> partitions() {
+    Collection<LeasePartition> partitions() {
         return partitions.values();
     }
 
@@ -80,7 +80,7 @@
 
     /** Enters what is free of each partition, and until when, in the held units. */
     void updateHeldUnits(long now) {
-        for (Estate partition : partitions.values()) {
+        for (LeasePartition partition : partitions.values()) {
             boolean serves = partition.serves(now);
             long until = serves ? partition.promisedUntil() : now;
             for (int budget = 0; budget < held.length; budget++) {
@@ -89,8 +89,8 @@
         }
     }
 
-    private int free(long now, Estate partition, int budget) {
-        return Math.max(0, division.estate(partition.number, budget) - partition.out(now, budget));
+    private int free(long now, LeasePartition partition, int budget) {
+        return Math.max(0, division.partition(partition.number, budget) - partition.out(now, budget));
     }
 
     /**
@@ -104,10 +104,10 @@
             takeOver(now, present);
         }
         partitions.values().removeIf(partition -> dropIfUnwanted(now, partition, present));
-        for (Estate partition : partitions.values()) {
+        for (LeasePartition partition : partitions.values()) {
             if (hasOtherAcceptors()
                     && isWanted(partition.number, present)
-                    && now - partition.askedAt() >= leasing.steward() / RENEWALS) {
+                    && now - partition.askedAt() >= leaseDurations.leaseHolder() / RENEWALS) {
                 renew(now, start, partition, out);
             }
         }
@@ -118,8 +118,8 @@
         for (int gateway = 0; gateway < division.gateways(); gateway++) {
             if (!partitions.containsKey(gateway)
                     && isWanted(gateway, present)
-                    && now - startedAt > leasing.overFor(leasing.steward())) {
-                partitions.put(gateway, new Estate(gateway, leasing, longestUse));
+                    && now - startedAt > leaseDurations.overFor(leaseDurations.leaseHolder())) {
+                partitions.put(gateway, new LeasePartition(gateway, leaseDurations, longestUse));
             }
         }
     }
@@ -128,10 +128,10 @@
      * Clears what is held of a partition that is neither wanted nor leased any more; true where it is to be
      * forgotten.
      */
-    private boolean dropIfUnwanted(long now, Estate partition, IntPredicate present) {
+    private boolean dropIfUnwanted(long now, LeasePartition partition, IntPredicate present) {
         boolean dropped = !isWanted(partition.number, present) && !partition.isMine(now);
         if (dropped) {
-            for (Purse units : held) {
+            for (HeldUnits units : held) {
                 units.holds(now, partition, 0, now);
             }
         }
@@ -156,10 +156,10 @@
         return best;
     }
 
-    private void renew(long now, long start, Estate partition, PacketQueue out) {
+    private void renew(long now, long start, LeasePartition partition, PacketQueue out) {
         int round = partition.asks(now, nextNumber.getAsInt());
         for (int place = 0; place < division.keepers(); place++) {
-            int gateway = division.keeper(partition.number, place);
+            int gateway = division.acceptor(partition.number, place);
             if (gateway != me) {
                 out.add(gateway, QuotaMessages.leaseRequest(partition.number, round));
             } else if (acceptor.asked(now, partition.number, me, start)) {
@@ -170,7 +170,7 @@
 
     /** An acceptor has promised a partition to this gateway, in answer to that round. */
     void onPromise(long now, int from, int number, int round) {
-        Estate partition = partitions.get(number);
+        LeasePartition partition = partitions.get(number);
         if (partition == null) {
             return;
         }
@@ -183,7 +183,7 @@
     /** Units of a budget that are lent, or may still be in use for a loan that has ended. */
     int lent(long now, int budget) {
         int units = 0;
-        for (Estate partition : partitions.values()) {
+        for (LeasePartition partition : partitions.values()) {
             units += partition.out(now, budget);
         }
         return units;
--- a/gateway/src/main/java/ploverdale/budgets/Estate.java
+++ b/gateway/src/main/java/ploverdale/quota/LeasePartition.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,16 +8,16 @@
  * when they are neither lent nor may still be in use by one to whom they were lent; none is free before all that an earlier
  * steward may have lent is over. Times in tenths of a millisecond.
  */
-final class Estate {
+final class LeasePartition {
     /** Parts that are out. */
-    static final class Loan {
+    static final class SubLease {
         final int to;
         final long itsStart;
         final int number;
         final int[] parts;
         long endsAt;
 
-        private Loan(int to, long itsStart, int number, int[] parts, long endsAt) {
+        private SubLease(int to, long itsStart, int number, int[] parts, long endsAt) {
             this.to = to;
             this.itsStart = itsStart;
             this.number = number;
@@ -27,9 +27,9 @@
     }
 
     final int number;
-    private final Leasing leasing;
+    private final LeaseDurations leaseDurations;
     private final long longestUse;
-    private final List<Loan> loans = new ArrayList<>();
+    private final List<SubLease> loans = new ArrayList<>();
     private long promisedUntil = Long.MIN_VALUE;
     private long servesFrom = Long.MIN_VALUE;
     private int round;
@@ -37,9 +37,9 @@
     private long promises; // of this round, a bit a keeper
 
     /** @param longestUse for how long a part may stay in use once it was taken */
-    Estate(int number, Leasing leasing, long longestUse) {
+    LeasePartition(int number, LeaseDurations leaseDurations, long longestUse) {
         this.number = number;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         this.longestUse = longestUse;
     }
 
@@ -50,7 +50,7 @@
     }
 
     private long rest() {
-        return leasing.overFor(leasing.loan()) + leasing.overFor(longestUse);
+        return leaseDurations.overFor(leaseDurations.loan()) + leaseDurations.overFor(longestUse);
     }
 
     /** Begins another round of asking the keepers; its number goes with the question. */
@@ -66,16 +66,16 @@
     }
 
     /** A keeper has promised in that round; counts from when the round was begun. */
-    void promised(long now, int ofRound, int keeper, int majority) {
+    void promised(long now, int ofRound, int acceptor, int majority) {
         if (ofRound != round) {
             return; // an answer to an earlier question counts for nothing
         }
-        promises |= 1L << keeper;
-        if (Long.bitCount(promises) >= majority && roundAt + leasing.steward() > now) {
+        promises |= 1L << acceptor;
+        if (Long.bitCount(promises) >= majority && roundAt + leaseDurations.leaseHolder() > now) {
             if (now >= promisedUntil) {
                 servesFrom = now + rest(); // another may have been steward in between
             }
-            promisedUntil = Math.max(promisedUntil, roundAt + leasing.steward());
+            promisedUntil = Math.max(promisedUntil, roundAt + leaseDurations.leaseHolder());
         }
     }
 
@@ -97,23 +97,23 @@
     /** Of one budget, parts that are lent or may still be in use for a loan that has ended. */
     int out(long now, int budget) {
         int n = 0;
-        for (Loan l : loans) {
+        for (SubLease l : loans) {
             n += now < l.endsAt ? l.parts[budget] : 0;
         }
         return n;
     }
 
     /** Lends parts that are free; the loan lasts from now. */
-    Loan lend(long now, int to, long itsStart, int loanNumber, int[] parts) {
+    SubLease lend(long now, int to, long itsStart, int loanNumber, int[] parts) {
         loans.removeIf(l -> now >= l.endsAt);
-        Loan l = new Loan(to, itsStart, loanNumber, parts, now + rest());
+        SubLease l = new SubLease(to, itsStart, loanNumber, parts, now + rest());
         loans.add(l);
         return l;
     }
 
     /** The loan of that number to that gateway, if it is out. */
-    Loan loan(long now, int to, long itsStart, int loanNumber) {
-        for (Loan l : loans) {
+    SubLease loan(long now, int to, long itsStart, int loanNumber) {
+        for (SubLease l : loans) {
             if (l.to == to && l.itsStart == itsStart && l.number == loanNumber && now < l.endsAt) {
                 return l;
             }
@@ -122,7 +122,7 @@
     }
 
     /** It lasts from now again, with fewer parts perhaps; those it loses stay out until their old end. */
-    void extend(long now, Loan l, int[] keeps) {
+    void extend(long now, SubLease l, int[] keeps) {
         int[] loses = new int[keeps.length];
         boolean any = false;
         for (int b = 0; b < keeps.length; b++) {
@@ -131,13 +131,13 @@
             l.parts[b] = keeps[b];
         }
         if (any) {
-            loans.add(new Loan(l.to, l.itsStart, 0, loses, l.endsAt));
+            loans.add(new SubLease(l.to, l.itsStart, 0, loses, l.endsAt));
         }
         l.endsAt = now + rest();
     }
 
     /** The borrower says that it spends no more than this of a loan, and that nothing above it is in use. */
-    void back(Loan l, int budget, int keeps) {
+    void back(SubLease l, int budget, int keeps) {
         l.parts[budget] = Math.min(l.parts[budget], keeps);
     }
 
@@ -145,8 +145,8 @@
     String told(long now) {
         StringBuilder b = new StringBuilder("e" + number + " " + Math.max(0, promisedUntil == Long.MAX_VALUE ? -1
                 : promisedUntil - now) + " " + Math.max(0, servesFrom - now) + " " + round + " " + promises + " "
-                + Math.max(0, roundAt + leasing.steward() - now));
-        for (Loan l : loans) {
+                + Math.max(0, roundAt + leaseDurations.leaseHolder() - now));
+        for (SubLease l : loans) {
             if (now < l.endsAt) {
                 b.append(" l").append(l.to).append('.').append(l.itsStart).append('.').append(l.number)
                         .append(java.util.Arrays.toString(l.parts)).append(l.endsAt - now);
--- a/gateway/src/main/java/ploverdale/budgets/Division.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -12,12 +12,12 @@
  * @param floorShare of a right that is floor, rounded down; under a half, so that the floors of two divisions together stay
  *     within the larger whole
  */
-public record Division(List<Budget> budgets, int gateways, double floorShare) {
+public record QuotaAllocation(List<Budget> budgets, int gateways, double floorShare) {
     static final int WHOLE_MOST = 65_535;
     private static final int KEEPERS_MOST = 5;
     private static final int KEEPERS_LEAST = 3; // with fewer gateways there is no majority that outlives one
 
-    public Division {
+    public QuotaAllocation {
         budgets = List.copyOf(budgets);
         if (gateways < 1 || floorShare < 0 || floorShare > 0.5) {
             throw new IllegalArgumentException(gateways + " gateways, a floor of " + floorShare);
@@ -37,7 +37,7 @@
     }
 
     /** Of its right, what its steward lends. */
-    public int estate(int gateway, int budget) {
+    public int partition(int gateway, int budget) {
         return right(gateway, budget) - floor(gateway, budget);
     }
 
@@ -47,12 +47,12 @@
     }
 
     /** One of those, the gateway itself first; the same at every gateway, whoever is alive. */
-    public int keeper(int estate, int place) {
-        return (estate + place) % gateways;
+    public int acceptor(int partition, int place) {
+        return (partition + place) % gateways;
     }
 
-    public boolean keeps(int gateway, int estate) {
-        return Math.floorMod(gateway - estate, gateways) < keepers();
+    public boolean keeps(int gateway, int partition) {
+        return Math.floorMod(gateway - partition, gateways) < keepers();
     }
 
     public int majority() {
--- a/gateway/src/main/java/ploverdale/budgets/QuotaMessages.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessages.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
--- a/gateway/src/main/java/ploverdale/budgets/Shared.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
 import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
 import ploverdale.gossip.Datagram;
-import ploverdale.model.Allotment;
+import ploverdale.model.Quota;
 import ploverdale.model.Event.Started;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
@@ -21,41 +21,41 @@
  * module may spend. The same on sockets and on the simulator's wire; whoever owns it looks round in time and carries the
  * letters. Times in tenths of a millisecond, of a clock that never steps.
  */
-public final class Shared implements Allotment {
+public final class QuotaNode implements Quota {
     /** How often {@link #due} is to be asked, in tenths of a millisecond; short beside any lease. */
     public static final long LOOK = 200;
 
-    private final Sharing sharing;
+    private final QuotaSettings quotaSettings;
     private final LongSupplier clock;
     private final int tenants;
-    private final Division division;
+    private final QuotaAllocation division;
     private final Membership membership;
     private final Budgets budgets;
     private final PacketQueue packing;
     private final Replicas replicas; // null where nothing is kept
     private final int id; // by which parcels of gateways that divide or keep otherwise are told apart
-    private final Apart apart; // what is no budget of the fleet
+    private final StaticQuota staticQuota; // what is no budget of the fleet
     private final List<String> lines = new ArrayList<>();
 
     /**
      * @param startedMs Unix ms, by which later starts of a name are told from earlier ones
      * @param wall Unix time, in tenths of a millisecond
      */
-    public Shared(Sharing sharing, Started told, long startedMs, LongSupplier clock, LongSupplier wall) {
-        this.sharing = sharing;
+    public QuotaNode(QuotaSettings quotaSettings, Started told, long startedMs, LongSupplier clock, LongSupplier wall) {
+        this.quotaSettings = quotaSettings;
         this.clock = clock;
-        tenants = sharing.tenantBudgets(told);
-        division = sharing.division(told);
+        tenants = quotaSettings.tenantBudgets(told);
+        division = quotaSettings.division(told);
         SplittableRandom chance = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
         long now = clock.getAsLong();
         membership = new Membership(told.me(), told.gateways(), startedMs, chance.split());
-        budgets = new Budgets(told.me(), Membership.start(membership.incarnation()), division, sharing.leasing(),
+        budgets = new Budgets(told.me(), Membership.start(membership.incarnation()), division, quotaSettings.leaseDurations(),
                 chance.split(), now);
-        packing = new PacketQueue(sharing.bytesPerSecond(), now);
-        apart = new Apart(told.tenants(), told.gateways());
-        replicas = sharing.keeping() == null ? null : new Replicas(told.me(), told.gateways(),
-                Membership.start(membership.incarnation()), sharing.keeping(), chance.split(), wall);
-        id = division.id() + (replicas == null ? 0 : sharing.keeping().copies());
+        packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
+        staticQuota = new StaticQuota(told.tenants(), told.gateways());
+        replicas = quotaSettings.keeping() == null ? null : new Replicas(told.me(), told.gateways(),
+                Membership.start(membership.incarnation()), quotaSettings.keeping(), chance.split(), wall);
+        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
         if (divides()) {
             lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways() + " gateways, division "
                     + Integer.toHexString(id) + ", on its floor until others have promised more");
@@ -170,11 +170,11 @@
     // -- What the module may spend
 
     private int sends(ServerId server) {
-        return sharing.sends(tenants, Datagram.number(server));
+        return quotaSettings.sends(tenants, Datagram.number(server));
     }
 
     private int cold(ServerId server, boolean cold) {
-        return cold ? sharing.cold(tenants, Datagram.number(server)) : -1;
+        return cold ? quotaSettings.cold(tenants, Datagram.number(server)) : -1;
     }
 
     private boolean spends(int budget) {
@@ -183,13 +183,13 @@
 
     @Override
     public boolean op(long now, TenantId tenant) {
-        boolean its = apart.op(now, tenant);
+        boolean its = staticQuota.op(now, tenant);
         return tenants == 0 ? its : tenant.index() >= tenants || spends(tenant.index());
     }
 
     @Override
     public boolean limitsSends() {
-        return sharing.sendsAtServer() > 0;
+        return quotaSettings.sendsAtServer() > 0;
     }
 
     @Override
@@ -227,19 +227,19 @@
     /** Where the fleet pays for further sends, units that others have reserved here are not counted. */
     @Override
     public boolean hasAgain(int reserved) {
-        return sharing.secondSends() == 0
-                ? apart.hasAgain(reserved)
-                : budgets.has(clock.getAsLong(), sharing.again(tenants));
+        return quotaSettings.secondSends() == 0
+                ? staticQuota.hasAgain(reserved)
+                : budgets.has(clock.getAsLong(), quotaSettings.again(tenants));
     }
 
     @Override
     public boolean again() {
-        return sharing.secondSends() == 0 ? apart.again() : spends(sharing.again(tenants));
+        return quotaSettings.secondSends() == 0 ? staticQuota.again() : spends(quotaSettings.again(tenants));
     }
 
     @Override
-    public boolean probe(Probing why) {
-        return sharing.probes() == 0 ? apart.probe(why) : spends(sharing.probing(tenants));
+    public boolean probe(HealthCheckReason why) {
+        return quotaSettings.probes() == 0 ? staticQuota.probe(why) : spends(quotaSettings.probing(tenants));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/budgets/Sharing.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -1,8 +1,8 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.budgets.Budget.Kind;
+import ploverdale.quota.Budget.Kind;
 import ploverdale.model.Event.Started;
 import ploverdale.replica.Keeping;
 
@@ -19,8 +19,8 @@
  * @param floorShare of each gateway's right that it owns outright
  * @param keeping what else gateways hold together, see {@code ploverdale.replica}; null: nothing
  */
-public record Sharing(boolean tenants, int sendsAtServer, int coldSends, int serverSlots, int secondSends, int probes,
-        double floorShare, Leasing leasing, double bytesPerSecond, Keeping keeping) {
+public record QuotaSettings(boolean tenants, int sendsAtServer, int coldSends, int serverSlots, int secondSends, int probes,
+        double floorShare, LeaseDurations leaseDurations, double bytesPerSecond, Keeping keeping) {
     private static final long SECOND = 10_000; // times are tenths of a millisecond
 
     /** Whether there is anything for the fleet to hold together. */
@@ -29,10 +29,10 @@
     }
 
     /** How the budgets are divided among the gateways that are told of; their order is that of the numbers below. */
-    public Division division(Started told) {
+    public QuotaAllocation division(Started told) {
         List<Budget> all = new ArrayList<>();
         for (int t = 0; t < tenantBudgets(told); t++) {
-            int whole = (int) Math.min(Division.WHOLE_MOST, told.tenants().get(t).opsPerSecond());
+            int whole = (int) Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).opsPerSecond());
             all.add(new Budget("tenant " + t, Kind.RATE, whole, SECOND));
         }
         long longest = told.opTypes().stream().mapToLong(o -> o.opTimeout()).max().orElse(SECOND);
@@ -48,7 +48,7 @@
         if (probes > 0) {
             all.add(new Budget("probes", Kind.RATE, probes, SECOND));
         }
-        return new Division(all, told.gateways(), floorShare);
+        return new QuotaAllocation(all, told.gateways(), floorShare);
     }
 
     /** How many of the budgets, the first ones, are tenants'. */
--- a/gateway/src/main/java/ploverdale/budgets/Apart.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -1,7 +1,7 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.List;
-import ploverdale.model.Allotment;
+import ploverdale.model.Quota;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
@@ -10,15 +10,15 @@
  * Parts where gateways agree on nothing: of each tenant's agreed traffic the share that falls on one gateway if all get as
  * much, with a second of it saved up at most. Sends at servers are limited by each gateway's own finding alone.
  */
-public final class Apart implements Allotment {
+public final class StaticQuota implements Quota {
     private static final double SECOND = 10_000; // times are tenths of a millisecond
 
     private final double[] rate;
     private final double[] left;
     private final long[] at;
-    private final Earned earned = new Earned();
+    private final TokenBucket tokenBucket = new TokenBucket();
 
-    public Apart(List<Tenant> tenants, int gateways) {
+    public StaticQuota(List<Tenant> tenants, int gateways) {
         rate = tenants.stream().mapToDouble(t -> t.opsPerSecond() / gateways).toArray();
         left = rate.clone();
         at = new long[rate.length];
@@ -26,7 +26,7 @@
 
     @Override
     public boolean op(long now, TenantId tenant) {
-        earned.op();
+        tokenBucket.op();
         int t = tenant.index();
         if (t >= rate.length) {
             return true;
@@ -56,17 +56,17 @@
 
     @Override
     public boolean hasAgain(int reserved) {
-        return earned.hasAgain(reserved);
+        return tokenBucket.hasAgain(reserved);
     }
 
     @Override
     public boolean again() {
-        return earned.again();
+        return tokenBucket.again();
     }
 
     @Override
-    public boolean probe(Probing why) {
-        return earned.probe(why);
+    public boolean probe(HealthCheckReason why) {
+        return tokenBucket.probe(why);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/budgets/Earned.java
+++ b/gateway/src/main/java/ploverdale/quota/TokenBucket.java
@@ -1,12 +1,12 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
-import ploverdale.model.Allotment.Probing;
+import ploverdale.model.Quota.HealthCheckReason;
 
 /**
  * Further sends and probes as each gateway earns them with its ops, where they are no budget of the fleet: a storm is several
  * an op, and probes on the timer cost more than they bring where there is nothing to ask.
  */
-final class Earned {
+final class TokenBucket {
     private static final double SENDS_PER_OP = 0.25;
     private static final double PROBES_PER_OP = 0.2;
     private static final double SAVED_MOST = 40; // what one server holds when it dies
@@ -31,9 +31,9 @@
     }
 
     /** Whether a probe may go: one on the timer only where one is left; one for an op in need counts; others are rare. */
-    boolean probe(Probing why) {
-        boolean may = why != Probing.TIMED || probes >= 1;
-        probes = why == Probing.OTHER || !may ? probes : Math.max(0, probes - 1);
+    boolean probe(HealthCheckReason why) {
+        boolean may = why != HealthCheckReason.TIMED || probes >= 1;
+        probes = why == HealthCheckReason.OTHER || !may ? probes : Math.max(0, probes - 1);
         return may;
     }
 }
--- a/gateway/src/main/java/ploverdale/budgets/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -25,7 +25,7 @@
     private static final long IDLE_BEFORE_RETURN = 1000 * MS;
 
     /** One loan, as this gateway has it. */
-    private static final class Borrowed {
+    private static final class BorrowedUnits {
         private final int lender;
         private final int number; // the lender's
         private final int[] units;
@@ -33,7 +33,7 @@
         private int extension; // number of the request that asks for more time; 0: none is pending
         private long idleSince;
 
-        private Borrowed(int lender, int number, int[] units, long until, long now) {
+        private BorrowedUnits(int lender, int number, int[] units, long until, long now) {
             this.lender = lender;
             this.number = number;
             this.units = units;
@@ -50,14 +50,14 @@
     private record Question(int lender, long at, int extended) {}
 
     private final int me;
-    private final Division division;
-    private final Leasing leasing;
+    private final QuotaAllocation division;
+    private final LeaseDurations leaseDurations;
     private final RandomGenerator random;
-    private final Purse[] held;
+    private final HeldUnits[] held;
     private final UnitDemand demand;
     private final IntSupplier nextNumber;
     private final int budgets;
-    private final Map<Integer, Borrowed> loans = new LinkedHashMap<>(); // by a number of this gateway's own
+    private final Map<Integer, BorrowedUnits> loans = new LinkedHashMap<>(); // by a number of this gateway's own
     private final Map<Integer, Question> questions = new LinkedHashMap<>();
     private final long[] lentAt; // by gateway: when it lent units last; 0 for never, or where it had none
     private long requestedAt;
@@ -69,15 +69,15 @@
      */
     UnitBorrower(
             int me,
-            Division division,
-            Leasing leasing,
+            QuotaAllocation division,
+            LeaseDurations leaseDurations,
             RandomGenerator random,
-            Purse[] held,
+            HeldUnits[] held,
             UnitDemand demand,
             IntSupplier nextNumber) {
         this.me = me;
         this.division = division;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         this.random = random;
         this.held = held;
         this.demand = demand;
@@ -92,7 +92,7 @@
      * @param present whether a gateway is alive as far as this one knows
      */
     void onTick(long now, IntPredicate present, PacketQueue out) {
-        questions.values().removeIf(question -> now - question.at > leasing.loan());
+        questions.values().removeIf(question -> now - question.at > leaseDurations.loan());
         loans.values().removeIf(loan -> now >= loan.until);
         loans.forEach((own, loan) -> {
             returnIdleUnits(now, loan, out);
@@ -158,14 +158,14 @@
         if (question == null || question.lender != from || number == 0) {
             return;
         }
-        long until = question.at + leasing.loan(); // from before the lender's own count begins
+        long until = question.at + leaseDurations.loan(); // from before the lender's own count begins
         if (until <= now) {
             return;
         }
         int[] units = Arrays.stream(listed).map(count -> Math.max(0, count)).toArray();
-        Borrowed loan;
+        BorrowedUnits loan;
         if (question.extended == 0) {
-            loan = new Borrowed(from, number, units, until, now);
+            loan = new BorrowedUnits(from, number, units, until, now);
             loans.put(nextNumber.getAsInt(), loan);
             lentAt[from] = Arrays.stream(units).sum() > 0 ? now : 0;
         } else {
@@ -180,7 +180,7 @@
         }
     }
 
-    private void extend(Borrowed loan, int[] units, long until) {
+    private void extend(BorrowedUnits loan, int[] units, long until) {
         for (int budget = 0; budget < budgets; budget++) {
             loan.units[budget] = Math.min(loan.units[budget], units[budget]);
         }
@@ -189,7 +189,7 @@
     }
 
     /** Of each budget of which units were spare for a while, half of those goes back to the lender. */
-    private void returnIdleUnits(long now, Borrowed loan, PacketQueue out) {
+    private void returnIdleUnits(long now, BorrowedUnits loan, PacketQueue out) {
         int[] kept = new int[budgets];
         boolean idle = false;
         boolean returns = false;
@@ -212,15 +212,15 @@
     }
 
     /** Asks for more time from half of the loan's time on; again where no answer has come for an eighth of it. */
-    private void extendIfDue(long now, int own, Borrowed loan, PacketQueue out) {
+    private void extendIfDue(long now, int own, BorrowedUnits loan, PacketQueue out) {
         boolean any = Arrays.stream(loan.units).anyMatch(count -> count > 0);
-        if (any && loan.extension == 0 && loan.until - now < leasing.loan() / 2) {
+        if (any && loan.extension == 0 && loan.until - now < leaseDurations.loan() / 2) {
             loan.extension = nextNumber.getAsInt();
             questions.put(loan.extension, new Question(loan.lender, now, own));
             out.add(loan.lender, QuotaMessages.unitRequest(loan.extension, loan.number, loan.units));
         } else if (loan.extension != 0) {
             Question pending = questions.get(loan.extension);
-            if (pending == null || now - pending.at > leasing.loan() / 8) {
+            if (pending == null || now - pending.at > leaseDurations.loan() / 8) {
                 loan.extension = 0;
             }
         }
@@ -229,7 +229,7 @@
     /** Units of a budget in loans that have not ended. */
     int borrowed(long now, int budget) {
         int units = 0;
-        for (Borrowed loan : loans.values()) {
+        for (BorrowedUnits loan : loans.values()) {
             units += now < loan.until ? loan.units[budget] : 0;
         }
         return units;
@@ -237,7 +237,7 @@
 
     /** Appends all that tells two states apart, for an explorer. */
     void describe(long now, StringBuilder to) {
-        for (Borrowed loan : loans.values()) {
+        for (BorrowedUnits loan : loans.values()) {
             to.append(" | b").append(loan.lender).append(Arrays.toString(loan.units));
             to.append(loan.until - now).append(loan.extension != 0);
         }
--- a/gateway/src/main/java/ploverdale/budgets/UnitDemand.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitDemand.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 /**
  * Compares what this gateway holds of each budget with what it needs: the recent demand and some headroom above it.
@@ -8,10 +8,10 @@
 final class UnitDemand {
     private static final double HEADROOM = 0.25; // as a share of the demand, since requests arrive at random
 
-    private final Purse[] held;
+    private final HeldUnits[] held;
 
     /** @param held by budget, shared with {@link Budgets} */
-    UnitDemand(Purse[] held) {
+    UnitDemand(HeldUnits[] held) {
         this.held = held;
     }
 
@@ -28,7 +28,7 @@
 
     /** Units held that are neither in use nor needed; negative where some are missing. */
     int spare(long now, int budget) {
-        Purse units = held[budget];
+        HeldUnits units = held[budget];
         return units.parts(now) - Math.max(units.inUse(), target(now, budget));
     }
 }
--- a/gateway/src/main/java/ploverdale/budgets/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import ploverdale.membership.PacketQueue;
 
@@ -11,13 +11,13 @@
  * thread of {@link Budgets}.
  */
 final class UnitLender {
-    private final Division division;
+    private final QuotaAllocation division;
     private final LeaseHolder leaseHolder;
     private final UnitDemand demand;
     private final int budgets;
     private int lastLoan;
 
-    UnitLender(Division division, LeaseHolder leaseHolder, UnitDemand demand) {
+    UnitLender(QuotaAllocation division, LeaseHolder leaseHolder, UnitDemand demand) {
         this.division = division;
         this.leaseHolder = leaseHolder;
         this.demand = demand;
@@ -31,11 +31,11 @@
      * @param wanted units by budget; lowered by what is lent
      */
     void lend(long now, int borrower, long borrowersStart, int request, int[] wanted, PacketQueue out) {
-        for (Estate partition : leaseHolder.partitions()) {
+        for (LeasePartition partition : leaseHolder.partitions()) {
             int[] lent = new int[budgets];
             boolean any = false;
             for (int budget = 0; budget < budgets && partition.serves(now); budget++) {
-                int free = division.estate(partition.number, budget) - partition.out(now, budget);
+                int free = division.partition(partition.number, budget) - partition.out(now, budget);
                 int spare = Math.min(free, demand.spare(now, budget));
                 lent[budget] = Math.max(0, Math.min(wanted[budget], (spare + 1) / 2));
                 wanted[budget] -= lent[budget];
@@ -53,8 +53,8 @@
 
     /** Extends a loan; of each budget that this gateway lacks units of, it takes back up to half of those lent. */
     void extend(long now, int borrower, long borrowersStart, int request, int loan, int[] wanted, PacketQueue out) {
-        for (Estate partition : leaseHolder.partitions()) {
-            Estate.Loan found = partition.serves(now) ? partition.loan(now, borrower, borrowersStart, loan) : null;
+        for (LeasePartition partition : leaseHolder.partitions()) {
+            LeasePartition.SubLease found = partition.serves(now) ? partition.loan(now, borrower, borrowersStart, loan) : null;
             if (found == null) {
                 continue;
             }
@@ -72,8 +72,8 @@
 
     /** A borrower has returned units of a loan: it uses no more than those kept, where the message lists them. */
     void onReturn(long now, int borrower, long borrowersStart, int loan, int[] kept) {
-        for (Estate partition : leaseHolder.partitions()) {
-            Estate.Loan found = partition.loan(now, borrower, borrowersStart, loan);
+        for (LeasePartition partition : leaseHolder.partitions()) {
+            LeasePartition.SubLease found = partition.loan(now, borrower, borrowersStart, loan);
             if (found == null) {
                 continue;
             }
--- a/gateway/src/main/java/ploverdale/budgets/package-info.java
+++ b/gateway/src/main/java/ploverdale/quota/package-info.java
@@ -4,4 +4,4 @@
  * clocks within stated bounds; docs/budgets.md tells why. It must never choose a server or turn an op away, do I/O, look at a
  * clock that it was not handed, or spend a part on the strength of a word about who is alive.
  */
-package ploverdale.budgets;
+package ploverdale.quota;
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -20,7 +20,7 @@
     private static final String CLOCK = "ploverdale.clock..";
     private static final String[] DECISIONS = {
         "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.gossip..",
-        "ploverdale.membership..", "ploverdale.budgets..", "ploverdale.replica..", "ploverdale.routing..",
+        "ploverdale.membership..", "ploverdale.quota..", "ploverdale.replica..", "ploverdale.routing..",
     };
 
     private final JavaClasses classes =
@@ -78,7 +78,7 @@
                 .layer("fleet").definedBy("ploverdale.membership..")
                 .layer("gossip").definedBy("ploverdale.gossip..")
                 .layer("replica").definedBy("ploverdale.replica..")
-                .layer("budgets").definedBy("ploverdale.budgets..")
+                .layer("budgets").definedBy("ploverdale.quota..")
                 .layer("limits").definedBy("ploverdale.limits..")
                 .layer("shutdown").definedBy("ploverdale.shutdown..")
                 .layer("clock").definedBy(CLOCK)
--- a/gateway/src/test/java/ploverdale/FleetFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetFileTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Sharing;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.net.FleetFile;
 import ploverdale.net.GatewayFile;
 
 /** The file that switches the fleet's parts on. */
 class FleetFileTest {
-    private static Sharing read(String text) throws IOException {
+    private static QuotaSettings read(String text) throws IOException {
         Path file = Files.createTempFile("fleet", ".json");
         try {
             return FleetFile.read(Files.writeString(file, text));
@@ -27,18 +27,18 @@
 
     @Test
     void theExampleIsReadAndRightsAddUpToTheWhole() {
-        Sharing f = FleetFile.read(Path.of("../deploy/fleet.json"));
+        QuotaSettings f = FleetFile.read(Path.of("../deploy/fleet.json"));
         GatewayFile g = GatewayFile.read(Path.of("../example/gateway.json"));
-        Division d = f.division(g.terms().started());
+        QuotaAllocation d = f.division(g.terms().started());
         assertThat(d.budgets()).hasSize(2 + 64 + 64 + 1 + 1);
         for (int n : new int[] {1, 2, 7, 64, 300}) {
-            Division of = new Division(d.budgets(), n, 0.5);
+            QuotaAllocation of = new QuotaAllocation(d.budgets(), n, 0.5);
             for (int b = 0; b < d.budgets().size(); b++) {
                 int sum = 0;
                 for (int i = 0; i < n; i++) {
                     sum += of.right(i, b);
                     assertThat(of.floor(i, b)).isBetween(0, of.right(i, b) / 2);
-                    assertThat(new Division(d.budgets(), n + 1, 0.5).right(i, b)).isLessThanOrEqualTo(of.right(i, b) + 1);
+                    assertThat(new QuotaAllocation(d.budgets(), n + 1, 0.5).right(i, b)).isLessThanOrEqualTo(of.right(i, b) + 1);
                 }
                 assertThat(sum).isEqualTo(d.budgets().get(b).whole());
             }
@@ -71,13 +71,13 @@
     @Test
     void whatIsKeptIsOnlyWhatTheFileNamesAndHasToFitWhatTheGatewayIsTold() throws IOException {
         GatewayFile g = GatewayFile.read(Path.of("../example/gateway.json"));
-        Sharing all = FleetFile.fits(FleetFile.read(Path.of("../deploy/replicas.json")), g.terms());
+        QuotaSettings all = FleetFile.fits(FleetFile.read(Path.of("../deploy/replicas.json")), g.terms());
         assertThat(all.keeping().sessions()).isTrue();
         assertThat(all.keeping().submits()).isTrue();
         assertThat(all.division(g.terms().started()).budgets()).isEmpty();
         assertThat(read("{\"tenants\":true}").keeping()).isNull();
         assertThat(read("{\"sessions\":{}}").keeping().submits()).isFalse();
-        Sharing wrong = read("{\"sessions\":{},\"wait_for_copies\":[\"no such op type\"]}");
+        QuotaSettings wrong = read("{\"sessions\":{},\"wait_for_copies\":[\"no such op type\"]}");
         assertThatThrownBy(() -> FleetFile.fits(wrong, g.terms())).hasMessageContaining("names no op type: no such op type");
     }
 
--- a/gateway/src/test/java/ploverdale/budgets/SharedTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -1,11 +1,11 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
-import ploverdale.model.Allotment.Probing;
+import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.CopyKeeping;
 import ploverdale.model.Event;
 import ploverdale.model.OpType;
@@ -16,17 +16,17 @@
 import ploverdale.model.TenantId;
 
 /** What the module may spend, of a fleet of one, which is its own steward once all that an earlier start used is over. */
-class SharedTest {
+class QuotaNodeTest {
     private static final long SECOND = 10_000;
     private static final ServerId SERVER = new ServerId("s");
     private static final TenantId TENANT = new TenantId(0);
 
     private long now = SECOND;
 
-    private Shared settled(Sharing sharing) {
+    private QuotaNode settled(QuotaSettings quotaSettings) {
         OpType type = new OpType(5000, 0, 30_000, OpType.Repeats.RETRYABLE, OpType.Scope.GROUP, 0, 1, 0, false,
                 OpType.Needs.UNBOUNDED, 5000);
-        Shared s = new Shared(sharing, new Event.Started(7, 1, List.of(type), List.of(new Tenant(10)), 0.1,
+        QuotaNode s = new QuotaNode(quotaSettings, new Event.Started(7, 1, List.of(type), List.of(new Tenant(10)), 0.1,
                 new Pledges(0.2, 0, 2.5, 0, true, 0), new Permits(6, true, true, true, SECOND, true),
                 new CopyKeeping(CopyKeeping.Checks.NONE, 500, false), false, 0), 1, () -> now, () -> now);
         now += 20 * SECOND;
@@ -35,8 +35,8 @@
         return s;
     }
 
-    private static Sharing sharing(boolean tenants, int sends, int cold, int again, int probes) {
-        return new Sharing(tenants, sends, cold, 8, again, probes, 0.5, new Leasing(30_000, 20_000, 0.05), 2000, null);
+    private static QuotaSettings quotaSettings(boolean tenants, int sends, int cold, int again, int probes) {
+        return new QuotaSettings(tenants, sends, cold, 8, again, probes, 0.5, new LeaseDurations(30_000, 20_000, 0.05), 2000, null);
     }
 
     private static int spent(BooleanSupplier one) {
@@ -49,29 +49,29 @@
 
     @Test
     void furtherSendsAndProbesOfWhateverKindAreSpentOfTheWhole() {
-        Shared s = settled(sharing(false, 0, 0, 10, 4));
+        QuotaNode s = settled(quotaSettings(false, 0, 0, 10, 4));
         assertThat(spent(s::again)).isEqualTo(10);
-        assertThat(spent(() -> s.probe(Probing.OTHER))).isEqualTo(4);
-        assertThat(s.probe(Probing.ASKED)).isFalse();
+        assertThat(spent(() -> s.probe(HealthCheckReason.OTHER))).isEqualTo(4);
+        assertThat(s.probe(HealthCheckReason.ASKED)).isFalse();
         now += SECOND / 2;
         assertThat(spent(s::again)).isEqualTo(5);
-        assertThat(spent(() -> s.probe(Probing.TIMED))).isEqualTo(2);
+        assertThat(spent(() -> s.probe(HealthCheckReason.TIMED))).isEqualTo(2);
     }
 
     @Test
     void whereTheyAreNoBudgetTheyAreEarnedByOps() {
-        Shared s = settled(sharing(true, 0, 0, 0, 0));
-        assertThat(s.probe(Probing.TIMED)).isFalse();
+        QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
+        assertThat(s.probe(HealthCheckReason.TIMED)).isFalse();
         for (int i = 0; i < 5; i++) {
             s.op(now, TENANT);
         }
-        assertThat(spent(() -> s.probe(Probing.TIMED))).isEqualTo(1);
+        assertThat(spent(() -> s.probe(HealthCheckReason.TIMED))).isEqualTo(1);
         assertThat(spent(s::again)).isEqualTo(40);
     }
 
     @Test
     void aSendAtAColdServerTakesAPartOfBothAndOneThatIsRefusedTakesNone() {
-        Shared s = settled(sharing(false, 3, 1, 0, 0));
+        QuotaNode s = settled(quotaSettings(false, 3, 1, 0, 0));
         assertThat(s.send(SERVER, true)).isTrue();
         assertThat(s.hasSend(SERVER, true)).isFalse();
         assertThat(s.send(SERVER, true)).isFalse();
@@ -82,7 +82,7 @@
 
     @Test
     void whoIsBeyondATenantsBudgetIsToldWhenTheNextPartComes() {
-        Shared s = settled(sharing(true, 0, 0, 0, 0));
+        QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
         assertThat(spent(() -> s.op(now, TENANT))).isEqualTo(10);
         assertThat(s.comeBackIn(now, TENANT)).isBetween(1L, SECOND / 10);
         now += s.comeBackIn(now, TENANT);
--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -159,7 +159,7 @@
                 return 0;
             }
             case "explore" -> {
-                Explorer.Seen seen = new Explorer(SmallWorld.leasing(0.1), 0.1, SmallWorld.use()).explore(every);
+                Explorer.Seen seen = new Explorer(SmallWorld.leaseDurations(0.1), 0.1, SmallWorld.use()).explore(every);
                 System.out.println(
                         seen.worlds() + " worlds, " + (seen.firstBad() == null ? "nothing wrong" : seen.firstBad()));
                 return seen.firstBad() == null ? 0 : 1;
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.budgets.Leasing;
+import ploverdale.quota.LeaseDurations;
 import ploverdale.tools.lab.SmallWorld.Demand;
 import ploverdale.tools.lab.SmallWorld.Fault;
 import ploverdale.tools.lab.SmallWorld.Kind;
@@ -22,19 +22,19 @@
             new Demand(new int[] {1, 1, 1, 2, 2, 2, 4, 4, 4}),
             new Demand(new int[] {3, 3, 3, 3, 5, 5}));
 
-    private final Leasing leasing;
+    private final LeaseDurations leaseDurations;
     private final double drift;
     private final long told;
     private final boolean startsAlike;
 
-    public Explorer(Leasing leasing, double drift, long told) {
-        this(leasing, drift, told, false);
+    public Explorer(LeaseDurations leaseDurations, double drift, long told) {
+        this(leaseDurations, drift, told, false);
     }
 
     /** With a mistake perhaps: each start of a name speaks alike. */
-    Explorer(Leasing leasing, double drift, long told, boolean startsAlike) {
+    Explorer(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
         this.startsAlike = startsAlike;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         this.drift = drift;
         this.told = told;
     }
@@ -64,7 +64,7 @@
                     }
                     List<Fault> faults = b == a ? List.of(all.get(a)) : List.of(all.get(a), all.get(b));
                     worlds++;
-                    String bad = SmallWorld.play(leasing, drift, told, startsAlike, d, faults);
+                    String bad = SmallWorld.play(leaseDurations, drift, told, startsAlike, d, faults);
                     if (bad != null) {
                         return new Seen(worlds, bad + " with " + faults + ", demand " + DEMANDS.indexOf(d));
                     }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import ploverdale.budgets.Budget;
-import ploverdale.budgets.Budgets;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Leasing;
+import ploverdale.quota.Budget;
+import ploverdale.quota.Budgets;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.LeaseDurations;
 import ploverdale.membership.Membership;
 import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
@@ -29,8 +29,8 @@
      * @param delay of a datagram, at most
      */
     public record Settings(
-            Division division,
-            Leasing leasing,
+            QuotaAllocation division,
+            LeaseDurations leaseDurations,
             double drift,
             double loss,
             double twice,
@@ -94,7 +94,7 @@
                     number,
                     Membership.start(membership.incarnation()),
                     world.division,
-                    world.leasing,
+                    world.leaseDurations,
                     chance.split(),
                     local());
             packing = new PacketQueue(world.bytesPerSecond, local());
--- a/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
@@ -5,10 +5,10 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
-import ploverdale.budgets.Budget;
-import ploverdale.budgets.Budgets;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Leasing;
+import ploverdale.quota.Budget;
+import ploverdale.quota.Budgets;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.LeaseDurations;
 import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
 
@@ -75,7 +75,7 @@
 
         private void starts() {
             start += startsAlike ? 0 : 1;
-            budgets = new Budgets(number, start, division, leasing, new SplittableRandom(number), local());
+            budgets = new Budgets(number, start, division, leaseDurations, new SplittableRandom(number), local());
             packing = new PacketQueue(1e9, local());
         }
 
@@ -107,8 +107,8 @@
     /** A part in use. */
     private record Use(int gateway, long start, long until) {}
 
-    private final Division division;
-    private final Leasing leasing;
+    private final QuotaAllocation division;
+    private final LeaseDurations leaseDurations;
     private final double drift;
     private final boolean startsAlike;
     private final List<Gateway> gateways = new ArrayList<>();
@@ -122,19 +122,19 @@
      * @param told for how long the budget says a part may be in use; too short a time is a mistake that must be found
      * @param startsAlike whether a process that was killed speaks as the one before it, another such mistake
      */
-    private SmallWorld(Leasing leasing, double drift, long told, boolean startsAlike) {
+    private SmallWorld(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
         this.startsAlike = startsAlike;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         this.drift = drift;
-        division = new Division(List.of(new Budget("server", Budget.Kind.IN_USE, WHOLE, told)), GATEWAYS, 0);
+        division = new QuotaAllocation(List.of(new Budget("server", Budget.Kind.IN_USE, WHOLE, told)), GATEWAYS, 0);
         for (int i = 0; i < GATEWAYS; i++) {
             gateways.add(new Gateway(i));
         }
     }
 
     /** Leases that suit this world. */
-    public static Leasing leasing(double clocksApart) {
-        return new Leasing(3 * STEP, 3 * STEP, clocksApart);
+    public static LeaseDurations leaseDurations(double clocksApart) {
+        return new LeaseDurations(3 * STEP, 3 * STEP, clocksApart);
     }
 
     /** For how long a part is in use here. */
@@ -144,8 +144,8 @@
 
     /** Plays it; null if all is well, or what was not: too much in use, or parts lost for ever. */
     public static String play(
-            Leasing leasing, double drift, long told, boolean startsAlike, Demand demand, List<Fault> faults) {
-        SmallWorld w = new SmallWorld(leasing, drift, told, startsAlike);
+            LeaseDurations leaseDurations, double drift, long told, boolean startsAlike, Demand demand, List<Fault> faults) {
+        SmallWorld w = new SmallWorld(leaseDurations, drift, told, startsAlike);
         for (int s = 0; s < STEPS + HEALS; s++) {
             List<Fault> now = new ArrayList<>();
             for (Fault f : faults) {
--- a/tools/src/main/java/ploverdale/tools/lab/Spending.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Spending.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Locale;
-import ploverdale.budgets.Budget;
+import ploverdale.quota.Budget;
 
 /**
  * What all gateways together spend of one budget, counted where it is spent, and whether that is more than the whole: at any
--- a/tools/src/main/java/ploverdale/tools/lab/Trial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Trial.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
-import ploverdale.budgets.Budget;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Leasing;
+import ploverdale.quota.Budget;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.LeaseDurations;
 import ploverdale.tools.lab.FleetModel.Settings;
 
 /**
@@ -73,13 +73,13 @@
         double idle = 0;
         int over = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
-            Division d = new Division(
+            QuotaAllocation d = new QuotaAllocation(
                     List.of(new Budget("tenant", Budget.Kind.RATE, PARTS * gateways, SECOND)), gateways, FLOOR);
-            Leasing leasing = new Leasing(loanMs * MS * 3 / 2, loanMs * MS, 0.05);
-            FleetModel m = new FleetModel(new Settings(d, leasing, 0.05, loss, 0.05, 20 * MS, 2000), seed);
+            LeaseDurations leaseDurations = new LeaseDurations(loanMs * MS * 3 / 2, loanMs * MS, 0.05);
+            FleetModel m = new FleetModel(new Settings(d, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
             SplittableRandom chance = new SplittableRandom(~seed);
             m.instances().forEach(i -> i.start(0));
-            m.until(2 * leasing.overFor(leasing.steward()) + 2 * leasing.overFor(leasing.loan()));
+            m.until(2 * leaseDurations.overFor(leaseDurations.leaseHolder()) + 2 * leaseDurations.overFor(leaseDurations.loan()));
             long calmFrom = m.now();
             long bytesFrom = bytes(m);
             double sum = 0;
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -11,20 +11,20 @@
 
     @Test
     void noFaultAloneAndNoneOfManyPairsSpendsTooMuchOrLosesAPart() {
-        Seen seen = new Explorer(SmallWorld.leasing(DRIFT), DRIFT, SmallWorld.use()).explore(1999);
+        Seen seen = new Explorer(SmallWorld.leaseDurations(DRIFT), DRIFT, SmallWorld.use()).explore(1999);
         assertThat(seen.firstBad()).isNull();
         assertThat(seen.worlds()).isGreaterThan(3000);
     }
 
     @Test
     void aTimeOfUseThatIsToldTooShortIsFound() {
-        assertThat(new Explorer(SmallWorld.leasing(0.001), 0, 10).explore(1999).firstBad())
+        assertThat(new Explorer(SmallWorld.leaseDurations(0.001), 0, 10).explore(1999).firstBad())
                 .contains("in use");
     }
 
     @Test
     void aProcessThatSpeaksAsTheOneBeforeItIsFound() {
-        assertThat(new Explorer(SmallWorld.leasing(DRIFT), DRIFT, SmallWorld.use(), true)
+        assertThat(new Explorer(SmallWorld.leaseDurations(DRIFT), DRIFT, SmallWorld.use(), true)
                         .explore(499)
                         .firstBad())
                 .isNotNull();
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ploverdale.budgets.Budget;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Leasing;
+import ploverdale.quota.Budget;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.LeaseDurations;
 import ploverdale.membership.Membership.MemberState;
 import ploverdale.tools.lab.FleetModel.Instance;
 import ploverdale.tools.lab.FleetModel.Settings;
@@ -19,12 +19,12 @@
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long USE = 400 * MS;
-    private static final Leasing LEASING = new Leasing(1500 * MS, 1000 * MS, 0.05);
+    private static final LeaseDurations LEASING = new LeaseDurations(1500 * MS, 1000 * MS, 0.05);
 
     private static double worst; // the most that was spent of what may be, of both budgets, on any day
 
-    private static Division division(int gateways) {
-        return new Division(
+    private static QuotaAllocation division(int gateways) {
+        return new QuotaAllocation(
                 List.of(
                         new Budget("tenant", Budget.Kind.RATE, 60, SECOND),
                         new Budget("server", Budget.Kind.IN_USE, 24, USE)),
@@ -32,8 +32,8 @@
                 0.5);
     }
 
-    private static Settings world(int gateways, Leasing leasing) {
-        return new Settings(division(gateways), leasing, 0.05, 0.05, 0.05, 30 * MS, 4000);
+    private static Settings world(int gateways, LeaseDurations leaseDurations) {
+        return new Settings(division(gateways), leaseDurations, 0.05, 0.05, 0.05, 30 * MS, 4000);
     }
 
     private static FleetModel started(Settings w, long seed) {
@@ -103,8 +103,8 @@
         }
     }
 
-    private static List<String> play(int n, long seed, Leasing leasing) {
-        FleetModel m = started(world(n, leasing), seed);
+    private static List<String> play(int n, long seed, LeaseDurations leaseDurations) {
+        FleetModel m = started(world(n, leaseDurations), seed);
         SplittableRandom chance = new SplittableRandom(~seed);
         for (int i = 0; i < n; i++) {
             asks(m, chance, i, chance.nextInt(3) == 0 ? 500 : 8, 0, 30 * SECOND);
@@ -127,10 +127,10 @@
     }
 
     /** One borrows nearly all and is then cut off, while all others want what comes back. */
-    private static List<String> cutOffWithAllLent(Leasing leasing) {
+    private static List<String> cutOffWithAllLent(LeaseDurations leaseDurations) {
         List<String> over = new ArrayList<>();
         for (long seed = 1; seed <= 30; seed++) {
-            FleetModel m = started(new Settings(division(4), leasing, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
+            FleetModel m = started(new Settings(division(4), leaseDurations, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
             SplittableRandom chance = new SplittableRandom(~seed);
             for (long t = 10 * SECOND; t < 24 * SECOND; t += MS) {
                 for (int i = t < 16 * SECOND ? 3 : 0; i < 4; i++) {
@@ -152,8 +152,8 @@
 
     @Test
     void aLoanIsOverForTheBorrowerBeforeItIsForTheLenderByAnyClock() {
-        assertThat(cutOffWithAllLent(new Leasing(4000 * MS, 3000 * MS, 0.25))).isEmpty();
-        assertThat(cutOffWithAllLent(new Leasing(4000 * MS, 3000 * MS, 0)))
+        assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0.25))).isEmpty();
+        assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0)))
                 .as("without that guard")
                 .isNotEmpty();
     }
@@ -218,7 +218,7 @@
 
     @Test
     void threeHundredKnowTheDeadSoonAndNobodyElseIsTakenForDead() {
-        Division d = new Division(List.of(new Budget("tenant", Budget.Kind.RATE, 900, SECOND)), 300, 0.5);
+        QuotaAllocation d = new QuotaAllocation(List.of(new Budget("tenant", Budget.Kind.RATE, 900, SECOND)), 300, 0.5);
         FleetModel m = started(new Settings(d, LEASING, 0.05, 0.05, 0.05, 30 * MS, 2000), 8);
         m.until(30 * SECOND); // each is asked by somebody twice a second; all hear of all a little later
         for (Instance i : m.instances()) {
