--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -39,7 +39,7 @@
     private double beyondShareValue;
     private Pledges pledges;
     private Permits permits;
-    private CopyKeeping copies;
+    private ReplicaGuarantees copies;
     private long tightestBound = Long.MAX_VALUE;
     private long probeEvery;
 
@@ -310,7 +310,7 @@
 
     private Member memberFor(Op op, Group g) {
         Member best = spread(op, g, m -> admits(m, op));
-        boolean checked = copies.checks() != CopyKeeping.Checks.NONE;
+        boolean checked = copies.checks() != ReplicaGuarantees.StalenessCheck.NONE;
         best = best == null && checked ? spread(op, g, m -> lagsALittle(m, op)) : best;
         if (best != null) {
             return best;
@@ -448,7 +448,7 @@
         }
         // Guards against positions that age while a connection is made; servers that check reads see to it.
         boolean ages = op.type.needs() == Needs.BOUNDED && m != m.group.primary
-                && copies.checks() == CopyKeeping.Checks.NONE;
+                && copies.checks() == ReplicaGuarantees.StalenessCheck.NONE;
         long writeBy = ages ? m.position + op.type.stalenessBound() : Long.MAX_VALUE;
         out.add(new Action.Send(op.asked.op(), m.id, Math.max(1, until - now), writeBy));
         op.sendOut = op.sends++;
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -9,7 +9,7 @@
     /** The gateway starts and knows nothing but this; it is number me of the gateways. */
     record Started(
             long seed, int gateways, List<OpType> opTypes, List<Tenant> tenants, double beyondShareValue,
-            Pledges pledges, Permits permits, CopyKeeping copies, boolean listOnDemand, int me) implements Event {}
+            Pledges pledges, Permits permits, ReplicaGuarantees copies, boolean listOnDemand, int me) implements Event {}
 
     /** The list of servers, whole or its changes; failed when asking for it brought none. */
     record ListTold(boolean whole, boolean failed, List<Listing> listings) implements Event {}
--- a/gateway/src/main/java/ploverdale/net/FleetFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetFile.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaSettings;
-import ploverdale.replica.Keeping;
+import ploverdale.replication.ReplicationSettings;
 import ploverdale.terms.Fields;
 import ploverdale.terms.Terms;
 import ploverdale.terms.Unreadable;
@@ -53,7 +53,7 @@
     }
 
     /** What is kept together, or null where neither sessions nor submits are. */
-    private static Keeping keeping(Fields f) {
+    private static ReplicationSettings keeping(Fields f) {
         if (!f.has("sessions") && !f.has("submits")) {
             for (String only : List.of("copies", "wait_for_copies", "wait_ms", "ask_ms", "facts_most", "wall_clocks_apart_ms")) {
                 if (f.has(only)) {
@@ -70,7 +70,7 @@
         for (Object name : f.list("wait_for_copies")) {
             waits.add(String.valueOf(name));
         }
-        return new Keeping((int) within(f, "copies", 3, 1, 5), f.has("sessions"),
+        return new ReplicationSettings((int) within(f, "copies", 3, 1, 5), f.has("sessions"),
                 (long) within(sessions, "keep_ms", 30_000, 1000, 600_000) * MS, (long) within(f, "ask_ms", 40, 1, 1000) * MS,
                 f.has("submits") ? (long) within(submits, "window_ms", 20_000, 100, 600_000) * MS : 0,
                 submits.mark("retries_marked"), waits, (long) within(f, "wait_ms", 100, 1, LONGEST_WAIT_MS) * MS,
@@ -89,8 +89,8 @@
             if (s.keeping().sessions() && told.started().copies().tokensCarried()) {
                 throw new Unreadable("fleet file with a field sessions where clients bring their sessions' positions");
             }
-            if (told.started().gateways() > Keeping.gatewaysMost()) {
-                throw new Unreadable("fleet file with a field copies for over " + Keeping.gatewaysMost() + " gateways");
+            if (told.started().gateways() > ReplicationSettings.gatewaysMost()) {
+                throw new Unreadable("fleet file with a field copies for over " + ReplicationSettings.gatewaysMost() + " gateways");
             }
         }
         return s;
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -11,7 +11,7 @@
 import ploverdale.membership.PacketQueue;
 import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.GroupId;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.Event.OpArrived;
@@ -21,12 +21,12 @@
 import ploverdale.model.OpType.Repeats;
 import ploverdale.model.ServerId;
 import ploverdale.model.Report;
-import ploverdale.replica.Claim;
-import ploverdale.replica.Fate;
-import ploverdale.replica.Keeping;
-import ploverdale.replica.Replicas;
-import ploverdale.replica.Replicas.Done;
-import ploverdale.replica.Replicas.End;
+import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.WriteOutcome;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
 import ploverdale.terms.Terms;
 
 /**
@@ -49,7 +49,7 @@
         private final OpArrived asked;
         private final boolean waits;
         private final long arrivedAt; // on the servers' wall clock
-        private Claim claim;
+        private IdempotencyRecord claim;
         private int out;
         private boolean mayHaveRun;
         private int copies; // not there yet
@@ -67,7 +67,7 @@
     private final LogicLoop loop;
     private final ClientSide clients;
     private final Terms terms;
-    private final Keeping keeping;
+    private final ReplicationSettings keeping;
     private final Replicas replicas;
     private final Way way;
     private final ServerClock time;
@@ -75,7 +75,7 @@
     private final Map<OpId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker = new HashMap<>(); // by group, the number of the server of the last acked write
 
-    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, Terms terms, Keeping keeping, Replicas replicas, Way way,
+    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, Terms terms, ReplicationSettings keeping, Replicas replicas, Way way,
             ServerClock time) {
         this.vertx = vertx;
         this.log = log;
@@ -97,8 +97,8 @@
     }
 
     /** How the module takes session reads: by what comes with each. */
-    CopyKeeping copies(CopyKeeping told) {
-        return new CopyKeeping(told.checks(), told.checkWait(), told.tokensCarried() || keeping.sessions());
+    ReplicaGuarantees copies(ReplicaGuarantees told) {
+        return new ReplicaGuarantees(told.checks(), told.checkWait(), told.tokensCarried() || keeping.sessions());
     }
 
     /** Hands on what has ended. */
@@ -242,7 +242,7 @@
 
     private void neverRan(InHand i) {
         if (i.claim != null) {
-            asks((now, to) -> replicas.became(now, Replicas.key(false, i.asked.op().text()), i.claim, Fate.NEVER_RAN,
+            asks((now, to) -> replicas.became(now, Replicas.key(false, i.asked.op().text()), i.claim, WriteOutcome.NEVER_RAN,
                     new byte[0], 0, false, to), d -> { });
         }
     }
@@ -275,7 +275,7 @@
                     d -> copied(i, row, d));
         }
         if (i.claim != null) {
-            asks((now, to) -> replicas.became(now, Replicas.key(false, op.text()), i.claim, Fate.ACKED,
+            asks((now, to) -> replicas.became(now, Replicas.key(false, op.text()), i.claim, WriteOutcome.ACKED,
                     MessageWriter.resultRow(row).getBytes(), left, i.waits, to), d -> copied(i, row, d));
         }
     }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -14,7 +14,7 @@
 import ploverdale.model.Event.Started;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
-import ploverdale.replica.Replicas;
+import ploverdale.replication.Replicas;
 
 /**
  * All that one gateway has of its fleet: who is there, the budgets, the letters between them, and what of the budgets the
--- a/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ploverdale.quota.Budget.Kind;
 import ploverdale.model.Event.Started;
-import ploverdale.replica.Keeping;
+import ploverdale.replication.ReplicationSettings;
 
 /**
  * What of a fleet is a budget, and how it is divided. Servers are spread over slots by a number that all gateways know them
@@ -17,10 +17,10 @@
  * @param secondSends a second, all that follow an op's first; 0: not a budget
  * @param probes a second; 0: not a budget
  * @param floorShare of each gateway's right that it owns outright
- * @param keeping what else gateways hold together, see {@code ploverdale.replica}; null: nothing
+ * @param keeping what else gateways hold together, see {@code ploverdale.replication}; null: nothing
  */
 public record QuotaSettings(boolean tenants, int sendsAtServer, int coldSends, int serverSlots, int secondSends, int probes,
-        double floorShare, LeaseDurations leaseDurations, double bytesPerSecond, Keeping keeping) {
+        double floorShare, LeaseDurations leaseDurations, double bytesPerSecond, ReplicationSettings keeping) {
     private static final long SECOND = 10_000; // times are tenths of a millisecond
 
     /** Whether there is anything for the fleet to hold together. */
--- a/gateway/src/main/java/ploverdale/replica/CatchUp.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -20,7 +20,7 @@
  * whose other end started anew begins again. Digests are salted by walk, so that two that match by accident do not the next
  * time. Times in tenths of a millisecond, of a clock that never steps.
  */
-final class CatchUp {
+final class AntiEntropy {
     static final int COMPARES = 38;
     static final int DIFFERS = 39;
     static final int FETCHES = 40;
@@ -54,8 +54,8 @@
     }
 
     private final int me;
-    private final Store store;
-    private final Keepers keepers;
+    private final EntryStore store;
+    private final ReplicaPlacement keepers;
     private final RandomGenerator chance;
     private final long[] blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
     private final List<Integer> first = new ArrayList<>(); // to walk with since the start
@@ -72,7 +72,7 @@
     private long taken;
     private String line;
 
-    CatchUp(int me, int gateways, Store store, Keepers keepers, RandomGenerator chance) {
+    AntiEntropy(int me, int gateways, EntryStore store, ReplicaPlacement keepers, RandomGenerator chance) {
         this.me = me;
         this.store = store;
         this.keepers = keepers;
@@ -205,11 +205,11 @@
 
     /** Digests of a node's children, of what the other and this gateway both keep. */
     private long[] digests(int level, int index, int other, int itsSalt, long until) {
-        int span = Store.BUCKETS >> 4 * (level + 1);
+        int span = EntryStore.BUCKETS >> 4 * (level + 1);
         long[] all = new long[FANOUT];
         for (int c = 0; c < FANOUT; c++) {
             int from = (index * FANOUT + c) * span;
-            all[c] = store.digest(from, from + span, keepers, me, other, Held.mix(itsSalt), until);
+            all[c] = store.digest(from, from + span, keepers, me, other, VersionedEntry.mix(itsSalt), until);
         }
         return all;
     }
@@ -260,7 +260,7 @@
                     Long last = null;
                     while (b.remaining() > 8) {
                         long key = b.getLong();
-                        Held fact = Held.read(b);
+                        VersionedEntry fact = VersionedEntry.read(b);
                         if (fact == null) {
                             break; // of a later version, perhaps; what follows cannot be told apart
                         }
@@ -292,10 +292,10 @@
     }
 
     private void tells(long wall, int to, long askersStart, int number, int bucket, boolean after, long key, PacketQueue out) {
-        if (bucket >= Store.BUCKETS) {
+        if (bucket >= EntryStore.BUCKETS) {
             return;
         }
-        ByteBuffer b = ByteBuffer.allocate(PART_MOST + Held.MOST + 8);
+        ByteBuffer b = ByteBuffer.allocate(PART_MOST + VersionedEntry.MOST + 8);
         b.putLong(askersStart).putInt(number).put((byte) 0);
         boolean[] more = {false};
         store.each(bucket, after ? key : null, keepers, me, to, wall + ENDING, (k, fact) -> {
--- a/gateway/src/main/java/ploverdale/replica/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.util.function.LongSupplier;
 
@@ -11,16 +11,16 @@
 final class CompletenessBound {
     private static final long NOTHING_MISSING = Long.MIN_VALUE / 2;
 
-    private final Keeping keeping;
+    private final ReplicationSettings keeping;
     private final LongSupplier wall;
-    private final Keepers placement;
-    private final Store store;
-    private final CatchUp catchUp;
+    private final ReplicaPlacement placement;
+    private final EntryStore store;
+    private final AntiEntropy catchUp;
     private long startedAt;
 
     /** @param startedAt what was copied to this gateway's name before it is lost */
     CompletenessBound(
-            Keeping keeping, LongSupplier wall, Keepers placement, Store store, CatchUp catchUp, long startedAt) {
+            ReplicationSettings keeping, LongSupplier wall, ReplicaPlacement placement, EntryStore store, AntiEntropy catchUp, long startedAt) {
         this.keeping = keeping;
         this.wall = wall;
         this.placement = placement;
@@ -38,11 +38,11 @@
         return placement.copies() > 1;
     }
 
-    /** The bound for keys with these replicas, see {@link Keepers#of}. */
+    /** The bound for keys with these replicas, see {@link ReplicaPlacement#of}. */
     long of(long replicas) {
         long missed = hasOtherReplicas() ? NOTHING_MISSING : startedAt;
         for (int place = 0; place < placement.copies(); place++) {
-            missed = Math.max(missed, catchUp.blankOf(Keepers.one(replicas, place)));
+            missed = Math.max(missed, catchUp.blankOf(ReplicaPlacement.one(replicas, place)));
         }
         return Math.max(store.blank(), Math.min(startedAt, missed));
     }
--- a/gateway/src/main/java/ploverdale/replica/Store.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryStore.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.util.Arrays;
 import java.util.function.LongUnaryOperator;
@@ -8,14 +8,14 @@
  * digests. Bounded: over the most, the oldest fact of the newcomer's range goes. Facts go too when their time is over. What
  * may have gone before its time is told by {@link #blank}.
  */
-final class Store {
+final class EntryStore {
     static final int BUCKETS = 4096;
     private static final int SHIFT = 52;
     private static final int SWEEP = 16; // ranges a look; all in some seconds
 
     private final long[][] keys = new long[BUCKETS][];
     private final long[][] keepers = new long[BUCKETS][];
-    private final Held[][] facts = new Held[BUCKETS][];
+    private final VersionedEntry[][] facts = new VersionedEntry[BUCKETS][];
     private final int[] sizes = new int[BUCKETS];
     private final int most;
     private final LongUnaryOperator keepersOf;
@@ -27,15 +27,15 @@
 
     /** When a fact is of no use any more. */
     interface Forgetting {
-        boolean isOver(Held fact, long wall);
+        boolean isOver(VersionedEntry fact, long wall);
     }
 
     /** Takes one fact of a range. */
     interface Each {
-        void fact(long key, Held fact);
+        void fact(long key, VersionedEntry fact);
     }
 
-    Store(int most, LongUnaryOperator keepersOf, Forgetting forgetting) {
+    EntryStore(int most, LongUnaryOperator keepersOf, Forgetting forgetting) {
         this.most = most;
         this.keepersOf = keepersOf;
         this.forgetting = forgetting;
@@ -63,21 +63,21 @@
         return keys[b] == null ? -1 : Arrays.binarySearch(keys[b], 0, sizes[b], key);
     }
 
-    Held of(long key) {
+    VersionedEntry of(long key) {
         int b = bucket(key);
         int i = find(b, key);
         return i < 0 ? null : facts[b][i];
     }
 
     /** Joins a fact with what is held; false where that changes nothing. */
-    boolean join(long wall, long key, Held fact) {
+    boolean join(long wall, long key, VersionedEntry fact) {
         if (forgetting.isOver(fact, wall)) {
             return false; // a late copy does not revive what all have forgotten
         }
         int b = bucket(key);
         int i = find(b, key);
         if (i >= 0) {
-            Held both = facts[b][i].join(fact);
+            VersionedEntry both = facts[b][i].join(fact);
             boolean changed = !both.equals(facts[b][i]);
             facts[b][i] = both;
             return changed;
@@ -90,13 +90,13 @@
         return true;
     }
 
-    private void insert(int b, int at, long key, Held fact) {
+    private void insert(int b, int at, long key, VersionedEntry fact) {
         int n = sizes[b];
         if (keys[b] == null || n == keys[b].length) {
             int room = n == 0 ? 4 : n + n / 2 + 1;
             keys[b] = keys[b] == null ? new long[room] : Arrays.copyOf(keys[b], room);
             keepers[b] = keepers[b] == null ? new long[room] : Arrays.copyOf(keepers[b], room);
-            facts[b] = facts[b] == null ? new Held[room] : Arrays.copyOf(facts[b], room);
+            facts[b] = facts[b] == null ? new VersionedEntry[room] : Arrays.copyOf(facts[b], room);
         }
         System.arraycopy(keys[b], at, keys[b], at + 1, n - at);
         System.arraycopy(keepers[b], at, keepers[b], at + 1, n - at);
@@ -145,12 +145,12 @@
     }
 
     /** Stands for all facts of these ranges that such gateways keep and that last beyond a moment. */
-    long digest(int fromBucket, int toBucket, Keepers all, int one, int other, long salt, long until) {
+    long digest(int fromBucket, int toBucket, ReplicaPlacement all, int one, int other, long salt, long until) {
         long sum = 0;
         for (int b = fromBucket; b < toBucket; b++) {
             for (int i = 0; i < sizes[b]; i++) {
                 if (all.has(keepers[b][i], one) && all.has(keepers[b][i], other) && !forgetting.isOver(facts[b][i], until)) {
-                    sum += Held.mix(keys[b][i] ^ salt ^ facts[b][i].hash());
+                    sum += VersionedEntry.mix(keys[b][i] ^ salt ^ facts[b][i].hash());
                 }
             }
         }
@@ -158,7 +158,7 @@
     }
 
     /** The same facts of one range, those after a key, in order; a null key: all. */
-    void each(int bucket, Long after, Keepers all, int one, int other, long until, Each each) {
+    void each(int bucket, Long after, ReplicaPlacement all, int one, int other, long until, Each each) {
         for (int i = 0; i < sizes[bucket]; i++) {
             boolean next = after == null || keys[bucket][i] > after;
             if (next && all.has(keepers[bucket][i], one) && all.has(keepers[bucket][i], other)
--- a/gateway/src/main/java/ploverdale/replica/Claim.java
+++ b/gateway/src/main/java/ploverdale/replication/IdempotencyRecord.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 /**
  * One try of one gateway to be the one that sends a write.
@@ -7,9 +7,9 @@
  * @param start which start of its name
  * @param number counted by it
  */
-public record Claim(int gateway, long start, int number) implements Comparable<Claim> {
+public record IdempotencyRecord(int gateway, long start, int number) implements Comparable<IdempotencyRecord> {
     @Override
-    public int compareTo(Claim o) {
+    public int compareTo(IdempotencyRecord o) {
         return gateway != o.gateway ? Integer.compare(gateway, o.gateway)
                 : start != o.start ? Long.compare(start, o.start) : Integer.compare(number, o.number);
     }
--- a/gateway/src/main/java/ploverdale/replica/Position.java
+++ b/gateway/src/main/java/ploverdale/replication/Position.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 
@@ -9,18 +9,18 @@
  * @param at the log position of the session's last write
  * @param server a number of the server that acked it, by which a takeover since then is seen
  */
-public record Position(long at, int server) implements Held {
+public record Position(long at, int server) implements VersionedEntry {
     static final byte KIND = 1;
     private static final int LENGTH = 11;
 
     @Override
-    public Held join(Held other) {
+    public VersionedEntry join(VersionedEntry other) {
         return other instanceof Position p && (p.at > at || p.at == at && p.server > server) ? p : this;
     }
 
     @Override
     public long hash() {
-        return Held.mix(at * 31 + server);
+        return VersionedEntry.mix(at * 31 + server);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/replica/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 import ploverdale.membership.PacketQueue;
-import ploverdale.replica.QuorumRequest.Kind;
-import ploverdale.replica.Replicas.Done;
-import ploverdale.replica.Replicas.End;
+import ploverdale.replication.QuorumRequest.Kind;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
 
 /**
  * Sends this gateway's requests to the replicas of their keys, repeats them until answered, and ends each once a
@@ -26,10 +26,10 @@
     private static final byte[] NO_ANSWER = {};
 
     private final int me;
-    private final Keeping keeping;
+    private final ReplicationSettings keeping;
     private final LongSupplier wall;
-    private final Keepers placement;
-    private final Store store;
+    private final ReplicaPlacement placement;
+    private final EntryStore store;
     private final CompletenessBound bound;
     private final ReplicaHolder holder;
     private final Map<Integer, QuorumRequest> pending = new LinkedHashMap<>(); // by number, oldest first
@@ -46,10 +46,10 @@
      */
     QuorumCoordinator(
             int me,
-            Keeping keeping,
+            ReplicationSettings keeping,
             LongSupplier wall,
-            Keepers placement,
-            Store store,
+            ReplicaPlacement placement,
+            EntryStore store,
             CompletenessBound bound,
             ReplicaHolder holder) {
         this.me = me;
@@ -79,7 +79,7 @@
     }
 
     /** Copies a fact to the replicas of its key; the ticket, or 0 where nobody waits. */
-    long copy(long now, long key, Held fact, long within, boolean waits, PacketQueue to) {
+    long copy(long now, long key, VersionedEntry fact, long within, boolean waits, PacketQueue to) {
         long deadline = now + (waits ? within : COPY_TIMEOUT);
         QuorumRequest request = new QuorumRequest(++lastTicket, Kind.COPY, key, placement, deadline, waits);
         request.fact = fact;
@@ -90,10 +90,10 @@
 
     /** Copies what is proven of a claim that was granted to this gateway. */
     long copyOutcome(
-            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
-        Fate held = holder.outcomeOf(key);
+            long now, long key, IdempotencyRecord claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
+        WriteOutcome held = holder.outcomeOf(key);
         long at = held != null ? held.at() : wall.getAsLong();
-        return copy(now, key, Fate.of(at, claim, proof, answer), within, waits, to);
+        return copy(now, key, WriteOutcome.of(at, claim, proof, answer), within, waits, to);
     }
 
     /** Asks for the position that a session's reads must reach; its ticket. */
@@ -119,9 +119,9 @@
     long claim(long now, long key, long start, boolean first, long arrivedAt, PacketQueue to) {
         QuorumRequest request =
                 new QuorumRequest(++lastTicket, Kind.CLAIM, key, placement, now + keeping.askWithin(), true);
-        request.claim = new Claim(me, start, ++lastNumber);
+        request.claim = new IdempotencyRecord(me, start, ++lastNumber);
         request.first = first && keeping.retriesMarked();
-        request.fact = Fate.of(arrivedAt, request.claim, Fate.MADE, NO_ANSWER);
+        request.fact = WriteOutcome.of(arrivedAt, request.claim, WriteOutcome.MADE, NO_ANSWER);
         asked++;
         begin(now, request, to);
         return request.ticket;
@@ -154,7 +154,7 @@
                 onPosition(request, place, position, holder.serverOf(key));
             }
             case CLAIM -> {
-                boolean granted = holder.grant(key, request.claim, request.first, (Fate) request.fact);
+                boolean granted = holder.grant(key, request.claim, request.first, (WriteOutcome) request.fact);
                 onClaimAnswer(request, place, granted, holder.outcomeOf(key));
             }
             default -> throw new IllegalStateException(request.kind.name());
@@ -189,7 +189,7 @@
             case CLAIM -> {
                 if (content.remaining() >= ReplicaMessages.GRANT_BYTES) {
                     boolean granted = content.get() != 0;
-                    onClaimAnswer(request, place, granted, Held.read(content) instanceof Fate known ? known : null);
+                    onClaimAnswer(request, place, granted, VersionedEntry.read(content) instanceof WriteOutcome known ? known : null);
                 }
             }
             default -> throw new IllegalStateException(request.kind.name());
@@ -226,7 +226,7 @@
      *
      * @param known what the replica holds of the write, or null
      */
-    private void onClaimAnswer(QuorumRequest request, int place, boolean granted, Fate known) {
+    private void onClaimAnswer(QuorumRequest request, int place, boolean granted, WriteOutcome known) {
         if (request.isAnsweredBy(place)) {
             return;
         }
@@ -237,7 +237,7 @@
         if (known != null) {
             holder.join(request.key, known);
         }
-        Fate joined = holder.outcomeOf(request.key);
+        WriteOutcome joined = holder.outcomeOf(request.key);
         if (request.isGrantedByMajority()) {
             end(request, End.GRANTED);
         } else if (joined != null && joined.acked()) {
@@ -260,7 +260,7 @@
             unknown++;
         }
         if (request.waits) {
-            Fate held = holder.outcomeOf(request.key);
+            WriteOutcome held = holder.outcomeOf(request.key);
             byte[] answer = held == null ? NO_ANSWER : held.answer();
             done.add(new Done(request.ticket, end, request.position, request.server, request.claim, answer));
         }
@@ -281,7 +281,7 @@
             return false;
         });
         for (QuorumRequest request : abandonedClaims) {
-            copyOutcome(now, request.key, request.claim, Fate.NEVER_RAN, NO_ANSWER, 0, false, to);
+            copyOutcome(now, request.key, request.claim, WriteOutcome.NEVER_RAN, NO_ANSWER, 0, false, to);
         }
         abandonedClaims.clear();
     }
--- a/gateway/src/main/java/ploverdale/replica/QuorumRequest.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumRequest.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 /**
  * One request to all replicas of a key, and which of them have answered. It is sent again with exponential backoff to
@@ -33,9 +33,9 @@
     /** Whether somebody is to be notified of its end. */
     final boolean waits;
     /** For a copy or a claim; else null. */
-    Held fact;
+    VersionedEntry fact;
     /** For a claim; else null. */
-    Claim claim;
+    IdempotencyRecord claim;
     /** For a claim: whether it is known to be of a first submission. */
     boolean first;
     /** Whether the one who waits has been notified. */
@@ -45,7 +45,7 @@
     /** The server that position is of, or -1. */
     int server = ReplicaMessages.NO_SERVER;
 
-    private final Keepers placement;
+    private final ReplicaPlacement placement;
     private final long replicas; // see Keepers.of
     private final long deadline;
     private long retryAt;
@@ -53,7 +53,7 @@
     private int answered; // one bit for each place among the replicas
     private int grants;
 
-    QuorumRequest(long ticket, Kind kind, long key, Keepers placement, long deadline, boolean waits) {
+    QuorumRequest(long ticket, Kind kind, long key, ReplicaPlacement placement, long deadline, boolean waits) {
         this.ticket = ticket;
         this.kind = kind;
         this.key = key;
@@ -63,14 +63,14 @@
         replicas = placement.of(key);
     }
 
-    /** The replicas of its key, see {@link Keepers#of}. */
+    /** The replicas of its key, see {@link ReplicaPlacement#of}. */
     long replicas() {
         return replicas;
     }
 
     /** The gateway that is the replica of that place. */
     int gateway(int place) {
-        return Keepers.one(replicas, place);
+        return ReplicaPlacement.one(replicas, place);
     }
 
     /** That gateway's place among the replicas; -1 where it is none. */
--- a/gateway/src/main/java/ploverdale/replica/ReplicaHolder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
@@ -11,8 +11,8 @@
  */
 final class ReplicaHolder {
     private final LongSupplier wall;
-    private final Keepers placement;
-    private final Store store;
+    private final ReplicaPlacement placement;
+    private final EntryStore store;
     private final CompletenessBound bound;
     private final Consumer<String> log;
     private long alarms;
@@ -21,7 +21,7 @@
      * @param wall Unix time in tenths of a millisecond
      * @param log takes lines for the log
      */
-    ReplicaHolder(LongSupplier wall, Keepers placement, Store store, CompletenessBound bound, Consumer<String> log) {
+    ReplicaHolder(LongSupplier wall, ReplicaPlacement placement, EntryStore store, CompletenessBound bound, Consumer<String> log) {
         this.wall = wall;
         this.placement = placement;
         this.store = store;
@@ -35,8 +35,8 @@
     }
 
     /** What is held of a write; null where nothing is. */
-    Fate outcomeOf(long key) {
-        return store.of(key) instanceof Fate held ? held : null;
+    WriteOutcome outcomeOf(long key) {
+        return store.of(key) instanceof WriteOutcome held ? held : null;
     }
 
     /** The server of the position that is held of a session, or -1. */
@@ -45,10 +45,10 @@
     }
 
     /** Joins a fact with what is held of its key. */
-    void join(long key, Held fact) {
+    void join(long key, VersionedEntry fact) {
         boolean contradictedBefore = contradicts(outcomeOf(key));
         store.join(wall.getAsLong(), key, fact);
-        Fate joined = outcomeOf(key);
+        WriteOutcome joined = outcomeOf(key);
         if (!contradictedBefore && contradicts(joined)) {
             alarms++;
             log.accept(
@@ -56,7 +56,7 @@
         }
     }
 
-    private static boolean contradicts(Fate outcome) {
+    private static boolean contradicts(WriteOutcome outcome) {
         return outcome != null && outcome.alarm();
     }
 
@@ -66,20 +66,20 @@
      * @param first whether it is known to be of a first submission
      * @param asked the fact that holds the claim, of the moment the write arrived
      */
-    boolean grant(long key, Claim claim, boolean first, Fate asked) {
+    boolean grant(long key, IdempotencyRecord claim, boolean first, WriteOutcome asked) {
         // An earlier submission may have been known here; of a first one, a later submission that overtook it, as where
         // its
         // gateway was paused meanwhile. What is held proves nothing of that: it may be of a claim that was refused.
         long replicas = placement.of(key);
         boolean mayKnowAll = first && asked.at() > bound.of(replicas) || bound.coversSubmissions(replicas);
-        Held held = store.of(key);
+        VersionedEntry held = store.of(key);
         // Others' copies may have brought this claim here before: only grants made here count for its majority.
-        boolean free = held == null || held instanceof Fate f && f.isFreeBut(claim) && f.hasRoom(claim);
+        boolean free = held == null || held instanceof WriteOutcome f && f.isFreeBut(claim) && f.hasRoom(claim);
         if (!mayKnowAll || !free) {
             return false;
         }
         join(key, asked);
-        return store.of(key) instanceof Fate;
+        return store.of(key) instanceof WriteOutcome;
     }
 
     /**
@@ -96,12 +96,12 @@
         }
         boolean isClaim = kind == ReplicaMessages.CLAIM_REQUEST;
         boolean first = isClaim && content.remaining() > 0 && content.get() != 0;
-        Held fact = Held.read(content);
+        VersionedEntry fact = VersionedEntry.read(content);
         if (fact != null && !isClaim) {
             join(key, fact);
             to.add(from, ReplicaMessages.copyAnswer(itsStart, number));
-        } else if (fact instanceof Fate asked && asked.claims().size() == 1) {
-            Claim claim = asked.claims().keySet().iterator().next();
+        } else if (fact instanceof WriteOutcome asked && asked.claims().size() == 1) {
+            IdempotencyRecord claim = asked.claims().keySet().iterator().next();
             boolean granted = grant(key, claim, first, asked);
             to.add(from, ReplicaMessages.claimAnswer(itsStart, number, granted, outcomeOf(key)));
         }
--- a/gateway/src/main/java/ploverdale/replica/ReplicaMessages.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaMessages.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -33,7 +33,7 @@
     private ReplicaMessages() {}
 
     static Part request(int number, QuorumRequest request) {
-        ByteBuffer content = ByteBuffer.allocate(REQUEST_HEAD_BYTES + GRANT_BYTES + Held.MOST);
+        ByteBuffer content = ByteBuffer.allocate(REQUEST_HEAD_BYTES + GRANT_BYTES + VersionedEntry.MOST);
         content.putInt(number).putLong(request.key);
         switch (request.kind) {
             case COPY -> request.fact.write(content);
@@ -58,7 +58,7 @@
     }
 
     /** @param known what is held of the write; null where nothing is */
-    static Part claimAnswer(long askersStart, int number, boolean granted, Fate known) {
+    static Part claimAnswer(long askersStart, int number, boolean granted, WriteOutcome known) {
         ByteBuffer content = answerHead(askersStart, number).put((byte) (granted ? 1 : 0));
         if (known != null) {
             known.write(content);
@@ -67,7 +67,7 @@
     }
 
     private static ByteBuffer answerHead(long askersStart, int number) {
-        int most = ANSWER_HEAD_BYTES + Math.max(POSITION_BYTES, GRANT_BYTES + Held.MOST);
+        int most = ANSWER_HEAD_BYTES + Math.max(POSITION_BYTES, GRANT_BYTES + VersionedEntry.MOST);
         return ByteBuffer.allocate(most).putLong(askersStart).putInt(number);
     }
 
--- a/gateway/src/main/java/ploverdale/replica/Keepers.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaPlacement.java
@@ -1,11 +1,11 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 /**
  * Which gateways keep a key: those with the highest of a number drawn from key and gateway, the same at every gateway and
  * whoever is alive. So a key's keepers change with the number of gateways only, and two majorities of them always meet, also
  * where a split makes two halves each take the other for dead.
  */
-final class Keepers {
+final class ReplicaPlacement {
     private static final int BITS = 10; // of a gateway's number in a word for all keepers of a key
     static final int GATEWAYS_MOST = 1 << BITS;
     static final int COPIES_MOST = 5;
@@ -13,7 +13,7 @@
     private final int gateways;
     private final int copies;
 
-    Keepers(int gateways, int copies) {
+    ReplicaPlacement(int gateways, int copies) {
         this.gateways = gateways;
         this.copies = Math.min(gateways, copies);
     }
@@ -33,7 +33,7 @@
             int best = -1;
             long most = 0;
             for (int g = 0; g < gateways; g++) {
-                long rank = Held.mix(key + (g + 1) * 0x9E3779B97F4A7C15L);
+                long rank = VersionedEntry.mix(key + (g + 1) * 0x9E3779B97F4A7C15L);
                 if (!holds(word, place, g) && (best < 0 || rank > most)) {
                     best = g;
                     most = rank;
--- a/gateway/src/main/java/ploverdale/replica/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -41,7 +41,7 @@
     }
 
     /** The end of the request that a ticket stands for. */
-    public record Done(long ticket, End end, long position, int server, Claim claim, byte[] answer) {}
+    public record Done(long ticket, End end, long position, int server, IdempotencyRecord claim, byte[] answer) {}
 
     public static final int COPIES = ReplicaMessages.COPY_REQUEST;
     public static final int COPIED = ReplicaMessages.COPY_ANSWER;
@@ -53,11 +53,11 @@
     private static final long MS = 10;
 
     private final int me;
-    private final Keeping keeping;
+    private final ReplicationSettings keeping;
     private final LongSupplier wall;
-    private final Keepers placement;
-    private final Store store;
-    private final CatchUp catchUp;
+    private final ReplicaPlacement placement;
+    private final EntryStore store;
+    private final AntiEntropy catchUp;
     private final CompletenessBound bound;
     private final ReplicaHolder holder;
     private final QuorumCoordinator coordinator;
@@ -70,23 +70,23 @@
      * @param chance chooses whom to compare with, and salts of digests
      * @param wall Unix time, in tenths of a millisecond
      */
-    public Replicas(int me, int gateways, long start, Keeping keeping, RandomGenerator chance, LongSupplier wall) {
+    public Replicas(int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator chance, LongSupplier wall) {
         this.me = me;
         this.start = start;
         this.keeping = keeping;
         this.wall = wall;
         long startedAt = wall.getAsLong() + keeping.clocksApart();
-        placement = new Keepers(gateways, keeping.copies());
-        store = new Store(keeping.most(), placement::of, this::isOver);
-        catchUp = new CatchUp(me, gateways, store, placement, chance);
+        placement = new ReplicaPlacement(gateways, keeping.copies());
+        store = new EntryStore(keeping.most(), placement::of, this::isOver);
+        catchUp = new AntiEntropy(me, gateways, store, placement, chance);
         bound = new CompletenessBound(keeping, wall, placement, store, catchUp, startedAt);
         holder = new ReplicaHolder(wall, placement, store, bound, lines::add);
         coordinator = new QuorumCoordinator(me, keeping, wall, placement, store, bound, holder);
         lines.add(settingsLine(gateways));
     }
 
-    private boolean isOver(Held fact, long at) {
-        long lasts = fact instanceof Fate ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
+    private boolean isOver(VersionedEntry fact, long at) {
+        long lasts = fact instanceof WriteOutcome ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
         return fact.at() + lasts < at;
     }
 
@@ -134,7 +134,7 @@
      * #wrote}.
      */
     public long became(
-            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
+            long now, long key, IdempotencyRecord claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
         return coordinator.copyOutcome(now, key, claim, proof, answer, within, waits, to);
     }
 
@@ -173,7 +173,7 @@
                     coordinator.onAnswer(from, kind, content);
                 }
             }
-            case CatchUp.DIFFERS, CatchUp.ENTRIES -> {
+            case AntiEntropy.DIFFERS, AntiEntropy.ENTRIES -> {
                 if (isAnswerToThisStart(content)) {
                     catchUp.part(now, wall.getAsLong(), from, itsStart, kind, content, itsStart, 0, to);
                 }
@@ -231,7 +231,7 @@
      * agree.
      */
     public long digest(int other, long until) {
-        return store.digest(0, Store.BUCKETS, placement, me, other, 0, until);
+        return store.digest(0, EntryStore.BUCKETS, placement, me, other, 0, until);
     }
 
     /** All that tells two states apart where one key is all there is, for an explorer. */
--- a/gateway/src/main/java/ploverdale/replica/Keeping.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.util.Set;
 
@@ -16,18 +16,18 @@
  * @param most facts held here at the most
  * @param clocksApart by which the clocks that positions and starts are told by may differ at most
  */
-public record Keeping(int copies, boolean sessions, long sessionsFor, long askWithin, long submitsFor, boolean retriesMarked,
+public record ReplicationSettings(int copies, boolean sessions, long sessionsFor, long askWithin, long submitsFor, boolean retriesMarked,
         Set<String> waits, long waitWithin, int most, long clocksApart) {
-    public Keeping {
+    public ReplicationSettings {
         waits = Set.copyOf(waits);
-        if (copies < 1 || copies > Keepers.COPIES_MOST || sessionsFor <= 0 || most < 1) {
+        if (copies < 1 || copies > ReplicaPlacement.COPIES_MOST || sessionsFor <= 0 || most < 1) {
             throw new IllegalArgumentException(copies + " copies for " + sessionsFor + ", " + most + " at most");
         }
     }
 
     /** How many gateways it can be for. */
     public static int gatewaysMost() {
-        return Keepers.GATEWAYS_MOST;
+        return ReplicaPlacement.GATEWAYS_MOST;
     }
 
     public boolean submits() {
--- a/gateway/src/main/java/ploverdale/replica/Held.java
+++ b/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 
@@ -6,7 +6,7 @@
  * One replicated fact. Joining two copies commutes, is associative and idempotent, so that copies that got the same facts in
  * whatever order, and however often, are equal. Times are Unix times in tenths of a millisecond.
  */
-public sealed interface Held permits Position, Fate {
+public sealed interface VersionedEntry permits Position, WriteOutcome {
     /** Bytes of the longest fact in a message, its kind included. */
     int MOST = 200;
 
@@ -14,7 +14,7 @@
     long at();
 
     /** Both copies' facts together; of two kinds under one key, which only chance could bring, this one. */
-    Held join(Held other);
+    VersionedEntry join(VersionedEntry other);
 
     /** Stands for the whole of it in digests. */
     long hash();
@@ -26,9 +26,9 @@
     int length();
 
     /** Reads what {@link #write} wrote; null where it is of a kind or form that is not known here. */
-    static Held read(ByteBuffer from) {
+    static VersionedEntry read(ByteBuffer from) {
         int kind = from.remaining() > 0 ? from.get() : 0;
-        return kind == Position.KIND ? Position.readContent(from) : kind == Fate.KIND ? Fate.readContent(from) : null;
+        return kind == Position.KIND ? Position.readContent(from) : kind == WriteOutcome.KIND ? WriteOutcome.readContent(from) : null;
     }
 
     /** Spreads bits, so that sums of such words hardly ever meet by accident. */
--- a/gateway/src/main/java/ploverdale/replica/Fate.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -14,7 +14,7 @@
  * @param claims by who made them, as bits of {@link #MADE}, {@link #NEVER_RAN} and {@link #ACKED}
  * @param answer to an acked write, or empty where it was not told or is too long to be kept
  */
-public record Fate(long at, Map<Claim, Integer> claims, byte[] answer) implements Held {
+public record WriteOutcome(long at, Map<IdempotencyRecord, Integer> claims, byte[] answer) implements VersionedEntry {
     /** A claim was made: its write may run from now on. */
     public static final int MADE = 1;
     /** Proven: the claim's write never ran and never will. */
@@ -30,15 +30,15 @@
     private static final int CLAIM_BYTES = 13;
     private static final byte[] NONE = {};
 
-    public Fate {
+    public WriteOutcome {
         claims = java.util.Collections.unmodifiableSortedMap(fewEnough(new TreeMap<>(claims)));
         answer = answer.length > ANSWER_MOST ? NONE : answer;
     }
 
     /** Over the bound, claims that never ran go first; a doubt or an acked one is never made room for those. */
-    private static TreeMap<Claim, Integer> fewEnough(TreeMap<Claim, Integer> claims) {
+    private static TreeMap<IdempotencyRecord, Integer> fewEnough(TreeMap<IdempotencyRecord, Integer> claims) {
         while (claims.size() > CLAIMS_MOST) {
-            Claim least = claims.entrySet().stream().filter(e -> (e.getValue() & NEVER_RAN) != 0).map(Map.Entry::getKey)
+            IdempotencyRecord least = claims.entrySet().stream().filter(e -> (e.getValue() & NEVER_RAN) != 0).map(Map.Entry::getKey)
                     .findFirst().orElse(claims.firstKey());
             claims.remove(least);
         }
@@ -46,8 +46,8 @@
     }
 
     /** One claim and what is known of it. */
-    public static Fate of(long at, Claim claim, int bits, byte[] answer) {
-        return new Fate(at, Map.of(claim, bits | MADE), answer);
+    public static WriteOutcome of(long at, IdempotencyRecord claim, int bits, byte[] answer) {
+        return new WriteOutcome(at, Map.of(claim, bits | MADE), answer);
     }
 
     public boolean acked() {
@@ -65,7 +65,7 @@
     }
 
     /** Whether that is so but for this claim. */
-    boolean isFreeBut(Claim claim) {
+    boolean isFreeBut(IdempotencyRecord claim) {
         return claims.entrySet().stream().allMatch(e -> e.getKey().equals(claim) || (e.getValue() & (NEVER_RAN | ACKED)) == NEVER_RAN);
     }
 
@@ -76,24 +76,24 @@
     }
 
     /** Whether it can be told of one more claim. */
-    boolean hasRoom(Claim claim) {
+    boolean hasRoom(IdempotencyRecord claim) {
         return claims.containsKey(claim) || claims.size() < CLAIMS_MOST;
     }
 
     @Override
-    public Held join(Held other) {
-        if (!(other instanceof Fate f)) {
+    public VersionedEntry join(VersionedEntry other) {
+        if (!(other instanceof WriteOutcome f)) {
             return this;
         }
-        Map<Claim, Integer> all = new TreeMap<>(claims);
+        Map<IdempotencyRecord, Integer> all = new TreeMap<>(claims);
         f.claims.forEach((c, bits) -> all.merge(c, bits, (a, b) -> a | b));
         int order = Arrays.compare(answer, f.answer); // one answer in truth; of two, the same one at each copy
-        return new Fate(Math.max(at, f.at), all, order >= 0 ? answer : f.answer);
+        return new WriteOutcome(Math.max(at, f.at), all, order >= 0 ? answer : f.answer);
     }
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Fate f && at == f.at && claims.equals(f.claims) && Arrays.equals(answer, f.answer);
+        return o instanceof WriteOutcome f && at == f.at && claims.equals(f.claims) && Arrays.equals(answer, f.answer);
     }
 
     @Override
@@ -109,10 +109,10 @@
     @Override
     public long hash() {
         long h = at;
-        for (Map.Entry<Claim, Integer> e : claims.entrySet()) {
-            h = Held.mix(h + e.getKey().gateway() * 0x9E3779B97F4A7C15L + e.getKey().start() * 31 + e.getKey().number()) + e.getValue();
+        for (Map.Entry<IdempotencyRecord, Integer> e : claims.entrySet()) {
+            h = VersionedEntry.mix(h + e.getKey().gateway() * 0x9E3779B97F4A7C15L + e.getKey().start() * 31 + e.getKey().number()) + e.getValue();
         }
-        return Held.mix(h * 31 + Arrays.hashCode(answer));
+        return VersionedEntry.mix(h * 31 + Arrays.hashCode(answer));
     }
 
     @Override
@@ -129,7 +129,7 @@
         return 1 + 8 + 1 + CLAIM_BYTES * Math.min(CLAIMS_MOST, claims.size()) + 1 + answer.length;
     }
 
-    static Fate readContent(ByteBuffer from) {
+    static WriteOutcome readContent(ByteBuffer from) {
         if (from.remaining() < 9) {
             return null;
         }
@@ -138,11 +138,11 @@
         if (n < 0 || n > CLAIMS_MOST || from.remaining() < n * CLAIM_BYTES + 1) {
             return null;
         }
-        Map<Claim, Integer> claims = new TreeMap<>();
+        Map<IdempotencyRecord, Integer> claims = new TreeMap<>();
         for (int i = 0; i < n; i++) {
             int gateway = from.getShort() & 0xFFFF;
             long start = (from.getShort() & 0xFFFFL) << 32 | from.getInt() & 0xFFFFFFFFL;
-            claims.put(new Claim(gateway, start, from.getInt()), (int) from.get());
+            claims.put(new IdempotencyRecord(gateway, start, from.getInt()), (int) from.get());
         }
         int length = from.get();
         if (length < 0 || length > ANSWER_MOST || length > from.remaining()) {
@@ -150,6 +150,6 @@
         }
         byte[] answer = new byte[length];
         from.get(answer);
-        return new Fate(at, claims, answer);
+        return new WriteOutcome(at, claims, answer);
     }
 }
--- a/gateway/src/main/java/ploverdale/terms/Terms.java
+++ b/gateway/src/main/java/ploverdale/terms/Terms.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.OpType;
 import ploverdale.model.Permits;
@@ -133,7 +133,7 @@
         Permits permits = new Permits((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
                 limits.mark("retryAfter"), Fields.down(limits.number("maxRetryAfterMs", 0)),
                 limits.mark("peerMessages"));
-        CopyKeeping copies = new CopyKeeping(checks(special.text("checks", "silent")),
+        ReplicaGuarantees copies = new ReplicaGuarantees(checks(special.text("checks", "silent")),
                 Fields.down(special.number("waitMs", 0)), special.text("tokens", "").equals("brought"));
         return new Event.Started(seed, (int) all.whole("balancers", 1), types, tenants,
                 all.number("overShareWorth", 1), pledges, permits, copies,
@@ -166,11 +166,11 @@
         };
     }
 
-    private static CopyKeeping.Checks checks(String word) {
+    private static ReplicaGuarantees.StalenessCheck checks(String word) {
         return switch (word) {
-            case "bounce" -> CopyKeeping.Checks.TURNS_AWAY;
-            case "await" -> CopyKeeping.Checks.WAITS;
-            default -> CopyKeeping.Checks.NONE;
+            case "bounce" -> ReplicaGuarantees.StalenessCheck.TURNS_AWAY;
+            case "await" -> ReplicaGuarantees.StalenessCheck.WAITS;
+            default -> ReplicaGuarantees.StalenessCheck.NONE;
         };
     }
 }
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -20,7 +20,7 @@
     private static final String CLOCK = "ploverdale.clock..";
     private static final String[] DECISIONS = {
         "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.gossip..",
-        "ploverdale.membership..", "ploverdale.quota..", "ploverdale.replica..", "ploverdale.routing..",
+        "ploverdale.membership..", "ploverdale.quota..", "ploverdale.replication..", "ploverdale.routing..",
     };
 
     private final JavaClasses classes =
@@ -77,7 +77,7 @@
                 .layer("state").definedBy("ploverdale.state..")
                 .layer("fleet").definedBy("ploverdale.membership..")
                 .layer("gossip").definedBy("ploverdale.gossip..")
-                .layer("replica").definedBy("ploverdale.replica..")
+                .layer("replica").definedBy("ploverdale.replication..")
                 .layer("budgets").definedBy("ploverdale.quota..")
                 .layer("limits").definedBy("ploverdale.limits..")
                 .layer("shutdown").definedBy("ploverdale.shutdown..")
--- a/gateway/src/test/java/ploverdale/ClockOffsetInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/ClockOffsetInLogicTest.java
@@ -4,7 +4,7 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.Listing.Stage;
@@ -45,7 +45,7 @@
 
     @Test
     void aSessionsLastWriteThatWasDatedWronglyIsReachedByWhatStandsAtThePresent() {
-        FakeHost h = new FakeHost(CopyKeeping.Checks.NONE, false, true, 1);
+        FakeHost h = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
         h.list(true, "p", "r1");
         h.levelled("p", "r1");
         OpId write = h.ask(FakeHost.SUBMIT, "s", 0);
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -36,7 +36,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.GroupId;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
@@ -77,26 +77,26 @@
     private int names;
 
     FakeHost() {
-        this(CopyKeeping.Checks.NONE, false, true, 1);
+        this(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
     }
 
-    FakeHost(CopyKeeping.Checks checks, boolean tokensCarried, boolean removalBinds, int gateways) {
+    FakeHost(ReplicaGuarantees.StalenessCheck checks, boolean tokensCarried, boolean removalBinds, int gateways) {
         this(checks, tokensCarried, removalBinds, gateways, false);
     }
 
     /** A host whose gateway, number 0, may tell other gateways what it knows. */
     static FakeHost talking(int gateways) {
-        return new FakeHost(CopyKeeping.Checks.NONE, false, true, gateways, true);
+        return new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, gateways, true);
     }
 
-    private FakeHost(CopyKeeping.Checks checks, boolean tokensCarried, boolean removalBinds, int gateways, boolean talks) {
+    private FakeHost(ReplicaGuarantees.StalenessCheck checks, boolean tokensCarried, boolean removalBinds, int gateways, boolean talks) {
         List<OpType> types = List.of(type(Repeats.RETRYABLE, Needs.BOUNDED, 0), type(Repeats.RETRYABLE, Needs.UNBOUNDED, 0),
                 type(Repeats.NON_RETRYABLE, Needs.WRITE, 0.5), type(Repeats.TOKENED, Needs.WRITE, 0.7),
                 type(Repeats.RETRYABLE, Needs.SESSION, 0), type(Repeats.RETRYABLE, Needs.FRESH, 0),
                 type(20_000, Repeats.RETRYABLE, Needs.UNBOUNDED, 0));
         tell(new Event.Started(6 + gateways, gateways, types, List.of(new Tenant(100)), 0.05,
                 new Pledges(0.2, 160_000, 2.5, 10_000, removalBinds, 0), new Permits(6, true, true, true, 10_000, talks),
-                new CopyKeeping(checks, 500, tokensCarried), false, 0));
+                new ReplicaGuarantees(checks, 500, tokensCarried), false, 0));
     }
 
     private static OpType type(Repeats repeats, Needs needs, double late) {
--- a/gateway/src/test/java/ploverdale/LogicTest.java
+++ b/gateway/src/test/java/ploverdale/LogicTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.Listing.Stage;
@@ -172,7 +172,7 @@
 
     @Test
     void whereReplicasCheckReadsASlightlyLaggingOneGoesFirstButNotAfterItTurnedOneAway() {
-        FakeHost checked = new FakeHost(CopyKeeping.Checks.WAITS, false, true, 1);
+        FakeHost checked = new FakeHost(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
         checked.list(true, "p", "r1");
         checked.levelled("p", "r1");
         checked.nowMs += 560;
@@ -185,7 +185,7 @@
 
     @Test
     void whereReportsAreOldButReplicasCheckReadsOneReadASecondAsksAReplicaInsteadOfARefusal() {
-        FakeHost checked = new FakeHost(CopyKeeping.Checks.WAITS, false, true, 1);
+        FakeHost checked = new FakeHost(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
         checked.list(true, "r1");
         checked.probed("r1", Role.REPLICA, checked.nowMs - 5200);
         OpId guess = checked.ask(FakeHost.VIEW);
@@ -257,7 +257,7 @@
 
     @Test
     void aBusyServersReadsThinOutWhereOwnAnswersAreOld() {
-        FakeHost small = new FakeHost(CopyKeeping.Checks.NONE, false, true, 100);
+        FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100);
         small.list(true, "r1");
         small.tell(new Event.ProbeEnded(new ServerId("r1"), Outcome.ACKED,
                 new Report(Role.REPLICA, small.nowMs * 10, 1.1)));
@@ -272,7 +272,7 @@
     void aColdServerGetsPartsOfAnOpFromManySmallGatewaysAndNotAWholeOneFromEach() {
         int cold = 0;
         for (int i = 0; i < 100; i++) {
-            FakeHost small = new FakeHost(CopyKeeping.Checks.NONE, false, true, 100 + i);
+            FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100 + i);
             small.list(true, "r1", "r2");
             small.levelled("r1", "r2");
             small.ends(small.ask(FakeHost.HISTORY), 0, "r2", Outcome.ACKED, null);
@@ -314,7 +314,7 @@
 
     @Test
     void anEmptyListTakesNoServerAwayWhereRemovalDoesNotBind() {
-        FakeHost loose = new FakeHost(CopyKeeping.Checks.NONE, false, false, 1);
+        FakeHost loose = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
         loose.list(true, "p", "r1");
         loose.levelled("p", "r1");
         loose.list(true);
@@ -450,7 +450,7 @@
 
     @Test
     void whereRemovalDoesNotBindAServerGoneWithoutDrainingIsStillUsed() {
-        FakeHost loose = new FakeHost(CopyKeeping.Checks.NONE, false, false, 1);
+        FakeHost loose = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
         loose.list(true, "r1");
         loose.probed("r1", Role.REPLICA, loose.nowMs);
         loose.listed("r1", Stage.GONE, 0);
@@ -537,7 +537,7 @@
 
     @Test
     void aCarriedTokenSetsTheBoundAndAZeroTokenAdmitsAnyReplica() {
-        FakeHost carried = new FakeHost(CopyKeeping.Checks.NONE, true, true, 1);
+        FakeHost carried = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, true, true, 1);
         carried.list(true, "p", "r1");
         carried.levelled("p", "r1");
         carried.nowMs += 100;
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -9,7 +9,7 @@
 import java.util.Queue;
 import java.util.SplittableRandom;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
@@ -235,7 +235,7 @@
         return new Event.Started(random.nextLong(), gateways, types,
                 List.of(new Tenant(AGREED * SERVERS * deployment.capacity)), 0.05, pledges,
                 new Permits(6, true, true, true, 1000 * MS, gossip),
-                new CopyKeeping(CopyKeeping.Checks.NONE, 0, false), false, gateway);
+                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false), false, gateway);
     }
 
     private static OpType type(long timeout, Repeats repeats, double value, double late, Needs needs) {
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
@@ -66,7 +66,7 @@
     VirtualFleet(int servers, long seed) {
         this.servers = servers;
         random = new Random(seed);
-        host = new FakeHost(CopyKeeping.Checks.NONE, false, true, GATEWAYS);
+        host = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, GATEWAYS);
     }
 
     /** Holds up the servers, and the gateway, too, unless told otherwise. */
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 import ploverdale.model.Quota.HealthCheckReason;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.OpType;
 import ploverdale.model.Permits;
@@ -28,7 +28,7 @@
                 OpType.Needs.UNBOUNDED, 5000);
         QuotaNode s = new QuotaNode(quotaSettings, new Event.Started(7, 1, List.of(type), List.of(new Tenant(10)), 0.1,
                 new Pledges(0.2, 0, 2.5, 0, true, 0), new Permits(6, true, true, true, SECOND, true),
-                new CopyKeeping(CopyKeeping.Checks.NONE, 500, false), false, 0), 1, () -> now, () -> now);
+                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 500, false), false, 0), 1, () -> now, () -> now);
         now += 20 * SECOND;
         s.due();
         now += 2 * SECOND; // parts that come bring none that are saved up
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -11,12 +11,12 @@
 import ploverdale.membership.Membership;
 import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
-import ploverdale.replica.Claim;
-import ploverdale.replica.Fate;
-import ploverdale.replica.Keeping;
-import ploverdale.replica.Replicas;
-import ploverdale.replica.Replicas.Done;
-import ploverdale.replica.Replicas.End;
+import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.WriteOutcome;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
 
 /**
  * Instances of membership and replicated state in simulated time, with clients that roam, datagrams that are lost, doubled and
@@ -38,7 +38,7 @@
      */
     public record Settings(
             int gateways,
-            Keeping keeping,
+            ReplicationSettings keeping,
             double drift,
             double loss,
             double twice,
@@ -305,10 +305,10 @@
         });
     }
 
-    private void proves(Instance g, int process, long key, Claim claim, boolean ran) {
+    private void proves(Instance g, int process, long key, IdempotencyRecord claim, boolean ran) {
         if (g.runs() && g.process == process) {
             g.replicas.became(
-                    g.local(), key, claim, ran ? Fate.ACKED : Fate.NEVER_RAN, new byte[] {1}, 0, false, g.packing);
+                    g.local(), key, claim, ran ? WriteOutcome.ACKED : WriteOutcome.NEVER_RAN, new byte[] {1}, 0, false, g.packing);
             g.sends();
         }
     }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import ploverdale.replica.Keeping;
+import ploverdale.replication.ReplicationSettings;
 import ploverdale.tools.lab.ReplicaModel.Settings;
 
 /** Runs of replicated state in simulated time: days of faults by chance, and what catching up takes. */
@@ -17,8 +17,8 @@
     private ReplicaTrial() {}
 
     /** What is kept in these runs. */
-    public static Keeping keeping(int copies) {
-        return new Keeping(
+    public static ReplicationSettings keeping(int copies) {
+        return new ReplicationSettings(
                 copies, true, 20 * SECOND, 60 * MS, 8 * SECOND, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
     }
 
@@ -108,7 +108,7 @@
 
     /** One gateway is cut off while so many facts come that it does not get; told is how long it then takes, and its bytes. */
     public static CaughtUp catchesUp(int n, int facts, int differ, double bytesPerSecond, long seed) {
-        Keeping keeps = new Keeping(3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
+        ReplicationSettings keeps = new ReplicationSettings(3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
         ReplicaModel m = new ReplicaModel(new Settings(n, keeps, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
         m.until(3 * SECOND);
         fill(m, "s", facts, n);
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
@@ -11,10 +11,10 @@
 import java.util.SplittableRandom;
 import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
-import ploverdale.replica.Keeping;
-import ploverdale.replica.Replicas;
-import ploverdale.replica.Replicas.Done;
-import ploverdale.replica.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
 
 /**
  * A world small enough to try all that can happen in it: three gateways that keep the fate of one write, submitted at one and
@@ -30,8 +30,8 @@
     private static final long ZERO = 17_000_000_000_000L;
     private static final long WINDOW = 5 * SECOND;
     private static final long KEY = Replicas.key(false, "w");
-    private static final Keeping KEEPING =
-            new Keeping(GATEWAYS, false, SECOND, SECOND / 10, WINDOW, true, Set.of(), 1, 100, 100);
+    private static final ReplicationSettings KEEPING =
+            new ReplicationSettings(GATEWAYS, false, SECOND, SECOND / 10, WINDOW, true, Set.of(), 1, 100, 100);
 
     private record Message(int from, long start, int to, byte[] bytes) {}
 
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 import ploverdale.Logic;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
-import ploverdale.model.CopyKeeping.Checks;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.ReplicaGuarantees.StalenessCheck;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
@@ -135,7 +135,7 @@
                 0.1,
                 new Pledges(0.3, 6000 * MS, 2.5, 1000 * MS, true, 0),
                 new Permits(6, true, true, true, 1000 * MS, false),
-                new CopyKeeping(Checks.NONE, 0, false),
+                new ReplicaGuarantees(StalenessCheck.NONE, 0, false),
                 false,
                 0);
     }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import ploverdale.membership.PacketQueue;
-import ploverdale.replica.Keeping;
-import ploverdale.replica.Replicas;
-import ploverdale.replica.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.End;
 import ploverdale.tools.lab.ReplicaModel.Settings;
 import ploverdale.tools.lab.ReplicaTrial.CaughtUp;
 
@@ -154,7 +154,7 @@
 
     @Test
     void overTheBoundTheOldestGoAndReadsOfTheUnknownMustReachWhatWent() {
-        Keeping few = new Keeping(1, true, 600 * SECOND, MS, 0, false, Set.of(), MS, 100, 0);
+        ReplicationSettings few = new ReplicationSettings(1, true, 600 * SECOND, MS, 0, false, Set.of(), MS, 100, 0);
         long[] wall = {17_000_000_000_000L};
         Replicas one = new Replicas(0, 1, 1, few, new SplittableRandom(1), () -> wall[0]);
         PacketQueue none = new PacketQueue(1000, 0);
