--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -20,10 +20,10 @@
 import ploverdale.log.Log;
 import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.QuotaSettings;
-import ploverdale.net.FleetFile;
+import ploverdale.net.FleetConfigurationFile;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
-import ploverdale.terms.Unreadable;
+import ploverdale.net.ConfigurationFile;
+import ploverdale.settings.InvalidSettingsException;
 import ploverdale.toy.Rehearsal;
 import ploverdale.toy.ToyClient;
 import ploverdale.toy.ToyServers;
@@ -76,7 +76,7 @@
         }
         try {
             System.exit(main.command.run());
-        } catch (Unreadable | IOException e) {
+        } catch (InvalidSettingsException | IOException e) {
             System.err.println("ploverdale: " + e.getMessage());
             System.exit(1);
         }
@@ -89,13 +89,13 @@
 
         Path path() {
             if (config == null || config.isEmpty()) {
-                throw new Unreadable("no configuration: neither --config nor EDGE_CONFIG names a file");
+                throw new InvalidSettingsException("no configuration: neither --config nor EDGE_CONFIG names a file");
             }
             return Path.of(config);
         }
 
-        GatewayFile file() {
-            return GatewayFile.read(path());
+        ConfigurationFile file() {
+            return ConfigurationFile.read(path());
         }
     }
 
@@ -116,8 +116,8 @@
         public int run() throws IOException, InterruptedException {
             Log log = new Log(System.err);
             log.takeOver();
-            GatewayFile file = file();
-            Optional<QuotaSettings> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
+            ConfigurationFile file = file();
+            Optional<QuotaSettings> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), file.settings()));
             CompletableFuture<Gateway> started = new CompletableFuture<>();
             // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted on behind it.
             if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
@@ -151,19 +151,19 @@
     public static final class Check extends WithFleet {
         @Override
         public int run() {
-            GatewayFile f = file();
+            ConfigurationFile f = file();
             System.out.println("gateway " + f.name() + " listens at " + f.listen() + ", discovery at " + f.discovery());
-            System.out.println(f.terms().opTypes().size() + " op types, " + f.terms().tenants().size() + " tenants, "
+            System.out.println(f.settings().opTypes().size() + " op types, " + f.settings().tenants().size() + " tenants, "
                     + f.known().entries().size() + " servers known, " + f.sockets() + " descriptors");
-            QuotaSettings fleet = fleetFile() == null ? null : FleetFile.fits(FleetFile.read(fleetFile()), f.terms());
+            QuotaSettings fleet = fleetFile() == null ? null : FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), f.settings());
             if (fleet != null) {
-                QuotaAllocation d = fleet.division(f.terms().started());
+                QuotaAllocation d = fleet.division(f.settings().started());
                 System.out.println("fleet of " + d.gateways() + ", division " + Integer.toHexString(d.id()) + ", floor "
                         + fleet.floorShare() + " of each right");
                 for (int b = 0; b < d.budgets().size(); b++) {
                     System.out.println("  " + d.budgets().get(b).name() + ": " + d.budgets().get(b).whole() + " in all, "
-                            + d.right(f.terms().started().me(), b) + " here by right, of them "
-                            + d.floor(f.terms().started().me(), b) + " as floor");
+                            + d.right(f.settings().started().me(), b) + " here by right, of them "
+                            + d.floor(f.settings().started().me(), b) + " as floor");
                 }
                 if (fleet.keeping() != null) {
                     System.out.println("  kept by " + fleet.keeping().copies() + ": " + fleet.keeping());
@@ -188,7 +188,7 @@
     public static final class Toy extends WithFile {
         @Override
         public int run() throws IOException, InterruptedException {
-            GatewayFile file = file();
+            ConfigurationFile file = file();
             ToyServers toy = await(ToyServers.start(Gateway.vertx(), file, false));
             System.out.println(toy.entries().size() + " toy servers and discovery at " + toy.discovery() + " are up");
             new CountDownLatch(1).await();
@@ -222,7 +222,7 @@
     public static final class Bench extends WithFleet {
         @Override
         public int run() throws IOException {
-            new BenchLink(System.in, System.out, fleetFile() == null ? null : FleetFile.read(fleetFile())).run();
+            new BenchLink(System.in, System.out, fleetFile() == null ? null : FleetConfigurationFile.read(fleetFile())).run();
             return 0;
         }
     }
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -26,8 +26,8 @@
 import ploverdale.model.Event.Started;
 import ploverdale.model.Listing;
 import ploverdale.model.OpId;
-import ploverdale.terms.Fields;
-import ploverdale.terms.Unreadable;
+import ploverdale.settings.JsonFields;
+import ploverdale.settings.InvalidSettingsException;
 
 /** Speaks the simulator's wire: one Logic for each gateway, nothing shared but the numbered lists. */
 public final class BenchLink {
@@ -62,15 +62,15 @@
     }
 
     private void reply(String line) throws IOException {
-        Fields batch = batch(line);
-        now = Fields.up(batch.number("timeMs"));
+        JsonFields batch = batch(line);
+        now = JsonFields.up(batch.number("timeMs"));
         JsonGenerator g = json.createGenerator(out);
         g.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
         g.writeStartObject();
         g.writeArrayFieldStart("out");
         for (Object item : batch.list("news")) {
             if (!(item instanceof Map<?, ?> event) || event.size() != 1) {
-                throw new Unreadable("an event is not an object with a single key");
+                throw new InvalidSettingsException("an event is not an object with a single key");
             }
             for (Map.Entry<?, ?> e : event.entrySet()) {
                 event(g, now, (String) e.getKey(), e.getValue());
@@ -83,38 +83,38 @@
         out.flush();
     }
 
-    private Fields batch(String line) throws IOException {
+    private JsonFields batch(String line) throws IOException {
         try (JsonParser p = json.createParser(line)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
-                throw new Unreadable("a line is not a JSON object");
+                throw new InvalidSettingsException("a line is not a JSON object");
             }
-            Fields batch = Fields.of("batch", Fields.read(p));
+            JsonFields batch = JsonFields.of("batch", JsonFields.read(p));
             if (p.nextToken() != null) {
-                throw new Unreadable("a line holds more than one JSON value");
+                throw new InvalidSettingsException("a line holds more than one JSON value");
             }
             return batch;
         } catch (JsonProcessingException e) {
-            throw new Unreadable("a line is not JSON: " + e.getOriginalMessage());
+            throw new InvalidSettingsException("a line is not JSON: " + e.getOriginalMessage());
         }
     }
 
     private void event(JsonGenerator g, long now, String name, Object body) throws IOException {
         switch (name) {
             case "LEDGER" -> {
-                Fields f = Fields.of(name, body);
+                JsonFields f = JsonFields.of(name, body);
                 ledgers.put(f.whole("sheet"), Reader.listings(f));
             }
             case "POWER_OFF" -> {
-                String gateway = Fields.of(name, body).text("gateway");
+                String gateway = JsonFields.of(name, body).text("gateway");
                 hosts.remove(gateway);
                 stopped.add(gateway);
             }
             case "BOOT" -> {
-                Fields f = Fields.of(name, body);
+                JsonFields f = JsonFields.of(name, body);
                 Reader reader = new Reader(f);
                 Started told = reader.started();
                 if (quotaSettings != null && quotaSettings.keeping() != null) {
-                    throw new Unreadable("fleet file with a field sessions or submits, which are kept on sockets only");
+                    throw new InvalidSettingsException("fleet file with a field sessions or submits, which are kept on sockets only");
                 }
                 QuotaNode shared = quotaSettings == null || !told.permits().peerMessages() || told.gateways() < 2 ? null
                         : new QuotaNode(quotaSettings, told, 1 + now / 10, () -> this.now, () -> this.now); // 0 would be no start at all
@@ -124,7 +124,7 @@
                 lookRound(g, f.text("gateway"), host);
             }
             case "ANNOUNCE", "REQ", "STARTED", "RESPONSE", "VANISHED", "ALARM", "PING_RESULT", "DATAGRAM" -> {
-                Fields f = Fields.of(name, body);
+                JsonFields f = JsonFields.of(name, body);
                 String gateway = f.text("gateway");
                 Host host = hosts.get(gateway);
                 if (host != null && host.shared() != null && name.equals("ALARM") && f.whole("tag") == SHARED_MARK) {
@@ -134,7 +134,7 @@
                 } else if (host != null) {
                     tell(g, now, gateway, host, event(name, f, host.reader()));
                 } else if (!stopped.contains(gateway)) {
-                    throw new Unreadable(name + " with a field gateway that names one never started: " + gateway);
+                    throw new InvalidSettingsException(name + " with a field gateway that names one never started: " + gateway);
                 }
             }
             default -> { }
@@ -148,7 +148,7 @@
         }
     }
 
-    private boolean sharedHears(JsonGenerator g, String gateway, Host host, Fields f) throws IOException {
+    private boolean sharedHears(JsonGenerator g, String gateway, Host host, JsonFields f) throws IOException {
         List<PacketQueue.OutboundPacket> answers = host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
         write(g, gateway, host.shared(), answers == null ? List.of() : answers);
         return answers != null;
@@ -163,7 +163,7 @@
         }
     }
 
-    private Event event(String name, Fields f, Reader reader) {
+    private Event event(String name, JsonFields f, Reader reader) {
         return switch (name) {
             case "ANNOUNCE" -> reader.listTold(f, ledgerOf(f));
             case "REQ" -> reader.opArrived(f);
@@ -176,13 +176,13 @@
         };
     }
 
-    private List<Listing> ledgerOf(Fields f) {
+    private List<Listing> ledgerOf(JsonFields f) {
         if (f.text("how").equals("broken")) {
             return List.of();
         }
         List<Listing> rows = ledgers.get(f.whole("sheet"));
         if (rows == null) {
-            throw new Unreadable("ANNOUNCE with a field sheet that names no list");
+            throw new InvalidSettingsException("ANNOUNCE with a field sheet that names no list");
         }
         return rows;
     }
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -31,7 +31,7 @@
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
 import ploverdale.limits.ConnectionLimits;
-import ploverdale.terms.Terms;
+import ploverdale.settings.GatewaySettings;
 
 /**
  * Owns the clients' connections and the ops taken from them: reads queries, tells the module of each op, and
@@ -105,7 +105,7 @@
     private final Vertx vertx;
     private final Log log;
     private final LogicLoop loop;
-    private final Terms terms;
+    private final GatewaySettings settings;
     private final ConnectionLimits<Session> limits;
     private final ServerClock time;
     private final long unreadMs;
@@ -127,15 +127,15 @@
     private final Set<NetSocket> parting = new LinkedHashSet<>(); // ended here and not yet by their clients
     private long answersBy = Long.MAX_VALUE;
 
-    public ClientSide(Vertx vertx, Log log, LogicLoop loop, Terms terms, ConnectionLimits<Session> limits, ServerClock time) {
+    public ClientSide(Vertx vertx, Log log, LogicLoop loop, GatewaySettings settings, ConnectionLimits<Session> limits, ServerClock time) {
         this.time = time;
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
-        this.terms = terms;
+        this.settings = settings;
         this.limits = limits;
         unreadMs = Math.max(UNREAD_LEAST_MS,
-                terms.started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10);
+                settings.started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10);
         vertx.setPeriodic(LOOK_MS, x -> look());
     }
 
@@ -704,8 +704,8 @@
         }
 
         private void op(ClientMessage.RequestQuery ask, long now) {
-            int type = terms.opTypes().indexOf(ask.requestClass());
-            int tenant = terms.tenants().isEmpty() ? 0 : terms.tenants().indexOf(ask.tenant());
+            int type = settings.opTypes().indexOf(ask.requestClass());
+            int tenant = settings.tenants().isEmpty() ? 0 : settings.tenants().indexOf(ask.tenant());
             OpId op = new OpId(ask.id());
             if (type < 0 || tenant < 0) {
                 bad("22023", type < 0 ? "an unknown op type" : "an unknown tenant", false);
@@ -725,7 +725,7 @@
             long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
             taken.put(op, new Taken(ask, this, slot, lastResortMs));
             load += ask.text().length;
-            Needs needs = terms.started().opTypes().get(type).needs();
+            Needs needs = settings.started().opTypes().get(type).needs();
             boolean inSession = ask.key() != null && (needs == Needs.WRITE || needs == Needs.SESSION);
             long tokenAge = ask.afterMs() <= 0 ? 0 : time.tokenAge(now, ask.afterMs() * 10); // 0 is the word for none
             Event.OpArrived arrived = new Event.OpArrived(op, new OpTypeId(type), new TenantId(tenant),
--- a/gateway/src/main/java/ploverdale/net/GatewayFile.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
@@ -15,17 +15,17 @@
 import ploverdale.model.Listing;
 import ploverdale.model.ServerId;
 import ploverdale.model.ZoneId;
-import ploverdale.terms.Fields;
-import ploverdale.terms.Terms;
-import ploverdale.terms.Unreadable;
+import ploverdale.settings.JsonFields;
+import ploverdale.settings.GatewaySettings;
+import ploverdale.settings.InvalidSettingsException;
 
 /**
  * Owns the reading and checking of what a gateway is told at its start (the JSON file that EDGE_CONFIG names) and
  * of the list of servers in the form that discovery uses. Must never open a socket or look up a name: addresses
  * are figures.
  */
-public record GatewayFile(
-        String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets, Terms terms,
+public record ConfigurationFile(
+        String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets, GatewaySettings settings,
         ServerList known, InetSocketAddress peerListen, List<InetSocketAddress> peers) {
 
     /** A list of servers, whole or its changes, with where each is reached; unusable entries are left out. */
@@ -35,50 +35,50 @@
     public record Entry(Listing listing, InetSocketAddress address) {}
 
     /** Reads the file; what is missing or misshapen is named in the exception's one line. */
-    public static GatewayFile read(Path file) {
+    public static ConfigurationFile read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Unreadable("configuration " + file + " cannot be read: " + e.getMessage());
+            throw new InvalidSettingsException("configuration " + file + " cannot be read: " + e.getMessage());
         }
-        Fields all = Fields.of("configuration", json(text, "configuration"));
+        JsonFields all = JsonFields.of("configuration", json(text, "configuration"));
         if (!all.has("settings")) {
-            throw new Unreadable("configuration without field settings");
+            throw new InvalidSettingsException("configuration without field settings");
         }
-        Terms terms = new Terms(seed(all.text("seed")), all.object("settings"));
-        if (terms.opTypes().isEmpty()) {
-            throw new Unreadable("configuration.settings without field profiles");
+        GatewaySettings settings = new GatewaySettings(seed(all.text("seed")), all.object("settings"));
+        if (settings.opTypes().isEmpty()) {
+            throw new InvalidSettingsException("configuration.settings without field profiles");
         }
         if (!all.has("limits")) {
-            throw new Unreadable("configuration without field limits");
+            throw new InvalidSettingsException("configuration without field limits");
         }
         long sockets = all.object("limits").whole("sockets");
         if (sockets < 64 || sockets > 1_000_000) {
-            throw new Unreadable("configuration.limits with a field sockets out of range: " + sockets);
+            throw new InvalidSettingsException("configuration.limits with a field sockets out of range: " + sockets);
         }
         if (!all.has("known")) {
-            throw new Unreadable("configuration without field known");
+            throw new InvalidSettingsException("configuration without field known");
         }
-        return new GatewayFile(all.text("name"), address("listen", all.text("listen")),
-                address("discovery", all.text("discovery")), seed(all.text("seed")), (int) sockets, terms,
-                serverList(all.object("known"), terms), peerListen(all, terms), peers(all, terms));
+        return new ConfigurationFile(all.text("name"), address("listen", all.text("listen")),
+                address("discovery", all.text("discovery")), seed(all.text("seed")), (int) sockets, settings,
+                serverList(all.object("known"), settings), peerListen(all, settings), peers(all, settings));
     }
 
     /** Where other instances' words come in; null where there are none or words are not allowed. */
-    private static InetSocketAddress peerListen(Fields all, Terms terms) {
-        return all.has("peer_listen") && all.list("peers").size() > 1 && terms.started().permits().peerMessages()
+    private static InetSocketAddress peerListen(JsonFields all, GatewaySettings settings) {
+        return all.has("peer_listen") && all.list("peers").size() > 1 && settings.started().permits().peerMessages()
                 ? address("peer_listen", all.text("peer_listen")) : null;
     }
 
-    private static List<InetSocketAddress> peers(Fields all, Terms terms) {
+    private static List<InetSocketAddress> peers(JsonFields all, GatewaySettings settings) {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (Object o : all.list("peers")) {
             peers.add(address("peers", String.valueOf(o)));
         }
-        if (!peers.isEmpty() && peers.size() != terms.started().gateways()) {
-            throw new Unreadable("configuration with a field peers of " + peers.size() + ", settings with "
-                    + terms.started().gateways() + " instances");
+        if (!peers.isEmpty() && peers.size() != settings.started().gateways()) {
+            throw new InvalidSettingsException("configuration with a field peers of " + peers.size() + ", settings with "
+                    + settings.started().gateways() + " instances");
         }
         return peers;
     }
@@ -87,13 +87,13 @@
     public static Object json(String text, String what) {
         try (JsonParser p = new JsonFactory().createParser(text)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
-                throw new Unreadable(what + " is not a JSON object");
+                throw new InvalidSettingsException(what + " is not a JSON object");
             }
-            return Fields.read(p);
+            return JsonFields.read(p);
         } catch (JsonProcessingException e) {
-            throw new Unreadable(what + " is not JSON: " + e.getOriginalMessage());
+            throw new InvalidSettingsException(what + " is not JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new Unreadable(what + " cannot be read: " + e.getMessage());
+            throw new InvalidSettingsException(what + " cannot be read: " + e.getMessage());
         }
     }
 
@@ -101,51 +101,51 @@
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new Unreadable("configuration with a field seed that is no hexadecimal number");
+            throw new InvalidSettingsException("configuration with a field seed that is no hexadecimal number");
         }
     }
 
     /** A list as discovery words it; the zones are those of the settings, others get the places behind them. */
-    public static ServerList serverList(Fields f, Terms terms) {
+    public static ServerList serverList(JsonFields f, GatewaySettings settings) {
         for (String field : List.of("revision", "members")) {
             if (!f.has(field)) {
-                throw new Unreadable("a list of servers without field " + field);
+                throw new InvalidSettingsException("a list of servers without field " + field);
             }
         }
         List<Entry> entries = new ArrayList<>();
         List<String> leftOut = new ArrayList<>();
         for (Object row : f.list("members")) {
             try {
-                entries.add(entry(Fields.of("members", row), terms));
-            } catch (Unreadable e) {
+                entries.add(entry(JsonFields.of("members", row), settings));
+            } catch (InvalidSettingsException e) {
                 leftOut.add(e.getMessage());
             }
         }
         return new ServerList(f.whole("revision"), f.mark("complete"), entries, leftOut);
     }
 
-    private static Entry entry(Fields e, Terms terms) {
+    private static Entry entry(JsonFields e, GatewaySettings settings) {
         String id = e.text("id");
         Listing.Stage stage = switch (e.text("phase")) {
             case "DRAINING" -> Listing.Stage.DRAINING;
             case "DELETED" -> Listing.Stage.GONE;
             case "SERVING" -> Listing.Stage.IN;
-            default -> throw new Unreadable(id + " with a phase " + e.text("phase"));
+            default -> throw new InvalidSettingsException(id + " with a phase " + e.text("phase"));
         };
         InetSocketAddress address = parse(e.text("host_port", ""));
         if (address == null && stage != Listing.Stage.GONE) {
-            throw new Unreadable(id + " without an address that can be used: " + e.text("host_port", ""));
+            throw new InvalidSettingsException(id + " without an address that can be used: " + e.text("host_port", ""));
         }
-        int zone = terms.zones().indexOf(e.text("locality", ""));
+        int zone = settings.zones().indexOf(e.text("locality", ""));
         return new Entry(new Listing(new ServerId(id), new GroupId((long) e.number("cell", 0)),
-                new ZoneId(zone < 0 ? terms.zones().size() : zone), stage, e.text("rank", "").equals("source"),
-                Fields.up(e.number("up_since_ms", 0))), address);
+                new ZoneId(zone < 0 ? settings.zones().size() : zone), stage, e.text("rank", "").equals("source"),
+                JsonFields.up(e.number("up_since_ms", 0))), address);
     }
 
     private static InetSocketAddress address(String field, String text) {
         InetSocketAddress a = parse(text);
         if (a == null) {
-            throw new Unreadable("configuration with a field " + field + " that is no address and port: " + text);
+            throw new InvalidSettingsException("configuration with a field " + field + " that is no address and port: " + text);
         }
         return a;
     }
--- a/gateway/src/main/java/ploverdale/net/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/Discovery.java
@@ -18,10 +18,10 @@
 import java.util.random.RandomGenerator;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
-import ploverdale.net.GatewayFile.ServerList;
-import ploverdale.terms.Fields;
-import ploverdale.terms.Terms;
-import ploverdale.terms.Unreadable;
+import ploverdale.net.ConfigurationFile.ServerList;
+import ploverdale.settings.JsonFields;
+import ploverdale.settings.GatewaySettings;
+import ploverdale.settings.InvalidSettingsException;
 
 /**
  * Owns the talk with discovery: asks for the whole list at start and then watches it, one call after the other, at
@@ -43,7 +43,7 @@
 
     private final Vertx vertx;
     private final Log log;
-    private final Terms terms;
+    private final GatewaySettings settings;
     private final Consumer<ServerList> told;
     private final HttpClient http;
     private final RandomGenerator chance;
@@ -57,13 +57,13 @@
     private boolean lost;
     private boolean stopped;
 
-    public Discovery(Vertx vertx, Log log, Terms terms, InetSocketAddress at, RandomGenerator chance,
+    public Discovery(Vertx vertx, Log log, GatewaySettings settings, InetSocketAddress at, RandomGenerator chance,
             Consumer<ServerList> told, Clock clock) {
         this.clock = clock;
         this.chance = chance;
         this.vertx = vertx;
         this.log = log;
-        this.terms = terms;
+        this.settings = settings;
         this.at = at;
         this.told = told;
         http = vertx.createHttpClient(
@@ -171,8 +171,8 @@
         }
         ServerList list;
         try {
-            list = GatewayFile.serverList(Fields.of("list", GatewayFile.json(body, "list")), terms);
-        } catch (Unreadable e) {
+            list = ConfigurationFile.serverList(JsonFields.of("list", ConfigurationFile.json(body, "list")), settings);
+        } catch (InvalidSettingsException e) {
             failed(call, e.getMessage()); // changes nothing
             return;
         }
--- a/gateway/src/main/java/ploverdale/net/FleetFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
@@ -9,15 +9,15 @@
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.replication.ReplicationSettings;
-import ploverdale.terms.Fields;
-import ploverdale.terms.Terms;
-import ploverdale.terms.Unreadable;
+import ploverdale.settings.JsonFields;
+import ploverdale.settings.GatewaySettings;
+import ploverdale.settings.InvalidSettingsException;
 
 /**
  * Owns the reading and checking of the file that switches the fleet's parts on ({@code serve --fleet FILE}). Without it
  * nothing of them exists. Must never be found by itself: no default, environment or missing file stands for it.
  */
-public final class FleetFile {
+public final class FleetConfigurationFile {
     private static final long MS = 10;
     private static final int WHOLE_MOST = 60_000;
     private static final Set<String> FIELDS = Set.of("tenants", "sends_at_server", "cold_sends_at_server", "server_slots",
@@ -28,7 +28,7 @@
     private static final Set<String> OF_SUBMITS = Set.of("window_ms", "retries_marked");
     private static final int LONGEST_WAIT_MS = 150; // less than what a planned restart spares for answers
 
-    private FleetFile() {}
+    private FleetConfigurationFile() {}
 
     /** Reads the file; a mistake is named by its field. */
     public static QuotaSettings read(Path file) {
@@ -36,9 +36,9 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Unreadable("fleet file " + file + " cannot be read: " + e.getMessage());
+            throw new InvalidSettingsException("fleet file " + file + " cannot be read: " + e.getMessage());
         }
-        Fields f = Fields.of("fleet file", GatewayFile.json(text, "fleet file"));
+        JsonFields f = JsonFields.of("fleet file", ConfigurationFile.json(text, "fleet file"));
         f.only(FIELDS);
         QuotaSettings s = new QuotaSettings(f.mark("tenants"), parts(f, "sends_at_server"), parts(f, "cold_sends_at_server"),
                 (int) within(f, "server_slots", 64, 1, 512), parts(f, "second_sends_per_second"), parts(f, "probes_per_second"),
@@ -46,25 +46,25 @@
                         (long) within(f, "loan_ms", 2000, 100, 60_000) * MS, within(f, "clocks_apart", 0.05, 0.001, 0.5)),
                 within(f, "bytes_per_second", 2000, 200, 1_000_000), keeping(f));
         if (!s.any()) {
-            throw new Unreadable("fleet file with nothing to divide or keep: none of the fields tenants, sends_at_server, "
+            throw new InvalidSettingsException("fleet file with nothing to divide or keep: none of the fields tenants, sends_at_server, "
                     + "cold_sends_at_server, second_sends_per_second, probes_per_second, sessions and submits");
         }
         return s;
     }
 
     /** What is kept together, or null where neither sessions nor submits are. */
-    private static ReplicationSettings keeping(Fields f) {
+    private static ReplicationSettings keeping(JsonFields f) {
         if (!f.has("sessions") && !f.has("submits")) {
             for (String only : List.of("copies", "wait_for_copies", "wait_ms", "ask_ms", "facts_most", "wall_clocks_apart_ms")) {
                 if (f.has(only)) {
-                    throw new Unreadable("fleet file with a field " + only + " and neither sessions nor submits");
+                    throw new InvalidSettingsException("fleet file with a field " + only + " and neither sessions nor submits");
                 }
             }
             return null;
         }
-        Fields sessions = f.object("sessions");
+        JsonFields sessions = f.object("sessions");
         sessions.only(OF_SESSIONS);
-        Fields submits = f.object("submits");
+        JsonFields submits = f.object("submits");
         submits.only(OF_SUBMITS);
         Set<String> waits = new HashSet<>();
         for (Object name : f.list("wait_for_copies")) {
@@ -79,31 +79,31 @@
     }
 
     /** Whether the file fits what the gateway is told; a field that does not is named. */
-    public static QuotaSettings fits(QuotaSettings s, Terms told) {
+    public static QuotaSettings fits(QuotaSettings s, GatewaySettings told) {
         if (s.keeping() != null) {
             for (String name : s.keeping().waits()) {
                 if (!told.opTypes().contains(name)) {
-                    throw new Unreadable("fleet file with a field wait_for_copies that names no op type: " + name);
+                    throw new InvalidSettingsException("fleet file with a field wait_for_copies that names no op type: " + name);
                 }
             }
             if (s.keeping().sessions() && told.started().copies().tokensCarried()) {
-                throw new Unreadable("fleet file with a field sessions where clients bring their sessions' positions");
+                throw new InvalidSettingsException("fleet file with a field sessions where clients bring their sessions' positions");
             }
             if (told.started().gateways() > ReplicationSettings.gatewaysMost()) {
-                throw new Unreadable("fleet file with a field copies for over " + ReplicationSettings.gatewaysMost() + " gateways");
+                throw new InvalidSettingsException("fleet file with a field copies for over " + ReplicationSettings.gatewaysMost() + " gateways");
             }
         }
         return s;
     }
 
-    private static int parts(Fields f, String name) {
+    private static int parts(JsonFields f, String name) {
         return (int) within(f, name, 0, 0, WHOLE_MOST);
     }
 
-    private static double within(Fields f, String name, double absent, double least, double most) {
+    private static double within(JsonFields f, String name, double absent, double least, double most) {
         double v = f.number(name, absent);
         if (!(v >= least && v <= most)) {
-            throw new Unreadable("fleet file with a field " + name + " out of range: " + v);
+            throw new InvalidSettingsException("fleet file with a field " + name + " out of range: " + v);
         }
         return v;
     }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -31,7 +31,7 @@
 import ploverdale.model.OpId;
 import ploverdale.model.OpType;
 import ploverdale.model.ServerId;
-import ploverdale.net.GatewayFile.ServerList;
+import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.limits.ConnectionLimits;
 
 /**
@@ -52,7 +52,7 @@
 
     private final Vertx vertx;
     private final Log log;
-    private GatewayFile file;
+    private ConfigurationFile file;
     private final LogicLoop loop;
     private final ClientSide clients;
     private final ServerSide servers;
@@ -70,7 +70,7 @@
     /** When a server last started, as the list dates it and as service time. */
     private record Start(long wall, long serviceTime) {}
 
-    private Gateway(Vertx vertx, Context context, Log log, GatewayFile file, Optional<QuotaSettings> quotaSettings,
+    private Gateway(Vertx vertx, Context context, Log log, ConfigurationFile file, Optional<QuotaSettings> quotaSettings,
             Clock clock) {
         this.vertx = vertx;
         this.log = log;
@@ -79,10 +79,10 @@
         vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
         fleet = quotaSettings.isEmpty() || file.peerListen() == null ? null
-                : new FleetSide(vertx, log, quotaSettings.get(), file.terms().started(), (to, bytes) -> peers().send(to, bytes), time);
+                : new FleetSide(vertx, log, quotaSettings.get(), file.settings().started(), (to, bytes) -> peers().send(to, bytes), time);
         loop = new LogicLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
-        clients = new ClientSide(vertx, log, loop, file.terms(), limits, time);
-        servers = new ServerSide(vertx, log, file.terms(), limits, this::makeRoom, time);
+        clients = new ClientSide(vertx, log, loop, file.settings(), limits, time);
+        servers = new ServerSide(vertx, log, file.settings(), limits, this::makeRoom, time);
         peers = file.peerListen() == null ? null : new PeerSide(vertx, log, loop, file.peers());
         if (peers != null) {
             peers.datedBy(time);
@@ -91,12 +91,12 @@
             peers.readFirst(fleet::hears);
         }
         past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicaSide(vertx, log, loop, clients,
-                file.terms(), quotaSettings.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
+                file.settings(), quotaSettings.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
         if (past != null) {
             clients.past(past);
             fleet.whenHeard(past::ended);
         }
-        discovery = new Discovery(vertx, log, file.terms(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
+        discovery = new Discovery(vertx, log, file.settings(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
         time.whenChanged(this::datedAnew);
     }
 
@@ -123,36 +123,36 @@
     }
 
     /** Practises, then starts a gateway; done when it listens. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file) {
+    public static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file) {
         return start(vertx, log, file, Optional.empty());
     }
 
     /** The same, by that clock. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Clock clock) {
+    public static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Clock clock) {
         return start(vertx, log, file, Optional.empty(), clock);
     }
 
     /** The same, with the fleet's parts that this file switches on. Optional, so that where there is none its class is not loaded. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<QuotaSettings> fleet) {
+    public static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet) {
         return start(vertx, log, file, fleet, Clock.system());
     }
 
-    private static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<QuotaSettings> fleet, Clock clock) {
+    private static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Context context = vertx.getOrCreateContext();
         return WarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
     }
 
     /** Starts a gateway as it is, for one that has practised in this process; done when it listens. */
-    public static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file) {
+    public static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, ConfigurationFile file) {
         return unpractised(vertx, context, log, file, Clock.system());
     }
 
     /** The same, by that clock. */
-    static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Clock clock) {
+    static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, ConfigurationFile file, Clock clock) {
         return unpractised(vertx, context, log, file, Optional.empty(), clock);
     }
 
-    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Optional<QuotaSettings> fleet,
+    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet,
             Clock clock) {
         Promise<Gateway> listening = Promise.promise();
         context.runOnContext(x -> new Gateway(vertx, context, log, file, fleet, clock).listen(listening));
@@ -197,7 +197,7 @@
             long since = time.clock().monotonicMs();
             when(() -> peers == null ? firstProbesEnded() : peers.heard() ? probesEnded > 0
                             : firstProbesEnded() && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
-                    (int) (file.terms().connectLimit() / 10 / START_LOOK_MS) + 1, 1, () -> {
+                    (int) (file.settings().connectLimit() / 10 / START_LOOK_MS) + 1, 1, () -> {
                 clients.ready();
                 log.line("gateway " + file.name() + " listens at " + file.listen().getAddress().getHostAddress()
                         + ":" + port() + ", " + file.known().entries().size() + " servers known");
@@ -213,7 +213,7 @@
 
     /** What the module is told; where the fleet keeps sessions, each op brings how far its reads must reach. */
     private Event.Started started() {
-        Event.Started s = file.terms().started();
+        Event.Started s = file.settings().started();
         return past == null ? s : new Event.Started(s.seed(), s.gateways(), s.opTypes(), s.tenants(), s.beyondShareValue(),
                 s.pledges(), s.permits(), past.copies(s.copies()), s.listOnDemand(), s.me());
     }
@@ -251,7 +251,7 @@
             starts.keySet().retainAll(list.entries().stream().map(e -> e.listing().server()).collect(Collectors.toSet()));
         }
         List<Listing> listings = list.entries().stream().map(e -> dated(e.listing())).toList();
-        for (GatewayFile.Entry e : list.entries()) {
+        for (ConfigurationFile.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
             }
@@ -383,7 +383,7 @@
 
     /** The same, with its times counted from the signal, which this loop may have come to late. */
     public void endPlanned(long signalNanos, CountDownLatch done) {
-        long longest = file.terms().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
+        long longest = file.settings().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
         long began = signalNanos / 1_000_000;
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
@@ -429,19 +429,19 @@
      * configuration in force behind a later one.
      */
     public synchronized void renew(Path path) {
-        GatewayFile next;
+        ConfigurationFile next;
         try {
-            next = GatewayFile.read(path);
+            next = ConfigurationFile.read(path);
         } catch (RuntimeException e) {
             log.line("new configuration not taken, all goes on as before: " + e.getMessage());
             return;
         }
         runOnLoop(() -> {
-            GatewayFile was = file;
+            ConfigurationFile was = file;
             file = next;
             limits.renew(next.sockets());
             boolean kept = next.listen().equals(was.listen())
-                    && next.terms().started().opTypes().equals(was.terms().started().opTypes());
+                    && next.settings().started().opTypes().equals(was.settings().started().opTypes());
             log.line("new configuration: discovery at " + next.discovery().getAddress().getHostAddress() + ":"
                     + next.discovery().getPort() + ", " + next.sockets() + " descriptors"
                     + (kept ? "" : "; what else it says needs a restart"));
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -27,7 +27,7 @@
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
-import ploverdale.terms.Terms;
+import ploverdale.settings.GatewaySettings;
 
 /**
  * Owns the ways between ops and what the fleet keeps of them: has a session's past asked for before the module hears of its
@@ -66,7 +66,7 @@
     private final Log log;
     private final LogicLoop loop;
     private final ClientSide clients;
-    private final Terms terms;
+    private final GatewaySettings settings;
     private final ReplicationSettings keeping;
     private final Replicas replicas;
     private final Way way;
@@ -75,13 +75,13 @@
     private final Map<OpId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker = new HashMap<>(); // by group, the number of the server of the last acked write
 
-    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, Terms terms, ReplicationSettings keeping, Replicas replicas, Way way,
+    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, GatewaySettings settings, ReplicationSettings keeping, Replicas replicas, Way way,
             ServerClock time) {
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
         this.clients = clients;
-        this.terms = terms;
+        this.settings = settings;
         this.keeping = keeping;
         this.replicas = replicas;
         this.way = way;
@@ -127,8 +127,8 @@
 
     @Override
     public void arrives(OpArrived a, String key) {
-        OpType type = terms.started().opTypes().get(a.type().index());
-        boolean waits = keeping.waits().contains(terms.opTypes().get(a.type().index()));
+        OpType type = settings.started().opTypes().get(a.type().index());
+        boolean waits = keeping.waits().contains(settings.opTypes().get(a.type().index()));
         if (keeping.sessions() && type.needs() == Needs.SESSION && key != null) {
             long arrived = time.now();
             asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -26,7 +26,7 @@
 import ploverdale.model.Report;
 import ploverdale.model.Report.Role;
 import ploverdale.limits.ConnectionLimits;
-import ploverdale.terms.Terms;
+import ploverdale.settings.GatewaySettings;
 
 /**
  * Owns the connections to database servers: opens, reuses and closes them, writes each send or probe once, and
@@ -65,7 +65,7 @@
 
     private final Vertx vertx;
     private final Log log;
-    private final Terms terms;
+    private final GatewaySettings settings;
     private final ConnectionLimits<?> limits;
     private final BooleanSupplier makeRoom;
     private final ServerClock time;
@@ -75,16 +75,16 @@
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
     private final Losses losses = new Losses();
 
-    ServerSide(Vertx vertx, Log log, Terms terms, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
+    ServerSide(Vertx vertx, Log log, GatewaySettings settings, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
         this.vertx = vertx;
         this.log = log;
-        this.terms = terms;
+        this.settings = settings;
         this.limits = limits;
         this.makeRoom = makeRoom;
         this.time = time;
-        net = vertx.createNetClient(new NetClientOptions().setConnectTimeout((int) ((terms.connectLimit() + 9) / 10))
+        net = vertx.createNetClient(new NetClientOptions().setConnectTimeout((int) ((settings.connectLimit() + 9) / 10))
                 .setReconnectAttempts(0).setTcpNoDelay(true));
-        vertx.setPeriodic(Math.max(10, terms.idleLimit() / 10 / LOOKS), x -> closeOld());
+        vertx.setPeriodic(Math.max(10, settings.idleLimit() / 10 / LOOKS), x -> closeOld());
     }
 
     private static final class Server {
@@ -255,7 +255,7 @@
      */
     public void probe(ServerId id, Ear ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Sending x = new Sending(null, s, terms.connectLimit(), () -> true, waitMs -> MessageWriter.healthCheck(terms.reportsInProbes()), ear);
+        Sending x = new Sending(null, s, settings.connectLimit(), () -> true, waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()), ear);
         assign(s, x);
         if (x.on != null && x.on.rest >= LONG_IDLE) {
             vertx.setTimer(PROBE_PATIENCE_MS, y -> moveSilentProbe(x));
@@ -334,7 +334,7 @@
     }
 
     private void closeOld() {
-        long keep = terms.idleLimit() - terms.idleLimit() / IDLE_PARTS;
+        long keep = settings.idleLimit() - settings.idleLimit() / IDLE_PARTS;
         long now = time.now();
         while (!idle.isEmpty() && now - idle.iterator().next().idleSince > keep) {
             idle.iterator().next().close();
@@ -390,7 +390,7 @@
         }
 
         private void open() {
-            openTimer = vertx.setTimer((terms.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.NOT_CONNECTED));
+            openTimer = vertx.setTimer((settings.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.NOT_CONNECTED));
             net.connect(SocketAddress.inetSocketAddress(address)).onComplete(r -> {
                 if (r.failed()) {
                     connect(r.cause());
@@ -555,14 +555,14 @@
                 forgotten(server, x.silentAfter);
             }
             Report note = note();
-            Report report = terms.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
+            Report report = settings.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
             boolean probe = x.op == null;
             if (problem != null) {
                 x.end(outcome(problem.code(), probe), null, note, report);
             } else if (value == null) {
                 x.end(Outcome.ERRORED, null, note, report);
             } else if (probe) {
-                Report asked = terms.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
+                Report asked = settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
             } else {
                 x.end(Outcome.ACKED, new ResultRow(column, value.bytes(), done.tag()), note, report);
@@ -676,7 +676,7 @@
         if (position != null && position <= 0 || role != null && role != 0 && role != 1) {
             return null;
         }
-        Report told = Terms.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
+        Report told = GatewaySettings.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
         if (position == null) {
             return told;
         }
--- a/gateway/src/main/java/ploverdale/net/WarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUp.java
@@ -50,7 +50,7 @@
     private WarmUp() {}
 
     /** Practises; done when all of it is gone again, however it went. */
-    static Future<Void> run(Vertx vertx, Log log, GatewayFile file, Clock clock) {
+    static Future<Void> run(Vertx vertx, Log log, ConfigurationFile file, Clock clock) {
         long began = clock.monotonicMs();
         return vertx.deployVerticle(new Practice(file, clock)).compose(vertx::undeploy).otherwise(e -> {
             log.line("service begins without practice: " + e.getMessage());
@@ -60,18 +60,18 @@
 
     /** All that it opens, its timers too, ends with it. */
     private static final class Practice extends VerticleBase {
-        private final GatewayFile file;
+        private final ConfigurationFile file;
         private final int ops;
         private final Clock clock;
         private final long began;
         private NetClient client;
 
-        private Practice(GatewayFile file, Clock clock) {
+        private Practice(ConfigurationFile file, Clock clock) {
             this.file = file;
             this.clock = clock;
             began = clock.monotonicMs();
-            double agreed = file.terms().started().tenants().stream().mapToDouble(Tenant::opsPerSecond).sum()
-                    / Math.max(1, file.terms().started().gateways());
+            double agreed = file.settings().started().tenants().stream().mapToDouble(Tenant::opsPerSecond).sum()
+                    / Math.max(1, file.settings().started().gateways());
             ops = agreed == 0 ? OPS_MOST : (int) Math.max(OPS_LEAST, Math.min(OPS_MOST, agreed * OF_A_SECOND));
         }
 
@@ -80,13 +80,13 @@
             Log nowhere = new Log(new PrintStream(OutputStream.nullOutputStream()));
             client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
             return listen(this::serve).compose(server -> listen(s -> list(s, server)).compose(list -> {
-                List<GatewayFile.Entry> made = new ArrayList<>();
+                List<ConfigurationFile.Entry> made = new ArrayList<>();
                 for (String name : List.of("a", "b", "c")) {
-                    made.add(new GatewayFile.Entry(new Listing(new ServerId(name), new GroupId(0), new ZoneId(0),
+                    made.add(new ConfigurationFile.Entry(new Listing(new ServerId(name), new GroupId(0), new ZoneId(0),
                             Listing.Stage.IN, true, 0), server));
                 }
-                return Gateway.unpractised(vertx, context, nowhere, new GatewayFile("practice", at(0), list, file.seed(),
-                        file.sockets(), file.terms(), new GatewayFile.ServerList(0, true, made, List.of()), null, List.of()), clock);
+                return Gateway.unpractised(vertx, context, nowhere, new ConfigurationFile("practice", at(0), list, file.seed(),
+                        file.sockets(), file.settings(), new ConfigurationFile.ServerList(0, true, made, List.of()), null, List.of()), clock);
             })).compose(g -> ops(at(g.port())).onComplete(x -> g.unfollow())).timeout(MOST_MS, TimeUnit.MILLISECONDS);
         }
 
@@ -133,10 +133,10 @@
         }
 
         private Buffer query(int i) {
-            int type = i % file.terms().opTypes().size();
-            String tenant = file.terms().tenants().isEmpty() ? "" : ",t=" + file.terms().tenants().get(0);
+            int type = i % file.settings().opTypes().size();
+            String tenant = file.settings().tenants().isEmpty() ? "" : ",t=" + file.settings().tenants().get(0);
             return MessageWriter.query("SELECT " + COLUMN + " FROM state WHERE uid = 'k" + i % 9 + "' /* id=" + i + ",c="
-                    + file.terms().opTypes().get(type) + tenant + ",d=900,cluster=0 */");
+                    + file.settings().opTypes().get(type) + tenant + ",d=900,cluster=0 */");
         }
 
         /** The made-up server, which ends its connections so that opening them is practised, too. */
--- a/gateway/src/main/java/ploverdale/terms/Terms.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -1,4 +1,4 @@
-package ploverdale.terms;
+package ploverdale.settings;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,7 +15,7 @@
  * What a gateway is told at its start, read for the simulator's wire and for the real gateway alike: what the
  * module is started with, and what is needed to read names, reports and notes. Chooses nothing.
  */
-public final class Terms {
+public final class GatewaySettings {
     private final Event.Started started;
     private final double positionZeroMs;
     private final boolean positionsInNotes;
@@ -28,8 +28,8 @@
     private final long connectLimit;
     private final long idleLimit;
 
-    public Terms(long seed, Fields all) {
-        Fields special = all.object("specifics");
+    public GatewaySettings(long seed, JsonFields all) {
+        JsonFields special = all.object("specifics");
         positionZeroMs = special.number("positionZeroMs", 0);
         positionsInNotes = special.mark("positions");
         reportFields = all.object("report").list("fields").stream().map(String::valueOf).toList();
@@ -39,8 +39,8 @@
         opTypes = names(all, "profiles");
         tenants = names(all, "accounts");
         zones = all.list("zones").stream().map(String::valueOf).toList();
-        connectLimit = Fields.up(all.object("policyLimits").number("connectTimeoutMs", 1000));
-        idleLimit = Fields.down(all.object("policyLimits").number("idleCloseMs", 10_000));
+        connectLimit = JsonFields.up(all.object("policyLimits").number("connectTimeoutMs", 1000));
+        idleLimit = JsonFields.down(all.object("policyLimits").number("idleCloseMs", 10_000));
         started = started(seed, all, special);
     }
 
@@ -95,46 +95,46 @@
     /** A load report, its values named; an absent one is null. Positions are counted from a zero. */
     public static Report report(Double position, Double role, Double busy, double zeroMs) {
         return new Report(role == null ? Role.UNKNOWN : role.intValue() == 1 ? Role.PRIMARY : Role.REPLICA,
-                position == null ? Report.UNTOLD : Fields.down(zeroMs + position * 1000),
+                position == null ? Report.UNTOLD : JsonFields.down(zeroMs + position * 1000),
                 busy == null ? Double.NaN : busy);
     }
 
-    private static List<String> names(Fields all, String list) {
+    private static List<String> names(JsonFields all, String list) {
         List<String> names = new ArrayList<>();
         for (Object o : all.list(list)) {
-            names.add(Fields.of(list, o).text("name", ""));
+            names.add(JsonFields.of(list, o).text("name", ""));
         }
         return List.copyOf(names);
     }
 
-    private static Event.Started started(long seed, Fields all, Fields special) {
+    private static Event.Started started(long seed, JsonFields all, JsonFields special) {
         List<Object> needs = special.list("classRead");
         List<Object> bounds = special.list("oldestDataMs");
         List<OpType> types = new ArrayList<>();
         for (Object p : all.list("profiles")) {
-            Fields f = Fields.of("profiles", p);
+            JsonFields f = JsonFields.of("profiles", p);
             int i = types.size();
-            long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? Fields.down(n.doubleValue()) : 0;
-            types.add(new OpType(Fields.down(f.number("aimMs")), f.number("aimStretch", 0),
-                    Fields.down(f.number("deadlineMs")), repeats(f.text("effect", "once")),
-                    scope(f.text("dedupScope", "cell")), Fields.down(f.number("dedupWindowMs", 0)),
+            long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? JsonFields.down(n.doubleValue()) : 0;
+            types.add(new OpType(JsonFields.down(f.number("aimMs")), f.number("aimStretch", 0),
+                    JsonFields.down(f.number("deadlineMs")), repeats(f.text("effect", "once")),
+                    scope(f.text("dedupScope", "cell")), JsonFields.down(f.number("dedupWindowMs", 0)),
                     f.number("worth", 1), f.number("lateShare", 0), f.mark("stream"),
                     needs(i < needs.size() ? String.valueOf(needs.get(i)) : "mutate"), bound));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Object a : all.list("accounts")) {
-            tenants.add(new Tenant(Fields.of("accounts", a).number("quotaPerS", 0)));
+            tenants.add(new Tenant(JsonFields.of("accounts", a).number("quotaPerS", 0)));
         }
-        Fields rules = all.object("contract");
-        Pledges pledges = new Pledges(rules.number("startCapacity", 0), Fields.up(rules.number("coldMs", 0)),
-                rules.number("overloadFactor", 1), Fields.up(rules.number("overloadForMs", 0)),
-                !rules.mark("removalNotBinding"), Fields.down(rules.number("mustAskInMs", 0)));
-        Fields limits = all.object("policyLimits");
+        JsonFields rules = all.object("contract");
+        Pledges pledges = new Pledges(rules.number("startCapacity", 0), JsonFields.up(rules.number("coldMs", 0)),
+                rules.number("overloadFactor", 1), JsonFields.up(rules.number("overloadForMs", 0)),
+                !rules.mark("removalNotBinding"), JsonFields.down(rules.number("mustAskInMs", 0)));
+        JsonFields limits = all.object("policyLimits");
         Permits permits = new Permits((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
-                limits.mark("retryAfter"), Fields.down(limits.number("maxRetryAfterMs", 0)),
+                limits.mark("retryAfter"), JsonFields.down(limits.number("maxRetryAfterMs", 0)),
                 limits.mark("peerMessages"));
         ReplicaGuarantees copies = new ReplicaGuarantees(checks(special.text("checks", "silent")),
-                Fields.down(special.number("waitMs", 0)), special.text("tokens", "").equals("brought"));
+                JsonFields.down(special.number("waitMs", 0)), special.text("tokens", "").equals("brought"));
         return new Event.Started(seed, (int) all.whole("balancers", 1), types, tenants,
                 all.number("overShareWorth", 1), pledges, permits, copies,
                 all.text("discovery", "").equals("subscribe"), (int) all.whole("selfIndex", 0));
--- a/gateway/src/main/java/ploverdale/terms/Unreadable.java
+++ b/gateway/src/main/java/ploverdale/settings/InvalidSettingsException.java
@@ -1,10 +1,10 @@
-package ploverdale.terms;
+package ploverdale.settings;
 
 /** Something told to the program that cannot be read; the message names the field. */
-public final class Unreadable extends RuntimeException {
+public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public Unreadable(String message) {
+    public InvalidSettingsException(String message) {
         super(message);
     }
 }
--- a/gateway/src/main/java/ploverdale/terms/Fields.java
+++ b/gateway/src/main/java/ploverdale/settings/JsonFields.java
@@ -1,4 +1,4 @@
-package ploverdale.terms;
+package ploverdale.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /** The fields of one JSON object, read by name; absent numbers are 0, absent marks false. */
-public final class Fields {
+public final class JsonFields {
     private final String owner;
     private final Map<String, Object> values;
 
-    public Fields(String owner, Map<String, Object> values) {
+    public JsonFields(String owner, Map<String, Object> values) {
         this.owner = owner;
         this.values = values;
     }
@@ -53,20 +53,20 @@
     }
 
     /** The object that a named value holds. */
-    public static Fields of(String owner, Object value) {
+    public static JsonFields of(String owner, Object value) {
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Unreadable(owner + " is not an object");
+            throw new InvalidSettingsException(owner + " is not an object");
         }
         Map<String, Object> copy = new LinkedHashMap<>();
         map.forEach((k, v) -> copy.put((String) k, v));
-        return new Fields(owner, copy);
+        return new JsonFields(owner, copy);
     }
 
     /** Refuses any field that is not among these. */
     public void only(java.util.Set<String> names) {
         for (String name : values.keySet()) {
             if (!names.contains(name)) {
-                throw new Unreadable(owner + " with an unknown field " + name);
+                throw new InvalidSettingsException(owner + " with an unknown field " + name);
             }
         }
     }
@@ -78,13 +78,13 @@
     private Object must(String name) {
         Object v = values.get(name);
         if (v == null) {
-            throw new Unreadable(owner + " without field " + name);
+            throw new InvalidSettingsException(owner + " without field " + name);
         }
         return v;
     }
 
-    private Unreadable bad(String name) {
-        return new Unreadable(owner + " with a field " + name + " of the wrong form");
+    private InvalidSettingsException bad(String name) {
+        return new InvalidSettingsException(owner + " with a field " + name + " of the wrong form");
     }
 
     public String text(String name) {
@@ -128,8 +128,8 @@
         return Boolean.TRUE.equals(values.get(name));
     }
 
-    public Fields object(String name) {
-        return has(name) ? of(owner + "." + name, values.get(name)) : new Fields(owner + "." + name, Map.of());
+    public JsonFields object(String name) {
+        return has(name) ? of(owner + "." + name, values.get(name)) : new JsonFields(owner + "." + name, Map.of());
     }
 
     public List<Object> list(String name) {
--- a/gateway/src/main/java/ploverdale/toy/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/toy/Rehearsal.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import ploverdale.log.Log;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
+import ploverdale.net.ConfigurationFile;
 
 /**
  * Owns a rehearsal: a gateway between toy servers and a toy client in one process, at free loopback ports. It shows
@@ -22,12 +22,12 @@
     private Rehearsal() {}
 
     /** Plays it; the future holds how many ops were acked, of how many. */
-    public static Future<String> play(Vertx vertx, Log log, GatewayFile file) {
+    public static Future<String> play(Vertx vertx, Log log, ConfigurationFile file) {
         InetSocketAddress here = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return ToyServers.start(vertx, file, true).compose(toy -> {
-            GatewayFile.ServerList known = new GatewayFile.ServerList(0, true, toy.entries(), java.util.List.of());
-            return Gateway.start(vertx, log, new GatewayFile(file.name(), here, toy.discovery(), file.seed(),
-                    file.sockets(), file.terms(), known, null, java.util.List.of()));
+            ConfigurationFile.ServerList known = new ConfigurationFile.ServerList(0, true, toy.entries(), java.util.List.of());
+            return Gateway.start(vertx, log, new ConfigurationFile(file.name(), here, toy.discovery(), file.seed(),
+                    file.sockets(), file.settings(), known, null, java.util.List.of()));
         }).compose(g -> ToyClient.connect(vertx, new InetSocketAddress(here.getAddress(), g.port())))
                 .compose(c -> c.ask("").compose(x -> c.ask("SELECT nothing")).compose(x -> ops(vertx, c, file, 0, 0, 0))
                         .compose(acked -> c.close().map(acked)))
@@ -35,14 +35,14 @@
                         : Future.failedFuture("only " + acked + " of " + OPS + " ops acked"));
     }
 
-    private static Future<Integer> ops(Vertx vertx, ToyClient c, GatewayFile file, int i, int acked, int again) {
+    private static Future<Integer> ops(Vertx vertx, ToyClient c, ConfigurationFile file, int i, int acked, int again) {
         if (i == OPS) {
             return Future.succeededFuture(acked);
         }
-        String type = file.terms().opTypes().get(i % file.terms().opTypes().size());
-        boolean write = file.terms().started().opTypes().get(i % file.terms().opTypes().size()).needs()
+        String type = file.settings().opTypes().get(i % file.settings().opTypes().size());
+        boolean write = file.settings().started().opTypes().get(i % file.settings().opTypes().size()).needs()
                 == ploverdale.model.OpType.Needs.WRITE;
-        String tenant = file.terms().tenants().isEmpty() ? "" : ",t=" + file.terms().tenants().get(0);
+        String tenant = file.settings().tenants().isEmpty() ? "" : ",t=" + file.settings().tenants().get(0);
         long group = file.known().entries().get(0).listing().group().number();
         String comment = " /* id=" + Integer.toHexString(0x1000 + 16 * i + again) + ",c=" + type + tenant + ",d=1000,cluster=" + group
                 + " */";
--- a/gateway/src/main/java/ploverdale/toy/ToyServers.java
+++ b/gateway/src/main/java/ploverdale/toy/ToyServers.java
@@ -16,7 +16,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
-import ploverdale.net.GatewayFile;
+import ploverdale.net.ConfigurationFile;
 
 /**
  * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
@@ -29,7 +29,7 @@
     private final Vertx vertx;
     private final Map<String, String> table = new HashMap<>();
     private final List<String> members = new ArrayList<>();
-    private final List<GatewayFile.Entry> entries = new ArrayList<>();
+    private final List<ConfigurationFile.Entry> entries = new ArrayList<>();
     private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
     private long writtenAt = Clock.system().wallMs();
     private InetSocketAddress discovery;
@@ -39,11 +39,11 @@
     }
 
     /** Starts a server for each that the file knows, and discovery; at the told ports, or at any free ones. */
-    public static Future<ToyServers> start(Vertx vertx, GatewayFile file, boolean anyPorts) {
+    public static Future<ToyServers> start(Vertx vertx, ConfigurationFile file, boolean anyPorts) {
         ToyServers toy = new ToyServers(vertx);
         Future<?> all = Future.succeededFuture();
         Map<Long, Boolean> hasPrimary = new HashMap<>();
-        for (GatewayFile.Entry e : file.known().entries()) {
+        for (ConfigurationFile.Entry e : file.known().entries()) {
             boolean primary = hasPrimary.put(e.listing().group().number(), true) == null;
             all = all.compose(x -> toy.server(e, primary, anyPorts));
         }
@@ -53,14 +53,14 @@
     /** Asks each server once, so that the first probe of a gateway does not wait for this program's classes. */
     private Future<?> warmUp() {
         Future<?> all = Future.succeededFuture();
-        for (GatewayFile.Entry e : entries) {
+        for (ConfigurationFile.Entry e : entries) {
             all = all.compose(x -> ToyClient.connect(vertx, e.address()))
                     .compose(c -> c.ask("SHOW vitals").compose(x -> c.close()));
         }
         return all;
     }
 
-    public List<GatewayFile.Entry> entries() {
+    public List<ConfigurationFile.Entry> entries() {
         return entries;
     }
 
@@ -68,12 +68,12 @@
         return discovery;
     }
 
-    private Future<NetServer> server(GatewayFile.Entry e, boolean primary, boolean anyPort) {
+    private Future<NetServer> server(ConfigurationFile.Entry e, boolean primary, boolean anyPort) {
         String host = e.address().getAddress().getHostAddress();
         return vertx.createNetServer().connectHandler(s -> serve(s, primary))
                 .listen(anyPort ? 0 : e.address().getPort(), host).onSuccess(s -> {
                     up.add(s);
-                    entries.add(new GatewayFile.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
+                    entries.add(new ConfigurationFile.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
                     members.add("{\"id\":\"" + e.listing().server().text() + "\",\"host_port\":\"" + host + ":"
                             + s.actualPort() + "\",\"cell\":" + e.listing().group().number()
                             + ",\"phase\":\"SERVING\",\"up_since_ms\":0}");
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -30,7 +30,7 @@
     void decisionsDoNoInputOrOutput() {
         String[] io = {
             "java.io..", "java.net..", "java.nio.channels..", "java.nio.file..", "java.util.logging..", "io.vertx..", "io.netty..",
-            "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.toy..", "ploverdale.terms..",
+            "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.toy..", "ploverdale.settings..",
         };
         noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
         noClasses().that().belongToAnyOf(Logic.class).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
@@ -83,7 +83,7 @@
                 .layer("shutdown").definedBy("ploverdale.shutdown..")
                 .layer("clock").definedBy(CLOCK)
                 .layer("log").definedBy("ploverdale.log..")
-                .layer("settings").definedBy("ploverdale.terms..")
+                .layer("settings").definedBy("ploverdale.settings..")
                 .layer("routing").definedBy("ploverdale.routing..")
                 .layer("router").definedBy(belongToAnyOf(Logic.class))
                 .layer("main").definedBy(belongToAnyOf(Main.class))
--- a/gateway/src/test/java/ploverdale/GatewayFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import ploverdale.model.Listing.Stage;
-import ploverdale.net.GatewayFile;
-import ploverdale.terms.Unreadable;
+import ploverdale.net.ConfigurationFile;
+import ploverdale.settings.InvalidSettingsException;
 
 /** What a gateway is told at its start, and what it says of a file it cannot use. */
-class GatewayFileTest {
+class ConfigurationFileTest {
     private static final String GOOD = """
             {"name":"n1","listen":"127.0.0.1:7000","discovery":"127.0.0.1:7001","seed":"ffffffffffffffff",
             "limits":{"sockets":256},"known":{"revision":3,"complete":true,"members":[
@@ -28,16 +28,16 @@
     @TempDir
     private Path dir;
 
-    private GatewayFile read(String text) throws IOException {
-        return GatewayFile.read(Files.writeString(dir.resolve("c.json"), text));
+    private ConfigurationFile read(String text) throws IOException {
+        return ConfigurationFile.read(Files.writeString(dir.resolve("c.json"), text));
     }
 
     @Test
     void entriesWithoutAUsableAddressAreLeftOutAndNamed() throws IOException {
-        GatewayFile f = read(GOOD);
+        ConfigurationFile f = read(GOOD);
         assertThat(f.seed()).isEqualTo(-1);
         assertThat(f.known().entries()).hasSize(2);
-        GatewayFile.Entry a = f.known().entries().get(0);
+        ConfigurationFile.Entry a = f.known().entries().get(0);
         assertThat(a.address().getPort()).isEqualTo(7100);
         assertThat(a.listing().zone().number()).isEqualTo(1);
         assertThat(a.listing().startedAt()).isEqualTo(120);
@@ -52,7 +52,7 @@
         "\"limits\":{\"sockets\":256}, | limits", "\"sockets\":256 | sockets", "\"revision\":3, | revision",
         "\"discovery\":\"127.0.0.1:7001\", | discovery", ",\"deadlineMs\":20 | deadlineMs"})
     void aFieldThatLacksIsNamed(String left, String named) {
-        assertThatThrownBy(() -> read(GOOD.replace(left, ""))).isInstanceOf(Unreadable.class).hasMessageContaining(named);
+        assertThatThrownBy(() -> read(GOOD.replace(left, ""))).isInstanceOf(InvalidSettingsException.class).hasMessageContaining(named);
     }
 
     @ParameterizedTest
@@ -61,16 +61,16 @@
         "127.0.0.1:7000 | 127.0.0.300:7000 | listen", "ffffffffffffffff | none | seed", "256 | 3 | sockets",
         "256 | \"many\" | sockets", "\"n1\" | 7 | name", "\"aimMs\":10 | \"aimMs\":\"soon\" | aimMs"})
     void aFieldOfTheWrongFormIsNamed(String right, String wrong, String named) {
-        assertThatThrownBy(() -> read(GOOD.replace(right, wrong))).isInstanceOf(Unreadable.class)
+        assertThatThrownBy(() -> read(GOOD.replace(right, wrong))).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining(named);
     }
 
     @Test
     void aFileThatLacksOrIsNotJsonIsSaidSo() {
-        assertThatThrownBy(() -> GatewayFile.read(dir.resolve("none.json"))).isInstanceOf(Unreadable.class)
+        assertThatThrownBy(() -> ConfigurationFile.read(dir.resolve("none.json"))).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("none.json");
-        assertThatThrownBy(() -> read("{\"name\":")).isInstanceOf(Unreadable.class).hasMessageContaining("not JSON");
-        assertThatThrownBy(() -> read("[1]")).isInstanceOf(Unreadable.class).hasMessageContaining("not a JSON object");
+        assertThatThrownBy(() -> read("{\"name\":")).isInstanceOf(InvalidSettingsException.class).hasMessageContaining("not JSON");
+        assertThatThrownBy(() -> read("[1]")).isInstanceOf(InvalidSettingsException.class).hasMessageContaining("not a JSON object");
     }
 
     @Test
@@ -84,6 +84,6 @@
         assertThat(read(allowed.replace(",\"127.0.0.1:7201\"", "").replace("\"balancers\":2", "\"balancers\":1")).peerListen())
                 .isNull();
         assertThatThrownBy(() -> read(allowed.replace("\"balancers\":2", "\"balancers\":3")))
-                .isInstanceOf(Unreadable.class).hasMessageContaining("peers");
+                .isInstanceOf(InvalidSettingsException.class).hasMessageContaining("peers");
     }
 }
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -56,7 +56,7 @@
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
+import ploverdale.net.ConfigurationFile;
 
 /**
  * Stands in for the module's surroundings; the clock moves only when a story says so. Times in milliseconds. Its
@@ -283,7 +283,7 @@
         private CompletableFuture<Gateway> starting(int sockets, long idleMs) throws IOException {
             Path file = Files.createTempFile("gateway", ".json");
             String told = configuration(registry, sockets, idleMs).replace("127.0.0.1:0", "127.0.0.1:" + listen);
-            GatewayFile read = GatewayFile.read(Files.writeString(file, settings.apply(told)));
+            ConfigurationFile read = ConfigurationFile.read(Files.writeString(file, settings.apply(told)));
             Files.delete(file);
             PrintStream log = new PrintStream(lines, true) {
                 @Override
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -22,7 +22,7 @@
 import ploverdale.model.Action;
 import ploverdale.net.ClientSide;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
+import ploverdale.net.ConfigurationFile;
 import ploverdale.net.LogicLoop;
 import ploverdale.net.ServerClock;
 
@@ -88,7 +88,7 @@
         Vertx vertx = Gateway.vertx();
         try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
-            GatewayFile settings = GatewayFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
+            ConfigurationFile settings = ConfigurationFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
             Files.delete(file);
             ByteArrayOutputStream lines = new ByteArrayOutputStream();
             Log log = new Log(new PrintStream(lines, true));
@@ -98,7 +98,7 @@
                 LogicLoop loop = new LogicLoop(vertx, context, log, new LosesActions(), null, Clock.system());
                 ServerClock time = new ServerClock(log, Clock.system());
                 ClientSide clients =
-                        new ClientSide(vertx, log, loop, settings.terms(), new ConnectionLimits<>(256), time);
+                        new ClientSide(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
                 clients.ready();
                 vertx.createNetServer().connectHandler(clients::accept).listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
--- a/gateway/src/test/java/ploverdale/FleetFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.QuotaSettings;
-import ploverdale.net.FleetFile;
-import ploverdale.net.GatewayFile;
+import ploverdale.net.FleetConfigurationFile;
+import ploverdale.net.ConfigurationFile;
 
 /** The file that switches the fleet's parts on. */
-class FleetFileTest {
+class FleetConfigurationFileTest {
     private static QuotaSettings read(String text) throws IOException {
         Path file = Files.createTempFile("fleet", ".json");
         try {
-            return FleetFile.read(Files.writeString(file, text));
+            return FleetConfigurationFile.read(Files.writeString(file, text));
         } finally {
             Files.delete(file);
         }
@@ -27,9 +27,9 @@
 
     @Test
     void theExampleIsReadAndRightsAddUpToTheWhole() {
-        QuotaSettings f = FleetFile.read(Path.of("../deploy/fleet.json"));
-        GatewayFile g = GatewayFile.read(Path.of("../example/gateway.json"));
-        QuotaAllocation d = f.division(g.terms().started());
+        QuotaSettings f = FleetConfigurationFile.read(Path.of("../deploy/fleet.json"));
+        ConfigurationFile g = ConfigurationFile.read(Path.of("../example/gateway.json"));
+        QuotaAllocation d = f.division(g.settings().started());
         assertThat(d.budgets()).hasSize(2 + 64 + 64 + 1 + 1);
         for (int n : new int[] {1, 2, 7, 64, 300}) {
             QuotaAllocation of = new QuotaAllocation(d.budgets(), n, 0.5);
@@ -70,19 +70,19 @@
 
     @Test
     void whatIsKeptIsOnlyWhatTheFileNamesAndHasToFitWhatTheGatewayIsTold() throws IOException {
-        GatewayFile g = GatewayFile.read(Path.of("../example/gateway.json"));
-        QuotaSettings all = FleetFile.fits(FleetFile.read(Path.of("../deploy/replicas.json")), g.terms());
+        ConfigurationFile g = ConfigurationFile.read(Path.of("../example/gateway.json"));
+        QuotaSettings all = FleetConfigurationFile.fits(FleetConfigurationFile.read(Path.of("../deploy/replicas.json")), g.settings());
         assertThat(all.keeping().sessions()).isTrue();
         assertThat(all.keeping().submits()).isTrue();
-        assertThat(all.division(g.terms().started()).budgets()).isEmpty();
+        assertThat(all.division(g.settings().started()).budgets()).isEmpty();
         assertThat(read("{\"tenants\":true}").keeping()).isNull();
         assertThat(read("{\"sessions\":{}}").keeping().submits()).isFalse();
         QuotaSettings wrong = read("{\"sessions\":{},\"wait_for_copies\":[\"no such op type\"]}");
-        assertThatThrownBy(() -> FleetFile.fits(wrong, g.terms())).hasMessageContaining("names no op type: no such op type");
+        assertThatThrownBy(() -> FleetConfigurationFile.fits(wrong, g.settings())).hasMessageContaining("names no op type: no such op type");
     }
 
     @Test
     void noFileStandsForAnother() {
-        assertThatThrownBy(() -> FleetFile.read(Path.of("no-such.json"))).hasMessageContaining("cannot be read");
+        assertThatThrownBy(() -> FleetConfigurationFile.read(Path.of("no-such.json"))).hasMessageContaining("cannot be read");
     }
 }
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedActions.java
+++ b/gateway/src/test/java/ploverdale/benchlink/RecordedActions.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import ploverdale.terms.Fields;
+import ploverdale.settings.JsonFields;
 
 /** Reads the actions of one reply line of the simulator's wire. */
 final class RecordedActions {
     private RecordedActions() {}
 
     /** One action with its fields. */
-    record Action(String name, Fields fields) {
+    record Action(String name, JsonFields fields) {
         String gateway() {
             return fields.text("gateway");
         }
@@ -32,9 +32,9 @@
         try (JsonParser parser = new JsonFactory().createParser(reply)) {
             parser.nextToken();
             List<Action> actions = new ArrayList<>();
-            for (Object action : Fields.of("reply", Fields.read(parser)).list("out")) {
+            for (Object action : JsonFields.of("reply", JsonFields.read(parser)).list("out")) {
                 Map.Entry<?, ?> entry = ((Map<?, ?>) action).entrySet().iterator().next();
-                actions.add(new Action((String) entry.getKey(), Fields.of("action", entry.getValue())));
+                actions.add(new Action((String) entry.getKey(), JsonFields.of("action", entry.getValue())));
             }
             return actions;
         } catch (IOException e) {
--- a/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
+++ b/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
@@ -9,20 +9,20 @@
 import java.nio.file.Path;
 import ploverdale.log.Log;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
+import ploverdale.net.ConfigurationFile;
 import ploverdale.tools.stand.GatewayConfiguration;
 
 /** One real gateway in this process, on an event loop of its own. */
 final class GatewayUnderTest {
     private final Vertx vertx = Gateway.vertx();
-    private final GatewayFile file;
+    private final ConfigurationFile file;
     private int port;
     private long readyAfterMs;
 
     GatewayUnderTest(GatewayConfiguration told) throws IOException {
         Path p = Files.createTempFile("gateway", ".json");
         Files.writeString(p, told.json());
-        file = GatewayFile.read(p);
+        file = ConfigurationFile.read(p);
         Files.delete(p);
     }
 
