--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -24,9 +24,9 @@
 import ploverdale.net.Gateway;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.settings.InvalidSettingsException;
-import ploverdale.toy.Rehearsal;
-import ploverdale.toy.ToyClient;
-import ploverdale.toy.ToyServers;
+import ploverdale.dev.Rehearsal;
+import ploverdale.dev.DevClient;
+import ploverdale.dev.DevServers;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -189,7 +189,7 @@
         @Override
         public int run() throws IOException, InterruptedException {
             ConfigurationFile file = file();
-            ToyServers toy = await(ToyServers.start(Gateway.vertx(), file, false));
+            DevServers toy = await(DevServers.start(Gateway.vertx(), file, false));
             System.out.println(toy.entries().size() + " toy servers and discovery at " + toy.discovery() + " are up");
             new CountDownLatch(1).await();
             return 0;
@@ -204,7 +204,7 @@
         @Override
         public int run() throws IOException, InterruptedException {
             Vertx vertx = Gateway.vertx();
-            String answer = await(ToyClient.connect(vertx, file().listen()).compose(c -> c.ask(query)));
+            String answer = await(DevClient.connect(vertx, file().listen()).compose(c -> c.ask(query)));
             System.out.println(answer);
             return 0;
         }
--- a/gateway/src/main/java/ploverdale/toy/ToyClient.java
+++ b/gateway/src/main/java/ploverdale/dev/DevClient.java
@@ -1,4 +1,4 @@
-package ploverdale.toy;
+package ploverdale.dev;
 
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ServerMessage;
@@ -21,7 +21,7 @@
  * Owns one connection to a gateway and asks queries on it, one after another, for a first try of the gateway.
  * Must never be used for load: it waits for each answer.
  */
-public final class ToyClient {
+public final class DevClient {
     private final NetSocket socket;
     private final ServerMessageReader stream = new ServerMessageReader();
     private final Deque<Promise<String>> waiting = new ArrayDeque<>();
@@ -29,7 +29,7 @@
 
     private final NetClient net; // held, since one that nobody holds is closed with its connections
 
-    private ToyClient(NetClient net, NetSocket socket) {
+    private DevClient(NetClient net, NetSocket socket) {
         this.net = net;
         this.socket = socket;
         waiting.add(Promise.promise());
@@ -39,10 +39,10 @@
     }
 
     /** Connects and greets. */
-    public static Future<ToyClient> connect(Vertx vertx, InetSocketAddress to) {
+    public static Future<DevClient> connect(Vertx vertx, InetSocketAddress to) {
         NetClient net = vertx.createNetClient(new NetClientOptions().setConnectTimeout(2000).setTcpNoDelay(true));
         return net.connect(SocketAddress.inetSocketAddress(to)).compose(s -> {
-            ToyClient c = new ToyClient(net, s);
+            DevClient c = new DevClient(net, s);
             return c.waiting.peek().future().map(c);
         });
     }
--- a/gateway/src/main/java/ploverdale/toy/ToyServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -1,4 +1,4 @@
-package ploverdale.toy;
+package ploverdale.dev;
 
 import ploverdale.net.postgres.MessageWriter;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
@@ -23,7 +23,7 @@
  * of the gateway. The first server of each group is its primary. Must never be taken for a database: nothing is
  * kept, and statements are told apart by their first word.
  */
-public final class ToyServers {
+public final class DevServers {
     private static final Pattern QUOTED = Pattern.compile("'([^']*)'");
 
     private final Vertx vertx;
@@ -34,13 +34,13 @@
     private long writtenAt = Clock.system().wallMs();
     private InetSocketAddress discovery;
 
-    private ToyServers(Vertx vertx) {
+    private DevServers(Vertx vertx) {
         this.vertx = vertx;
     }
 
     /** Starts a server for each that the file knows, and discovery; at the told ports, or at any free ones. */
-    public static Future<ToyServers> start(Vertx vertx, ConfigurationFile file, boolean anyPorts) {
-        ToyServers toy = new ToyServers(vertx);
+    public static Future<DevServers> start(Vertx vertx, ConfigurationFile file, boolean anyPorts) {
+        DevServers toy = new DevServers(vertx);
         Future<?> all = Future.succeededFuture();
         Map<Long, Boolean> hasPrimary = new HashMap<>();
         for (ConfigurationFile.Entry e : file.known().entries()) {
@@ -54,7 +54,7 @@
     private Future<?> warmUp() {
         Future<?> all = Future.succeededFuture();
         for (ConfigurationFile.Entry e : entries) {
-            all = all.compose(x -> ToyClient.connect(vertx, e.address()))
+            all = all.compose(x -> DevClient.connect(vertx, e.address()))
                     .compose(c -> c.ask("SHOW vitals").compose(x -> c.close()));
         }
         return all;
--- a/gateway/src/main/java/ploverdale/toy/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -1,4 +1,4 @@
-package ploverdale.toy;
+package ploverdale.dev;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -24,18 +24,18 @@
     /** Plays it; the future holds how many ops were acked, of how many. */
     public static Future<String> play(Vertx vertx, Log log, ConfigurationFile file) {
         InetSocketAddress here = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return ToyServers.start(vertx, file, true).compose(toy -> {
+        return DevServers.start(vertx, file, true).compose(toy -> {
             ConfigurationFile.ServerList known = new ConfigurationFile.ServerList(0, true, toy.entries(), java.util.List.of());
             return Gateway.start(vertx, log, new ConfigurationFile(file.name(), here, toy.discovery(), file.seed(),
                     file.sockets(), file.settings(), known, null, java.util.List.of()));
-        }).compose(g -> ToyClient.connect(vertx, new InetSocketAddress(here.getAddress(), g.port())))
+        }).compose(g -> DevClient.connect(vertx, new InetSocketAddress(here.getAddress(), g.port())))
                 .compose(c -> c.ask("").compose(x -> c.ask("SELECT nothing")).compose(x -> ops(vertx, c, file, 0, 0, 0))
                         .compose(acked -> c.close().map(acked)))
                 .compose(acked -> acked == OPS ? Future.succeededFuture(acked + " of " + OPS + " ops acked")
                         : Future.failedFuture("only " + acked + " of " + OPS + " ops acked"));
     }
 
-    private static Future<Integer> ops(Vertx vertx, ToyClient c, ConfigurationFile file, int i, int acked, int again) {
+    private static Future<Integer> ops(Vertx vertx, DevClient c, ConfigurationFile file, int i, int acked, int again) {
         if (i == OPS) {
             return Future.succeededFuture(acked);
         }
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -30,7 +30,7 @@
     void decisionsDoNoInputOrOutput() {
         String[] io = {
             "java.io..", "java.net..", "java.nio.channels..", "java.nio.file..", "java.util.logging..", "io.vertx..", "io.netty..",
-            "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.toy..", "ploverdale.settings..",
+            "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.dev..", "ploverdale.settings..",
         };
         noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
         noClasses().that().belongToAnyOf(Logic.class).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
@@ -89,7 +89,7 @@
                 .layer("main").definedBy(belongToAnyOf(Main.class))
                 .layer("net").definedBy("ploverdale.net..")
                 .layer("simulator").definedBy("ploverdale.benchlink..")
-                .layer("toy").definedBy("ploverdale.toy..")
+                .layer("toy").definedBy("ploverdale.dev..")
                 .whereLayer("toy").mayOnlyBeAccessedByLayers("main")
                 .whereLayer("simulator").mayOnlyBeAccessedByLayers("main")
                 .whereLayer("net").mayOnlyBeAccessedByLayers("main", "toy", "simulator")
