--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Logic.java
@@ -9,9 +9,9 @@
 import ploverdale.model.*;
 import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpType.Repeats;
-import ploverdale.model.Report.Role;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.routing.HealthCheckQueue;
 import ploverdale.routing.LocalHealth;
 import ploverdale.routing.SlowStart;
@@ -35,26 +35,26 @@
     private RandomGenerator chance;
     private GossipProtocol gossip; // null where gateways tell each other nothing
     private double firstLimit, leastLimit;
-    private List<OpType> opTypes;
+    private List<RequestClass> opTypes;
     private double beyondShareValue;
-    private Pledges pledges;
-    private Permits permits;
+    private ServerGuarantees pledges;
+    private Capabilities permits;
     private ReplicaGuarantees copies;
     private long tightestBound = Long.MAX_VALUE;
     private long probeEvery;
 
-    private final Map<ServerId, Member> members = new LinkedHashMap<>();
-    private final Map<GroupId, Group> groups = new LinkedHashMap<>();
-    private final Map<OpId, Op> ops = new LinkedHashMap<>();
+    private final Map<ServerId, ServerState> members = new LinkedHashMap<>();
+    private final Map<GroupId, ReplicaGroup> groups = new LinkedHashMap<>();
+    private final Map<RequestId, PendingRequest> ops = new LinkedHashMap<>();
     private final SessionWrites sessionWrites = new SessionWrites(50_000); // some megabytes
-    private final List<Pace> paces = new ArrayList<>();
+    private final List<LatencyEstimate> paces = new ArrayList<>();
     private final LocalHealth localHealth = new LocalHealth();
     private final HealthCheckQueue healthChecks = new HealthCheckQueue();
     private SlowStart slowStart;
     private Quota quota;
     private double shedPrice;
     private int earlyTimeouts; // attempts out that end early for a retry, each of which has one reserved
-    private long scarceUntil = Report.UNTOLD;
+    private long scarceUntil = LoadReport.UNKNOWN_TIME;
     private long nextBeat = Long.MIN_VALUE, askListAt = Long.MAX_VALUE;
 
     private long now;
@@ -69,22 +69,22 @@
     public List<Action> on(long time, Event h) {
         now = time;
         out = new ArrayList<>();
-        if (h instanceof Event.OpArrived a) {
+        if (h instanceof Event.RequestArrived a) {
             arrived(a);
-        } else if (h instanceof Event.SendEnded e && members.containsKey(e.server())) {
+        } else if (h instanceof Event.AttemptEnded e && members.containsKey(e.server())) {
             sendEnded(e);
-        } else if (h instanceof Event.WakeUp) {
+        } else if (h instanceof Event.TimerFired) {
             beat();
-        } else if (h instanceof Event.ProbeEnded e && members.containsKey(e.server())) {
+        } else if (h instanceof Event.HealthCheckEnded e && members.containsKey(e.server())) {
             chargeProbe(members.get(e.server()), e.outcome());
             probeEnded(e);
         } else if (h instanceof Event.LoopDelayed d) {
             localHealth.processDelayed(d.from(), d.until());
-        } else if (h instanceof Event.ListTold l) {
+        } else if (h instanceof Event.EndpointUpdate l) {
             listTold(l);
-        } else if (h instanceof Event.ClientLeft c && ops.containsKey(c.op())) {
+        } else if (h instanceof Event.ClientDisconnected c && ops.containsKey(c.op())) {
             callOff(ops.remove(c.op()));
-        } else if (h instanceof Event.PeerMessage p && gossip != null) {
+        } else if (h instanceof Event.GossipReceived p && gossip != null) {
             heard(p);
         } else if (h instanceof Event.ClockOffsetChanged c) {
             clockOffsetChanged(c);
@@ -100,7 +100,7 @@
 
     /** Whether requests may still be written to this server: not once it is known to drain or to be gone. */
     public boolean mayReceive(ServerId server) {
-        Member m = members.get(server);
+        ServerState m = members.get(server);
         return m != null && m.isIn();
     }
 
@@ -117,9 +117,9 @@
         copies = s.copies();
         slowStart = new SlowStart(pledges, gateways, requestsPerWindow(s.tenants()), chance);
         probeEvery = 1000 * MS; // where no read has a bound; roles only
-        for (OpType t : opTypes) {
-            paces.add(new Pace(t.latencyTarget() / 5.0));
-            if (t.needs() == Needs.BOUNDED) {
+        for (RequestClass t : opTypes) {
+            paces.add(new LatencyEstimate(t.latencyTarget() / 5.0));
+            if (t.needs() == Consistency.BOUNDED) {
                 tightestBound = Math.min(tightestBound, t.stalenessBound());
                 probeEvery = Math.min(probeEvery, t.stalenessBound() / 3); // the design's starting value
             }
@@ -134,30 +134,30 @@
         beat();
     }
 
-    private void listTold(Event.ListTold told) {
+    private void listTold(Event.EndpointUpdate told) {
         if (told.failed()) {
             askListAt = now + 500 * MS + chance.nextInt(1000) * MS; // by chance, so that gateways don't meet
             return;
         }
-        List<Member> missing = new ArrayList<>(told.whole() ? members.values() : List.of());
-        for (Listing l : told.listings()) {
-            Member m = members.get(l.server());
+        List<ServerState> missing = new ArrayList<>(told.whole() ? members.values() : List.of());
+        for (Endpoint l : told.listings()) {
+            ServerState m = members.get(l.server());
             if (m == null) {
-                m = new Member(l.server(), groups.computeIfAbsent(l.group(), Group::new),
+                m = new ServerState(l.server(), groups.computeIfAbsent(l.group(), ReplicaGroup::new),
                         Math.max(leastLimit, firstLimit));
                 members.put(m.id, m);
                 m.group.members.add(m);
-                if (l.stage() == Listing.Stage.IN && chance.nextDouble() < firstLimit) {
+                if (l.stage() == Endpoint.EndpointState.IN && chance.nextDouble() < firstLimit) {
                     checkWhenDue(m);
                 }
             }
             missing.remove(m);
             m.zone = l.zone();
-            if (gossip != null && l.stage() != Listing.Stage.GONE) {
+            if (gossip != null && l.stage() != Endpoint.EndpointState.GONE) {
                 gossip.listed(m.id);
             }
-            boolean drained = m.listed == Listing.Stage.DRAINING; // by the list itself, which may undo it
-            m.drainTold = l.stage() == Listing.Stage.DRAINING ? now : drained ? Report.UNTOLD : m.drainTold;
+            boolean drained = m.listed == Endpoint.EndpointState.DRAINING; // by the list itself, which may undo it
+            m.drainTold = l.stage() == Endpoint.EndpointState.DRAINING ? now : drained ? LoadReport.UNKNOWN_TIME : m.drainTold;
             m.listed = l.stage();
             // Guards against a list that does not know yet of a drain heard elsewhere: it does not undo it.
             stage(m, heardOfDrain(m) && l.startedAt() <= m.startedAt ? m.stage : l.stage());
@@ -170,53 +170,53 @@
                 m.stretch = 1;
             }
         }
-        missing.forEach(m -> stage(m, Listing.Stage.GONE));
+        missing.forEach(m -> stage(m, Endpoint.EndpointState.GONE));
     }
 
-    private boolean heardOfDrain(Member m) {
-        return m.stage == Listing.Stage.DRAINING && m.listed == Listing.Stage.IN
+    private boolean heardOfDrain(ServerState m) {
+        return m.stage == Endpoint.EndpointState.DRAINING && m.listed == Endpoint.EndpointState.IN
                 && now - m.drainTold < DRAIN_HEARD_LASTS;
     }
 
-    private void stage(Member m, Listing.Stage stage) {
-        m.drainSeen |= stage == Listing.Stage.DRAINING;
-        boolean binds = stage != Listing.Stage.GONE || pledges.removalBinds() || m.drainSeen;
+    private void stage(ServerState m, Endpoint.EndpointState stage) {
+        m.drainSeen |= stage == Endpoint.EndpointState.DRAINING;
+        boolean binds = stage != Endpoint.EndpointState.GONE || pledges.removalBinds() || m.drainSeen;
         if (binds && m.stage != stage) {
             m.stage = stage;
-            m.drainSeen &= stage != Listing.Stage.IN;
+            m.drainSeen &= stage != Endpoint.EndpointState.IN;
             log("server " + m.id.text() + " listed " + stage);
         }
-        if (gossip != null && m.stage == Listing.Stage.GONE) {
+        if (gossip != null && m.stage == Endpoint.EndpointState.GONE) {
             gossip.forget(m.id);
         }
     }
 
     /** What others dated before cannot be compared with what they will; a session's last write is at most as late as now. */
     private void clockOffsetChanged(Event.ClockOffsetChanged c) {
-        for (Member m : members.values()) {
-            m.position = Report.UNTOLD;
-            m.positionToldAt = Report.UNTOLD;
+        for (ServerState m : members.values()) {
+            m.position = LoadReport.UNKNOWN_TIME;
+            m.positionToldAt = LoadReport.UNKNOWN_TIME;
             long startedAt = c.startedAt().getOrDefault(m.id, m.startedAt);
             m.coldSince = m.coldSince == m.startedAt ? startedAt : m.coldSince;
             m.startedAt = startedAt;
         }
         sessionWrites.allBy(now);
-        ops.values().forEach(op -> op.needPosition = op.needPosition == Report.UNTOLD ? Report.UNTOLD : now);
+        ops.values().forEach(op -> op.needPosition = op.needPosition == LoadReport.UNKNOWN_TIME ? LoadReport.UNKNOWN_TIME : now);
         if (gossip != null) {
             gossip.forgetPositions();
         }
     }
 
-    private void arrived(Event.OpArrived a) {
-        OpType type = opTypes.get(a.type().index());
+    private void arrived(Event.RequestArrived a) {
+        RequestClass type = opTypes.get(a.type().index());
         long target = now + type.latencyTarget() + (long) (type.targetPerWork() * a.expectedWork())
                 - (a.again() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
-        Op op = new Op(a, type, paces.get(a.type().index()), now, Math.min(target, now + type.opTimeout()));
+        PendingRequest op = new PendingRequest(a, type, paces.get(a.type().index()), now, Math.min(target, now + type.opTimeout()));
         op.needPosition = needPosition(a, type);
         op.beyondShare = !quota.op(now, a.tenant());
         ops.put(a.op(), op);
         wakeIn(BEAT);
-        groups.computeIfAbsent(a.group(), Group::new).askedAt = now;
+        groups.computeIfAbsent(a.group(), ReplicaGroup::new).askedAt = now;
         if (gossip != null) {
             gossip.op();
         }
@@ -224,19 +224,19 @@
     }
 
     /** A session's last write, as the position its reads must reach; others have none that stands still. */
-    private long needPosition(Event.OpArrived a, OpType type) {
-        boolean none = type.needs() != Needs.SESSION || copies.tokensCarried() && a.tokenAge() == 0;
-        return none ? Report.UNTOLD
+    private long needPosition(Event.RequestArrived a, RequestClass type) {
+        boolean none = type.needs() != Consistency.SESSION || copies.tokensCarried() && a.tokenAge() == 0;
+        return none ? LoadReport.UNKNOWN_TIME
                 : copies.tokensCarried() ? now - a.tokenAge() : sessionWrites.of(a.session());
     }
 
-    private long worthUntil(Op op) {
+    private long worthUntil(PendingRequest op) {
         long target = op.type.lateShare() > 0 ? Long.MAX_VALUE : op.targetAt;
         return Math.min(answerBy(op), target) - MARGIN;
     }
 
     /** Guards against ops given up at the very end: the answer comes late, after a standstill never. */
-    private long answerBy(Op op) {
+    private long answerBy(PendingRequest op) {
         return op.asked.timeoutAt() - (long) (EARLY * (op.asked.timeoutAt() - op.arrivedAt));
     }
 
@@ -252,14 +252,14 @@
     private static final double WRITE_SHARE = 2; // of the primary's limit; late writes still have a value
     private static final double AVOID_COST = 3; // times; where a send failed before, and a rank of long reads
 
-    private static final Member HOLD = new Member(null, null, 0); // stands for a choice to wait
+    private static final ServerState HOLD = new ServerState(null, null, 0); // stands for a choice to wait
 
-    private boolean place(Op op) {
-        Group g = groups.computeIfAbsent(op.asked.group(), Group::new);
+    private boolean place(PendingRequest op) {
+        ReplicaGroup g = groups.computeIfAbsent(op.asked.group(), ReplicaGroup::new);
         boolean may = op.sends < permits.sendsPerOp() && (!op.mayHaveRun
-                || op.type.repeats() != Repeats.NON_RETRYABLE && now < op.repeatUntil);
-        boolean toPrimary = op.type.needs() == Needs.WRITE || op.type.needs() == Needs.FRESH;
-        Member to = !may ? null : toPrimary ? primaryFor(op, g) : memberFor(op, g);
+                || op.type.repeats() != Idempotence.NOT_IDEMPOTENT && now < op.repeatUntil);
+        boolean toPrimary = op.type.needs() == Consistency.WRITE || op.type.needs() == Consistency.FRESH;
+        ServerState to = !may ? null : toPrimary ? primaryFor(op, g) : memberFor(op, g);
         if (to == HOLD && now < holdUntil(op)) {
             g.held.add(op);
             return false;
@@ -278,27 +278,27 @@
     }
 
     /** Guards against long reads that age out replicas, or keep them so, while worthier ops are refused. */
-    private boolean shed(Op op, Member m) {
+    private boolean shed(PendingRequest op, ServerState m) {
         return op.sends == 0 && longRead(op) && valuePerWork(op) < shedPrice
                 && (now - m.position <= tightestBound || m.out.values().stream().anyMatch(this::longRead));
     }
 
     /** A tokened op that may have run goes only where its repeat is known. */
-    private boolean knowsRepeat(Op op, Member m) {
-        return !op.mayHaveRun || op.type.repeats() != Repeats.TOKENED || op.type.scope() == OpType.Scope.ALL
-                || op.type.scope() == OpType.Scope.GROUP && m.group.equals(op.firstMaybeServer.group)
-                || op.type.scope() == OpType.Scope.ZONE && m.zone.equals(op.firstMaybeServer.zone);
+    private boolean knowsRepeat(PendingRequest op, ServerState m) {
+        return !op.mayHaveRun || op.type.repeats() != Idempotence.WITH_IDEMPOTENCY_KEY || op.type.scope() == RequestClass.Scope.ALL
+                || op.type.scope() == RequestClass.Scope.GROUP && m.group.equals(op.firstMaybeServer.group)
+                || op.type.scope() == RequestClass.Scope.ZONE && m.zone.equals(op.firstMaybeServer.zone);
     }
 
-    private long holdUntil(Op op) {
+    private long holdUntil(PendingRequest op) {
         long end = Math.min(worthUntil(op), op.repeatUntil);
         long half = op.mayHaveRun ? end : (op.arrivedAt + op.asked.timeoutAt()) / 2 - MARGIN; // no vain waits
         long hopeless = op.type.lateShare() > 0 ? 0 : (long) (FEW_TAKE * op.pace.usual);
         return Math.min(Math.min(end, half), Math.max(end - hopeless, op.arrivedAt + 2 * PATIENCE)) - BEAT;
     }
 
-    private Member primaryFor(Op op, Group g) {
-        Member p = g.primary;
+    private ServerState primaryFor(PendingRequest op, ReplicaGroup g) {
+        ServerState p = g.primary;
         boolean known = p != null && p.isIn() && !p.silent;
         if (!known || !heardLately(p)) {
             boolean told = askAgain() > ASK_AGAIN; // by others, where each member stands and whether it leads
@@ -308,14 +308,14 @@
                 ? p : HOLD;
     }
 
-    private Member memberFor(Op op, Group g) {
-        Member best = spread(op, g, m -> admits(m, op));
+    private ServerState memberFor(PendingRequest op, ReplicaGroup g) {
+        ServerState best = spread(op, g, m -> admits(m, op));
         boolean checked = copies.checks() != ReplicaGuarantees.StalenessCheck.NONE;
         best = best == null && checked ? spread(op, g, m -> lagsALittle(m, op)) : best;
         if (best != null) {
             return best;
         }
-        Member p = g.primary;
+        ServerState p = g.primary;
         if (ask(g, m -> !heardLately(m)
                 || !checked && m != p && !admits(m, op) && now - m.positionToldAt > askAgain())) {
             return HOLD;
@@ -325,7 +325,7 @@
             return p; // also while the admitted replicas are full
         }
         // Guards against old reports: where replicas check reads, one a second tries each, not a refusal.
-        Member guess = checked ? spread(op, g, m -> m != op.at && now - m.turnedAwayAt > GUESS_AGAIN) : null;
+        ServerState guess = checked ? spread(op, g, m -> m != op.at && now - m.turnedAwayAt > GUESS_AGAIN) : null;
         if (guess != null) {
             guess.turnedAwayAt = now; // until it answers
             return guess;
@@ -338,19 +338,19 @@
         }
         // Waits for room, or for a replica little too old by a report that is old itself to be asked again.
         return g.members.stream().anyMatch(m -> m != p && m.isIn() && !m.silent && heardLately(m)
-                && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, op) || op.type.needs() == Needs.BOUNDED
+                && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, op) || op.type.needs() == Consistency.BOUNDED
                 && !checked && now - m.position <= 2 * op.type.stalenessBound())) ? HOLD : null;
     }
 
     /** Guards against many gateways with few ops that crowd a server together; where own answers are old. */
-    private boolean notTooBusy(Member m, double shut) {
+    private boolean notTooBusy(ServerState m, double shut) {
         return now - m.stretchAt < REPORT_AGE || chance.nextDouble() < (shut - m.busy) / BUSY_BAND;
     }
 
-    private Member spread(Op op, Group g, Predicate<Member> letIn) {
-        Member best = null;
+    private ServerState spread(PendingRequest op, ReplicaGroup g, Predicate<ServerState> letIn) {
+        ServerState best = null;
         double least = Double.MAX_VALUE;
-        for (Member m : g.members) {
+        for (ServerState m : g.members) {
             boolean may = m != g.primary && m.isIn() && !m.silent && heardLately(m) && knowsRepeat(op, m)
                     && hasRoom(m, 1) && letIn.test(m) && notTooBusy(m, REPLICA_BUSY) && coldAllows(m, op);
             double cost = may ? cost(m, op) : Double.MAX_VALUE;
@@ -363,28 +363,28 @@
     }
 
     /** The filter: a replica answers only when its last known position fits; unknown is too stale. */
-    private boolean admits(Member m, Op op) {
-        Needs needs = op.type.needs();
-        return needs == Needs.UNBOUNDED
-                || needs == Needs.BOUNDED && now - m.position <= op.type.stalenessBound()
-                || needs == Needs.SESSION && m.position >= op.needPosition;
+    private boolean admits(ServerState m, PendingRequest op) {
+        Consistency needs = op.type.needs();
+        return needs == Consistency.UNBOUNDED
+                || needs == Consistency.BOUNDED && now - m.position <= op.type.stalenessBound()
+                || needs == Consistency.SESSION && m.position >= op.needPosition;
     }
 
     /** Where replicas check reads, one that lags a little may go first, until it turns one away. */
-    private boolean lagsALittle(Member m, Op op) {
+    private boolean lagsALittle(ServerState m, PendingRequest op) {
         return m.turnedAwayAt < m.positionToldAt && m != op.at && now - m.positionToldAt < NEWS_FADES_IN
                 && m.positionToldAt - m.position <= op.type.stalenessBound();
     }
 
     /** Counts only sends made since it last returned; older ones may be stuck. None where just found full. */
-    private boolean hasRoom(Member m, double share) {
+    private boolean hasRoom(ServerState m, double share) {
         return now - m.fullAt >= m.fullFor && m.outSinceReturn().size() < m.limit * share
                 && quota.hasSend(m.id, warmth(m) < 1);
     }
 
     // Guards against reads longer than the tightest bound, which may stop a replica's apply: all gateways put
     // them on the same few replicas, so that the others stay fresh enough for bounded reads.
-    private double cost(Member m, Op op) {
+    private double cost(ServerState m, PendingRequest op) {
         double again = m == op.at ? AVOID_COST : 1;
         if (longRead(op)) { // rank by id, the same at every gateway
             again *= Math.pow(AVOID_COST, m.group.members.stream().filter(o -> o != m.group.primary
@@ -394,8 +394,8 @@
         return again * stretchNow(m) * (m.out.size() + 1) / room / warmth(m) * (1 + chance.nextDouble() / 10);
     }
 
-    private boolean longRead(Op op) {
-        return op.type.needs() == Needs.UNBOUNDED && op.pace.usual > tightestBound;
+    private boolean longRead(PendingRequest op) {
+        return op.type.needs() == Consistency.UNBOUNDED && op.pace.usual > tightestBound;
     }
 
     // -- Cold servers; how much of the requests they get is decided in ploverdale.routing.SlowStart
@@ -404,11 +404,11 @@
         return tenants.stream().mapToDouble(Tenant::opsPerSecond).sum() * pledges.overloadWindow() / (1000 * MS);
     }
 
-    private double warmth(Member m) {
+    private double warmth(ServerState m) {
         return slowStart.warmth(m, now);
     }
 
-    private boolean coldAllows(Member m, Op op) {
+    private boolean coldAllows(ServerState m, PendingRequest op) {
         return warmth(m) >= 1 || m.busy < REPLICA_BUSY - BUSY_BAND
                 && slowStart.admits(m, op.pace.usual, meanWork(), members.values(), now);
     }
@@ -419,12 +419,12 @@
         return paces.stream().mapToDouble(p -> p.usual * (1 + p.samples)).sum() / samples;
     }
 
-    private double takenWork(Member m) {
+    private double takenWork(ServerState m) {
         return slowStart.recentWork(m, now);
     }
 
     /** Only those answered: others may not have reached the server. */
-    private void chargeProbe(Member m, Outcome outcome) {
+    private void chargeProbe(ServerState m, Outcome outcome) {
         if (m.probeOut && outcome == Outcome.ACKED) {
             slowStart.probeAnswered(m, now - m.probedAt, now);
         }
@@ -434,23 +434,23 @@
 
     private static final double LOST_SHARE = 0.12; // of answers; long ops alone miss one in twenty
 
-    private void send(Op op, Member m) {
-        long until = op.type.repeats() == Repeats.RETRYABLE ? worthUntil(op) : answerBy(op);
+    private void send(PendingRequest op, ServerState m) {
+        long until = op.type.repeats() == Idempotence.IDEMPOTENT ? worthUntil(op) : answerBy(op);
         // Guards against servers whose answers get lost while they work: sends again in time.
         long early = now + (long) (FEW_TAKE * op.pace.usual * stretchNow(m));
         // Only where a retry may follow and can be paid for: an attempt without one has all the time that is left.
         boolean retryFollows = op.sends + 1 < permits.sendsPerOp() && quota.hasAgain(earlyTimeouts);
-        op.hasEarlyTimeout = m.lostShare > LOST_SHARE && op.type.repeats() != Repeats.NON_RETRYABLE && retryFollows
+        op.hasEarlyTimeout = m.lostShare > LOST_SHARE && op.type.repeats() != Idempotence.NOT_IDEMPOTENT && retryFollows
                 && worthUntil(op) - early > op.pace.usual * stretchNow(m);
         if (op.hasEarlyTimeout) {
             earlyTimeouts++;
             until = Math.min(until, early);
         }
         // Guards against positions that age while a connection is made; servers that check reads see to it.
-        boolean ages = op.type.needs() == Needs.BOUNDED && m != m.group.primary
+        boolean ages = op.type.needs() == Consistency.BOUNDED && m != m.group.primary
                 && copies.checks() == ReplicaGuarantees.StalenessCheck.NONE;
         long writeBy = ages ? m.position + op.type.stalenessBound() : Long.MAX_VALUE;
-        out.add(new Action.Send(op.asked.op(), m.id, Math.max(1, until - now), writeBy));
+        out.add(new Action.StartAttempt(op.asked.op(), m.id, Math.max(1, until - now), writeBy));
         op.sendOut = op.sends++;
         op.at = m;
         op.sentAt = now;
@@ -459,9 +459,9 @@
         slowStart.attempted(m, op.pace.usual, now);
     }
 
-    private void sendEnded(Event.SendEnded e) {
-        Member m = members.get(e.server());
-        Op op = m.out.remove(e.op());
+    private void sendEnded(Event.AttemptEnded e) {
+        ServerState m = members.get(e.server());
+        PendingRequest op = m.out.remove(e.op());
         learnRole(m, e.note(), now);
         learnReport(m, e.report());
         if (op != null) {
@@ -470,9 +470,9 @@
             earlyTimeouts -= op.hasEarlyTimeout ? 1 : 0;
             op.hasEarlyTimeout = false;
         }
-        Op live = ops.get(e.op());
-        if (e.outcome() == Outcome.ACKED && op != null && op.type.needs() == Needs.WRITE) {
-            boolean told = e.note() != null && e.note().position() != Report.UNTOLD;
+        PendingRequest live = ops.get(e.op());
+        if (e.outcome() == Outcome.ACKED && op != null && op.type.needs() == Consistency.WRITE) {
+            boolean told = e.note() != null && e.note().position() != LoadReport.UNKNOWN_TIME;
             sessionWrites.put(op.asked.session(), told ? e.note().position() : now);
         }
         if (live != null && e.settled()) {
@@ -483,18 +483,18 @@
         }
         release(m.group);
         if (now < scarceUntil && m.out.isEmpty()) {
-            out.add(new Action.CloseIdle(m.id));
+            out.add(new Action.CloseIdleConnections(m.id));
         }
     }
 
-    private void next(Op op, Member m, Outcome outcome) {
+    private void next(PendingRequest op, ServerState m, Outcome outcome) {
         if (!outcome.provesNotRun && !op.mayHaveRun) {
             op.mayHaveRun = true;
-            boolean tokened = op.type.repeats() == Repeats.TOKENED;
+            boolean tokened = op.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY;
             op.repeatUntil = tokened ? op.sentAt + op.type.repeatWindow() - MARGIN : Long.MAX_VALUE;
             op.firstMaybeServer = m;
         }
-        boolean wrongRole = outcome == Outcome.TURNED_AWAY && op.type.needs() == Needs.WRITE;
+        boolean wrongRole = outcome == Outcome.MISDIRECTED && op.type.needs() == Consistency.WRITE;
         if (wrongRole || quota.again()) {
             place(op);
         } else {
@@ -502,37 +502,37 @@
         }
     }
 
-    private void finish(Op op) {
+    private void finish(PendingRequest op) {
         ops.remove(op.asked.op());
-        boolean harmless = !op.mayHaveRun || op.type.repeats() == Repeats.RETRYABLE
-                || op.type.repeats() == Repeats.TOKENED && op.type.scope() == OpType.Scope.ALL;
+        boolean harmless = !op.mayHaveRun || op.type.repeats() == Idempotence.IDEMPOTENT
+                || op.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY && op.type.scope() == RequestClass.Scope.ALL;
         long budget = op.beyondShare ? quota.comeBackIn(now, op.asked.tenant()) : 0;
         long back = Math.max((long) (COME_BACK * op.type.latencyTarget()), budget);
         back = Math.min(back, permits.longestComeBack());
-        out.add(harmless ? new Action.BusyReply(op.asked.op(), permits.comeBackTimes() ? back : 0)
-                : new Action.ErrorReply(op.asked.op()));
+        out.add(harmless ? new Action.RejectRequest(op.asked.op(), permits.comeBackTimes() ? back : 0)
+                : new Action.FailRequest(op.asked.op()));
     }
 
-    private void giveUp(Op op) {
+    private void giveUp(PendingRequest op) {
         callOff(op);
         op.mayHaveRun |= op.sendOut >= 0;
         finish(op);
     }
 
-    private void callOff(Op op) {
+    private void callOff(PendingRequest op) {
         groups.get(op.asked.group()).held.remove(op);
         if (op.sendOut >= 0 && permits.callOff() && !op.calledOff) {
             op.calledOff = true;
-            out.add(new Action.CallOff(op.asked.op(), op.sendOut));
+            out.add(new Action.CancelAttempt(op.asked.op(), op.sendOut));
         }
     }
 
     /** Gives freed room to the ops with the most value per work, newest first. */
-    private void release(Group g) {
-        List<Op> order = g.held.stream().sorted(Comparator.comparingDouble((Op o) -> -valuePerWork(o))
+    private void release(ReplicaGroup g) {
+        List<PendingRequest> order = g.held.stream().sorted(Comparator.comparingDouble((PendingRequest o) -> -valuePerWork(o))
                 .thenComparing(o -> -o.arrivedAt)).toList();
         boolean[] stuck = new boolean[opTypes.size()];
-        for (Op op : order) {
+        for (PendingRequest op : order) {
             int type = op.asked.type().index();
             if (now >= holdUntil(op) || !stuck[type]) {
                 stuck[type] |= !place(op);
@@ -540,7 +540,7 @@
         }
     }
 
-    private double valuePerWork(Op op) {
+    private double valuePerWork(PendingRequest op) {
         return op.type.value() * (op.beyondShare ? beyondShareValue : 1) / op.pace.usual;
     }
 
@@ -553,40 +553,40 @@
     private static final long PATIENCE = 50 * MS; // what needs no work takes a few: probes, refused connects
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
-    private boolean probe(Member m, HealthCheckReason why) {
+    private boolean probe(ServerState m, HealthCheckReason why) {
         boolean may = permits.probes() && !m.probeOut && quota.probe(why);
         if (may) {
             healthChecks.sent(m);
             m.probeOut = true;
             m.probedAt = now;
-            out.add(new Action.Probe(m.id));
+            out.add(new Action.CheckHealth(m.id));
         }
         return may;
     }
 
     /** Has a server checked at once, or when fewer checks are out. */
-    private void checkWhenDue(Member m) {
+    private void checkWhenDue(ServerState m) {
         healthChecks.add(m);
         checkNext();
     }
 
     private void checkNext() {
-        for (Member m = healthChecks.next(); m != null; m = healthChecks.next()) {
+        for (ServerState m = healthChecks.next(); m != null; m = healthChecks.next()) {
             probe(m, HealthCheckReason.OTHER);
         }
     }
 
     /** Guards gateways with few ops against dead servers and listed ones that never were. */
-    private boolean heardLately(Member m) {
+    private boolean heardLately(ServerState m) {
         return now - m.heardAt <= HEARD_LASTS || !permits.probes();
     }
 
     /** Guards against probes dearer than ops: asks for an op in need; true while a word is awaited. */
-    private boolean ask(Group g, Predicate<Member> who) {
-        boolean met = g.members.stream().anyMatch(Member::isPromising);
-        Member pick = null;
+    private boolean ask(ReplicaGroup g, Predicate<ServerState> who) {
+        boolean met = g.members.stream().anyMatch(ServerState::isPromising);
+        ServerState pick = null;
         int count = 0;
-        for (Member m : g.members) {
+        for (ServerState m : g.members) {
             // A primary that others told of may never have been heard here.
             boolean told = !met || m == g.primary && !m.silent; // by others, perhaps never heard here
             boolean wanted = m.isIn() && who.test(m) && (told || m.isPromising());
@@ -600,10 +600,10 @@
         return pick != null && probe(pick, HealthCheckReason.ASKED);
     }
 
-    private void probeEnded(Event.ProbeEnded e) {
-        Member m = members.get(e.server());
+    private void probeEnded(Event.HealthCheckEnded e) {
+        ServerState m = members.get(e.server());
         long heardBefore = Math.max(m.aliveAt, m.positionToldAt); // by anyone; else the list's word does
-        heardBefore = heardBefore == Report.UNTOLD ? now : Math.max(m.silentSince, heardBefore);
+        heardBefore = heardBefore == LoadReport.UNKNOWN_TIME ? now : Math.max(m.silentSince, heardBefore);
         if (m.probeOut) {
             healthChecks.ended();
         }
@@ -631,7 +631,7 @@
         checkNext();
     }
 
-    private void healthCheckMissed(Member m) {
+    private void healthCheckMissed(ServerState m) {
         boolean waited = now - m.probedAt >= PATIENCE; // what fails at once is no silence
         m.checkMissedAt = waited ? now : m.checkMissedAt;
         if (m.silent) {
@@ -644,19 +644,19 @@
             return; // answers to ops say more
         } else if (waited && isInconclusive(m)) {
             suspect(m);
-        } else if (++m.deadSigns >= DEAD_SIGNS || m.heardAt == Report.UNTOLD && m.inconclusiveChecks == 0) {
+        } else if (++m.deadSigns >= DEAD_SIGNS || m.heardAt == LoadReport.UNKNOWN_TIME && m.inconclusiveChecks == 0) {
             silent(m, "probes unanswered " + m.deadSigns);
         }
     }
 
-    private void answered(Member m) {
+    private void answered(ServerState m) {
         m.respondedAt = now;
         m.inconclusiveChecks = 0;
         m.inconclusiveWait = 0;
     }
 
     /** Where checks are inconclusive again and again, what they waited beyond that adds up to a verdict. */
-    private boolean isInconclusive(Member m) {
+    private boolean isInconclusive(ServerState m) {
         boolean inconclusive = localHealth.inconclusive(m.probedAt, now)
                 || localHealth.commonSilence(now, m, m.probedAt, members.values());
         if (inconclusive) {
@@ -667,7 +667,7 @@
     }
 
     /** No verdict: nothing new is sent there until a further health check is answered. */
-    private void suspect(Member m) {
+    private void suspect(ServerState m) {
         if (now - m.respondedAt > ASK_AGAIN) {
             m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1);
         }
@@ -677,18 +677,18 @@
     }
 
     /** Guards against old reports that revive a lost role: a primary's position tells when it said so. */
-    private void learnReport(Member m, Report t) {
-        boolean dated = t != null && t.role() == Role.PRIMARY && t.position() != Report.UNTOLD;
+    private void learnReport(ServerState m, LoadReport t) {
+        boolean dated = t != null && t.role() == Role.PRIMARY && t.position() != LoadReport.UNKNOWN_TIME;
         learnRole(m, t, dated ? t.position() : now - REPORT_AGE);
     }
 
     /** Newest word wins; a position never goes back. */
-    private void learnRole(Member m, Report t, long toldAt) {
+    private void learnRole(ServerState m, LoadReport t, long toldAt) {
         if (t == null) {
             return;
         }
         m.busy = Double.isNaN(t.busy()) ? m.busy : t.busy();
-        if (t.position() != Report.UNTOLD) {
+        if (t.position() != LoadReport.UNKNOWN_TIME) {
             m.position = Math.max(m.position, t.position() - MS); // a write's commit is rounded up
             m.positionToldAt = now;
             if (gossip != null) {
@@ -700,8 +700,8 @@
         }
         m.role = t.role();
         m.roleToldAt = toldAt;
-        Group g = m.group;
-        Member was = g.primary;
+        ReplicaGroup g = m.group;
+        ServerState was = g.primary;
         boolean newer = was == null || was.role != Role.PRIMARY || was.roleToldAt < toldAt;
         g.primary = m.role == Role.PRIMARY && newer ? m : m.role != Role.PRIMARY && was == m ? null : was;
         if (g.primary != was) {
@@ -713,7 +713,7 @@
     private void wakeIn(long time) {
         if (now + time < nextBeat) {
             nextBeat = now + time;
-            out.add(new Action.Wake(nextBeat, 0));
+            out.add(new Action.SetTimer(nextBeat, 0));
         }
     }
 
@@ -724,18 +724,18 @@
         nextBeat = Long.MAX_VALUE;
         wakeIn(ops.isEmpty() && (gossip == null || !gossip.wantsToTell(now)) ? IDLE_BEAT : BEAT);
         if (now >= askListAt) {
-            out.add(new Action.FollowList());
+            out.add(new Action.WatchEndpoints());
             askListAt = Long.MAX_VALUE;
         }
         localHealth.observe(now, members.values());
-        Member due = null;
+        ServerState due = null;
         long oldest = now - (askAgain() > ASK_AGAIN ? askAgain() : probeEvery); // what others tell costs less
-        for (Member m : members.values()) {
+        for (ServerState m : members.values()) {
             lookForSilence(m);
             if (gossip != null) {
                 gossip.learnt(now, m.id);
-                if (m.stage == Listing.Stage.DRAINING && m.listed == Listing.Stage.IN && !heardOfDrain(m)) {
-                    stage(m, Listing.Stage.IN); // no list knew of that drain
+                if (m.stage == Endpoint.EndpointState.DRAINING && m.listed == Endpoint.EndpointState.IN && !heardOfDrain(m)) {
+                    stage(m, Endpoint.EndpointState.IN); // no list knew of that drain
                 }
             }
             // A position heard from others that is still fresh saves a probe.
@@ -766,14 +766,14 @@
         return gossip != null && gossip.needsOthers() ? ASK_AGAIN + GossipProtocol.PLACES_EVERY : ASK_AGAIN;
     }
 
-    private ServerObservation word(Member m) {
-        return new ServerObservation(m.role, m.role == Role.UNKNOWN ? Report.UNTOLD : Math.min(now, m.roleToldAt),
+    private ServerObservation word(ServerState m) {
+        return new ServerObservation(m.role, m.role == Role.UNKNOWN ? LoadReport.UNKNOWN_TIME : Math.min(now, m.roleToldAt),
                 m.position, m.positionToldAt, m.aliveAt, m.silentAt,
-                warmth(m) < 1 ? m.coldSince : Report.UNTOLD,
-                m.stage == Listing.Stage.DRAINING ? m.drainTold : Report.UNTOLD);
+                warmth(m) < 1 ? m.coldSince : LoadReport.UNKNOWN_TIME,
+                m.stage == Endpoint.EndpointState.DRAINING ? m.drainTold : LoadReport.UNKNOWN_TIME);
     }
 
-    private void heard(Event.PeerMessage p) {
+    private void heard(Event.GossipReceived p) {
         GossipProtocol.ReceivedGossip h = gossip.hears(now, p.from(), p.bytes());
         h.words().forEach((id, w) -> believe(members.get(id), w));
         tell(h.letters());
@@ -781,10 +781,10 @@
     }
 
     /** Own words win over others as old; nothing gets newer than it was at its source. */
-    private void believe(Member m, ServerObservation w) {
+    private void believe(ServerState m, ServerObservation w) {
         if (w.drainAt() > m.drainTold && m.isIn()) {
             m.drainTold = w.drainAt();
-            stage(m, now - w.drainAt() < DRAIN_HEARD_LASTS ? Listing.Stage.DRAINING : m.stage);
+            stage(m, now - w.drainAt() < DRAIN_HEARD_LASTS ? Endpoint.EndpointState.DRAINING : m.stage);
         }
         m.coldSince = Math.max(m.coldSince, w.coldSince());
         m.position = Math.max(m.position, w.position());
@@ -793,27 +793,27 @@
         m.silentAt = Math.max(m.silentAt, w.silentAt());
         m.aliveAt = Math.max(m.aliveAt, w.aliveAt());
         if (w.roleAt() > m.roleToldAt) {
-            learnRole(m, new Report(w.role(), Report.UNTOLD), w.roleAt());
+            learnRole(m, new LoadReport(w.role(), LoadReport.UNKNOWN_TIME), w.roleAt());
         }
         // A primary is heard by oneself once, before its first write: others may not know that it is silent.
         if (w.silentAt() > m.aliveAt) {
             m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // a probe tells, before the next op there
-            m.retryAt = Math.max(m.retryAt, m.aliveAt == Report.UNTOLD ? w.silentAt() + PENALTY_MOST : 0);
+            m.retryAt = Math.max(m.retryAt, m.aliveAt == LoadReport.UNKNOWN_TIME ? w.silentAt() + PENALTY_MOST : 0);
         } else if (w.aliveAt() > Math.max(m.heardAt, m.connectFailedAt) && !m.silent
-                && (m != m.group.primary || m.heardAt != Report.UNTOLD)) {
+                && (m != m.group.primary || m.heardAt != LoadReport.UNKNOWN_TIME)) {
             m.heardAt = w.aliveAt();
         }
         release(m.group);
     }
 
-    private void proved(Member m, Op op, boolean right) {
-        if (gossip != null && op.type.needs() == Needs.WRITE) {
+    private void proved(ServerState m, PendingRequest op, boolean right) {
+        if (gossip != null && op.type.needs() == Consistency.WRITE) {
             gossip.proved(now, m.id, right);
         }
     }
 
     private void tell(List<GossipProtocol.OutboundPacket> letters) {
-        letters.forEach(l -> out.add(new Action.Tell(l.peer(), l.bytes())));
+        letters.forEach(l -> out.add(new Action.SendGossip(l.peer(), l.bytes())));
     }
 
     // -- Health
@@ -833,11 +833,11 @@
     private static final double PRESSURE_WANTED = 0.35; // mean latency as part of the target; tails are long
     private static final double LIMIT_STEP = 0.2; // an answer; the limit moves by a fifth in a round trip
 
-    private void learnHealth(Member m, Op op, Event.SendEnded e) {
+    private void learnHealth(ServerState m, PendingRequest op, Event.AttemptEnded e) {
         Outcome outcome = e.outcome();
         long took = Math.max(0, e.took() - localHealth.explainedIn(op.sentAt, now));
-        boolean inconclusive = outcome == Outcome.NOT_CONNECTED && localHealth.inconclusive(op.sentAt, now);
-        if (outcome == Outcome.NOT_CONNECTED && !inconclusive) {
+        boolean inconclusive = outcome == Outcome.CONNECT_FAILED && localHealth.inconclusive(op.sentAt, now);
+        if (outcome == Outcome.CONNECT_FAILED && !inconclusive) {
             // Guards against networks that reset by chance: refusals in a row or slow ones are the server's.
             m.refusesConnects = e.took() < PATIENCE && now - m.connectFailedAt < BRIEF / 3;
             m.connectFailedAt = now;
@@ -858,7 +858,7 @@
             m.fullAt = now;
             m.fullFor = Math.min(HEARD_LASTS, 2 * m.fullFor + PATIENCE + chance.nextLong(PATIENCE));
         }
-        if (outcome == Outcome.FULL || outcome == Outcome.NOT_CONNECTED && m.cutAt == now) {
+        if (outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED && m.cutAt == now) {
             m.limit = Math.max(leastLimit, Math.min(m.limit, m.out.size())); // what is open already is kept
         }
         switch (outcome) {
@@ -872,7 +872,7 @@
                 learnPace(m, op, took, took);
                 m.failShare *= 1 - NEWEST;
             }
-            case ERRORED, BROKEN_OFF, CUT_OFF, NOT_CONNECTED -> {
+            case ERRORED, CONNECTION_LOST, CONNECT_INTERRUPTED, CONNECT_FAILED -> {
                 // Guards against servers that fail fast and so draw traffic; leaves the group enough others.
                 // What may be the network's doing counts half.
                 double counted = inconclusive ? m.failShare : outcome == Outcome.ERRORED ? 1 : 0.5;
@@ -890,20 +890,20 @@
                 long waited = (long) Math.max(took, like);
                 learnPace(m, op, waited, lost ? Math.min(waited, (long) (LOST_BELOW * like)) : waited);
             }
-            case TURNED_AWAY -> {
+            case MISDIRECTED -> {
                 m.turnedAwayAt = now;
                 proved(m, op, false);
-                if (op.type.needs() == Needs.WRITE) {
+                if (op.type.needs() == Consistency.WRITE) {
                     // Guards against one that hands over: it turns writes away and still signs as primary.
-                    learnRole(m, new Report(Role.REPLICA, Report.UNTOLD), now + ASK_AGAIN);
+                    learnRole(m, new LoadReport(Role.REPLICA, LoadReport.UNKNOWN_TIME), now + ASK_AGAIN);
                 }
             }
         }
     }
 
     /** Latency as a multiple of the op type's usual; load, as a part of the target, moves the limit. */
-    private void learnPace(Member m, Op op, long took, long load) {
-        Pace p = op.pace;
+    private void learnPace(ServerState m, PendingRequest op, long took, long load) {
+        LatencyEstimate p = op.pace;
         p.recent += Math.max(1.0 / ++p.samples, 0.02) * (took - p.recent);
         double slow = Math.min(1, (now - p.at) / (double) USUAL_RISES_IN);
         p.usual += (p.recent < p.usual || p.samples < 20 ? 0.1 : slow) * (p.recent - p.usual);
@@ -920,13 +920,13 @@
         }
     }
 
-    private double stretchNow(Member m) {
+    private double stretchNow(ServerState m) {
         return 1 + (m.stretch - 1) * Math.exp(-(now - m.stretchAt) / (double) NEWS_FADES_IN);
     }
 
     /** Guards against dead, hung and cut-off servers alike: far fewer answers than the sends should bring. */
-    private void lookForSilence(Member m) {
-        List<Op> waiting = m.outSinceReturn();
+    private void lookForSilence(ServerState m) {
+        List<PendingRequest> waiting = m.outSinceReturn();
         long quiet = now - Math.max(m.answeredAt, waiting.isEmpty() ? now : waiting.get(0).sentAt);
         double missing = waiting.stream().mapToDouble(
                 o -> Math.min(quiet, now - o.sentAt) / (o.pace.usual * Math.max(1, m.stretch))).sum();
@@ -945,7 +945,7 @@
     }
 
     /** As {@link #suspect}; ops that may be repeated go where answers have come meanwhile. */
-    private void suspectQuiet(Member m, long since) {
+    private void suspectQuiet(ServerState m, long since) {
         suspect(m);
         m.deadSigns = Math.max(m.deadSigns, DEAD_SIGNS - 1); // missing answers and one more lost check are enough
         if (m.group.members.stream().anyMatch(o -> o != m && o.isPromising() && o.respondedAt >= since)) {
@@ -953,17 +953,17 @@
         }
     }
 
-    private void callOffRetryable(Member m) {
-        m.out.values().stream().filter(o -> o.type.repeats() == Repeats.RETRYABLE).forEach(this::callOff);
+    private void callOffRetryable(ServerState m) {
+        m.out.values().stream().filter(o -> o.type.repeats() == Idempotence.IDEMPOTENT).forEach(this::callOff);
     }
 
     /** Not so where nobody was heard: guards against a slow start, of this gateway or of all servers. */
-    private boolean neverThere(Member m) {
-        return m.heardAt == Report.UNTOLD && !localHealth.explainedLately(now)
-                && members.values().stream().anyMatch(Member::isPromising);
+    private boolean neverThere(ServerState m) {
+        return m.heardAt == LoadReport.UNKNOWN_TIME && !localHealth.explainedLately(now)
+                && members.values().stream().anyMatch(ServerState::isPromising);
     }
 
-    private void silent(Member m, String why) {
+    private void silent(ServerState m, String why) {
         if (!m.silent) {
             log("server " + m.id.text() + " silent: " + why);
             m.silent = true;
@@ -976,7 +976,7 @@
     }
 
     // Guards against restarts not yet listed (long away is cold) and hangs: it returns with one op at a time.
-    private void returns(Member m, long heardBefore, String why) {
+    private void returns(ServerState m, long heardBefore, String why) {
         long away = now - m.silentSince;
         log("server " + m.id.text() + " returns: " + why + " after " + away / MS + " ms");
         m.silent = false;
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -24,8 +24,8 @@
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Started;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
 import ploverdale.settings.JsonFields;
 import ploverdale.settings.InvalidSettingsException;
 
@@ -39,7 +39,7 @@
     private final BufferedReader in;
     private final OutputStream out;
     private final JsonFactory json = JsonFactory.builder().build();
-    private final Map<Long, List<Listing>> ledgers = new HashMap<>();
+    private final Map<Long, List<Endpoint>> ledgers = new HashMap<>();
     private final Map<String, Host> hosts = new HashMap<>();
     private final Set<String> stopped = new HashSet<>();
     private final QuotaSettings quotaSettings;
@@ -144,7 +144,7 @@
     private void lookRound(JsonGenerator g, String gateway, Host host) throws IOException {
         if (host.shared() != null) {
             write(g, gateway, host.shared(), host.shared().due());
-            Writer.write(g, gateway, new Action.Wake(now + QuotaNode.LOOK, SHARED_MARK));
+            Writer.write(g, gateway, new Action.SetTimer(now + QuotaNode.LOOK, SHARED_MARK));
         }
     }
 
@@ -156,7 +156,7 @@
 
     private static void write(JsonGenerator g, String gateway, QuotaNode shared, List<PacketQueue.OutboundPacket> letters) throws IOException {
         for (PacketQueue.OutboundPacket l : letters) {
-            Writer.write(g, gateway, new Action.Tell(l.to(), l.bytes()));
+            Writer.write(g, gateway, new Action.SendGossip(l.to(), l.bytes()));
         }
         for (String line : shared.lines()) {
             Writer.write(g, gateway, new Action.LogLine(line));
@@ -169,18 +169,18 @@
             case "REQ" -> reader.opArrived(f);
             case "STARTED" -> reader.answerBegun(f);
             case "RESPONSE" -> reader.sendEnded(f);
-            case "VANISHED" -> new Event.ClientLeft(new OpId(f.text("ref")));
-            case "ALARM" -> new Event.WakeUp(f.whole("tag"));
+            case "VANISHED" -> new Event.ClientDisconnected(new RequestId(f.text("ref")));
+            case "ALARM" -> new Event.TimerFired(f.whole("tag"));
             case "PING_RESULT" -> reader.probeEnded(f);
-            default -> new Event.PeerMessage((int) f.whole("from"), Reader.bytes(f.text("body")));
+            default -> new Event.GossipReceived((int) f.whole("from"), Reader.bytes(f.text("body")));
         };
     }
 
-    private List<Listing> ledgerOf(JsonFields f) {
+    private List<Endpoint> ledgerOf(JsonFields f) {
         if (f.text("how").equals("broken")) {
             return List.of();
         }
-        List<Listing> rows = ledgers.get(f.whole("sheet"));
+        List<Endpoint> rows = ledgers.get(f.whole("sheet"));
         if (rows == null) {
             throw new InvalidSettingsException("ANNOUNCE with a field sheet that names no list");
         }
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Reader.java
@@ -6,13 +6,13 @@
 import ploverdale.model.GroupId;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpTypeId;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClassId;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
 import ploverdale.settings.JsonFields;
@@ -42,35 +42,35 @@
             case "pass" -> Outcome.ACKED;
             case "no_room" -> Outcome.FULL;
             case "too_slow" -> Outcome.TIMED_OUT;
-            case "no_route" -> Outcome.NOT_CONNECTED;
-            case "cut" -> Outcome.BROKEN_OFF;
-            case "undone" -> Outcome.CALLED_OFF;
+            case "no_route" -> Outcome.CONNECT_FAILED;
+            case "cut" -> Outcome.CONNECTION_LOST;
+            case "undone" -> Outcome.CANCELLED;
             case "stale_send" -> Outcome.NEVER_SENT;
-            case "none_here" -> Outcome.TURNED_AWAY;
+            case "none_here" -> Outcome.MISDIRECTED;
             default -> Outcome.ERRORED;
         };
     }
 
     /** A list's entries; the same for all gateways. */
-    static List<Listing> listings(JsonFields ledger) {
-        List<Listing> rows = new ArrayList<>();
+    static List<Endpoint> listings(JsonFields ledger) {
+        List<Endpoint> rows = new ArrayList<>();
         for (Object row : ledger.list("rows")) {
             JsonFields f = JsonFields.of("LEDGER.rows", row);
-            Listing.Stage stage = switch (f.text("stageState")) {
-                case "LAME" -> Listing.Stage.DRAINING;
-                case "OUT" -> Listing.Stage.GONE;
-                default -> Listing.Stage.IN;
+            Endpoint.EndpointState stage = switch (f.text("stageState")) {
+                case "LAME" -> Endpoint.EndpointState.DRAINING;
+                case "OUT" -> Endpoint.EndpointState.GONE;
+                default -> Endpoint.EndpointState.IN;
             };
-            rows.add(new Listing(new ServerId(f.text("server")), new GroupId((long) f.number("cell", 0)),
+            rows.add(new Endpoint(new ServerId(f.text("server")), new GroupId((long) f.number("cell", 0)),
                     new ZoneId((int) f.whole("locality", 0)), stage, f.number("writer", 0) == 1,
                     JsonFields.up(f.number("bornMs", 0))));
         }
         return rows;
     }
 
-    Event listTold(JsonFields f, List<Listing> rows) {
+    Event listTold(JsonFields f, List<Endpoint> rows) {
         String how = f.text("how");
-        return new Event.ListTold(how.equals("whole") || how.equals("stale_copy"), how.equals("broken"), rows);
+        return new Event.EndpointUpdate(how.equals("whole") || how.equals("stale_copy"), how.equals("broken"), rows);
     }
 
     Event opArrived(JsonFields f) {
@@ -78,7 +78,7 @@
         if (type < 0 || type >= settings.started().opTypes().size()) {
             throw new InvalidSettingsException("REQ with a field grade that names no class");
         }
-        return new Event.OpArrived(new OpId(f.text("ref")), new OpTypeId(type),
+        return new Event.RequestArrived(new RequestId(f.text("ref")), new RequestClassId(type),
                 new TenantId((int) f.whole("realm", 0)), new GroupId((long) f.number("setNo", 0)),
                 f.has("connKey") ? new SessionId(f.text("connKey")) : null, JsonFields.down(f.number("dropDeadMs")),
                 f.mark("againByClient"), JsonFields.down(f.number("hintMs", 0)), tokenAge(f.number("tokenAgeMs", 0)));
@@ -90,26 +90,26 @@
     }
 
     Event answerBegun(JsonFields f) {
-        return new Event.AnswerBegun(new OpId(f.text("ref")), (int) f.whole("roundNo"),
+        return new Event.ResponseStarted(new RequestId(f.text("ref")), (int) f.whole("roundNo"),
                 new ServerId(f.text("server")));
     }
 
     Event sendEnded(JsonFields f) {
-        Report note = null;
+        LoadReport note = null;
         if (f.has("progress")) {
             long told = f.whole("progress");
             long position = told >> 2;
             boolean none = position == 0 && !settings.positionsInNotes();
-            note = new Report(role((int) (told & 3)),
-                    none ? Report.UNTOLD : JsonFields.down(settings.positionZeroMs()) + position * 10);
+            note = new LoadReport(role((int) (told & 3)),
+                    none ? LoadReport.UNKNOWN_TIME : JsonFields.down(settings.positionZeroMs()) + position * 10);
         }
-        return new Event.SendEnded(new OpId(f.text("ref")), (int) f.whole("roundNo"),
+        return new Event.AttemptEnded(new RequestId(f.text("ref")), (int) f.whole("roundNo"),
                 new ServerId(f.text("server")), outcome(f.text("verdict")), JsonFields.up(f.number("durationMs")),
                 f.mark("settled"), note, report(f));
     }
 
     Event probeEnded(JsonFields f) {
-        return new Event.ProbeEnded(new ServerId(f.text("server")), outcome(f.text("verdict")), report(f));
+        return new Event.HealthCheckEnded(new ServerId(f.text("server")), outcome(f.text("verdict")), report(f));
     }
 
     static byte[] bytes(String hex) {
@@ -120,7 +120,7 @@
         }
     }
 
-    private Report report(JsonFields f) {
+    private LoadReport report(JsonFields f) {
         List<Object> row = f.list("healthInfo");
         if (row.isEmpty()) {
             return null;
--- a/gateway/src/main/java/ploverdale/benchlink/Writer.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Writer.java
@@ -10,36 +10,36 @@
     private Writer() {}
 
     static void write(JsonGenerator g, String gateway, Action action) throws IOException {
-        if (action instanceof Action.Send a) {
+        if (action instanceof Action.StartAttempt a) {
             open(g, "ROUTE", gateway);
             g.writeStringField("ref", a.op().text());
             tenths(g, "capMs", a.timeLimit());
             g.writeStringField("server", a.server().text());
-        } else if (action instanceof Action.CallOff a) {
+        } else if (action instanceof Action.CancelAttempt a) {
             open(g, "ABANDON", gateway);
             g.writeStringField("ref", a.op().text());
             g.writeNumberField("roundNo", a.send());
-        } else if (action instanceof Action.BusyReply a) {
+        } else if (action instanceof Action.RejectRequest a) {
             open(g, "BOUNCE", gateway);
             g.writeStringField("ref", a.op().text());
             tenths(g, "notBeforeForMs", a.comeBackIn());
-        } else if (action instanceof Action.ErrorReply a) {
+        } else if (action instanceof Action.FailRequest a) {
             open(g, "ABORT", gateway);
             g.writeStringField("ref", a.op().text());
-        } else if (action instanceof Action.Wake a) {
+        } else if (action instanceof Action.SetTimer a) {
             open(g, "WAKE_AT", gateway);
             tenths(g, "atMs", a.at());
             g.writeNumberField("tag", a.mark());
-        } else if (action instanceof Action.Probe a) {
+        } else if (action instanceof Action.CheckHealth a) {
             open(g, "TOUCH", gateway);
             g.writeStringField("server", a.server().text());
-        } else if (action instanceof Action.CloseIdle a) {
+        } else if (action instanceof Action.CloseIdleConnections a) {
             open(g, "DROP_CONNS", gateway);
             g.writeStringField("server", a.server().text());
-        } else if (action instanceof Action.FollowList) {
+        } else if (action instanceof Action.WatchEndpoints) {
             open(g, "KEEP_INFORMED", gateway);
             g.writeBooleanField("enable", true);
-        } else if (action instanceof Action.Tell a) {
+        } else if (action instanceof Action.SendGossip a) {
             open(g, "BROADCAST_TO", gateway);
             g.writeNumberField("whom", a.peer());
             g.writeStringField("body", HexFormat.of().formatHex(a.bytes()));
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -41,7 +41,7 @@
         }
         String type = file.settings().opTypes().get(i % file.settings().opTypes().size());
         boolean write = file.settings().started().opTypes().get(i % file.settings().opTypes().size()).needs()
-                == ploverdale.model.OpType.Needs.WRITE;
+                == ploverdale.model.RequestClass.Consistency.WRITE;
         String tenant = file.settings().tenants().isEmpty() ? "" : ",t=" + file.settings().tenants().get(0);
         long group = file.known().entries().get(0).listing().group().number();
         String comment = " /* id=" + Integer.toHexString(0x1000 + 16 * i + again) + ",c=" + type + tenant + ",d=1000,cluster=" + group
--- a/gateway/src/main/java/ploverdale/gossip/Datagram.java
+++ b/gateway/src/main/java/ploverdale/gossip/Datagram.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /**
  * One datagram of at most {@value #MOST} bytes: who it is for is known from outside, what it says is checked here. Each is
@@ -89,7 +89,7 @@
         words.forEach((number, w) -> {
             b.putInt(number).put((byte) w.role().ordinal());
             age(b, w.roleAt());
-            long old = w.position() == Report.UNTOLD ? POSITION_AGE_NONE : ms - Math.floorDiv(w.position(), MS);
+            long old = w.position() == LoadReport.UNKNOWN_TIME ? POSITION_AGE_NONE : ms - Math.floorDiv(w.position(), MS);
             int position = old < 0 || old >= POSITION_AGE_NONE ? POSITION_AGE_NONE : (int) old;
             b.put((byte) (position >> 16)).putShort((short) position);
             age(b, w.positionAt());
@@ -112,7 +112,7 @@
         b.put(MARK).put((byte) VERSION).put((byte) kind.ordinal()).put((byte) PLACE);
         b.putShort((short) (ms >> 32)).putInt((int) ms);
         words.forEach((number, w) -> {
-            long old = w.position() == Report.UNTOLD ? PLACE_AGE : ms - Math.floorDiv(w.position(), MS);
+            long old = w.position() == LoadReport.UNKNOWN_TIME ? PLACE_AGE : ms - Math.floorDiv(w.position(), MS);
             int age = old >= PLACE_AGE ? PLACE_AGE : (int) Math.max(0, old);
             b.putShort((short) (int) number).putShort((short) (age | (w.role() == Role.PRIMARY ? PLACE_AGE + 1 : 0)));
         });
@@ -126,12 +126,12 @@
         long learnt = sentAt - (kind == Kind.PLACES_UP ? PeerSelector.UP_WITHIN : PeerSelector.WITHIN);
         long at = told ? Math.max(learnt, sentAt - (age & PLACE_AGE) * MS) : learnt; // no position is learnt before it is so
         return new ServerObservation((age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA, at,
-                told ? sentAt - (age & PLACE_AGE) * MS : Report.UNTOLD, told ? at : Report.UNTOLD, at, Report.UNTOLD,
-                Report.UNTOLD, Report.UNTOLD);
+                told ? sentAt - (age & PLACE_AGE) * MS : LoadReport.UNKNOWN_TIME, told ? at : LoadReport.UNKNOWN_TIME, at, LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
     }
 
     private void age(ByteBuffer b, long at) {
-        long units = at == Report.UNTOLD ? AGE_NONE : Math.max(0, Math.floorDiv(sentAt - at + AGE_UNIT - 1, AGE_UNIT));
+        long units = at == LoadReport.UNKNOWN_TIME ? AGE_NONE : Math.max(0, Math.floorDiv(sentAt - at + AGE_UNIT - 1, AGE_UNIT));
         b.putShort((short) Math.min(units, AGE_NONE));
     }
 
@@ -202,25 +202,25 @@
             return null;
         }
         long roleAt = at(b, sentAt);
-        long position = Report.UNTOLD;
+        long position = LoadReport.UNKNOWN_TIME;
         if (b.remaining() >= 3) {
             int old = (b.get() & 0xFF) << 16 | b.getShort() & 0xFFFF;
-            position = old == POSITION_AGE_NONE ? Report.UNTOLD : sentAt - old * MS;
+            position = old == POSITION_AGE_NONE ? LoadReport.UNKNOWN_TIME : sentAt - old * MS;
         }
         long positionAt = at(b, sentAt);
         long aliveAt = at(b, sentAt);
         long silentAt = at(b, sentAt);
         long coldSince = at(b, sentAt);
         long drainAt = at(b, sentAt);
-        boolean led = role > 0 && roleAt != Report.UNTOLD;
-        boolean placed = position != Report.UNTOLD && positionAt != Report.UNTOLD;
-        return new ServerObservation(led ? Role.values()[role] : Role.UNKNOWN, led ? roleAt : Report.UNTOLD,
-                placed ? position : Report.UNTOLD, placed ? positionAt : Report.UNTOLD, aliveAt, silentAt, coldSince,
+        boolean led = role > 0 && roleAt != LoadReport.UNKNOWN_TIME;
+        boolean placed = position != LoadReport.UNKNOWN_TIME && positionAt != LoadReport.UNKNOWN_TIME;
+        return new ServerObservation(led ? Role.values()[role] : Role.UNKNOWN, led ? roleAt : LoadReport.UNKNOWN_TIME,
+                placed ? position : LoadReport.UNKNOWN_TIME, placed ? positionAt : LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince,
                 drainAt);
     }
 
     private static long at(ByteBuffer b, long sentAt) {
         int units = b.remaining() >= 2 ? b.getShort() & 0xFFFF : AGE_NONE;
-        return units == AGE_NONE ? Report.UNTOLD : sentAt - units * AGE_UNIT;
+        return units == AGE_NONE ? LoadReport.UNKNOWN_TIME : sentAt - units * AGE_UNIT;
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -14,8 +14,8 @@
 import java.util.stream.Collectors;
 import ploverdale.gossip.Datagram.Kind;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /**
  * What one instance hears from others and tells them. A new instance asks a few others for all that they know; from then
@@ -82,7 +82,7 @@
     private final double bound;
     private final Set<KnownServer> news = new LinkedHashSet<>();
     private final Map<Object, Integer> refusals = new HashMap<>();
-    private long lineAt = Report.UNTOLD;
+    private long lineAt = LoadReport.UNKNOWN_TIME;
     private int asks;
     private long startedAt = Long.MAX_VALUE;
     private double purse = Datagram.MOST;
@@ -108,7 +108,7 @@
         trustAt = new long[instances];
         leftAt = new long[instances];
         Arrays.fill(trust, 1);
-        Arrays.fill(leftAt, Report.UNTOLD);
+        Arrays.fill(leftAt, LoadReport.UNKNOWN_TIME);
     }
 
     /** This instance starts and knows nothing yet. */
@@ -165,7 +165,7 @@
         if (d.kind() == Kind.LEAVES) {
             leftAt[from] = now;
         } else if (now - leftAt[from] > ON_ITS_WAY_MOST) {
-            leftAt[from] = Report.UNTOLD; // another instance is there
+            leftAt[from] = LoadReport.UNKNOWN_TIME; // another instance is there
         }
         Map<ServerId, ServerObservation> words = new LinkedHashMap<>();
         boolean places = d.kind().ordinal() >= Kind.PLACES_UP.ordinal();
@@ -307,7 +307,7 @@
         List<OutboundPacket> letters = new ArrayList<>();
         if (!servers.isEmpty() && asks < ASKS_AFTER.length && now - startedAt >= ASKS_AFTER[asks]) {
             asks++;
-            boolean unheard = servers.values().stream().anyMatch(k -> own.apply(k.id).aliveAt() == Report.UNTOLD);
+            boolean unheard = servers.values().stream().anyMatch(k -> own.apply(k.id).aliveAt() == LoadReport.UNKNOWN_TIME);
             if (unheard) {
                 byte[] bytes = new Datagram(Kind.ASKS, now, Map.of()).bytes();
                 some(now, ASKED, -1).forEach(peer -> letters.add(new OutboundPacket(peer, bytes)));
--- a/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -10,8 +10,8 @@
 import ploverdale.gossip.Datagram.Kind;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /**
  * How positions get round where each instance alone hears too few. One instance at a time collects: whose turn it is
@@ -36,8 +36,8 @@
     private final int instances;
     private final Map<ServerId, Place> places = new LinkedHashMap<>();
     private final Set<ServerId> pending = new LinkedHashSet<>();
-    private long upAt = Report.UNTOLD;
-    private long toldAt = Report.UNTOLD;
+    private long upAt = LoadReport.UNKNOWN_TIME;
+    private long toldAt = LoadReport.UNKNOWN_TIME;
 
     PeerSelector(int me, int instances) {
         this.me = me;
@@ -61,7 +61,7 @@
 
     /** Another instance told a server's position. */
     void place(ServerId id, ServerObservation w, long at) {
-        if (w.position() != Report.UNTOLD && w.role() != Role.UNKNOWN) {
+        if (w.position() != LoadReport.UNKNOWN_TIME && w.role() != Role.UNKNOWN) {
             Place p = places.get(id);
             places.put(id, new Place(p == null ? w.position() : Math.max(p.position, w.position()), w.role(), at));
         }
@@ -103,8 +103,8 @@
         Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         places.forEach((id, p) -> {
             if (now - p.at <= WITHIN - UP_WITHIN && words.size() < Datagram.PLACES_MOST) {
-                words.put(Datagram.shortNumber(id), new ServerObservation(p.role, now, p.position, now, now, Report.UNTOLD,
-                        Report.UNTOLD, Report.UNTOLD));
+                words.put(Datagram.shortNumber(id), new ServerObservation(p.role, now, p.position, now, now, LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME));
             }
         });
         toldAt = words.isEmpty() ? toldAt : now;
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -1,11 +1,11 @@
 package ploverdale.gossip;
 
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /**
  * What is known of one server, each part with the time at which its source learnt it, in tenths of a millisecond of this
- * instance's clock; {@link Report#UNTOLD} where nothing is known.
+ * instance's clock; {@link LoadReport#UNKNOWN_TIME} where nothing is known.
  *
  * <p>Words make a join-semilattice: {@link #join} takes of each part the newest, so words may come in any order, twice, or
  * not at all, and what comes out is the same picture or an older one, never a fresher one.
@@ -21,8 +21,8 @@
         long drainAt) {
 
     /** Nothing known. */
-    public static final ServerObservation NONE = new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-            Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+    public static final ServerObservation NONE = new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
 
     /** Both words in one. */
     public ServerObservation join(ServerObservation o) {
@@ -36,9 +36,9 @@
     public ServerObservation since(long time) {
         boolean role = roleAt >= time;
         boolean placed = positionAt >= time;
-        return new ServerObservation(role ? this.role : Role.UNKNOWN, role ? roleAt : Report.UNTOLD,
-                placed ? position : Report.UNTOLD, placed ? positionAt : Report.UNTOLD,
-                aliveAt >= time ? aliveAt : Report.UNTOLD, silentAt >= time ? silentAt : Report.UNTOLD, coldSince, drainAt);
+        return new ServerObservation(role ? this.role : Role.UNKNOWN, role ? roleAt : LoadReport.UNKNOWN_TIME,
+                placed ? position : LoadReport.UNKNOWN_TIME, placed ? positionAt : LoadReport.UNKNOWN_TIME,
+                aliveAt >= time ? aliveAt : LoadReport.UNKNOWN_TIME, silentAt >= time ? silentAt : LoadReport.UNKNOWN_TIME, coldSince, drainAt);
     }
 
     /** The same with nothing learnt after a time; for words of a clock that runs ahead. */
@@ -49,23 +49,23 @@
 
     /** The same with a role that is not believed left out. */
     public ServerObservation withoutRole() {
-        return new ServerObservation(Role.UNKNOWN, Report.UNTOLD, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
+        return new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** The same with no position. */
     public ServerObservation withoutPosition() {
-        return new ServerObservation(role, roleAt, Report.UNTOLD, Report.UNTOLD, aliveAt, silentAt, coldSince, drainAt);
+        return new ServerObservation(role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** The same, its role told earlier by so much. */
     public ServerObservation withRoleOlder(long by) {
-        return by == 0 || roleAt == Report.UNTOLD ? this : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt,
+        return by == 0 || roleAt == LoadReport.UNKNOWN_TIME ? this : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt,
                 silentAt, coldSince, drainAt);
     }
 
     /** Whether somebody found it silent and nobody has heard of it since. */
     public boolean silent() {
-        return silentAt != Report.UNTOLD && silentAt > aliveAt;
+        return silentAt != LoadReport.UNKNOWN_TIME && silentAt > aliveAt;
     }
 
     /**
@@ -76,7 +76,7 @@
         boolean leads = role == Role.PRIMARY;
         return role != Role.UNKNOWN && leads != (older.role == Role.PRIMARY) && roleAt > older.roleAt
                 || silent() != older.silent() && Math.max(silentAt, aliveAt) > Math.max(older.silentAt, older.aliveAt)
-                || drainAt > older.drainAt && older.drainAt == Report.UNTOLD
+                || drainAt > older.drainAt && older.drainAt == LoadReport.UNKNOWN_TIME
                 || coldSince > older.coldSince + SAME_START;
     }
 
--- a/gateway/src/main/java/ploverdale/model/Action.java
+++ b/gateway/src/main/java/ploverdale/model/Action.java
@@ -4,31 +4,31 @@
 public sealed interface Action {
 
     /** Send the op to a server and wait this long at most; not at all if it cannot be written by then, where that takes time. */
-    record Send(OpId op, ServerId server, long timeLimit, long writeBy) implements Action {}
+    record StartAttempt(RequestId op, ServerId server, long timeLimit, long writeBy) implements Action {}
 
     /** Stop waiting for a send. */
-    record CallOff(OpId op, int send) implements Action {}
+    record CancelAttempt(RequestId op, int send) implements Action {}
 
     /** Tell the client that trying again does no harm, and when; 0 names no time. */
-    record BusyReply(OpId op, long comeBackIn) implements Action {}
+    record RejectRequest(RequestId op, long comeBackIn) implements Action {}
 
     /** Tell the client that the op failed, which promises nothing. */
-    record ErrorReply(OpId op) implements Action {}
+    record FailRequest(RequestId op) implements Action {}
 
     /** Wake the gateway at this time. */
-    record Wake(long at, long mark) implements Action {}
+    record SetTimer(long at, long mark) implements Action {}
 
     /** Ask a server how it is. */
-    record Probe(ServerId server) implements Action {}
+    record CheckHealth(ServerId server) implements Action {}
 
     /** Close the idle connections to a server. */
-    record CloseIdle(ServerId server) implements Action {}
+    record CloseIdleConnections(ServerId server) implements Action {}
 
     /** Ask for changes of the list from now on. */
-    record FollowList() implements Action {}
+    record WatchEndpoints() implements Action {}
 
     /** Send another gateway a message. */
-    record Tell(int peer, byte[] bytes) implements Action {}
+    record SendGossip(int peer, byte[] bytes) implements Action {}
 
     /** Write a line to the log. */
     record LogLine(String text) implements Action {}
--- a/gateway/src/main/java/ploverdale/model/Permits.java
+++ b/gateway/src/main/java/ploverdale/model/Capabilities.java
@@ -1,6 +1,6 @@
 package ploverdale.model;
 
 /** What a gateway may do here. */
-public record Permits(
+public record Capabilities(
         int sendsPerOp, boolean callOff, boolean probes, boolean comeBackTimes, long longestComeBack,
         boolean peerMessages) {}
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -8,42 +8,42 @@
 
     /** The gateway starts and knows nothing but this; it is number me of the gateways. */
     record Started(
-            long seed, int gateways, List<OpType> opTypes, List<Tenant> tenants, double beyondShareValue,
-            Pledges pledges, Permits permits, ReplicaGuarantees copies, boolean listOnDemand, int me) implements Event {}
+            long seed, int gateways, List<RequestClass> opTypes, List<Tenant> tenants, double beyondShareValue,
+            ServerGuarantees pledges, Capabilities permits, ReplicaGuarantees copies, boolean listOnDemand, int me) implements Event {}
 
     /** The list of servers, whole or its changes; failed when asking for it brought none. */
-    record ListTold(boolean whole, boolean failed, List<Listing> listings) implements Event {}
+    record EndpointUpdate(boolean whole, boolean failed, List<Endpoint> listings) implements Event {}
 
     /**
      * A client's op; a token age of 0 means that the session has no earlier write, one below 0 that the write is dated a
      * little later than now.
      */
-    record OpArrived(
-            OpId op, OpTypeId type, TenantId tenant, GroupId group, SessionId session, long timeoutAt,
+    record RequestArrived(
+            RequestId op, RequestClassId type, TenantId tenant, GroupId group, SessionId session, long timeoutAt,
             boolean again, long expectedWork, long tokenAge) implements Event {}
 
     /** The answer to a streamed op has begun. */
-    record AnswerBegun(OpId op, int send, ServerId server) implements Event {}
+    record ResponseStarted(RequestId op, int send, ServerId server) implements Event {}
 
     /** A send has ended; settled when the op has, too. Either report may be null. */
-    record SendEnded(
-            OpId op, int send, ServerId server, Outcome outcome, long took, boolean settled, Report note,
-            Report report) implements Event {}
+    record AttemptEnded(
+            RequestId op, int send, ServerId server, Outcome outcome, long took, boolean settled, LoadReport note,
+            LoadReport report) implements Event {}
 
     /** The client has gone. */
-    record ClientLeft(OpId op) implements Event {}
+    record ClientDisconnected(RequestId op) implements Event {}
 
     /** A wake-up that was asked for. */
-    record WakeUp(long mark) implements Event {}
+    record TimerFired(long mark) implements Event {}
 
     /** The event loop did not run in this span: nothing was read, written or timed. */
     record LoopDelayed(long from, long until) implements Event {}
 
     /** A probe has ended; the report may be null. */
-    record ProbeEnded(ServerId server, Outcome outcome, Report report) implements Event {}
+    record HealthCheckEnded(ServerId server, Outcome outcome, LoadReport report) implements Event {}
 
     /** Another gateway's message. */
-    record PeerMessage(int from, byte[] bytes) implements Event {}
+    record GossipReceived(int from, byte[] bytes) implements Event {}
 
     /** The gateway is about to leave. */
     record ShutdownBegun() implements Event {}
@@ -60,8 +60,8 @@
     /** How a send ended. Cut off: on the way to a connection, by whom is not known; broken off: after it was sent. */
     enum Outcome {
         ACKED(false, true), ERRORED(false, true), FULL(true, true), TIMED_OUT(false, false),
-        NOT_CONNECTED(true, false), CUT_OFF(true, false), BROKEN_OFF(false, false), CALLED_OFF(false, false), NEVER_SENT(true, false),
-        TURNED_AWAY(true, true);
+        CONNECT_FAILED(true, false), CONNECT_INTERRUPTED(true, false), CONNECTION_LOST(false, false), CANCELLED(false, false), NEVER_SENT(true, false),
+        MISDIRECTED(true, true);
 
         /** True when this proves that the op did not run. */
         public final boolean provesNotRun;
@@ -71,7 +71,7 @@
 
         /** True when the connection was lost or never made. */
         public boolean isOfConnection() {
-            return this == NOT_CONNECTED || this == CUT_OFF || this == BROKEN_OFF;
+            return this == CONNECT_FAILED || this == CONNECT_INTERRUPTED || this == CONNECTION_LOST;
         }
 
         Outcome(boolean provesNotRun, boolean byServer) {
--- a/gateway/src/main/java/ploverdale/model/Listing.java
+++ /dev/null
@@ -1,8 +0,0 @@
-package ploverdale.model;
-
-/** One server in the list of servers. A start time of 0 means long ago. */
-public record Listing(ServerId server, GroupId group, ZoneId zone, Stage stage, boolean primary, long startedAt) {
-
-    /** Where a server stands in its life. */
-    public enum Stage { IN, DRAINING, GONE }
-}
--- a/gateway/src/main/java/ploverdale/model/OpTypeId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestClassId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
 /** Place of an op type in the list told at start. */
-public record OpTypeId(int index) {}
+public record RequestClassId(int index) {}
--- a/gateway/src/main/java/ploverdale/model/OpId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
 /** Names one try of an op, as its client sent it. */
-public record OpId(String text) {}
+public record RequestId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/Pledges.java
+++ b/gateway/src/main/java/ploverdale/model/ServerGuarantees.java
@@ -1,6 +1,6 @@
 package ploverdale.model;
 
 /** Figures of the rules that hold between the operator and its databases. Times in tenths of a millisecond. */
-public record Pledges(
+public record ServerGuarantees(
         double startCapacity, long warmWithin, double overloadMultiple, long overloadWindow,
         boolean removalBinds, long askListWithin) {}
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientSide.java
@@ -24,10 +24,10 @@
 import ploverdale.log.Log;
 import ploverdale.model.GroupId;
 import ploverdale.model.Event;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpTypeId;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClassId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
 import ploverdale.limits.ConnectionLimits;
@@ -67,7 +67,7 @@
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
     interface Past {
-        void arrives(Event.OpArrived op, String key);
+        void arrives(Event.RequestArrived op, String key);
     }
 
     /** An op in hand. */
@@ -97,7 +97,7 @@
 
     /** A command's place in the order of answers. */
     private static final class Slot {
-        private OpId op;
+        private RequestId op;
         private Buffer answer;
         private boolean ends;
     }
@@ -110,7 +110,7 @@
     private final ServerClock time;
     private final long unreadMs;
     private final Traffic traffic = new Traffic(TRAFFIC_FADES_MS);
-    private final Map<OpId, Taken> taken = new HashMap<>();
+    private final Map<RequestId, Taken> taken = new HashMap<>();
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final List<Session> early = new ArrayList<>(); // asked before the module was told what it needs
     private final Map<Integer, Session> byProcess = new HashMap<>(); // by the number that a cancel message names
@@ -135,7 +135,7 @@
         this.settings = settings;
         this.limits = limits;
         unreadMs = Math.max(UNREAD_LEAST_MS,
-                settings.started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10);
+                settings.started().opTypes().stream().mapToLong(RequestClass::opTimeout).max().orElse(0) / 10);
         vertx.setPeriodic(LOOK_MS, x -> look());
     }
 
@@ -162,9 +162,9 @@
         long now = nowMs();
         List<Taken> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
         for (Taken t : overdue) {
-            OpId op = new OpId(t.ask.id());
+            RequestId op = new RequestId(t.ask.id());
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
-            loop.tell(new Event.ClientLeft(op)); // it is answered here
+            loop.tell(new Event.ClientDisconnected(op)); // it is answered here
             errored(op);
         }
     }
@@ -320,12 +320,12 @@
      * read a moment ago, as for a retry, a request that was held, or behind a pause of this process, it is read now.
      */
     boolean waits(Taken t) {
-        OpId op = new OpId(t.ask.id());
+        RequestId op = new RequestId(t.ask.id());
         return taken.get(op) == t && !t.session.leftUnseen() && taken.get(op) == t;
     }
 
     /** The op if it is still in hand. */
-    public Taken taken(OpId op) {
+    public Taken taken(RequestId op) {
         return taken.get(op);
     }
 
@@ -375,22 +375,22 @@
         }
     }
 
-    public void acked(OpId op, ResultRow row) {
+    public void acked(RequestId op, ResultRow row) {
         answer(op, MessageWriter.resultRow(row));
     }
 
     /** The write ran before, under the same id; this is what its client was answered then. */
-    void ranBefore(OpId op, byte[] answer) {
+    void ranBefore(RequestId op, byte[] answer) {
         answer(op, Buffer.buffer(answer));
     }
 
     /** Tells the client that trying again does no harm; after how long, in tenths of a millisecond, or 0. */
-    public void busyReplied(OpId op, long comeBackIn) {
+    public void busyReplied(RequestId op, long comeBackIn) {
         String detail = comeBackIn > 0 ? Long.toString((comeBackIn + 9) / 10) : null;
         answer(op, MessageWriter.errorResponse("53300", "busy, trying again does no harm", detail, false, true));
     }
 
-    public void errored(OpId op) {
+    public void errored(RequestId op) {
         answer(op, MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
     }
 
@@ -411,7 +411,7 @@
         load -= by;
     }
 
-    private void answer(OpId op, Buffer answer) {
+    private void answer(RequestId op, Buffer answer) {
         Taken t = taken.remove(op);
         if (t != null) {
             lighter(t.ask.text().length);
@@ -604,7 +604,7 @@
             for (Slot s : slots) {
                 if (s.op != null && s.answer == null) {
                     lighter(taken.remove(s.op).ask.text().length);
-                    loop.tell(new Event.ClientLeft(s.op));
+                    loop.tell(new Event.ClientDisconnected(s.op));
                     s.answer = MessageWriter.errorResponse(CANCELED.code(), CANCELED.text(), null, false, true);
                 }
             }
@@ -706,7 +706,7 @@
         private void op(ClientMessage.RequestQuery ask, long now) {
             int type = settings.opTypes().indexOf(ask.requestClass());
             int tenant = settings.tenants().isEmpty() ? 0 : settings.tenants().indexOf(ask.tenant());
-            OpId op = new OpId(ask.id());
+            RequestId op = new RequestId(ask.id());
             if (type < 0 || tenant < 0) {
                 bad("22023", type < 0 ? "an unknown op type" : "an unknown tenant", false);
                 return;
@@ -725,10 +725,10 @@
             long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
             taken.put(op, new Taken(ask, this, slot, lastResortMs));
             load += ask.text().length;
-            Needs needs = settings.started().opTypes().get(type).needs();
-            boolean inSession = ask.key() != null && (needs == Needs.WRITE || needs == Needs.SESSION);
+            Consistency needs = settings.started().opTypes().get(type).needs();
+            boolean inSession = ask.key() != null && (needs == Consistency.WRITE || needs == Consistency.SESSION);
             long tokenAge = ask.afterMs() <= 0 ? 0 : time.tokenAge(now, ask.afterMs() * 10); // 0 is the word for none
-            Event.OpArrived arrived = new Event.OpArrived(op, new OpTypeId(type), new TenantId(tenant),
+            Event.RequestArrived arrived = new Event.RequestArrived(op, new RequestClassId(type), new TenantId(tenant),
                     new GroupId(ask.group()), inSession ? new SessionId(ask.key()) : null, timeoutAt, ask.again(), 0, tokenAge);
             if (past == null) {
                 loop.tell(arrived);
@@ -868,7 +868,7 @@
             for (Slot s : slots) {
                 if (s.op != null && s.answer == null) {
                     lighter(taken.remove(s.op).ask.text().length);
-                    loop.tell(new Event.ClientLeft(s.op));
+                    loop.tell(new Event.ClientDisconnected(s.op));
                 }
             }
             slots.clear();
--- a/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import ploverdale.model.GroupId;
-import ploverdale.model.Listing;
+import ploverdale.model.Endpoint;
 import ploverdale.model.ServerId;
 import ploverdale.model.ZoneId;
 import ploverdale.settings.JsonFields;
@@ -32,7 +32,7 @@
     public record ServerList(long revision, boolean whole, List<Entry> entries, List<String> leftOut) {}
 
     /** One entry; a server that is gone may have no address. */
-    public record Entry(Listing listing, InetSocketAddress address) {}
+    public record Entry(Endpoint listing, InetSocketAddress address) {}
 
     /** Reads the file; what is missing or misshapen is named in the exception's one line. */
     public static ConfigurationFile read(Path file) {
@@ -126,18 +126,18 @@
 
     private static Entry entry(JsonFields e, GatewaySettings settings) {
         String id = e.text("id");
-        Listing.Stage stage = switch (e.text("phase")) {
-            case "DRAINING" -> Listing.Stage.DRAINING;
-            case "DELETED" -> Listing.Stage.GONE;
-            case "SERVING" -> Listing.Stage.IN;
+        Endpoint.EndpointState stage = switch (e.text("phase")) {
+            case "DRAINING" -> Endpoint.EndpointState.DRAINING;
+            case "DELETED" -> Endpoint.EndpointState.GONE;
+            case "SERVING" -> Endpoint.EndpointState.IN;
             default -> throw new InvalidSettingsException(id + " with a phase " + e.text("phase"));
         };
         InetSocketAddress address = parse(e.text("host_port", ""));
-        if (address == null && stage != Listing.Stage.GONE) {
+        if (address == null && stage != Endpoint.EndpointState.GONE) {
             throw new InvalidSettingsException(id + " without an address that can be used: " + e.text("host_port", ""));
         }
         int zone = settings.zones().indexOf(e.text("locality", ""));
-        return new Entry(new Listing(new ServerId(id), new GroupId((long) e.number("cell", 0)),
+        return new Entry(new Endpoint(new ServerId(id), new GroupId((long) e.number("cell", 0)),
                 new ZoneId(zone < 0 ? settings.zones().size() : zone), stage, e.text("rank", "").equals("source"),
                 JsonFields.up(e.number("up_since_ms", 0))), address);
     }
--- a/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
+++ b/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
@@ -13,17 +13,17 @@
  * become a {@link ConnectException}, EADDRNOTAVAIL a {@link BindException}, EHOSTUNREACH a {@code NoRouteToHostException}; most
  * others share {@code SocketException} or {@code IOException}, so that only the text tells them apart. Netty adds the address
  * behind the text, keeps the original exception as the cause, and throws a {@link ChannelException} where no socket could be
- * made or set up. A text that is not known here, for instance a translated one, counts as {@link #CUT_OFF}.
+ * made or set up. A text that is not known here, for instance a translated one, counts as {@link #CONNECT_INTERRUPTED}.
  */
 enum ConnectionFailure {
     /** This machine lacked descriptors, ports, buffers, memory or the permission; says nothing about the server. */
     LOCAL(Outcome.NEVER_SENT, true),
     /** No route from here at this moment: the network's fault, perhaps for longer. */
-    NO_ROUTE(Outcome.CUT_OFF, true),
+    NO_ROUTE(Outcome.CONNECT_INTERRUPTED, true),
     /** The server refused the connection, or nothing answered. */
-    REFUSED(Outcome.NOT_CONNECTED, false),
+    REFUSED(Outcome.CONNECT_FAILED, false),
     /** Ended on the way; the server, or the network. */
-    CUT_OFF(Outcome.CUT_OFF, false);
+    CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
     // EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM, EACCES as the C library words them.
     private static final List<String> LOCAL_TEXTS = List.of("Too many open files", "No buffer space available",
@@ -60,7 +60,7 @@
         if (startsWithAny(text, NO_ROUTE_TEXTS)) {
             return NO_ROUTE;
         }
-        return failure instanceof ConnectException ? REFUSED : CUT_OFF;
+        return failure instanceof ConnectException ? REFUSED : CONNECT_INTERRUPTED;
     }
 
     private static boolean startsWithAny(String text, List<String> beginnings) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -27,9 +27,9 @@
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClass;
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.limits.ConnectionLimits;
@@ -250,30 +250,30 @@
         if (list.whole()) {
             starts.keySet().retainAll(list.entries().stream().map(e -> e.listing().server()).collect(Collectors.toSet()));
         }
-        List<Listing> listings = list.entries().stream().map(e -> dated(e.listing())).toList();
+        List<Endpoint> listings = list.entries().stream().map(e -> dated(e.listing())).toList();
         for (ConfigurationFile.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
             }
-            if (e.listing().stage() == Listing.Stage.GONE) {
+            if (e.listing().stage() == Endpoint.EndpointState.GONE) {
                 servers.closeIdle(e.listing().server());
             }
         }
-        loop.tell(new Event.ListTold(list.whole(), false, listings));
+        loop.tell(new Event.EndpointUpdate(list.whole(), false, listings));
     }
 
     /** The listing with its start as service time, the same each time that the same start is listed. */
-    private Listing dated(Listing l) {
+    private Endpoint dated(Endpoint l) {
         Start start = starts.get(l.server());
         if (start == null || start.wall() != l.startedAt()) {
             start = new Start(l.startedAt(), time.start(l.startedAt()));
         }
-        if (l.stage() == Listing.Stage.GONE) {
+        if (l.stage() == Endpoint.EndpointState.GONE) {
             starts.remove(l.server());
         } else {
             starts.put(l.server(), start);
         }
-        return new Listing(l.server(), l.group(), l.zone(), l.stage(), l.primary(), start.serviceTime());
+        return new Endpoint(l.server(), l.group(), l.zone(), l.stage(), l.primary(), start.serviceTime());
     }
 
     private void datedAnew() {
@@ -287,10 +287,10 @@
     }
 
     @Override
-    public void send(Action.Send a) {
+    public void send(Action.StartAttempt a) {
         ClientSide.Taken t = clients.taken(a.op());
         if (t == null) { // its client has gone while the module was deciding
-            loop.tell(new Event.SendEnded(a.op(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
+            loop.tell(new Event.AttemptEnded(a.op(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
             answered(a.op());
             return;
         }
@@ -310,7 +310,7 @@
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
-    private void sendEnded(OpId op, int number, ServerId server, ServerSide.AttemptEnd o) {
+    private void sendEnded(RequestId op, int number, ServerId server, ServerSide.AttemptEnd o) {
         if (past != null) {
             past.sendEnded(op, o.outcome(), o.row() != null);
         }
@@ -320,49 +320,49 @@
             clients.acked(op, o.row());
         }
         boolean settled = o.row() != null || clients.taken(op) == null; // its answer may still wait for copies
-        loop.tell(new Event.SendEnded(op, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
+        loop.tell(new Event.AttemptEnded(op, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
     }
 
     @Override
-    public void callOff(Action.CallOff a) {
+    public void callOff(Action.CancelAttempt a) {
         servers.callOff(a.op());
     }
 
     @Override
-    public void busyReply(Action.BusyReply a) {
+    public void busyReply(Action.RejectRequest a) {
         clients.busyReplied(a.op(), a.comeBackIn());
         answered(a.op());
     }
 
-    private void answered(OpId op) {
+    private void answered(RequestId op) {
         if (past != null) {
             past.over(op);
         }
     }
 
     @Override
-    public void errorReply(Action.ErrorReply a) {
+    public void errorReply(Action.FailRequest a) {
         clients.errored(a.op());
         answered(a.op());
     }
 
     @Override
-    public void probe(Action.Probe a) {
+    public void probe(Action.CheckHealth a) {
         probesOut++;
         servers.probe(a.server(), o -> {
             probesOut--;
             probesEnded++;
-            loop.tell(new Event.ProbeEnded(a.server(), o.outcome(), o.report()));
+            loop.tell(new Event.HealthCheckEnded(a.server(), o.outcome(), o.report()));
         });
     }
 
     @Override
-    public void closeIdle(Action.CloseIdle a) {
+    public void closeIdle(Action.CloseIdleConnections a) {
         servers.closeIdle(a.server());
     }
 
     @Override
-    public void tell(Action.Tell a) {
+    public void tell(Action.SendGossip a) {
         if (peers != null) {
             peers.tell(a);
         }
@@ -383,7 +383,7 @@
 
     /** The same, with its times counted from the signal, which this loop may have come to late. */
     public void endPlanned(long signalNanos, CountDownLatch done) {
-        long longest = file.settings().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
+        long longest = file.settings().started().opTypes().stream().mapToLong(RequestClass::opTimeout).max().orElse(0) / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
         long began = signalNanos / 1_000_000;
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/LogicLoop.java
@@ -20,21 +20,21 @@
 public final class LogicLoop {
     /** Those who carry out actions. */
     public interface Hands {
-        void send(Action.Send send);
+        void send(Action.StartAttempt send);
 
-        void callOff(Action.CallOff callOff);
+        void callOff(Action.CancelAttempt callOff);
 
-        void busyReply(Action.BusyReply reply);
+        void busyReply(Action.RejectRequest reply);
 
-        void errorReply(Action.ErrorReply reply);
+        void errorReply(Action.FailRequest reply);
 
-        void probe(Action.Probe probe);
+        void probe(Action.CheckHealth probe);
 
-        void closeIdle(Action.CloseIdle close);
+        void closeIdle(Action.CloseIdleConnections close);
 
         void followList();
 
-        void tell(Action.Tell tell);
+        void tell(Action.SendGossip tell);
     }
 
     private static final long TICK_MS = 10;
@@ -157,31 +157,31 @@
                 }
             } catch (RuntimeException e) {
                 log.fault("module fault on " + h.getClass().getSimpleName(), e);
-                if (h instanceof Event.OpArrived a) {
-                    hands.errorReply(new Action.ErrorReply(a.op())); // an op taken is answered all the same
+                if (h instanceof Event.RequestArrived a) {
+                    hands.errorReply(new Action.FailRequest(a.op())); // an op taken is answered all the same
                 }
             }
         }
     }
 
     private void act(Action action) {
-        if (action instanceof Action.Send a) {
+        if (action instanceof Action.StartAttempt a) {
             hands.send(a);
-        } else if (action instanceof Action.CallOff a) {
+        } else if (action instanceof Action.CancelAttempt a) {
             hands.callOff(a);
-        } else if (action instanceof Action.BusyReply a) {
+        } else if (action instanceof Action.RejectRequest a) {
             hands.busyReply(a);
-        } else if (action instanceof Action.ErrorReply a) {
+        } else if (action instanceof Action.FailRequest a) {
             hands.errorReply(a);
-        } else if (action instanceof Action.Wake a) {
+        } else if (action instanceof Action.SetTimer a) {
             wakeAt(a);
-        } else if (action instanceof Action.Probe a) {
+        } else if (action instanceof Action.CheckHealth a) {
             hands.probe(a);
-        } else if (action instanceof Action.CloseIdle a) {
+        } else if (action instanceof Action.CloseIdleConnections a) {
             hands.closeIdle(a);
-        } else if (action instanceof Action.FollowList) {
+        } else if (action instanceof Action.WatchEndpoints) {
             hands.followList();
-        } else if (action instanceof Action.Tell a) {
+        } else if (action instanceof Action.SendGossip a) {
             hands.tell(a);
         } else if (action instanceof Action.LogLine a) {
             log.line(a.text());
@@ -189,12 +189,12 @@
     }
 
     /** Guards against timers that count another clock: an early one is set again, since the module asks once. */
-    private void wakeAt(Action.Wake wake) {
+    private void wakeAt(Action.SetTimer wake) {
         vertx.setTimer(Math.max(1, (wake.at() - clock.now() + 9) / 10), x -> {
             if (clock.now() < wake.at()) {
                 wakeAt(wake);
             } else {
-                tell(new Event.WakeUp(wake.mark()));
+                tell(new Event.TimerFired(wake.mark()));
             }
         });
     }
--- a/gateway/src/main/java/ploverdale/net/PeerSide.java
+++ b/gateway/src/main/java/ploverdale/net/PeerSide.java
@@ -117,7 +117,7 @@
             return; // all that it says is dated
         }
         heard = true;
-        loop.tell(new Event.PeerMessage(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
+        loop.tell(new Event.GossipReceived(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
     }
 
     /** Whether any other instance has spoken. */
@@ -135,7 +135,7 @@
         this.time = time;
     }
 
-    void tell(Action.Tell a) {
+    void tell(Action.SendGossip a) {
         if (time == null || time.isKnown()) {
             send(a.peer(), time == null ? a.bytes() : Datagram.redated(a.bytes(), time.offset()));
         }
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicaSide.java
@@ -14,13 +14,13 @@
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.GroupId;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Event.OpArrived;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpType.Repeats;
+import ploverdale.model.Event.RequestArrived;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
+import ploverdale.model.LoadReport;
 import ploverdale.replication.IdempotencyRecord;
 import ploverdale.replication.WriteOutcome;
 import ploverdale.replication.ReplicationSettings;
@@ -46,7 +46,7 @@
 
     /** An op in hand of which something is kept. */
     private static final class InHand {
-        private final OpArrived asked;
+        private final RequestArrived asked;
         private final boolean waits;
         private final long arrivedAt; // on the servers' wall clock
         private IdempotencyRecord claim;
@@ -55,7 +55,7 @@
         private int copies; // not there yet
         private boolean notCopied;
 
-        private InHand(OpArrived asked, boolean waits, long arrivedAt) {
+        private InHand(RequestArrived asked, boolean waits, long arrivedAt) {
             this.arrivedAt = arrivedAt;
             this.asked = asked;
             this.waits = waits;
@@ -72,7 +72,7 @@
     private final Way way;
     private final ServerClock time;
     private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
-    private final Map<OpId, InHand> inHand = new HashMap<>();
+    private final Map<RequestId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker = new HashMap<>(); // by group, the number of the server of the last acked write
 
     ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, GatewaySettings settings, ReplicationSettings keeping, Replicas replicas, Way way,
@@ -126,10 +126,10 @@
     }
 
     @Override
-    public void arrives(OpArrived a, String key) {
-        OpType type = settings.started().opTypes().get(a.type().index());
+    public void arrives(RequestArrived a, String key) {
+        RequestClass type = settings.started().opTypes().get(a.type().index());
         boolean waits = keeping.waits().contains(settings.opTypes().get(a.type().index()));
-        if (keeping.sessions() && type.needs() == Needs.SESSION && key != null) {
+        if (keeping.sessions() && type.needs() == Consistency.SESSION && key != null) {
             long arrived = time.now();
             asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
                 int leads = acker.getOrDefault(a.group(), d.server());
@@ -138,14 +138,14 @@
                 }
                 arrived(a, time.tokenAge(time.now(), d.end() == End.KNOWN ? d.position() : time.toWall(arrived)));
             });
-        } else if (type.needs() == Needs.WRITE) {
+        } else if (type.needs() == Consistency.WRITE) {
             if (!time.isKnown()) {
                 arrivesLater(a, key);
                 return;
             }
             InHand i = new InHand(a, waits, time.wallNow());
             inHand.put(a.op(), i);
-            if (keeping.submits() && type.repeats() != Repeats.RETRYABLE) {
+            if (keeping.submits() && type.repeats() != Idempotence.IDEMPOTENT) {
                 claims(i);
             } else {
                 loop.tell(a);
@@ -156,7 +156,7 @@
     }
 
     /** While the offset of the servers' clock is unknown, what becomes of a write cannot be dated, and so it is not sent. */
-    private void arrivesLater(OpArrived a, String key) {
+    private void arrivesLater(RequestArrived a, String key) {
         if (time.now() + JOIN_AGAIN_MS * MS < a.timeoutAt()) {
             vertx.setTimer(JOIN_AGAIN_MS, x -> {
                 if (clients.taken(a.op()) != null) {
@@ -170,16 +170,16 @@
         }
     }
 
-    private void arrived(OpArrived a, long tokenAge) {
+    private void arrived(RequestArrived a, long tokenAge) {
         if (clients.taken(a.op()) != null) {
-            loop.tell(new OpArrived(a.op(), a.type(), a.tenant(), a.group(), a.session(), a.timeoutAt(), a.again(),
+            loop.tell(new RequestArrived(a.op(), a.type(), a.tenant(), a.group(), a.session(), a.timeoutAt(), a.again(),
                     a.expectedWork(), tokenAge));
         }
     }
 
     /** A write goes on once its claim is granted; one that was submitted before joins what became of that. */
     private void claims(InHand i) {
-        OpId op = i.asked.op();
+        RequestId op = i.asked.op();
         asks((now, to) -> replicas.claims(now, Replicas.key(false, op.text()), !i.asked.again(), i.arrivedAt, to), d -> {
             if (d.end() == End.GRANTED) {
                 i.claim = d.claim();
@@ -209,7 +209,7 @@
     }
 
     /** A send of the op goes out. */
-    void sent(OpId op) {
+    void sent(RequestId op) {
         InHand i = inHand.get(op);
         if (i != null) {
             i.out++;
@@ -217,7 +217,7 @@
     }
 
     /** One has ended; a row, if it brought one, is still to be handed to {@link #acked}. */
-    void sendEnded(OpId op, Outcome outcome, boolean row) {
+    void sendEnded(RequestId op, Outcome outcome, boolean row) {
         InHand i = inHand.get(op);
         if (i != null) {
             i.out--;
@@ -229,7 +229,7 @@
     }
 
     /** The op has its answer, or its client has left: proven not to have run, where that is so. */
-    void over(OpId op) {
+    void over(RequestId op) {
         InHand i = inHand.get(op);
         if (i == null || i.out > 0) {
             return; // the end of what is out may still prove it
@@ -248,7 +248,7 @@
     }
 
     /** A server has acked an op: what is to be known of that is copied, and its client answered, at once or then. */
-    void acked(OpId op, ResultRow row, Report note, ServerId server) {
+    void acked(RequestId op, ResultRow row, LoadReport note, ServerId server) {
         InHand i = inHand.remove(op);
         if (i == null) {
             clients.acked(op, row);
@@ -270,7 +270,7 @@
             clients.acked(op, row);
         }
         if (keeping.sessions() && session != null) {
-            long at = note != null && note.position() != Report.UNTOLD ? time.toWall(note.position()) : time.wallNow();
+            long at = note != null && note.position() != LoadReport.UNKNOWN_TIME ? time.toWall(note.position()) : time.wallNow();
             asks((now, to) -> replicas.wrote(now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
                     d -> copied(i, row, d));
         }
--- a/gateway/src/main/java/ploverdale/net/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/net/ServerClock.java
@@ -3,7 +3,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.clock.WallClockOffset;
 import ploverdale.log.Log;
-import ploverdale.model.Report;
+import ploverdale.model.LoadReport;
 import ploverdale.model.ServerId;
 
 /**
@@ -72,7 +72,7 @@
 
     /** A position as service time; untold while it cannot be dated. */
     long position(long wallPosition) {
-        return wallPosition == Report.UNTOLD || !offset.isKnown() ? Report.UNTOLD : offset.toServiceTime(wallPosition);
+        return wallPosition == LoadReport.UNKNOWN_TIME || !offset.isKnown() ? LoadReport.UNKNOWN_TIME : offset.toServiceTime(wallPosition);
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerSide.java
@@ -21,10 +21,10 @@
 import java.util.function.BooleanSupplier;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.OpId;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.settings.GatewaySettings;
 
@@ -38,7 +38,7 @@
     public enum Reach { NO_CONNECTION, NOT_WRITTEN, IN_DOUBT, WRITTEN }
 
     /** How a send ended. The row is there when it was acked; note and report may be null. */
-    public record AttemptEnd(Outcome outcome, Reach reach, ResultRow row, Report note, Report report, long took) {}
+    public record AttemptEnd(Outcome outcome, Reach reach, ResultRow row, LoadReport note, LoadReport report, long took) {}
 
     /** Hears the outcome of a send or probe, once. */
     public interface Ear {
@@ -71,7 +71,7 @@
     private final ServerClock time;
     private final NetClient net;
     private final Map<ServerId, Server> servers = new HashMap<>();
-    private final Map<OpId, Sending> byOp = new HashMap<>();
+    private final Map<RequestId, Sending> byOp = new HashMap<>();
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
     private final Losses losses = new Losses();
 
@@ -100,7 +100,7 @@
 
     /** One send or probe under way. */
     private final class Sending {
-        private final OpId op;
+        private final RequestId op;
         private final Server server;
         private final BooleanSupplier wanted; // right before it is written
         private final Text text;
@@ -115,7 +115,7 @@
         private boolean lacksLocally; // descriptors, ports or the like kept its connection from being made
         private long silentAfter = -1; // idle time of the connection that this probe was moved from; below 0: it was not
 
-        private Sending(OpId op, Server server, long limit, BooleanSupplier wanted, Text text, Ear ear) {
+        private Sending(RequestId op, Server server, long limit, BooleanSupplier wanted, Text text, Ear ear) {
             this.wanted = wanted;
             this.op = op;
             this.server = server;
@@ -125,7 +125,7 @@
             timer = vertx.setTimer(Math.max(1, (limit + 9) / 10), x -> giveUp(this, Outcome.TIMED_OUT));
         }
 
-        private void end(Outcome outcome, ResultRow row, Report note, Report report) {
+        private void end(Outcome outcome, ResultRow row, LoadReport note, LoadReport report) {
             if (over) {
                 return;
             }
@@ -152,7 +152,7 @@
      * Writes the text to the server on a free connection, or on a new one; the limit is in tenths of a ms. It counts as never
      * sent if it is not wanted any more when its connection is there.
      */
-    public void send(OpId op, ServerId id, long limit, BooleanSupplier wanted, Text text, Ear ear) {
+    public void send(RequestId op, ServerId id, long limit, BooleanSupplier wanted, Text text, Ear ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
         Sending x = new Sending(op, s, limit, wanted, text, ear);
         if (op != null) {
@@ -182,7 +182,7 @@
         x.lacksLocally = s.address != null;
         if (s.address == null || !openAgainLater(s, x)) {
             log.often("no room for a connection", "to server " + s.id.text() + ", " + limits.servers() + " to servers");
-            x.end(unsentOutcome(x, Outcome.NOT_CONNECTED), null, null, null);
+            x.end(unsentOutcome(x, Outcome.CONNECT_FAILED), null, null, null);
         }
     }
 
@@ -296,10 +296,10 @@
     }
 
     /** Stops waiting for the op's send, if one is out. */
-    public void callOff(OpId op) {
+    public void callOff(RequestId op) {
         Sending x = byOp.get(op);
         if (x != null) {
-            giveUp(x, Outcome.CALLED_OFF);
+            giveUp(x, Outcome.CANCELLED);
         }
     }
 
@@ -390,7 +390,7 @@
         }
 
         private void open() {
-            openTimer = vertx.setTimer((settings.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.NOT_CONNECTED));
+            openTimer = vertx.setTimer((settings.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.CONNECT_FAILED));
             net.connect(SocketAddress.inetSocketAddress(address)).onComplete(r -> {
                 if (r.failed()) {
                     connect(r.cause());
@@ -450,7 +450,7 @@
                     up = true;
                     ready = true;
                 } else if (m instanceof ServerMessage.ErrorResponse p) {
-                    lost("refused with " + p.code(), Outcome.NOT_CONNECTED);
+                    lost("refused with " + p.code(), Outcome.CONNECT_FAILED);
                 } else if (!(m instanceof ServerMessage.AuthenticationOk)) {
                     outOfOrder("an answer before any query");
                 }
@@ -554,15 +554,15 @@
             if (x.silentAfter >= 0) {
                 forgotten(server, x.silentAfter);
             }
-            Report note = note();
-            Report report = settings.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
+            LoadReport note = note();
+            LoadReport report = settings.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
             boolean probe = x.op == null;
             if (problem != null) {
                 x.end(outcome(problem.code(), probe), null, note, report);
             } else if (value == null) {
                 x.end(Outcome.ERRORED, null, note, report);
             } else if (probe) {
-                Report asked = settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
+                LoadReport asked = settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
             } else {
                 x.end(Outcome.ACKED, new ResultRow(column, value.bytes(), done.tag()), note, report);
@@ -600,7 +600,7 @@
 
         /** The connection has ended; what was out on it ends with it. */
         private void lost(String why) {
-            lost(why, Outcome.CUT_OFF);
+            lost(why, Outcome.CONNECT_INTERRUPTED);
         }
 
         /** The same; the outcome is that of a send not written whole. */
@@ -626,18 +626,18 @@
                 return;
             }
             boolean written = x.reach == Reach.IN_DOUBT || x.reach == Reach.WRITTEN;
-            x.end(written ? Outcome.BROKEN_OFF : unwritten, null, null, null);
+            x.end(written ? Outcome.CONNECTION_LOST : unwritten, null, null, null);
         }
 
-        private Report note() {
+        private LoadReport note() {
             Role role = role(told.get("rank"));
             double told = number(this.told.get("as_of"));
-            long position = Double.isNaN(told) ? Report.UNTOLD : (long) Math.floor(told) * 10;
-            if (position != Report.UNTOLD) {
+            long position = Double.isNaN(told) ? LoadReport.UNKNOWN_TIME : (long) Math.floor(told) * 10;
+            if (position != LoadReport.UNKNOWN_TIME) {
                 time.heard(server.id, position, writtenAt, role == Role.PRIMARY);
-                position = time.isAhead(position) ? Report.UNTOLD : time.position(position);
+                position = time.isAhead(position) ? LoadReport.UNKNOWN_TIME : time.position(position);
             }
-            return role == Role.UNKNOWN && position == Report.UNTOLD ? null : new Report(role, position);
+            return role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME ? null : new LoadReport(role, position);
         }
     }
 
@@ -645,7 +645,7 @@
         return switch (code) {
             case TURNED_OFF -> Outcome.FULL;
             case "57P03" -> probe ? Outcome.FULL : Outcome.ERRORED;
-            case "25006", "72000" -> Outcome.TURNED_AWAY;
+            case "25006", "72000" -> Outcome.MISDIRECTED;
             default -> Outcome.ERRORED;
         };
     }
@@ -658,7 +658,7 @@
      * A load report as text, its positions in Unix seconds. Guards against reports that would mislead: one that is in any
      * part misshapen, of the future, or from before the server made its first counts as not told.
      */
-    private Report report(ServerId server, String text, long writtenAt) {
+    private LoadReport report(ServerId server, String text, long writtenAt) {
         if (text == null) {
             return null;
         }
@@ -676,13 +676,13 @@
         if (position != null && position <= 0 || role != null && role != 0 && role != 1) {
             return null;
         }
-        Report told = GatewaySettings.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
+        LoadReport told = GatewaySettings.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
         if (position == null) {
             return told;
         }
         time.heard(server, told.position(), writtenAt, false); // made some time ago, by a primary too
         return time.isAhead(told.position()) ? null
-                : new Report(told.role(), time.position(told.position()), told.busy());
+                : new LoadReport(told.role(), time.position(told.position()), told.busy());
     }
 
     private static String text(byte[] bytes) {
--- a/gateway/src/main/java/ploverdale/net/WarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUp.java
@@ -27,7 +27,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.GroupId;
-import ploverdale.model.Listing;
+import ploverdale.model.Endpoint;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.ZoneId;
@@ -82,8 +82,8 @@
             return listen(this::serve).compose(server -> listen(s -> list(s, server)).compose(list -> {
                 List<ConfigurationFile.Entry> made = new ArrayList<>();
                 for (String name : List.of("a", "b", "c")) {
-                    made.add(new ConfigurationFile.Entry(new Listing(new ServerId(name), new GroupId(0), new ZoneId(0),
-                            Listing.Stage.IN, true, 0), server));
+                    made.add(new ConfigurationFile.Entry(new Endpoint(new ServerId(name), new GroupId(0), new ZoneId(0),
+                            Endpoint.EndpointState.IN, true, 0), server));
                 }
                 return Gateway.unpractised(vertx, context, nowhere, new ConfigurationFile("practice", at(0), list, file.seed(),
                         file.sockets(), file.settings(), new ConfigurationFile.ServerList(0, true, made, List.of()), null, List.of()), clock);
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
@@ -3,7 +3,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import ploverdale.state.Member;
+import ploverdale.state.ServerState;
 
 /**
  * Servers that wait for a health check which nobody else asks for: those just listed, and those whose last check told nothing.
@@ -16,16 +16,16 @@
      */
     public static final int IN_FLIGHT_MOST = 128;
 
-    private final Set<Member> waiting = new LinkedHashSet<>();
+    private final Set<ServerState> waiting = new LinkedHashSet<>();
     private int inFlight;
 
     /** Has a server checked when its turn comes; one that waits already keeps its place. */
-    public void add(Member server) {
+    public void add(ServerState server) {
         waiting.add(server);
     }
 
     /** A check of this server was sent, from this queue or otherwise. */
-    public void sent(Member server) {
+    public void sent(ServerState server) {
         waiting.remove(server);
         inFlight++;
     }
@@ -36,12 +36,12 @@
     }
 
     /** Takes the server to be checked next, or null where none waits or enough checks are out. */
-    public Member next() {
+    public ServerState next() {
         if (waiting.isEmpty() || inFlight >= IN_FLIGHT_MOST) {
             return null;
         }
-        Iterator<Member> first = waiting.iterator();
-        Member server = first.next();
+        Iterator<ServerState> first = waiting.iterator();
+        ServerState server = first.next();
         first.remove();
         return server;
     }
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -4,8 +4,8 @@
 import java.util.Collection;
 import java.util.Deque;
 import java.util.Iterator;
-import ploverdale.state.Member;
-import ploverdale.state.Op;
+import ploverdale.state.ServerState;
+import ploverdale.state.PendingRequest;
 
 /**
  * Local health awareness (as Lifeguard has it for SWIM) with a limited self-preservation (as Eureka has it): tells which time
@@ -86,7 +86,7 @@
      * Takes note that a server has not answered since then; true where nearly all others have not, either, which then explains
      * that span.
      */
-    public boolean commonSilence(long now, Member silent, long since, Collection<Member> all) {
+    public boolean commonSilence(long now, ServerState silent, long since, Collection<ServerState> all) {
         if (!nearlyAllSilent(now, silent, since, all)) {
             return false;
         }
@@ -110,13 +110,13 @@
      * Looks for a common silence while it is short, before any single server is suspected, so that those that answer last after
      * it are not judged by it. To be called often.
      */
-    public void observe(long now, Collection<Member> all) {
+    public void observe(long now, Collection<ServerState> all) {
         if (!episodeOver && mostAnsweredSince(lastSign, all)) {
             episodeOver = true;
         }
         int others = 0;
         int silent = 0;
-        for (Member m : all) {
+        for (ServerState m : all) {
             if (m.isPromising()) {
                 others++;
                 silent += answersAreMissing(m, now) ? 1 : 0;
@@ -127,17 +127,17 @@
         }
     }
 
-    private static boolean mostAnsweredSince(long time, Collection<Member> all) {
-        long others = all.stream().filter(Member::isPromising).count();
+    private static boolean mostAnsweredSince(long time, Collection<ServerState> all) {
+        long others = all.stream().filter(ServerState::isPromising).count();
         return 2 * all.stream().filter(m -> m.isPromising() && m.respondedAt > time).count() > others;
     }
 
-    private static boolean answersAreMissing(Member m, long now) {
+    private static boolean answersAreMissing(ServerState m, long now) {
         if (m.out.isEmpty() || now - m.respondedAt < NOTICED_AFTER) {
             return false;
         }
         double missing = 0;
-        for (Op op : m.out.values()) {
+        for (PendingRequest op : m.out.values()) {
             long waited = now - Math.max(op.sentAt, m.respondedAt);
             missing += waited / (op.pace.usual * Math.max(1, m.stretch));
         }
@@ -149,10 +149,10 @@
         return !explained.isEmpty() && now - explained.getLast().until < EPISODES_APART;
     }
 
-    private static boolean nearlyAllSilent(long now, Member silent, long since, Collection<Member> all) {
+    private static boolean nearlyAllSilent(long now, ServerState silent, long since, Collection<ServerState> all) {
         int others = 0;
         int unanswered = 0;
-        for (Member m : all) {
+        for (ServerState m : all) {
             if (m == silent || !m.isIn() || m.silent) {
                 continue;
             }
@@ -168,12 +168,12 @@
     }
 
     /** No answer since then, to a check or a request that waits for half of that time or was given up in it. */
-    private static boolean unansweredSince(Member m, long since, long now) {
+    private static boolean unansweredSince(ServerState m, long since, long now) {
         if (m.respondedAt >= since) {
             return false;
         }
         long overdue = now - (now - since) / 2;
-        Iterator<Op> oldest = m.out.values().iterator();
+        Iterator<PendingRequest> oldest = m.out.values().iterator();
         return m.checkMissedAt >= since
                 || m.probeOut && m.probedAt <= overdue
                 || oldest.hasNext() && oldest.next().sentAt <= overdue;
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -2,9 +2,9 @@
 
 import java.util.Collection;
 import java.util.random.RandomGenerator;
-import ploverdale.model.Pledges;
-import ploverdale.model.Report;
-import ploverdale.state.Member;
+import ploverdale.model.ServerGuarantees;
+import ploverdale.model.LoadReport;
+import ploverdale.state.ServerState;
 
 /**
  * Slow start: limits what this gateway sends a recovering server, so that all gateways together stay within what the contract
@@ -23,7 +23,7 @@
     private static final double UNAGREED = 24; // requests a window and server, over all gateways, where none are agreed
     private static final double UPDATES_PER_WINDOW = 50; // of what peers take, which changes over a window
 
-    private final Pledges contract;
+    private final ServerGuarantees contract;
     private final int gateways;
     private final double agreedPerWindow;
     private final RandomGenerator random;
@@ -31,13 +31,13 @@
     private int mostServers = 1;
     private double workOfPeers;
     private boolean warmPeers;
-    private long workOfPeersAt = Report.UNTOLD;
+    private long workOfPeersAt = LoadReport.UNKNOWN_TIME;
 
     /**
      * @param gateways that share the servers
      * @param requestsPerWindow of all tenants at all servers, as agreed, in the contract's overload window
      */
-    public SlowStart(Pledges contract, int gateways, double requestsPerWindow, RandomGenerator random) {
+    public SlowStart(ServerGuarantees contract, int gateways, double requestsPerWindow, RandomGenerator random) {
         this.contract = contract;
         this.gateways = gateways;
         this.agreedPerWindow = requestsPerWindow;
@@ -45,7 +45,7 @@
     }
 
     /** The part of its capacity that a server has by the contract, from its start capacity up to 1. */
-    public double warmth(Member server, long now) {
+    public double warmth(ServerState server, long now) {
         double share = Math.max(0, (now - server.coldSince) / (double) Math.max(1, contract.warmWithin()));
         return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
     }
@@ -58,7 +58,7 @@
      * @param meanWork of a request
      * @param servers all that are known
      */
-    public boolean admits(Member server, double work, double meanWork, Collection<Member> servers, long now) {
+    public boolean admits(ServerState server, double work, double meanWork, Collection<ServerState> servers, long now) {
         if (warmth(server, now) >= 1) {
             return true;
         }
@@ -72,23 +72,23 @@
         return full >= work ? server.coldCredit >= work : drawsLot(server, work, now);
     }
 
-    private void refill(Member server, double perWindow, double full, long now) {
+    private void refill(ServerState server, double perWindow, double full, long now) {
         if (server.coldCreditAt < server.coldSince) {
             server.coldCredit = Math.min(0, server.coldCredit);
         }
-        server.coldLotUntil = Report.UNTOLD; // not used in time: back to what the bucket holds
+        server.coldLotUntil = LoadReport.UNKNOWN_TIME; // not used in time: back to what the bucket holds
         double windows = (now - Math.max(server.coldSince, server.coldCreditAt)) / (double) window();
         server.coldCredit = Math.min(full, server.coldCredit + perWindow * Math.max(0, windows));
         server.coldCreditAt = now;
     }
 
-    private boolean drawsLot(Member server, double work, long now) {
+    private boolean drawsLot(ServerState server, double work, long now) {
         if (server.coldCredit <= 0) {
             return false;
         }
         boolean won = random.nextDouble() < server.coldCredit / work;
         server.coldCredit = won ? work : 0;
-        server.coldLotUntil = won ? now + (long) (LOT_LASTS * window()) : Report.UNTOLD;
+        server.coldLotUntil = won ? now + (long) (LOT_LASTS * window()) : LoadReport.UNKNOWN_TIME;
         return won;
     }
 
@@ -98,7 +98,7 @@
      * gateways, a share of the equal part of the agreed traffic, for which the servers are taken to be enough. Without a warm
      * peer there is only the equal part.
      */
-    private double refillPerWindow(Member server, double meanWork, Collection<Member> servers, long now) {
+    private double refillPerWindow(ServerState server, double meanWork, Collection<ServerState> servers, long now) {
         measurePeers(servers, now);
         double equalPart = agreedPerServer() * meanWork / gateways;
         double part = warmPeers ? Math.max(workOfPeers, AGREED_SHARE * equalPart) : equalPart;
@@ -111,12 +111,12 @@
     }
 
     /** What the rule allows beyond the budget of a window, for chance, in requests: less of it, the larger the budget. */
-    private double slack(Member server, long now) {
+    private double slack(ServerState server, long now) {
         double budget = contract.overloadMultiple() * warmth(server, now) * agreedPerServer();
         return budget < 30 ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
     }
 
-    private void measurePeers(Collection<Member> servers, long now) {
+    private void measurePeers(Collection<ServerState> servers, long now) {
         if (now - workOfPeersAt < window() / UPDATES_PER_WINDOW) {
             return;
         }
@@ -124,7 +124,7 @@
         int listed = 0;
         int warm = 0;
         double sum = 0;
-        for (Member server : servers) {
+        for (ServerState server : servers) {
             listed += server.isIn() ? 1 : 0;
             if (server.isIn() && !server.silent && warmth(server, now) >= 1) {
                 warm++;
@@ -137,28 +137,28 @@
     }
 
     /** The work that the server has answered in the last window, with older answers fading out. */
-    public double recentWork(Member server, long now) {
+    public double recentWork(ServerState server, long now) {
         server.takenWork *= Math.exp(-(now - server.takenWorkAt) / (double) window());
         server.takenWorkAt = now;
         return server.takenWork;
     }
 
     /** An attempt goes to the server, first or further. */
-    public void attempted(Member server, double work, long now) {
+    public void attempted(ServerState server, double work, long now) {
         charge(server, work, now);
-        if (server.coldLotUntil != Report.UNTOLD) {
-            server.coldLotUntil = Report.UNTOLD;
+        if (server.coldLotUntil != LoadReport.UNKNOWN_TIME) {
+            server.coldLotUntil = LoadReport.UNKNOWN_TIME;
             server.coldCreditAt = now;
         }
     }
 
     /** A health check was answered. None takes more work than the shortest one took time. */
-    public void probeAnswered(Member server, long took, long now) {
+    public void probeAnswered(ServerState server, long took, long now) {
         shortestProbe = Math.min(shortestProbe, took);
         charge(server, shortestProbe, now);
     }
 
-    private void charge(Member server, double work, long now) {
+    private void charge(ServerState server, double work, long now) {
         if (warmth(server, now) < 1) {
             server.coldCredit -= work;
         }
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
-import ploverdale.model.OpType;
-import ploverdale.model.Permits;
-import ploverdale.model.Pledges;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.RequestClass;
+import ploverdale.model.Capabilities;
+import ploverdale.model.ServerGuarantees;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.Tenant;
 
 /**
@@ -93,9 +93,9 @@
     }
 
     /** A load report, its values named; an absent one is null. Positions are counted from a zero. */
-    public static Report report(Double position, Double role, Double busy, double zeroMs) {
-        return new Report(role == null ? Role.UNKNOWN : role.intValue() == 1 ? Role.PRIMARY : Role.REPLICA,
-                position == null ? Report.UNTOLD : JsonFields.down(zeroMs + position * 1000),
+    public static LoadReport report(Double position, Double role, Double busy, double zeroMs) {
+        return new LoadReport(role == null ? Role.UNKNOWN : role.intValue() == 1 ? Role.PRIMARY : Role.REPLICA,
+                position == null ? LoadReport.UNKNOWN_TIME : JsonFields.down(zeroMs + position * 1000),
                 busy == null ? Double.NaN : busy);
     }
 
@@ -110,12 +110,12 @@
     private static Event.Started started(long seed, JsonFields all, JsonFields special) {
         List<Object> needs = special.list("classRead");
         List<Object> bounds = special.list("oldestDataMs");
-        List<OpType> types = new ArrayList<>();
+        List<RequestClass> types = new ArrayList<>();
         for (Object p : all.list("profiles")) {
             JsonFields f = JsonFields.of("profiles", p);
             int i = types.size();
             long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? JsonFields.down(n.doubleValue()) : 0;
-            types.add(new OpType(JsonFields.down(f.number("aimMs")), f.number("aimStretch", 0),
+            types.add(new RequestClass(JsonFields.down(f.number("aimMs")), f.number("aimStretch", 0),
                     JsonFields.down(f.number("deadlineMs")), repeats(f.text("effect", "once")),
                     scope(f.text("dedupScope", "cell")), JsonFields.down(f.number("dedupWindowMs", 0)),
                     f.number("worth", 1), f.number("lateShare", 0), f.mark("stream"),
@@ -126,11 +126,11 @@
             tenants.add(new Tenant(JsonFields.of("accounts", a).number("quotaPerS", 0)));
         }
         JsonFields rules = all.object("contract");
-        Pledges pledges = new Pledges(rules.number("startCapacity", 0), JsonFields.up(rules.number("coldMs", 0)),
+        ServerGuarantees pledges = new ServerGuarantees(rules.number("startCapacity", 0), JsonFields.up(rules.number("coldMs", 0)),
                 rules.number("overloadFactor", 1), JsonFields.up(rules.number("overloadForMs", 0)),
                 !rules.mark("removalNotBinding"), JsonFields.down(rules.number("mustAskInMs", 0)));
         JsonFields limits = all.object("policyLimits");
-        Permits permits = new Permits((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
+        Capabilities permits = new Capabilities((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
                 limits.mark("retryAfter"), JsonFields.down(limits.number("maxRetryAfterMs", 0)),
                 limits.mark("peerMessages"));
         ReplicaGuarantees copies = new ReplicaGuarantees(checks(special.text("checks", "silent")),
@@ -140,29 +140,29 @@
                 all.text("discovery", "").equals("subscribe"), (int) all.whole("selfIndex", 0));
     }
 
-    private static OpType.Repeats repeats(String word) {
+    private static RequestClass.Idempotence repeats(String word) {
         return switch (word) {
-            case "repeatable" -> OpType.Repeats.RETRYABLE;
-            case "by_key" -> OpType.Repeats.TOKENED;
-            default -> OpType.Repeats.NON_RETRYABLE;
+            case "repeatable" -> RequestClass.Idempotence.IDEMPOTENT;
+            case "by_key" -> RequestClass.Idempotence.WITH_IDEMPOTENCY_KEY;
+            default -> RequestClass.Idempotence.NOT_IDEMPOTENT;
         };
     }
 
-    private static OpType.Scope scope(String word) {
+    private static RequestClass.Scope scope(String word) {
         return switch (word) {
-            case "all" -> OpType.Scope.ALL;
-            case "zone" -> OpType.Scope.ZONE;
-            default -> OpType.Scope.GROUP;
+            case "all" -> RequestClass.Scope.ALL;
+            case "zone" -> RequestClass.Scope.ZONE;
+            default -> RequestClass.Scope.GROUP;
         };
     }
 
-    private static OpType.Needs needs(String word) {
+    private static RequestClass.Consistency needs(String word) {
         return switch (word) {
-            case "strong" -> OpType.Needs.FRESH;
-            case "causal" -> OpType.Needs.SESSION;
-            case "lag_bound" -> OpType.Needs.BOUNDED;
-            case "eventual" -> OpType.Needs.UNBOUNDED;
-            default -> OpType.Needs.WRITE;
+            case "strong" -> RequestClass.Consistency.FRESH;
+            case "causal" -> RequestClass.Consistency.SESSION;
+            case "lag_bound" -> RequestClass.Consistency.BOUNDED;
+            case "eventual" -> RequestClass.Consistency.UNBOUNDED;
+            default -> RequestClass.Consistency.WRITE;
         };
     }
 
--- a/gateway/src/main/java/ploverdale/state/Op.java
+++ b/gateway/src/main/java/ploverdale/state/PendingRequest.java
@@ -1,20 +1,20 @@
 package ploverdale.state;
 
-import ploverdale.model.Event.OpArrived;
-import ploverdale.model.OpType;
+import ploverdale.model.Event.RequestArrived;
+import ploverdale.model.RequestClass;
 
 /** All that this gateway holds about one op. Times in tenths of a millisecond. */
-public final class Op {
-    public final OpArrived asked;
-    public final OpType type;
-    public final Pace pace;
+public final class PendingRequest {
+    public final RequestArrived asked;
+    public final RequestClass type;
+    public final LatencyEstimate pace;
     public final long arrivedAt;
     public final long targetAt;
     public long needPosition;
     public boolean beyondShare;
 
     public int sends;
-    public Member at;
+    public ServerState at;
     public int sendOut = -1;
     public long sentAt;
     public boolean cold; // the server, when it was sent there
@@ -22,9 +22,9 @@
     public boolean hasEarlyTimeout; // the attempt that is out, so that a retry is in time
     public boolean mayHaveRun;
     public long repeatUntil = Long.MAX_VALUE;
-    public Member firstMaybeServer;
+    public ServerState firstMaybeServer;
 
-    public Op(OpArrived asked, OpType type, Pace pace, long arrivedAt, long targetAt) {
+    public PendingRequest(RequestArrived asked, RequestClass type, LatencyEstimate pace, long arrivedAt, long targetAt) {
         this.asked = asked;
         this.type = type;
         this.pace = pace;
--- a/gateway/src/main/java/ploverdale/state/SessionWrites.java
+++ b/gateway/src/main/java/ploverdale/state/SessionWrites.java
@@ -4,13 +4,13 @@
 import java.util.HashMap;
 import java.util.Map;
 import ploverdale.model.SessionId;
-import ploverdale.model.Report;
+import ploverdale.model.LoadReport;
 
 /** The last write of each session; past the most kept, all are folded into one floor. Times in tenths of a ms. */
 public final class SessionWrites {
     private final int most;
     private final Map<SessionId, Long> last = new HashMap<>();
-    private long floor = Report.UNTOLD;
+    private long floor = LoadReport.UNKNOWN_TIME;
 
     public SessionWrites(int most) {
         this.most = most;
--- a/gateway/src/test/java/ploverdale/ClockOffsetInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/ClockOffsetInLogicTest.java
@@ -7,10 +7,10 @@
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Listing.Stage;
-import ploverdale.model.OpId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.Endpoint.EndpointState;
+import ploverdale.model.RequestId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
 /** What the decisions make of a servers' clock whose offset turns out to be another. */
@@ -29,7 +29,7 @@
     void positionsToldBeforeCountAsTooStaleUntilTheyAreToldAgain() {
         host.probed("r1", Role.REPLICA, host.nowMs);
         offsetChanges(host, Map.of());
-        OpId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(FakeHost.VIEW);
         assertThat(host.sends(read)).doesNotContain("r1", "r2");
         host.nowMs += 200;
         host.probed("r1", Role.REPLICA, host.nowMs - 100);
@@ -48,8 +48,8 @@
         FakeHost h = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
         h.list(true, "p", "r1");
         h.levelled("p", "r1");
-        OpId write = h.ask(FakeHost.SUBMIT, "s", 0);
-        h.ends(write, 0, "p", Outcome.ACKED, new Report(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
+        RequestId write = h.ask(FakeHost.SUBMIT, "s", 0);
+        h.ends(write, 0, "p", Outcome.ACKED, new LoadReport(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
         offsetChanges(h, Map.of());
         h.nowMs += 200;
         h.probed("r1", Role.REPLICA, h.nowMs - 300);
@@ -60,7 +60,7 @@
 
     @Test
     void aServerWhoseStartWasDatedTooLateIsWarmOnceItIsDatedAnew() {
-        host.listed("r1", Stage.IN, host.nowMs);
+        host.listed("r1", EndpointState.IN, host.nowMs);
         offsetChanges(host, Map.of("r1", host.nowMs - HOUR_MS));
         host.probed("r1", Role.REPLICA, host.nowMs);
         int at = 0;
@@ -72,7 +72,7 @@
 
     @Test
     void aServerThatIsColdStaysColdWhenItsStartIsDatedAsBefore() {
-        host.listed("r1", Stage.IN, host.nowMs);
+        host.listed("r1", EndpointState.IN, host.nowMs);
         offsetChanges(host, Map.of("r1", host.nowMs));
         host.probed("r1", Role.REPLICA, host.nowMs);
         int at = 0;
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ploverdale.model.Listing.Stage;
+import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.settings.InvalidSettingsException;
 
@@ -41,7 +41,7 @@
         assertThat(a.address().getPort()).isEqualTo(7100);
         assertThat(a.listing().zone().number()).isEqualTo(1);
         assertThat(a.listing().startedAt()).isEqualTo(120);
-        assertThat(f.known().entries().get(1).listing().stage()).isEqualTo(Stage.GONE);
+        assertThat(f.known().entries().get(1).listing().stage()).isEqualTo(EndpointState.GONE);
         assertThat(f.known().leftOut()).hasSize(2);
         assertThat(f.known().leftOut().get(0)).contains("b").contains("db.example");
     }
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -40,18 +40,18 @@
 import ploverdale.model.GroupId;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpType.Repeats;
-import ploverdale.model.OpTypeId;
-import ploverdale.model.Permits;
-import ploverdale.model.Pledges;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.Capabilities;
+import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
@@ -66,7 +66,7 @@
     static final int VIEW = 0;
     static final int HISTORY = 1;
     static final int SUBMIT = 2;
-    static final int TOKENED = 3;
+    static final int WITH_IDEMPOTENCY_KEY = 3;
     static final int SESSION = 4;
     static final int FRESH = 5;
     static final int SCAN = 6;
@@ -90,21 +90,21 @@
     }
 
     private FakeHost(ReplicaGuarantees.StalenessCheck checks, boolean tokensCarried, boolean removalBinds, int gateways, boolean talks) {
-        List<OpType> types = List.of(type(Repeats.RETRYABLE, Needs.BOUNDED, 0), type(Repeats.RETRYABLE, Needs.UNBOUNDED, 0),
-                type(Repeats.NON_RETRYABLE, Needs.WRITE, 0.5), type(Repeats.TOKENED, Needs.WRITE, 0.7),
-                type(Repeats.RETRYABLE, Needs.SESSION, 0), type(Repeats.RETRYABLE, Needs.FRESH, 0),
-                type(20_000, Repeats.RETRYABLE, Needs.UNBOUNDED, 0));
+        List<RequestClass> types = List.of(type(Idempotence.IDEMPOTENT, Consistency.BOUNDED, 0), type(Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0),
+                type(Idempotence.NOT_IDEMPOTENT, Consistency.WRITE, 0.5), type(Idempotence.WITH_IDEMPOTENCY_KEY, Consistency.WRITE, 0.7),
+                type(Idempotence.IDEMPOTENT, Consistency.SESSION, 0), type(Idempotence.IDEMPOTENT, Consistency.FRESH, 0),
+                type(20_000, Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0));
         tell(new Event.Started(6 + gateways, gateways, types, List.of(new Tenant(100)), 0.05,
-                new Pledges(0.2, 160_000, 2.5, 10_000, removalBinds, 0), new Permits(6, true, true, true, 10_000, talks),
+                new ServerGuarantees(0.2, 160_000, 2.5, 10_000, removalBinds, 0), new Capabilities(6, true, true, true, 10_000, talks),
                 new ReplicaGuarantees(checks, 500, tokensCarried), false, 0));
     }
 
-    private static OpType type(Repeats repeats, Needs needs, double late) {
+    private static RequestClass type(Idempotence repeats, Consistency needs, double late) {
         return type(5000, repeats, needs, late);
     }
 
-    private static OpType type(long target, Repeats repeats, Needs needs, double late) {
-        return new OpType(target, 0, 30_000, repeats, OpType.Scope.GROUP, 20_000, needs == Needs.WRITE ? 6 : 2, late,
+    private static RequestClass type(long target, Idempotence repeats, Consistency needs, double late) {
+        return new RequestClass(target, 0, 30_000, repeats, RequestClass.Scope.GROUP, 20_000, needs == Consistency.WRITE ? 6 : 2, late,
                 false, needs, 5000);
     }
 
@@ -139,73 +139,73 @@
     }
 
     void list(boolean whole, String... servers) {
-        List<Listing> rows = new ArrayList<>();
+        List<Endpoint> rows = new ArrayList<>();
         for (String s : servers) {
-            rows.add(row(s, Listing.Stage.IN, 0));
+            rows.add(row(s, Endpoint.EndpointState.IN, 0));
         }
-        tell(new Event.ListTold(whole, false, rows));
+        tell(new Event.EndpointUpdate(whole, false, rows));
     }
 
-    void listed(String server, Listing.Stage stage, long startedMs) {
-        tell(new Event.ListTold(false, false, List.of(row(server, stage, startedMs))));
+    void listed(String server, Endpoint.EndpointState stage, long startedMs) {
+        tell(new Event.EndpointUpdate(false, false, List.of(row(server, stage, startedMs))));
     }
 
-    private static Listing row(String server, Listing.Stage stage, long startedMs) {
-        return new Listing(new ServerId(server), new GroupId(1), new ZoneId(0), stage, server.equals("p"), startedMs * 10);
+    private static Endpoint row(String server, Endpoint.EndpointState stage, long startedMs) {
+        return new Endpoint(new ServerId(server), new GroupId(1), new ZoneId(0), stage, server.equals("p"), startedMs * 10);
     }
 
     /** Moves the clock, looking round every 20 ms as the module asked to. */
     void pass(long ms) {
         for (long end = nowMs + ms; nowMs < end; ) {
             nowMs = Math.min(end, nowMs + 20);
-            tell(new Event.WakeUp(0));
+            tell(new Event.TimerFired(0));
         }
     }
 
     void probed(String server, Role role, long positionMs) {
-        tell(new Event.ProbeEnded(new ServerId(server), Outcome.ACKED, new Report(role, positionMs * 10)));
+        tell(new Event.HealthCheckEnded(new ServerId(server), Outcome.ACKED, new LoadReport(role, positionMs * 10)));
     }
 
     void unanswered(String server) {
-        tell(new Event.ProbeEnded(new ServerId(server), Outcome.TIMED_OUT, null));
+        tell(new Event.HealthCheckEnded(new ServerId(server), Outcome.TIMED_OUT, null));
     }
 
-    OpId ask(int type) {
+    RequestId ask(int type) {
         return ask(type, null, 0);
     }
 
-    OpId ask(int type, String session, long tokenAgeMs) {
-        OpId op = new OpId("op" + names++);
-        tell(new Event.OpArrived(op, new OpTypeId(type), new TenantId(0), new GroupId(1),
+    RequestId ask(int type, String session, long tokenAgeMs) {
+        RequestId op = new RequestId("op" + names++);
+        tell(new Event.RequestArrived(op, new RequestClassId(type), new TenantId(0), new GroupId(1),
                 session == null ? null : new SessionId(session), nowMs * 10 + 30_000, false, 0, tokenAgeMs * 10));
         return op;
     }
 
-    void ends(OpId op, int send, String server, Outcome outcome, Report note) {
+    void ends(RequestId op, int send, String server, Outcome outcome, LoadReport note) {
         boolean settled = outcome == Outcome.ACKED;
-        tell(new Event.SendEnded(op, send, new ServerId(server), outcome, 1000, settled, note, null));
+        tell(new Event.AttemptEnded(op, send, new ServerId(server), outcome, 1000, settled, note, null));
     }
 
     /** Servers the op was sent to, in order. */
-    List<String> sends(OpId op) {
-        return acts.stream().filter(a -> a instanceof Action.Send s && s.op().equals(op))
-                .map(a -> ((Action.Send) a).server().text()).toList();
+    List<String> sends(RequestId op) {
+        return acts.stream().filter(a -> a instanceof Action.StartAttempt s && s.op().equals(op))
+                .map(a -> ((Action.StartAttempt) a).server().text()).toList();
     }
 
-    long busyReplies(OpId op) {
-        return acts.stream().filter(a -> a instanceof Action.BusyReply b && b.op().equals(op)).count();
+    long busyReplies(RequestId op) {
+        return acts.stream().filter(a -> a instanceof Action.RejectRequest b && b.op().equals(op)).count();
     }
 
-    long errorReplies(OpId op) {
-        return acts.stream().filter(a -> a instanceof Action.ErrorReply b && b.op().equals(op)).count();
+    long errorReplies(RequestId op) {
+        return acts.stream().filter(a -> a instanceof Action.FailRequest b && b.op().equals(op)).count();
     }
 
-    boolean calledOff(OpId op) {
-        return acts.stream().anyMatch(a -> a instanceof Action.CallOff c && c.op().equals(op));
+    boolean calledOff(RequestId op) {
+        return acts.stream().anyMatch(a -> a instanceof Action.CancelAttempt c && c.op().equals(op));
     }
 
     long probes(String server) {
-        return acts.stream().filter(a -> a instanceof Action.Probe p && p.server().text().equals(server)).count();
+        return acts.stream().filter(a -> a instanceof Action.CheckHealth p && p.server().text().equals(server)).count();
     }
 
     boolean logged(String part) {
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -59,28 +59,28 @@
     /** Takes every action of the router and carries none out, as if its answers were lost. */
     private static final class LosesActions implements LogicLoop.Hands {
         @Override
-        public void send(Action.Send send) {}
+        public void send(Action.StartAttempt send) {}
 
         @Override
-        public void callOff(Action.CallOff callOff) {}
+        public void callOff(Action.CancelAttempt callOff) {}
 
         @Override
-        public void busyReply(Action.BusyReply reply) {}
+        public void busyReply(Action.RejectRequest reply) {}
 
         @Override
-        public void errorReply(Action.ErrorReply reply) {}
+        public void errorReply(Action.FailRequest reply) {}
 
         @Override
-        public void probe(Action.Probe probe) {}
+        public void probe(Action.CheckHealth probe) {}
 
         @Override
-        public void closeIdle(Action.CloseIdle close) {}
+        public void closeIdle(Action.CloseIdleConnections close) {}
 
         @Override
         public void followList() {}
 
         @Override
-        public void tell(Action.Tell tell) {}
+        public void tell(Action.SendGossip tell) {}
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -11,31 +11,31 @@
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.OpId;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /** What the module makes of words of other gateways. */
 class GossipInRouterTest {
     private final FakeHost host = FakeHost.talking(3);
 
     private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
-        return new ServerObservation(role, at(roleMs), at(positionMs), at(positionMs), at(aliveMs), at(silentMs), Report.UNTOLD,
-                Report.UNTOLD);
+        return new ServerObservation(role, at(roleMs), at(positionMs), at(positionMs), at(aliveMs), at(silentMs), LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     private static long at(long ms) {
-        return ms < 0 ? Report.UNTOLD : ms * 10;
+        return ms < 0 ? LoadReport.UNKNOWN_TIME : ms * 10;
     }
 
     private void told(int from, String server, ServerObservation w) {
-        host.tell(new Event.PeerMessage(from, new Datagram(Kind.TELLS, host.nowMs * 10,
+        host.tell(new Event.GossipReceived(from, new Datagram(Kind.TELLS, host.nowMs * 10,
                 Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
     }
 
-    private List<Action.Tell> tells() {
-        return host.acts.stream().filter(a -> a instanceof Action.Tell).map(a -> (Action.Tell) a).toList();
+    private List<Action.SendGossip> tells() {
+        return host.acts.stream().filter(a -> a instanceof Action.SendGossip).map(a -> (Action.SendGossip) a).toList();
     }
 
     @Test
@@ -53,7 +53,7 @@
     void aPrimaryThatOnlyOthersHaveHeardIsAskedBeforeItGetsAWrite() {
         host.list(true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
         told(1, "p", word(Role.PRIMARY, host.nowMs - 100, host.nowMs - 100, host.nowMs - 100, -1));
-        OpId op = host.ask(FakeHost.SUBMIT);
+        RequestId op = host.ask(FakeHost.SUBMIT);
         assertThat(host.sends(op)).isEmpty();
         assertThat(host.probes("p")).isPositive();
         host.probed("p", Role.PRIMARY, host.nowMs);
@@ -66,18 +66,18 @@
         many.list(true, "p", "r1", "r2");
         assertThat(many.probes("p")).isZero();
         many.probed("r1", Role.REPLICA, many.nowMs);
-        many.tell(new Event.PeerMessage(1, new Datagram(Kind.TELLS, many.nowMs * 10, Map.of(Datagram.number(
+        many.tell(new Event.GossipReceived(1, new Datagram(Kind.TELLS, many.nowMs * 10, Map.of(Datagram.number(
                 new ServerId("p")), word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1))).bytes()));
         many.nowMs += 1200; // r1 is too old by now
         many.probed("r1", Role.REPLICA, many.nowMs - 1200);
-        OpId op = many.ask(FakeHost.VIEW);
+        RequestId op = many.ask(FakeHost.VIEW);
         assertThat(many.busyReplies(op)).isZero();
         many.probed("p", Role.PRIMARY, many.nowMs);
         assertThat(many.sends(op)).containsExactly("p");
     }
 
-    private Event.PeerMessage heardByOthers(FakeHost h, String server, Role role) {
-        return new Event.PeerMessage(1, new Datagram(Kind.TELLS, h.nowMs * 10, Map.of(Datagram.number(
+    private Event.GossipReceived heardByOthers(FakeHost h, String server, Role role) {
+        return new Event.GossipReceived(1, new Datagram(Kind.TELLS, h.nowMs * 10, Map.of(Datagram.number(
                 new ServerId(server)), word(role, h.nowMs, h.nowMs, h.nowMs, -1))).bytes());
     }
 
@@ -112,7 +112,7 @@
         assertThat(host.logged("r1 returns")).isTrue();
         int r1 = 0;
         for (int i = 0; i < 20; i++) {
-            OpId op = host.ask(FakeHost.HISTORY);
+            RequestId op = host.ask(FakeHost.HISTORY);
             String to = host.sends(op).get(0);
             r1 += to.equals("r1") ? 1 : 0;
             host.ends(op, 0, to, Outcome.ACKED, null);
@@ -137,7 +137,7 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 50;
         told(1, "p", word(Role.PRIMARY, host.nowMs - 40, -1, -1, host.nowMs - 10));
-        OpId op = host.ask(FakeHost.SUBMIT);
+        RequestId op = host.ask(FakeHost.SUBMIT);
         assertThat(host.sends(op)).isEmpty();
         host.probed("p", Role.PRIMARY, host.nowMs);
         assertThat(host.sends(op)).containsExactly("p");
@@ -147,8 +147,8 @@
     void aDrainHeardBindsAtOnceAndAnOlderListDoesNotUndoIt() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        ServerObservation drains = new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                Report.UNTOLD, host.nowMs * 10 - 100);
+        ServerObservation drains = new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME, host.nowMs * 10 - 100);
         told(1, "r1", drains);
         host.list(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
@@ -162,8 +162,8 @@
     void aDrainThatNoListConfirmsLapses() {
         host.list(true, "p", "r1");
         host.levelled("p", "r1");
-        told(1, "r1", new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                Report.UNTOLD, host.nowMs * 10));
+        told(1, "r1", new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME, host.nowMs * 10));
         host.pass(10_500);
         host.levelled("p", "r1");
         assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
@@ -173,8 +173,8 @@
     void coldHeardIsCold() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        told(1, "r1", new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                host.nowMs * 10 - 100, Report.UNTOLD));
+        told(1, "r1", new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
+                host.nowMs * 10 - 100, LoadReport.UNKNOWN_TIME));
         int cold = 0;
         for (int i = 0; i < 20; i++) {
             cold += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
@@ -199,9 +199,9 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
         told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        OpId op = host.ask(FakeHost.SUBMIT);
+        RequestId op = host.ask(FakeHost.SUBMIT);
         assertThat(host.sends(op)).startsWith("r1");
-        host.ends(op, 0, "r1", Outcome.TURNED_AWAY, new Report(Role.REPLICA, host.nowMs * 10));
+        host.ends(op, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, host.nowMs * 10));
         host.nowMs += 1000;
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
@@ -216,7 +216,7 @@
         assertThat(tells()).hasSize(2).allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
         host.levelled("p", "r1");
         host.acts.clear();
-        host.tell(new Event.PeerMessage(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
+        host.tell(new Event.GossipReceived(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
         assertThat(tells()).hasSize(1);
         Map<Integer, ServerObservation> words = Datagram.read(tells().get(0).bytes()).datagram().words();
         assertThat(words.get(Datagram.number(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
@@ -258,10 +258,10 @@
         quiet.list(true, "p", "r1");
         quiet.levelled("p", "r1");
         int before = quiet.acts.size();
-        quiet.tell(new Event.PeerMessage(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
+        quiet.tell(new Event.GossipReceived(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
         quiet.tell(new Event.ShutdownBegun());
         assertThat(quiet.acts).hasSize(before);
         quiet.pass(1000);
-        assertThat(quiet.acts).noneMatch(a -> a instanceof Action.Tell);
+        assertThat(quiet.acts).noneMatch(a -> a instanceof Action.SendGossip);
     }
 }
--- a/gateway/src/test/java/ploverdale/LocalFailureInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/LocalFailureInLogicTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.OpId;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
 /** What the router concludes from attempts and health checks that never left this machine: nothing about their servers. */
@@ -17,7 +17,7 @@
         FakeHost h = FakeHost.settled();
         for (int i = 0; i < MANY; i++) {
             h.pass(500);
-            h.tell(new Event.ProbeEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
         }
         assertThat(h.logged("server r1 silent")).isFalse();
     }
@@ -40,7 +40,7 @@
         long before = h.probes("r1");
         h.pass(2000); // silent servers are asked again while others of their group are used
         for (int i = 0; i < MANY; i++) {
-            h.tell(new Event.ProbeEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
             h.pass(20);
         }
         assertThat(h.probes("r1") - before).as("not asked in a busy loop").isLessThan(MANY / 2);
@@ -50,7 +50,7 @@
     void attemptsThatWereNeverSentEjectNoServer() {
         FakeHost h = FakeHost.settled();
         for (int i = 0; i < MANY; i++) {
-            OpId op = h.ask(FakeHost.HISTORY);
+            RequestId op = h.ask(FakeHost.HISTORY);
             for (int send = 0; send < h.sends(op).size(); send++) {
                 h.ends(op, send, h.sends(op).get(send), Outcome.NEVER_SENT, null);
             }
--- a/gateway/src/test/java/ploverdale/LogicTest.java
+++ b/gateway/src/test/java/ploverdale/LogicTest.java
@@ -11,18 +11,18 @@
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Listing.Stage;
-import ploverdale.model.OpId;
+import ploverdale.model.Endpoint.EndpointState;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /** Stories of single failures, each against the fake host. */
 class LogicTest {
     private final FakeHost host = FakeHost.settled();
 
-    private static Report note(Role role, long positionMs) {
-        return new Report(role, positionMs * 10);
+    private static LoadReport note(Role role, long positionMs) {
+        return new LoadReport(role, positionMs * 10);
     }
 
     @Test
@@ -36,7 +36,7 @@
         FakeHost fresh = new FakeHost();
         fresh.list(true, "r1");
         assertThat(fresh.probes("r1")).isEqualTo(1);
-        OpId read = fresh.ask(FakeHost.VIEW);
+        RequestId read = fresh.ask(FakeHost.VIEW);
         assertThat(fresh.sends(read)).isEmpty();
         fresh.probed("r1", Role.REPLICA, fresh.nowMs - 100);
         assertThat(fresh.sends(read)).containsExactly("r1");
@@ -48,7 +48,7 @@
         long before = host.probes("r1") + host.probes("r2");
         host.pass(5000);
         assertThat(host.probes("r1") + host.probes("r2")).isEqualTo(before);
-        OpId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(FakeHost.VIEW);
         assertThat(host.probes("p") + host.probes("r1") + host.probes("r2")).isEqualTo(before + 1 + 1);
         assertThat(host.sends(read)).isEmpty();
         host.pass(100);
@@ -62,7 +62,7 @@
         fresh.list(true, "p", "r1");
         fresh.unanswered("p");
         fresh.unanswered("r1");
-        OpId write = fresh.ask(FakeHost.SUBMIT);
+        RequestId write = fresh.ask(FakeHost.SUBMIT);
         fresh.pass(1000);
         assertThat(fresh.probes("p") + fresh.probes("r1")).isGreaterThan(2);
         fresh.probed("p", Role.PRIMARY, fresh.nowMs);
@@ -85,7 +85,7 @@
     void aFullProbeTableIsASignOfLifeAndNoDeadOne() {
         host.nowMs += 3000;
         for (int i = 0; i < 3; i++) {
-            host.tell(new Event.ProbeEnded(new ServerId("r1"), Outcome.FULL, null));
+            host.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.FULL, null));
         }
         assertThat(host.logged("silent")).isFalse();
         assertThat(host.sends(host.ask(FakeHost.HISTORY))).containsExactly("r1");
@@ -93,16 +93,16 @@
 
     @Test
     void opsThatArriveAsALookRoundFallsDueDoNotPutItOff() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.TURNED_AWAY, null);
-        OpId write = host.ask(FakeHost.SUBMIT);
+        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = host.ask(FakeHost.SUBMIT);
         List<Long> wakes = new ArrayList<>();
         for (int i = 0; i < 600 && host.busyReplies(write) == 0; i++) {
             host.nowMs += 5;
-            host.acts.stream().filter(Action.Wake.class::isInstance).forEach(a -> wakes.add(((Action.Wake) a).at()));
-            host.acts.removeIf(Action.Wake.class::isInstance);
+            host.acts.stream().filter(Action.SetTimer.class::isInstance).forEach(a -> wakes.add(((Action.SetTimer) a).at()));
+            host.acts.removeIf(Action.SetTimer.class::isInstance);
             host.ask(FakeHost.SUBMIT);
             if (wakes.removeIf(at -> at <= host.nowMs * 10 - 10)) {
-                host.tell(new Event.WakeUp(0));
+                host.tell(new Event.TimerFired(0));
             }
         }
         assertThat(host.busyReplies(write)).isEqualTo(1);
@@ -110,18 +110,18 @@
 
     @Test
     void atTheLastMomentOfAPlannedRestartEachOpInHandIsAnsweredOnceByWhatIsProven() {
-        OpId read = host.ask(FakeHost.VIEW);
-        OpId write = host.ask(FakeHost.SUBMIT);
-        host.tell(new Event.SendEnded(host.ask(FakeHost.SUBMIT), 0, new ServerId("p"), Outcome.TURNED_AWAY, 10, false,
+        RequestId read = host.ask(FakeHost.VIEW);
+        RequestId write = host.ask(FakeHost.SUBMIT);
+        host.tell(new Event.AttemptEnded(host.ask(FakeHost.SUBMIT), 0, new ServerId("p"), Outcome.MISDIRECTED, 10, false,
                 note(Role.REPLICA, host.nowMs), null));
-        OpId held = host.ask(FakeHost.SUBMIT);
+        RequestId held = host.ask(FakeHost.SUBMIT);
         assertThat(host.sends(held)).isEmpty();
         host.tell(new Event.ShutdownDeadline());
         assertThat(host.busyReplies(read)).isEqualTo(1); // may be repeated
         assertThat(host.errorReplies(write)).isEqualTo(1); // may have run
         assertThat(host.busyReplies(held)).isEqualTo(1); // was never sent
         assertThat(host.calledOff(write)).isTrue();
-        host.ends(write, 0, "p", Outcome.CALLED_OFF, null);
+        host.ends(write, 0, "p", Outcome.CANCELLED, null);
         host.pass(3000);
         assertThat(host.sends(write)).hasSize(1);
         assertThat(host.busyReplies(write) + host.errorReplies(write)).isEqualTo(1);
@@ -142,15 +142,15 @@
     void withNoReplicaAdmittedThePrimaryTakesReadsUntilItsGateShutsThenABusyReplyComesAtOnce() {
         host.lagging(1100);
         assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("p");
-        OpId refused = null;
+        RequestId refused = null;
         for (int i = 0; i < 30; i++) {
             refused = host.ask(FakeHost.VIEW);
         }
-        OpId last = refused;
+        RequestId last = refused;
         assertThat(host.sends(last)).isEmpty();
         assertThat(host.busyReplies(last)).isEqualTo(1);
-        assertThat(host.acts).filteredOn(a -> a instanceof Action.BusyReply b && b.op().equals(last))
-                .allMatch(a -> ((Action.BusyReply) a).comeBackIn() < 5000, "a second try is still in time");
+        assertThat(host.acts).filteredOn(a -> a instanceof Action.RejectRequest b && b.op().equals(last))
+                .allMatch(a -> ((Action.RejectRequest) a).comeBackIn() < 5000, "a second try is still in time");
     }
 
     @Test
@@ -176,9 +176,9 @@
         checked.list(true, "p", "r1");
         checked.levelled("p", "r1");
         checked.nowMs += 560;
-        OpId read = checked.ask(FakeHost.VIEW);
+        RequestId read = checked.ask(FakeHost.VIEW);
         checked.nowMs += 50;
-        checked.ends(read, 0, "r1", Outcome.TURNED_AWAY, note(Role.REPLICA, checked.nowMs - 700));
+        checked.ends(read, 0, "r1", Outcome.MISDIRECTED, note(Role.REPLICA, checked.nowMs - 700));
         assertThat(checked.sends(read)).startsWith("r1");
         assertThat(checked.sends(checked.ask(FakeHost.VIEW))).containsExactly("p");
     }
@@ -188,7 +188,7 @@
         FakeHost checked = new FakeHost(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
         checked.list(true, "r1");
         checked.probed("r1", Role.REPLICA, checked.nowMs - 5200);
-        OpId guess = checked.ask(FakeHost.VIEW);
+        RequestId guess = checked.ask(FakeHost.VIEW);
         assertThat(checked.sends(guess)).containsExactly("r1");
         assertThat(checked.busyReplies(checked.ask(FakeHost.VIEW))).isEqualTo(1);
         checked.nowMs += 50;
@@ -198,25 +198,25 @@
 
     @Test
     void refusedConnectsInARowAtAServerThatAnswersProbesMakeIdleConnectionsBeGivenUp() {
-        OpId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(FakeHost.SUBMIT);
         for (int send = 0; send < 2; send++) {
-            assertThat(host.acts).noneMatch(Action.CloseIdle.class::isInstance);
-            host.tell(new Event.SendEnded(write, send, new ServerId("p"), Outcome.NOT_CONNECTED, 10, false, null, null));
+            assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
+            host.tell(new Event.AttemptEnded(write, send, new ServerId("p"), Outcome.CONNECT_FAILED, 10, false, null, null));
             assertThat(host.probes("p")).isEqualTo(2 + send);
             host.probed("p", Role.PRIMARY, host.nowMs);
         }
         host.ends(write, 2, "p", Outcome.ACKED, null);
-        assertThat(host.acts).contains(new Action.CloseIdle(new ServerId("p")));
+        assertThat(host.acts).contains(new Action.CloseIdleConnections(new ServerId("p")));
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"CUT_OFF", "NOT_CONNECTED", "BROKEN_OFF"})
+    @EnumSource(value = Outcome.class, names = {"CONNECT_INTERRUPTED", "CONNECT_FAILED", "CONNECTION_LOST"})
     void resetsByChanceNeitherCutAServersLimitNorLeaveItOut(Outcome outcome) {
         for (int i = 0; i < 60; i++) { // one op in eight at every server, as on a bad network
             for (int j = 0; j < 8; j++) {
-                OpId read = host.ask(FakeHost.HISTORY);
+                RequestId read = host.ask(FakeHost.HISTORY);
                 if (j == 0) {
-                    host.tell(new Event.SendEnded(read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false,
+                    host.tell(new Event.AttemptEnded(read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false,
                             null, null));
                 }
                 int last = host.sends(read).size() - 1;
@@ -225,33 +225,33 @@
                 host.levelled("p", "r1", "r2");
             }
         }
-        List<OpId> many = new ArrayList<>();
+        List<RequestId> many = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             many.add(host.ask(FakeHost.HISTORY));
         }
         assertThat(many).allMatch(op -> host.sends(op).size() == 1);
         assertThat(host.logged("silent")).isFalse();
-        assertThat(host.acts).noneMatch(Action.CloseIdle.class::isInstance);
+        assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
 
     @Test
     void aSlowFailedConnectGivesUpNoIdleConnection() {
-        OpId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(FakeHost.VIEW);
         String server = host.sends(read).get(0);
-        host.tell(new Event.SendEnded(read, 0, new ServerId(server), Outcome.NOT_CONNECTED, 2500, false, null, null));
+        host.tell(new Event.AttemptEnded(read, 0, new ServerId(server), Outcome.CONNECT_FAILED, 2500, false, null, null));
         host.probed(server, Role.REPLICA, host.nowMs);
         host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.ACKED, null);
-        assertThat(host.acts).noneMatch(Action.CloseIdle.class::isInstance);
+        assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
 
     @Test
     void whereAnswersGetLostWhileOthersComeInTimeASendIsMadeAgainBeforeItsOpIsWorthless() {
         for (int i = 0; i < 40; i++) {
-            OpId op = host.ask(FakeHost.SUBMIT);
+            RequestId op = host.ask(FakeHost.SUBMIT);
             host.ends(op, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.ACKED, null);
         }
-        OpId read = host.ask(FakeHost.FRESH);
-        assertThat(host.acts).anyMatch(a -> a instanceof Action.Send s && s.op().equals(read) && s.timeLimit() < 3500);
+        RequestId read = host.ask(FakeHost.FRESH);
+        assertThat(host.acts).anyMatch(a -> a instanceof Action.StartAttempt s && s.op().equals(read) && s.timeLimit() < 3500);
         assertThat(host.sends(host.ask(FakeHost.SUBMIT))).as("and its limit is kept").containsExactly("p");
     }
 
@@ -259,12 +259,12 @@
     void aBusyServersReadsThinOutWhereOwnAnswersAreOld() {
         FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100);
         small.list(true, "r1");
-        small.tell(new Event.ProbeEnded(new ServerId("r1"), Outcome.ACKED,
-                new Report(Role.REPLICA, small.nowMs * 10, 1.1)));
+        small.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.ACKED,
+                new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
         assertThat(small.sends(small.ask(FakeHost.HISTORY))).isEmpty();
         small.nowMs += 200;
-        small.tell(new Event.ProbeEnded(new ServerId("r1"), Outcome.ACKED,
-                new Report(Role.REPLICA, small.nowMs * 10, 0.5)));
+        small.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.ACKED,
+                new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
         assertThat(small.sends(small.ask(FakeHost.HISTORY))).containsExactly("r1");
     }
 
@@ -276,9 +276,9 @@
             small.list(true, "r1", "r2");
             small.levelled("r1", "r2");
             small.ends(small.ask(FakeHost.HISTORY), 0, "r2", Outcome.ACKED, null);
-            small.listed("r1", Stage.IN, small.nowMs);
+            small.listed("r1", EndpointState.IN, small.nowMs);
             for (int s = 0; s < 4; s++) {
-                OpId read = small.ask(FakeHost.HISTORY);
+                RequestId read = small.ask(FakeHost.HISTORY);
                 cold += small.sends(read).contains("r1") ? 1 : 0;
                 small.nowMs += 250;
             }
@@ -304,10 +304,10 @@
     @Test
     void whatMakesNoSenseChangesNothing() {
         int before = host.acts.size();
-        host.tell(new Event.PeerMessage(3, new byte[] {104, 105}));
-        host.tell(new Event.ProbeEnded(new ServerId("stranger"), Outcome.ACKED, note(Role.PRIMARY, host.nowMs)));
-        host.ends(new OpId("none"), 0, "stranger", Outcome.ACKED, null);
-        host.tell(new Event.ClientLeft(new OpId("none")));
+        host.tell(new Event.GossipReceived(3, new byte[] {104, 105}));
+        host.tell(new Event.HealthCheckEnded(new ServerId("stranger"), Outcome.ACKED, note(Role.PRIMARY, host.nowMs)));
+        host.ends(new RequestId("none"), 0, "stranger", Outcome.ACKED, null);
+        host.tell(new Event.ClientDisconnected(new RequestId("none")));
         assertThat(host.acts).hasSize(before);
         assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
     }
@@ -324,8 +324,8 @@
 
     @Test
     void aWriteTurnedAwayMarksThatMemberNotPrimaryAndWaitsForProbes() {
-        OpId write = host.ask(FakeHost.SUBMIT);
-        host.ends(write, 0, "p", Outcome.TURNED_AWAY, null);
+        RequestId write = host.ask(FakeHost.SUBMIT);
+        host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
         assertThat(host.sends(write)).hasSize(1);
         host.nowMs += 400;
         host.probed("r2", Role.PRIMARY, host.nowMs);
@@ -334,9 +334,9 @@
 
     @Test
     void aPrimaryThatHandsOverIsNotBelievedRightAfterItTurnedAWriteAway() {
-        OpId read = host.ask(FakeHost.FRESH);
-        OpId write = host.ask(FakeHost.SUBMIT);
-        host.ends(write, 0, "p", Outcome.TURNED_AWAY, null);
+        RequestId read = host.ask(FakeHost.FRESH);
+        RequestId write = host.ask(FakeHost.SUBMIT);
+        host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
         host.nowMs += 20;
         host.ends(read, 0, "p", Outcome.ACKED, note(Role.PRIMARY, host.nowMs)); // as it still calls itself
         assertThat(host.sends(write)).containsExactly("p");
@@ -347,7 +347,7 @@
 
     @Test
     void anOldReportDoesNotBringBackAStalePrimary() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.TURNED_AWAY, null);
+        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
         host.nowMs += 100;
         host.probed("p", Role.PRIMARY, host.nowMs - 200);
         assertThat(host.sends(host.ask(FakeHost.SUBMIT))).isEmpty();
@@ -367,9 +367,9 @@
     @Test
     void readsLongerThanTheTightestBoundStayOnTheFirstReplicaByIdAtEveryGateway() {
         for (int i = 0; i < 25; i++) {
-            OpId scan = host.ask(FakeHost.SCAN);
+            RequestId scan = host.ask(FakeHost.SCAN);
             host.nowMs += 100;
-            host.tell(new Event.SendEnded(scan, 0, new ServerId(host.sends(scan).get(0)),
+            host.tell(new Event.AttemptEnded(scan, 0, new ServerId(host.sends(scan).get(0)),
                     Outcome.ACKED, 9000, true, null, null));
         }
         host.levelled("p", "r1", "r2");
@@ -380,9 +380,9 @@
     @Test
     void longReadsAreRefusedFirstWhileWorthierOpsFindNoRoom() {
         for (int i = 0; i < 25; i++) {
-            OpId scan = host.ask(FakeHost.SCAN);
+            RequestId scan = host.ask(FakeHost.SCAN);
             host.nowMs += 100;
-            host.tell(new Event.SendEnded(scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true,
+            host.tell(new Event.AttemptEnded(scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true,
                     null, null));
         }
         host.lagging(1100);
@@ -390,14 +390,14 @@
             host.ask(FakeHost.VIEW);
         }
         assertThat(host.sends(host.ask(FakeHost.SCAN))).as("a replica that lags of itself takes one").containsExactly("r1");
-        OpId scan = host.ask(FakeHost.SCAN);
+        RequestId scan = host.ask(FakeHost.SCAN);
         assertThat(host.sends(scan)).isEmpty();
         assertThat(host.busyReplies(scan)).isEqualTo(1);
     }
 
     @Test
     void aNonRetryableWriteThatMayHaveRunGetsAnErrorAndNoSecondSend() {
-        OpId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(FakeHost.SUBMIT);
         host.ends(write, 0, "p", Outcome.ERRORED, null);
         assertThat(host.sends(write)).hasSize(1);
         assertThat(host.errorReplies(write)).isEqualTo(1);
@@ -406,7 +406,7 @@
 
     @Test
     void aWriteProvenNotRunIsSentAgainAMomentLaterToAPrimaryThatWasFull() {
-        OpId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(FakeHost.SUBMIT);
         host.ends(write, 0, "p", Outcome.FULL, null);
         assertThat(host.sends(write)).as("not at once, while it is as full").containsExactly("p");
         assertThat(host.busyReplies(write)).isZero();
@@ -419,7 +419,7 @@
 
     @Test
     void aTokenedWriteIsRepeatedInItsWindowAndErroredAfterIt() {
-        OpId write = host.ask(FakeHost.TOKENED);
+        RequestId write = host.ask(FakeHost.WITH_IDEMPOTENCY_KEY);
         host.ends(write, 0, "p", Outcome.ERRORED, null);
         assertThat(host.sends(write)).containsExactly("p", "p");
         host.nowMs += 2000;
@@ -430,8 +430,8 @@
 
     @Test
     void aHeldWriteThatWasNeverSentIsBusyRepliedWithinHalfItsTimeWhenNoPrimaryComes() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.TURNED_AWAY, null);
-        OpId write = host.ask(FakeHost.SUBMIT);
+        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = host.ask(FakeHost.SUBMIT);
         host.pass(1400);
         assertThat(host.busyReplies(write)).isZero();
         host.pass(100);
@@ -441,9 +441,9 @@
 
     @Test
     void nothingNewGoesToADrainingOrRemovedServer() {
-        host.listed("r1", Stage.DRAINING, 0);
-        host.listed("r2", Stage.GONE, 0);
-        host.listed("p", Stage.DRAINING, 0);
+        host.listed("r1", EndpointState.DRAINING, 0);
+        host.listed("r2", EndpointState.GONE, 0);
+        host.listed("p", EndpointState.DRAINING, 0);
         assertThat(host.sends(host.ask(FakeHost.HISTORY))).isEmpty();
         assertThat(host.sends(host.ask(FakeHost.SUBMIT))).isEmpty();
     }
@@ -453,26 +453,26 @@
         FakeHost loose = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
         loose.list(true, "r1");
         loose.probed("r1", Role.REPLICA, loose.nowMs);
-        loose.listed("r1", Stage.GONE, 0);
+        loose.listed("r1", EndpointState.GONE, 0);
         assertThat(loose.sends(loose.ask(FakeHost.VIEW))).containsExactly("r1");
     }
 
     @Test
     void aSilentReplicaLosesItsReadsToAnotherAndReturnsByATrial() {
-        OpId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(FakeHost.VIEW);
         String first = host.sends(read).get(0);
         String other = first.equals("r1") ? "r2" : "r1";
         host.unanswered(first);
         host.unanswered(first);
         assertThat(host.calledOff(read)).isTrue();
-        host.ends(read, 0, first, Outcome.CALLED_OFF, null);
+        host.ends(read, 0, first, Outcome.CANCELLED, null);
         assertThat(host.sends(read)).containsExactly(first, other);
         host.nowMs += 3000;
         host.probed(first, Role.REPLICA, host.nowMs);
         assertThat(host.logged("returns: answers probes")).isTrue();
         host.ask(FakeHost.VIEW);
         host.ask(FakeHost.VIEW);
-        assertThat(host.acts.stream().filter(a -> a instanceof Action.Send s
+        assertThat(host.acts.stream().filter(a -> a instanceof Action.StartAttempt s
                 && s.server().text().equals(first)).count()).isLessThanOrEqualTo(2);
     }
 
@@ -483,7 +483,7 @@
         }
         host.pass(700);
         assertThat(host.logged("server p silent")).isTrue();
-        OpId held = host.ask(FakeHost.SUBMIT);
+        RequestId held = host.ask(FakeHost.SUBMIT);
         assertThat(host.sends(held)).isEmpty();
         host.pass(400);
         host.levelled("p", "r1", "r2");
@@ -504,7 +504,7 @@
     @Test
     void aReplicaThatFailsFastIsLeftOut() {
         for (int i = 0; i < 12; i++) {
-            OpId read = host.ask(FakeHost.HISTORY);
+            RequestId read = host.ask(FakeHost.HISTORY);
             for (int s = 0; s < host.sends(read).size() && s < 4; s++) {
                 boolean bad = host.sends(read).get(s).equals("r1");
                 host.ends(read, s, host.sends(read).get(s), bad ? Outcome.ERRORED : Outcome.ACKED, null);
@@ -516,7 +516,7 @@
 
     @Test
     void aColdServerGetsLittleUntilItHasWarmed() {
-        host.listed("r1", Stage.IN, host.nowMs);
+        host.listed("r1", EndpointState.IN, host.nowMs);
         int cold = 0;
         for (int i = 0; i < 12; i++) {
             cold += host.sends(host.ask(FakeHost.HISTORY)).contains("r1") ? 1 : 0;
@@ -526,7 +526,7 @@
 
     @Test
     void sessionReadsFollowTheWritesAcknowledgedHere() {
-        OpId write = host.ask(FakeHost.SUBMIT, "s", 0);
+        RequestId write = host.ask(FakeHost.SUBMIT, "s", 0);
         host.nowMs += 100;
         host.ends(write, 0, "p", Outcome.ACKED, note(Role.PRIMARY, host.nowMs));
         assertThat(host.sends(host.ask(FakeHost.SESSION, "s", 0))).containsExactly("p");
@@ -553,11 +553,11 @@
 
     @Test
     void nothingIsSentForAnOpWhoseClientHasLeft() {
-        OpId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(FakeHost.VIEW);
         String server = host.sends(read).get(0);
-        host.tell(new Event.ClientLeft(read));
+        host.tell(new Event.ClientDisconnected(read));
         assertThat(host.calledOff(read)).isTrue();
-        host.ends(read, 0, server, Outcome.CALLED_OFF, null);
+        host.ends(read, 0, server, Outcome.CANCELLED, null);
         assertThat(host.sends(read)).hasSize(1);
         assertThat(host.busyReplies(read) + host.errorReplies(read)).isZero();
     }
@@ -591,8 +591,8 @@
 
     @Test
     void whileRoomIsShortAnOpWithinItsTenantsShareGoesBeforeOneBeyondIt() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.TURNED_AWAY, null);
-        List<OpId> asked = new ArrayList<>();
+        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        List<RequestId> asked = new ArrayList<>();
         for (int i = 0; i < 130; i++) {
             asked.add(host.ask(FakeHost.SUBMIT));
         }
@@ -624,7 +624,7 @@
         fresh.nowMs += 5000;
         fresh.probed("r1", Role.REPLICA, fresh.nowMs);
         for (int i = 0; i < 12; i++) {
-            OpId read = fresh.ask(FakeHost.HISTORY);
+            RequestId read = fresh.ask(FakeHost.HISTORY);
             assertThat(fresh.sends(read)).as("read " + i).containsExactly("r1");
             fresh.ends(read, 0, "r1", Outcome.ACKED, note(Role.REPLICA, fresh.nowMs));
         }
@@ -634,21 +634,21 @@
     void aBoundedReadIsToBeWrittenWhileThePositionFitsItsBoundAndOneAtThePrimaryAtAnyTime() {
         FakeHost h = FakeHost.settled();
         h.pass(100); // r1 and r2 stand where they stood then, but for what a probe told since
-        OpId read = h.ask(FakeHost.VIEW);
-        Action.Send s = h.acts.stream().filter(a -> a instanceof Action.Send x && x.op().equals(read))
-                .map(a -> (Action.Send) a).findFirst().orElseThrow();
+        RequestId read = h.ask(FakeHost.VIEW);
+        Action.StartAttempt s = h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.op().equals(read))
+                .map(a -> (Action.StartAttempt) a).findFirst().orElseThrow();
         assertThat(s.server().text()).startsWith("r");
         assertThat(s.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000); // a position is rounded down by a millisecond
-        OpId write = h.ask(FakeHost.SUBMIT);
-        assertThat(h.acts.stream().filter(a -> a instanceof Action.Send x && x.op().equals(write))
-                .map(a -> ((Action.Send) a).writeBy())).containsExactly(Long.MAX_VALUE);
+        RequestId write = h.ask(FakeHost.SUBMIT);
+        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.op().equals(write))
+                .map(a -> ((Action.StartAttempt) a).writeBy())).containsExactly(Long.MAX_VALUE);
     }
 
     @Test
     void aWriteIsGivenUpBeforeItsTimeIsUpSoThatItsAnswerComesInTime() {
         FakeHost h = FakeHost.settled();
-        OpId write = h.ask(FakeHost.SUBMIT);
-        assertThat(h.acts.stream().filter(a -> a instanceof Action.Send x && x.op().equals(write))
-                .map(a -> ((Action.Send) a).timeLimit())).containsExactly(30_000L - 30_000 / 50);
+        RequestId write = h.ask(FakeHost.SUBMIT);
+        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.op().equals(write))
+                .map(a -> ((Action.StartAttempt) a).timeLimit())).containsExactly(30_000L - 30_000 / 50);
     }
 }
