--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -13,16 +13,16 @@
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpType.Repeats;
-import ploverdale.model.OpTypeId;
-import ploverdale.model.Permits;
-import ploverdale.model.Pledges;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.Capabilities;
+import ploverdale.model.ServerGuarantees;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
 import ploverdale.model.Tenant;
@@ -99,14 +99,14 @@
 
     private static final class Attempt {
         final int gateway;
-        final OpId op;
+        final RequestId op;
         final int number;
         final Server server;
         final long sentAt;
         final double work;
         boolean ended;
 
-        Attempt(int gateway, OpId op, int number, Server server, long sentAt, double work) {
+        Attempt(int gateway, RequestId op, int number, Server server, long sentAt, double work) {
             this.gateway = gateway;
             this.op = op;
             this.number = number;
@@ -158,9 +158,9 @@
     private final List<Server> servers = new ArrayList<>();
     private final Map<ServerId, Server> byId = new HashMap<>();
     private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final Map<OpId, Request> requests = new HashMap<>();
-    private final Map<OpId, Integer> attempts = new HashMap<>();
-    private final Map<OpId, Attempt> out = new HashMap<>();
+    private final Map<RequestId, Request> requests = new HashMap<>();
+    private final Map<RequestId, Integer> attempts = new HashMap<>();
+    private final Map<RequestId, Attempt> out = new HashMap<>();
     private final double[] trafficUpTo;
     private long order;
     private long now = START;
@@ -221,29 +221,29 @@
             Logic router = new Logic(null);
             routers.add(router);
             tell(i, started(i));
-            tell(i, new Event.ListTold(true, false, servers.stream().map(s -> listing(s, 0)).toList()));
+            tell(i, new Event.EndpointUpdate(true, false, servers.stream().map(s -> listing(s, 0)).toList()));
         }
     }
 
     private Event.Started started(int gateway) {
-        List<OpType> types = List.of(
-                type(2000 * MS, Repeats.RETRYABLE, 2, 0, Needs.BOUNDED),
-                type(1000 * MS, Repeats.RETRYABLE, 1, 0, Needs.UNBOUNDED),
-                type(3000 * MS, Repeats.NON_RETRYABLE, 6, 0.5, Needs.WRITE));
-        Pledges pledges = new Pledges(deployment.startCapacity, deployment.coldMs * MS, deployment.multiple,
+        List<RequestClass> types = List.of(
+                type(2000 * MS, Idempotence.IDEMPOTENT, 2, 0, Consistency.BOUNDED),
+                type(1000 * MS, Idempotence.IDEMPOTENT, 1, 0, Consistency.UNBOUNDED),
+                type(3000 * MS, Idempotence.NOT_IDEMPOTENT, 6, 0.5, Consistency.WRITE));
+        ServerGuarantees pledges = new ServerGuarantees(deployment.startCapacity, deployment.coldMs * MS, deployment.multiple,
                 deployment.windowMs * MS, true, 0);
         return new Event.Started(random.nextLong(), gateways, types,
                 List.of(new Tenant(AGREED * SERVERS * deployment.capacity)), 0.05, pledges,
-                new Permits(6, true, true, true, 1000 * MS, gossip),
+                new Capabilities(6, true, true, true, 1000 * MS, gossip),
                 new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false), false, gateway);
     }
 
-    private static OpType type(long timeout, Repeats repeats, double value, double late, Needs needs) {
-        return new OpType(500 * MS, 0, timeout, repeats, OpType.Scope.GROUP, 0, value, late, false, needs, BOUND);
+    private static RequestClass type(long timeout, Idempotence repeats, double value, double late, Consistency needs) {
+        return new RequestClass(500 * MS, 0, timeout, repeats, RequestClass.Scope.GROUP, 0, value, late, false, needs, BOUND);
     }
 
-    private static Listing listing(Server server, long startedAt) {
-        return new Listing(server.id, new GroupId(server.number / GROUP), new ZoneId(0), Listing.Stage.IN,
+    private static Endpoint listing(Server server, long startedAt) {
+        return new Endpoint(server.id, new GroupId(server.number / GROUP), new ZoneId(0), Endpoint.EndpointState.IN,
                 server.primary(), startedAt);
     }
 
@@ -284,14 +284,14 @@
     }
 
     private void send(Request request) {
-        OpId id = new OpId("op" + names++);
+        RequestId id = new RequestId("op" + names++);
         requests.put(id, request);
         long timeout = request.type == VIEW ? 2000 * MS : request.type == HISTORY ? 1000 * MS : 3000 * MS;
-        tell(request.gateway, new Event.OpArrived(id, new OpTypeId(request.type), new TenantId(0),
+        tell(request.gateway, new Event.RequestArrived(id, new RequestClassId(request.type), new TenantId(0),
                 new GroupId(request.group), new SessionId("c"), now + timeout, request.tries > 0, 0, 0));
     }
 
-    private void refused(OpId op) {
+    private void refused(RequestId op) {
         Request r = requests.remove(op);
         attempts.remove(op);
         if (r != null && r.tries < 2 && random.nextDouble() < 0.6) {
@@ -309,29 +309,29 @@
     }
 
     private void carryOut(int gateway, Action action) {
-        if (action instanceof Action.Send send) {
+        if (action instanceof Action.StartAttempt send) {
             begin(gateway, send);
-        } else if (action instanceof Action.Probe probe) {
+        } else if (action instanceof Action.CheckHealth probe) {
             at(now + 3 + random.nextInt(7), () -> probed(gateway, byId.get(probe.server())));
-        } else if (action instanceof Action.Wake wake) {
-            at(wake.at(), () -> tell(gateway, new Event.WakeUp(wake.mark())));
-        } else if (action instanceof Action.Tell tell) {
+        } else if (action instanceof Action.SetTimer wake) {
+            at(wake.at(), () -> tell(gateway, new Event.TimerFired(wake.mark())));
+        } else if (action instanceof Action.SendGossip tell) {
             at(now + (2 + random.nextInt(20)) * MS,
-                    () -> tell(tell.peer(), new Event.PeerMessage(gateway, tell.bytes())));
-        } else if (action instanceof Action.BusyReply reply) {
+                    () -> tell(tell.peer(), new Event.GossipReceived(gateway, tell.bytes())));
+        } else if (action instanceof Action.RejectRequest reply) {
             at(now, () -> refused(reply.op()));
-        } else if (action instanceof Action.ErrorReply reply) {
+        } else if (action instanceof Action.FailRequest reply) {
             requests.remove(reply.op());
             attempts.remove(reply.op());
-        } else if (action instanceof Action.CallOff callOff) {
+        } else if (action instanceof Action.CancelAttempt callOff) {
             Attempt attempt = out.get(callOff.op());
             if (attempt != null && attempt.number == callOff.send()) {
-                at(now, () -> end(attempt, Outcome.CALLED_OFF));
+                at(now, () -> end(attempt, Outcome.CANCELLED));
             }
         }
     }
 
-    private void begin(int gateway, Action.Send send) {
+    private void begin(int gateway, Action.StartAttempt send) {
         int number = attempts.merge(send.op(), 1, Integer::sum) - 1;
         double work = -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
         Attempt attempt = new Attempt(gateway, send.op(), number, byId.get(send.server()), now, work);
@@ -355,7 +355,7 @@
             served += now <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
         }
         boolean answered = acked || outcome == Outcome.ERRORED;
-        tell(attempt.gateway, new Event.SendEnded(attempt.op, attempt.number, attempt.server.id, outcome,
+        tell(attempt.gateway, new Event.AttemptEnded(attempt.op, attempt.number, attempt.server.id, outcome,
                 now - attempt.sentAt, acked, answered ? report(attempt.server) : null, null));
     }
 
@@ -378,14 +378,14 @@
         lost.addAll(server.queue);
         server.running.clear();
         server.queue.clear();
-        lost.forEach(a -> end(a, Outcome.BROKEN_OFF));
+        lost.forEach(a -> end(a, Outcome.CONNECTION_LOST));
     }
 
     private void notifyOfRestart() {
-        List<Listing> restarted = restarting().stream().map(s -> listing(s, RESTARTED_AT)).toList();
+        List<Endpoint> restarted = restarting().stream().map(s -> listing(s, RESTARTED_AT)).toList();
         for (int i = 0; i < gateways; i++) {
             int gateway = i;
-            at(now + random.nextInt((int) (90 * MS)), () -> tell(gateway, new Event.ListTold(false, false, restarted)));
+            at(now + random.nextInt((int) (90 * MS)), () -> tell(gateway, new Event.EndpointUpdate(false, false, restarted)));
         }
     }
 
@@ -397,7 +397,7 @@
     private void arrive(Attempt attempt) {
         Server server = attempt.server;
         if (!server.up) {
-            end(attempt, Outcome.NOT_CONNECTED);
+            end(attempt, Outcome.CONNECT_FAILED);
             return;
         }
         count(server, attempt.work);
@@ -437,17 +437,17 @@
 
     private void probed(int gateway, Server server) {
         if (!server.up) {
-            at(now + 250 * MS, () -> tell(gateway, new Event.ProbeEnded(server.id, Outcome.TIMED_OUT, null)));
+            at(now + 250 * MS, () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.TIMED_OUT, null)));
             return;
         }
         count(server, PROBE_WORK);
         at(now + 10 + random.nextInt(20),
-                () -> tell(gateway, new Event.ProbeEnded(server.id, Outcome.ACKED, report(server))));
+                () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.ACKED, report(server))));
     }
 
-    private Report report(Server server) {
+    private LoadReport report(Server server) {
         server.updateBusy(now);
-        return new Report(server.primary() ? Role.PRIMARY : Role.REPLICA, server.primary() ? now : now - 5 * MS,
+        return new LoadReport(server.primary() ? Role.PRIMARY : Role.REPLICA, server.primary() ? now : now - 5 * MS,
                 server.busy);
     }
 
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -24,7 +24,7 @@
     private static final int PIPELINED = 12; // more than a gateway takes of one client at once
 
     /** Where a client stops before its first request is whole. */
-    enum Stage {
+    enum EndpointState {
         CONNECTED(Buffer.buffer()),
         PART_OF_A_LENGTH(Buffer.buffer().appendByte((byte) 0).appendByte((byte) 0)),
         LENGTH_OF_A_STARTUP(Buffer.buffer().appendInt(40)),
@@ -42,7 +42,7 @@
 
         private final Buffer written;
 
-        Stage(Buffer written) {
+        EndpointState(Buffer written) {
             this.written = written;
         }
 
@@ -60,12 +60,12 @@
     @Test
     void clientsThatStopBeforeTheirFirstRequestIsWholeAreEndedInTimeAtEveryStage() throws Exception {
         try (Net net = new Net("p").started()) {
-            Map<Stage, Client> stalled = new EnumMap<>(Stage.class);
+            Map<EndpointState, Client> stalled = new EnumMap<>(EndpointState.class);
             long stopped = System.nanoTime();
-            for (Stage stage : Stage.values()) {
+            for (EndpointState stage : EndpointState.values()) {
                 stalled.put(stage, new Client(net.gateway.port()).write(stage.written));
             }
-            for (Stage stage : Stage.values()) {
+            for (EndpointState stage : EndpointState.values()) {
                 readToTheEnd(stalled.get(stage));
                 assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped)).as("%s:\n%s", stage, net.log())
                         .isLessThan(OWED_WITHIN_MS);
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -15,11 +15,11 @@
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpTypeId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
@@ -54,7 +54,7 @@
     private final Set<String> pending = new HashSet<>(); // attempts and health checks that have not ended
     private final Map<String, Long> silentSince = new LinkedHashMap<>();
     private final Map<String, Long> silentAtFirst = new LinkedHashMap<>();
-    private final Map<OpId, Integer> attempts = new LinkedHashMap<>();
+    private final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
     private final Map<String, ServerId> sentTo = new HashMap<>();
     private long sequence;
     private long lastReturn;
@@ -100,7 +100,7 @@
         }
         later(start(), READS, () -> {
             carryOut(List.copyOf(host.acts)); // what the module wanted at its start
-            tell(new Event.ListTold(true, false, listings()));
+            tell(new Event.EndpointUpdate(true, false, listings()));
         });
         long gap = opsPerSecond == 0 ? lasts : 1000 / opsPerSecond;
         for (long at = HEALTH_CHECK_LIMIT_MS; opsPerSecond > 0 && at < lasts; at += gap) {
@@ -115,10 +115,10 @@
         return this;
     }
 
-    private List<Listing> listings() {
-        List<Listing> all = new ArrayList<>();
+    private List<Endpoint> listings() {
+        List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Listing(new ServerId(id(i)), group(i), new ZoneId(0), Listing.Stage.IN, isPrimary(i), 0));
+            all.add(new Endpoint(new ServerId(id(i)), group(i), new ZoneId(0), Endpoint.EndpointState.IN, isPrimary(i), 0));
         }
         return all;
     }
@@ -134,7 +134,7 @@
     private void arrival() {
         int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT).get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
-        tell(new Event.OpArrived(new OpId("op" + names++), new OpTypeId(type), new TenantId(0), group, null,
+        tell(new Event.RequestArrived(new RequestId("op" + names++), new RequestClassId(type), new TenantId(0), group, null,
                 host.nowMs * 10 + 30_000, false, 0, 0));
     }
 
@@ -145,31 +145,31 @@
 
     private void carryOut(List<Action> actions) {
         for (Action action : actions) {
-            if (action instanceof Action.Send a) {
+            if (action instanceof Action.StartAttempt a) {
                 int attempt = attempts.merge(a.op(), 1, Integer::sum) - 1;
                 String name = "send " + a.op().text() + " " + attempt;
                 sentTo.put(name, a.server());
                 exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.ACKED ? 1 : 0;
-                    tell(new Event.SendEnded(a.op(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
+                    tell(new Event.AttemptEnded(a.op(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
                             null, outcome == Outcome.ACKED ? report(a.server()) : null));
                 });
-            } else if (action instanceof Action.CallOff a) {
+            } else if (action instanceof Action.CancelAttempt a) {
                 String name = "send " + a.op().text() + " " + a.send();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
-                    gateway(host.nowMs, TIMERS, () -> tell(new Event.SendEnded(
-                            a.op(), a.send(), at, Outcome.CALLED_OFF, 0, false, null, null)));
+                    gateway(host.nowMs, TIMERS, () -> tell(new Event.AttemptEnded(
+                            a.op(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
-            } else if (action instanceof Action.Probe a) {
+            } else if (action instanceof Action.CheckHealth a) {
                 healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
                 exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + names++, (outcome, took) -> {
                     healthChecksOut--;
-                    tell(new Event.ProbeEnded(
+                    tell(new Event.HealthCheckEnded(
                             a.server(), outcome, outcome == Outcome.ACKED ? report(a.server()) : null));
                 });
-            } else if (action instanceof Action.Wake a) {
-                gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.WakeUp(a.mark())));
+            } else if (action instanceof Action.SetTimer a) {
+                gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.TimerFired(a.mark())));
             } else if (action instanceof Action.LogLine a) {
                 logged(a.text().split(" "));
             }
@@ -209,9 +209,9 @@
         });
     }
 
-    private Report report(ServerId server) {
+    private LoadReport report(ServerId server) {
         boolean primary = isPrimary(Integer.parseInt(server.text().substring(1)));
-        return new Report(primary ? Role.PRIMARY : Role.REPLICA, (host.nowMs - 20) * 10);
+        return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (host.nowMs - 20) * 10);
     }
 
     /** In the gateway's process, which does it once it goes on. */
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -12,8 +12,8 @@
 import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /** What instances make of one another's words, with their letters carried by hand. */
 class GossipProtocolTest {
@@ -75,7 +75,7 @@
     }
 
     static ServerObservation role(Role role, long at) {
-        return new ServerObservation(role, at, Report.UNTOLD, Report.UNTOLD, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+        return new ServerObservation(role, at, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, at, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
     }
 
     private static byte[] told(long sentAt, ServerId id, ServerObservation w) {
--- a/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /** Positions that few hear get round to all. */
 class PeerSelectorTest {
@@ -42,7 +42,7 @@
     }
 
     private static ServerObservation place(long now, long position) {
-        return new ServerObservation(Role.REPLICA, now, position, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+        return new ServerObservation(Role.REPLICA, now, position, now, now, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
     }
 
     private void pass(long from, long until, Set<Integer> dead) {
--- a/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import ploverdale.gossip.Datagram.Kind;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
 /** Datagrams between gateways whose service times differ. Times in tenths of a millisecond. */
@@ -20,7 +20,7 @@
     private static final int SERVER = Datagram.number(new ServerId("r1"));
 
     private static ServerObservation placed(long position, long at) {
-        return new ServerObservation(Role.REPLICA, at, position, at, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+        return new ServerObservation(Role.REPLICA, at, position, at, at, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
     }
 
     @ParameterizedTest
@@ -66,11 +66,11 @@
         gossip.listed(server);
         gossip.starts(NOW);
         ServerObservation drained = // news, which is told on
-                new ServerObservation(Role.REPLICA, NOW, NOW, NOW, NOW, Report.UNTOLD, Report.UNTOLD, NOW);
+                new ServerObservation(Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
         gossip.hears(NOW, 1, new Datagram(Kind.TELLS, NOW, Map.of(SERVER, drained)).bytes());
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND)).isNotEmpty().allSatisfy(letter -> assertThat(
                 Datagram.read(letter.bytes()).datagram().words().values())
-                .allSatisfy(w -> assertThat(w.position()).isEqualTo(Report.UNTOLD)));
+                .allSatisfy(w -> assertThat(w.position()).isEqualTo(LoadReport.UNKNOWN_TIME)));
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.Size;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 
 /** Words in any order, lost and doubled, give the same picture or an older one, never a fresher. */
 class ServerObservationTest {
@@ -23,7 +23,7 @@
 
     /** A time of the last ten seconds, or unknown. */
     private static Arbitrary<Long> time() {
-        return Arbitraries.longs().between(NOW - 100_000, NOW).injectNull(0.2).map(t -> t == null ? Report.UNTOLD : t);
+        return Arbitraries.longs().between(NOW - 100_000, NOW).injectNull(0.2).map(t -> t == null ? LoadReport.UNKNOWN_TIME : t);
     }
 
     @Provide
@@ -31,8 +31,8 @@
         Arbitrary<ServerObservation> known = Combinators.combine(Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(),
                 time(), time(), time())
                 .as((role, roleAt, placedAt, alive, silent, cold, drain) -> new ServerObservation(
-                        roleAt == Report.UNTOLD ? Role.UNKNOWN : role, roleAt,
-                        placedAt == Report.UNTOLD ? placedAt : placedAt - 500, placedAt, alive, silent, cold, drain));
+                        roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role, roleAt,
+                        placedAt == LoadReport.UNKNOWN_TIME ? placedAt : placedAt - 500, placedAt, alive, silent, cold, drain));
         return known;
     }
 
@@ -62,7 +62,7 @@
         ServerObservation came = Datagram.read(sent.bytes()).datagram().words().get(5);
         assertOlder(came, word);
         assertThat(came.role()).isEqualTo(word.role());
-        if (word.position() != Report.UNTOLD) {
+        if (word.position() != LoadReport.UNKNOWN_TIME) {
             assertThat(word.position() - came.position()).isBetween(0L, 9L);
             assertThat(word.roleAt() - came.roleAt()).isBetween(0L, 120L);
         }
@@ -81,8 +81,8 @@
     @Property(seed = "10")
     void whatIsTooOldIsForgottenButADrainAndAColdStart(@ForAll("words") ServerObservation word) {
         ServerObservation later = word.since(NOW + 1);
-        assertThat(later.withRoleOlder(0)).isEqualTo(new ServerObservation(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                Report.UNTOLD, Report.UNTOLD, word.coldSince(), word.drainAt()));
+        assertThat(later.withRoleOlder(0)).isEqualTo(new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, word.coldSince(), word.drainAt()));
         assertThat(word.since(NOW - 200_000)).isEqualTo(word);
     }
 }
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -8,9 +8,9 @@
 import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.Event;
-import ploverdale.model.OpType;
-import ploverdale.model.Permits;
-import ploverdale.model.Pledges;
+import ploverdale.model.RequestClass;
+import ploverdale.model.Capabilities;
+import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
@@ -24,10 +24,10 @@
     private long now = SECOND;
 
     private QuotaNode settled(QuotaSettings quotaSettings) {
-        OpType type = new OpType(5000, 0, 30_000, OpType.Repeats.RETRYABLE, OpType.Scope.GROUP, 0, 1, 0, false,
-                OpType.Needs.UNBOUNDED, 5000);
+        RequestClass type = new RequestClass(5000, 0, 30_000, RequestClass.Idempotence.IDEMPOTENT, RequestClass.Scope.GROUP, 0, 1, 0, false,
+                RequestClass.Consistency.UNBOUNDED, 5000);
         QuotaNode s = new QuotaNode(quotaSettings, new Event.Started(7, 1, List.of(type), List.of(new Tenant(10)), 0.1,
-                new Pledges(0.2, 0, 2.5, 0, true, 0), new Permits(6, true, true, true, SECOND, true),
+                new ServerGuarantees(0.2, 0, 2.5, 0, true, 0), new Capabilities(6, true, true, true, SECOND, true),
                 new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 500, false), false, 0), 1, () -> now, () -> now);
         now += 20 * SECOND;
         s.due();
--- a/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
+++ b/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
@@ -5,22 +5,22 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.model.GroupId;
 import ploverdale.model.ServerId;
-import ploverdale.state.Group;
-import ploverdale.state.Member;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ServerState;
 
 /** How many health checks nobody waits for are out at once. */
 class HealthCheckQueueTest {
     private final HealthCheckQueue queue = new HealthCheckQueue();
-    private final Group group = new Group(new GroupId(1));
+    private final ReplicaGroup group = new ReplicaGroup(new GroupId(1));
 
-    private Member server(int number) {
-        return new Member(new ServerId("s" + number), group, 8);
+    private ServerState server(int number) {
+        return new ServerState(new ServerId("s" + number), group, 8);
     }
 
     @Test
     void serversAreTakenInTheirOrderWhileChecksOutAreUnderTheBound() {
-        Member first = server(0);
-        Member second = server(1);
+        ServerState first = server(0);
+        ServerState second = server(1);
         queue.add(first);
         queue.add(second);
         queue.add(first);
@@ -36,7 +36,7 @@
 
     @Test
     void aServerThatWasCheckedMeanwhileWaitsNoMore() {
-        Member server = server(0);
+        ServerState server = server(0);
         queue.add(server);
         queue.sent(server);
         assertThat(queue.next()).isNull();
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.model.GroupId;
 import ploverdale.model.ServerId;
-import ploverdale.state.Group;
-import ploverdale.state.Member;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ServerState;
 
 /** Which silence is put down to this gateway itself or to a common cause. */
 class LocalHealthTest {
@@ -16,12 +16,12 @@
     private static final long CHECK = 2_500; // a health check's limit
 
     private final LocalHealth health = new LocalHealth();
-    private final List<Member> members = new ArrayList<>();
+    private final List<ServerState> members = new ArrayList<>();
 
     private void servers(int count, int checksMissed) {
-        Group group = new Group(new GroupId(1));
+        ReplicaGroup group = new ReplicaGroup(new GroupId(1));
         for (int i = 0; i < count; i++) {
-            Member m = new Member(new ServerId("s" + i), group, 8);
+            ServerState m = new ServerState(new ServerId("s" + i), group, 8);
             m.heardAt = m.respondedAt = START - 10_000;
             m.checkMissedAt = i < checksMissed ? START : m.checkMissedAt;
             members.add(m);
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import ploverdale.model.GroupId;
-import ploverdale.model.Pledges;
+import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
-import ploverdale.state.Group;
-import ploverdale.state.Member;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ServerState;
 
 /** Slow start of one server among warm ones or alone, over many gateways. */
 class SlowStartTest {
@@ -22,21 +22,21 @@
     private static final double BUDGET = 20; // requests a window that the contract lets the server bear at its start
     private static final double ALLOWED = BUDGET + 3 * Math.sqrt(BUDGET) + 3;
     private static final double AGREED_PER_SERVER = 40; // a window; what a warm server can do
-    private static final Pledges CONTRACT = new Pledges(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0); // hardly warms up
+    private static final ServerGuarantees CONTRACT = new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0); // hardly warms up
     private static final long STARTED = 100 * WINDOW;
     private static final long SEED = 11;
 
     /** A gateway with one recovering server and as many warm peers as told. */
     private static final class Gateway {
-        final List<Member> servers = new ArrayList<>();
-        final Member recovering = new Member(new ServerId("recovering"), new Group(new GroupId(1)), 24);
+        final List<ServerState> servers = new ArrayList<>();
+        final ServerState recovering = new ServerState(new ServerId("recovering"), new ReplicaGroup(new GroupId(1)), 24);
         final SlowStart slowStart;
 
         Gateway(int number, int gateways, int warmPeers) {
             recovering.coldSince = STARTED;
             servers.add(recovering);
             for (int i = 0; i < warmPeers; i++) {
-                servers.add(new Member(new ServerId("warm" + i), recovering.group, 24));
+                servers.add(new ServerState(new ServerId("warm" + i), recovering.group, 24));
             }
             double agreed = AGREED_PER_SERVER * servers.size();
             slowStart = new SlowStart(CONTRACT, gateways, agreed, new SplittableRandom(SEED + number));
@@ -104,7 +104,7 @@
     void aGatewayWhosePeersTakeMoreSendsMore() {
         Gateway busy = new Gateway(1, 6, 2);
         Gateway idle = new Gateway(1, 6, 2);
-        for (Member peer : busy.servers.subList(1, 3)) {
+        for (ServerState peer : busy.servers.subList(1, 3)) {
             peer.takenWork = AGREED_PER_SERVER * WORK / 2;
             peer.takenWorkAt = STARTED + 5 * WINDOW;
         }
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -11,8 +11,8 @@
 import ploverdale.gossip.GossipProtocol;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
 import ploverdale.gossip.ServerObservation;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
 /**
@@ -144,13 +144,13 @@
         lost = servers.get(1);
         ServerObservation silent = new ServerObservation(
                 Role.UNKNOWN,
-                Report.UNTOLD,
-                Report.UNTOLD,
-                Report.UNTOLD,
-                Report.UNTOLD,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
                 now,
-                Report.UNTOLD,
-                Report.UNTOLD);
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
         known.get(3).merge(lost, silent, ServerObservation::join);
         all.get(3).learnt(now, lost);
     }
@@ -212,7 +212,7 @@
             known.get(at)
                     .merge(
                             id,
-                            new ServerObservation(role, now, now - 5 * MS, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD),
+                            new ServerObservation(role, now, now - 5 * MS, now, now, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME),
                             ServerObservation::join);
             all.get(at).placed(now, id);
             all.get(at).learnt(now, id);
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -14,16 +14,16 @@
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpType.Repeats;
-import ploverdale.model.OpTypeId;
-import ploverdale.model.Permits;
-import ploverdale.model.Pledges;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.Endpoint;
+import ploverdale.model.RequestId;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.Capabilities;
+import ploverdale.model.ServerGuarantees;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
@@ -76,7 +76,7 @@
     private final int servers;
     private final Condition condition;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final Map<OpId, Integer> sends = new HashMap<>();
+    private final Map<RequestId, Integer> sends = new HashMap<>();
     private final List<ServerId> ids = new ArrayList<>();
     private final Map<ServerId, Integer> numbers = new HashMap<>();
     private long order;
@@ -107,7 +107,7 @@
     private Cost run(double readsPerSecond, double seconds) {
         long length = (long) (seconds * 1000 * MS);
         tell(started(readsPerSecond));
-        tell(new Event.ListTold(true, false, listings()));
+        tell(new Event.EndpointUpdate(true, false, listings()));
         scheduleReads(readsPerSecond, length);
         playUntil(START + length / 4);
         zoneLost = condition == Condition.ZONE_LOST;
@@ -125,26 +125,26 @@
     }
 
     private static Event.Started started(double readsPerSecond) {
-        OpType read = new OpType(
-                500 * MS, 0, CLIENT_WAITS, Repeats.RETRYABLE, OpType.Scope.GROUP, 0, 1, 0, false, Needs.BOUNDED, BOUND);
+        RequestClass read = new RequestClass(
+                500 * MS, 0, CLIENT_WAITS, Idempotence.IDEMPOTENT, RequestClass.Scope.GROUP, 0, 1, 0, false, Consistency.BOUNDED, BOUND);
         return new Event.Started(
                 7,
                 1,
                 List.of(read),
                 List.of(new Tenant(2 * readsPerSecond)),
                 0.1,
-                new Pledges(0.3, 6000 * MS, 2.5, 1000 * MS, true, 0),
-                new Permits(6, true, true, true, 1000 * MS, false),
+                new ServerGuarantees(0.3, 6000 * MS, 2.5, 1000 * MS, true, 0),
+                new Capabilities(6, true, true, true, 1000 * MS, false),
                 new ReplicaGuarantees(StalenessCheck.NONE, 0, false),
                 false,
                 0);
     }
 
-    private List<Listing> listings() {
-        List<Listing> all = new ArrayList<>();
+    private List<Endpoint> listings() {
+        List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Listing(
-                    ids.get(i), new GroupId(i / GROUP), new ZoneId(i % ZONES), Listing.Stage.IN, i % GROUP == 0, 0));
+            all.add(new Endpoint(
+                    ids.get(i), new GroupId(i / GROUP), new ZoneId(i % ZONES), Endpoint.EndpointState.IN, i % GROUP == 0, 0));
         }
         return all;
     }
@@ -156,9 +156,9 @@
             long at = START + (long) (i * 1000 * MS / perSecond);
             add(
                     at,
-                    new Event.OpArrived(
-                            new OpId("r" + i),
-                            new OpTypeId(0),
+                    new Event.RequestArrived(
+                            new RequestId("r" + i),
+                            new RequestClassId(0),
                             new TenantId(0),
                             new GroupId(chance.nextInt(groups)),
                             null,
@@ -204,47 +204,47 @@
     }
 
     private void carryOut(Action action) {
-        if (action instanceof Action.Send send) {
+        if (action instanceof Action.StartAttempt send) {
             int number = sends.merge(send.op(), 1, Integer::sum) - 1;
             answer(send, number);
-        } else if (action instanceof Action.Probe probe) {
+        } else if (action instanceof Action.CheckHealth probe) {
             probes++;
             long at = now + 1 + chance.nextLong(ANSWERS_WITHIN);
             add(
                     at,
                     answers(probe.server())
-                            ? new Event.ProbeEnded(probe.server(), Outcome.ACKED, report(probe.server(), at))
-                            : new Event.ProbeEnded(probe.server(), Outcome.TIMED_OUT, null));
-        } else if (action instanceof Action.Wake wake) {
-            add(wake.at(), new Event.WakeUp(wake.mark()));
-        } else if (action instanceof Action.BusyReply reply) {
+                            ? new Event.HealthCheckEnded(probe.server(), Outcome.ACKED, report(probe.server(), at))
+                            : new Event.HealthCheckEnded(probe.server(), Outcome.TIMED_OUT, null));
+        } else if (action instanceof Action.SetTimer wake) {
+            add(wake.at(), new Event.TimerFired(wake.mark()));
+        } else if (action instanceof Action.RejectRequest reply) {
             refused++;
             sends.remove(reply.op());
         }
     }
 
-    private void answer(Action.Send send, int number) {
+    private void answer(Action.StartAttempt send, int number) {
         if (!answers(send.server())) {
             long at = now + send.timeLimit();
             add(
                     at,
-                    new Event.SendEnded(
+                    new Event.AttemptEnded(
                             send.op(), number, send.server(), Outcome.TIMED_OUT, send.timeLimit(), false, null, null));
             return;
         }
         long took = 1 + chance.nextLong(ANSWERS_WITHIN);
         served++;
         sends.remove(send.op());
-        Report note = report(send.server(), now + took);
-        add(now + took, new Event.SendEnded(send.op(), number, send.server(), Outcome.ACKED, took, true, note, null));
+        LoadReport note = report(send.server(), now + took);
+        add(now + took, new Event.AttemptEnded(send.op(), number, send.server(), Outcome.ACKED, took, true, note, null));
     }
 
     private boolean answers(ServerId server) {
         return !zoneLost || numbers.get(server) % ZONES != 0;
     }
 
-    private Report report(ServerId server, long at) {
+    private LoadReport report(ServerId server, long at) {
         boolean primary = numbers.get(server) % GROUP == 0;
-        return new Report(primary ? Role.PRIMARY : Role.REPLICA, primary ? at : at - REPLICA_LAG, 0.3);
+        return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, primary ? at : at - REPLICA_LAG, 0.3);
     }
 }
