--- a/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
+++ b/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
@@ -17,7 +17,7 @@
     public enum Why { NO_GREETING, UNFINISHED, IDLE }
 
     /** Who is to end, and why. */
-    public record Leave<C>(C who, Why why, long sinceMs) {
+    public record Eviction<C>(C who, Why why, long sinceMs) {
         /** Whether it ends for lack of room, before the time that any client has for a greeting or a message is up. */
         public boolean forRoom() {
             return sinceMs < UNFINISHED_MS;
@@ -152,8 +152,8 @@
     }
 
     /** Who ends so that a client which has come may stay, or null: then that one is turned away. */
-    public Leave<C> wayForClient(long nowMs) {
-        Leave<C> stranger = oldest(strangers, nowMs, MOMENT_MS, Why.NO_GREETING);
+    public Eviction<C> wayForClient(long nowMs) {
+        Eviction<C> stranger = oldest(strangers, nowMs, MOMENT_MS, Why.NO_GREETING);
         return stranger != null ? stranger : oldest(idle, nowMs, MOMENT_MS, Why.IDLE);
     }
 
@@ -163,7 +163,7 @@
     }
 
     /** Who of the clients ends for a connection to a server, or null: then an idle one to a server is to end. */
-    public Leave<C> wayForServer(long nowMs) {
+    public Eviction<C> wayForServer(long nowMs) {
         return wayForClient(nowMs);
     }
 
@@ -180,8 +180,8 @@
      * with them: what they began ends in time; where connections are many, those long idle go, and where the share is
      * about used up, so does each that is idle.
      */
-    public Leave<C> overdue(long nowMs) {
-        Leave<C> l = oldest(strangers, nowMs, strangers.size() > clientsMost / STRANGERS_PART ? MOMENT_MS : UNFINISHED_MS,
+    public Eviction<C> overdue(long nowMs) {
+        Eviction<C> l = oldest(strangers, nowMs, strangers.size() > clientsMost / STRANGERS_PART ? MOMENT_MS : UNFINISHED_MS,
                 Why.NO_GREETING);
         l = l != null ? l : oldest(unfinished, nowMs, UNFINISHED_MS, Why.UNFINISHED);
         l = l == null && clients > clientsMost / MANY_PART ? oldest(idle, nowMs, IDLE_MS, Why.IDLE) : l;
@@ -190,7 +190,7 @@
     }
 
     /** Since when what was said of a connection has held without a break; empty where it holds no more. */
-    public OptionalLong heldSince(Leave<C> leave) {
+    public OptionalLong heldSince(Eviction<C> leave) {
         Long since = switch (leave.why()) {
             case NO_GREETING -> strangers.get(leave.who());
             case UNFINISHED -> unfinished.get(leave.who());
@@ -215,16 +215,16 @@
     }
 
     /** Those who have said nothing for so long, or null; for a gateway that ends. */
-    public Leave<C> silentFor(long ms, long nowMs) {
+    public Eviction<C> silentFor(long ms, long nowMs) {
         return oldest(strangers, nowMs, ms, Why.NO_GREETING);
     }
 
-    private static <C> Leave<C> oldest(Map<C, Long> all, long nowMs, long ms, Why why) {
+    private static <C> Eviction<C> oldest(Map<C, Long> all, long nowMs, long ms, Why why) {
         Iterator<Map.Entry<C, Long>> i = all.entrySet().iterator();
         if (!i.hasNext()) {
             return null;
         }
         Map.Entry<C, Long> e = i.next();
-        return nowMs - e.getValue() < ms ? null : new Leave<>(e.getKey(), why, nowMs - e.getValue());
+        return nowMs - e.getValue() < ms ? null : new Eviction<>(e.getKey(), why, nowMs - e.getValue());
     }
 }
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -38,7 +38,7 @@
  * writes one answer for each command in the order of the commands. Must never decide an op's fate, answer an op
  * twice, or keep more of a client that does not read than its bounds allow.
  */
-public final class ClientSide {
+public final class ClientConnections {
     private static final int AHEAD_MOST = 8; // commands of one client taken before their answers are out
     // Bytes of requests of one client that wait behind these; further requests are refused. The end of a connection comes
     // behind its bytes, so a client that has closed is known only once all that it wrote has been read.
@@ -66,19 +66,19 @@
     private static final long UNREAD_LEAST_MS = 5000; // for a client to read on, or as long as an op may take, before it is closed
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
-    interface Past {
+    interface RequestHistoryLookup {
         void arrives(Event.RequestArrived op, String key);
     }
 
     /** An op in hand. */
-    public static final class Taken {
+    public static final class AcceptedRequest {
         private final ClientMessage.RequestQuery ask;
         private final Session session;
-        private final Slot slot;
+        private final PendingResponse slot;
         private final long lastResortMs;
         private int sends;
 
-        private Taken(ClientMessage.RequestQuery ask, Session session, Slot slot, long lastResortMs) {
+        private AcceptedRequest(ClientMessage.RequestQuery ask, Session session, PendingResponse slot, long lastResortMs) {
             this.lastResortMs = lastResortMs;
             this.ask = ask;
             this.session = session;
@@ -96,7 +96,7 @@
     }
 
     /** A command's place in the order of answers. */
-    private static final class Slot {
+    private static final class PendingResponse {
         private RequestId op;
         private Buffer answer;
         private boolean ends;
@@ -104,13 +104,13 @@
 
     private final Vertx vertx;
     private final Log log;
-    private final LogicLoop loop;
+    private final RouterEventLoop loop;
     private final GatewaySettings settings;
     private final ConnectionLimits<Session> limits;
     private final ServerClock time;
     private final long unreadMs;
     private final Traffic traffic = new Traffic(TRAFFIC_FADES_MS);
-    private final Map<RequestId, Taken> taken = new HashMap<>();
+    private final Map<RequestId, AcceptedRequest> taken = new HashMap<>();
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final List<Session> early = new ArrayList<>(); // asked before the module was told what it needs
     private final Map<Integer, Session> byProcess = new HashMap<>(); // by the number that a cancel message names
@@ -119,7 +119,7 @@
     private int processes;
     private long load; // bytes of ops in hand, of messages not yet whole and of answers not yet read
     private LongConsumer asked = x -> { };
-    private Past past; // null where gateways keep nothing together
+    private RequestHistoryLookup past; // null where gateways keep nothing together
     private boolean ready;
     private boolean ending;
     private boolean stopped; // reads nothing more
@@ -127,7 +127,7 @@
     private final Set<NetSocket> parting = new LinkedHashSet<>(); // ended here and not yet by their clients
     private long answersBy = Long.MAX_VALUE;
 
-    public ClientSide(Vertx vertx, Log log, LogicLoop loop, GatewaySettings settings, ConnectionLimits<Session> limits, ServerClock time) {
+    public ClientConnections(Vertx vertx, Log log, RouterEventLoop loop, GatewaySettings settings, ConnectionLimits<Session> limits, ServerClock time) {
         this.time = time;
         this.vertx = vertx;
         this.log = log;
@@ -148,10 +148,10 @@
         if (loop.behind() == 0) {
             answerOverdue();
         }
-        for (ConnectionLimits.Leave<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
+        for (ConnectionLimits.Eviction<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
             end(l);
         }
-        for (ConnectionLimits.Leave<Session> l = ending ? limits.silentFor(SILENT_MS, nowMs()) : null; l != null;
+        for (ConnectionLimits.Eviction<Session> l = ending ? limits.silentFor(SILENT_MS, nowMs()) : null; l != null;
                 l = limits.silentFor(SILENT_MS, nowMs())) {
             end(l);
         }
@@ -160,8 +160,8 @@
     /** Answers what the router has left unanswered beyond its time, whatever the cause: each request gets its final answer. */
     private void answerOverdue() {
         long now = nowMs();
-        List<Taken> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
-        for (Taken t : overdue) {
+        List<AcceptedRequest> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
+        for (AcceptedRequest t : overdue) {
             RequestId op = new RequestId(t.ask.id());
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
             loop.tell(new Event.ClientDisconnected(op)); // it is answered here
@@ -174,7 +174,7 @@
      * asked by now stays: what the system holds for it is read first, since after a pause of this process a timer fires before
      * the requests that came during the pause have been read.
      */
-    public void end(ConnectionLimits.Leave<Session> l) {
+    public void end(ConnectionLimits.Eviction<Session> l) {
         OptionalLong since = limits.heldSince(l);
         NioSockets.readNow(l.who().socket);
         if (since.isEmpty() || !since.equals(limits.heldSince(l))) {
@@ -200,7 +200,7 @@
             NioSockets.stopReading(socket); // the process exits in a moment
             return;
         }
-        ConnectionLimits.Leave<Session> way = limits.clientFits() ? null : limits.wayForClient(nowMs());
+        ConnectionLimits.Eviction<Session> way = limits.clientFits() ? null : limits.wayForClient(nowMs());
         while (way != null) {
             end(way);
             way = limits.clientFits() ? null : limits.wayForClient(nowMs());
@@ -307,7 +307,7 @@
     }
 
     /** Ops go by this from now on. */
-    void past(Past past) {
+    void past(RequestHistoryLookup past) {
         this.past = past;
     }
 
@@ -319,13 +319,13 @@
      * Whether the client of an op still waits for it; asked right before an attempt is written. Where its connection was not
      * read a moment ago, as for a retry, a request that was held, or behind a pause of this process, it is read now.
      */
-    boolean waits(Taken t) {
+    boolean waits(AcceptedRequest t) {
         RequestId op = new RequestId(t.ask.id());
         return taken.get(op) == t && !t.session.leftUnseen() && taken.get(op) == t;
     }
 
     /** The op if it is still in hand. */
-    public Taken taken(RequestId op) {
+    public AcceptedRequest taken(RequestId op) {
         return taken.get(op);
     }
 
@@ -412,7 +412,7 @@
     }
 
     private void answer(RequestId op, Buffer answer) {
-        Taken t = taken.remove(op);
+        AcceptedRequest t = taken.remove(op);
         if (t != null) {
             lighter(t.ask.text().length);
             t.slot.answer = answer;
@@ -436,7 +436,7 @@
     public final class Session {
         private final NetSocket socket;
         private final ClientMessageReader stream = new ClientMessageReader();
-        private final Deque<Slot> slots = new ArrayDeque<>();
+        private final Deque<PendingResponse> slots = new ArrayDeque<>();
         private final Deque<ClientMessage> waiting = new ArrayDeque<>(); // cut, behind as many as may be in hand
         private final int process = ++processes; // with the secret, what a cancel message names
         private final int secret = secrets.nextInt();
@@ -601,7 +601,7 @@
 
         /** Ends every request that has come and has no answer yet: none of them is attempted from now on. */
         private void cancelRequests() {
-            for (Slot s : slots) {
+            for (PendingResponse s : slots) {
                 if (s.op != null && s.answer == null) {
                     lighter(taken.remove(s.op).ask.text().length);
                     loop.tell(new Event.ClientDisconnected(s.op));
@@ -689,7 +689,7 @@
 
         private void refuse(String code, String text, boolean ends) {
             deaf |= ends;
-            Slot slot = new Slot();
+            PendingResponse slot = new PendingResponse();
             slot.answer = MessageWriter.errorResponse(code, text, null, ends, !ends);
             slot.ends = ends;
             slots.add(slot);
@@ -697,7 +697,7 @@
         }
 
         private void put(Buffer answer) {
-            Slot slot = new Slot();
+            PendingResponse slot = new PendingResponse();
             slot.answer = answer;
             slots.add(slot);
             flush();
@@ -718,12 +718,12 @@
             limits.asks(this);
             traffic.op(nowMs());
             asked.accept(nowMs());
-            Slot slot = new Slot();
+            PendingResponse slot = new PendingResponse();
             slot.op = op;
             slots.add(slot);
             long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.timeoutMs() * 10));
             long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
-            taken.put(op, new Taken(ask, this, slot, lastResortMs));
+            taken.put(op, new AcceptedRequest(ask, this, slot, lastResortMs));
             load += ask.text().length;
             Consistency needs = settings.started().opTypes().get(type).needs();
             boolean inSession = ask.key() != null && (needs == Consistency.WRITE || needs == Consistency.SESSION);
@@ -740,7 +740,7 @@
         /** Writes the answers that are due, in order. */
         private void flush() {
             while (!closed && !slots.isEmpty() && slots.peek().answer != null) {
-                Slot s = slots.poll();
+                PendingResponse s = slots.poll();
                 socket.write(s.answer);
                 if (unread || socket.writeQueueFull()) {
                     unreadBytes += s.answer.length();
@@ -865,7 +865,7 @@
             byProcess.remove(process);
             early.remove(this);
             sessions.remove(this);
-            for (Slot s : slots) {
+            for (PendingResponse s : slots) {
                 if (s.op != null && s.answer == null) {
                     lighter(taken.remove(s.op).ask.text().length);
                     loop.tell(new Event.ClientDisconnected(s.op));
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -39,7 +39,7 @@
  * it out and each outcome back, gives them a new configuration and ends them at a planned restart. Must never decide
  * anything about an op or a server, nor stop while an op taken in time has no answer.
  */
-public final class Gateway implements LogicLoop.Hands {
+public final class Gateway implements RouterEventLoop.ActionHandler {
     private static final int LISTEN_TRIES = 50; // 5 s, half of what a restart may take
     private static final long LISTEN_AGAIN_MS = 100;
     private static final int CALM_LOOKS = 5; // at the clock, with the loop on time, before service begins
@@ -53,14 +53,14 @@
     private final Vertx vertx;
     private final Log log;
     private ConfigurationFile file;
-    private final LogicLoop loop;
-    private final ClientSide clients;
-    private final ServerSide servers;
+    private final RouterEventLoop loop;
+    private final ClientConnections clients;
+    private final ServerConnections servers;
     private final Discovery discovery;
-    private final PeerSide peers; // null where instances do not talk
-    private final FleetSide fleet; // null but where a fleet file switches it on
-    private final ReplicaSide past; // null but where that file has something kept
-    private final ConnectionLimits<ClientSide.Session> limits;
+    private final GossipTransport peers; // null where instances do not talk
+    private final MembershipTransport fleet; // null but where a fleet file switches it on
+    private final ReplicationCoordinator past; // null but where that file has something kept
+    private final ConnectionLimits<ClientConnections.Session> limits;
     private final ServerClock time;
     private final Map<ServerId, Start> starts = new HashMap<>();
     private int probesOut;
@@ -79,18 +79,18 @@
         vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
         fleet = quotaSettings.isEmpty() || file.peerListen() == null ? null
-                : new FleetSide(vertx, log, quotaSettings.get(), file.settings().started(), (to, bytes) -> peers().send(to, bytes), time);
-        loop = new LogicLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
-        clients = new ClientSide(vertx, log, loop, file.settings(), limits, time);
-        servers = new ServerSide(vertx, log, file.settings(), limits, this::makeRoom, time);
-        peers = file.peerListen() == null ? null : new PeerSide(vertx, log, loop, file.peers());
+                : new MembershipTransport(vertx, log, quotaSettings.get(), file.settings().started(), (to, bytes) -> peers().send(to, bytes), time);
+        loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
+        clients = new ClientConnections(vertx, log, loop, file.settings(), limits, time);
+        servers = new ServerConnections(vertx, log, file.settings(), limits, this::makeRoom, time);
+        peers = file.peerListen() == null ? null : new GossipTransport(vertx, log, loop, file.peers());
         if (peers != null) {
             peers.datedBy(time);
         }
         if (fleet != null) {
             peers.readFirst(fleet::hears);
         }
-        past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicaSide(vertx, log, loop, clients,
+        past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicationCoordinator(vertx, log, loop, clients,
                 file.settings(), quotaSettings.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
         if (past != null) {
             clients.past(past);
@@ -100,7 +100,7 @@
         time.whenChanged(this::datedAnew);
     }
 
-    private PeerSide peers() {
+    private GossipTransport peers() {
         return peers;
     }
 
@@ -139,7 +139,7 @@
 
     private static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Context context = vertx.getOrCreateContext();
-        return WarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
+        return StartupWarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
     }
 
     /** Starts a gateway as it is, for one that has practised in this process; done when it listens. */
@@ -230,7 +230,7 @@
     /** Has ended what the limits say makes way for one more connection to a server; false where none may be opened yet. */
     private boolean makeRoom() {
         while (!limits.serverFits()) {
-            ConnectionLimits.Leave<ClientSide.Session> way = limits.wayForServer(time.clock().monotonicMs());
+            ConnectionLimits.Eviction<ClientConnections.Session> way = limits.wayForServer(time.clock().monotonicMs());
             if (way != null) {
                 clients.end(way);
             } else if (!servers.closeLongestIdle()) {
@@ -288,7 +288,7 @@
 
     @Override
     public void send(Action.StartAttempt a) {
-        ClientSide.Taken t = clients.taken(a.op());
+        ClientConnections.AcceptedRequest t = clients.taken(a.op());
         if (t == null) { // its client has gone while the module was deciding
             loop.tell(new Event.AttemptEnded(a.op(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
             answered(a.op());
@@ -310,7 +310,7 @@
                 outcome -> sendEnded(a.op(), number, a.server(), outcome));
     }
 
-    private void sendEnded(RequestId op, int number, ServerId server, ServerSide.AttemptEnd o) {
+    private void sendEnded(RequestId op, int number, ServerId server, ServerConnections.AttemptEnd o) {
         if (past != null) {
             past.sendEnded(op, o.outcome(), o.row() != null);
         }
--- a/gateway/src/main/java/ploverdale/net/PeerSide.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -21,12 +21,12 @@
  * module says. Must never read or make a message, repeat one, answer one, or pass on one from an address that is not
  * among the instances'.
  */
-final class PeerSide {
+final class GossipTransport {
     private static final long REOPEN_FIRST_MS = 20; // after a failure; doubled each time, until a datagram has come
     private static final long REOPEN_MOST_MS = 2000;
 
     private final Log log;
-    private final LogicLoop loop;
+    private final RouterEventLoop loop;
     private final List<InetSocketAddress> peers;
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Vertx vertx;
@@ -38,7 +38,7 @@
     private BiPredicate<Integer, byte[]> others = (from, bytes) -> false;
     private ServerClock time; // null: all read the same clock
 
-    PeerSide(Vertx vertx, Log log, LogicLoop loop, List<InetSocketAddress> peers) {
+    GossipTransport(Vertx vertx, Log log, RouterEventLoop loop, List<InetSocketAddress> peers) {
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
--- a/gateway/src/main/java/ploverdale/net/FleetSide.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -13,7 +13,7 @@
  * Owns the clock and the ways of what the fleet agrees on: hands parcels in and out, and looks round. Must never decide who
  * is alive or who gets which part, and must look at a clock that never steps.
  */
-final class FleetSide {
+final class MembershipTransport {
     /** Sends bytes to another gateway. */
     interface Out {
         void send(int to, byte[] bytes);
@@ -26,7 +26,7 @@
     private final QuotaNode shared;
     private Runnable heard = () -> { };
 
-    FleetSide(Vertx vertx, Log log, QuotaSettings quotaSettings, Started told, Out out, ServerClock time) {
+    MembershipTransport(Vertx vertx, Log log, QuotaSettings quotaSettings, Started told, Out out, ServerClock time) {
         this.log = log;
         this.out = out;
         shared = new QuotaNode(quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
--- a/gateway/src/main/java/ploverdale/net/ReplicaSide.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -34,7 +34,7 @@
  * read, a write claimed before the module hears of it, and what came of it copied before its client hears. Must never decide
  * what is known, fresh enough or proven, and must answer no op twice.
  */
-final class ReplicaSide implements ClientSide.Past {
+final class ReplicationCoordinator implements ClientConnections.RequestHistoryLookup {
     private static final long LOOK_MS = 1000;
     private static final long MS = 10;
     private static final long JOIN_AGAIN_MS = 40; // a submit that waits for an earlier one's fate
@@ -64,8 +64,8 @@
 
     private final Vertx vertx;
     private final Log log;
-    private final LogicLoop loop;
-    private final ClientSide clients;
+    private final RouterEventLoop loop;
+    private final ClientConnections clients;
     private final GatewaySettings settings;
     private final ReplicationSettings keeping;
     private final Replicas replicas;
@@ -75,7 +75,7 @@
     private final Map<RequestId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker = new HashMap<>(); // by group, the number of the server of the last acked write
 
-    ReplicaSide(Vertx vertx, Log log, LogicLoop loop, ClientSide clients, GatewaySettings settings, ReplicationSettings keeping, Replicas replicas, Way way,
+    ReplicationCoordinator(Vertx vertx, Log log, RouterEventLoop loop, ClientConnections clients, GatewaySettings settings, ReplicationSettings keeping, Replicas replicas, Way way,
             ServerClock time) {
         this.vertx = vertx;
         this.log = log;
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
@@ -17,9 +17,9 @@
  * has the actions carried out in order, and keeps the wake-ups. Must never choose, drop or reorder anything,
  * and must never let the module see the clock go back or a wake-up come early.
  */
-public final class LogicLoop {
+public final class RouterEventLoop {
     /** Those who carry out actions. */
-    public interface Hands {
+    public interface ActionHandler {
         void send(Action.StartAttempt send);
 
         void callOff(Action.CancelAttempt callOff);
@@ -47,7 +47,7 @@
     private final Vertx vertx;
     private final Context context;
     private final Log log;
-    private final Hands hands;
+    private final ActionHandler actionHandler;
     private final Logic logic;
     private final Clock clock;
     private final Deque<Event> queue = new ArrayDeque<>();
@@ -59,7 +59,7 @@
     private long tickBefore;
 
     /** @param quota what the module may spend of the fleet's budgets, or null */
-    public LogicLoop(Vertx vertx, Context context, Log log, Hands hands, Quota quota, Clock clock) {
+    public RouterEventLoop(Vertx vertx, Context context, Log log, ActionHandler actionHandler, Quota quota, Clock clock) {
         this.clock = clock;
         lastTick = clock.now();
         tickBefore = lastTick;
@@ -67,7 +67,7 @@
         this.vertx = vertx;
         this.context = context;
         this.log = log;
-        this.hands = hands;
+        this.actionHandler = actionHandler;
         vertx.setPeriodic(TICK_MS, x -> {
             tickBefore = lastTick;
             lastTick = clock.now();
@@ -158,7 +158,7 @@
             } catch (RuntimeException e) {
                 log.fault("module fault on " + h.getClass().getSimpleName(), e);
                 if (h instanceof Event.RequestArrived a) {
-                    hands.errorReply(new Action.FailRequest(a.op())); // an op taken is answered all the same
+                    actionHandler.errorReply(new Action.FailRequest(a.op())); // an op taken is answered all the same
                 }
             }
         }
@@ -166,23 +166,23 @@
 
     private void act(Action action) {
         if (action instanceof Action.StartAttempt a) {
-            hands.send(a);
+            actionHandler.send(a);
         } else if (action instanceof Action.CancelAttempt a) {
-            hands.callOff(a);
+            actionHandler.callOff(a);
         } else if (action instanceof Action.RejectRequest a) {
-            hands.busyReply(a);
+            actionHandler.busyReply(a);
         } else if (action instanceof Action.FailRequest a) {
-            hands.errorReply(a);
+            actionHandler.errorReply(a);
         } else if (action instanceof Action.SetTimer a) {
             wakeAt(a);
         } else if (action instanceof Action.CheckHealth a) {
-            hands.probe(a);
+            actionHandler.probe(a);
         } else if (action instanceof Action.CloseIdleConnections a) {
-            hands.closeIdle(a);
+            actionHandler.closeIdle(a);
         } else if (action instanceof Action.WatchEndpoints) {
-            hands.followList();
+            actionHandler.followList();
         } else if (action instanceof Action.SendGossip a) {
-            hands.tell(a);
+            actionHandler.tell(a);
         } else if (action instanceof Action.LogLine a) {
             log.line(a.text());
         }
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -33,7 +33,7 @@
  * tells how it ended with how far it had come. Must never choose a server, repeat anything, write what no send
  * or probe asked for, or let a late answer reach another op: giving up closes the connection.
  */
-public final class ServerSide {
+public final class ServerConnections {
     /** How far a send had come. What is not written whole has not run; after that it may have. */
     public enum Reach { NO_CONNECTION, NOT_WRITTEN, IN_DOUBT, WRITTEN }
 
@@ -41,12 +41,12 @@
     public record AttemptEnd(Outcome outcome, Reach reach, ResultRow row, LoadReport note, LoadReport report, long took) {}
 
     /** Hears the outcome of a send or probe, once. */
-    public interface Ear {
+    public interface AttemptListener {
         void ended(AttemptEnd outcome);
     }
 
     /** What a send or probe writes, given the wait that is left, at least 1. */
-    public interface Text {
+    public interface RequestEncoder {
         Buffer bytes(long waitMs);
     }
 
@@ -71,11 +71,11 @@
     private final ServerClock time;
     private final NetClient net;
     private final Map<ServerId, Server> servers = new HashMap<>();
-    private final Map<RequestId, Sending> byOp = new HashMap<>();
+    private final Map<RequestId, Attempt> byOp = new HashMap<>();
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
-    private final Losses losses = new Losses();
+    private final IdleConnectionLossRate losses = new IdleConnectionLossRate();
 
-    ServerSide(Vertx vertx, Log log, GatewaySettings settings, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
+    ServerConnections(Vertx vertx, Log log, GatewaySettings settings, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
         this.vertx = vertx;
         this.log = log;
         this.settings = settings;
@@ -90,7 +90,7 @@
     private static final class Server {
         private final ServerId id;
         private final Deque<Connection> free = new ArrayDeque<>(); // latest last
-        private final Set<Sending> waiting = new LinkedHashSet<>();
+        private final Set<Attempt> waiting = new LinkedHashSet<>();
         private InetSocketAddress address;
 
         private Server(ServerId id) {
@@ -99,12 +99,12 @@
     }
 
     /** One send or probe under way. */
-    private final class Sending {
+    private final class Attempt {
         private final RequestId op;
         private final Server server;
         private final BooleanSupplier wanted; // right before it is written
-        private final Text text;
-        private final Ear ear;
+        private final RequestEncoder text;
+        private final AttemptListener ear;
         private final long startedAt = time.now();
         private final long limit;
         private final long timer;
@@ -115,7 +115,7 @@
         private boolean lacksLocally; // descriptors, ports or the like kept its connection from being made
         private long silentAfter = -1; // idle time of the connection that this probe was moved from; below 0: it was not
 
-        private Sending(RequestId op, Server server, long limit, BooleanSupplier wanted, Text text, Ear ear) {
+        private Attempt(RequestId op, Server server, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
             this.wanted = wanted;
             this.op = op;
             this.server = server;
@@ -152,9 +152,9 @@
      * Writes the text to the server on a free connection, or on a new one; the limit is in tenths of a ms. It counts as never
      * sent if it is not wanted any more when its connection is there.
      */
-    public void send(RequestId op, ServerId id, long limit, BooleanSupplier wanted, Text text, Ear ear) {
+    public void send(RequestId op, ServerId id, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Sending x = new Sending(op, s, limit, wanted, text, ear);
+        Attempt x = new Attempt(op, s, limit, wanted, text, ear);
         if (op != null) {
             byOp.put(op, x);
         }
@@ -162,7 +162,7 @@
     }
 
     /** Writes to a free connection, or to a new one once it is up. */
-    private void assign(Server s, Sending x) {
+    private void assign(Server s, Attempt x) {
         Connection c = free(s);
         if (c != null) {
             s.free.remove(c);
@@ -175,7 +175,7 @@
     }
 
     /** Opens a connection, perhaps once others have given back their descriptors; a free one may come first. */
-    private void openOrWait(Server s, Sending x) {
+    private void openOrWait(Server s, Attempt x) {
         if (x.over || x.on != null || open(s, x)) {
             return;
         }
@@ -187,7 +187,7 @@
     }
 
     /** Opens a connection a moment later, or takes one that is free by then; false where that was done often enough. */
-    private boolean openAgainLater(Server s, Sending x) {
+    private boolean openAgainLater(Server s, Attempt x) {
         if (x.opensLeft == 0) {
             return false;
         }
@@ -200,7 +200,7 @@
      * The outcome of an attempt that found no connection. A request was never sent, whatever the cause; a health check says
      * nothing about its server only where the cause was a local one.
      */
-    private static Outcome unsentOutcome(Sending x, Outcome ofServer) {
+    private static Outcome unsentOutcome(Attempt x, Outcome ofServer) {
         return x.op != null || x.lacksLocally ? Outcome.NEVER_SENT : ofServer;
     }
 
@@ -224,7 +224,7 @@
     }
 
     /** How many kept connections were lately lost at their next send, by how long they had been idle. */
-    private static final class Losses {
+    private static final class IdleConnectionLossRate {
         private static final long FIRST = 500; // doubled a step; shorter rests are not judged
         private static final double NEWEST = 0.1;
         private static final double TOO_MANY = 0.3; // more than resets by chance would make
@@ -253,16 +253,16 @@
      * A probe: how the server is, in as long as a connection may take to make. Where it goes to a connection that has been idle for
      * long and is not answered soon, it moves to a new one: the server or the way may have forgotten the old one.
      */
-    public void probe(ServerId id, Ear ear) {
+    public void probe(ServerId id, AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Sending x = new Sending(null, s, settings.connectLimit(), () -> true, waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()), ear);
+        Attempt x = new Attempt(null, s, settings.connectLimit(), () -> true, waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()), ear);
         assign(s, x);
         if (x.on != null && x.on.rest >= LONG_IDLE) {
             vertx.setTimer(PROBE_PATIENCE_MS, y -> moveSilentProbe(x));
         }
     }
 
-    private void moveSilentProbe(Sending probe) {
+    private void moveSilentProbe(Attempt probe) {
         if (!probe.over && probe.on != null && probe.silentAfter < 0) {
             NioSockets.readNow(probe.on.socket); // its answer may have come during a pause of this process
         }
@@ -272,7 +272,7 @@
     }
 
     /** Gives up the connection of a probe, and opens a new one for it. */
-    private void moveProbe(Sending probe) {
+    private void moveProbe(Attempt probe) {
         Connection old = probe.on;
         probe.silentAfter = old.rest;
         old.sending = null;
@@ -297,7 +297,7 @@
 
     /** Stops waiting for the op's send, if one is out. */
     public void callOff(RequestId op) {
-        Sending x = byOp.get(op);
+        Attempt x = byOp.get(op);
         if (x != null) {
             giveUp(x, Outcome.CANCELLED);
         }
@@ -320,7 +320,7 @@
     }
 
     /** What was not written whole has not run, whoever stopped waiting. */
-    private void giveUp(Sending x, Outcome outcome) {
+    private void giveUp(Attempt x, Outcome outcome) {
         if (x.over) {
             return;
         }
@@ -348,7 +348,7 @@
         }
     }
 
-    private boolean open(Server s, Sending opener) {
+    private boolean open(Server s, Attempt opener) {
         if (s.address == null || !makeRoom.getAsBoolean()) {
             return false;
         }
@@ -361,7 +361,7 @@
     private final class Connection {
         private final Server server;
         private final InetSocketAddress address;
-        private final Sending opener;
+        private final Attempt opener;
         private final ServerMessageReader stream = new ServerMessageReader();
         private NetSocket socket;
         private boolean up;
@@ -373,7 +373,7 @@
         private long idleSince;
         private long rest = -1; // before the send that is out; below 0: it is the first
 
-        private Sending sending;
+        private Attempt sending;
         private int saidBeside;
         private final Map<String, String> told = new HashMap<>();
         private ServerMessage.RowDescription column;
@@ -382,7 +382,7 @@
         private ServerMessage.ErrorResponse problem;
         private long writtenAt;
 
-        private Connection(Server server, Sending opener) {
+        private Connection(Server server, Attempt opener) {
             this.server = server;
             this.address = server.address;
             this.opener = opener;
@@ -480,7 +480,7 @@
         /** Guards against spoilt answers: the server lives and may have run the op, but nothing it says here is used. */
         private void outOfOrder(String what) {
             log.often("server out of order", server.id.text() + ": " + what);
-            Sending x = sending;
+            Attempt x = sending;
             if (x == null) {
                 lost(what);
             } else {
@@ -489,7 +489,7 @@
             }
         }
 
-        private void write(Sending x) {
+        private void write(Attempt x) {
             // Rounded down: the server must not be told more time than its client has left.
             long leftMs = (x.limit - (time.now() - x.startedAt)) / TENTHS_A_MS;
             if (leftMs <= 0 || !x.wanted.getAsBoolean()) {
@@ -520,7 +520,7 @@
 
         /** Takes the next send that waits, its own opener first, or is idle. */
         private void free() {
-            Sending next = opener.over || opener.on != null ? server.waiting.stream().findFirst().orElse(null) : opener;
+            Attempt next = opener.over || opener.on != null ? server.waiting.stream().findFirst().orElse(null) : opener;
             if (next == opener) {
                 server.waiting.remove(next);
                 write(next);
@@ -546,7 +546,7 @@
 
         /** Tells the answer that has come. */
         private void finish() {
-            Sending x = sending;
+            Attempt x = sending;
             sending = null;
             if (rest >= 0) {
                 losses.learn(rest, false, time.now());
@@ -609,7 +609,7 @@
                 return;
             }
             close();
-            Sending x = up ? sending : opener;
+            Attempt x = up ? sending : opener;
             if (x == null || x.over || !up && x.on != null) {
                 return;
             }
--- a/gateway/src/main/java/ploverdale/net/WarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -37,7 +37,7 @@
  * discovery at free ports of the gateway's address, so that classes are loaded and methods compiled before a client
  * waits for them. Must never reach anyone else, leave anything behind, or keep service from beginning.
  */
-final class WarmUp {
+final class StartupWarmUp {
     private static final int OPS_MOST = 120; // most is called twice an op or more, and compiled after 200 calls
     private static final int OPS_LEAST = 24; // after these all classes are there
     private static final double OF_A_SECOND = 0.5; // of the ops agreed for one gateway; what is compiled for more is
@@ -47,7 +47,7 @@
     private static final int ANSWERS_A_CONNECTION = 2;
     private static final String COLUMN = "val";
 
-    private WarmUp() {}
+    private StartupWarmUp() {}
 
     /** Practises; done when all of it is gone again, however it went. */
     static Future<Void> run(Vertx vertx, Log log, ConfigurationFile file, Clock clock) {
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -20,10 +20,10 @@
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.net.ClientSide;
+import ploverdale.net.ClientConnections;
 import ploverdale.net.Gateway;
 import ploverdale.net.ConfigurationFile;
-import ploverdale.net.LogicLoop;
+import ploverdale.net.RouterEventLoop;
 import ploverdale.net.ServerClock;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
@@ -57,7 +57,7 @@
     }
 
     /** Takes every action of the router and carries none out, as if its answers were lost. */
-    private static final class LosesActions implements LogicLoop.Hands {
+    private static final class LosesActions implements RouterEventLoop.ActionHandler {
         @Override
         public void send(Action.StartAttempt send) {}
 
@@ -95,10 +95,10 @@
             CompletableFuture<NetServer> listening = new CompletableFuture<>();
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
-                LogicLoop loop = new LogicLoop(vertx, context, log, new LosesActions(), null, Clock.system());
+                RouterEventLoop loop = new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
                 ServerClock time = new ServerClock(log, Clock.system());
-                ClientSide clients =
-                        new ClientSide(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
+                ClientConnections clients =
+                        new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
                 clients.ready();
                 vertx.createNetServer().connectHandler(clients::accept).listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
--- a/gateway/src/test/java/ploverdale/limits/ConnectionLimitsTest.java
+++ b/gateway/src/test/java/ploverdale/limits/ConnectionLimitsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import ploverdale.limits.ConnectionLimits.Leave;
+import ploverdale.limits.ConnectionLimits.Eviction;
 import ploverdale.limits.ConnectionLimits.Why;
 
 /** Who holds descriptors and who makes way; 64 of them leave 40 for connections, 28 of these for clients. */
@@ -41,15 +41,15 @@
     void aStrangerMakesWayBeforeAnyoneWhoHasGreeted() {
         idleOnes(27, 0);
         limits.came("stranger", 50);
-        assertThat(limits.wayForClient(160)).isEqualTo(new Leave<>("stranger", Why.NO_GREETING, 110));
-        assertThat(limits.wayForClient(120)).isEqualTo(new Leave<>("idle0", Why.IDLE, 120)); // it may greet yet
+        assertThat(limits.wayForClient(160)).isEqualTo(new Eviction<>("stranger", Why.NO_GREETING, 110));
+        assertThat(limits.wayForClient(120)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 120)); // it may greet yet
     }
 
     @Test
     void whoHasJustBeenLetInIsNotSentAwayAgain() {
         idleOnes(28, 1000);
         assertThat(limits.wayForClient(1099)).isNull();
-        assertThat(limits.wayForServer(1100)).isEqualTo(new Leave<>("idle0", Why.IDLE, 100));
+        assertThat(limits.wayForServer(1100)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 100));
     }
 
     @Test
@@ -59,7 +59,7 @@
         }
         assertThat(limits.overdue(2199)).isNull();
         limits.came("s9", 200);
-        assertThat(limits.overdue(200)).isEqualTo(new Leave<>("s0", Why.NO_GREETING, 200));
+        assertThat(limits.overdue(200)).isEqualTo(new Eviction<>("s0", Why.NO_GREETING, 200));
         limits.left("s0");
         assertThat(limits.overdue(300)).isNull();
         assertThat(limits.overdue(2201).why()).isEqualTo(Why.NO_GREETING);
@@ -72,10 +72,10 @@
         limits.came("tenth", 0);
         limits.greeted("tenth");
         assertThat(limits.overdue(2099)).isNull();
-        assertThat(limits.overdue(2100)).isEqualTo(new Leave<>("idle0", Why.IDLE, 2100));
+        assertThat(limits.overdue(2100)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 2100));
         askingOnes(3);
         assertThat(limits.overdue(99)).isNull();
-        assertThat(limits.overdue(100)).isEqualTo(new Leave<>("idle0", Why.IDLE, 100));
+        assertThat(limits.overdue(100)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 100));
     }
 
     @Test
@@ -87,7 +87,7 @@
         limits.begun("idle0", 5100);
         limits.begun("idle0", 7000); // more of the same message
         assertThat(limits.wayForClient(7000)).isNull();
-        assertThat(limits.overdue(7300)).isEqualTo(new Leave<>("idle0", Why.UNFINISHED, 2200));
+        assertThat(limits.overdue(7300)).isEqualTo(new Eviction<>("idle0", Why.UNFINISHED, 2200));
         limits.whole("idle0");
         assertThat(limits.overdue(7300)).isNull();
     }
--- a/gateway/src/test/java/ploverdale/net/PeerSideTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -14,7 +14,7 @@
 import ploverdale.log.Log;
 
 /** The socket to other instances. */
-class PeerSideTest {
+class GossipTransportTest {
     private static final String HERE = "127.0.0.1";
 
     @Test
@@ -30,7 +30,7 @@
             InetSocketAddress at = new InetSocketAddress(HERE, port);
             CompletableFuture<byte[]> heard = new CompletableFuture<>();
             vertx.runOnContext(x -> {
-                PeerSide side = new PeerSide(vertx, new Log(new PrintStream(System.err)), null,
+                GossipTransport side = new GossipTransport(vertx, new Log(new PrintStream(System.err)), null,
                         List.of(at, new InetSocketAddress(HERE, other.localAddress().port())));
                 side.readFirst((from, bytes) -> heard.complete(bytes));
                 side.send(1, new byte[] {1});
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -40,7 +40,7 @@
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
     private DatagramSocket other;
     private InetSocketAddress at;
-    private PeerSide side;
+    private GossipTransport side;
 
     @BeforeEach
     void addresses() throws IOException {
@@ -61,7 +61,7 @@
     private void listen() throws Exception {
         CompletableFuture<Void> listened = new CompletableFuture<>();
         vertx.runOnContext(x -> {
-            side = new PeerSide(vertx, new Log(new PrintStream(lines, true)), null,
+            side = new GossipTransport(vertx, new Log(new PrintStream(lines, true)), null,
                     List.of(at, (InetSocketAddress) other.getLocalSocketAddress()));
             side.readFirst((from, bytes) -> received.add(bytes));
             side.listen(at).onComplete(y -> listened.complete(null));
