--- a/gateway/src/main/java/ploverdale/Logic.java
+++ b/gateway/src/main/java/ploverdale/Router.java
@@ -22,7 +22,7 @@
  * what the {@link Action}s say, in order. Both are in ploverdale.model, what is held in ploverdale.state, the
  * method in docs/design.md. Times are tenths of a millisecond.
  */
-public final class Logic {
+public final class Router {
     private static final long MS = 10;
     private static final long BEAT = 20 * MS; // looks round this often; short beside any latency target
     private static final long IDLE_BEAT = 200 * MS; // the same, while no op is held or out
@@ -61,7 +61,7 @@
     private List<Action> out;
 
     /** @param quota of what all gateways share, or null: each takes its part of the whole */
-    public Logic(Quota quota) {
+    public Router(Quota quota) {
         this.quota = quota;
     }
 
@@ -267,7 +267,7 @@
         g.held.remove(op);
         boolean go = to != null && to != HOLD && !shed(op, to)
                 && worthUntil(op) - now >= WORTH_SENDING * op.pace.usual * to.stretch
-                && quota.send(to.id, op.cold = warmth(to) < 1);
+                && quota.send(to.id, op.cold = slowStartFraction(to) < 1);
         shedPrice += op.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(op)) - shedPrice);
         if (go) {
             send(op, to);
@@ -379,7 +379,7 @@
     /** Counts only sends made since it last returned; older ones may be stuck. None where just found full. */
     private boolean hasRoom(ServerState m, double share) {
         return now - m.fullAt >= m.fullFor && m.outSinceReturn().size() < m.limit * share
-                && quota.hasSend(m.id, warmth(m) < 1);
+                && quota.hasSend(m.id, slowStartFraction(m) < 1);
     }
 
     // Guards against reads longer than the tightest bound, which may stop a replica's apply: all gateways put
@@ -391,7 +391,7 @@
                     && o.isIn() && !o.silent && o.id.text().compareTo(m.id.text()) < 0).count());
         }
         double room = now - m.stretchAt < REPORT_AGE ? 1 : Math.max(0.1, 1 - m.busy);
-        return again * stretchNow(m) * (m.out.size() + 1) / room / warmth(m) * (1 + chance.nextDouble() / 10);
+        return again * stretchNow(m) * (m.out.size() + 1) / room / slowStartFraction(m) * (1 + chance.nextDouble() / 10);
     }
 
     private boolean longRead(PendingRequest op) {
@@ -404,12 +404,12 @@
         return tenants.stream().mapToDouble(Tenant::opsPerSecond).sum() * pledges.overloadWindow() / (1000 * MS);
     }
 
-    private double warmth(ServerState m) {
-        return slowStart.warmth(m, now);
+    private double slowStartFraction(ServerState m) {
+        return slowStart.slowStartFraction(m, now);
     }
 
     private boolean coldAllows(ServerState m, PendingRequest op) {
-        return warmth(m) >= 1 || m.busy < REPLICA_BUSY - BUSY_BAND
+        return slowStartFraction(m) >= 1 || m.busy < REPLICA_BUSY - BUSY_BAND
                 && slowStart.admits(m, op.pace.usual, meanWork(), members.values(), now);
     }
 
@@ -769,7 +769,7 @@
     private ServerObservation word(ServerState m) {
         return new ServerObservation(m.role, m.role == Role.UNKNOWN ? LoadReport.UNKNOWN_TIME : Math.min(now, m.roleToldAt),
                 m.position, m.positionToldAt, m.aliveAt, m.silentAt,
-                warmth(m) < 1 ? m.coldSince : LoadReport.UNKNOWN_TIME,
+                slowStartFraction(m) < 1 ? m.coldSince : LoadReport.UNKNOWN_TIME,
                 m.stage == Endpoint.EndpointState.DRAINING ? m.drainTold : LoadReport.UNKNOWN_TIME);
     }
 
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ploverdale.Logic;
+import ploverdale.Router;
 import ploverdale.quota.QuotaNode;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.membership.PacketQueue;
@@ -34,7 +34,7 @@
     private static final long SHARED_MARK = 1; // of wake-ups for the fleet's parts; the module's is 0
 
     /** @param shared null but where a fleet file switches it on */
-    private record Host(Logic logic, Reader reader, QuotaNode shared) {}
+    private record Host(Router router, Reader reader, QuotaNode shared) {}
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -118,7 +118,7 @@
                 }
                 QuotaNode shared = quotaSettings == null || !told.permits().peerMessages() || told.gateways() < 2 ? null
                         : new QuotaNode(quotaSettings, told, 1 + now / 10, () -> this.now, () -> this.now); // 0 would be no start at all
-                Host host = new Host(new Logic(shared), reader, shared);
+                Host host = new Host(new Router(shared), reader, shared);
                 hosts.put(f.text("gateway"), host);
                 tell(g, now, f.text("gateway"), host, told);
                 lookRound(g, f.text("gateway"), host);
@@ -191,7 +191,7 @@
             throws IOException {
         List<Action> actions;
         try {
-            actions = host.logic().on(now, event);
+            actions = host.router().on(now, event);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             Writer.broken(g, gateway, e + (trace.length > 0 ? " at " + trace[0] : ""));
--- a/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import ploverdale.Logic;
+import ploverdale.Router;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
@@ -48,7 +48,7 @@
     private final Context context;
     private final Log log;
     private final ActionHandler actionHandler;
-    private final Logic logic;
+    private final Router router;
     private final Clock clock;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean due;
@@ -63,7 +63,7 @@
         this.clock = clock;
         lastTick = clock.now();
         tickBefore = lastTick;
-        logic = new Logic(quota);
+        router = new Router(quota);
         this.vertx = vertx;
         this.context = context;
         this.log = log;
@@ -121,7 +121,7 @@
 
     /** Whether requests may still be written to this server; for attempts that had to wait for their connection. */
     public boolean mayReceive(ServerId server) {
-        return logic.mayReceive(server);
+        return router.mayReceive(server);
     }
 
     /** The time by which the module decided on the action that is being carried out; spans in it count from then. */
@@ -152,7 +152,7 @@
         for (Event h = queue.poll(); h != null; h = queue.poll()) {
             try {
                 decidedAt = clock.now();
-                for (Action a : logic.on(decidedAt, h)) {
+                for (Action a : router.on(decidedAt, h)) {
                     act(a);
                 }
             } catch (RuntimeException e) {
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -45,7 +45,7 @@
     }
 
     /** The part of its capacity that a server has by the contract, from its start capacity up to 1. */
-    public double warmth(ServerState server, long now) {
+    public double slowStartFraction(ServerState server, long now) {
         double share = Math.max(0, (now - server.coldSince) / (double) Math.max(1, contract.warmWithin()));
         return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
     }
@@ -59,7 +59,7 @@
      * @param servers all that are known
      */
     public boolean admits(ServerState server, double work, double meanWork, Collection<ServerState> servers, long now) {
-        if (warmth(server, now) >= 1) {
+        if (slowStartFraction(server, now) >= 1) {
             return true;
         }
         if (now <= server.coldLotUntil) {
@@ -102,7 +102,7 @@
         measurePeers(servers, now);
         double equalPart = agreedPerServer() * meanWork / gateways;
         double part = warmPeers ? Math.max(workOfPeers, AGREED_SHARE * equalPart) : equalPart;
-        return BUDGET_SHARE * contract.overloadMultiple() * warmth(server, now) * part;
+        return BUDGET_SHARE * contract.overloadMultiple() * slowStartFraction(server, now) * part;
     }
 
     /** Requests a window, at a warm server. */
@@ -112,7 +112,7 @@
 
     /** What the rule allows beyond the budget of a window, for chance, in requests: less of it, the larger the budget. */
     private double slack(ServerState server, long now) {
-        double budget = contract.overloadMultiple() * warmth(server, now) * agreedPerServer();
+        double budget = contract.overloadMultiple() * slowStartFraction(server, now) * agreedPerServer();
         return budget < 30 ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
     }
 
@@ -126,7 +126,7 @@
         double sum = 0;
         for (ServerState server : servers) {
             listed += server.isIn() ? 1 : 0;
-            if (server.isIn() && !server.silent && warmth(server, now) >= 1) {
+            if (server.isIn() && !server.silent && slowStartFraction(server, now) >= 1) {
                 warm++;
                 sum += recentWork(server, now);
             }
@@ -159,7 +159,7 @@
     }
 
     private void charge(ServerState server, double work, long now) {
-        if (warmth(server, now) < 1) {
+        if (slowStartFraction(server, now) < 1) {
             server.coldCredit -= work;
         }
     }
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -33,7 +33,7 @@
             "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.dev..", "ploverdale.settings..",
         };
         noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
-        noClasses().that().belongToAnyOf(Logic.class).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
+        noClasses().that().belongToAnyOf(Router.class).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
     }
 
     @Test
@@ -64,9 +64,9 @@
 
     @Test
     void decisionsAreHandedTheirClockAndChance() {
-        noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Logic.class)
+        noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Router.class)
                 .should().dependOnClassesThat().belongToAnyOf(Clock.class).check(classes);
-        noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Logic.class)
+        noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Router.class)
                 .should().callMethod(Math.class, "random").check(classes);
     }
 
@@ -85,7 +85,7 @@
                 .layer("log").definedBy("ploverdale.log..")
                 .layer("settings").definedBy("ploverdale.settings..")
                 .layer("routing").definedBy("ploverdale.routing..")
-                .layer("router").definedBy(belongToAnyOf(Logic.class))
+                .layer("router").definedBy(belongToAnyOf(Router.class))
                 .layer("main").definedBy(belongToAnyOf(Main.class))
                 .layer("net").definedBy("ploverdale.net..")
                 .layer("simulator").definedBy("ploverdale.benchlink..")
--- a/gateway/src/test/java/ploverdale/ClockOffsetInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/ClockOffsetInRouterTest.java
@@ -14,7 +14,7 @@
 import ploverdale.model.ServerId;
 
 /** What the decisions make of a servers' clock whose offset turns out to be another. */
-class ClockOffsetInLogicTest {
+class ClockOffsetInRouterTest {
     private static final long HOUR_MS = 3_600_000;
 
     private final FakeHost host = FakeHost.settled();
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -71,7 +71,7 @@
     static final int FRESH = 5;
     static final int SCAN = 6;
 
-    final Logic logic = new Logic(null);
+    final Router router = new Router(null);
     final List<Action> acts = new ArrayList<>();
     long nowMs = 100_000;
     private int names;
@@ -133,7 +133,7 @@
     }
 
     List<Action> tell(Event h) {
-        List<Action> now = logic.on(nowMs * 10, h);
+        List<Action> now = router.on(nowMs * 10, h);
         acts.addAll(now);
         return now;
     }
--- a/gateway/src/test/java/ploverdale/LocalFailureInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/LocalFailureInRouterTest.java
@@ -9,7 +9,7 @@
 import ploverdale.model.ServerId;
 
 /** What the router concludes from attempts and health checks that never left this machine: nothing about their servers. */
-class LocalFailureInLogicTest {
+class LocalFailureInRouterTest {
     private static final int MANY = 20;
 
     @Test
--- a/gateway/src/test/java/ploverdale/LogicTest.java
+++ b/gateway/src/test/java/ploverdale/RouterTest.java
@@ -18,7 +18,7 @@
 import ploverdale.model.LoadReport.Role;
 
 /** Stories of single failures, each against the fake host. */
-class LogicTest {
+class RouterTest {
     private final FakeHost host = FakeHost.settled();
 
     private static LoadReport note(Role role, long positionMs) {
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -154,7 +154,7 @@
     private final boolean gossip;
     private final Deployment deployment;
     private final SplittableRandom random;
-    private final List<Logic> routers = new ArrayList<>();
+    private final List<Router> routers = new ArrayList<>();
     private final List<Server> servers = new ArrayList<>();
     private final Map<ServerId, Server> byId = new HashMap<>();
     private final PriorityQueue<Due> due = new PriorityQueue<>();
@@ -218,7 +218,7 @@
         for (int i = 0; i < gateways; i++) {
             total += 0.3 - Math.log(1 - random.nextDouble()); // some see several times the mean
             trafficUpTo[i] = total;
-            Logic router = new Logic(null);
+            Router router = new Router(null);
             routers.add(router);
             tell(i, started(i));
             tell(i, new Event.EndpointUpdate(true, false, servers.stream().map(s -> listing(s, 0)).toList()));
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ploverdale.Logic;
+import ploverdale.Router;
 import ploverdale.model.Action;
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.ReplicaGuarantees.StalenessCheck;
@@ -71,7 +71,7 @@
         }
     }
 
-    private final Logic router = new Logic(null);
+    private final Router router = new Router(null);
     private final SplittableRandom chance;
     private final int servers;
     private final Condition condition;
