--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ploverdale.Router;
+import ploverdale.routing.Router;
 import ploverdale.quota.QuotaNode;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.membership.PacketQueue;
--- a/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import ploverdale.Router;
+import ploverdale.routing.Router;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
--- a/gateway/src/main/java/ploverdale/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import java.util.*;
 import java.util.function.Predicate;
@@ -12,9 +12,6 @@
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.LoadReport.Role;
-import ploverdale.routing.HealthCheckQueue;
-import ploverdale.routing.LocalHealth;
-import ploverdale.routing.SlowStart;
 import ploverdale.state.*;
 
 /**
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -33,7 +33,6 @@
             "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.dev..", "ploverdale.settings..",
         };
         noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
-        noClasses().that().belongToAnyOf(Router.class).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
     }
 
     @Test
@@ -64,9 +63,9 @@
 
     @Test
     void decisionsAreHandedTheirClockAndChance() {
-        noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Router.class)
+        noClasses().that().resideInAnyPackage(DECISIONS)
                 .should().dependOnClassesThat().belongToAnyOf(Clock.class).check(classes);
-        noClasses().that().resideInAnyPackage(DECISIONS).or().belongToAnyOf(Router.class)
+        noClasses().that().resideInAnyPackage(DECISIONS)
                 .should().callMethod(Math.class, "random").check(classes);
     }
 
@@ -85,7 +84,6 @@
                 .layer("log").definedBy("ploverdale.log..")
                 .layer("settings").definedBy("ploverdale.settings..")
                 .layer("routing").definedBy("ploverdale.routing..")
-                .layer("router").definedBy(belongToAnyOf(Router.class))
                 .layer("main").definedBy(belongToAnyOf(Main.class))
                 .layer("net").definedBy("ploverdale.net..")
                 .layer("simulator").definedBy("ploverdale.benchlink..")
@@ -98,10 +96,10 @@
                 .whereLayer("log").mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
                 .whereLayer("shutdown").mayOnlyBeAccessedByLayers("net")
                 .whereLayer("limits").mayOnlyBeAccessedByLayers("net")
-                .whereLayer("budgets").mayOnlyBeAccessedByLayers("router", "main", "net", "simulator")
+                .whereLayer("budgets").mayOnlyBeAccessedByLayers("routing", "main", "net", "simulator")
                 .whereLayer("replica").mayOnlyBeAccessedByLayers("main", "net", "budgets", "simulator")
-                .whereLayer("routing").mayOnlyBeAccessedByLayers("router")
-                .whereLayer("state").mayOnlyBeAccessedByLayers("router", "routing")
+                .whereLayer("routing").mayOnlyBeAccessedByLayers("net", "simulator")
+                .whereLayer("state").mayOnlyBeAccessedByLayers("routing")
                 .check(classes);
     }
 
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.routing.Router;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -1,5 +1,6 @@
 package ploverdale;
 
+import ploverdale.routing.Router;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ploverdale.Router;
+import ploverdale.routing.Router;
 import ploverdale.model.Action;
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.ReplicaGuarantees.StalenessCheck;
