--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -29,7 +29,7 @@
     private static final double EARLY = 0.02; // of an op timeout, for the answer's way and standstills
     private static final double COME_BACK = 0.25; // of the target; later, a second try would be in vain
 
-    private RandomGenerator chance;
+    private RandomGenerator random;
     private GossipProtocol gossip; // null where gateways tell each other nothing
     private double firstLimit, leastLimit;
     private List<RequestClass> opTypes;
@@ -67,28 +67,28 @@
         now = time;
         out = new ArrayList<>();
         if (h instanceof Event.RequestArrived a) {
-            arrived(a);
+            onRequestArrived(a);
         } else if (h instanceof Event.AttemptEnded e && members.containsKey(e.server())) {
-            sendEnded(e);
+            onAttemptEnded(e);
         } else if (h instanceof Event.TimerFired) {
-            beat();
+            onTick();
         } else if (h instanceof Event.HealthCheckEnded e && members.containsKey(e.server())) {
             chargeProbe(members.get(e.server()), e.outcome());
-            probeEnded(e);
+            onHealthCheckEnded(e);
         } else if (h instanceof Event.LoopDelayed d) {
             localHealth.processDelayed(d.from(), d.until());
         } else if (h instanceof Event.EndpointUpdate l) {
-            listTold(l);
+            onEndpointUpdate(l);
         } else if (h instanceof Event.ClientDisconnected c && ops.containsKey(c.op())) {
-            callOff(ops.remove(c.op()));
+            cancelAttempt(ops.remove(c.op()));
         } else if (h instanceof Event.GossipReceived p && gossip != null) {
-            heard(p);
+            onGossip(p);
         } else if (h instanceof Event.ClockOffsetChanged c) {
             clockOffsetChanged(c);
         } else if (h instanceof Event.ShutdownBegun && gossip != null) {
             tell(gossip.leaves(now));
         } else if (h instanceof Event.ShutdownDeadline) {
-            List.copyOf(ops.values()).forEach(this::giveUp);
+            List.copyOf(ops.values()).forEach(this::endBeforeShutdown);
         } else if (h instanceof Event.Started s) {
             started(s);
         }
@@ -102,7 +102,7 @@
     }
 
     private void started(Event.Started s) {
-        chance = new SplittableRandom(s.seed());
+        random = new SplittableRandom(s.seed());
         int gateways = Math.max(1, s.gateways());
         quota = quota != null ? quota : new StaticQuota(s.tenants(), gateways);
         leastLimit = quota.limitsSends() ? LEAST_LIMIT : Math.min(2, Math.max(1, LEAST_LIMIT / gateways));
@@ -112,7 +112,7 @@
         pledges = s.pledges();
         permits = s.permits();
         copies = s.copies();
-        slowStart = new SlowStart(pledges, gateways, requestsPerWindow(s.tenants()), chance);
+        slowStart = new SlowStart(pledges, gateways, requestsPerWindow(s.tenants()), random);
         probeEvery = 1000 * MS; // where no read has a bound; roles only
         for (RequestClass t : opTypes) {
             paces.add(new LatencyEstimate(t.latencyTarget() / 5.0));
@@ -128,12 +128,12 @@
                     id -> word(members.get(id)));
             gossip.starts(now);
         }
-        beat();
+        onTick();
     }
 
-    private void listTold(Event.EndpointUpdate told) {
+    private void onEndpointUpdate(Event.EndpointUpdate told) {
         if (told.failed()) {
-            askListAt = now + 500 * MS + chance.nextInt(1000) * MS; // by chance, so that gateways don't meet
+            askListAt = now + 500 * MS + random.nextInt(1000) * MS; // by chance, so that gateways don't meet
             return;
         }
         List<ServerState> missing = new ArrayList<>(told.whole() ? members.values() : List.of());
@@ -144,7 +144,7 @@
                         Math.max(leastLimit, firstLimit));
                 members.put(m.id, m);
                 m.group.members.add(m);
-                if (l.stage() == Endpoint.EndpointState.IN && chance.nextDouble() < firstLimit) {
+                if (l.stage() == Endpoint.EndpointState.IN && random.nextDouble() < firstLimit) {
                     checkWhenDue(m);
                 }
             }
@@ -204,7 +204,7 @@
         }
     }
 
-    private void arrived(Event.RequestArrived a) {
+    private void onRequestArrived(Event.RequestArrived a) {
         RequestClass type = opTypes.get(a.type().index());
         long target = now + type.latencyTarget() + (long) (type.targetPerWork() * a.expectedWork())
                 - (a.again() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
@@ -217,7 +217,7 @@
         if (gossip != null) {
             gossip.op();
         }
-        place(op);
+        dispatch(op);
     }
 
     /** A session's last write, as the position its reads must reach; others have none that stands still. */
@@ -249,20 +249,20 @@
     private static final double WRITE_SHARE = 2; // of the primary's limit; late writes still have a value
     private static final double AVOID_COST = 3; // times; where a send failed before, and a rank of long reads
 
-    private static final ServerState HOLD = new ServerState(null, null, 0); // stands for a choice to wait
+    private static final ServerState WAIT = new ServerState(null, null, 0); // stands for a choice to wait
 
-    private boolean place(PendingRequest op) {
+    private boolean dispatch(PendingRequest op) {
         ReplicaGroup g = groups.computeIfAbsent(op.asked.group(), ReplicaGroup::new);
         boolean may = op.sends < permits.sendsPerOp() && (!op.mayHaveRun
                 || op.type.repeats() != Idempotence.NOT_IDEMPOTENT && now < op.repeatUntil);
         boolean toPrimary = op.type.needs() == Consistency.WRITE || op.type.needs() == Consistency.FRESH;
-        ServerState to = !may ? null : toPrimary ? primaryFor(op, g) : memberFor(op, g);
-        if (to == HOLD && now < holdUntil(op)) {
+        ServerState to = !may ? null : toPrimary ? choosePrimary(op, g) : chooseServer(op, g);
+        if (to == WAIT && now < holdUntil(op)) {
             g.held.add(op);
             return false;
         }
         g.held.remove(op);
-        boolean go = to != null && to != HOLD && !shed(op, to)
+        boolean go = to != null && to != WAIT && !shed(op, to)
                 && worthUntil(op) - now >= WORTH_SENDING * op.pace.usual * to.stretch
                 && quota.send(to.id, op.cold = slowStartFraction(to) < 1);
         shedPrice += op.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(op)) - shedPrice);
@@ -294,7 +294,7 @@
         return Math.min(Math.min(end, half), Math.max(end - hopeless, op.arrivedAt + 2 * PATIENCE)) - BEAT;
     }
 
-    private ServerState primaryFor(PendingRequest op, ReplicaGroup g) {
+    private ServerState choosePrimary(PendingRequest op, ReplicaGroup g) {
         ServerState p = g.primary;
         boolean known = p != null && p.isIn() && !p.silent;
         if (!known || !heardLately(p)) {
@@ -302,10 +302,10 @@
             ask(g, m -> m == p || !known && (!told || now - m.positionToldAt > askAgain()));
         }
         return known && heardLately(p) && knowsRepeat(op, p) && hasRoom(p, WRITE_SHARE) && coldAllows(p, op)
-                ? p : HOLD;
+                ? p : WAIT;
     }
 
-    private ServerState memberFor(PendingRequest op, ReplicaGroup g) {
+    private ServerState chooseServer(PendingRequest op, ReplicaGroup g) {
         ServerState best = spread(op, g, m -> admits(m, op));
         boolean checked = copies.checks() != ReplicaGuarantees.StalenessCheck.NONE;
         best = best == null && checked ? spread(op, g, m -> lagsALittle(m, op)) : best;
@@ -315,7 +315,7 @@
         ServerState p = g.primary;
         if (ask(g, m -> !heardLately(m)
                 || !checked && m != p && !admits(m, op) && now - m.positionToldAt > askAgain())) {
-            return HOLD;
+            return WAIT;
         }
         if (p != null && p.isIn() && !p.silent && heardLately(p) && hasRoom(p, PRIMARY_READ_SHARE)
                 && stretchNow(p) <= FEW_TAKE && notTooBusy(p, PRIMARY_BUSY) && coldAllows(p, op)) {
@@ -331,17 +331,17 @@
         // has forgotten the first while it was idle.
         if (g.members.stream().noneMatch(this::heardLately)
                 && g.members.stream().anyMatch(m -> m.isPromising() && m.probeOut && now - m.probedAt < CHECK_WAIT)) {
-            return HOLD;
+            return WAIT;
         }
         // Waits for room, or for a replica little too old by a report that is old itself to be asked again.
         return g.members.stream().anyMatch(m -> m != p && m.isIn() && !m.silent && heardLately(m)
                 && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, op) || op.type.needs() == Consistency.BOUNDED
-                && !checked && now - m.position <= 2 * op.type.stalenessBound())) ? HOLD : null;
+                && !checked && now - m.position <= 2 * op.type.stalenessBound())) ? WAIT : null;
     }
 
     /** Guards against many gateways with few ops that crowd a server together; where own answers are old. */
     private boolean notTooBusy(ServerState m, double shut) {
-        return now - m.stretchAt < REPORT_AGE || chance.nextDouble() < (shut - m.busy) / BUSY_BAND;
+        return now - m.stretchAt < REPORT_AGE || random.nextDouble() < (shut - m.busy) / BUSY_BAND;
     }
 
     private ServerState spread(PendingRequest op, ReplicaGroup g, Predicate<ServerState> letIn) {
@@ -388,7 +388,7 @@
                     && o.isIn() && !o.silent && o.id.text().compareTo(m.id.text()) < 0).count());
         }
         double room = now - m.stretchAt < REPORT_AGE ? 1 : Math.max(0.1, 1 - m.busy);
-        return again * stretchNow(m) * (m.out.size() + 1) / room / slowStartFraction(m) * (1 + chance.nextDouble() / 10);
+        return again * stretchNow(m) * (m.out.size() + 1) / room / slowStartFraction(m) * (1 + random.nextDouble() / 10);
     }
 
     private boolean longRead(PendingRequest op) {
@@ -456,7 +456,7 @@
         slowStart.attempted(m, op.pace.usual, now);
     }
 
-    private void sendEnded(Event.AttemptEnded e) {
+    private void onAttemptEnded(Event.AttemptEnded e) {
         ServerState m = members.get(e.server());
         PendingRequest op = m.out.remove(e.op());
         learnRole(m, e.note(), now);
@@ -493,7 +493,7 @@
         }
         boolean wrongRole = outcome == Outcome.MISDIRECTED && op.type.needs() == Consistency.WRITE;
         if (wrongRole || quota.again()) {
-            place(op);
+            dispatch(op);
         } else {
             finish(op); // guards against storms: repeats stay a small part of all sends
         }
@@ -510,13 +510,13 @@
                 : new Action.FailRequest(op.asked.op()));
     }
 
-    private void giveUp(PendingRequest op) {
-        callOff(op);
+    private void endBeforeShutdown(PendingRequest op) {
+        cancelAttempt(op);
         op.mayHaveRun |= op.sendOut >= 0;
         finish(op);
     }
 
-    private void callOff(PendingRequest op) {
+    private void cancelAttempt(PendingRequest op) {
         groups.get(op.asked.group()).held.remove(op);
         if (op.sendOut >= 0 && permits.callOff() && !op.calledOff) {
             op.calledOff = true;
@@ -532,7 +532,7 @@
         for (PendingRequest op : order) {
             int type = op.asked.type().index();
             if (now >= holdUntil(op) || !stuck[type]) {
-                stuck[type] |= !place(op);
+                stuck[type] |= !dispatch(op);
             }
         }
     }
@@ -592,12 +592,12 @@
             }
             boolean due = now >= m.retryAt || !met && askAgain() == ASK_AGAIN;
             due &= !m.probeOut && now - m.probedAt > ASK_AGAIN;
-            pick = wanted && due && chance.nextInt(++count) == 0 ? m : pick;
+            pick = wanted && due && random.nextInt(++count) == 0 ? m : pick;
         }
         return pick != null && probe(pick, HealthCheckReason.ASKED);
     }
 
-    private void probeEnded(Event.HealthCheckEnded e) {
+    private void onHealthCheckEnded(Event.HealthCheckEnded e) {
         ServerState m = members.get(e.server());
         long heardBefore = Math.max(m.aliveAt, m.positionToldAt); // by anyone; else the list's word does
         heardBefore = heardBefore == LoadReport.UNKNOWN_TIME ? now : Math.max(m.silentSince, heardBefore);
@@ -714,7 +714,7 @@
         }
     }
 
-    private void beat() {
+    private void onTick() {
         if (now < nextBeat) {
             return; // an earlier look round made this one needless
         }
@@ -770,15 +770,15 @@
                 m.stage == Endpoint.EndpointState.DRAINING ? m.drainTold : LoadReport.UNKNOWN_TIME);
     }
 
-    private void heard(Event.GossipReceived p) {
+    private void onGossip(Event.GossipReceived p) {
         GossipProtocol.ReceivedGossip h = gossip.hears(now, p.from(), p.bytes());
-        h.words().forEach((id, w) -> believe(members.get(id), w));
+        h.words().forEach((id, w) -> mergeObservation(members.get(id), w));
         tell(h.letters());
         Optional.ofNullable(h.line()).ifPresent(this::log);
     }
 
     /** Own words win over others as old; nothing gets newer than it was at its source. */
-    private void believe(ServerState m, ServerObservation w) {
+    private void mergeObservation(ServerState m, ServerObservation w) {
         if (w.drainAt() > m.drainTold && m.isIn()) {
             m.drainTold = w.drainAt();
             stage(m, now - w.drainAt() < DRAIN_HEARD_LASTS ? Endpoint.EndpointState.DRAINING : m.stage);
@@ -853,7 +853,7 @@
         }
         if (outcome == Outcome.FULL) { // asks again ever more seldom, and not at the same time as all others
             m.fullAt = now;
-            m.fullFor = Math.min(HEARD_LASTS, 2 * m.fullFor + PATIENCE + chance.nextLong(PATIENCE));
+            m.fullFor = Math.min(HEARD_LASTS, 2 * m.fullFor + PATIENCE + random.nextLong(PATIENCE));
         }
         if (outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED && m.cutAt == now) {
             m.limit = Math.max(leastLimit, Math.min(m.limit, m.out.size())); // what is open already is kept
@@ -951,7 +951,7 @@
     }
 
     private void callOffRetryable(ServerState m) {
-        m.out.values().stream().filter(o -> o.type.repeats() == Idempotence.IDEMPOTENT).forEach(this::callOff);
+        m.out.values().stream().filter(o -> o.type.repeats() == Idempotence.IDEMPOTENT).forEach(this::cancelAttempt);
     }
 
     /** Not so where nobody was heard: guards against a slow start, of this gateway or of all servers. */
