--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -153,7 +153,7 @@
         public int run() {
             ConfigurationFile f = file();
             System.out.println("gateway " + f.name() + " listens at " + f.listen() + ", discovery at " + f.discovery());
-            System.out.println(f.settings().opTypes().size() + " op types, " + f.settings().tenants().size() + " tenants, "
+            System.out.println(f.settings().requestClasses().size() + " op types, " + f.settings().tenants().size() + " tenants, "
                     + f.known().entries().size() + " servers known, " + f.sockets() + " descriptors");
             QuotaSettings fleet = fleetFile() == null ? null : FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), f.settings());
             if (fleet != null) {
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -102,7 +102,7 @@
         switch (name) {
             case "LEDGER" -> {
                 JsonFields f = JsonFields.of(name, body);
-                ledgers.put(f.whole("sheet"), Reader.listings(f));
+                ledgers.put(f.whole("sheet"), Reader.endpoints(f));
             }
             case "POWER_OFF" -> {
                 String gateway = JsonFields.of(name, body).text("gateway");
@@ -116,7 +116,7 @@
                 if (quotaSettings != null && quotaSettings.keeping() != null) {
                     throw new InvalidSettingsException("fleet file with a field sessions or submits, which are kept on sockets only");
                 }
-                QuotaNode shared = quotaSettings == null || !told.permits().peerMessages() || told.gateways() < 2 ? null
+                QuotaNode shared = quotaSettings == null || !told.capabilities().peerMessages() || told.gateways() < 2 ? null
                         : new QuotaNode(quotaSettings, told, 1 + now / 10, () -> this.now, () -> this.now); // 0 would be no start at all
                 Host host = new Host(new Router(shared), reader, shared);
                 hosts.put(f.text("gateway"), host);
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Reader.java
@@ -52,7 +52,7 @@
     }
 
     /** A list's entries; the same for all gateways. */
-    static List<Endpoint> listings(JsonFields ledger) {
+    static List<Endpoint> endpoints(JsonFields ledger) {
         List<Endpoint> rows = new ArrayList<>();
         for (Object row : ledger.list("rows")) {
             JsonFields f = JsonFields.of("LEDGER.rows", row);
@@ -75,7 +75,7 @@
 
     Event opArrived(JsonFields f) {
         int type = (int) f.whole("grade");
-        if (type < 0 || type >= settings.started().opTypes().size()) {
+        if (type < 0 || type >= settings.started().requestClasses().size()) {
             throw new InvalidSettingsException("REQ with a field grade that names no class");
         }
         return new Event.RequestArrived(new RequestId(f.text("ref")), new RequestClassId(type),
--- a/gateway/src/main/java/ploverdale/benchlink/Writer.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Writer.java
@@ -12,20 +12,20 @@
     static void write(JsonGenerator g, String gateway, Action action) throws IOException {
         if (action instanceof Action.StartAttempt a) {
             open(g, "ROUTE", gateway);
-            g.writeStringField("ref", a.op().text());
+            g.writeStringField("ref", a.request().text());
             tenths(g, "capMs", a.timeLimit());
             g.writeStringField("server", a.server().text());
         } else if (action instanceof Action.CancelAttempt a) {
             open(g, "ABANDON", gateway);
-            g.writeStringField("ref", a.op().text());
+            g.writeStringField("ref", a.request().text());
             g.writeNumberField("roundNo", a.send());
         } else if (action instanceof Action.RejectRequest a) {
             open(g, "BOUNCE", gateway);
-            g.writeStringField("ref", a.op().text());
-            tenths(g, "notBeforeForMs", a.comeBackIn());
+            g.writeStringField("ref", a.request().text());
+            tenths(g, "notBeforeForMs", a.retryAfter());
         } else if (action instanceof Action.FailRequest a) {
             open(g, "ABORT", gateway);
-            g.writeStringField("ref", a.op().text());
+            g.writeStringField("ref", a.request().text());
         } else if (action instanceof Action.SetTimer a) {
             open(g, "WAKE_AT", gateway);
             tenths(g, "atMs", a.at());
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -29,18 +29,18 @@
             return Gateway.start(vertx, log, new ConfigurationFile(file.name(), here, toy.discovery(), file.seed(),
                     file.sockets(), file.settings(), known, null, java.util.List.of()));
         }).compose(g -> DevClient.connect(vertx, new InetSocketAddress(here.getAddress(), g.port())))
-                .compose(c -> c.ask("").compose(x -> c.ask("SELECT nothing")).compose(x -> ops(vertx, c, file, 0, 0, 0))
+                .compose(c -> c.ask("").compose(x -> c.ask("SELECT nothing")).compose(x -> requests(vertx, c, file, 0, 0, 0))
                         .compose(acked -> c.close().map(acked)))
                 .compose(acked -> acked == OPS ? Future.succeededFuture(acked + " of " + OPS + " ops acked")
                         : Future.failedFuture("only " + acked + " of " + OPS + " ops acked"));
     }
 
-    private static Future<Integer> ops(Vertx vertx, DevClient c, ConfigurationFile file, int i, int acked, int again) {
+    private static Future<Integer> requests(Vertx vertx, DevClient c, ConfigurationFile file, int i, int acked, int again) {
         if (i == OPS) {
             return Future.succeededFuture(acked);
         }
-        String type = file.settings().opTypes().get(i % file.settings().opTypes().size());
-        boolean write = file.settings().started().opTypes().get(i % file.settings().opTypes().size()).needs()
+        String type = file.settings().requestClasses().get(i % file.settings().requestClasses().size());
+        boolean write = file.settings().started().requestClasses().get(i % file.settings().requestClasses().size()).needs()
                 == ploverdale.model.RequestClass.Consistency.WRITE;
         String tenant = file.settings().tenants().isEmpty() ? "" : ",t=" + file.settings().tenants().get(0);
         long group = file.known().entries().get(0).listing().group().number();
@@ -52,8 +52,8 @@
                 .compose(answer -> {
                     boolean busy = answer.contains("53300") && again < AGAIN_MOST; // as at the very start
                     return busy ? vertx.timer(AGAIN_MS, TimeUnit.MILLISECONDS)
-                            .compose(x -> ops(vertx, c, file, i, acked, again + 1))
-                            : ops(vertx, c, file, i + 1, acked + (answer.startsWith("row ") ? 1 : 0), 0);
+                            .compose(x -> requests(vertx, c, file, i, acked, again + 1))
+                            : requests(vertx, c, file, i + 1, acked + (answer.startsWith("row ") ? 1 : 0), 0);
                 });
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -69,7 +69,7 @@
     }
 
     private final int me;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Function<ServerId, ServerObservation> own;
     private final double[] trust;
     private final long[] trustAt;
@@ -91,18 +91,18 @@
 
     /**
      * @param me the number of this instance among the instances
-     * @param opsPerSecond agreed for all instances together; with the bound it tells whether an instance's own answers
+     * @param requestsPerSecond agreed for all instances together; with the bound it tells whether an instance's own answers
      *     bring it positions often enough
      * @param bound the tightest staleness bound, in tenths of a millisecond
      * @param own what this instance knows of a server, hearsay that it believed included
      */
-    public GossipProtocol(int me, int instances, double opsPerSecond, long bound, RandomGenerator chance,
+    public GossipProtocol(int me, int instances, double requestsPerSecond, long bound, RandomGenerator random,
             Function<ServerId, ServerObservation> own) {
         rota = new PeerSelector(me, instances);
-        opsHere = opsPerSecond / instances;
+        opsHere = requestsPerSecond / instances;
         this.bound = bound / (1000.0 * MS);
         this.me = me;
-        this.chance = chance;
+        this.random = random;
         this.own = own;
         trust = new double[instances];
         trustAt = new long[instances];
@@ -145,7 +145,7 @@
     }
 
     /** An op has come; it pays for words. */
-    public void op() {
+    public void request() {
         purse = Math.min(BYTES_SAVED, purse + BYTES_AN_OP);
     }
 
@@ -366,7 +366,7 @@
         List<Integer> picked = new ArrayList<>();
         int others = trust.length - 1;
         for (int tries = 0; others > 0 && picked.size() < Math.min(count, others) && tries < 8 * count; tries++) {
-            int peer = chance.nextInt(others);
+            int peer = random.nextInt(others);
             peer += peer >= me ? 1 : 0;
             if (peer != not && !picked.contains(peer) && now - leftAt[peer] > GONE_FOR) {
                 picked.add(peer);
--- a/gateway/src/main/java/ploverdale/membership/Membership.java
+++ b/gateway/src/main/java/ploverdale/membership/Membership.java
@@ -69,7 +69,7 @@
 
     private final int me;
     private final Member[] members;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Map<Integer, OutstandingPing> questions = new LinkedHashMap<>();
     private final List<Integer> round = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
@@ -84,10 +84,10 @@
      * @param startedMs Unix ms, by which later starts of a name are told from earlier ones; where the clock has stepped back
      *     meanwhile, {@link #corrects} tells it of the earlier start, and it takes a later one
      */
-    public Membership(int me, int size, long startedMs, RandomGenerator chance) {
+    public Membership(int me, int size, long startedMs, RandomGenerator random) {
         this.me = me;
         incarnation = startedMs << WORD_BITS;
-        this.chance = chance;
+        this.random = random;
         members = new Member[size];
         for (int i = 0; i < size; i++) {
             members[i] = new Member();
@@ -235,7 +235,7 @@
             }
             set(now, of, inc, is);
             // A few of all who hear of a suspicion look for themselves, so that the dead are known soon in a large fleet too.
-            if (is == MemberState.SUSPECTED && chance.nextDouble() * (members.length - 1) < WITNESSES) {
+            if (is == MemberState.SUSPECTED && random.nextDouble() * (members.length - 1) < WITNESSES) {
                 questions.get(ask(now, of, me, 0, out)).witness = true;
             }
         }
@@ -285,7 +285,7 @@
         }
         if (now >= nextAt) {
             // Guards against all asking at the same moment: the first period is begun by chance.
-            nextAt = nextAt == Long.MIN_VALUE ? now + chance.nextLong(PERIOD) : Math.max(now, nextAt + PERIOD);
+            nextAt = nextAt == Long.MIN_VALUE ? now + random.nextLong(PERIOD) : Math.max(now, nextAt + PERIOD);
             int next = next();
             if (next >= 0) {
                 ask(now, next, me, 0, out);
@@ -298,11 +298,11 @@
         if (round.isEmpty()) {
             for (int i = 0; i < members.length; i++) {
                 boolean away = members[i].standing == MemberState.GONE || members[i].standing == MemberState.LEAVING;
-                if (i != me && (!away || chance.nextInt(4) == 0)) {
+                if (i != me && (!away || random.nextInt(4) == 0)) {
                     round.add(i);
                 }
             }
-            java.util.Collections.shuffle(round, new java.util.Random(chance.nextLong()));
+            java.util.Collections.shuffle(round, new java.util.Random(random.nextLong()));
         }
         return round.isEmpty() ? -1 : round.remove(round.size() - 1);
     }
@@ -322,7 +322,7 @@
                 all.add(i);
             }
         }
-        java.util.Collections.shuffle(all, new java.util.Random(chance.nextLong()));
+        java.util.Collections.shuffle(all, new java.util.Random(random.nextLong()));
         return all.subList(0, Math.min(most, all.size()));
     }
 
--- a/gateway/src/main/java/ploverdale/model/Action.java
+++ b/gateway/src/main/java/ploverdale/model/Action.java
@@ -4,16 +4,16 @@
 public sealed interface Action {
 
     /** Send the op to a server and wait this long at most; not at all if it cannot be written by then, where that takes time. */
-    record StartAttempt(RequestId op, ServerId server, long timeLimit, long writeBy) implements Action {}
+    record StartAttempt(RequestId request, ServerId server, long timeLimit, long writeBy) implements Action {}
 
     /** Stop waiting for a send. */
-    record CancelAttempt(RequestId op, int send) implements Action {}
+    record CancelAttempt(RequestId request, int send) implements Action {}
 
     /** Tell the client that trying again does no harm, and when; 0 names no time. */
-    record RejectRequest(RequestId op, long comeBackIn) implements Action {}
+    record RejectRequest(RequestId request, long retryAfter) implements Action {}
 
     /** Tell the client that the op failed, which promises nothing. */
-    record FailRequest(RequestId op) implements Action {}
+    record FailRequest(RequestId request) implements Action {}
 
     /** Wake the gateway at this time. */
     record SetTimer(long at, long mark) implements Action {}
--- a/gateway/src/main/java/ploverdale/model/Capabilities.java
+++ b/gateway/src/main/java/ploverdale/model/Capabilities.java
@@ -2,5 +2,5 @@
 
 /** What a gateway may do here. */
 public record Capabilities(
-        int sendsPerOp, boolean callOff, boolean probes, boolean comeBackTimes, long longestComeBack,
+        int attemptsPerRequest, boolean cancel, boolean probes, boolean retryAfterAllowed, long longestRetryAfter,
         boolean peerMessages) {}
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -8,30 +8,30 @@
 
     /** The gateway starts and knows nothing but this; it is number me of the gateways. */
     record Started(
-            long seed, int gateways, List<RequestClass> opTypes, List<Tenant> tenants, double beyondShareValue,
-            ServerGuarantees pledges, Capabilities permits, ReplicaGuarantees copies, boolean listOnDemand, int me) implements Event {}
+            long seed, int gateways, List<RequestClass> requestClasses, List<Tenant> tenants, double beyondShareValue,
+            ServerGuarantees guarantees, Capabilities capabilities, ReplicaGuarantees copies, boolean listOnDemand, int me) implements Event {}
 
     /** The list of servers, whole or its changes; failed when asking for it brought none. */
-    record EndpointUpdate(boolean whole, boolean failed, List<Endpoint> listings) implements Event {}
+    record EndpointUpdate(boolean whole, boolean failed, List<Endpoint> endpoints) implements Event {}
 
     /**
      * A client's op; a token age of 0 means that the session has no earlier write, one below 0 that the write is dated a
      * little later than now.
      */
     record RequestArrived(
-            RequestId op, RequestClassId type, TenantId tenant, GroupId group, SessionId session, long timeoutAt,
+            RequestId request, RequestClassId type, TenantId tenant, GroupId group, SessionId session, long timeoutAt,
             boolean again, long expectedWork, long tokenAge) implements Event {}
 
     /** The answer to a streamed op has begun. */
-    record ResponseStarted(RequestId op, int send, ServerId server) implements Event {}
+    record ResponseStarted(RequestId request, int send, ServerId server) implements Event {}
 
     /** A send has ended; settled when the op has, too. Either report may be null. */
     record AttemptEnded(
-            RequestId op, int send, ServerId server, Outcome outcome, long took, boolean settled, LoadReport note,
+            RequestId request, int send, ServerId server, Outcome outcome, long took, boolean settled, LoadReport note,
             LoadReport report) implements Event {}
 
     /** The client has gone. */
-    record ClientDisconnected(RequestId op) implements Event {}
+    record ClientDisconnected(RequestId request) implements Event {}
 
     /** A wake-up that was asked for. */
     record TimerFired(long mark) implements Event {}
--- a/gateway/src/main/java/ploverdale/model/Quota.java
+++ b/gateway/src/main/java/ploverdale/model/Quota.java
@@ -13,10 +13,10 @@
      *
      * @param now as the module is told it, in tenths of a millisecond
      */
-    boolean op(long now, TenantId tenant);
+    boolean request(long now, TenantId tenant);
 
     /** When an op of this tenant may be spent again, from now, in tenths of a millisecond; 0: nothing is known of that. */
-    long comeBackIn(long now, TenantId tenant);
+    long retryAfter(long now, TenantId tenant);
 
     /** Whether sends out at a server are such parts; then each gateway's own limit need not be a share of a whole. */
     boolean limitsSends();
--- a/gateway/src/main/java/ploverdale/model/RequestClass.java
+++ b/gateway/src/main/java/ploverdale/model/RequestClass.java
@@ -2,7 +2,7 @@
 
 /** What an op type promises its clients and asks of the servers. Times in tenths of a millisecond. */
 public record RequestClass(
-        long latencyTarget, double targetPerWork, long opTimeout, Idempotence repeats, Scope scope, long repeatWindow,
+        long latencyTarget, double targetPerWork, long timeout, Idempotence repeats, Scope scope, long repeatWindow,
         double value, double lateShare, boolean streamed, Consistency needs, long stalenessBound) {
 
     /** What may happen when an op runs again. */
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -67,7 +67,7 @@
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
     interface RequestHistoryLookup {
-        void arrives(Event.RequestArrived op, String key);
+        void arrives(Event.RequestArrived request, String key);
     }
 
     /** An op in hand. */
@@ -97,7 +97,7 @@
 
     /** A command's place in the order of answers. */
     private static final class PendingResponse {
-        private RequestId op;
+        private RequestId request;
         private Buffer answer;
         private boolean ends;
     }
@@ -135,7 +135,7 @@
         this.settings = settings;
         this.limits = limits;
         unreadMs = Math.max(UNREAD_LEAST_MS,
-                settings.started().opTypes().stream().mapToLong(RequestClass::opTimeout).max().orElse(0) / 10);
+                settings.started().requestClasses().stream().mapToLong(RequestClass::timeout).max().orElse(0) / 10);
         vertx.setPeriodic(LOOK_MS, x -> look());
     }
 
@@ -162,10 +162,10 @@
         long now = nowMs();
         List<AcceptedRequest> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
         for (AcceptedRequest t : overdue) {
-            RequestId op = new RequestId(t.ask.id());
+            RequestId request = new RequestId(t.ask.id());
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
-            loop.tell(new Event.ClientDisconnected(op)); // it is answered here
-            errored(op);
+            loop.tell(new Event.ClientDisconnected(request)); // it is answered here
+            errored(request);
         }
     }
 
@@ -297,7 +297,7 @@
     }
 
     /** Ops a second, lately. */
-    public double opsPerSecond() {
+    public double requestsPerSecond() {
         return traffic.perSecond(nowMs());
     }
 
@@ -311,7 +311,7 @@
         this.past = past;
     }
 
-    public int opsInHand() {
+    public int requestsInFlight() {
         return taken.size();
     }
 
@@ -320,13 +320,13 @@
      * read a moment ago, as for a retry, a request that was held, or behind a pause of this process, it is read now.
      */
     boolean waits(AcceptedRequest t) {
-        RequestId op = new RequestId(t.ask.id());
-        return taken.get(op) == t && !t.session.leftUnseen() && taken.get(op) == t;
+        RequestId request = new RequestId(t.ask.id());
+        return taken.get(request) == t && !t.session.leftUnseen() && taken.get(request) == t;
     }
 
     /** The op if it is still in hand. */
-    public AcceptedRequest taken(RequestId op) {
-        return taken.get(op);
+    public AcceptedRequest taken(RequestId request) {
+        return taken.get(request);
     }
 
     /** Connections on which something has been read whole and not been answered. */
@@ -375,23 +375,23 @@
         }
     }
 
-    public void acked(RequestId op, ResultRow row) {
-        answer(op, MessageWriter.resultRow(row));
+    public void acked(RequestId request, ResultRow row) {
+        answer(request, MessageWriter.resultRow(row));
     }
 
     /** The write ran before, under the same id; this is what its client was answered then. */
-    void ranBefore(RequestId op, byte[] answer) {
-        answer(op, Buffer.buffer(answer));
+    void ranBefore(RequestId request, byte[] answer) {
+        answer(request, Buffer.buffer(answer));
     }
 
     /** Tells the client that trying again does no harm; after how long, in tenths of a millisecond, or 0. */
-    public void busyReplied(RequestId op, long comeBackIn) {
-        String detail = comeBackIn > 0 ? Long.toString((comeBackIn + 9) / 10) : null;
-        answer(op, MessageWriter.errorResponse("53300", "busy, trying again does no harm", detail, false, true));
+    public void busyReplied(RequestId request, long retryAfter) {
+        String detail = retryAfter > 0 ? Long.toString((retryAfter + 9) / 10) : null;
+        answer(request, MessageWriter.errorResponse("53300", "busy, trying again does no harm", detail, false, true));
     }
 
-    public void errored(RequestId op) {
-        answer(op, MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
+    public void errored(RequestId request) {
+        answer(request, MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
     }
 
     /**
@@ -411,8 +411,8 @@
         load -= by;
     }
 
-    private void answer(RequestId op, Buffer answer) {
-        AcceptedRequest t = taken.remove(op);
+    private void answer(RequestId request, Buffer answer) {
+        AcceptedRequest t = taken.remove(request);
         if (t != null) {
             lighter(t.ask.text().length);
             t.slot.answer = answer;
@@ -602,9 +602,9 @@
         /** Ends every request that has come and has no answer yet: none of them is attempted from now on. */
         private void cancelRequests() {
             for (PendingResponse s : slots) {
-                if (s.op != null && s.answer == null) {
-                    lighter(taken.remove(s.op).ask.text().length);
-                    loop.tell(new Event.ClientDisconnected(s.op));
+                if (s.request != null && s.answer == null) {
+                    lighter(taken.remove(s.request).ask.text().length);
+                    loop.tell(new Event.ClientDisconnected(s.request));
                     s.answer = MessageWriter.errorResponse(CANCELED.code(), CANCELED.text(), null, false, true);
                 }
             }
@@ -621,7 +621,7 @@
             ClientMessage m = first;
             first = null;
             if (m instanceof ClientMessage.RequestQuery ask) {
-                op(ask, firstAt);
+                request(ask, firstAt);
             } else {
                 message(m);
             }
@@ -635,7 +635,7 @@
                 early.add(this);
                 limits.asks(this); // it waits for an answer, and so makes way for nobody
             } else if (m instanceof ClientMessage.RequestQuery ask && !skipping) {
-                op(ask, cameAt());
+                request(ask, cameAt());
             } else if (m instanceof ClientMessage.Startup) {
                 limits.greeted(this);
                 put(MessageWriter.startupResponse(process, secret));
@@ -703,32 +703,32 @@
             flush();
         }
 
-        private void op(ClientMessage.RequestQuery ask, long now) {
-            int type = settings.opTypes().indexOf(ask.requestClass());
+        private void request(ClientMessage.RequestQuery ask, long now) {
+            int type = settings.requestClasses().indexOf(ask.requestClass());
             int tenant = settings.tenants().isEmpty() ? 0 : settings.tenants().indexOf(ask.tenant());
-            RequestId op = new RequestId(ask.id());
+            RequestId request = new RequestId(ask.id());
             if (type < 0 || tenant < 0) {
                 bad("22023", type < 0 ? "an unknown op type" : "an unknown tenant", false);
                 return;
             }
-            if (taken.containsKey(op)) {
+            if (taken.containsKey(request)) {
                 bad("42710", "the id of an op still in hand", false);
                 return;
             }
             limits.asks(this);
-            traffic.op(nowMs());
+            traffic.request(nowMs());
             asked.accept(nowMs());
             PendingResponse slot = new PendingResponse();
-            slot.op = op;
+            slot.request = request;
             slots.add(slot);
             long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.timeoutMs() * 10));
             long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
-            taken.put(op, new AcceptedRequest(ask, this, slot, lastResortMs));
+            taken.put(request, new AcceptedRequest(ask, this, slot, lastResortMs));
             load += ask.text().length;
-            Consistency needs = settings.started().opTypes().get(type).needs();
+            Consistency needs = settings.started().requestClasses().get(type).needs();
             boolean inSession = ask.key() != null && (needs == Consistency.WRITE || needs == Consistency.SESSION);
             long tokenAge = ask.afterMs() <= 0 ? 0 : time.tokenAge(now, ask.afterMs() * 10); // 0 is the word for none
-            Event.RequestArrived arrived = new Event.RequestArrived(op, new RequestClassId(type), new TenantId(tenant),
+            Event.RequestArrived arrived = new Event.RequestArrived(request, new RequestClassId(type), new TenantId(tenant),
                     new GroupId(ask.group()), inSession ? new SessionId(ask.key()) : null, timeoutAt, ask.again(), 0, tokenAge);
             if (past == null) {
                 loop.tell(arrived);
@@ -866,9 +866,9 @@
             early.remove(this);
             sessions.remove(this);
             for (PendingResponse s : slots) {
-                if (s.op != null && s.answer == null) {
-                    lighter(taken.remove(s.op).ask.text().length);
-                    loop.tell(new Event.ClientDisconnected(s.op));
+                if (s.request != null && s.answer == null) {
+                    lighter(taken.remove(s.request).ask.text().length);
+                    loop.tell(new Event.ClientDisconnected(s.request));
                 }
             }
             slots.clear();
--- a/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
@@ -47,7 +47,7 @@
             throw new InvalidSettingsException("configuration without field settings");
         }
         GatewaySettings settings = new GatewaySettings(seed(all.text("seed")), all.object("settings"));
-        if (settings.opTypes().isEmpty()) {
+        if (settings.requestClasses().isEmpty()) {
             throw new InvalidSettingsException("configuration.settings without field profiles");
         }
         if (!all.has("limits")) {
@@ -67,7 +67,7 @@
 
     /** Where other instances' words come in; null where there are none or words are not allowed. */
     private static InetSocketAddress peerListen(JsonFields all, GatewaySettings settings) {
-        return all.has("peer_listen") && all.list("peers").size() > 1 && settings.started().permits().peerMessages()
+        return all.has("peer_listen") && all.list("peers").size() > 1 && settings.started().capabilities().peerMessages()
                 ? address("peer_listen", all.text("peer_listen")) : null;
     }
 
--- a/gateway/src/main/java/ploverdale/net/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/Discovery.java
@@ -46,7 +46,7 @@
     private final GatewaySettings settings;
     private final Consumer<ServerList> told;
     private final HttpClient http;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Clock clock;
     private InetSocketAddress at;
     private long askTimer = -1; // a call to come
@@ -57,10 +57,10 @@
     private boolean lost;
     private boolean stopped;
 
-    public Discovery(Vertx vertx, Log log, GatewaySettings settings, InetSocketAddress at, RandomGenerator chance,
+    public Discovery(Vertx vertx, Log log, GatewaySettings settings, InetSocketAddress at, RandomGenerator random,
             Consumer<ServerList> told, Clock clock) {
         this.clock = clock;
-        this.chance = chance;
+        this.random = random;
         this.vertx = vertx;
         this.log = log;
         this.settings = settings;
@@ -227,7 +227,7 @@
             lostAt = clock.monotonicMs();
             log.line("discovery lost: " + why);
         }
-        askIn(again + chance.nextLong(again / 2)); // so that gateways that lost it together do not all come back at once
+        askIn(again + random.nextLong(again / 2)); // so that gateways that lost it together do not all come back at once
         again = Math.min(AGAIN_MOST_MS, again * 2);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
@@ -82,7 +82,7 @@
     public static QuotaSettings fits(QuotaSettings s, GatewaySettings told) {
         if (s.keeping() != null) {
             for (String name : s.keeping().waits()) {
-                if (!told.opTypes().contains(name)) {
+                if (!told.requestClasses().contains(name)) {
                     throw new InvalidSettingsException("fleet file with a field wait_for_copies that names no op type: " + name);
                 }
             }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -214,8 +214,8 @@
     /** What the module is told; where the fleet keeps sessions, each op brings how far its reads must reach. */
     private Event.Started started() {
         Event.Started s = file.settings().started();
-        return past == null ? s : new Event.Started(s.seed(), s.gateways(), s.opTypes(), s.tenants(), s.beyondShareValue(),
-                s.pledges(), s.permits(), past.copies(s.copies()), s.listOnDemand(), s.me());
+        return past == null ? s : new Event.Started(s.seed(), s.gateways(), s.requestClasses(), s.tenants(), s.beyondShareValue(),
+                s.guarantees(), s.capabilities(), past.copies(s.copies()), s.listOnDemand(), s.me());
     }
 
     /** Does the next thing once this was so at that many looks, or after the most looks. */
@@ -250,7 +250,7 @@
         if (list.whole()) {
             starts.keySet().retainAll(list.entries().stream().map(e -> e.listing().server()).collect(Collectors.toSet()));
         }
-        List<Endpoint> listings = list.entries().stream().map(e -> dated(e.listing())).toList();
+        List<Endpoint> endpoints = list.entries().stream().map(e -> dated(e.listing())).toList();
         for (ConfigurationFile.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
@@ -259,7 +259,7 @@
                 servers.closeIdle(e.listing().server());
             }
         }
-        loop.tell(new Event.EndpointUpdate(list.whole(), false, listings));
+        loop.tell(new Event.EndpointUpdate(list.whole(), false, endpoints));
     }
 
     /** The listing with its start as service time, the same each time that the same start is listed. */
@@ -288,62 +288,62 @@
 
     @Override
     public void send(Action.StartAttempt a) {
-        ClientConnections.AcceptedRequest t = clients.taken(a.op());
+        ClientConnections.AcceptedRequest t = clients.taken(a.request());
         if (t == null) { // its client has gone while the module was deciding
-            loop.tell(new Event.AttemptEnded(a.op(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
-            answered(a.op());
+            loop.tell(new Event.AttemptEnded(a.request(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
+            answered(a.request());
             return;
         }
         int number = t.nextSend();
         int changes = time.changes();
         if (past != null) {
-            past.sent(a.op());
+            past.sent(a.request());
         }
         // The process may have been paused since the module read the clock; its limit goes on from there.
         long left = a.timeLimit() - (time.now() - loop.decidedAt());
         // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its server may
         // drain by now, with the grace for that long over.
-        servers.send(a.op(), a.server(), left,
+        servers.send(a.request(), a.server(), left,
                 () -> clients.waits(t) && loop.mayReceive(a.server()) && (a.writeBy() == Long.MAX_VALUE
                         || time.changes() == changes && time.now() <= a.writeBy()),
                 waitMs -> MessageWriter.request(t.ask(), waitMs),
-                outcome -> sendEnded(a.op(), number, a.server(), outcome));
+                outcome -> sendEnded(a.request(), number, a.server(), outcome));
     }
 
-    private void sendEnded(RequestId op, int number, ServerId server, ServerConnections.AttemptEnd o) {
+    private void sendEnded(RequestId request, int number, ServerId server, ServerConnections.AttemptEnd o) {
         if (past != null) {
-            past.sendEnded(op, o.outcome(), o.row() != null);
+            past.sendEnded(request, o.outcome(), o.row() != null);
         }
         if (o.row() != null && past != null) {
-            past.acked(op, o.row(), o.note(), server);
+            past.acked(request, o.row(), o.note(), server);
         } else if (o.row() != null) {
-            clients.acked(op, o.row());
+            clients.acked(request, o.row());
         }
-        boolean settled = o.row() != null || clients.taken(op) == null; // its answer may still wait for copies
-        loop.tell(new Event.AttemptEnded(op, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
+        boolean settled = o.row() != null || clients.taken(request) == null; // its answer may still wait for copies
+        loop.tell(new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
     }
 
     @Override
-    public void callOff(Action.CancelAttempt a) {
-        servers.callOff(a.op());
+    public void cancel(Action.CancelAttempt a) {
+        servers.cancel(a.request());
     }
 
     @Override
-    public void busyReply(Action.RejectRequest a) {
-        clients.busyReplied(a.op(), a.comeBackIn());
-        answered(a.op());
+    public void rejectRequest(Action.RejectRequest a) {
+        clients.busyReplied(a.request(), a.retryAfter());
+        answered(a.request());
     }
 
-    private void answered(RequestId op) {
+    private void answered(RequestId request) {
         if (past != null) {
-            past.over(op);
+            past.over(request);
         }
     }
 
     @Override
-    public void errorReply(Action.FailRequest a) {
-        clients.errored(a.op());
-        answered(a.op());
+    public void failRequest(Action.FailRequest a) {
+        clients.errored(a.request());
+        answered(a.request());
     }
 
     @Override
@@ -369,7 +369,7 @@
     }
 
     @Override
-    public void followList() {
+    public void watchEndpoints() {
         discovery.follow();
     }
 
@@ -383,11 +383,11 @@
 
     /** The same, with its times counted from the signal, which this loop may have come to late. */
     public void endPlanned(long signalNanos, CountDownLatch done) {
-        long longest = file.settings().started().opTypes().stream().mapToLong(RequestClass::opTimeout).max().orElse(0) / 10;
+        long longest = file.settings().started().requestClasses().stream().mapToLong(RequestClass::timeout).max().orElse(0) / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
         long began = signalNanos / 1_000_000;
-        GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
-        log.line("planned restart: " + clients.sessions() + " connections, " + clients.opsInHand()
+        GracefulShutdown shutdown = new GracefulShutdown(killed, clients.requestsPerSecond());
+        log.line("planned restart: " + clients.sessions() + " connections, " + clients.requestsInFlight()
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
         long answersIn = Math.max(1, shutdown.answersBy() - (time.clock().monotonicMs() - began));
         clients.answerAllBy(time.now() + answersIn * 10);
@@ -412,7 +412,7 @@
                 case OVER -> {
                     vertx.cancelTimer(timer);
                     clients.stopReading(); // before the process exits, which takes a moment
-                    log.line("planned restart: ends after " + passed + " ms, " + clients.opsInHand() + " ops unanswered, "
+                    log.line("planned restart: ends after " + passed + " ms, " + clients.requestsInFlight() + " ops unanswered, "
                             + clients.sessions() + " connections");
                     done.countDown();
                 }
@@ -441,7 +441,7 @@
             file = next;
             limits.renew(next.sockets());
             boolean kept = next.listen().equals(was.listen())
-                    && next.settings().started().opTypes().equals(was.settings().started().opTypes());
+                    && next.settings().started().requestClasses().equals(was.settings().started().requestClasses());
             log.line("new configuration: discovery at " + next.discovery().getAddress().getHostAddress() + ":"
                     + next.discovery().getPort() + ", " + next.sockets() + " descriptors"
                     + (kept ? "" : "; what else it says needs a restart"));
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -87,7 +87,7 @@
         this.way = way;
         this.time = time;
         // Clients that left while their op was held: nothing is sent for it any more.
-        vertx.setPeriodic(LOOK_MS, x -> List.copyOf(inHand.keySet()).stream().filter(op -> clients.taken(op) == null)
+        vertx.setPeriodic(LOOK_MS, x -> List.copyOf(inHand.keySet()).stream().filter(request -> clients.taken(request) == null)
                 .forEach(this::over));
     }
 
@@ -127,8 +127,8 @@
 
     @Override
     public void arrives(RequestArrived a, String key) {
-        RequestClass type = settings.started().opTypes().get(a.type().index());
-        boolean waits = keeping.waits().contains(settings.opTypes().get(a.type().index()));
+        RequestClass type = settings.started().requestClasses().get(a.type().index());
+        boolean waits = keeping.waits().contains(settings.requestClasses().get(a.type().index()));
         if (keeping.sessions() && type.needs() == Consistency.SESSION && key != null) {
             long arrived = time.now();
             asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
@@ -144,7 +144,7 @@
                 return;
             }
             InHand i = new InHand(a, waits, time.wallNow());
-            inHand.put(a.op(), i);
+            inHand.put(a.request(), i);
             if (keeping.submits() && type.repeats() != Idempotence.IDEMPOTENT) {
                 claims(i);
             } else {
@@ -159,82 +159,82 @@
     private void arrivesLater(RequestArrived a, String key) {
         if (time.now() + JOIN_AGAIN_MS * MS < a.timeoutAt()) {
             vertx.setTimer(JOIN_AGAIN_MS, x -> {
-                if (clients.taken(a.op()) != null) {
+                if (clients.taken(a.request()) != null) {
                     arrives(a, key);
                 }
             });
         } else if (a.again()) {
-            clients.errored(a.op()); // an earlier submit may have run
+            clients.errored(a.request()); // an earlier submit may have run
         } else {
-            clients.busyReplied(a.op(), 0);
+            clients.busyReplied(a.request(), 0);
         }
     }
 
     private void arrived(RequestArrived a, long tokenAge) {
-        if (clients.taken(a.op()) != null) {
-            loop.tell(new RequestArrived(a.op(), a.type(), a.tenant(), a.group(), a.session(), a.timeoutAt(), a.again(),
+        if (clients.taken(a.request()) != null) {
+            loop.tell(new RequestArrived(a.request(), a.type(), a.tenant(), a.group(), a.session(), a.timeoutAt(), a.again(),
                     a.expectedWork(), tokenAge));
         }
     }
 
     /** A write goes on once its claim is granted; one that was submitted before joins what became of that. */
     private void claims(InHand i) {
-        RequestId op = i.asked.op();
-        asks((now, to) -> replicas.claims(now, Replicas.key(false, op.text()), !i.asked.again(), i.arrivedAt, to), d -> {
+        RequestId request = i.asked.request();
+        asks((now, to) -> replicas.claims(now, Replicas.key(false, request.text()), !i.asked.again(), i.arrivedAt, to), d -> {
             if (d.end() == End.GRANTED) {
                 i.claim = d.claim();
-                if (clients.taken(op) != null) {
+                if (clients.taken(request) != null) {
                     loop.tell(i.asked);
                 } else {
-                    inHand.remove(op);
+                    inHand.remove(request);
                     neverRan(i); // its client has left, and nothing was sent
                 }
-            } else if (clients.taken(op) == null) {
-                inHand.remove(op);
+            } else if (clients.taken(request) == null) {
+                inHand.remove(request);
             } else if (d.end() == End.RAN) {
-                inHand.remove(op);
+                inHand.remove(request);
                 if (d.answer().length > 0) {
-                    clients.ranBefore(op, d.answer());
+                    clients.ranBefore(request, d.answer());
                 } else {
-                    clients.errored(op);
+                    clients.errored(request);
                 }
             } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
                 vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
             } else {
-                inHand.remove(op);
-                clients.errored(op);
+                inHand.remove(request);
+                clients.errored(request);
                 log.often("a write submitted before", "errored, since it may have run");
             }
         });
     }
 
     /** A send of the op goes out. */
-    void sent(RequestId op) {
-        InHand i = inHand.get(op);
+    void sent(RequestId request) {
+        InHand i = inHand.get(request);
         if (i != null) {
             i.out++;
         }
     }
 
     /** One has ended; a row, if it brought one, is still to be handed to {@link #acked}. */
-    void sendEnded(RequestId op, Outcome outcome, boolean row) {
-        InHand i = inHand.get(op);
+    void sendEnded(RequestId request, Outcome outcome, boolean row) {
+        InHand i = inHand.get(request);
         if (i != null) {
             i.out--;
             i.mayHaveRun |= !outcome.provesNotRun;
-            if (!row && clients.taken(op) == null) {
-                over(op);
+            if (!row && clients.taken(request) == null) {
+                over(request);
             }
         }
     }
 
     /** The op has its answer, or its client has left: proven not to have run, where that is so. */
-    void over(RequestId op) {
-        InHand i = inHand.get(op);
+    void over(RequestId request) {
+        InHand i = inHand.get(request);
         if (i == null || i.out > 0) {
             return; // the end of what is out may still prove it
         }
-        inHand.remove(op);
+        inHand.remove(request);
         if (!i.mayHaveRun) {
             neverRan(i);
         }
@@ -242,32 +242,32 @@
 
     private void neverRan(InHand i) {
         if (i.claim != null) {
-            asks((now, to) -> replicas.became(now, Replicas.key(false, i.asked.op().text()), i.claim, WriteOutcome.NEVER_RAN,
+            asks((now, to) -> replicas.became(now, Replicas.key(false, i.asked.request().text()), i.claim, WriteOutcome.NEVER_RAN,
                     new byte[0], 0, false, to), d -> { });
         }
     }
 
     /** A server has acked an op: what is to be known of that is copied, and its client answered, at once or then. */
-    void acked(RequestId op, ResultRow row, LoadReport note, ServerId server) {
-        InHand i = inHand.remove(op);
+    void acked(RequestId request, ResultRow row, LoadReport note, ServerId server) {
+        InHand i = inHand.remove(request);
         if (i == null) {
-            clients.acked(op, row);
+            clients.acked(request, row);
             return;
         }
         acker.put(i.asked.group(), Datagram.number(server) & 0xFFFF);
         if (!time.isKnown() && keeping.sessions() && i.asked.session() != null) {
-            clients.errored(op); // its position cannot be dated, so that nothing may be promised to the session
+            clients.errored(request); // its position cannot be dated, so that nothing may be promised to the session
             log.often("an acked write while the clock is in doubt", "errored");
             return;
         }
         if (!i.waits) {
-            clients.acked(op, row);
+            clients.acked(request, row);
         }
         long left = Math.max(1, Math.min(keeping.waitWithin(), i.asked.timeoutAt() - time.now()));
         String session = i.asked.session() == null ? null : i.asked.session().text();
         i.copies = (keeping.sessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
         if (i.waits && i.copies == 0) {
-            clients.acked(op, row);
+            clients.acked(request, row);
         }
         if (keeping.sessions() && session != null) {
             long at = note != null && note.position() != LoadReport.UNKNOWN_TIME ? time.toWall(note.position()) : time.wallNow();
@@ -275,7 +275,7 @@
                     d -> copied(i, row, d));
         }
         if (i.claim != null) {
-            asks((now, to) -> replicas.became(now, Replicas.key(false, op.text()), i.claim, WriteOutcome.ACKED,
+            asks((now, to) -> replicas.became(now, Replicas.key(false, request.text()), i.claim, WriteOutcome.ACKED,
                     MessageWriter.resultRow(row).getBytes(), left, i.waits, to), d -> copied(i, row, d));
         }
     }
@@ -286,10 +286,10 @@
             return;
         }
         if (i.notCopied) {
-            clients.errored(i.asked.op()); // nothing may be promised
+            clients.errored(i.asked.request()); // nothing may be promised
             log.often("an acked write without copies", "errored after " + keeping.waitWithin() / MS + " ms");
         } else {
-            clients.acked(i.asked.op(), row);
+            clients.acked(i.asked.request(), row);
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
@@ -22,17 +22,17 @@
     public interface ActionHandler {
         void send(Action.StartAttempt send);
 
-        void callOff(Action.CancelAttempt callOff);
+        void cancel(Action.CancelAttempt cancel);
 
-        void busyReply(Action.RejectRequest reply);
+        void rejectRequest(Action.RejectRequest reply);
 
-        void errorReply(Action.FailRequest reply);
+        void failRequest(Action.FailRequest reply);
 
         void probe(Action.CheckHealth probe);
 
         void closeIdle(Action.CloseIdleConnections close);
 
-        void followList();
+        void watchEndpoints();
 
         void tell(Action.SendGossip tell);
     }
@@ -158,7 +158,7 @@
             } catch (RuntimeException e) {
                 log.fault("module fault on " + h.getClass().getSimpleName(), e);
                 if (h instanceof Event.RequestArrived a) {
-                    actionHandler.errorReply(new Action.FailRequest(a.op())); // an op taken is answered all the same
+                    actionHandler.failRequest(new Action.FailRequest(a.request())); // an op taken is answered all the same
                 }
             }
         }
@@ -168,11 +168,11 @@
         if (action instanceof Action.StartAttempt a) {
             actionHandler.send(a);
         } else if (action instanceof Action.CancelAttempt a) {
-            actionHandler.callOff(a);
+            actionHandler.cancel(a);
         } else if (action instanceof Action.RejectRequest a) {
-            actionHandler.busyReply(a);
+            actionHandler.rejectRequest(a);
         } else if (action instanceof Action.FailRequest a) {
-            actionHandler.errorReply(a);
+            actionHandler.failRequest(a);
         } else if (action instanceof Action.SetTimer a) {
             wakeAt(a);
         } else if (action instanceof Action.CheckHealth a) {
@@ -180,7 +180,7 @@
         } else if (action instanceof Action.CloseIdleConnections a) {
             actionHandler.closeIdle(a);
         } else if (action instanceof Action.WatchEndpoints) {
-            actionHandler.followList();
+            actionHandler.watchEndpoints();
         } else if (action instanceof Action.SendGossip a) {
             actionHandler.tell(a);
         } else if (action instanceof Action.LogLine a) {
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -100,7 +100,7 @@
 
     /** One send or probe under way. */
     private final class Attempt {
-        private final RequestId op;
+        private final RequestId request;
         private final Server server;
         private final BooleanSupplier wanted; // right before it is written
         private final RequestEncoder text;
@@ -115,9 +115,9 @@
         private boolean lacksLocally; // descriptors, ports or the like kept its connection from being made
         private long silentAfter = -1; // idle time of the connection that this probe was moved from; below 0: it was not
 
-        private Attempt(RequestId op, Server server, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
+        private Attempt(RequestId request, Server server, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
             this.wanted = wanted;
-            this.op = op;
+            this.request = request;
             this.server = server;
             this.limit = limit;
             this.text = text;
@@ -132,8 +132,8 @@
             over = true;
             vertx.cancelTimer(timer);
             server.waiting.remove(this);
-            if (op != null) {
-                byOp.remove(op, this);
+            if (request != null) {
+                byOp.remove(request, this);
             }
             ear.ended(new AttemptEnd(outcome, reach, row, note, report, Math.max(0, time.now() + 1 - startedAt)));
         }
@@ -152,11 +152,11 @@
      * Writes the text to the server on a free connection, or on a new one; the limit is in tenths of a ms. It counts as never
      * sent if it is not wanted any more when its connection is there.
      */
-    public void send(RequestId op, ServerId id, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
+    public void send(RequestId request, ServerId id, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Attempt x = new Attempt(op, s, limit, wanted, text, ear);
-        if (op != null) {
-            byOp.put(op, x);
+        Attempt x = new Attempt(request, s, limit, wanted, text, ear);
+        if (request != null) {
+            byOp.put(request, x);
         }
         assign(s, x);
     }
@@ -201,7 +201,7 @@
      * nothing about its server only where the cause was a local one.
      */
     private static Outcome unsentOutcome(Attempt x, Outcome ofServer) {
-        return x.op != null || x.lacksLocally ? Outcome.NEVER_SENT : ofServer;
+        return x.request != null || x.lacksLocally ? Outcome.NEVER_SENT : ofServer;
     }
 
     /**
@@ -296,8 +296,8 @@
     }
 
     /** Stops waiting for the op's send, if one is out. */
-    public void callOff(RequestId op) {
-        Attempt x = byOp.get(op);
+    public void cancel(RequestId request) {
+        Attempt x = byOp.get(request);
         if (x != null) {
             giveUp(x, Outcome.CANCELLED);
         }
@@ -556,7 +556,7 @@
             }
             LoadReport note = note();
             LoadReport report = settings.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
-            boolean probe = x.op == null;
+            boolean probe = x.request == null;
             if (problem != null) {
                 x.end(outcome(problem.code(), probe), null, note, report);
             } else if (value == null) {
@@ -621,7 +621,7 @@
             if (up && column == null && rest >= 0) {
                 forgotten(server, rest);
             }
-            if (up && x.op == null && rest >= LONG_IDLE && x.silentAfter < 0) {
+            if (up && x.request == null && rest >= LONG_IDLE && x.silentAfter < 0) {
                 moveProbe(x);
                 return;
             }
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -61,7 +61,7 @@
     /** All that it opens, its timers too, ends with it. */
     private static final class Practice extends VerticleBase {
         private final ConfigurationFile file;
-        private final int ops;
+        private final int requests;
         private final Clock clock;
         private final long began;
         private NetClient client;
@@ -70,9 +70,9 @@
             this.file = file;
             this.clock = clock;
             began = clock.monotonicMs();
-            double agreed = file.settings().started().tenants().stream().mapToDouble(Tenant::opsPerSecond).sum()
+            double agreed = file.settings().started().tenants().stream().mapToDouble(Tenant::requestsPerSecond).sum()
                     / Math.max(1, file.settings().started().gateways());
-            ops = agreed == 0 ? OPS_MOST : (int) Math.max(OPS_LEAST, Math.min(OPS_MOST, agreed * OF_A_SECOND));
+            requests = agreed == 0 ? OPS_MOST : (int) Math.max(OPS_LEAST, Math.min(OPS_MOST, agreed * OF_A_SECOND));
         }
 
         @Override
@@ -87,7 +87,7 @@
                 }
                 return Gateway.unpractised(vertx, context, nowhere, new ConfigurationFile("practice", at(0), list, file.seed(),
                         file.sockets(), file.settings(), new ConfigurationFile.ServerList(0, true, made, List.of()), null, List.of()), clock);
-            })).compose(g -> ops(at(g.port())).onComplete(x -> g.unfollow())).timeout(MOST_MS, TimeUnit.MILLISECONDS);
+            })).compose(g -> requests(at(g.port())).onComplete(x -> g.unfollow())).timeout(MOST_MS, TimeUnit.MILLISECONDS);
         }
 
         private InetSocketAddress at(int port) {
@@ -100,14 +100,14 @@
         }
 
         /** Asks one op after the other, each on a connection of its own. */
-        private Future<Void> ops(InetSocketAddress gateway) {
+        private Future<Void> requests(InetSocketAddress gateway) {
             Promise<Void> all = Promise.promise();
-            op(gateway, 0, all);
+            request(gateway, 0, all);
             return all.future();
         }
 
-        private void op(InetSocketAddress gateway, int i, Promise<Void> all) {
-            if (i == ops || clock.monotonicMs() - began >= ENOUGH_MS) {
+        private void request(InetSocketAddress gateway, int i, Promise<Void> all) {
+            if (i == requests || clock.monotonicMs() - began >= ENOUGH_MS) {
                 all.tryComplete();
                 return;
             }
@@ -127,16 +127,16 @@
                         }
                     }
                 });
-                s.closeHandler(x -> op(gateway, i + 1, all));
+                s.closeHandler(x -> request(gateway, i + 1, all));
                 s.write(MessageWriter.startup().appendBuffer(query(i)));
             });
         }
 
         private Buffer query(int i) {
-            int type = i % file.settings().opTypes().size();
+            int type = i % file.settings().requestClasses().size();
             String tenant = file.settings().tenants().isEmpty() ? "" : ",t=" + file.settings().tenants().get(0);
             return MessageWriter.query("SELECT " + COLUMN + " FROM state WHERE uid = 'k" + i % 9 + "' /* id=" + i + ",c="
-                    + file.settings().opTypes().get(type) + tenant + ",d=900,cluster=0 */");
+                    + file.settings().requestClasses().get(type) + tenant + ",d=900,cluster=0 */");
         }
 
         /** The made-up server, which ends its connections so that opening them is practised, too. */
--- a/gateway/src/main/java/ploverdale/quota/Budgets.java
+++ b/gateway/src/main/java/ploverdale/quota/Budgets.java
@@ -64,9 +64,9 @@
     /**
      * @param me this gateway's number
      * @param start which start of its name this is, by which acceptors and lenders tell it from earlier ones
-     * @param chance chooses lenders
+     * @param random chooses lenders
      */
-    public Budgets(int me, long start, QuotaAllocation division, LeaseDurations leaseDurations, RandomGenerator chance, long now) {
+    public Budgets(int me, long start, QuotaAllocation division, LeaseDurations leaseDurations, RandomGenerator random, long now) {
         this.me = me;
         this.start = start;
         this.division = division;
@@ -82,7 +82,7 @@
         leaseHolder = new LeaseHolder(me, division, leaseDurations, longestUse, held, acceptor, this::nextNumber, now);
         UnitDemand demand = new UnitDemand(held);
         lender = new UnitLender(division, leaseHolder, demand);
-        borrower = new UnitBorrower(me, division, leaseDurations, chance, held, demand, this::nextNumber);
+        borrower = new UnitBorrower(me, division, leaseDurations, random, held, demand, this::nextNumber);
         holdGuaranteedUnits(now, Budget.Kind.RATE);
     }
 
@@ -128,8 +128,8 @@
     }
 
     /** After how long a rejected client should retry. */
-    public long comeBackIn(long now, int budget) {
-        return held[budget].comeBackIn(now);
+    public long retryAfter(long now, int budget) {
+        return held[budget].retryAfter(now);
     }
 
     /** Units that this gateway holds now, those in use included. */
--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -158,7 +158,7 @@
     }
 
     /** When to ask again, from now: at the next part of a rate; for one in use, after a share of its longest time. */
-    long comeBackIn(long now) {
+    long retryAfter(long now) {
         passes(now);
         long whole = budget.holds();
         if (budget.kind() == Budget.Kind.IN_USE || parts() == 0) {
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -46,15 +46,15 @@
         this.clock = clock;
         tenants = quotaSettings.tenantBudgets(told);
         division = quotaSettings.division(told);
-        SplittableRandom chance = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
+        SplittableRandom random = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
         long now = clock.getAsLong();
-        membership = new Membership(told.me(), told.gateways(), startedMs, chance.split());
+        membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
         budgets = new Budgets(told.me(), Membership.start(membership.incarnation()), division, quotaSettings.leaseDurations(),
-                chance.split(), now);
+                random.split(), now);
         packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
         staticQuota = new StaticQuota(told.tenants(), told.gateways());
         replicas = quotaSettings.keeping() == null ? null : new Replicas(told.me(), told.gateways(),
-                Membership.start(membership.incarnation()), quotaSettings.keeping(), chance.split(), wall);
+                Membership.start(membership.incarnation()), quotaSettings.keeping(), random.split(), wall);
         id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
         if (divides()) {
             lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways() + " gateways, division "
@@ -182,8 +182,8 @@
     }
 
     @Override
-    public boolean op(long now, TenantId tenant) {
-        boolean its = staticQuota.op(now, tenant);
+    public boolean request(long now, TenantId tenant) {
+        boolean its = staticQuota.request(now, tenant);
         return tenants == 0 ? its : tenant.index() >= tenants || spends(tenant.index());
     }
 
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public long comeBackIn(long now, TenantId tenant) {
-        return tenant.index() >= tenants ? 0 : budgets.comeBackIn(clock.getAsLong(), tenant.index());
+    public long retryAfter(long now, TenantId tenant) {
+        return tenant.index() >= tenants ? 0 : budgets.retryAfter(clock.getAsLong(), tenant.index());
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -32,10 +32,10 @@
     public QuotaAllocation division(Started told) {
         List<Budget> all = new ArrayList<>();
         for (int t = 0; t < tenantBudgets(told); t++) {
-            int whole = (int) Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).opsPerSecond());
+            int whole = (int) Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).requestsPerSecond());
             all.add(new Budget("tenant " + t, Kind.RATE, whole, SECOND));
         }
-        long longest = told.opTypes().stream().mapToLong(o -> o.opTimeout()).max().orElse(SECOND);
+        long longest = told.requestClasses().stream().mapToLong(o -> o.timeout()).max().orElse(SECOND);
         for (int s = 0; sendsAtServer > 0 && s < serverSlots; s++) {
             all.add(new Budget("server " + s, Kind.IN_USE, sendsAtServer, longest));
         }
--- a/gateway/src/main/java/ploverdale/quota/StaticQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -19,14 +19,14 @@
     private final TokenBucket tokenBucket = new TokenBucket();
 
     public StaticQuota(List<Tenant> tenants, int gateways) {
-        rate = tenants.stream().mapToDouble(t -> t.opsPerSecond() / gateways).toArray();
+        rate = tenants.stream().mapToDouble(t -> t.requestsPerSecond() / gateways).toArray();
         left = rate.clone();
         at = new long[rate.length];
     }
 
     @Override
-    public boolean op(long now, TenantId tenant) {
-        tokenBucket.op();
+    public boolean request(long now, TenantId tenant) {
+        tokenBucket.request();
         int t = tenant.index();
         if (t >= rate.length) {
             return true;
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public long comeBackIn(long now, TenantId tenant) {
+    public long retryAfter(long now, TenantId tenant) {
         return 0;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/TokenBucket.java
+++ b/gateway/src/main/java/ploverdale/quota/TokenBucket.java
@@ -15,7 +15,7 @@
     private double probes;
 
     /** An op has come. */
-    void op() {
+    void request() {
         sends = Math.min(SAVED_MOST, sends + SENDS_PER_OP);
         probes = Math.min(SAVED_MOST, probes + PROBES_PER_OP);
     }
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -56,7 +56,7 @@
     private final int me;
     private final EntryStore store;
     private final ReplicaPlacement keepers;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final long[] blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
     private final List<Integer> first = new ArrayList<>(); // to walk with since the start
     private final Deque<Node> todo = new ArrayDeque<>();
@@ -72,11 +72,11 @@
     private long taken;
     private String line;
 
-    AntiEntropy(int me, int gateways, EntryStore store, ReplicaPlacement keepers, RandomGenerator chance) {
+    AntiEntropy(int me, int gateways, EntryStore store, ReplicaPlacement keepers, RandomGenerator random) {
         this.me = me;
         this.store = store;
         this.keepers = keepers;
-        this.chance = chance;
+        this.random = random;
         blanks = new long[gateways];
         Arrays.fill(blanks, NEVER);
         blanks[me] = Long.MIN_VALUE / 2;
@@ -144,7 +144,7 @@
             }
         }
         if (!may.isEmpty()) {
-            with = may.get(chance.nextInt(may.size()));
+            with = may.get(random.nextInt(may.size()));
             heardAt = now;
             begins();
         }
@@ -153,7 +153,7 @@
     private void begins() {
         itsStart = 0;
         blank = Long.MIN_VALUE / 2;
-        salt = chance.nextInt();
+        salt = random.nextInt();
         todo.clear();
         out.clear();
         if (store.size() < LARGE) {
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -67,10 +67,10 @@
     /**
      * @param me this gateway's number
      * @param start which start of its name this is
-     * @param chance chooses whom to compare with, and salts of digests
+     * @param random chooses whom to compare with, and salts of digests
      * @param wall Unix time, in tenths of a millisecond
      */
-    public Replicas(int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator chance, LongSupplier wall) {
+    public Replicas(int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator random, LongSupplier wall) {
         this.me = me;
         this.start = start;
         this.keeping = keeping;
@@ -78,7 +78,7 @@
         long startedAt = wall.getAsLong() + keeping.clocksApart();
         placement = new ReplicaPlacement(gateways, keeping.copies());
         store = new EntryStore(keeping.most(), placement::of, this::isOver);
-        catchUp = new AntiEntropy(me, gateways, store, placement, chance);
+        catchUp = new AntiEntropy(me, gateways, store, placement, random);
         bound = new CompletenessBound(keeping, wall, placement, store, catchUp, startedAt);
         holder = new ReplicaHolder(wall, placement, store, bound, lines::add);
         coordinator = new QuorumCoordinator(me, keeping, wall, placement, store, bound, holder);
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -137,9 +137,9 @@
             return false;
         }
         double missing = 0;
-        for (PendingRequest op : m.out.values()) {
-            long waited = now - Math.max(op.sentAt, m.respondedAt);
-            missing += waited / (op.pace.usual * Math.max(1, m.stretch));
+        for (PendingRequest request : m.out.values()) {
+            long waited = now - Math.max(request.sentAt, m.respondedAt);
+            missing += waited / (request.latency.usual * Math.max(1, m.stretch));
         }
         return missing > ANSWERS_MISSING;
     }
--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -32,19 +32,19 @@
     private RandomGenerator random;
     private GossipProtocol gossip; // null where gateways tell each other nothing
     private double firstLimit, leastLimit;
-    private List<RequestClass> opTypes;
+    private List<RequestClass> requestClasses;
     private double beyondShareValue;
-    private ServerGuarantees pledges;
-    private Capabilities permits;
+    private ServerGuarantees guarantees;
+    private Capabilities capabilities;
     private ReplicaGuarantees copies;
     private long tightestBound = Long.MAX_VALUE;
     private long probeEvery;
 
     private final Map<ServerId, ServerState> members = new LinkedHashMap<>();
     private final Map<GroupId, ReplicaGroup> groups = new LinkedHashMap<>();
-    private final Map<RequestId, PendingRequest> ops = new LinkedHashMap<>();
+    private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
     private final SessionWrites sessionWrites = new SessionWrites(50_000); // some megabytes
-    private final List<LatencyEstimate> paces = new ArrayList<>();
+    private final List<LatencyEstimate> latencyEstimates = new ArrayList<>();
     private final LocalHealth localHealth = new LocalHealth();
     private final HealthCheckQueue healthChecks = new HealthCheckQueue();
     private SlowStart slowStart;
@@ -52,7 +52,7 @@
     private double shedPrice;
     private int earlyTimeouts; // attempts out that end early for a retry, each of which has one reserved
     private long scarceUntil = LoadReport.UNKNOWN_TIME;
-    private long nextBeat = Long.MIN_VALUE, askListAt = Long.MAX_VALUE;
+    private long nextBeat = Long.MIN_VALUE, watchEndpointsAt = Long.MAX_VALUE;
 
     private long now;
     private List<Action> out;
@@ -79,8 +79,8 @@
             localHealth.processDelayed(d.from(), d.until());
         } else if (h instanceof Event.EndpointUpdate l) {
             onEndpointUpdate(l);
-        } else if (h instanceof Event.ClientDisconnected c && ops.containsKey(c.op())) {
-            cancelAttempt(ops.remove(c.op()));
+        } else if (h instanceof Event.ClientDisconnected c && requests.containsKey(c.request())) {
+            cancelAttempt(requests.remove(c.request()));
         } else if (h instanceof Event.GossipReceived p && gossip != null) {
             onGossip(p);
         } else if (h instanceof Event.ClockOffsetChanged c) {
@@ -88,7 +88,7 @@
         } else if (h instanceof Event.ShutdownBegun && gossip != null) {
             tell(gossip.leaves(now));
         } else if (h instanceof Event.ShutdownDeadline) {
-            List.copyOf(ops.values()).forEach(this::endBeforeShutdown);
+            List.copyOf(requests.values()).forEach(this::endBeforeShutdown);
         } else if (h instanceof Event.Started s) {
             started(s);
         }
@@ -107,24 +107,24 @@
         quota = quota != null ? quota : new StaticQuota(s.tenants(), gateways);
         leastLimit = quota.limitsSends() ? LEAST_LIMIT : Math.min(2, Math.max(1, LEAST_LIMIT / gateways));
         firstLimit = FIRST_LIMIT / gateways;
-        opTypes = s.opTypes();
+        requestClasses = s.requestClasses();
         beyondShareValue = s.beyondShareValue();
-        pledges = s.pledges();
-        permits = s.permits();
+        guarantees = s.guarantees();
+        capabilities = s.capabilities();
         copies = s.copies();
-        slowStart = new SlowStart(pledges, gateways, requestsPerWindow(s.tenants()), random);
+        slowStart = new SlowStart(guarantees, gateways, requestsPerWindow(s.tenants()), random);
         probeEvery = 1000 * MS; // where no read has a bound; roles only
-        for (RequestClass t : opTypes) {
-            paces.add(new LatencyEstimate(t.latencyTarget() / 5.0));
+        for (RequestClass t : requestClasses) {
+            latencyEstimates.add(new LatencyEstimate(t.latencyTarget() / 5.0));
             if (t.needs() == Consistency.BOUNDED) {
                 tightestBound = Math.min(tightestBound, t.stalenessBound());
                 probeEvery = Math.min(probeEvery, t.stalenessBound() / 3); // the design's starting value
             }
         }
-        askListAt = s.listOnDemand() ? now : Long.MAX_VALUE;
-        if (permits.peerMessages() && gateways > 1) {
-            double ops = s.tenants().stream().mapToDouble(Tenant::opsPerSecond).sum();
-            gossip = new GossipProtocol(s.me(), gateways, ops, tightestBound, new SplittableRandom(~s.seed()),
+        watchEndpointsAt = s.listOnDemand() ? now : Long.MAX_VALUE;
+        if (capabilities.peerMessages() && gateways > 1) {
+            double requests = s.tenants().stream().mapToDouble(Tenant::requestsPerSecond).sum();
+            gossip = new GossipProtocol(s.me(), gateways, requests, tightestBound, new SplittableRandom(~s.seed()),
                     id -> word(members.get(id)));
             gossip.starts(now);
         }
@@ -133,11 +133,11 @@
 
     private void onEndpointUpdate(Event.EndpointUpdate told) {
         if (told.failed()) {
-            askListAt = now + 500 * MS + random.nextInt(1000) * MS; // by chance, so that gateways don't meet
+            watchEndpointsAt = now + 500 * MS + random.nextInt(1000) * MS; // by chance, so that gateways don't meet
             return;
         }
         List<ServerState> missing = new ArrayList<>(told.whole() ? members.values() : List.of());
-        for (Endpoint l : told.listings()) {
+        for (Endpoint l : told.endpoints()) {
             ServerState m = members.get(l.server());
             if (m == null) {
                 m = new ServerState(l.server(), groups.computeIfAbsent(l.group(), ReplicaGroup::new),
@@ -154,7 +154,7 @@
                 gossip.listed(m.id);
             }
             boolean drained = m.listed == Endpoint.EndpointState.DRAINING; // by the list itself, which may undo it
-            m.drainTold = l.stage() == Endpoint.EndpointState.DRAINING ? now : drained ? LoadReport.UNKNOWN_TIME : m.drainTold;
+            m.drainReportedAt = l.stage() == Endpoint.EndpointState.DRAINING ? now : drained ? LoadReport.UNKNOWN_TIME : m.drainReportedAt;
             m.listed = l.stage();
             // Guards against a list that does not know yet of a drain heard elsewhere: it does not undo it.
             stage(m, heardOfDrain(m) && l.startedAt() <= m.startedAt ? m.stage : l.stage());
@@ -172,12 +172,12 @@
 
     private boolean heardOfDrain(ServerState m) {
         return m.stage == Endpoint.EndpointState.DRAINING && m.listed == Endpoint.EndpointState.IN
-                && now - m.drainTold < DRAIN_HEARD_LASTS;
+                && now - m.drainReportedAt < DRAIN_HEARD_LASTS;
     }
 
     private void stage(ServerState m, Endpoint.EndpointState stage) {
         m.drainSeen |= stage == Endpoint.EndpointState.DRAINING;
-        boolean binds = stage != Endpoint.EndpointState.GONE || pledges.removalBinds() || m.drainSeen;
+        boolean binds = stage != Endpoint.EndpointState.GONE || guarantees.removalBinds() || m.drainSeen;
         if (binds && m.stage != stage) {
             m.stage = stage;
             m.drainSeen &= stage != Endpoint.EndpointState.IN;
@@ -192,32 +192,32 @@
     private void clockOffsetChanged(Event.ClockOffsetChanged c) {
         for (ServerState m : members.values()) {
             m.position = LoadReport.UNKNOWN_TIME;
-            m.positionToldAt = LoadReport.UNKNOWN_TIME;
+            m.positionReportedAt = LoadReport.UNKNOWN_TIME;
             long startedAt = c.startedAt().getOrDefault(m.id, m.startedAt);
             m.coldSince = m.coldSince == m.startedAt ? startedAt : m.coldSince;
             m.startedAt = startedAt;
         }
         sessionWrites.allBy(now);
-        ops.values().forEach(op -> op.needPosition = op.needPosition == LoadReport.UNKNOWN_TIME ? LoadReport.UNKNOWN_TIME : now);
+        requests.values().forEach(request -> request.needPosition = request.needPosition == LoadReport.UNKNOWN_TIME ? LoadReport.UNKNOWN_TIME : now);
         if (gossip != null) {
             gossip.forgetPositions();
         }
     }
 
     private void onRequestArrived(Event.RequestArrived a) {
-        RequestClass type = opTypes.get(a.type().index());
+        RequestClass type = requestClasses.get(a.type().index());
         long target = now + type.latencyTarget() + (long) (type.targetPerWork() * a.expectedWork())
                 - (a.again() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
-        PendingRequest op = new PendingRequest(a, type, paces.get(a.type().index()), now, Math.min(target, now + type.opTimeout()));
-        op.needPosition = needPosition(a, type);
-        op.beyondShare = !quota.op(now, a.tenant());
-        ops.put(a.op(), op);
+        PendingRequest request = new PendingRequest(a, type, latencyEstimates.get(a.type().index()), now, Math.min(target, now + type.timeout()));
+        request.needPosition = needPosition(a, type);
+        request.beyondShare = !quota.request(now, a.tenant());
+        requests.put(a.request(), request);
         wakeIn(BEAT);
         groups.computeIfAbsent(a.group(), ReplicaGroup::new).askedAt = now;
         if (gossip != null) {
-            gossip.op();
+            gossip.request();
         }
-        dispatch(op);
+        dispatch(request);
     }
 
     /** A session's last write, as the position its reads must reach; others have none that stands still. */
@@ -227,14 +227,14 @@
                 : copies.tokensCarried() ? now - a.tokenAge() : sessionWrites.of(a.session());
     }
 
-    private long worthUntil(PendingRequest op) {
-        long target = op.type.lateShare() > 0 ? Long.MAX_VALUE : op.targetAt;
-        return Math.min(answerBy(op), target) - MARGIN;
+    private long worthUntil(PendingRequest request) {
+        long target = request.type.lateShare() > 0 ? Long.MAX_VALUE : request.targetAt;
+        return Math.min(answerBy(request), target) - MARGIN;
     }
 
     /** Guards against ops given up at the very end: the answer comes late, after a standstill never. */
-    private long answerBy(PendingRequest op) {
-        return op.asked.timeoutAt() - (long) (EARLY * (op.asked.timeoutAt() - op.arrivedAt));
+    private long answerBy(PendingRequest request) {
+        return request.asked.timeoutAt() - (long) (EARLY * (request.asked.timeoutAt() - request.arrivedAt));
     }
 
     // -- Where an op goes: role, freshness, drain/cold/health, spread, worth sending
@@ -251,80 +251,80 @@
 
     private static final ServerState WAIT = new ServerState(null, null, 0); // stands for a choice to wait
 
-    private boolean dispatch(PendingRequest op) {
-        ReplicaGroup g = groups.computeIfAbsent(op.asked.group(), ReplicaGroup::new);
-        boolean may = op.sends < permits.sendsPerOp() && (!op.mayHaveRun
-                || op.type.repeats() != Idempotence.NOT_IDEMPOTENT && now < op.repeatUntil);
-        boolean toPrimary = op.type.needs() == Consistency.WRITE || op.type.needs() == Consistency.FRESH;
-        ServerState to = !may ? null : toPrimary ? choosePrimary(op, g) : chooseServer(op, g);
-        if (to == WAIT && now < holdUntil(op)) {
-            g.held.add(op);
+    private boolean dispatch(PendingRequest request) {
+        ReplicaGroup g = groups.computeIfAbsent(request.asked.group(), ReplicaGroup::new);
+        boolean may = request.sends < capabilities.attemptsPerRequest() && (!request.mayHaveRun
+                || request.type.repeats() != Idempotence.NOT_IDEMPOTENT && now < request.repeatUntil);
+        boolean toPrimary = request.type.needs() == Consistency.WRITE || request.type.needs() == Consistency.FRESH;
+        ServerState to = !may ? null : toPrimary ? choosePrimary(request, g) : chooseServer(request, g);
+        if (to == WAIT && now < holdUntil(request)) {
+            g.held.add(request);
             return false;
         }
-        g.held.remove(op);
-        boolean go = to != null && to != WAIT && !shed(op, to)
-                && worthUntil(op) - now >= WORTH_SENDING * op.pace.usual * to.stretch
-                && quota.send(to.id, op.cold = slowStartFraction(to) < 1);
-        shedPrice += op.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(op)) - shedPrice);
+        g.held.remove(request);
+        boolean go = to != null && to != WAIT && !shed(request, to)
+                && worthUntil(request) - now >= WORTH_SENDING * request.latency.usual * to.stretch
+                && quota.send(to.id, request.cold = slowStartFraction(to) < 1);
+        shedPrice += request.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(request)) - shedPrice);
         if (go) {
-            send(op, to);
+            send(request, to);
         } else {
-            finish(op);
+            finish(request);
         }
         return true;
     }
 
     /** Guards against long reads that age out replicas, or keep them so, while worthier ops are refused. */
-    private boolean shed(PendingRequest op, ServerState m) {
-        return op.sends == 0 && longRead(op) && valuePerWork(op) < shedPrice
+    private boolean shed(PendingRequest request, ServerState m) {
+        return request.sends == 0 && longRead(request) && valuePerWork(request) < shedPrice
                 && (now - m.position <= tightestBound || m.out.values().stream().anyMatch(this::longRead));
     }
 
     /** A tokened op that may have run goes only where its repeat is known. */
-    private boolean knowsRepeat(PendingRequest op, ServerState m) {
-        return !op.mayHaveRun || op.type.repeats() != Idempotence.WITH_IDEMPOTENCY_KEY || op.type.scope() == RequestClass.Scope.ALL
-                || op.type.scope() == RequestClass.Scope.GROUP && m.group.equals(op.firstMaybeServer.group)
-                || op.type.scope() == RequestClass.Scope.ZONE && m.zone.equals(op.firstMaybeServer.zone);
+    private boolean knowsRepeat(PendingRequest request, ServerState m) {
+        return !request.mayHaveRun || request.type.repeats() != Idempotence.WITH_IDEMPOTENCY_KEY || request.type.scope() == RequestClass.Scope.ALL
+                || request.type.scope() == RequestClass.Scope.GROUP && m.group.equals(request.firstMaybeServer.group)
+                || request.type.scope() == RequestClass.Scope.ZONE && m.zone.equals(request.firstMaybeServer.zone);
     }
 
-    private long holdUntil(PendingRequest op) {
-        long end = Math.min(worthUntil(op), op.repeatUntil);
-        long half = op.mayHaveRun ? end : (op.arrivedAt + op.asked.timeoutAt()) / 2 - MARGIN; // no vain waits
-        long hopeless = op.type.lateShare() > 0 ? 0 : (long) (FEW_TAKE * op.pace.usual);
-        return Math.min(Math.min(end, half), Math.max(end - hopeless, op.arrivedAt + 2 * PATIENCE)) - BEAT;
+    private long holdUntil(PendingRequest request) {
+        long end = Math.min(worthUntil(request), request.repeatUntil);
+        long half = request.mayHaveRun ? end : (request.arrivedAt + request.asked.timeoutAt()) / 2 - MARGIN; // no vain waits
+        long hopeless = request.type.lateShare() > 0 ? 0 : (long) (FEW_TAKE * request.latency.usual);
+        return Math.min(Math.min(end, half), Math.max(end - hopeless, request.arrivedAt + 2 * PATIENCE)) - BEAT;
     }
 
-    private ServerState choosePrimary(PendingRequest op, ReplicaGroup g) {
+    private ServerState choosePrimary(PendingRequest request, ReplicaGroup g) {
         ServerState p = g.primary;
         boolean known = p != null && p.isIn() && !p.silent;
         if (!known || !heardLately(p)) {
             boolean told = askAgain() > ASK_AGAIN; // by others, where each member stands and whether it leads
-            ask(g, m -> m == p || !known && (!told || now - m.positionToldAt > askAgain()));
+            ask(g, m -> m == p || !known && (!told || now - m.positionReportedAt > askAgain()));
         }
-        return known && heardLately(p) && knowsRepeat(op, p) && hasRoom(p, WRITE_SHARE) && coldAllows(p, op)
+        return known && heardLately(p) && knowsRepeat(request, p) && hasRoom(p, WRITE_SHARE) && coldAllows(p, request)
                 ? p : WAIT;
     }
 
-    private ServerState chooseServer(PendingRequest op, ReplicaGroup g) {
-        ServerState best = spread(op, g, m -> admits(m, op));
+    private ServerState chooseServer(PendingRequest request, ReplicaGroup g) {
+        ServerState best = spread(request, g, m -> admits(m, request));
         boolean checked = copies.checks() != ReplicaGuarantees.StalenessCheck.NONE;
-        best = best == null && checked ? spread(op, g, m -> lagsALittle(m, op)) : best;
+        best = best == null && checked ? spread(request, g, m -> lagsALittle(m, request)) : best;
         if (best != null) {
             return best;
         }
         ServerState p = g.primary;
         if (ask(g, m -> !heardLately(m)
-                || !checked && m != p && !admits(m, op) && now - m.positionToldAt > askAgain())) {
+                || !checked && m != p && !admits(m, request) && now - m.positionReportedAt > askAgain())) {
             return WAIT;
         }
         if (p != null && p.isIn() && !p.silent && heardLately(p) && hasRoom(p, PRIMARY_READ_SHARE)
-                && stretchNow(p) <= FEW_TAKE && notTooBusy(p, PRIMARY_BUSY) && coldAllows(p, op)) {
+                && stretchNow(p) <= FEW_TAKE && notTooBusy(p, PRIMARY_BUSY) && coldAllows(p, request)) {
             return p; // also while the admitted replicas are full
         }
         // Guards against old reports: where replicas check reads, one a second tries each, not a refusal.
-        ServerState guess = checked ? spread(op, g, m -> m != op.at && now - m.turnedAwayAt > GUESS_AGAIN) : null;
+        ServerState guess = checked ? spread(request, g, m -> m != request.at && now - m.misdirectedAt > GUESS_AGAIN) : null;
         if (guess != null) {
-            guess.turnedAwayAt = now; // until it answers
+            guess.misdirectedAt = now; // until it answers
             return guess;
         }
         // Nobody was heard lately, and the health check that tells is on its way: perhaps on a second connection, where a server
@@ -335,8 +335,8 @@
         }
         // Waits for room, or for a replica little too old by a report that is old itself to be asked again.
         return g.members.stream().anyMatch(m -> m != p && m.isIn() && !m.silent && heardLately(m)
-                && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, op) || op.type.needs() == Consistency.BOUNDED
-                && !checked && now - m.position <= 2 * op.type.stalenessBound())) ? WAIT : null;
+                && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, request) || request.type.needs() == Consistency.BOUNDED
+                && !checked && now - m.position <= 2 * request.type.stalenessBound())) ? WAIT : null;
     }
 
     /** Guards against many gateways with few ops that crowd a server together; where own answers are old. */
@@ -344,13 +344,13 @@
         return now - m.stretchAt < REPORT_AGE || random.nextDouble() < (shut - m.busy) / BUSY_BAND;
     }
 
-    private ServerState spread(PendingRequest op, ReplicaGroup g, Predicate<ServerState> letIn) {
+    private ServerState spread(PendingRequest request, ReplicaGroup g, Predicate<ServerState> letIn) {
         ServerState best = null;
         double least = Double.MAX_VALUE;
         for (ServerState m : g.members) {
-            boolean may = m != g.primary && m.isIn() && !m.silent && heardLately(m) && knowsRepeat(op, m)
-                    && hasRoom(m, 1) && letIn.test(m) && notTooBusy(m, REPLICA_BUSY) && coldAllows(m, op);
-            double cost = may ? cost(m, op) : Double.MAX_VALUE;
+            boolean may = m != g.primary && m.isIn() && !m.silent && heardLately(m) && knowsRepeat(request, m)
+                    && hasRoom(m, 1) && letIn.test(m) && notTooBusy(m, REPLICA_BUSY) && coldAllows(m, request);
+            double cost = may ? cost(m, request) : Double.MAX_VALUE;
             if (cost < least) {
                 best = m;
                 least = cost;
@@ -360,17 +360,17 @@
     }
 
     /** The filter: a replica answers only when its last known position fits; unknown is too stale. */
-    private boolean admits(ServerState m, PendingRequest op) {
-        Consistency needs = op.type.needs();
+    private boolean admits(ServerState m, PendingRequest request) {
+        Consistency needs = request.type.needs();
         return needs == Consistency.UNBOUNDED
-                || needs == Consistency.BOUNDED && now - m.position <= op.type.stalenessBound()
-                || needs == Consistency.SESSION && m.position >= op.needPosition;
+                || needs == Consistency.BOUNDED && now - m.position <= request.type.stalenessBound()
+                || needs == Consistency.SESSION && m.position >= request.needPosition;
     }
 
     /** Where replicas check reads, one that lags a little may go first, until it turns one away. */
-    private boolean lagsALittle(ServerState m, PendingRequest op) {
-        return m.turnedAwayAt < m.positionToldAt && m != op.at && now - m.positionToldAt < NEWS_FADES_IN
-                && m.positionToldAt - m.position <= op.type.stalenessBound();
+    private boolean lagsALittle(ServerState m, PendingRequest request) {
+        return m.misdirectedAt < m.positionReportedAt && m != request.at && now - m.positionReportedAt < NEWS_FADES_IN
+                && m.positionReportedAt - m.position <= request.type.stalenessBound();
     }
 
     /** Counts only sends made since it last returned; older ones may be stuck. None where just found full. */
@@ -381,9 +381,9 @@
 
     // Guards against reads longer than the tightest bound, which may stop a replica's apply: all gateways put
     // them on the same few replicas, so that the others stay fresh enough for bounded reads.
-    private double cost(ServerState m, PendingRequest op) {
-        double again = m == op.at ? AVOID_COST : 1;
-        if (longRead(op)) { // rank by id, the same at every gateway
+    private double cost(ServerState m, PendingRequest request) {
+        double again = m == request.at ? AVOID_COST : 1;
+        if (longRead(request)) { // rank by id, the same at every gateway
             again *= Math.pow(AVOID_COST, m.group.members.stream().filter(o -> o != m.group.primary
                     && o.isIn() && !o.silent && o.id.text().compareTo(m.id.text()) < 0).count());
         }
@@ -391,29 +391,29 @@
         return again * stretchNow(m) * (m.out.size() + 1) / room / slowStartFraction(m) * (1 + random.nextDouble() / 10);
     }
 
-    private boolean longRead(PendingRequest op) {
-        return op.type.needs() == Consistency.UNBOUNDED && op.pace.usual > tightestBound;
+    private boolean longRead(PendingRequest request) {
+        return request.type.needs() == Consistency.UNBOUNDED && request.latency.usual > tightestBound;
     }
 
     // -- Cold servers; how much of the requests they get is decided in ploverdale.routing.SlowStart
 
     private double requestsPerWindow(List<Tenant> tenants) {
-        return tenants.stream().mapToDouble(Tenant::opsPerSecond).sum() * pledges.overloadWindow() / (1000 * MS);
+        return tenants.stream().mapToDouble(Tenant::requestsPerSecond).sum() * guarantees.overloadWindow() / (1000 * MS);
     }
 
     private double slowStartFraction(ServerState m) {
         return slowStart.slowStartFraction(m, now);
     }
 
-    private boolean coldAllows(ServerState m, PendingRequest op) {
+    private boolean coldAllows(ServerState m, PendingRequest request) {
         return slowStartFraction(m) >= 1 || m.busy < REPLICA_BUSY - BUSY_BAND
-                && slowStart.admits(m, op.pace.usual, meanWork(), members.values(), now);
+                && slowStart.admits(m, request.latency.usual, meanWork(), members.values(), now);
     }
 
     /** What a request usually takes, over the op types as often as they come. */
     private double meanWork() {
-        double samples = paces.stream().mapToDouble(p -> 1 + p.samples).sum();
-        return paces.stream().mapToDouble(p -> p.usual * (1 + p.samples)).sum() / samples;
+        double samples = latencyEstimates.stream().mapToDouble(p -> 1 + p.samples).sum();
+        return latencyEstimates.stream().mapToDouble(p -> p.usual * (1 + p.samples)).sum() / samples;
     }
 
     private double takenWork(ServerState m) {
@@ -431,51 +431,51 @@
 
     private static final double LOST_SHARE = 0.12; // of answers; long ops alone miss one in twenty
 
-    private void send(PendingRequest op, ServerState m) {
-        long until = op.type.repeats() == Idempotence.IDEMPOTENT ? worthUntil(op) : answerBy(op);
+    private void send(PendingRequest request, ServerState m) {
+        long until = request.type.repeats() == Idempotence.IDEMPOTENT ? worthUntil(request) : answerBy(request);
         // Guards against servers whose answers get lost while they work: sends again in time.
-        long early = now + (long) (FEW_TAKE * op.pace.usual * stretchNow(m));
+        long early = now + (long) (FEW_TAKE * request.latency.usual * stretchNow(m));
         // Only where a retry may follow and can be paid for: an attempt without one has all the time that is left.
-        boolean retryFollows = op.sends + 1 < permits.sendsPerOp() && quota.hasAgain(earlyTimeouts);
-        op.hasEarlyTimeout = m.lostShare > LOST_SHARE && op.type.repeats() != Idempotence.NOT_IDEMPOTENT && retryFollows
-                && worthUntil(op) - early > op.pace.usual * stretchNow(m);
-        if (op.hasEarlyTimeout) {
+        boolean retryFollows = request.sends + 1 < capabilities.attemptsPerRequest() && quota.hasAgain(earlyTimeouts);
+        request.hasEarlyTimeout = m.lostShare > LOST_SHARE && request.type.repeats() != Idempotence.NOT_IDEMPOTENT && retryFollows
+                && worthUntil(request) - early > request.latency.usual * stretchNow(m);
+        if (request.hasEarlyTimeout) {
             earlyTimeouts++;
             until = Math.min(until, early);
         }
         // Guards against positions that age while a connection is made; servers that check reads see to it.
-        boolean ages = op.type.needs() == Consistency.BOUNDED && m != m.group.primary
+        boolean ages = request.type.needs() == Consistency.BOUNDED && m != m.group.primary
                 && copies.checks() == ReplicaGuarantees.StalenessCheck.NONE;
-        long writeBy = ages ? m.position + op.type.stalenessBound() : Long.MAX_VALUE;
-        out.add(new Action.StartAttempt(op.asked.op(), m.id, Math.max(1, until - now), writeBy));
-        op.sendOut = op.sends++;
-        op.at = m;
-        op.sentAt = now;
-        op.calledOff = false;
-        m.out.put(op.asked.op(), op);
-        slowStart.attempted(m, op.pace.usual, now);
+        long writeBy = ages ? m.position + request.type.stalenessBound() : Long.MAX_VALUE;
+        out.add(new Action.StartAttempt(request.asked.request(), m.id, Math.max(1, until - now), writeBy));
+        request.attemptInFlight = request.sends++;
+        request.at = m;
+        request.sentAt = now;
+        request.calledOff = false;
+        m.out.put(request.asked.request(), request);
+        slowStart.attempted(m, request.latency.usual, now);
     }
 
     private void onAttemptEnded(Event.AttemptEnded e) {
         ServerState m = members.get(e.server());
-        PendingRequest op = m.out.remove(e.op());
+        PendingRequest request = m.out.remove(e.request());
         learnRole(m, e.note(), now);
         learnReport(m, e.report());
-        if (op != null) {
-            quota.sendEnded(m.id, op.cold);
-            learnHealth(m, op, e);
-            earlyTimeouts -= op.hasEarlyTimeout ? 1 : 0;
-            op.hasEarlyTimeout = false;
-        }
-        PendingRequest live = ops.get(e.op());
-        if (e.outcome() == Outcome.ACKED && op != null && op.type.needs() == Consistency.WRITE) {
+        if (request != null) {
+            quota.sendEnded(m.id, request.cold);
+            learnHealth(m, request, e);
+            earlyTimeouts -= request.hasEarlyTimeout ? 1 : 0;
+            request.hasEarlyTimeout = false;
+        }
+        PendingRequest live = requests.get(e.request());
+        if (e.outcome() == Outcome.ACKED && request != null && request.type.needs() == Consistency.WRITE) {
             boolean told = e.note() != null && e.note().position() != LoadReport.UNKNOWN_TIME;
-            sessionWrites.put(op.asked.session(), told ? e.note().position() : now);
+            sessionWrites.put(request.asked.session(), told ? e.note().position() : now);
         }
         if (live != null && e.settled()) {
-            ops.remove(e.op());
-        } else if (live != null && live.sendOut == e.send()) {
-            live.sendOut = -1;
+            requests.remove(e.request());
+        } else if (live != null && live.attemptInFlight == e.send()) {
+            live.attemptInFlight = -1;
             next(live, m, e.outcome());
         }
         release(m.group);
@@ -484,43 +484,43 @@
         }
     }
 
-    private void next(PendingRequest op, ServerState m, Outcome outcome) {
-        if (!outcome.provesNotRun && !op.mayHaveRun) {
-            op.mayHaveRun = true;
-            boolean tokened = op.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY;
-            op.repeatUntil = tokened ? op.sentAt + op.type.repeatWindow() - MARGIN : Long.MAX_VALUE;
-            op.firstMaybeServer = m;
+    private void next(PendingRequest request, ServerState m, Outcome outcome) {
+        if (!outcome.provesNotRun && !request.mayHaveRun) {
+            request.mayHaveRun = true;
+            boolean tokened = request.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY;
+            request.repeatUntil = tokened ? request.sentAt + request.type.repeatWindow() - MARGIN : Long.MAX_VALUE;
+            request.firstMaybeServer = m;
         }
-        boolean wrongRole = outcome == Outcome.MISDIRECTED && op.type.needs() == Consistency.WRITE;
+        boolean wrongRole = outcome == Outcome.MISDIRECTED && request.type.needs() == Consistency.WRITE;
         if (wrongRole || quota.again()) {
-            dispatch(op);
+            dispatch(request);
         } else {
-            finish(op); // guards against storms: repeats stay a small part of all sends
+            finish(request); // guards against storms: repeats stay a small part of all sends
         }
     }
 
-    private void finish(PendingRequest op) {
-        ops.remove(op.asked.op());
-        boolean harmless = !op.mayHaveRun || op.type.repeats() == Idempotence.IDEMPOTENT
-                || op.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY && op.type.scope() == RequestClass.Scope.ALL;
-        long budget = op.beyondShare ? quota.comeBackIn(now, op.asked.tenant()) : 0;
-        long back = Math.max((long) (COME_BACK * op.type.latencyTarget()), budget);
-        back = Math.min(back, permits.longestComeBack());
-        out.add(harmless ? new Action.RejectRequest(op.asked.op(), permits.comeBackTimes() ? back : 0)
-                : new Action.FailRequest(op.asked.op()));
+    private void finish(PendingRequest request) {
+        requests.remove(request.asked.request());
+        boolean harmless = !request.mayHaveRun || request.type.repeats() == Idempotence.IDEMPOTENT
+                || request.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY && request.type.scope() == RequestClass.Scope.ALL;
+        long budget = request.beyondShare ? quota.retryAfter(now, request.asked.tenant()) : 0;
+        long back = Math.max((long) (COME_BACK * request.type.latencyTarget()), budget);
+        back = Math.min(back, capabilities.longestRetryAfter());
+        out.add(harmless ? new Action.RejectRequest(request.asked.request(), capabilities.retryAfterAllowed() ? back : 0)
+                : new Action.FailRequest(request.asked.request()));
     }
 
-    private void endBeforeShutdown(PendingRequest op) {
-        cancelAttempt(op);
-        op.mayHaveRun |= op.sendOut >= 0;
-        finish(op);
+    private void endBeforeShutdown(PendingRequest request) {
+        cancelAttempt(request);
+        request.mayHaveRun |= request.attemptInFlight >= 0;
+        finish(request);
     }
 
-    private void cancelAttempt(PendingRequest op) {
-        groups.get(op.asked.group()).held.remove(op);
-        if (op.sendOut >= 0 && permits.callOff() && !op.calledOff) {
-            op.calledOff = true;
-            out.add(new Action.CancelAttempt(op.asked.op(), op.sendOut));
+    private void cancelAttempt(PendingRequest request) {
+        groups.get(request.asked.group()).held.remove(request);
+        if (request.attemptInFlight >= 0 && capabilities.cancel() && !request.calledOff) {
+            request.calledOff = true;
+            out.add(new Action.CancelAttempt(request.asked.request(), request.attemptInFlight));
         }
     }
 
@@ -528,17 +528,17 @@
     private void release(ReplicaGroup g) {
         List<PendingRequest> order = g.held.stream().sorted(Comparator.comparingDouble((PendingRequest o) -> -valuePerWork(o))
                 .thenComparing(o -> -o.arrivedAt)).toList();
-        boolean[] stuck = new boolean[opTypes.size()];
-        for (PendingRequest op : order) {
-            int type = op.asked.type().index();
-            if (now >= holdUntil(op) || !stuck[type]) {
-                stuck[type] |= !dispatch(op);
+        boolean[] stuck = new boolean[requestClasses.size()];
+        for (PendingRequest request : order) {
+            int type = request.asked.type().index();
+            if (now >= holdUntil(request) || !stuck[type]) {
+                stuck[type] |= !dispatch(request);
             }
         }
     }
 
-    private double valuePerWork(PendingRequest op) {
-        return op.type.value() * (op.beyondShare ? beyondShareValue : 1) / op.pace.usual;
+    private double valuePerWork(PendingRequest request) {
+        return request.type.value() * (request.beyondShare ? beyondShareValue : 1) / request.latency.usual;
     }
 
     // -- Roles, positions, probes
@@ -551,7 +551,7 @@
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
     private boolean probe(ServerState m, HealthCheckReason why) {
-        boolean may = permits.probes() && !m.probeOut && quota.probe(why);
+        boolean may = capabilities.probes() && !m.probeOut && quota.probe(why);
         if (may) {
             healthChecks.sent(m);
             m.probeOut = true;
@@ -575,7 +575,7 @@
 
     /** Guards gateways with few ops against dead servers and listed ones that never were. */
     private boolean heardLately(ServerState m) {
-        return now - m.heardAt <= HEARD_LASTS || !permits.probes();
+        return now - m.heardAt <= HEARD_LASTS || !capabilities.probes();
     }
 
     /** Guards against probes dearer than ops: asks for an op in need; true while a word is awaited. */
@@ -599,7 +599,7 @@
 
     private void onHealthCheckEnded(Event.HealthCheckEnded e) {
         ServerState m = members.get(e.server());
-        long heardBefore = Math.max(m.aliveAt, m.positionToldAt); // by anyone; else the list's word does
+        long heardBefore = Math.max(m.aliveAt, m.positionReportedAt); // by anyone; else the list's word does
         heardBefore = heardBefore == LoadReport.UNKNOWN_TIME ? now : Math.max(m.silentSince, heardBefore);
         if (m.probeOut) {
             healthChecks.ended();
@@ -687,19 +687,19 @@
         m.busy = Double.isNaN(t.busy()) ? m.busy : t.busy();
         if (t.position() != LoadReport.UNKNOWN_TIME) {
             m.position = Math.max(m.position, t.position() - MS); // a write's commit is rounded up
-            m.positionToldAt = now;
+            m.positionReportedAt = now;
             if (gossip != null) {
                 gossip.placed(now, m.id);
             }
         }
-        if (t.role() == Role.UNKNOWN || toldAt < m.roleToldAt) {
+        if (t.role() == Role.UNKNOWN || toldAt < m.roleReportedAt) {
             return;
         }
         m.role = t.role();
-        m.roleToldAt = toldAt;
+        m.roleReportedAt = toldAt;
         ReplicaGroup g = m.group;
         ServerState was = g.primary;
-        boolean newer = was == null || was.role != Role.PRIMARY || was.roleToldAt < toldAt;
+        boolean newer = was == null || was.role != Role.PRIMARY || was.roleReportedAt < toldAt;
         g.primary = m.role == Role.PRIMARY && newer ? m : m.role != Role.PRIMARY && was == m ? null : was;
         if (g.primary != was) {
             log("group " + g.id.number() + " primary " + (g.primary == m ? "" : "no longer ") + m.id.text());
@@ -719,10 +719,10 @@
             return; // an earlier look round made this one needless
         }
         nextBeat = Long.MAX_VALUE;
-        wakeIn(ops.isEmpty() && (gossip == null || !gossip.wantsToTell(now)) ? IDLE_BEAT : BEAT);
-        if (now >= askListAt) {
+        wakeIn(requests.isEmpty() && (gossip == null || !gossip.wantsToTell(now)) ? IDLE_BEAT : BEAT);
+        if (now >= watchEndpointsAt) {
             out.add(new Action.WatchEndpoints());
-            askListAt = Long.MAX_VALUE;
+            watchEndpointsAt = Long.MAX_VALUE;
         }
         localHealth.observe(now, members.values());
         ServerState due = null;
@@ -736,7 +736,7 @@
                 }
             }
             // A position heard from others that is still fresh saves a probe.
-            long toldAt = Math.max(m.positionToldAt, gossip == null ? 0 : m.position + probeEvery);
+            long toldAt = Math.max(m.positionReportedAt, gossip == null ? 0 : m.position + probeEvery);
             boolean inUse = m.isIn() && now - m.group.askedAt < probeEvery;
             if (inUse && !m.isPromising() && now >= m.retryAt) {
                 checkWhenDue(m);
@@ -764,10 +764,10 @@
     }
 
     private ServerObservation word(ServerState m) {
-        return new ServerObservation(m.role, m.role == Role.UNKNOWN ? LoadReport.UNKNOWN_TIME : Math.min(now, m.roleToldAt),
-                m.position, m.positionToldAt, m.aliveAt, m.silentAt,
+        return new ServerObservation(m.role, m.role == Role.UNKNOWN ? LoadReport.UNKNOWN_TIME : Math.min(now, m.roleReportedAt),
+                m.position, m.positionReportedAt, m.aliveAt, m.silentAt,
                 slowStartFraction(m) < 1 ? m.coldSince : LoadReport.UNKNOWN_TIME,
-                m.stage == Endpoint.EndpointState.DRAINING ? m.drainTold : LoadReport.UNKNOWN_TIME);
+                m.stage == Endpoint.EndpointState.DRAINING ? m.drainReportedAt : LoadReport.UNKNOWN_TIME);
     }
 
     private void onGossip(Event.GossipReceived p) {
@@ -779,17 +779,17 @@
 
     /** Own words win over others as old; nothing gets newer than it was at its source. */
     private void mergeObservation(ServerState m, ServerObservation w) {
-        if (w.drainAt() > m.drainTold && m.isIn()) {
-            m.drainTold = w.drainAt();
+        if (w.drainAt() > m.drainReportedAt && m.isIn()) {
+            m.drainReportedAt = w.drainAt();
             stage(m, now - w.drainAt() < DRAIN_HEARD_LASTS ? Endpoint.EndpointState.DRAINING : m.stage);
         }
         m.coldSince = Math.max(m.coldSince, w.coldSince());
         m.position = Math.max(m.position, w.position());
-        m.positionToldAt = Math.max(m.positionToldAt, w.positionAt());
+        m.positionReportedAt = Math.max(m.positionReportedAt, w.positionAt());
         m.retryAt = m.silent && w.aliveAt() > m.silentSince ? Math.min(m.retryAt, now) : m.retryAt;
         m.silentAt = Math.max(m.silentAt, w.silentAt());
         m.aliveAt = Math.max(m.aliveAt, w.aliveAt());
-        if (w.roleAt() > m.roleToldAt) {
+        if (w.roleAt() > m.roleReportedAt) {
             learnRole(m, new LoadReport(w.role(), LoadReport.UNKNOWN_TIME), w.roleAt());
         }
         // A primary is heard by oneself once, before its first write: others may not know that it is silent.
@@ -803,8 +803,8 @@
         release(m.group);
     }
 
-    private void proved(ServerState m, PendingRequest op, boolean right) {
-        if (gossip != null && op.type.needs() == Consistency.WRITE) {
+    private void proved(ServerState m, PendingRequest request, boolean right) {
+        if (gossip != null && request.type.needs() == Consistency.WRITE) {
             gossip.proved(now, m.id, right);
         }
     }
@@ -830,17 +830,17 @@
     private static final double PRESSURE_WANTED = 0.35; // mean latency as part of the target; tails are long
     private static final double LIMIT_STEP = 0.2; // an answer; the limit moves by a fifth in a round trip
 
-    private void learnHealth(ServerState m, PendingRequest op, Event.AttemptEnded e) {
+    private void learnHealth(ServerState m, PendingRequest request, Event.AttemptEnded e) {
         Outcome outcome = e.outcome();
-        long took = Math.max(0, e.took() - localHealth.explainedIn(op.sentAt, now));
-        boolean inconclusive = outcome == Outcome.CONNECT_FAILED && localHealth.inconclusive(op.sentAt, now);
+        long took = Math.max(0, e.took() - localHealth.explainedIn(request.sentAt, now));
+        boolean inconclusive = outcome == Outcome.CONNECT_FAILED && localHealth.inconclusive(request.sentAt, now);
         if (outcome == Outcome.CONNECT_FAILED && !inconclusive) {
             // Guards against networks that reset by chance: refusals in a row or slow ones are the server's.
             m.refusesConnects = e.took() < PATIENCE && now - m.connectFailedAt < BRIEF / 3;
             m.connectFailedAt = now;
             m.cutAt = m.refusesConnects || e.took() >= PATIENCE ? now : m.cutAt;
         }
-        if (outcome.isOfConnection() && m.answeredAt < op.sentAt) {
+        if (outcome.isOfConnection() && m.answeredAt < request.sentAt) {
             m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // dead, or no room; a probe tells
             probe(m, HealthCheckReason.OTHER);
         } else if (outcome.byServer) {
@@ -860,13 +860,13 @@
         }
         switch (outcome) {
             case ACKED -> {
-                proved(m, op, true);
+                proved(m, request, true);
                 m.missedInARow = 0;
                 m.fullFor = 0;
-                m.takenWork = takenWork(m) + op.pace.usual;
+                m.takenWork = takenWork(m) + request.latency.usual;
                 m.lostShare *= 1 - NEWEST;
-                m.ackedStretch += NEWEST * (took / op.pace.usual - m.ackedStretch);
-                learnPace(m, op, took, took);
+                m.ackedStretch += NEWEST * (took / request.latency.usual - m.ackedStretch);
+                learnPace(m, request, took, took);
                 m.failShare *= 1 - NEWEST;
             }
             case ERRORED, CONNECTION_LOST, CONNECT_INTERRUPTED, CONNECT_FAILED -> {
@@ -883,14 +883,14 @@
                 // Guards against lost answers taken for slow ones, where the others come in time.
                 boolean lost = ++m.missedInARow <= 2 && m.ackedStretch < LOST_BELOW;
                 m.lostShare += lost ? NEWEST * (1 - m.lostShare) : 0;
-                double like = op.pace.usual * m.stretch;
+                double like = request.latency.usual * m.stretch;
                 long waited = (long) Math.max(took, like);
-                learnPace(m, op, waited, lost ? Math.min(waited, (long) (LOST_BELOW * like)) : waited);
+                learnPace(m, request, waited, lost ? Math.min(waited, (long) (LOST_BELOW * like)) : waited);
             }
             case MISDIRECTED -> {
-                m.turnedAwayAt = now;
-                proved(m, op, false);
-                if (op.type.needs() == Consistency.WRITE) {
+                m.misdirectedAt = now;
+                proved(m, request, false);
+                if (request.type.needs() == Consistency.WRITE) {
                     // Guards against one that hands over: it turns writes away and still signs as primary.
                     learnRole(m, new LoadReport(Role.REPLICA, LoadReport.UNKNOWN_TIME), now + ASK_AGAIN);
                 }
@@ -899,8 +899,8 @@
     }
 
     /** Latency as a multiple of the op type's usual; load, as a part of the target, moves the limit. */
-    private void learnPace(ServerState m, PendingRequest op, long took, long load) {
-        LatencyEstimate p = op.pace;
+    private void learnPace(ServerState m, PendingRequest request, long took, long load) {
+        LatencyEstimate p = request.latency;
         p.recent += Math.max(1.0 / ++p.samples, 0.02) * (took - p.recent);
         double slow = Math.min(1, (now - p.at) / (double) USUAL_RISES_IN);
         p.usual += (p.recent < p.usual || p.samples < 20 ? 0.1 : slow) * (p.recent - p.usual);
@@ -909,7 +909,7 @@
         m.stretch = stretchNow(m) + NEWEST * (Math.min(STRETCH_MOST, took / p.usual) - stretchNow(m));
         m.stretchAt = now;
 
-        m.pressure += NEWEST * (Math.min(3, load / Math.max(1.0, op.targetAt - op.arrivedAt)) - m.pressure);
+        m.pressure += NEWEST * (Math.min(3, load / Math.max(1.0, request.targetAt - request.arrivedAt)) - m.pressure);
         if (m.pressure > PRESSURE_WANTED) {
             m.limit = Math.max(leastLimit, m.limit - LIMIT_STEP);
         } else if (m.out.size() + 1 >= m.limit * 0.7 && now - m.cutAt > HEARD_LASTS) {
@@ -926,9 +926,9 @@
         List<PendingRequest> waiting = m.outSinceReturn();
         long quiet = now - Math.max(m.answeredAt, waiting.isEmpty() ? now : waiting.get(0).sentAt);
         double missing = waiting.stream().mapToDouble(
-                o -> Math.min(quiet, now - o.sentAt) / (o.pace.usual * Math.max(1, m.stretch))).sum();
+                o -> Math.min(quiet, now - o.sentAt) / (o.latency.usual * Math.max(1, m.stretch))).sum();
         // Guards against slow servers taken for dead by gateways with few ops, while others hear them.
-        boolean heardSince = askAgain() > ASK_AGAIN && now - m.positionToldAt < quiet;
+        boolean heardSince = askAgain() > ASK_AGAIN && now - m.positionReportedAt < quiet;
         if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && heardSince && now - m.probedAt > quiet) {
             probe(m, HealthCheckReason.OTHER);
         } else if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && !heardSince) {
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -46,7 +46,7 @@
 
     /** The part of its capacity that a server has by the contract, from its start capacity up to 1. */
     public double slowStartFraction(ServerState server, long now) {
-        double share = Math.max(0, (now - server.coldSince) / (double) Math.max(1, contract.warmWithin()));
+        double share = Math.max(0, (now - server.coldSince) / (double) Math.max(1, contract.slowStartDuration()));
         return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
     }
 
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -22,7 +22,7 @@
     private final List<String> reportFields;
     private final boolean reportsInAnswers;
     private final boolean reportsInProbes;
-    private final List<String> opTypes;
+    private final List<String> requestClasses;
     private final List<String> tenants;
     private final List<String> zones;
     private final long connectLimit;
@@ -36,7 +36,7 @@
         String via = all.object("report").text("via", "silent");
         reportsInAnswers = via.equals("piggyback");
         reportsInProbes = reportsInAnswers || via.equals("pull");
-        opTypes = names(all, "profiles");
+        requestClasses = names(all, "profiles");
         tenants = names(all, "accounts");
         zones = all.list("zones").stream().map(String::valueOf).toList();
         connectLimit = JsonFields.up(all.object("policyLimits").number("connectTimeoutMs", 1000));
@@ -70,8 +70,8 @@
         return reportFields;
     }
 
-    public List<String> opTypes() {
-        return opTypes;
+    public List<String> requestClasses() {
+        return requestClasses;
     }
 
     public List<String> tenants() {
@@ -126,17 +126,17 @@
             tenants.add(new Tenant(JsonFields.of("accounts", a).number("quotaPerS", 0)));
         }
         JsonFields rules = all.object("contract");
-        ServerGuarantees pledges = new ServerGuarantees(rules.number("startCapacity", 0), JsonFields.up(rules.number("coldMs", 0)),
+        ServerGuarantees guarantees = new ServerGuarantees(rules.number("startCapacity", 0), JsonFields.up(rules.number("coldMs", 0)),
                 rules.number("overloadFactor", 1), JsonFields.up(rules.number("overloadForMs", 0)),
                 !rules.mark("removalNotBinding"), JsonFields.down(rules.number("mustAskInMs", 0)));
         JsonFields limits = all.object("policyLimits");
-        Capabilities permits = new Capabilities((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
+        Capabilities capabilities = new Capabilities((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
                 limits.mark("retryAfter"), JsonFields.down(limits.number("maxRetryAfterMs", 0)),
                 limits.mark("peerMessages"));
         ReplicaGuarantees copies = new ReplicaGuarantees(checks(special.text("checks", "silent")),
                 JsonFields.down(special.number("waitMs", 0)), special.text("tokens", "").equals("brought"));
         return new Event.Started(seed, (int) all.whole("balancers", 1), types, tenants,
-                all.number("overShareWorth", 1), pledges, permits, copies,
+                all.number("overShareWorth", 1), guarantees, capabilities, copies,
                 all.text("discovery", "").equals("subscribe"), (int) all.whole("selfIndex", 0));
     }
 
--- a/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
+++ b/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
@@ -30,15 +30,15 @@
 
     /**
      * @param killedAfterMs when the platform ends the process, whatever it does
-     * @param opsPerSecond asked lately
+     * @param requestsPerSecond asked lately
      */
-    public GracefulShutdown(long killedAfterMs, double opsPerSecond) {
+    public GracefulShutdown(long killedAfterMs, double requestsPerSecond) {
         endsBy = Math.max(STILL_ARRIVING_MS, killedAfterMs - ENDING_TAKES_MS);
         // With short op timeouts the end is so near that half a second before it clients still arrive, who are to be served.
         answersBy = Math.max(STILL_ARRIVING_MS, killedAfterMs - ANSWERED_BEFORE_MS);
         readsUntil = killedAfterMs - SPARE_MS;
         overBy = killedAfterMs - EXIT_MS;
-        before = opsPerSecond;
+        before = requestsPerSecond;
         lately = new Traffic(Math.max(LOOKS_BACK_MS, before > 0 ? LOOKS_BACK_OPS * 1000 / before : 0));
         lately.startAt(before, 0);
     }
@@ -55,23 +55,23 @@
 
     /** An op has come. */
     public void asked(long ms) {
-        lately.op(ms);
+        lately.request(ms);
     }
 
     /**
      * What to do; asked every few milliseconds.
      *
      * @param clients that have greeted
-     * @param opsInHand taken or at least read, and not yet answered
+     * @param requestsInFlight taken or at least read, and not yet answered
      */
-    public Step at(long ms, int clients, int opsInHand) {
+    public Step at(long ms, int clients, int requestsInFlight) {
         if (ms >= readsUntil) {
-            return opsInHand == 0 || ms >= overBy ? Step.OVER : Step.FINISHES;
+            return requestsInFlight == 0 || ms >= overBy ? Step.OVER : Step.FINISHES;
         }
         if (ms < STILL_ARRIVING_MS) {
             return Step.SERVES;
         }
-        if (clients == 0 && opsInHand == 0) {
+        if (clients == 0 && requestsInFlight == 0) {
             return Step.OVER;
         }
         return ms >= endsBy || lately.perSecond(ms) <= HARDLY_ANYONE * before ? Step.ENDS : Step.SERVES;
--- a/gateway/src/main/java/ploverdale/shutdown/Traffic.java
+++ b/gateway/src/main/java/ploverdale/shutdown/Traffic.java
@@ -10,7 +10,7 @@
         this.fadesInMs = fadesInMs;
     }
 
-    public void op(long nowMs) {
+    public void request(long nowMs) {
         fade(nowMs);
         weight++;
     }
--- a/gateway/src/main/java/ploverdale/state/PendingRequest.java
+++ b/gateway/src/main/java/ploverdale/state/PendingRequest.java
@@ -7,7 +7,7 @@
 public final class PendingRequest {
     public final RequestArrived asked;
     public final RequestClass type;
-    public final LatencyEstimate pace;
+    public final LatencyEstimate latency;
     public final long arrivedAt;
     public final long targetAt;
     public long needPosition;
@@ -15,7 +15,7 @@
 
     public int sends;
     public ServerState at;
-    public int sendOut = -1;
+    public int attemptInFlight = -1;
     public long sentAt;
     public boolean cold; // the server, when it was sent there
     public boolean calledOff;
@@ -24,10 +24,10 @@
     public long repeatUntil = Long.MAX_VALUE;
     public ServerState firstMaybeServer;
 
-    public PendingRequest(RequestArrived asked, RequestClass type, LatencyEstimate pace, long arrivedAt, long targetAt) {
+    public PendingRequest(RequestArrived asked, RequestClass type, LatencyEstimate latency, long arrivedAt, long targetAt) {
         this.asked = asked;
         this.type = type;
-        this.pace = pace;
+        this.latency = latency;
         this.arrivedAt = arrivedAt;
         this.targetAt = targetAt;
     }
--- a/gateway/src/main/java/ploverdale/state/ServerState.java
+++ b/gateway/src/main/java/ploverdale/state/ServerState.java
@@ -19,16 +19,16 @@
     public long startedAt;
 
     public LoadReport.Role role = LoadReport.Role.UNKNOWN;
-    public long roleToldAt = LoadReport.UNKNOWN_TIME;
+    public long roleReportedAt = LoadReport.UNKNOWN_TIME;
     public long position = LoadReport.UNKNOWN_TIME;
-    public long positionToldAt = LoadReport.UNKNOWN_TIME;
-    public long turnedAwayAt = LoadReport.UNKNOWN_TIME;
+    public long positionReportedAt = LoadReport.UNKNOWN_TIME;
+    public long misdirectedAt = LoadReport.UNKNOWN_TIME;
 
     public long heardAt = LoadReport.UNKNOWN_TIME; // by this gateway, or as good as that; put back where a probe is wanted
     public long aliveAt = LoadReport.UNKNOWN_TIME; // by any gateway
     public long silentAt = LoadReport.UNKNOWN_TIME; // the same
     public Endpoint.EndpointState listed = Endpoint.EndpointState.IN;
-    public long drainTold = LoadReport.UNKNOWN_TIME; // by a list, here or elsewhere
+    public long drainReportedAt = LoadReport.UNKNOWN_TIME; // by a list, here or elsewhere
     public long connectFailedAt = LoadReport.UNKNOWN_TIME;
     public boolean refusesConnects;
     public long cutAt = LoadReport.UNKNOWN_TIME;
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -131,7 +131,7 @@
     }
 
     private static String longStatement(Net net) {
-        return net.op("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
+        return net.request("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
     }
 
     /** Lets whatever could still begin do so, and asserts that nothing began late. */
@@ -147,7 +147,7 @@
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 3 * IN_HAND_MOST; i++) {
-                    all.appendBuffer(MessageWriter.query(net.op("order")));
+                    all.appendBuffer(MessageWriter.query(net.request("order")));
                 }
                 client.write(all);
                 List<Arrival> inHand = recorder.await(IN_HAND_MOST);
@@ -198,12 +198,12 @@
             net.started();
             Server p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.op("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1); // has the connection that the health check opened
                 p.holdsGreetings = new CountDownLatch(1);
                 p.connects.clear();
-                client.ask(net.op("order"));
+                client.ask(net.request("order"));
                 assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
@@ -220,12 +220,12 @@
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.op("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1);
                 p.holdsGreetings = new CountDownLatch(1);
                 p.connects.clear();
-                client.ask(net.op("order"));
+                client.ask(net.request("order"));
                 assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
@@ -249,7 +249,7 @@
             p.holdsProbes = new CountDownLatch(1);
             Thread.sleep(2200); // by now the primary was last heard too long ago, and a health check is under way
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
                 Thread.sleep(50); // held
                 assertThat(recorder.count()).isZero();
                 long leftAt = client.leave(how);
@@ -267,7 +267,7 @@
             net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // so that it stays out
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
@@ -289,7 +289,7 @@
             Thread[] cancels = {null};
             holdUp(net, 150, () -> {
                 for (LeavingClient c : clients) {
-                    c.ask(net.op("order"));
+                    c.ask(net.request("order"));
                 }
                 Runnable leave = () -> leaveAll(clients, how);
                 leftAt[0] = System.nanoTime();
@@ -332,7 +332,7 @@
         try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
-            Buffer both = MessageWriter.query(net.op("order")).appendBuffer(MessageWriter.query(net.op("no such type")));
+            Buffer both = MessageWriter.query(net.request("order")).appendBuffer(MessageWriter.query(net.request("no such type")));
             net.pauseWhileReading(() -> client.write(both));
             long leftAt = System.nanoTime();
             Thread leaves = new Thread(() -> leaveAll(List.of(client), how));
@@ -355,7 +355,7 @@
                 CountDownLatch ended = new CountDownLatch(1);
                 net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
                 net.logged("planned restart: 1 connections");
-                client.ask(net.op("order"));
+                client.ask(net.request("order"));
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
@@ -368,7 +368,7 @@
     @Test
     void aCancelMessageIsAnsweredOnTheConnectionThatItNamesAndTheAttemptIsGivenUp() throws Exception {
         try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.leave(Departure.CANCEL);
             assertThat(client.errorCode()).as(net::log).isEqualTo("57014");
@@ -379,7 +379,7 @@
     @Test
     void aCancelMessageWithAnotherSecretCancelsNothing() throws Exception {
         try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.secret++;
             client.leave(Departure.CANCEL);
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -65,7 +65,7 @@
     void underLoadAStepEndsNoRequestEarlyAndIsLoggedOnce(long step) throws Exception {
         try (Net net = net(clock, "p", "r1", "r2").readable().started()) {
             Client reader = net.client();
-            Client writer = net.client().ask(net.op("order"));
+            Client writer = net.client().ask(net.request("order"));
             Got inHand = net.servers.get("p").next();
             readsFor(net, reader, 200);
             clock.step(step);
@@ -74,7 +74,7 @@
             assertThat(net.servers.get("p").got).isEmpty(); // not sent again
             inHand.row(new byte[] {7});
             assertThat(writer.answer()).as(net::log).isEqualTo(ROW_7);
-            writer.ask(net.op("order"));
+            writer.ask(net.request("order"));
             net.servers.get("p").next().row(new byte[] {1});
             assertThat(writer.answer()).isEqualTo("row 01 ready");
             assertUndisturbed(net);
@@ -111,7 +111,7 @@
             net.servers.get("r1").mute = true;
             long hangs = System.nanoTime();
             while (!net.log().contains("server r1 silent")) {
-                net.client().ask(net.op("page", 1000)); // those at r1 wait in vain
+                net.client().ask(net.request("page", 1000)); // those at r1 wait in vain
                 assertThat(sinceMs(hangs)).as(net::log).isLessThan(5_000);
                 Thread.sleep(20);
             }
@@ -142,7 +142,7 @@
                     .replace("\"aimMs\":10000", "\"aimMs\":500");
             net.started();
             Client c = net.client();
-            c.ask(net.op("order", 900));
+            c.ask(net.request("order", 900));
             Got g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             long began = System.nanoTime();
@@ -168,12 +168,12 @@
             startedAt(net, Clock.system().wallMs());
             net.started();
             Client one = net.client();
-            assertThat(one.ask(net.op("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(one.ask(net.request("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
             clock.step(step);
             net.servers.get("p").writes = false;
             List<Client> others = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                others.add(net.client().ask(net.op("order", 5_000)));
+                others.add(net.client().ask(net.request("order", 5_000)));
             }
             Thread.sleep(500);
             int atOnce = net.servers.get("p").got.size(); // some 10 of usual work, at 3 of 10 of its capacity
@@ -187,7 +187,7 @@
     @ValueSource(longs = {-5_000, -3_600_000})
     void aStepBackLengthensNoRepeatWindow(long step) throws Exception {
         try (Net net = tokened()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             clock.step(step);
             Thread.sleep(1_200);
@@ -201,7 +201,7 @@
     @ValueSource(longs = {5_000, 3_600_000})
     void aStepForwardEndsNoRepeatWindow(long step) throws Exception {
         try (Net net = tokened()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             clock.step(step);
             g.reset();
@@ -234,7 +234,7 @@
             Client toReplica = null;
             for (long began = System.nanoTime(); r1.got.isEmpty(); Thread.sleep(20)) {
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
-                toReplica = net.client().ask(net.op("page"));
+                toReplica = net.client().ask(net.request("page"));
             }
             r1.reads = true;
             r1.next().row(new byte[] {7});
@@ -267,12 +267,12 @@
             net.started();
             Client c = net.client();
             for (long began = System.nanoTime(); !net.log().contains("clock corrected: "); Thread.sleep(10)) {
-                c.ask(net.op("page")).answer(); // or is refused: it may have started just now
+                c.ask(net.request("page")).answer(); // or is refused: it may have started just now
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
             }
             long began = System.nanoTime();
             for (int i = 0; i < 40; i++) { // a cold one would take 10 a second
-                assertThat(c.ask(net.op("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(c.ask(net.request("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
             }
             assertThat(sinceMs(began)).as(net::log).isLessThan(2_000);
         }
--- a/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
@@ -73,7 +73,7 @@
                     net.servers.get("r1").reads = false; // a read that reached it now would be seen, and have no answer
                     servedWhileDraining++;
                 }
-                answer = client.ask(net.op("page")).answer();
+                answer = client.ask(net.request("page")).answer();
             }
             assertThat(answer).as(net::log).isEqualTo("closed");
             assertThat(servedWhileDraining).as(net::log).isGreaterThan(20);
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -22,11 +22,11 @@
     void anAttemptThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
         try (Net net = new Net("p").started()) {
             Server primary = net.servers.get("p");
-            Client first = net.client().ask(net.op("order"));
+            Client first = net.client().ask(net.request("order"));
             Got inHand = primary.next(); // has the connection that the probe opened
             primary.holdsGreetings = new CountDownLatch(1);
             primary.connects.clear();
-            Client second = net.client().ask(net.op("order", 4000));
+            Client second = net.client().ask(net.request("order", 4000));
             assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isNotNull();
             net.registry.news.add(net.list(2, false, "p:DRAINING"));
             net.logged("server p listed DRAINING");
@@ -54,7 +54,7 @@
                 net.registry.news.add(net.list(2, false, "r1:DRAINING"));
                 long told = System.nanoTime();
                 for (int i = 0; i < 8; i++) {
-                    client.ask(net.op("page"));
+                    client.ask(net.request("page"));
                 }
                 Thread.sleep(HELD_UP_MS); // the pause itself
                 net.goOn();
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -38,7 +38,7 @@
             Server p = net.servers.get("p");
             Client c = net.client();
             for (int i = 0; i < 60; i++) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
                 Thread.sleep(2); // so that each is read by itself
             }
             List<Got> out = new ArrayList<>();
@@ -60,7 +60,7 @@
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
             Client c = new Client(net.gateway.port(), 4000).greeted(); // takes little at a time
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             Got g = p.next();
             Thread writes = new Thread(() -> {
                 try {
@@ -90,14 +90,14 @@
             net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
             net.started();
             Server p = net.servers.get("p");
-            Client other = net.client().ask(net.op("order"));
+            Client other = net.client().ask(net.request("order"));
             Got first = p.next(); // has the connection that the probe opened
             p.holdsGreetings = new CountDownLatch(1);
             p.connects.clear();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             c.close();
-            other.ask(net.op("order"));
+            other.ask(net.request("order"));
             first.row(new byte[] {7}); // read after the close
             assertThat(other.answer()).isEqualTo(ROW_7);
             p.holdsGreetings.countDown();
@@ -129,11 +129,11 @@
             });
             still.await();
             for (Client c : left) {
-                c.ask(net.op("order")).close();
+                c.ask(net.request("order")).close();
             }
             Thread.sleep(500); // the standstill itself
             on.countDown();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             assertThat(g.text()).as(net::log).contains("id=b,");
             g.row(new byte[] {7});
@@ -157,7 +157,7 @@
             List<Client> idle = clients(net, 80);
             net.pauseBeforeTimers(() -> net.renew(256)); // 80 clients are too many then, and idle ones end
             for (Client c : idle) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
             }
             Thread.sleep(400); // the pause itself, longer than idle ones are left then
             net.goOn();
@@ -178,7 +178,7 @@
             net.logged("planned restart: 20 connections");
             net.pauseBeforeTimers(() -> { });
             for (Client c : idle) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
             }
             Thread.sleep(2600); // so that idle ones are to end by then
             net.goOn();
@@ -201,7 +201,7 @@
             net.client(); // greeted behind those, so they have been let in
             net.pauseBeforeTimers(() -> net.renew(64)); // 20 without a greeting are too many then
             for (Client c : strangers) {
-                c.write(MessageWriter.startup()).ask(net.op("order"));
+                c.write(MessageWriter.startup()).ask(net.request("order"));
             }
             Thread.sleep(400); // the pause itself
             net.goOn();
@@ -217,7 +217,7 @@
     @Test
     void anAnswerThatCameDuringAPauseCountsThoughItsAttemptTimedOutMeanwhile() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("quick", 5000)); // an attempt is given up after some 600 ms
+            Client c = net.client().ask(net.request("quick", 5000)); // an attempt is given up after some 600 ms
             Got g = net.servers.get("p").next();
             net.pauseWhileReading();
             g.row(new byte[] {7});
@@ -273,7 +273,7 @@
     @Test
     void aServerThatTellsEverMoreOnAConnectionThatNobodyUsesLosesIt() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             Buffer notices = Buffer.buffer();
             for (int i = 0; i < 1100; i++) {
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -176,33 +176,33 @@
     }
 
     RequestId ask(int type, String session, long tokenAgeMs) {
-        RequestId op = new RequestId("op" + names++);
-        tell(new Event.RequestArrived(op, new RequestClassId(type), new TenantId(0), new GroupId(1),
+        RequestId request = new RequestId("op" + names++);
+        tell(new Event.RequestArrived(request, new RequestClassId(type), new TenantId(0), new GroupId(1),
                 session == null ? null : new SessionId(session), nowMs * 10 + 30_000, false, 0, tokenAgeMs * 10));
-        return op;
+        return request;
     }
 
-    void ends(RequestId op, int send, String server, Outcome outcome, LoadReport note) {
+    void ends(RequestId request, int send, String server, Outcome outcome, LoadReport note) {
         boolean settled = outcome == Outcome.ACKED;
-        tell(new Event.AttemptEnded(op, send, new ServerId(server), outcome, 1000, settled, note, null));
+        tell(new Event.AttemptEnded(request, send, new ServerId(server), outcome, 1000, settled, note, null));
     }
 
     /** Servers the op was sent to, in order. */
-    List<String> sends(RequestId op) {
-        return acts.stream().filter(a -> a instanceof Action.StartAttempt s && s.op().equals(op))
+    List<String> sends(RequestId request) {
+        return acts.stream().filter(a -> a instanceof Action.StartAttempt s && s.request().equals(request))
                 .map(a -> ((Action.StartAttempt) a).server().text()).toList();
     }
 
-    long busyReplies(RequestId op) {
-        return acts.stream().filter(a -> a instanceof Action.RejectRequest b && b.op().equals(op)).count();
+    long busyReplies(RequestId request) {
+        return acts.stream().filter(a -> a instanceof Action.RejectRequest b && b.request().equals(request)).count();
     }
 
-    long errorReplies(RequestId op) {
-        return acts.stream().filter(a -> a instanceof Action.FailRequest b && b.op().equals(op)).count();
+    long errorReplies(RequestId request) {
+        return acts.stream().filter(a -> a instanceof Action.FailRequest b && b.request().equals(request)).count();
     }
 
-    boolean calledOff(RequestId op) {
-        return acts.stream().anyMatch(a -> a instanceof Action.CancelAttempt c && c.op().equals(op));
+    boolean calledOff(RequestId request) {
+        return acts.stream().anyMatch(a -> a instanceof Action.CancelAttempt c && c.request().equals(request));
     }
 
     long probes(String server) {
@@ -304,7 +304,7 @@
         /** Pauses the gateway's event loop while it reads what a client wrote; {@link #goOn} ends that. */
         void pauseWhileReading() throws Exception {
             Client bad = client();
-            pauseWhileReading(() -> bad.ask(op("no such type")));
+            pauseWhileReading(() -> bad.ask(request("no such type")));
         }
 
         /** The same; what is done has a client write something whose error is logged. */
@@ -414,11 +414,11 @@
         }
 
         /** The text of a query; each call another op. */
-        String op(String type) {
-            return op(type, 15_000);
+        String request(String type) {
+            return request(type, 15_000);
         }
 
-        String op(String type, long waitMs) {
+        String request(String type, long waitMs) {
             String comment = " /* id=" + Integer.toHexString(++names) + ",c=" + type + ",t=north,d=" + waitMs
                     + ",cluster=1 */";
             return (type.equals("order") ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
@@ -429,7 +429,7 @@
         String read(Client c) throws IOException {
             String answer = "53300";
             for (int i = 0; i < 100 && answer.startsWith("53300"); i++) {
-                answer = c.ask(op("page")).answer();
+                answer = c.ask(request("page")).answer();
             }
             return answer;
         }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -43,7 +43,7 @@
             }
             Client client = net.client();
             long asked = System.nanoTime();
-            String answer = client.ask(net.op("quick", 1000)).answer();
+            String answer = client.ask(net.request("quick", 1000)).answer();
             assertThat(answer).as(net::log).startsWith("53300");
             assertThat(sinceMs(asked)).as(net::log).isLessThan(1000 + ANSWER_SLACK_MS);
         }
@@ -52,7 +52,7 @@
     /** So many clients, each with a request that the server does not answer. */
     private static void fill(Net net, int valueBytes, int clients) throws Exception {
         for (int i = 0; i < clients; i++) {
-            net.client().ask(net.op("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
+            net.client().ask(net.request("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
         }
     }
 
@@ -62,13 +62,13 @@
         public void send(Action.StartAttempt send) {}
 
         @Override
-        public void callOff(Action.CancelAttempt callOff) {}
+        public void cancel(Action.CancelAttempt cancel) {}
 
         @Override
-        public void busyReply(Action.RejectRequest reply) {}
+        public void rejectRequest(Action.RejectRequest reply) {}
 
         @Override
-        public void errorReply(Action.FailRequest reply) {}
+        public void failRequest(Action.FailRequest reply) {}
 
         @Override
         public void probe(Action.CheckHealth probe) {}
@@ -77,7 +77,7 @@
         public void closeIdle(Action.CloseIdleConnections close) {}
 
         @Override
-        public void followList() {}
+        public void watchEndpoints() {}
 
         @Override
         public void tell(Action.SendGossip tell) {}
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -39,7 +39,7 @@
             for (int i = 0; i < value.length; i++) {
                 value[i] = (byte) i;
             }
-            Client c = net.client().ask(net.op("order", 9000));
+            Client c = net.client().ask(net.request("order", 9000));
             Got g = net.servers.get("p").next();
             assertThat(g.text()).startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
             String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
@@ -66,7 +66,7 @@
         try (Net net = new Net("p")) {
             Server p = net.servers.get("p");
             p.holdsProbes = new CountDownLatch(1);
-            Client c = net.early(net.op("order", 9000));
+            Client c = net.early(net.request("order", 9000));
             long came = System.nanoTime();
             while (System.nanoTime() - came < TimeUnit.MILLISECONDS.toNanos(300)) {
                 Thread.onSpinWait(); // service cannot begin before its first probe has ended
@@ -86,8 +86,8 @@
             c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
             assertThat(c.answer()).startsWith("08P01");
             c = new Client(net.gateway.port());
-            c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.op("order")))
-                    .appendBuffer(MessageWriter.query(net.op("order"))).appendBuffer(MessageWriter.query(" ;")));
+            c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.request("order")))
+                    .appendBuffer(MessageWriter.query(net.request("order"))).appendBuffer(MessageWriter.query(" ;")));
             assertThat(c.answer()).isEqualTo("ready");
             Got one = net.servers.get("p").next();
             Got other = net.servers.get("p").next();
@@ -105,7 +105,7 @@
         try (Net net = new Net("p")) {
             net.servers.get("p").close();
             net.started().logged("server p silent");
-            assertThat(net.client().ask(net.op("quick", 900)).answer()).matches("53300 after \\d+ ready");
+            assertThat(net.client().ask(net.request("quick", 900)).answer()).matches("53300 after \\d+ ready");
         }
     }
 
@@ -113,7 +113,7 @@
     void aWriteTurnedAwayByAReplicaGoesToThePrimary() throws Exception {
         try (Net net = new Net("r1", "p").started()) {
             net.logged("primary p");
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             net.servers.get("p").next().problem("25006");
             assertThat(net.servers.get("p").next().text()).contains("id=1,");
             assertThat(net.servers.get("r1").got).isEmpty();
@@ -124,10 +124,10 @@
     @Test
     void aNonRetryableOpWhoseConnectionBreaksAfterTheLastByteIsWrittenOnceAndErrored() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             net.servers.get("p").next().reset();
             assertThat(c.answer()).isEqualTo("58000 ready");
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             Got second = net.servers.get("p").next();
             assertThat(second.text()).contains("id=2,");
             second.row(new byte[] {2});
@@ -139,7 +139,7 @@
     @Test
     void anOpThatFoundAServerFullIsNotWrittenToTheConnectionThatItCloses() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got full = net.servers.get("p").next();
             full.problem("53300");
             full.socket().close(); // as servers do that have too many of them
@@ -155,11 +155,11 @@
     void aNonRetryableOpWhoseConnectionNeverComesUpHasNotRunAndGoesAgain() throws Exception {
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
-            Client first = net.client().ask(net.op("order"));
+            Client first = net.client().ask(net.request("order"));
             Got out = p.next(); // keeps the connection that the probe opened
             p.shut = true;
             p.connects.clear();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             p.shut = false;
             out.row(new byte[] {1});
@@ -180,16 +180,16 @@
             Client other = net.client();
             boolean rested = false;
             for (int i = 0; i < 50 && !rested; i++) { // often, since the moment is short and this machine may be slow
-                one.ask(net.op("order"));
+                one.ask(net.request("order"));
                 Got first = p.next();
-                other.ask(net.op("order"));
+                other.ask(net.request("order"));
                 Got second = p.next();
                 first.row(new byte[] {7});
                 assertThat(one.answer()).isEqualTo(ROW_7);
                 Thread.sleep(20);
                 second.row(new byte[] {7});
                 assertThat(other.answer()).isEqualTo(ROW_7);
-                one.ask(net.op("order"));
+                one.ask(net.request("order"));
                 Got third = p.next();
                 rested = third.socket() == first.socket();
                 third.row(new byte[] {7});
@@ -216,7 +216,7 @@
     @Test
     void givingUpClosesTheConnectionAndALateAnswerReachesNoOtherOp() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("quick", 700));
+            Client c = net.client().ask(net.request("quick", 700));
             Got late = net.servers.get("p").next();
             assertThat(c.answer()).startsWith("53300");
             late.endedByGateway();
@@ -225,7 +225,7 @@
             } catch (java.io.IOException e) {
                 assertThat(late.socket().isClosed() || e.getMessage() != null).isTrue();
             }
-            c.ask(net.op("page"));
+            c.ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -234,13 +234,13 @@
     @Test
     void anAnswerThatNobodyAskedForEndsTheConnectionAndReachesNoOp() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             Got g = net.servers.get("p").next();
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             g.row("unasked".getBytes(UTF_8));
             g.endedByGateway();
-            c.ask(net.op("page"));
+            c.ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             net.logged("server out of order");
@@ -251,11 +251,11 @@
     void aSurplusAnswerReachesNoOpThatWaitsForTheConnection() throws Exception {
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
-            Client first = net.client().ask(net.op("order"));
+            Client first = net.client().ask(net.request("order"));
             Got g = p.next();
             p.mute = true;
             p.connects.clear();
-            Client second = net.client().ask(net.op("order"));
+            Client second = net.client().ask(net.request("order"));
             assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             g.row(new byte[] {7}, g.answer(new byte[] {7})); // a second copy in the same breath
             assertThat(first.answer()).isEqualTo(ROW_7);
@@ -280,7 +280,7 @@
             cut.setInt(value, 2); // says that the value is shorter than its message
             Buffer full = MessageWriter.errorResponse("53300", "full", null, false, false);
             for (Buffer b : List.of(cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
                 Got g = net.servers.get("p").next();
                 Server.write(g.socket(), b, false);
                 assertThat(c.answer()).isEqualTo("58000 ready"); // it may have run: neither acked nor sent again
@@ -313,7 +313,7 @@
         try (Net net = new Net("p").started()) {
             Client c = net.client();
             for (Buffer b : List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
                 Got g = net.servers.get("p").next();
                 Server.write(g.socket(), b, false);
                 if (b.getByte(0) == 'T') {
@@ -328,7 +328,7 @@
     @Test
     void theSendOfAClientThatHasGoneIsGivenUp() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             Got g = net.servers.get("p").next();
             c.close();
             g.endedByGateway();
@@ -366,7 +366,7 @@
             net.registry.news.add(net.list(4, false));
             net.logged("discovery went back from revision 9 to 4");
             net.registry.asked("/registry/instances");
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -388,7 +388,7 @@
     @Test
     void idleConnectionsAreClosedBeforeTheServerWould() throws Exception {
         try (Net net = new Net("p").started(256, 4000)) {
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             Got g = net.servers.get("p").next();
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
@@ -412,7 +412,7 @@
                 away = greeting.equals("53300 closed");
                 if (!away) {
                     assertThat(greeting).isEqualTo("ready");
-                    taken.add(c.ask(net.op("order")));
+                    taken.add(c.ask(net.request("order")));
                     Got g = p.got.poll(20, TimeUnit.MILLISECONDS); // read by the gateway, so no longer idle there
                     if (g != null) {
                         out.add(g);
@@ -434,7 +434,7 @@
                 Client c = new Client(net.gateway.port()).write(MessageWriter.startup());
                 greeting = c.answer();
                 if (greeting.equals("ready")) {
-                    assertThat(c.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+                    assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
                 }
             }
             assertThat(greeting).isEqualTo("ready");
@@ -453,7 +453,7 @@
                 assertThat(c.answer()).isEqualTo("ready");
             }
             for (Client c : all) {
-                c.ask(net.op("page"));
+                c.ask(net.request("page"));
             }
             for (Client c : all) {
                 assertThat(c.answer()).as(net::log).startsWith("row ");
@@ -465,7 +465,7 @@
     void aPlannedRestartServesOnAnswersAllAndEnds() throws Exception {
         try (Net net = new Net("p", "r1").started().readable()) {
             Client idle = net.client();
-            Client held = net.client().ask(net.op("order"));
+            Client held = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
@@ -478,7 +478,7 @@
             assertThat(net.read(later)).isEqualTo(ROW_7);
             net.logged("planned restart: idle connections end");
             Client last = new Client(net.gateway.port());
-            last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.op("page"))));
+            last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.request("page"))));
             assertThat(List.of(last.answer(), last.answer(), last.answer())).containsExactly("ready", ROW_7, "closed");
             assertThat(idle.answer()).isEqualTo("closed");
             assertThat(ended.getCount()).isEqualTo(1);
@@ -493,7 +493,7 @@
     @Test
     void anOpThatWaitsForLongerThanAPlannedRestartLastsIsAnsweredBeforeTheEnd() throws Exception {
         try (Net net = new Net("p", "r1").started().readable()) {
-            Client patient = net.client().ask(net.op("order", 9000));
+            Client patient = net.client().ask(net.request("order", 9000));
             net.servers.get("p").next(); // never answered
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
@@ -574,10 +574,10 @@
             }
             c.write(bytes('P', 8).appendInt(0).appendBuffer(bytes('B', 4)).appendBuffer(bytes('S', 4)));
             assertThat(c.answer()).isEqualTo("0A000 ready");
-            String op = net.op("order");
-            c.ask(op);
+            String request = net.request("order");
+            c.ask(request);
             Got g = net.servers.get("p").next();
-            assertThat(good.ask(op).answer()).isEqualTo("42710 ready");
+            assertThat(good.ask(request).answer()).isEqualTo("42710 ready");
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             for (Buffer b : List.of(bytes('?', 4), bytes('Q', 3), bytes('Q', 1 << 30))) {
@@ -601,7 +601,7 @@
             Thread asks = new Thread(() -> {
                 try {
                     for (int i = 0; i < 1000; i++) {
-                        deaf.ask(net.op("page")); // more than all buffers on the way can take
+                        deaf.ask(net.request("page")); // more than all buffers on the way can take
                     }
                 } catch (java.io.IOException e) {
                     return; // closed, as it should be
@@ -622,7 +622,7 @@
             Client silent = new Client(net.gateway.port());
             Client half = new Client(net.gateway.port()).write(Buffer.buffer().appendInt(40));
             Client lateHalf = net.client().write(bytes('Q', 50));
-            Client taken = net.client().ask(net.op("order")).write(bytes('Q', 50));
+            Client taken = net.client().ask(net.request("order")).write(bytes('Q', 50));
             Got g = net.servers.get("p").next();
             for (Client c : List.of(silent, half, lateHalf)) {
                 assertThat(c.answer()).isEqualTo("08P01 closed");
--- a/gateway/src/test/java/ploverdale/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -53,11 +53,11 @@
     void aPrimaryThatOnlyOthersHaveHeardIsAskedBeforeItGetsAWrite() {
         host.list(true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
         told(1, "p", word(Role.PRIMARY, host.nowMs - 100, host.nowMs - 100, host.nowMs - 100, -1));
-        RequestId op = host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(op)).isEmpty();
+        RequestId request = host.ask(FakeHost.SUBMIT);
+        assertThat(host.sends(request)).isEmpty();
         assertThat(host.probes("p")).isPositive();
         host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(op)).containsExactly("p");
+        assertThat(host.sends(request)).containsExactly("p");
     }
 
     @Test
@@ -70,10 +70,10 @@
                 new ServerId("p")), word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1))).bytes()));
         many.nowMs += 1200; // r1 is too old by now
         many.probed("r1", Role.REPLICA, many.nowMs - 1200);
-        RequestId op = many.ask(FakeHost.VIEW);
-        assertThat(many.busyReplies(op)).isZero();
+        RequestId request = many.ask(FakeHost.VIEW);
+        assertThat(many.busyReplies(request)).isZero();
         many.probed("p", Role.PRIMARY, many.nowMs);
-        assertThat(many.sends(op)).containsExactly("p");
+        assertThat(many.sends(request)).containsExactly("p");
     }
 
     private Event.GossipReceived heardByOthers(FakeHost h, String server, Role role) {
@@ -112,10 +112,10 @@
         assertThat(host.logged("r1 returns")).isTrue();
         int r1 = 0;
         for (int i = 0; i < 20; i++) {
-            RequestId op = host.ask(FakeHost.HISTORY);
-            String to = host.sends(op).get(0);
+            RequestId request = host.ask(FakeHost.HISTORY);
+            String to = host.sends(request).get(0);
             r1 += to.equals("r1") ? 1 : 0;
-            host.ends(op, 0, to, Outcome.ACKED, null);
+            host.ends(request, 0, to, Outcome.ACKED, null);
         }
         assertThat(r1).isEqualTo(20); // the only replica
     }
@@ -137,10 +137,10 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 50;
         told(1, "p", word(Role.PRIMARY, host.nowMs - 40, -1, -1, host.nowMs - 10));
-        RequestId op = host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(op)).isEmpty();
+        RequestId request = host.ask(FakeHost.SUBMIT);
+        assertThat(host.sends(request)).isEmpty();
         host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(op)).containsExactly("p");
+        assertThat(host.sends(request)).containsExactly("p");
     }
 
     @Test
@@ -199,9 +199,9 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
         told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        RequestId op = host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(op)).startsWith("r1");
-        host.ends(op, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, host.nowMs * 10));
+        RequestId request = host.ask(FakeHost.SUBMIT);
+        assertThat(host.sends(request)).startsWith("r1");
+        host.ends(request, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, host.nowMs * 10));
         host.nowMs += 1000;
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -49,7 +49,7 @@
     private static void askAll(Net net, List<Client> clients, int pipelined) throws Exception {
         for (int i = 0; i < clients.size(); i++) {
             for (int j = 0; j < pipelined; j++) {
-                clients.get(i).ask(net.op(CLASSES.get((i + j) % CLASSES.size()), 9000));
+                clients.get(i).ask(net.request(CLASSES.get((i + j) % CLASSES.size()), 9000));
             }
         }
     }
@@ -103,7 +103,7 @@
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
-                answer = client.ask(net.op(CLASSES.get(answered % CLASSES.size()), deadlineMs)).answer();
+                answer = client.ask(net.request(CLASSES.get(answered % CLASSES.size()), deadlineMs)).answer();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -55,7 +55,7 @@
     private static void warmUp(Net net, Client client) throws Exception {
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
             assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
-            assertThat(client.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
@@ -66,7 +66,7 @@
         List<Client> clients = new ArrayList<>();
         List<FakeHost.Got> out = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            clients.add(net.client().ask(net.op("order")));
+            clients.add(net.client().ask(net.request("order")));
             out.add(primary.next());
         }
         for (int i = 0; i < many; i++) {
@@ -89,7 +89,7 @@
             for (int round = 0; round < 3; round++) {
                 quietTime(net, how);
                 long asked = System.nanoTime();
-                assertThat(client.ask(net.op("quick", 900)).answer()).as("round %d:\n%s", round, net.log()).isEqualTo(ROW_7);
+                assertThat(client.ask(net.request("quick", 900)).answer()).as("round %d:\n%s", round, net.log()).isEqualTo(ROW_7);
                 assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked)).as(net::log).isLessThan(900);
             }
         }
@@ -107,7 +107,7 @@
             try (AnsweringServer answers = new AnsweringServer(primary, query -> query.row(new byte[] {7}))) {
                 quietTime(net, how);
                 for (Client client : clients) {
-                    client.ask(net.op("order", 4000));
+                    client.ask(net.request("order", 4000));
                 }
                 for (Client client : clients) {
                     assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -37,7 +37,7 @@
             net.servers.get("p").writes = true;
             Client client = net.client();
             ends(net, KILLED_AFTER_MS); // so late that idle connections have not been ended
-            client.ask(net.op("order", 300));
+            client.ask(net.request("order", 300));
             Thread.sleep(300); // in which it would be answered
             assertThat(client.hasAnswer()).as(net::log).isFalse();
         }
@@ -49,7 +49,7 @@
             net.servers.get("p").writes = true;
             ends(net, 0);
             try (Client late = new Client(net.gateway.port())) {
-                late.write(MessageWriter.startup()).ask(net.op("order", 300));
+                late.write(MessageWriter.startup()).ask(net.request("order", 300));
                 Thread.sleep(300); // in which it would be answered
                 assertThat(late.hasAnswer()).as(net::log).isFalse();
             }
@@ -66,7 +66,7 @@
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
             net.logged("planned restart");
             net.pauseWhileReading();
-            client.ask(net.op("order", 300));
+            client.ask(net.request("order", 300));
             Thread.sleep(KILLED_AFTER_MS - 140 - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos));
             net.goOn(); // it reads the request, and then comes the look that is due, when nothing more is to be read
             assertThat(client.answer()).as(net::log).endsWith("ready");
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -106,7 +106,7 @@
     @ValueSource(booleans = {false, true})
     void aRowWithItsCommandCompleteIsForwardedThoughReadyForQueryNeverComes(boolean resets) throws Exception {
         try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.op("order"));
+            Client client = net.client().ask(net.request("order"));
             Got query = net.servers.get("p").next();
             Buffer answer = query.answer(new byte[] {7});
             Server.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
--- a/gateway/src/test/java/ploverdale/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/LocalFailureInRouterTest.java
@@ -50,9 +50,9 @@
     void attemptsThatWereNeverSentEjectNoServer() {
         FakeHost h = FakeHost.settled();
         for (int i = 0; i < MANY; i++) {
-            RequestId op = h.ask(FakeHost.HISTORY);
-            for (int send = 0; send < h.sends(op).size(); send++) {
-                h.ends(op, send, h.sends(op).get(send), Outcome.NEVER_SENT, null);
+            RequestId request = h.ask(FakeHost.HISTORY);
+            for (int send = 0; send < h.sends(request).size(); send++) {
+                h.ends(request, send, h.sends(request).get(send), Outcome.NEVER_SENT, null);
             }
             h.pass(100);
         }
--- a/gateway/src/test/java/ploverdale/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/RouterTest.java
@@ -149,8 +149,8 @@
         RequestId last = refused;
         assertThat(host.sends(last)).isEmpty();
         assertThat(host.busyReplies(last)).isEqualTo(1);
-        assertThat(host.acts).filteredOn(a -> a instanceof Action.RejectRequest b && b.op().equals(last))
-                .allMatch(a -> ((Action.RejectRequest) a).comeBackIn() < 5000, "a second try is still in time");
+        assertThat(host.acts).filteredOn(a -> a instanceof Action.RejectRequest b && b.request().equals(last))
+                .allMatch(a -> ((Action.RejectRequest) a).retryAfter() < 5000, "a second try is still in time");
     }
 
     @Test
@@ -229,7 +229,7 @@
         for (int i = 0; i < 20; i++) {
             many.add(host.ask(FakeHost.HISTORY));
         }
-        assertThat(many).allMatch(op -> host.sends(op).size() == 1);
+        assertThat(many).allMatch(request -> host.sends(request).size() == 1);
         assertThat(host.logged("silent")).isFalse();
         assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
@@ -247,11 +247,11 @@
     @Test
     void whereAnswersGetLostWhileOthersComeInTimeASendIsMadeAgainBeforeItsOpIsWorthless() {
         for (int i = 0; i < 40; i++) {
-            RequestId op = host.ask(FakeHost.SUBMIT);
-            host.ends(op, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.ACKED, null);
+            RequestId request = host.ask(FakeHost.SUBMIT);
+            host.ends(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.ACKED, null);
         }
         RequestId read = host.ask(FakeHost.FRESH);
-        assertThat(host.acts).anyMatch(a -> a instanceof Action.StartAttempt s && s.op().equals(read) && s.timeLimit() < 3500);
+        assertThat(host.acts).anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
         assertThat(host.sends(host.ask(FakeHost.SUBMIT))).as("and its limit is kept").containsExactly("p");
     }
 
@@ -598,8 +598,8 @@
         }
         host.nowMs += 400;
         host.probed("r1", Role.PRIMARY, host.nowMs);
-        assertThat(asked.subList(0, 99)).filteredOn(op -> !host.sends(op).isEmpty()).isNotEmpty();
-        assertThat(asked.subList(100, 130)).allMatch(op -> host.sends(op).isEmpty());
+        assertThat(asked.subList(0, 99)).filteredOn(request -> !host.sends(request).isEmpty()).isNotEmpty();
+        assertThat(asked.subList(100, 130)).allMatch(request -> host.sends(request).isEmpty());
     }
 
     @Test
@@ -635,12 +635,12 @@
         FakeHost h = FakeHost.settled();
         h.pass(100); // r1 and r2 stand where they stood then, but for what a probe told since
         RequestId read = h.ask(FakeHost.VIEW);
-        Action.StartAttempt s = h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.op().equals(read))
+        Action.StartAttempt s = h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
                 .map(a -> (Action.StartAttempt) a).findFirst().orElseThrow();
         assertThat(s.server().text()).startsWith("r");
         assertThat(s.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000); // a position is rounded down by a millisecond
         RequestId write = h.ask(FakeHost.SUBMIT);
-        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.op().equals(write))
+        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.request().equals(write))
                 .map(a -> ((Action.StartAttempt) a).writeBy())).containsExactly(Long.MAX_VALUE);
     }
 
@@ -648,7 +648,7 @@
     void aWriteIsGivenUpBeforeItsTimeIsUpSoThatItsAnswerComesInTime() {
         FakeHost h = FakeHost.settled();
         RequestId write = h.ask(FakeHost.SUBMIT);
-        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.op().equals(write))
+        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.request().equals(write))
                 .map(a -> ((Action.StartAttempt) a).timeLimit())).containsExactly(30_000L - 30_000 / 50);
     }
 }
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -24,7 +24,7 @@
     /** A request that a client sends now. */
     private record Sent(Client client, long atNanos, long deadlineMs) {
         static Sent by(Client client, Net net, String type, long deadlineMs) throws Exception {
-            String query = net.op(type, deadlineMs);
+            String query = net.request(type, deadlineMs);
             long now = System.nanoTime();
             client.ask(query);
             return new Sent(client, now, deadlineMs);
@@ -127,7 +127,7 @@
     void ofAnAttemptThatWaitedForItsConnection() throws Exception {
         try (Net net = new Net("p").started()) {
             Server server = net.servers.get("p");
-            net.client().ask(net.op("order"));
+            net.client().ask(net.request("order"));
             server.next(); // has the connection that the health check opened
             server.holdsGreetings = new CountDownLatch(1);
             Sent sent = Sent.by(net.client(), net, "order", DEADLINE_MS);
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -37,15 +37,15 @@
             Client client = net.client();
             Client other = net.client();
             for (int i = 0; i < LEARNING_REQUESTS; i++) {
-                assertThat(other.ask(net.op(requestClass, OTHERS_MS)).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(other.ask(net.request(requestClass, OTHERS_MS)).answer()).as(net::log).isEqualTo(ROW_7);
             }
             for (int i = 0; i < REQUESTS; i++) {
                 long asked = System.nanoTime();
-                String answer = client.ask(net.op(requestClass, LEFT_MS)).answer();
+                String answer = client.ask(net.request(requestClass, LEFT_MS)).answer();
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
                 assertThat(answer).as(net::log).matches("(53300|58000).* ready");
                 assertThat(tookMs).as(net::log).isLessThan(LEFT_MS + ANSWER_SLACK_MS);
-                String text = net.op(requestClass, OTHERS_MS);
+                String text = net.request(requestClass, OTHERS_MS);
                 String id = text.replaceAll(".*id=(\\w+),.*", "$1");
                 assertThat(other.ask(text).answer()).as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id),
                         replica.attempts(id), net.log()).isEqualTo(ROW_7);
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -84,7 +84,7 @@
                 long sent = System.nanoTime();
                 String answer;
                 try {
-                    client.ask(net.op("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
+                    client.ask(net.request("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
                     answer = client.answer();
                 } catch (IOException e) {
                     answer = "closed";
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -100,16 +100,16 @@
 
     private static final class Attempt {
         final int gateway;
-        final RequestId op;
+        final RequestId request;
         final int number;
         final Server server;
         final long sentAt;
         final double work;
         boolean ended;
 
-        Attempt(int gateway, RequestId op, int number, Server server, long sentAt, double work) {
+        Attempt(int gateway, RequestId request, int number, Server server, long sentAt, double work) {
             this.gateway = gateway;
-            this.op = op;
+            this.request = request;
             this.number = number;
             this.server = server;
             this.sentAt = sentAt;
@@ -231,10 +231,10 @@
                 type(2000 * MS, Idempotence.IDEMPOTENT, 2, 0, Consistency.BOUNDED),
                 type(1000 * MS, Idempotence.IDEMPOTENT, 1, 0, Consistency.UNBOUNDED),
                 type(3000 * MS, Idempotence.NOT_IDEMPOTENT, 6, 0.5, Consistency.WRITE));
-        ServerGuarantees pledges = new ServerGuarantees(deployment.startCapacity, deployment.coldMs * MS, deployment.multiple,
+        ServerGuarantees guarantees = new ServerGuarantees(deployment.startCapacity, deployment.coldMs * MS, deployment.multiple,
                 deployment.windowMs * MS, true, 0);
         return new Event.Started(random.nextLong(), gateways, types,
-                List.of(new Tenant(AGREED * SERVERS * deployment.capacity)), 0.05, pledges,
+                List.of(new Tenant(AGREED * SERVERS * deployment.capacity)), 0.05, guarantees,
                 new Capabilities(6, true, true, true, 1000 * MS, gossip),
                 new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false), false, gateway);
     }
@@ -292,9 +292,9 @@
                 new GroupId(request.group), new SessionId("c"), now + timeout, request.tries > 0, 0, 0));
     }
 
-    private void refused(RequestId op) {
-        Request r = requests.remove(op);
-        attempts.remove(op);
+    private void refused(RequestId request) {
+        Request r = requests.remove(request);
+        attempts.remove(request);
         if (r != null && r.tries < 2 && random.nextDouble() < 0.6) {
             Request again = new Request(pickGateway(), r.type, r.group, r.tries + 1, r.targetAt);
             at(now + (100 + random.nextInt(300)) * MS, () -> send(again));
@@ -320,23 +320,23 @@
             at(now + (2 + random.nextInt(20)) * MS,
                     () -> tell(tell.peer(), new Event.GossipReceived(gateway, tell.bytes())));
         } else if (action instanceof Action.RejectRequest reply) {
-            at(now, () -> refused(reply.op()));
+            at(now, () -> refused(reply.request()));
         } else if (action instanceof Action.FailRequest reply) {
-            requests.remove(reply.op());
-            attempts.remove(reply.op());
-        } else if (action instanceof Action.CancelAttempt callOff) {
-            Attempt attempt = out.get(callOff.op());
-            if (attempt != null && attempt.number == callOff.send()) {
+            requests.remove(reply.request());
+            attempts.remove(reply.request());
+        } else if (action instanceof Action.CancelAttempt cancel) {
+            Attempt attempt = out.get(cancel.request());
+            if (attempt != null && attempt.number == cancel.send()) {
                 at(now, () -> end(attempt, Outcome.CANCELLED));
             }
         }
     }
 
     private void begin(int gateway, Action.StartAttempt send) {
-        int number = attempts.merge(send.op(), 1, Integer::sum) - 1;
+        int number = attempts.merge(send.request(), 1, Integer::sum) - 1;
         double work = -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
-        Attempt attempt = new Attempt(gateway, send.op(), number, byId.get(send.server()), now, work);
-        out.put(send.op(), attempt);
+        Attempt attempt = new Attempt(gateway, send.request(), number, byId.get(send.server()), now, work);
+        out.put(send.request(), attempt);
         at(now + 3 + random.nextInt(7), () -> arrive(attempt));
         at(now + send.timeLimit(), () -> end(attempt, Outcome.TIMED_OUT));
     }
@@ -347,16 +347,16 @@
         }
         attempt.ended = true;
         attempt.server.queue.remove(attempt);
-        out.remove(attempt.op, attempt);
+        out.remove(attempt.request, attempt);
         boolean acked = outcome == Outcome.ACKED;
-        Request request = requests.get(attempt.op);
+        Request request = requests.get(attempt.request);
         if (acked && request != null) {
-            requests.remove(attempt.op);
-            attempts.remove(attempt.op);
+            requests.remove(attempt.request);
+            attempts.remove(attempt.request);
             served += now <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
         }
         boolean answered = acked || outcome == Outcome.ERRORED;
-        tell(attempt.gateway, new Event.AttemptEnded(attempt.op, attempt.number, attempt.server.id, outcome,
+        tell(attempt.gateway, new Event.AttemptEnded(attempt.request, attempt.number, attempt.server.id, outcome,
                 now - attempt.sentAt, acked, answered ? report(attempt.server) : null, null));
     }
 
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -89,7 +89,7 @@
     void aClientThatWritesAByteNowAndThenIsEndedInTime() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client();
-            Buffer query = MessageWriter.query(net.op("page"));
+            Buffer query = MessageWriter.query(net.request("page"));
             long began = System.nanoTime();
             Thread writes = new Thread(() -> {
                 try {
@@ -112,9 +112,9 @@
     @Test
     void aClientThatStopsInItsSecondRequestGetsTheFirstAnswerAndThenItsError() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.op("order"));
+            Client client = net.client().ask(net.request("order"));
             Got first = net.servers.get("p").next();
-            Buffer second = MessageWriter.query(net.op("order"));
+            Buffer second = MessageWriter.query(net.request("order"));
             client.write(second.getBuffer(0, second.length() / 2));
             net.logged("client with an unfinished message");
             first.row(new byte[] {7});
@@ -133,9 +133,9 @@
             Client client = net.client();
             Buffer all = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
-                all.appendBuffer(MessageWriter.query(net.op("order")));
+                all.appendBuffer(MessageWriter.query(net.request("order")));
             }
-            Buffer last = MessageWriter.query(net.op("order"));
+            Buffer last = MessageWriter.query(net.request("order"));
             client.write(all.appendBuffer(last.getBuffer(0, last.length() / 2)));
             for (int i = 0; i < PIPELINED; i++) {
                 assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -83,7 +83,7 @@
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
-            assertThat(net.client().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.client().ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
@@ -107,10 +107,10 @@
             Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
             long began = System.nanoTime();
             Client c = net.client();
-            assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(A_MOMENT);
-            assertThat(other.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         }
     }
 
@@ -124,12 +124,12 @@
             long began = System.nanoTime();
             Client waits = new Client(net.gateway.port());
             while (since(began) < 500) {
-                assertThat(other.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(other.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             }
             assertThat(system.calls(Call.ACCEPT) - callsBefore).as("accepts in half a second").isBetween(2L, 200L);
             fault.end();
             long ended = System.nanoTime();
-            assertThat(waits.greeted().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(waits.greeted().ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(since(ended)).isLessThan(NETTY_PAUSE_MS / 2);
             waits.close();
         }
@@ -142,9 +142,9 @@
             Client other = net.client();
             Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
             Client reset = new Client(net.gateway.port());
-            assertThat(net.client().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.client().ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(other.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
             reset.close();
         }
     }
@@ -163,7 +163,7 @@
             waitForNoConnection(net, p);
             boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
             Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
-            assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
             assertThat(net.log()).doesNotContain("silent");
         }
@@ -182,14 +182,14 @@
             long began = System.nanoTime();
             int rejected = 0;
             while (since(began) < 3500) { // longer than a server counts as heard, so that health checks come in, too
-                rejected += c.ask(net.op("quick", 200)).answer().startsWith("53300") ? 1 : 0;
+                rejected += c.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
             assertThat(net.log()).doesNotContain("silent");
             fault.end();
             long ended = System.nanoTime();
-            while (!c.ask(net.op("quick", 200)).answer().equals(ROW_7)) {
+            while (!c.ask(net.request("quick", 200)).answer().equals(ROW_7)) {
                 assertThat(since(ended)).as(net::log).isLessThan(1500);
             }
             assertThat(net.log()).doesNotContain("silent");
@@ -242,9 +242,9 @@
         Server p = net.servers.get("p");
         p.writes = true;
         Client c = net.client();
-        assertThat(c.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+        assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         Fault fault = installs.apply(p.port());
-        assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
         assertThat(p.ran).as("queries that came whole").hasSize(2);
         net.logged("NOT_WRITTEN");
@@ -256,13 +256,13 @@
     void aQueryThatWasTakenWholeIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
             Server p = net.servers.get("p");
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             Fault fault = system.fail(Call.READ, p.port(), errno, 1);
             g.row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo("58000 ready");
             assertThat(fault.failed()).isEqualTo(1);
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             p.next().row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(p.ran).hasSize(2);
@@ -277,7 +277,7 @@
             Client c = net.client();
             byte[] value = new byte[1000];
             for (int i = 0; i < 3; i++) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
                 Got g = p.next();
                 g.row(value);
                 assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
@@ -294,14 +294,14 @@
         try (Net net = net("p").started()) {
             Server p = net.servers.get("p");
             Client other = net.client();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             Fault fault = system.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             g.endedByGateway();
             assertThat(fault.failed()).isEqualTo(1);
             assertThat(p.got).isEmpty();
-            other.ask(net.op("order"));
+            other.ask(net.request("order"));
             p.next().row(new byte[] {7});
             assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
         }
@@ -313,13 +313,13 @@
         try (Net net = net("p").started()) {
             Server p = net.servers.get("p");
             Client other = net.client();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             Fault fault = system.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
             g.row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            other.ask(net.op("order"));
+            other.ask(net.request("order"));
             p.next().row(new byte[] {7});
             assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
         }
@@ -383,7 +383,7 @@
             Client c = null;
             for (int i = 0; i < 300; i++) {
                 c = c == null ? clientInStorm(net) : c;
-                String query = net.op("order");
+                String query = net.request("order");
                 String answer = answerInStorm(c, query);
                 answers.put(query.replaceAll(".* id=(\\w+),.*", "$1"), answer);
                 c = answer.endsWith("closed") ? null : c;
@@ -393,7 +393,7 @@
             long began = System.nanoTime();
             String last = "";
             while (!last.equals(ROW_7) && since(began) < 5000) {
-                last = after.ask(net.op("order")).answer();
+                last = after.ask(net.request("order")).answer();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
             for (Map.Entry<String, String> e : answers.entrySet()) {
