--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -23,13 +23,13 @@
     private static final Buffer UNKNOWN_MESSAGE = Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
     private static Buffer order(Net net) {
-        return MessageWriter.query(net.op("order"));
+        return MessageWriter.query(net.request("order"));
     }
 
     /** As many clients as there may be, each with a request that waits for a group without servers, so that none is idle. */
     private static void fill(Net net) throws Exception {
         for (int i = 0; i < CLIENTS_MOST; i++) {
-            net.client().ask(net.op("order").replace("cluster=1", "cluster=2"));
+            net.client().ask(net.request("order").replace("cluster=1", "cluster=2"));
         }
         Thread.sleep(50); // all have been read
     }
@@ -70,7 +70,7 @@
     @Test
     void aRequestReadWhileTheAnswerBeforeAMalformedMessageIsAwaitedIsRefusedAndNotForwarded() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.op("order"));
+            Client client = net.client().ask(net.request("order"));
             Got first = net.servers.get("p").next();
             client.write(UNKNOWN_MESSAGE);
             net.logged("bad input from a client");
@@ -91,7 +91,7 @@
             net.started();
             Client client = net.client();
             Buffer order = order(net);
-            client.ask(net.op("order")).write(order.getBuffer(0, 20));
+            client.ask(net.request("order")).write(order.getBuffer(0, 20));
             net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
@@ -107,7 +107,7 @@
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
-                all.appendBuffer(MessageWriter.query(net.op("order").replace("\\x01", "\\x" + "01".repeat(4500))));
+                all.appendBuffer(MessageWriter.query(net.request("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
             List<Got> inHand = new ArrayList<>();
@@ -176,7 +176,7 @@
             }
             for (Client c : idle.subList(0, 3)) {
                 assertThat(c.readByte()).isEqualTo(-1);
-                c.ask(net.op("order")); // written before the end was known, for all that the gateway can tell
+                c.ask(net.request("order")); // written before the end was known, for all that the gateway can tell
                 assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
             }
             Thread.sleep(600); // until the gateway has closed these connections
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -92,7 +92,7 @@
     }
 
     /** Lists all servers and plays for so long, with so many client ops a second after the first health checks. */
-    VirtualFleet play(long lasts, int opsPerSecond) {
+    VirtualFleet play(long lasts, int requestsPerSecond) {
         for (HoldUp h : holdUps) {
             if (h.gatewayToo) {
                 later(h.until, -1, () -> tell(new Event.LoopDelayed(h.from * 10, h.until * 10)));
@@ -100,10 +100,10 @@
         }
         later(start(), READS, () -> {
             carryOut(List.copyOf(host.acts)); // what the module wanted at its start
-            tell(new Event.EndpointUpdate(true, false, listings()));
+            tell(new Event.EndpointUpdate(true, false, endpoints()));
         });
-        long gap = opsPerSecond == 0 ? lasts : 1000 / opsPerSecond;
-        for (long at = HEALTH_CHECK_LIMIT_MS; opsPerSecond > 0 && at < lasts; at += gap) {
+        long gap = requestsPerSecond == 0 ? lasts : 1000 / requestsPerSecond;
+        for (long at = HEALTH_CHECK_LIMIT_MS; requestsPerSecond > 0 && at < lasts; at += gap) {
             gateway(start() + at, READS, this::arrival);
         }
         long end = start() + lasts;
@@ -115,7 +115,7 @@
         return this;
     }
 
-    private List<Endpoint> listings() {
+    private List<Endpoint> endpoints() {
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             all.add(new Endpoint(new ServerId(id(i)), group(i), new ZoneId(0), Endpoint.EndpointState.IN, isPrimary(i), 0));
@@ -146,20 +146,20 @@
     private void carryOut(List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Action.StartAttempt a) {
-                int attempt = attempts.merge(a.op(), 1, Integer::sum) - 1;
-                String name = "send " + a.op().text() + " " + attempt;
+                int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
+                String name = "send " + a.request().text() + " " + attempt;
                 sentTo.put(name, a.server());
                 exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.ACKED ? 1 : 0;
-                    tell(new Event.AttemptEnded(a.op(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
+                    tell(new Event.AttemptEnded(a.request(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
                             null, outcome == Outcome.ACKED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.CancelAttempt a) {
-                String name = "send " + a.op().text() + " " + a.send();
+                String name = "send " + a.request().text() + " " + a.send();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
                     gateway(host.nowMs, TIMERS, () -> tell(new Event.AttemptEnded(
-                            a.op(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
+                            a.request(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
             } else if (action instanceof Action.CheckHealth a) {
                 healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
--- a/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
+++ b/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
@@ -161,26 +161,26 @@
     @Test
     void whateverServersTellNoPositionLooksFresherThanItIs() {
         long seed = System.nanoTime();
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         for (int story = 0; story < 500; story++) {
             WallClockOffset its = new WallClockOffset();
-            long off = (chance.nextBoolean() ? 1 : -1) * (SECOND + chance.nextLong(3600 * SECOND));
+            long off = (random.nextBoolean() ? 1 : -1) * (SECOND + random.nextLong(3600 * SECOND));
             boolean corrected = false;
             for (int i = 0; i < 200; i++) {
                 long writtenAt = now;
-                now += 1 + chance.nextLong(chance.nextInt(20) == 0 ? SECOND : 5 * MS);
-                boolean primary = chance.nextBoolean();
-                long dated = primary ? writtenAt + chance.nextLong(now - writtenAt + 1)
-                        : now - chance.nextLong(20 * SECOND);
-                int server = chance.nextInt(3) * 2 + (primary ? 1 : 0);
-                long corrupt = chance.nextInt(30) == 0 ? chance.nextLong(7200 * SECOND) - 3600 * SECOND : 0;
+                now += 1 + random.nextLong(random.nextInt(20) == 0 ? SECOND : 5 * MS);
+                boolean primary = random.nextBoolean();
+                long dated = primary ? writtenAt + random.nextLong(now - writtenAt + 1)
+                        : now - random.nextLong(20 * SECOND);
+                int server = random.nextInt(3) * 2 + (primary ? 1 : 0);
+                long corrupt = random.nextInt(30) == 0 ? random.nextLong(7200 * SECOND) - 3600 * SECOND : 0;
                 its.heard(server, Math.floorDiv(dated + off + corrupt, MS) * MS, writtenAt, now, primary);
                 corrected |= its.offset() != 0;
                 if (its.isKnown() && corrected) {
                     assertThat(its.offset()).as("seed %d, story %d, answer %d", seed, story, i)
                             .isGreaterThanOrEqualTo(off);
                 }
-                now += chance.nextLong(200 * MS);
+                now += random.nextLong(200 * MS);
             }
             assertThat(corrected).as("seed %d, story %d", seed, story).isTrue();
         }
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -45,21 +45,21 @@
             return h;
         }
 
-        private void carry(long now, int from, List<OutboundPacket> out, double loss, SplittableRandom chance) {
+        private void carry(long now, int from, List<OutboundPacket> out, double loss, SplittableRandom random) {
             for (OutboundPacket l : out) {
                 letters++;
                 bytes += l.bytes().length;
-                if (chance.nextDouble() >= loss) {
-                    carry(now, l.peer(), hear(now, l.peer(), from, l.bytes()).letters(), loss, chance);
+                if (random.nextDouble() >= loss) {
+                    carry(now, l.peer(), hear(now, l.peer(), from, l.bytes()).letters(), loss, random);
                 }
             }
         }
 
         private void pass(long from, long until, double loss) {
-            SplittableRandom chance = new SplittableRandom(3);
+            SplittableRandom random = new SplittableRandom(3);
             for (long now = from; now < until; now += 20 * MS) {
                 for (int i = 0; i < all.size(); i++) {
-                    carry(now, i, all.get(i).due(now), loss, chance);
+                    carry(now, i, all.get(i).due(now), loss, random);
                 }
             }
         }
@@ -210,7 +210,7 @@
         }
         assertThat(sent).isBetween(1, 1100);
         for (int i = 0; i < 20; i++) {
-            h.op();
+            h.request();
         }
         assertThat(h.due(NOW + 500 * MS)).isNotEmpty();
     }
--- a/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
@@ -30,11 +30,11 @@
     private int letters;
     private int bytes;
 
-    private void tier(int instances, double opsPerSecond) {
+    private void tier(int instances, double requestsPerSecond) {
         for (int i = 0; i < instances; i++) {
             Map<ServerId, ServerObservation> mine = new HashMap<>();
             known.put(i, mine);
-            GossipProtocol h = new GossipProtocol(i, instances, opsPerSecond, 500 * MS, new SplittableRandom(i),
+            GossipProtocol h = new GossipProtocol(i, instances, requestsPerSecond, 500 * MS, new SplittableRandom(i),
                     id -> mine.getOrDefault(id, ServerObservation.NONE));
             h.listed(R);
             all.add(h);
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -41,10 +41,10 @@
     }
 
     @Property(seed = "7")
-    void orderAndRepetitionChangeNothing(@ForAll @Size(max = 8) List<@From("words") ServerObservation> words, @ForAll Random chance) {
+    void orderAndRepetitionChangeNothing(@ForAll @Size(max = 8) List<@From("words") ServerObservation> words, @ForAll Random random) {
         List<ServerObservation> other = new ArrayList<>(words);
         other.addAll(words.subList(0, words.size() / 2));
-        Collections.shuffle(other, chance);
+        Collections.shuffle(other, random);
         assertThat(all(other)).isEqualTo(all(words));
         assertThat(all(words).join(all(words))).isEqualTo(all(words));
     }
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -63,7 +63,7 @@
         QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
         assertThat(s.probe(HealthCheckReason.TIMED)).isFalse();
         for (int i = 0; i < 5; i++) {
-            s.op(now, TENANT);
+            s.request(now, TENANT);
         }
         assertThat(spent(() -> s.probe(HealthCheckReason.TIMED))).isEqualTo(1);
         assertThat(spent(s::again)).isEqualTo(40);
@@ -83,9 +83,9 @@
     @Test
     void whoIsBeyondATenantsBudgetIsToldWhenTheNextPartComes() {
         QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
-        assertThat(spent(() -> s.op(now, TENANT))).isEqualTo(10);
-        assertThat(s.comeBackIn(now, TENANT)).isBetween(1L, SECOND / 10);
-        now += s.comeBackIn(now, TENANT);
-        assertThat(s.op(now, TENANT)).isTrue();
+        assertThat(spent(() -> s.request(now, TENANT))).isEqualTo(10);
+        assertThat(s.retryAfter(now, TENANT)).isBetween(1L, SECOND / 10);
+        now += s.retryAfter(now, TENANT);
+        assertThat(s.request(now, TENANT)).isTrue();
     }
 }
--- a/gateway/src/test/java/ploverdale/shutdown/GracefulShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/shutdown/GracefulShutdownTest.java
@@ -57,7 +57,7 @@
     void trafficIsCountedByWhatCameLately() {
         Traffic t = new Traffic(1000);
         for (long ms = 0; ms < 10_000; ms += 10) {
-            t.op(ms);
+            t.request(ms);
         }
         assertThat(t.perSecond(10_000)).isBetween(95.0, 105.0);
         assertThat(t.perSecond(12_000)).isBetween(10.0, 18.0);
--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -50,7 +50,7 @@
     private final Vertx vertx;
     private final FaultSchedule day;
     private final Workload shape;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Ledger ledger = new Ledger(DRAIN_GRACE_MS * MS);
     private final TestCluster world;
     private final List<GatewayProcess> gateways = new ArrayList<>();
@@ -69,7 +69,7 @@
         this.vertx = vertx;
         this.day = day;
         this.shape = shape;
-        chance = new SplittableRandom(day.seed());
+        random = new SplittableRandom(day.seed());
         Plan plan = new Plan(
                 (shape.roams() == null ? SHIP_MS : SHIP_ROAMING_MS) * MS,
                 300 * MS,
@@ -84,7 +84,7 @@
                 5000 * MS,
                 4);
         GroupModel model =
-                new GroupModel(plan, chance.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
+                new GroupModel(plan, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
         world = new TestCluster(vertx, model, ledger, SERVERS, LIST_LATE_MS);
         world.traffic(shape.traffic());
         world.hearsLists(g -> !cutOff.getOrDefault(g, false));
@@ -119,7 +119,7 @@
 
     private Future<FleetResult> play(List<GatewayProcess> started) {
         Future<?> ready = world.servers()
-                .compose(x -> LossyLink.open(vertx, chance.split(), 0, day.gateways()))
+                .compose(x -> LossyLink.open(vertx, random.split(), 0, day.gateways()))
                 .onSuccess(l -> link = l);
         for (int i = 0; i < day.gateways(); i++) {
             int me = i;
@@ -136,14 +136,14 @@
                 .compose(x -> vertx.timer(Math.max(1, shape.settlesMs()), TimeUnit.MILLISECONDS))
                 .compose(x -> {
                     for (int i = 0; i < clients.size(); i++) {
-                        clients.get(i).start(shape.opsPerSecond().get(i), 0);
+                        clients.get(i).start(shape.requestsPerSecond().get(i), 0);
                     }
                     if (shape.roams() != null) {
                         List<Integer> ports = new ArrayList<>();
                         for (int i = 0; i < day.gateways(); i++) {
                             ports.add(ways.get("n" + i + " clients").port());
                         }
-                        roamers = new RoamingClients(vertx, ledger, chance.split(), ports, shape.roams());
+                        roamers = new RoamingClients(vertx, ledger, random.split(), ports, shape.roams());
                         roamers.start();
                     }
                     for (Step s : day.steps()) {
@@ -190,7 +190,7 @@
         return new FleetResult(
                 day,
                 broken,
-                ledger.ops(),
+                ledger.requests(),
                 sums[0],
                 sums[1],
                 sums[2],
@@ -212,7 +212,7 @@
         Future<?> all = way(me, "clients", link.host(me), listens.get(me))
                 .onSuccess(w -> {
                     Clients c =
-                            new Clients(vertx, ledger, chance.split(), Integer.toString(me), w.port(), BOUND_MS * MS);
+                            new Clients(vertx, ledger, random.split(), Integer.toString(me), w.port(), BOUND_MS * MS);
                     c.gatewayIs(() -> gateways.get(me).alive());
                     c.holds(shape.crowd().connections());
                     clients.add(c);
@@ -244,7 +244,7 @@
                 day.gateways() > 1,
                 discoveries.get(me),
                 world.list(Integer.toString(me), true),
-                chance.nextLong(),
+                random.nextLong(),
                 BOUND_MS,
                 shape.crowd().descriptors());
         GatewayProcess g = gateways.get(me);
--- a/tools/src/main/java/ploverdale/tools/fleet/FleetResult.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FleetResult.java
@@ -14,7 +14,7 @@
 public record FleetResult(
         FaultSchedule day,
         List<Ledger.Broken> broken,
-        int ops,
+        int requests,
         int readsAsked,
         int readsAcked,
         int writesAsked,
@@ -28,7 +28,7 @@
         return String.format(
                 Locale.ROOT,
                 "%d ops, reads acked %d of %d, writes %d of %d, starts %s ms",
-                ops,
+                requests,
                 readsAcked,
                 readsAsked,
                 writesAcked,
--- a/tools/src/main/java/ploverdale/tools/fleet/ScheduleGenerator.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/ScheduleGenerator.java
@@ -17,34 +17,34 @@
 
     /** A day of that seed. */
     public static FaultSchedule day(long seed, int gateways, long lastsMs, List<String> servers) {
-        RandomGenerator chance = new SplittableRandom(seed);
+        RandomGenerator random = new SplittableRandom(seed);
         List<Step> steps = new ArrayList<>();
-        int faults = 1 + chance.nextInt(FAULTS_MOST);
+        int faults = 1 + random.nextInt(FAULTS_MOST);
         for (int i = 0; i < faults; i++) {
-            long from = CALM_MS + chance.nextLong(lastsMs - LAST_MS - CALM_MS - 400);
-            long to = from + 300 + chance.nextLong(lastsMs - LAST_MS - from - 299);
-            steps.addAll(fault(chance, from, to, gateways, servers));
+            long from = CALM_MS + random.nextLong(lastsMs - LAST_MS - CALM_MS - 400);
+            long to = from + 300 + random.nextLong(lastsMs - LAST_MS - from - 299);
+            steps.addAll(fault(random, from, to, gateways, servers));
         }
         return new FaultSchedule(seed, gateways, lastsMs, consistent(steps));
     }
 
-    private static List<Step> fault(RandomGenerator chance, long from, long to, int gateways, List<String> servers) {
-        String g = "n" + chance.nextInt(gateways);
-        String h = "n" + chance.nextInt(gateways);
-        String s = servers.get(chance.nextInt(servers.size()));
-        String end = chance.nextInt(4) == 0 ? "discovery" : s;
-        return switch (chance.nextInt(9)) {
+    private static List<Step> fault(RandomGenerator random, long from, long to, int gateways, List<String> servers) {
+        String g = "n" + random.nextInt(gateways);
+        String h = "n" + random.nextInt(gateways);
+        String s = servers.get(random.nextInt(servers.size()));
+        String end = random.nextInt(4) == 0 ? "discovery" : s;
+        return switch (random.nextInt(9)) {
             case 0 -> List.of(Step.of(from, What.KILL, g), Step.of(to, What.START, g));
             case 1 -> List.of(Step.of(from, What.STOP, g), Step.of(to, What.GO_ON, g));
             case 2 -> List.of(Step.of(from, What.LEAVE, g), Step.of(to, What.START, g));
             case 3 ->
                 List.of(
-                        Step.of(from, What.WAY, g, end, chance.nextBoolean() ? "SILENT" : "SILENT_BACK"),
+                        Step.of(from, What.WAY, g, end, random.nextBoolean() ? "SILENT" : "SILENT_BACK"),
                         Step.of(to, What.WAY, g, end, "OPEN"));
             case 4 -> List.of(Step.of(from, What.WAY, g, s, "REFUSES"), Step.of(to, What.WAY, g, s, "OPEN"));
             case 5 ->
                 List.of(
-                        Step.of(from, What.WAY, g, s, chance.nextBoolean() ? "delay:40" : "bytes:4000"),
+                        Step.of(from, What.WAY, g, s, random.nextBoolean() ? "delay:40" : "bytes:4000"),
                         Step.of(to, What.WAY, g, s, "OPEN"));
             case 6 -> List.of(Step.of(from, What.WORDS, g, h, "loss:1"), Step.of(to, What.WORDS, g, h, "usual"));
             case 7 -> List.of(Step.of(from, What.WAY, g, s, "reset"));
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -10,14 +10,14 @@
 /**
  * What gateways are started with on a day, and what their clients ask of them.
  *
- * @param opsPerSecond asked of each gateway, by number
+ * @param requestsPerSecond asked of each gateway, by number
  * @param settlesMs between the moment at which all serve and the first op; the day begins with the first op
  * @param roams how clients with sessions ask beside those, or null
  * @param crowd of client connections at each gateway
  */
 public record Workload(
         Launch launch,
-        List<Double> opsPerSecond,
+        List<Double> requestsPerSecond,
         long settlesMs,
         TestCluster.Traffic traffic,
         RoamingClients.Habit roams,
@@ -25,26 +25,26 @@
     /** The same with as few connections as serve. */
     public Workload(
             Launch launch,
-            List<Double> opsPerSecond,
+            List<Double> requestsPerSecond,
             long settlesMs,
             TestCluster.Traffic traffic,
             RoamingClients.Habit roams) {
-        this(launch, opsPerSecond, settlesMs, traffic, roams, Crowd.NONE);
+        this(launch, requestsPerSecond, settlesMs, traffic, roams, Crowd.NONE);
     }
 
     /** The same without clients that roam. */
-    public Workload(Launch launch, List<Double> opsPerSecond, long settlesMs, TestCluster.Traffic traffic) {
-        this(launch, opsPerSecond, settlesMs, traffic, null);
+    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.Traffic traffic) {
+        this(launch, requestsPerSecond, settlesMs, traffic, null);
     }
 
     /** The same with this crowd. */
     public Workload with(Crowd others) {
-        return new Workload(launch, opsPerSecond, settlesMs, traffic, roams, others);
+        return new Workload(launch, requestsPerSecond, settlesMs, traffic, roams, others);
     }
 
     /** All gateways are asked as much, from the beginning. */
-    public static Workload even(Launch launch, int gateways, double opsPerSecond) {
-        return new Workload(launch, Collections.nCopies(gateways, opsPerSecond), 0, (op, server, now, comes) -> {});
+    public static Workload even(Launch launch, int gateways, double requestsPerSecond) {
+        return new Workload(launch, Collections.nCopies(gateways, requestsPerSecond), 0, (request, server, now, comes) -> {});
     }
 
     /**
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -52,8 +52,8 @@
 
         private Instance(int number) {
             this.number = number;
-            rate = 1 + world.drift * (2 * chance.nextDouble() - 1);
-            zero = chance.nextLong(1_000_000_000L);
+            rate = 1 + world.drift * (2 * random.nextDouble() - 1);
+            zero = random.nextLong(1_000_000_000L);
         }
 
         /** Its own clock: it never steps, and says nothing about any other's. */
@@ -89,13 +89,13 @@
         /** Starts it, with nothing but its name; the clock by which it names its start may have stepped. */
         public void start(long stepMs) {
             long startedMs = STEPS_MS + now() / MS + stepMs;
-            membership = new Membership(number, world.division.gateways(), startedMs, chance.split());
+            membership = new Membership(number, world.division.gateways(), startedMs, random.split());
             budgets = new Budgets(
                     number,
                     Membership.start(membership.incarnation()),
                     world.division,
                     world.leaseDurations,
-                    chance.split(),
+                    random.split(),
                     local());
             packing = new PacketQueue(world.bytesPerSecond, local());
             stopped = false;
@@ -199,21 +199,21 @@
     }
 
     private final Settings world;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
     private final List<Spending> spending = new ArrayList<>();
     private final SimulatedNetwork network;
 
     public FleetModel(Settings world, long seed) {
         this.world = world;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         int n = world.division.gateways();
         network = new SimulatedNetwork(
                 n,
                 world.loss,
                 world.twice,
                 world.delay,
-                chance,
+                random,
                 (from, to, bytes) -> instances.get(to).hears(from, bytes));
         for (int i = 0; i < n; i++) {
             instances.add(new Instance(i));
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -61,8 +61,8 @@
 
         private Instance(int number) {
             this.number = number;
-            rate = 1 + world.drift * (2 * chance.nextDouble() - 1);
-            wallOff = chance.nextLong(world.keeping.clocksApart() / 2 + 1) - world.keeping.clocksApart() / 4;
+            rate = 1 + world.drift * (2 * random.nextDouble() - 1);
+            wallOff = random.nextLong(world.keeping.clocksApart() / 2 + 1) - world.keeping.clocksApart() / 4;
         }
 
         private long local() {
@@ -87,14 +87,14 @@
 
         /** Starts it with nothing but its name. */
         public void start() {
-            membership = new Membership(number, world.gateways, wall() / MS, chance.split());
+            membership = new Membership(number, world.gateways, wall() / MS, random.split());
             packing = new PacketQueue(world.bytesPerSecond, local());
             replicas = new Replicas(
                     number,
                     world.gateways,
                     Membership.start(membership.incarnation()),
                     world.keeping,
-                    chance.split(),
+                    random.split(),
                     this::wall);
             stopped = false;
             int p = ++process;
@@ -182,7 +182,7 @@
     }
 
     private final Settings world;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
     private final SimulatedNetwork network;
     private final Map<String, Long> promised = new HashMap<>(); // by session, the position of the last write seen acked
@@ -194,13 +194,13 @@
 
     public ReplicaModel(Settings world, long seed) {
         this.world = world;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         network = new SimulatedNetwork(
                 world.gateways,
                 world.loss,
                 world.twice,
                 world.delay,
-                chance,
+                random,
                 (from, to, bytes) -> instances.get(to).hears(from, bytes));
         for (int i = 0; i < world.gateways; i++) {
             instances.add(new Instance(i));
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
@@ -22,13 +22,13 @@
                 copies, true, 20 * SECOND, 60 * MS, 8 * SECOND, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
     }
 
-    private static void faults(ReplicaModel m, SplittableRandom chance, int n, long from, long to) {
+    private static void faults(ReplicaModel m, SplittableRandom random, int n, long from, long to) {
         for (int f = 0; f < 8; f++) {
-            long a = from + chance.nextLong(to - from);
-            long b = a + chance.nextLong(to - a) + 1;
-            int x = chance.nextInt(n);
-            int y = chance.nextInt(n);
-            switch (chance.nextInt(6)) {
+            long a = from + random.nextLong(to - from);
+            long b = a + random.nextLong(to - a) + 1;
+            int x = random.nextInt(n);
+            int y = random.nextInt(n);
+            switch (random.nextInt(6)) {
                 case 0 -> {
                     m.at(a, () -> m.instance(x).kill());
                     m.at(a + 300 * MS, () -> starts(m, x));
@@ -76,19 +76,19 @@
     /** A day of 24 s with sessions that roam and writes that are submitted up to four times, anywhere. */
     public static ReplicaModel day(int n, long seed) {
         ReplicaModel m = new ReplicaModel(new Settings(n, keeping(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
-        SplittableRandom chance = new SplittableRandom(~seed);
-        faults(m, chance, n, 2 * SECOND, 20 * SECOND);
+        SplittableRandom random = new SplittableRandom(~seed);
+        faults(m, random, n, 2 * SECOND, 20 * SECOND);
         for (long t = SECOND; t < 24 * SECOND; t += 5 * MS) {
-            String session = "s" + chance.nextInt(SESSIONS);
+            String session = "s" + random.nextInt(SESSIONS);
             String id = "w" + t;
-            m.at(t, () -> m.writes(chance.nextInt(n), session));
-            m.at(t + MS, () -> m.reads(chance.nextInt(n), "s" + chance.nextInt(SESSIONS)));
-            boolean runs = chance.nextInt(3) > 0;
-            m.at(t, () -> m.submits(chance.nextInt(n), id, true, chance.nextLong(300 * MS), runs, e -> {}));
+            m.at(t, () -> m.writes(random.nextInt(n), session));
+            m.at(t + MS, () -> m.reads(random.nextInt(n), "s" + random.nextInt(SESSIONS)));
+            boolean runs = random.nextInt(3) > 0;
+            m.at(t, () -> m.submits(random.nextInt(n), id, true, random.nextLong(300 * MS), runs, e -> {}));
             for (int again = 1; again < 4; again++) {
                 m.at(
-                        t + again * chance.nextLong(1, SECOND),
-                        () -> m.submits(chance.nextInt(n), id, false, 10 * MS, true, e -> {}));
+                        t + again * random.nextLong(1, SECOND),
+                        () -> m.submits(random.nextInt(n), id, false, 10 * MS, true, e -> {}));
             }
         }
         m.until(24 * SECOND);
--- a/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
@@ -20,7 +20,7 @@
         }
     }
 
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Receiver receiver;
     private final double twice;
     private final long delay;
@@ -35,11 +35,11 @@
      * @param twice share of datagrams that are sent twice
      * @param delay of a datagram, at most
      */
-    SimulatedNetwork(int instances, double loss, double twice, long delay, RandomGenerator chance, Receiver receiver) {
+    SimulatedNetwork(int instances, double loss, double twice, long delay, RandomGenerator random, Receiver receiver) {
         this.loss = loss;
         this.twice = twice;
         this.delay = delay;
-        this.chance = chance;
+        this.random = random;
         this.receiver = receiver;
         cut = new boolean[instances][instances];
     }
@@ -74,9 +74,9 @@
     }
 
     void send(int from, int to, byte[] bytes) {
-        for (int copies = chance.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
-            if (!cut[from][to] && chance.nextDouble() >= loss) {
-                at(now + 1 + chance.nextLong(delay), () -> receiver.receive(from, to, bytes));
+        for (int copies = random.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
+            if (!cut[from][to] && random.nextDouble() >= loss) {
+                at(now + 1 + random.nextLong(delay), () -> receiver.receive(from, to, bytes));
             }
         }
     }
--- a/tools/src/main/java/ploverdale/tools/lab/Trial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Trial.java
@@ -77,7 +77,7 @@
                     List.of(new Budget("tenant", Budget.Kind.RATE, PARTS * gateways, SECOND)), gateways, FLOOR);
             LeaseDurations leaseDurations = new LeaseDurations(loanMs * MS * 3 / 2, loanMs * MS, 0.05);
             FleetModel m = new FleetModel(new Settings(d, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
-            SplittableRandom chance = new SplittableRandom(~seed);
+            SplittableRandom random = new SplittableRandom(~seed);
             m.instances().forEach(i -> i.start(0));
             m.until(2 * leaseDurations.overFor(leaseDurations.leaseHolder()) + 2 * leaseDurations.overFor(leaseDurations.loan()));
             long calmFrom = m.now();
@@ -85,7 +85,7 @@
             double sum = 0;
             int looks = 0;
             for (; m.now() < calmFrom + 5 * SECOND; looks++) {
-                asks(m, chance, 1, USES * PARTS);
+                asks(m, random, 1, USES * PARTS);
                 m.until(m.now() + LOOK);
                 sum += m.parts(0);
             }
@@ -99,12 +99,12 @@
             double enough = SHIFTED
                     * Math.min(WANTS, d.budgets().get(0).whole() - othersFloors - USES * PARTS * (gateways - 1) / 2);
             while (m.instance(0).parts(0) < enough && m.now() < shiftFrom + WITHIN) {
-                asks(m, chance, 1, USES * PARTS);
-                wants(m, chance);
+                asks(m, random, 1, USES * PARTS);
+                wants(m, random);
                 m.until(m.now() + LOOK);
             }
             shift.recordValue((m.now() - shiftFrom) / MS);
-            int dead = 1 + chance.nextInt(gateways - 1);
+            int dead = 1 + random.nextInt(gateways - 1);
             long diedAt = m.now();
             m.instance(dead).kill();
             // Two gateways have no keepers: what is the dead one's stays idle until it is back.
@@ -132,18 +132,18 @@
         return m.instances().stream().mapToLong(FleetModel.Instance::bytes).sum();
     }
 
-    private static void asks(FleetModel m, SplittableRandom chance, int from, double perSecond) {
+    private static void asks(FleetModel m, SplittableRandom random, int from, double perSecond) {
         for (int i = from; i < m.instances().size(); i++) {
-            if (chance.nextDouble() < perSecond * LOOK / SECOND) {
+            if (random.nextDouble() < perSecond * LOOK / SECOND) {
                 int who = i;
-                m.at(m.now() + chance.nextLong(LOOK), () -> m.instance(who).spend(0, 0));
+                m.at(m.now() + random.nextLong(LOOK), () -> m.instance(who).spend(0, 0));
             }
         }
     }
 
-    private static void wants(FleetModel m, SplittableRandom chance) {
+    private static void wants(FleetModel m, SplittableRandom random) {
         for (int n = 0; n < WANTS * LOOK / SECOND; n++) {
-            m.at(m.now() + chance.nextLong(LOOK), () -> m.instance(0).spend(0, 0));
+            m.at(m.now() + random.nextLong(LOOK), () -> m.instance(0).spend(0, 0));
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
+++ b/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
@@ -78,7 +78,7 @@
     }
 
     private final long grace;
-    private final Map<String, Entry> ops = new LinkedHashMap<>();
+    private final Map<String, Entry> requests = new LinkedHashMap<>();
     private final Map<String, Integer> applied = new HashMap<>();
     private final Map<String, Long> sessions = new HashMap<>(); // by session, the position of its last acked write
     private final Map<String, Long> drainingSince = new HashMap<>(); // by gateway and server
@@ -96,18 +96,18 @@
     }
 
     /** A client has sent an op whole. A write is known by a name that its repeats by the client share. */
-    public void taken(String op, Kind kind, String write, String gateway, long timeoutAt) {
-        taken(op, kind, write, gateway, Long.MIN_VALUE, timeoutAt);
+    public void taken(String request, Kind kind, String write, String gateway, long timeoutAt) {
+        taken(request, kind, write, gateway, Long.MIN_VALUE, timeoutAt);
     }
 
     /** The same, with when; only so can an excuse of its gateway be told from one that has ended before. */
-    public void taken(String op, Kind kind, String write, String gateway, long at, long timeoutAt) {
-        ops.put(op, new Entry(kind, write, gateway, at, timeoutAt));
+    public void taken(String request, Kind kind, String write, String gateway, long at, long timeoutAt) {
+        requests.put(request, new Entry(kind, write, gateway, at, timeoutAt));
     }
 
     /** Its client, which has no use any more for an answer to an earlier submit, has sent it whole once more under its id. */
-    public void takenAgain(String op, String gateway, long at, long timeoutAt) {
-        Entry e = ops.get(op);
+    public void takenAgain(String request, String gateway, long at, long timeoutAt) {
+        Entry e = requests.get(request);
         e.gateway = gateway;
         e.takenAt = at;
         e.timeoutAt = timeoutAt;
@@ -117,8 +117,8 @@
     }
 
     /** An op that was just taken is one of a session: a read has to reach the last write that its client saw acked. */
-    public void session(String op, String session) {
-        Entry e = ops.get(op);
+    public void session(String request, String session) {
+        Entry e = requests.get(request);
         e.session = session;
         e.mustReach = sessions.getOrDefault(session, Long.MIN_VALUE / 2);
     }
@@ -143,10 +143,10 @@
     }
 
     /** Its connection was ended between ops, and this one crossed that: not taken, unless it was sent on. */
-    public void crossed(String op) {
-        Entry e = ops.get(op);
+    public void crossed(String request) {
+        Entry e = requests.get(request);
         if (e != null && !e.sent) {
-            ops.remove(op);
+            requests.remove(request);
         }
     }
 
@@ -154,41 +154,41 @@
      * The gateway, which lives, ended a connection at that time with this op on it and no answer. That breaks a rule where the
      * op was sent on, or had come so long before that the gateway could have read it; otherwise it crossed the end.
      */
-    public void endedUnanswered(String op, long at) {
-        Entry e = ops.get(op);
+    public void endedUnanswered(String request, long at) {
+        Entry e = requests.get(request);
         boolean excused = excuses.getOrDefault(e.gateway, List.of()).stream().anyMatch(x -> !x.paused && x.covers(e));
         if (!excused && (e.sent || at - e.takenAt > CROSSING)) {
             breaks(
                     Rule.ONE_ANSWER_IN_TIME,
-                    op + " lost its connection " + (at - e.takenAt) / 10 + " ms after it was written"
+                    request + " lost its connection " + (at - e.takenAt) / 10 + " ms after it was written"
                             + (e.sent ? ", sent on" : "") + ", with no answer");
         }
-        ops.remove(op);
+        requests.remove(request);
     }
 
     /** The client has gone. */
-    public void left(String op) {
-        ops.get(op).left = true;
+    public void left(String request) {
+        requests.get(request).left = true;
     }
 
     /** A send has arrived whole at a server. */
-    public void sent(String op, String server, long at) {
-        Entry e = ops.get(op);
+    public void sent(String request, String server, long at) {
+        Entry e = requests.get(request);
         if (e == null) {
-            breaks(Rule.NO_EFFECT_TWICE, "an op that no client sent: " + op);
+            breaks(Rule.NO_EFFECT_TWICE, "an op that no client sent: " + request);
             return;
         }
         if (e.answeredAt < at - SLACK) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, op + " sent to " + server + " after its answer");
+            breaks(Rule.ONE_ANSWER_IN_TIME, request + " sent to " + server + " after its answer");
         }
         if (e.kind.write() && !e.kind.tokened() && e.mayHaveRun) {
-            breaks(Rule.NO_EFFECT_TWICE, op + " sent again though it may have run");
+            breaks(Rule.NO_EFFECT_TWICE, request + " sent again though it may have run");
         }
         if (e.out > 0 && e.kind.write()) {
-            breaks(Rule.NO_EFFECT_TWICE, op + " has two sends out");
+            breaks(Rule.NO_EFFECT_TWICE, request + " has two sends out");
         }
         if (drainingSince.getOrDefault(e.gateway + " " + server, Long.MAX_VALUE) < at - grace - SLACK) {
-            breaks(Rule.NOTHING_TO_DRAINING, op + " sent to draining " + server);
+            breaks(Rule.NOTHING_TO_DRAINING, request + " sent to draining " + server);
         }
         e.out++;
         e.sent = true;
@@ -199,8 +199,8 @@
     }
 
     /** A send has ended at the server without an effect, and said so: turned away or full. */
-    public void proved(String op) {
-        Entry e = ops.get(op);
+    public void proved(String request) {
+        Entry e = requests.get(request);
         if (e != null) {
             e.mayHaveRun = false;
             e.out--;
@@ -208,68 +208,68 @@
     }
 
     /** A send is out no more: answered, or its connection has ended. */
-    public void over(String op) {
-        Entry e = ops.get(op);
+    public void over(String request) {
+        Entry e = requests.get(request);
         if (e != null) {
             e.out = Math.max(0, e.out - 1);
         }
     }
 
     /** A write has had its effect, at that position. */
-    public void applied(String op, long position) {
-        Entry e = ops.get(op);
+    public void applied(String request, long position) {
+        Entry e = requests.get(request);
         if (e != null) {
             e.committedAt = position;
         }
-        applied(op);
+        applied(request);
     }
 
     /** The same, where its position is of no interest. */
-    public void applied(String op) {
-        Entry e = ops.get(op);
+    public void applied(String request) {
+        Entry e = requests.get(request);
         if (e != null && applied.merge(e.write, 1, Integer::sum) > 1) {
             breaks(Rule.NO_EFFECT_TWICE, "write " + e.write + " has its effect " + applied.get(e.write) + " times");
         }
     }
 
     /** A server has answered a read from data of this position, for a send that arrived then. */
-    public void read(String op, long position, long arrivedAt) {
-        Entry e = ops.get(op);
+    public void read(String request, long position, long arrivedAt) {
+        Entry e = requests.get(request);
         if (e != null && e.kind.bound() > 0 && arrivedAt - position > e.kind.bound() + SLACK) {
-            breaks(Rule.NO_STALE_READ, op + " read from data " + (arrivedAt - position) / 10 + " ms old");
+            breaks(Rule.NO_STALE_READ, request + " read from data " + (arrivedAt - position) / 10 + " ms old");
         }
     }
 
     /** The same for a read of a session; a millisecond is lost in telling positions. */
-    public void readInSession(String op, long position) {
-        Entry e = ops.get(op);
+    public void readInSession(String request, long position) {
+        Entry e = requests.get(request);
         if (e != null && position < e.mustReach - MS) {
             breaks(
                     Rule.NO_STALE_READ,
-                    op + " of " + e.session + " read from " + (e.mustReach - position) / 10
+                    request + " of " + e.session + " read from " + (e.mustReach - position) / 10
                             + " ms before its last acked write");
         }
     }
 
     /** The client has its final answer. */
-    public void answered(String op, Answer answer, long at) {
-        Entry e = ops.get(op);
+    public void answered(String request, Answer answer, long at) {
+        Entry e = requests.get(request);
         e.answers++;
         e.answeredAt = Math.min(e.answeredAt, at);
         if (answer == Answer.ACKED && e.session != null && e.kind.write()) {
             sessions.merge(e.session, e.committedAt, Math::max);
         }
         if (e.answers > 1) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, op + " answered " + e.answers + " times");
+            breaks(Rule.ONE_ANSWER_IN_TIME, request + " answered " + e.answers + " times");
         }
         if (at > e.timeoutAt + SLACK && !isExcused(e)) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, op + " answered " + (at - e.timeoutAt) / 10 + " ms late");
+            breaks(Rule.ONE_ANSWER_IN_TIME, request + " answered " + (at - e.timeoutAt) / 10 + " ms late");
         }
         if (answer == Answer.BUSY && e.kind.write() && !e.kind.tokened() && e.mayHaveRun) {
-            breaks(Rule.NO_EFFECT_TWICE, op + " busy-replied though it may have run");
+            breaks(Rule.NO_EFFECT_TWICE, request + " busy-replied though it may have run");
         }
         if (answer == Answer.ACKED && e.kind.write() && !applied.containsKey(e.write)) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, op + " acked without its effect");
+            breaks(Rule.ONE_ANSWER_IN_TIME, request + " acked without its effect");
         }
     }
 
@@ -289,15 +289,15 @@
     }
 
     /** Ops taken. */
-    public int ops() {
-        return ops.size();
+    public int requests() {
+        return requests.size();
     }
 
     /** All that is broken, at the end of a run: each op must have its answer by now. */
     public List<Broken> close(long at) {
-        ops.forEach((op, e) -> {
+        requests.forEach((request, e) -> {
             if (e.answers == 0 && !e.left && at > e.timeoutAt + SLACK && !isExcused(e)) {
-                breaks(Rule.ONE_ANSWER_IN_TIME, op + " has no answer");
+                breaks(Rule.ONE_ANSWER_IN_TIME, request + " has no answer");
             }
         });
         return List.copyOf(broken);
--- a/tools/src/main/java/ploverdale/tools/model/GroupModel.java
+++ b/tools/src/main/java/ploverdale/tools/model/GroupModel.java
@@ -20,7 +20,7 @@
 
     /** An op as it comes to a server; the token is null for ops without. */
     public record Work(
-            String op,
+            String request,
             boolean write,
             String token,
             String server,
@@ -38,7 +38,7 @@
     }
 
     private final Plan plan;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Watcher watcher;
     private final Map<String, ServerModel> servers = new LinkedHashMap<>();
     private final Map<String, Long> tokens = new HashMap<>();
@@ -49,9 +49,9 @@
     private long logEnd; // the log of a group without a primary stands still here
     private boolean leaderless;
 
-    public GroupModel(Plan plan, RandomGenerator chance, List<String> ids, long now, Watcher watcher) {
+    public GroupModel(Plan plan, RandomGenerator random, List<String> ids, long now, Watcher watcher) {
         this.plan = plan;
-        this.chance = chance;
+        this.random = random;
         this.watcher = watcher;
         ids.forEach(id -> servers.put(id, new ServerModel(id, plan.cores(), now)));
         primary = ids.get(0);
@@ -150,7 +150,7 @@
     }
 
     /** An op comes to a server. */
-    public Work comes(long now, String server, String op, boolean write, String token) {
+    public Work comes(long now, String server, String request, boolean write, String token) {
         advance(now);
         ServerModel s = servers.get(server);
         boolean over = s.pushes(now, plan);
@@ -161,11 +161,11 @@
         } else if (write && (!server.equals(primary) || leaderless)) {
             taking = Taking.TURNS_AWAY;
         } else {
-            long work = (long) (-Math.log(1 - chance.nextDouble()) * plan.meanWork());
+            long work = (long) (-Math.log(1 - random.nextDouble()) * plan.meanWork());
             doneAt = s.takes(now, work, plan);
             taking = doneAt < 0 ? Taking.FULL : Taking.WORKS;
         }
-        return new Work(op, write, token, server, now, doneAt, taking, over);
+        return new Work(request, write, token, server, now, doneAt, taking, over);
     }
 
     /** An op that was taken ends, at its time; a server that went silent meanwhile may have run it or not. */
@@ -174,7 +174,7 @@
         ServerModel s = servers.get(w.server());
         boolean answers =
                 s.answers() && s.faultSince() < w.cameAt() || s.fault() == Fault.NONE && s.startedAt() <= w.cameAt();
-        boolean runs = answers || s.startedAt() <= w.cameAt() && chance.nextBoolean() && s.faultSince() > w.cameAt();
+        boolean runs = answers || s.startedAt() <= w.cameAt() && random.nextBoolean() && s.faultSince() > w.cameAt();
         boolean known = w.token() != null && tokens.getOrDefault(w.token(), Long.MIN_VALUE) > now - plan.tokenWindow();
         boolean leads = w.server().equals(primary) && (!leaderless || !answers);
         boolean applied = w.write() && runs && leads && !known;
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -50,11 +50,11 @@
         }
 
         @Override
-        public synchronized void op(String op, String server, long at, boolean comes) {
+        public synchronized void request(String request, String server, long at, boolean comes) {
             int n = now.merge(server, comes ? 1 : -1, Integer::sum);
             most = Math.max(most, n);
             if (n > whole && firstOver == null) {
-                firstOver = op + " at " + server;
+                firstOver = request + " at " + server;
             }
         }
     }
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -52,15 +52,15 @@
 
     /** A day of that seed, on which each gateway is paused in turn. */
     static FaultSchedule day(long seed) {
-        RandomGenerator chance = new SplittableRandom(seed);
+        RandomGenerator random = new SplittableRandom(seed);
         List<Step> steps = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            long at = FIRST_MS + chance.nextLong(BETWEEN_MOST_MS);
+            long at = FIRST_MS + random.nextLong(BETWEEN_MOST_MS);
             while (at < LASTS_MS - PAUSE_MOST_MS) {
-                long until = at + chance.nextLong(PAUSE_LEAST_MS, PAUSE_MOST_MS);
+                long until = at + random.nextLong(PAUSE_LEAST_MS, PAUSE_MOST_MS);
                 steps.add(Step.of(at, What.STOP, "n" + i));
                 steps.add(Step.of(until, What.GO_ON, "n" + i));
-                at = until + chance.nextLong(BETWEEN_LEAST_MS, BETWEEN_MOST_MS);
+                at = until + random.nextLong(BETWEEN_LEAST_MS, BETWEEN_MOST_MS);
             }
         }
         return new FaultSchedule(seed, GATEWAYS, LASTS_MS, steps);
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -39,7 +39,7 @@
 
     private record OnItsWay(long at, long order, int from, OutboundPacket letter) {}
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<GossipProtocol> all = new ArrayList<>();
     private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
     private final PriorityQueue<OnItsWay> ways =
@@ -58,7 +58,7 @@
     private long fresh;
 
     private Tier(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     /** Plays each seed, one after the other. */
@@ -105,7 +105,7 @@
         }
         for (int i = 0; i < INSTANCES; i++) {
             Map<ServerId, ServerObservation> mine = new HashMap<>();
-            GossipProtocol h = new GossipProtocol(i, INSTANCES, OPS, BOUND, chance.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
+            GossipProtocol h = new GossipProtocol(i, INSTANCES, OPS, BOUND, random.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
             servers.forEach(h::listed);
             h.starts(START);
             all.add(h);
@@ -119,7 +119,7 @@
             goesSilent(now);
         }
         for (opsDue += OPS * STEP / (1000.0 * MS); opsDue >= 1; opsDue--) {
-            op(now, lost);
+            request(now, lost);
         }
         if (passed % REPLACED_EVERY == 0 && passed > 0) {
             replace(lost);
@@ -204,9 +204,9 @@
                         messages < 1));
     }
 
-    private void op(long now, ServerId lost) {
-        int at = chance.nextInt(INSTANCES);
-        ServerId id = servers.get(chance.nextInt(servers.size()));
+    private void request(long now, ServerId lost) {
+        int at = random.nextInt(INSTANCES);
+        ServerId id = servers.get(random.nextInt(servers.size()));
         if (!id.equals(lost)) {
             Role role = servers.indexOf(id) % 4 == 0 ? Role.PRIMARY : Role.REPLICA;
             known.get(at)
@@ -217,11 +217,11 @@
             all.get(at).placed(now, id);
             all.get(at).learnt(now, id);
         }
-        all.get(at).op();
+        all.get(at).request();
     }
 
     private void replace(ServerId lost) {
-        int i = 2 + chance.nextInt(servers.size() - 2); // not the one that goes silent
+        int i = 2 + random.nextInt(servers.size() - 2); // not the one that goes silent
         ServerId old = servers.get(i);
         servers.set(i, new ServerId("s-" + named++));
         for (int k = 0; k < INSTANCES; k++) {
@@ -236,8 +236,8 @@
             letters++;
             bytes += l.bytes().length;
             longest = Math.max(longest, l.bytes().length);
-            if (chance.nextDouble() >= LOSS) {
-                ways.add(new OnItsWay(now + LEAST_WAY + chance.nextInt(MOST_WAY) * MS, order++, from, l));
+            if (random.nextDouble() >= LOSS) {
+                ways.add(new OnItsWay(now + LEAST_WAY + random.nextInt(MOST_WAY) * MS, order++, from, l));
             }
         }
         return order;
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -52,7 +52,7 @@
             Histogram readLatency,
             long readyAfterMs,
             int datagrams,
-            int ops,
+            int requests,
             String changes) {}
 
     private static final long MS = 10;
@@ -111,7 +111,7 @@
                 os.stream().flatMap(o -> o.broken().stream()).toList();
         checks.add(new Check(
                 w + ": no rule broken",
-                os.stream().mapToInt(Outcome::ops).sum() + " ops, broken " + broken.size()
+                os.stream().mapToInt(Outcome::requests).sum() + " ops, broken " + broken.size()
                         + (broken.isEmpty() ? "" : ", first " + broken.get(0)),
                 broken.isEmpty()));
         int old = os.stream().mapToInt(Outcome::writesToOld).sum();
@@ -171,7 +171,7 @@
     private static final class Run {
         private final Vertx vertx;
         private final Words words;
-        private final SplittableRandom chance;
+        private final SplittableRandom random;
         private final Ledger ledger = new Ledger(500 * MS);
         private final StringBuilder changes = new StringBuilder();
         private final GroupModel model;
@@ -185,16 +185,16 @@
         private Run(Vertx vertx, long seed, Words words) {
             this.vertx = vertx;
             this.words = words;
-            chance = new SplittableRandom(seed);
-            long detect = 200 + chance.nextInt(400);
-            long elect = 300 + chance.nextInt(900);
-            joinsAfterMs = 50 + chance.nextInt(1600);
-            backAfterMs = detect + elect + 200 + chance.nextInt(400);
+            random = new SplittableRandom(seed);
+            long detect = 200 + random.nextInt(400);
+            long elect = 300 + random.nextInt(900);
+            joinsAfterMs = 50 + random.nextInt(1600);
+            backAfterMs = detect + elect + 200 + random.nextInt(400);
             Plan plan = new Plan(
                     5 * MS, detect * MS, elect * MS, 300 * MS, 4, 8 * MS, 0.3, 6000 * MS, 2.5, 1000 * MS, 5000 * MS, 4);
             model = new GroupModel(
                     plan,
-                    chance.split(),
+                    random.split(),
                     IDS,
                     Clock.system().now(),
                     (now, what) -> changes.append(now / 10 % 100_000)
@@ -207,7 +207,7 @@
         private Future<Outcome> play() {
             double loss = words == Words.LOSS_30 ? 0.3 : words == Words.LOSS_100 ? 1 : 0;
             return world.servers()
-                    .compose(x -> LossyLink.open(vertx, chance.split(), loss, 2))
+                    .compose(x -> LossyLink.open(vertx, random.split(), loss, 2))
                     .compose(l -> {
                         link = l;
                         return gateway(0);
@@ -248,7 +248,7 @@
                                 r.latency(),
                                 gateways.get(1).readyAfterMs(),
                                 link.carried(),
-                                ledger.ops(),
+                                ledger.requests(),
                                 changes.toString());
                     });
         }
@@ -265,7 +265,7 @@
                                     words != Words.OFF,
                                     discovery,
                                     world.list(true),
-                                    chance.nextLong(),
+                                    random.nextLong(),
                                     BOUND_MS));
                         } catch (IOException e) {
                             return Future.failedFuture(e);
@@ -279,7 +279,7 @@
                             clients.add(new Clients(
                                     vertx,
                                     ledger,
-                                    chance.split(),
+                                    random.split(),
                                     Integer.toString(me),
                                     ((GatewayUnderTest) g).port(),
                                     BOUND_MS * MS));
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -72,7 +72,7 @@
     }
 
     private final Router router = new Router(null);
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final int servers;
     private final Condition condition;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
@@ -92,7 +92,7 @@
     private RouterLoad(int servers, Condition condition, long seed) {
         this.servers = servers;
         this.condition = condition;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         for (int i = 0; i < servers; i++) {
             ids.add(new ServerId("s-" + i));
             numbers.put(ids.get(i), i);
@@ -107,7 +107,7 @@
     private Cost run(double readsPerSecond, double seconds) {
         long length = (long) (seconds * 1000 * MS);
         tell(started(readsPerSecond));
-        tell(new Event.EndpointUpdate(true, false, listings()));
+        tell(new Event.EndpointUpdate(true, false, endpoints()));
         scheduleReads(readsPerSecond, length);
         playUntil(START + length / 4);
         zoneLost = condition == Condition.ZONE_LOST;
@@ -140,7 +140,7 @@
                 0);
     }
 
-    private List<Endpoint> listings() {
+    private List<Endpoint> endpoints() {
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             all.add(new Endpoint(
@@ -160,7 +160,7 @@
                             new RequestId("r" + i),
                             new RequestClassId(0),
                             new TenantId(0),
-                            new GroupId(chance.nextInt(groups)),
+                            new GroupId(random.nextInt(groups)),
                             null,
                             at + CLIENT_WAITS,
                             false,
@@ -205,11 +205,11 @@
 
     private void carryOut(Action action) {
         if (action instanceof Action.StartAttempt send) {
-            int number = sends.merge(send.op(), 1, Integer::sum) - 1;
+            int number = sends.merge(send.request(), 1, Integer::sum) - 1;
             answer(send, number);
         } else if (action instanceof Action.CheckHealth probe) {
             probes++;
-            long at = now + 1 + chance.nextLong(ANSWERS_WITHIN);
+            long at = now + 1 + random.nextLong(ANSWERS_WITHIN);
             add(
                     at,
                     answers(probe.server())
@@ -219,7 +219,7 @@
             add(wake.at(), new Event.TimerFired(wake.mark()));
         } else if (action instanceof Action.RejectRequest reply) {
             refused++;
-            sends.remove(reply.op());
+            sends.remove(reply.request());
         }
     }
 
@@ -229,14 +229,14 @@
             add(
                     at,
                     new Event.AttemptEnded(
-                            send.op(), number, send.server(), Outcome.TIMED_OUT, send.timeLimit(), false, null, null));
+                            send.request(), number, send.server(), Outcome.TIMED_OUT, send.timeLimit(), false, null, null));
             return;
         }
-        long took = 1 + chance.nextLong(ANSWERS_WITHIN);
+        long took = 1 + random.nextLong(ANSWERS_WITHIN);
         served++;
-        sends.remove(send.op());
+        sends.remove(send.request());
         LoadReport note = report(send.server(), now + took);
-        add(now + took, new Event.AttemptEnded(send.op(), number, send.server(), Outcome.ACKED, took, true, note, null));
+        add(now + took, new Event.AttemptEnded(send.request(), number, send.server(), Outcome.ACKED, took, true, note, null));
     }
 
     private boolean answers(ServerId server) {
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -64,7 +64,7 @@
 
     private final Vertx vertx;
     private final Ledger ledger;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final String gateway;
     private final int port;
     private final long bound;
@@ -83,10 +83,10 @@
     private BooleanSupplier alive = () -> true;
 
     /** @param bound of reads, in tenths of a millisecond */
-    public Clients(Vertx vertx, Ledger ledger, RandomGenerator chance, String gateway, int port, long bound) {
+    public Clients(Vertx vertx, Ledger ledger, RandomGenerator random, String gateway, int port, long bound) {
         this.vertx = vertx;
         this.ledger = ledger;
-        this.chance = chance;
+        this.random = random;
         this.gateway = gateway;
         this.port = port;
         this.bound = bound;
@@ -116,10 +116,10 @@
     }
 
     private void next(double perSecond) {
-        long wait = Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * 1000 / perSecond));
+        long wait = Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / perSecond));
         vertx.setTimer(wait, x -> {
             if (!stopped) {
-                boolean write = chance.nextDouble() < WRITES;
+                boolean write = random.nextDouble() < WRITES;
                 ask(write, gateway + "w" + names++, false);
                 next(perSecond);
             }
--- a/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
+++ b/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
@@ -25,7 +25,7 @@
     private static final AtomicInteger RUNS = new AtomicInteger();
 
     private final Vertx vertx;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Weather usual;
     private final Weather[][] now; // from one to another; null: as usual
     private final DatagramSocket[][] ends; // by who sees it and whom it stands for
@@ -35,9 +35,9 @@
     private int lost;
     private long bytes;
 
-    private LossyLink(Vertx vertx, RandomGenerator chance, double loss, int instances) {
+    private LossyLink(Vertx vertx, RandomGenerator random, double loss, int instances) {
         this.vertx = vertx;
-        this.chance = chance;
+        this.random = random;
         usual = Weather.losing(loss);
         now = new Weather[instances][instances];
         ends = new DatagramSocket[instances][instances];
@@ -50,8 +50,8 @@
     }
 
     /** Opens it; done when all addresses are there. */
-    public static Future<LossyLink> open(Vertx vertx, RandomGenerator chance, double loss, int instances) {
-        LossyLink link = new LossyLink(vertx, chance, loss, instances);
+    public static Future<LossyLink> open(Vertx vertx, RandomGenerator random, double loss, int instances) {
+        LossyLink link = new LossyLink(vertx, random, loss, instances);
         List<Future<?>> all = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
             for (int j = 0; j < instances; j++) {
@@ -96,11 +96,11 @@
         carried++;
         bytes += data.length();
         Weather w = now[from][to] == null ? usual : now[from][to];
-        for (int copies = chance.nextDouble() < w.twice ? 2 : 1; copies > 0; copies--) {
-            if (chance.nextDouble() < w.loss) {
+        for (int copies = random.nextDouble() < w.twice ? 2 : 1; copies > 0; copies--) {
+            if (random.nextDouble() < w.loss) {
                 lost++;
             } else {
-                vertx.setTimer(1 + chance.nextInt(w.delayMostMs), x -> ends[to][from].send(data, hears[to], hosts[to]));
+                vertx.setTimer(1 + random.nextInt(w.delayMostMs), x -> ends[to][from].send(data, hears[to], hosts[to]));
             }
         }
     }
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -37,7 +37,7 @@
 
     private final Vertx vertx;
     private final Ledger ledger;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final List<Integer> ports;
     private final Habit habit;
     private final NetClient net;
@@ -51,22 +51,22 @@
     private boolean stopped;
 
     /** @param ports of the gateways, by number */
-    public RoamingClients(Vertx vertx, Ledger ledger, RandomGenerator chance, List<Integer> ports, Habit habit) {
+    public RoamingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Habit habit) {
         this.vertx = vertx;
         this.ledger = ledger;
-        this.chance = chance;
+        this.random = random;
         this.ports = ports;
         this.habit = habit;
         net = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
     public void start() {
-        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * 1000 / habit.perSecond())), x -> {
+        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / habit.perSecond())), x -> {
             if (!stopped) {
-                int session = chance.nextInt(habit.sessions());
+                int session = random.nextInt(habit.sessions());
                 if (busy.add(session)) {
                     seen.add(session);
-                    new Ask(session, chance.nextDouble() < WRITES, "roam-" + names++, 0).begins();
+                    new Ask(session, random.nextDouble() < WRITES, "roam-" + names++, 0).begins();
                 }
                 start();
             }
@@ -106,7 +106,7 @@
         private final boolean write;
         private final String id;
         private final int times;
-        private final int gateway = chance.nextInt(ports.size());
+        private final int gateway = random.nextInt(ports.size());
         private final long at = System.nanoTime();
         private final ServerMessageReader stream = new ServerMessageReader();
         private boolean taken;
@@ -191,7 +191,7 @@
             boolean oncemore =
                     write && habit.submitsAgain() && taken && how != Answer.ACKED && times < AGAIN_MOST && !stopped;
             if (oncemore) {
-                vertx.setTimer(1 + chance.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
+                vertx.setTimer(1 + random.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
             } else {
                 busy.remove(session);
             }
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -45,7 +45,7 @@
     private final long listLateMs;
     private final Map<String, Integer> ports = new LinkedHashMap<>();
     private final Map<String, Integer> seenAt = new HashMap<>(); // by gateway and server, where it goes another way
-    private Traffic traffic = (op, server, now, out) -> {};
+    private Traffic traffic = (request, server, now, out) -> {};
     private Predicate<String> hearsLists = x -> true;
     private final Map<String, Set<NetSocket>> open = new HashMap<>();
     private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
@@ -57,7 +57,7 @@
 
     /** Hears of each op that reaches a server, and of its end there. */
     public interface Traffic {
-        void op(String op, String server, long now, boolean comes);
+        void request(String request, String server, long now, boolean comes);
     }
 
     private record Waiting(HttpServerResponse to, String gateway) {}
@@ -236,7 +236,7 @@
             socket.closeHandler(x -> {
                 gone = true;
                 open.get(server).remove(socket);
-                out.forEach(op -> over(op, Clock.system().now()));
+                out.forEach(request -> over(request, Clock.system().now()));
             });
         }
 
@@ -280,36 +280,36 @@
                 socket.close();
                 return;
             }
-            String op = id.group(1);
+            String request = id.group(1);
             Matcher key = KEY.matcher(text);
             boolean write = text.startsWith("INSERT");
-            ledger.sent(op, server, now);
-            traffic.op(op, server, now, true);
-            Work w = model.comes(now, server, op, write, null);
+            ledger.sent(request, server, now);
+            traffic.request(request, server, now, true);
+            Work w = model.comes(now, server, request, write, null);
             if (w.pushedOver()) {
                 ledger.fell(server);
             }
             switch (w.taking()) {
-                case TURNS_AWAY -> no(op, "25006");
-                case FULL -> no(op, "53300");
+                case TURNS_AWAY -> no(request, "25006");
+                case FULL -> no(request, "53300");
                 case REFUSES -> socket.close();
-                case NOTHING -> out.add(op);
+                case NOTHING -> out.add(request);
                 default -> {
-                    out.add(op);
+                    out.add(request);
                     String value = key.find() ? key.group(1) : "";
                     vertx.setTimer(Math.max(1, (w.doneAt() - now + 9) / 10), x -> ends(w, value));
                 }
             }
         }
 
-        private void over(String op, long now) {
-            ledger.over(op);
-            traffic.op(op, server, now, false);
+        private void over(String request, long now) {
+            ledger.over(request);
+            traffic.request(request, server, now, false);
         }
 
-        private void no(String op, String code) {
-            ledger.proved(op);
-            traffic.op(op, server, Clock.system().now(), false);
+        private void no(String request, String code) {
+            ledger.proved(request);
+            traffic.request(request, server, Clock.system().now(), false);
             socket.write(MessageWriter.errorResponse(code, "no", null, false, true));
         }
 
@@ -320,16 +320,16 @@
             long now = Clock.system().now();
             Done d = model.ends(now, w);
             if (d.applied()) {
-                ledger.applied(w.op(), d.position());
+                ledger.applied(w.request(), d.position());
             }
             if (gone || !d.answered()) {
                 return;
             }
-            out.remove(w.op());
-            over(w.op(), now);
+            out.remove(w.request());
+            over(w.request(), now);
             if (!w.write()) {
-                ledger.read(w.op(), d.position(), w.cameAt());
-                ledger.readInSession(w.op(), d.position());
+                ledger.read(w.request(), d.position(), w.cameAt());
+                ledger.readInSession(w.request(), d.position());
             }
             socket.write(
                     d.garbled()
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -43,28 +43,28 @@
     }
 
     /** Each of them wants parts at this many a second, for so long; what is in use is used for up to its longest. */
-    private static int[] asks(FleetModel m, SplittableRandom chance, int who, double perSecond, long from, long to) {
+    private static int[] asks(FleetModel m, SplittableRandom random, int who, double perSecond, long from, long to) {
         int[] got = new int[2];
-        for (long t = from; t < to; t += 1 + (long) (-Math.log(1 - chance.nextDouble()) * SECOND / perSecond)) {
-            int budget = chance.nextInt(2);
-            long uses = (long) (USE * chance.nextDouble());
+        for (long t = from; t < to; t += 1 + (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond)) {
+            int budget = random.nextInt(2);
+            long uses = (long) (USE * random.nextDouble());
             m.at(t, () -> got[budget] += m.instance(who).spend(budget, uses) ? 1 : 0);
         }
         return got;
     }
 
-    private static void faults(FleetModel m, SplittableRandom chance, int n, long from, long to) {
+    private static void faults(FleetModel m, SplittableRandom random, int n, long from, long to) {
         for (int f = 0; f < 6; f++) {
-            long a = from + chance.nextLong(to - from);
-            long b = a + chance.nextLong(to - a) + 1;
-            int x = chance.nextInt(n);
-            int y = chance.nextInt(n);
-            switch (chance.nextInt(6)) {
+            long a = from + random.nextLong(to - from);
+            long b = a + random.nextLong(to - a) + 1;
+            int x = random.nextInt(n);
+            int y = random.nextInt(n);
+            switch (random.nextInt(6)) {
                 case 0 -> {
                     m.at(a, () -> m.instance(x).kill());
                     m.at(b, () -> {
                         if (!m.instance(x).alive()) {
-                            m.instance(x).start(chance.nextBoolean() ? 0 : -60_000); // its clock may have stepped back
+                            m.instance(x).start(random.nextBoolean() ? 0 : -60_000); // its clock may have stepped back
                         }
                     });
                 }
@@ -105,11 +105,11 @@
 
     private static List<String> play(int n, long seed, LeaseDurations leaseDurations) {
         FleetModel m = started(world(n, leaseDurations), seed);
-        SplittableRandom chance = new SplittableRandom(~seed);
+        SplittableRandom random = new SplittableRandom(~seed);
         for (int i = 0; i < n; i++) {
-            asks(m, chance, i, chance.nextInt(3) == 0 ? 500 : 8, 0, 30 * SECOND);
+            asks(m, random, i, random.nextInt(3) == 0 ? 500 : 8, 0, 30 * SECOND);
         }
-        faults(m, chance, n, 6 * SECOND, 22 * SECOND);
+        faults(m, random, n, 6 * SECOND, 22 * SECOND);
         m.until(30 * SECOND);
         worst = Math.max(worst, Math.min(m.spending(0).worst(), m.spending(1).worst()));
         return m.over();
@@ -131,11 +131,11 @@
         List<String> over = new ArrayList<>();
         for (long seed = 1; seed <= 30; seed++) {
             FleetModel m = started(new Settings(division(4), leaseDurations, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
-            SplittableRandom chance = new SplittableRandom(~seed);
+            SplittableRandom random = new SplittableRandom(~seed);
             for (long t = 10 * SECOND; t < 24 * SECOND; t += MS) {
                 for (int i = t < 16 * SECOND ? 3 : 0; i < 4; i++) {
                     int who = i;
-                    m.at(t + chance.nextInt(10), () -> m.instance(who).spend(1, USE));
+                    m.at(t + random.nextInt(10), () -> m.instance(who).spend(1, USE));
                 }
             }
             m.at(
@@ -161,9 +161,9 @@
     @Test
     void oneWithAllTheDemandGetsMostPartsFromThoseThatAreIdle() {
         FleetModel m = started(world(10, LEASING), 3);
-        SplittableRandom chance = new SplittableRandom(4);
+        SplittableRandom random = new SplittableRandom(4);
         m.until(6 * SECOND);
-        int[] got = asks(m, chance, 0, 160, 6 * SECOND, 16 * SECOND);
+        int[] got = asks(m, random, 0, 160, 6 * SECOND, 16 * SECOND);
         m.until(16 * SECOND);
         assertThat(m.over()).isEmpty();
         assertThat(got[0]).as("of 60 a second, 6 its own").isGreaterThan(250);
--- a/tools/src/test/java/ploverdale/tools/ledger/LedgerTest.java
+++ b/tools/src/test/java/ploverdale/tools/ledger/LedgerTest.java
@@ -14,8 +14,8 @@
     private static final Kind READ = new Kind(false, false, 5000);
     private final Ledger ledger = new Ledger(5000);
 
-    private void taken(String op, Kind kind) {
-        ledger.taken(op, kind, "name-" + op, "0", 10_000);
+    private void taken(String request, Kind kind) {
+        ledger.taken(request, kind, "name-" + request, "0", 10_000);
     }
 
     private org.assertj.core.api.ListAssert<Rule> broken() {
--- a/tools/src/test/java/ploverdale/tools/scale/SlopeTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/SlopeTest.java
@@ -16,10 +16,10 @@
     private static final double[] SIZES = {100, 200, 400, 800, 1600, 3200};
 
     private static List<Slope.Point> points(GrowthShape shape, double base, double factor, double noise) {
-        SplittableRandom chance = new SplittableRandom(3);
+        SplittableRandom random = new SplittableRandom(3);
         List<Slope.Point> all = new ArrayList<>();
         for (double n : SIZES) {
-            double off = 1 + noise * (2 * chance.nextDouble() - 1);
+            double off = 1 + noise * (2 * random.nextDouble() - 1);
             all.add(new Slope.Point(n, off * (base + factor * shape.of(n))));
         }
         return all;
