--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -17,16 +17,16 @@
 import org.kohsuke.args4j.spi.SubCommands;
 import ploverdale.benchlink.BenchLink;
 import ploverdale.clock.Clock;
+import ploverdale.dev.DevClient;
+import ploverdale.dev.DevServers;
+import ploverdale.dev.Rehearsal;
 import ploverdale.log.Log;
-import ploverdale.quota.QuotaAllocation;
-import ploverdale.quota.QuotaSettings;
+import ploverdale.net.ConfigurationFile;
 import ploverdale.net.FleetConfigurationFile;
 import ploverdale.net.Gateway;
-import ploverdale.net.ConfigurationFile;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaSettings;
 import ploverdale.settings.InvalidSettingsException;
-import ploverdale.dev.Rehearsal;
-import ploverdale.dev.DevClient;
-import ploverdale.dev.DevServers;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -60,7 +60,8 @@
         @SubCommand(name = "ask", impl = Ask.class),
         @SubCommand(name = "benchlink", impl = Bench.class),
         @SubCommand(name = "version", impl = Version.class),
-        @SubCommand(name = "help", impl = Help.class)})
+        @SubCommand(name = "help", impl = Help.class)
+    })
     private Command command;
 
     private Main() {}
@@ -117,11 +118,17 @@
             Log log = new Log(System.err);
             log.takeOver();
             ConfigurationFile file = file();
-            Optional<QuotaSettings> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), file.settings()));
+            Optional<QuotaSettings> fleet = fleetFile() == null
+                    ? Optional.empty()
+                    : Optional.of(
+                            FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), file.settings()));
             CompletableFuture<Gateway> started = new CompletableFuture<>();
-            // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted on behind it.
-            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
-                log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
+            // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted
+            // on behind it.
+            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path())))
+                    == SignalHandler.SIG_IGN) {
+                log.line(
+                        "SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
             }
             Vertx vertx = Gateway.vertx();
             Gateway gateway;
@@ -132,16 +139,20 @@
             }
             started.complete(gateway);
             CountDownLatch ended = new CountDownLatch(1);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                long signalNanos = Clock.system().nanos();
-                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
-                try {
-                    ended.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                Runtime.getRuntime().halt(0); // a planned restart went well; the signal's own code says otherwise
-            }, "planned-restart"));
+            Runtime.getRuntime()
+                    .addShutdownHook(new Thread(
+                            () -> {
+                                long signalNanos = Clock.system().nanos();
+                                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
+                                try {
+                                    ended.await();
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                                Runtime.getRuntime()
+                                        .halt(0); // a planned restart went well; the signal's own code says otherwise
+                            },
+                            "planned-restart"));
             new CountDownLatch(1).await();
             return 0;
         }
@@ -153,15 +164,19 @@
         public int run() {
             ConfigurationFile f = file();
             System.out.println("gateway " + f.name() + " listens at " + f.listen() + ", discovery at " + f.discovery());
-            System.out.println(f.settings().requestClasses().size() + " op types, " + f.settings().tenants().size() + " tenants, "
+            System.out.println(f.settings().requestClasses().size() + " op types, "
+                    + f.settings().tenants().size() + " tenants, "
                     + f.known().entries().size() + " servers known, " + f.sockets() + " descriptors");
-            QuotaSettings fleet = fleetFile() == null ? null : FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), f.settings());
+            QuotaSettings fleet = fleetFile() == null
+                    ? null
+                    : FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), f.settings());
             if (fleet != null) {
                 QuotaAllocation d = fleet.division(f.settings().started());
                 System.out.println("fleet of " + d.gateways() + ", division " + Integer.toHexString(d.id()) + ", floor "
                         + fleet.floorShare() + " of each right");
                 for (int b = 0; b < d.budgets().size(); b++) {
-                    System.out.println("  " + d.budgets().get(b).name() + ": " + d.budgets().get(b).whole() + " in all, "
+                    System.out.println("  " + d.budgets().get(b).name() + ": "
+                            + d.budgets().get(b).whole() + " in all, "
                             + d.right(f.settings().started().me(), b) + " here by right, of them "
                             + d.floor(f.settings().started().me(), b) + " as floor");
                 }
@@ -222,7 +237,8 @@
     public static final class Bench extends WithFleet {
         @Override
         public int run() throws IOException {
-            new BenchLink(System.in, System.out, fleetFile() == null ? null : FleetConfigurationFile.read(fleetFile())).run();
+            new BenchLink(System.in, System.out, fleetFile() == null ? null : FleetConfigurationFile.read(fleetFile()))
+                    .run();
             return 0;
         }
     }
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -17,17 +17,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ploverdale.routing.Router;
-import ploverdale.quota.QuotaNode;
-import ploverdale.quota.QuotaSettings;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Action;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Started;
-import ploverdale.model.Endpoint;
 import ploverdale.model.RequestId;
-import ploverdale.settings.JsonFields;
+import ploverdale.quota.QuotaNode;
+import ploverdale.quota.QuotaSettings;
+import ploverdale.routing.Router;
 import ploverdale.settings.InvalidSettingsException;
+import ploverdale.settings.JsonFields;
 
 /** Speaks the simulator's wire: one Logic for each gateway, nothing shared but the numbered lists. */
 public final class BenchLink {
@@ -114,10 +114,17 @@
                 Reader reader = new Reader(f);
                 Started told = reader.started();
                 if (quotaSettings != null && quotaSettings.keeping() != null) {
-                    throw new InvalidSettingsException("fleet file with a field sessions or submits, which are kept on sockets only");
+                    throw new InvalidSettingsException(
+                            "fleet file with a field sessions or submits, which are kept on sockets only");
                 }
-                QuotaNode shared = quotaSettings == null || !told.capabilities().peerMessages() || told.gateways() < 2 ? null
-                        : new QuotaNode(quotaSettings, told, 1 + now / 10, () -> this.now, () -> this.now); // 0 would be no start at all
+                QuotaNode shared = quotaSettings == null || !told.capabilities().peerMessages() || told.gateways() < 2
+                        ? null
+                        : new QuotaNode(
+                                quotaSettings,
+                                told,
+                                1 + now / 10,
+                                () -> this.now,
+                                () -> this.now); // 0 would be no start at all
                 Host host = new Host(new Router(shared), reader, shared);
                 hosts.put(f.text("gateway"), host);
                 tell(g, now, f.text("gateway"), host, told);
@@ -129,15 +136,19 @@
                 Host host = hosts.get(gateway);
                 if (host != null && host.shared() != null && name.equals("ALARM") && f.whole("tag") == SHARED_MARK) {
                     lookRound(g, gateway, host);
-                } else if (host != null && host.shared() != null && name.equals("DATAGRAM") && sharedHears(g, gateway, host, f)) {
+                } else if (host != null
+                        && host.shared() != null
+                        && name.equals("DATAGRAM")
+                        && sharedHears(g, gateway, host, f)) {
                     return;
                 } else if (host != null) {
                     tell(g, now, gateway, host, event(name, f, host.reader()));
                 } else if (!stopped.contains(gateway)) {
-                    throw new InvalidSettingsException(name + " with a field gateway that names one never started: " + gateway);
+                    throw new InvalidSettingsException(
+                            name + " with a field gateway that names one never started: " + gateway);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -149,12 +160,15 @@
     }
 
     private boolean sharedHears(JsonGenerator g, String gateway, Host host, JsonFields f) throws IOException {
-        List<PacketQueue.OutboundPacket> answers = host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
+        List<PacketQueue.OutboundPacket> answers =
+                host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
         write(g, gateway, host.shared(), answers == null ? List.of() : answers);
         return answers != null;
     }
 
-    private static void write(JsonGenerator g, String gateway, QuotaNode shared, List<PacketQueue.OutboundPacket> letters) throws IOException {
+    private static void write(
+            JsonGenerator g, String gateway, QuotaNode shared, List<PacketQueue.OutboundPacket> letters)
+            throws IOException {
         for (PacketQueue.OutboundPacket l : letters) {
             Writer.write(g, gateway, new Action.SendGossip(l.to(), l.bytes()));
         }
@@ -187,8 +201,7 @@
         return rows;
     }
 
-    private static void tell(JsonGenerator g, long now, String gateway, Host host, Event event)
-            throws IOException {
+    private static void tell(JsonGenerator g, long now, String gateway, Host host, Event event) throws IOException {
         List<Action> actions;
         try {
             actions = host.router().on(now, event);
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Reader.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import ploverdale.model.GroupId;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Endpoint;
-import ploverdale.model.RequestId;
+import ploverdale.model.GroupId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.RequestClassId;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
-import ploverdale.model.LoadReport;
-import ploverdale.model.LoadReport.Role;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
-import ploverdale.settings.JsonFields;
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.InvalidSettingsException;
+import ploverdale.settings.JsonFields;
 
 /** Turns one gateway's wire events into those of the module. Holds what the wire needs to be read. */
 final class Reader {
@@ -61,8 +61,12 @@
                 case "OUT" -> Endpoint.EndpointState.GONE;
                 default -> Endpoint.EndpointState.IN;
             };
-            rows.add(new Endpoint(new ServerId(f.text("server")), new GroupId((long) f.number("cell", 0)),
-                    new ZoneId((int) f.whole("locality", 0)), stage, f.number("writer", 0) == 1,
+            rows.add(new Endpoint(
+                    new ServerId(f.text("server")),
+                    new GroupId((long) f.number("cell", 0)),
+                    new ZoneId((int) f.whole("locality", 0)),
+                    stage,
+                    f.number("writer", 0) == 1,
                     JsonFields.up(f.number("bornMs", 0))));
         }
         return rows;
@@ -78,10 +82,16 @@
         if (type < 0 || type >= settings.started().requestClasses().size()) {
             throw new InvalidSettingsException("REQ with a field grade that names no class");
         }
-        return new Event.RequestArrived(new RequestId(f.text("ref")), new RequestClassId(type),
-                new TenantId((int) f.whole("realm", 0)), new GroupId((long) f.number("setNo", 0)),
-                f.has("connKey") ? new SessionId(f.text("connKey")) : null, JsonFields.down(f.number("dropDeadMs")),
-                f.mark("againByClient"), JsonFields.down(f.number("hintMs", 0)), tokenAge(f.number("tokenAgeMs", 0)));
+        return new Event.RequestArrived(
+                new RequestId(f.text("ref")),
+                new RequestClassId(type),
+                new TenantId((int) f.whole("realm", 0)),
+                new GroupId((long) f.number("setNo", 0)),
+                f.has("connKey") ? new SessionId(f.text("connKey")) : null,
+                JsonFields.down(f.number("dropDeadMs")),
+                f.mark("againByClient"),
+                JsonFields.down(f.number("hintMs", 0)),
+                tokenAge(f.number("tokenAgeMs", 0)));
     }
 
     /** Rounded towards a younger write, which asks more of a replica; 0 stays the word for no write. */
@@ -90,8 +100,8 @@
     }
 
     Event answerBegun(JsonFields f) {
-        return new Event.ResponseStarted(new RequestId(f.text("ref")), (int) f.whole("roundNo"),
-                new ServerId(f.text("server")));
+        return new Event.ResponseStarted(
+                new RequestId(f.text("ref")), (int) f.whole("roundNo"), new ServerId(f.text("server")));
     }
 
     Event sendEnded(JsonFields f) {
@@ -100,12 +110,19 @@
             long told = f.whole("progress");
             long position = told >> 2;
             boolean none = position == 0 && !settings.positionsInNotes();
-            note = new LoadReport(role((int) (told & 3)),
+            note = new LoadReport(
+                    role((int) (told & 3)),
                     none ? LoadReport.UNKNOWN_TIME : JsonFields.down(settings.positionZeroMs()) + position * 10);
         }
-        return new Event.AttemptEnded(new RequestId(f.text("ref")), (int) f.whole("roundNo"),
-                new ServerId(f.text("server")), outcome(f.text("verdict")), JsonFields.up(f.number("durationMs")),
-                f.mark("settled"), note, report(f));
+        return new Event.AttemptEnded(
+                new RequestId(f.text("ref")),
+                (int) f.whole("roundNo"),
+                new ServerId(f.text("server")),
+                outcome(f.text("verdict")),
+                JsonFields.up(f.number("durationMs")),
+                f.mark("settled"),
+                note,
+                report(f));
     }
 
     Event probeEnded(JsonFields f) {
@@ -125,8 +142,8 @@
         if (row.isEmpty()) {
             return null;
         }
-        return GatewaySettings.report(value(row, positionField), value(row, roleField), value(row, busyField),
-                settings.positionZeroMs());
+        return GatewaySettings.report(
+                value(row, positionField), value(row, roleField), value(row, busyField), settings.positionZeroMs());
     }
 
     private static Double value(List<Object> row, int field) {
--- a/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
+++ b/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
@@ -146,7 +146,8 @@
 
     private List<Bounds> voters(long now) {
         servers.values().removeIf(b -> now - b.lastAt > LASTS);
-        List<Bounds> primaries = servers.values().stream().filter(Bounds::isOfPrimary).toList();
+        List<Bounds> primaries =
+                servers.values().stream().filter(Bounds::isOfPrimary).toList();
         return primaries.isEmpty() ? new ArrayList<>(servers.values()) : primaries;
     }
 
@@ -177,13 +178,17 @@
      * go by. Lower bounds alone set nothing: the replicas that told them may all lag.
      */
     private static List<Bounds> agreeing(List<Bounds> voters) {
-        List<Bounds> sorted = voters.stream().filter(Bounds::isOfPrimary).sorted((a, b) -> Long.compare(a.least, b.least)).toList();
+        List<Bounds> sorted = voters.stream()
+                .filter(Bounds::isOfPrimary)
+                .sorted((a, b) -> Long.compare(a.least, b.least))
+                .toList();
         if (sorted.isEmpty()) {
             return List.of();
         }
         Bounds middle = sorted.get(sorted.size() / 2);
         List<Bounds> close = sorted.stream()
-                .filter(b -> b.fits(middle.least - AHEAD_MOST, middle.most + AHEAD_MOST)).toList();
+                .filter(b -> b.fits(middle.least - AHEAD_MOST, middle.most + AHEAD_MOST))
+                .toList();
         boolean steady = middle.samples >= SAMPLES_LEAST && middle.lastAt - middle.firstAt >= SPAN_LEAST;
         return close.size() * 2 > voters.size() && (close.size() > 1 || steady) ? close : List.of();
     }
--- a/gateway/src/main/java/ploverdale/dev/DevClient.java
+++ b/gateway/src/main/java/ploverdale/dev/DevClient.java
@@ -1,8 +1,5 @@
 package ploverdale.dev;
 
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ServerMessage;
-import ploverdale.net.postgres.ServerMessageReader;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import io.vertx.core.Future;
@@ -16,6 +13,9 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 
 /**
  * Owns one connection to a gateway and asks queries on it, one after another, for a first try of the gateway.
@@ -40,7 +40,8 @@
 
     /** Connects and greets. */
     public static Future<DevClient> connect(Vertx vertx, InetSocketAddress to) {
-        NetClient net = vertx.createNetClient(new NetClientOptions().setConnectTimeout(2000).setTcpNoDelay(true));
+        NetClient net = vertx.createNetClient(
+                new NetClientOptions().setConnectTimeout(2000).setTcpNoDelay(true));
         return net.connect(SocketAddress.inetSocketAddress(to)).compose(s -> {
             DevClient c = new DevClient(net, s);
             return c.waiting.peek().future().map(c);
@@ -64,11 +65,16 @@
         stream.feed(more);
         for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
             if (m instanceof ServerMessage.DataRow v) {
-                answer.append("row ").append(v.bytes() == null ? "null" : new String(v.bytes(), UTF_8)).append("; ");
+                answer.append("row ")
+                        .append(v.bytes() == null ? "null" : new String(v.bytes(), UTF_8))
+                        .append("; ");
             } else if (m instanceof ServerMessage.CommandComplete d) {
                 answer.append(d.tag().isEmpty() ? "empty" : d.tag());
             } else if (m instanceof ServerMessage.ErrorResponse p) {
-                answer.append("refused or failed: ").append(p.code()).append(' ').append(p.text());
+                answer.append("refused or failed: ")
+                        .append(p.code())
+                        .append(' ')
+                        .append(p.text());
             } else if (m instanceof ServerMessage.Malformed g) {
                 waiting.poll().tryFail("cannot be read: " + g.what());
                 socket.close();
--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -1,6 +1,5 @@
 package ploverdale.dev;
 
-import ploverdale.net.postgres.MessageWriter;
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import io.vertx.core.Future;
@@ -17,6 +16,7 @@
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
 import ploverdale.net.ConfigurationFile;
+import ploverdale.net.postgres.MessageWriter;
 
 /**
  * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
@@ -47,7 +47,9 @@
             boolean primary = hasPrimary.put(e.listing().group().number(), true) == null;
             all = all.compose(x -> toy.server(e, primary, anyPorts));
         }
-        return all.compose(x -> toy.list(file.discovery(), anyPorts)).compose(x -> toy.warmUp()).map(toy);
+        return all.compose(x -> toy.list(file.discovery(), anyPorts))
+                .compose(x -> toy.warmUp())
+                .map(toy);
     }
 
     /** Asks each server once, so that the first probe of a gateway does not wait for this program's classes. */
@@ -70,12 +72,15 @@
 
     private Future<NetServer> server(ConfigurationFile.Entry e, boolean primary, boolean anyPort) {
         String host = e.address().getAddress().getHostAddress();
-        return vertx.createNetServer().connectHandler(s -> serve(s, primary))
-                .listen(anyPort ? 0 : e.address().getPort(), host).onSuccess(s -> {
+        return vertx.createNetServer()
+                .connectHandler(s -> serve(s, primary))
+                .listen(anyPort ? 0 : e.address().getPort(), host)
+                .onSuccess(s -> {
                     up.add(s);
                     entries.add(new ConfigurationFile.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
                     members.add("{\"id\":\"" + e.listing().server().text() + "\",\"host_port\":\"" + host + ":"
-                            + s.actualPort() + "\",\"cell\":" + e.listing().group().number()
+                            + s.actualPort() + "\",\"cell\":"
+                            + e.listing().group().number()
                             + ",\"phase\":\"SERVING\",\"up_since_ms\":0}");
                 });
     }
@@ -84,14 +89,18 @@
         String host = at.getAddress().getHostAddress();
         String whole = "{\"revision\":2,\"complete\":true,\"members\":[" + String.join(",", members) + "]}";
         String none = "{\"revision\":2,\"complete\":false,\"members\":[]}";
-        return vertx.createHttpServer().requestHandler(r -> {
-            String hold = r.getParam("hold_ms");
-            if (hold == null || !hold.matches("\\d{1,5}")) {
-                r.response().end(whole);
-            } else {
-                vertx.setTimer(Math.max(1, Long.parseLong(hold)), x -> r.response().end(none));
-            }
-        }).listen(anyPort ? 0 : at.getPort(), host)
+        return vertx.createHttpServer()
+                .requestHandler(r -> {
+                    String hold = r.getParam("hold_ms");
+                    if (hold == null || !hold.matches("\\d{1,5}")) {
+                        r.response().end(whole);
+                    } else {
+                        vertx.setTimer(
+                                Math.max(1, Long.parseLong(hold)),
+                                x -> r.response().end(none));
+                    }
+                })
+                .listen(anyPort ? 0 : at.getPort(), host)
                 .onSuccess(s -> {
                     up.add(s);
                     discovery = new InetSocketAddress(host, s.actualPort());
@@ -112,7 +121,8 @@
                 }
                 if (!greeted[0]) {
                     greeted[0] = true;
-                    socket.write(ready(Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0)));
+                    socket.write(ready(
+                            Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0)));
                 } else if (b.getByte(from) == 'Q') {
                     String text = b.getBuffer(from + 5, from + length).toString(ISO_8859_1);
                     // a little work, so that there is something to see
@@ -126,8 +136,8 @@
 
     private Buffer answer(String text, boolean primary) {
         long now = Clock.system().wallMs();
-        String vitals = "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0)
-                + ",busy=0.1";
+        String vitals =
+                "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
         Buffer b = Buffer.buffer();
         MessageWriter.parameterStatus(b, "rank", primary ? "source" : "copy");
         MessageWriter.parameterStatus(b, "vitals", vitals);
@@ -166,9 +176,21 @@
     }
 
     private static Buffer row(Buffer b, byte[] value, String tag) {
-        b.appendByte((byte) 'T').appendInt(28).appendShort((short) 1).appendString("val").appendByte((byte) 0);
-        b.appendInt(0).appendShort((short) 0).appendInt(17).appendShort((short) -1).appendInt(-1).appendShort((short) 1);
-        b.appendByte((byte) 'D').appendInt(10 + value.length).appendShort((short) 1).appendInt(value.length)
+        b.appendByte((byte) 'T')
+                .appendInt(28)
+                .appendShort((short) 1)
+                .appendString("val")
+                .appendByte((byte) 0);
+        b.appendInt(0)
+                .appendShort((short) 0)
+                .appendInt(17)
+                .appendShort((short) -1)
+                .appendInt(-1)
+                .appendShort((short) 1);
+        b.appendByte((byte) 'D')
+                .appendInt(10 + value.length)
+                .appendShort((short) 1)
+                .appendInt(value.length)
                 .appendBytes(value);
         b.appendByte((byte) 'C').appendInt(5 + tag.length()).appendString(tag).appendByte((byte) 0);
         return ready(b);
--- a/gateway/src/main/java/ploverdale/gossip/Datagram.java
+++ b/gateway/src/main/java/ploverdale/gossip/Datagram.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
 
 /**
  * One datagram of at most {@value #MOST} bytes: who it is for is known from outside, what it says is checked here. Each is
@@ -24,10 +24,24 @@
  */
 public record Datagram(Kind kind, long sentAt, Map<Integer, ServerObservation> words) {
     /** What a datagram is for. */
-    public enum Kind { ASKS, TELLS, LEAVES, PLACES_UP, PLACES_ON, PLACES }
+    public enum Kind {
+        ASKS,
+        TELLS,
+        LEAVES,
+        PLACES_UP,
+        PLACES_ON,
+        PLACES
+    }
 
     /** Why one is not read. */
-    public enum Refusal { TOO_LONG, TOO_SHORT, NOT_OURS, CHECKSUM, VERSION, MISSHAPEN }
+    public enum Refusal {
+        TOO_LONG,
+        TOO_SHORT,
+        NOT_OURS,
+        CHECKSUM,
+        VERSION,
+        MISSHAPEN
+    }
 
     /** What came of reading: one of both is null. */
     public record Read(Datagram datagram, Refusal refusal) {}
@@ -89,7 +103,8 @@
         words.forEach((number, w) -> {
             b.putInt(number).put((byte) w.role().ordinal());
             age(b, w.roleAt());
-            long old = w.position() == LoadReport.UNKNOWN_TIME ? POSITION_AGE_NONE : ms - Math.floorDiv(w.position(), MS);
+            long old =
+                    w.position() == LoadReport.UNKNOWN_TIME ? POSITION_AGE_NONE : ms - Math.floorDiv(w.position(), MS);
             int position = old < 0 || old >= POSITION_AGE_NONE ? POSITION_AGE_NONE : (int) old;
             b.put((byte) (position >> 16)).putShort((short) position);
             age(b, w.positionAt());
@@ -124,14 +139,24 @@
     private static ServerObservation place(int age, Kind kind, long sentAt) {
         boolean told = (age & PLACE_AGE) < PLACE_AGE;
         long learnt = sentAt - (kind == Kind.PLACES_UP ? PeerSelector.UP_WITHIN : PeerSelector.WITHIN);
-        long at = told ? Math.max(learnt, sentAt - (age & PLACE_AGE) * MS) : learnt; // no position is learnt before it is so
-        return new ServerObservation((age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA, at,
-                told ? sentAt - (age & PLACE_AGE) * MS : LoadReport.UNKNOWN_TIME, told ? at : LoadReport.UNKNOWN_TIME, at, LoadReport.UNKNOWN_TIME,
-                LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
+        long at = told
+                ? Math.max(learnt, sentAt - (age & PLACE_AGE) * MS)
+                : learnt; // no position is learnt before it is so
+        return new ServerObservation(
+                (age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA,
+                at,
+                told ? sentAt - (age & PLACE_AGE) * MS : LoadReport.UNKNOWN_TIME,
+                told ? at : LoadReport.UNKNOWN_TIME,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     private void age(ByteBuffer b, long at) {
-        long units = at == LoadReport.UNKNOWN_TIME ? AGE_NONE : Math.max(0, Math.floorDiv(sentAt - at + AGE_UNIT - 1, AGE_UNIT));
+        long units = at == LoadReport.UNKNOWN_TIME
+                ? AGE_NONE
+                : Math.max(0, Math.floorDiv(sentAt - at + AGE_UNIT - 1, AGE_UNIT));
         b.putShort((short) Math.min(units, AGE_NONE));
     }
 
@@ -183,7 +208,9 @@
         Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         for (int at = HEAD; at < HEAD + room; at += entry) {
             if (places) {
-                words.merge(b.getShort(at) & 0xFFFF, place(b.getShort(at + 2) & 0xFFFF, Kind.values()[kind], sentAt),
+                words.merge(
+                        b.getShort(at) & 0xFFFF,
+                        place(b.getShort(at + 2) & 0xFFFF, Kind.values()[kind], sentAt),
                         ServerObservation::join);
                 continue;
             }
@@ -214,8 +241,14 @@
         long drainAt = at(b, sentAt);
         boolean led = role > 0 && roleAt != LoadReport.UNKNOWN_TIME;
         boolean placed = position != LoadReport.UNKNOWN_TIME && positionAt != LoadReport.UNKNOWN_TIME;
-        return new ServerObservation(led ? Role.values()[role] : Role.UNKNOWN, led ? roleAt : LoadReport.UNKNOWN_TIME,
-                placed ? position : LoadReport.UNKNOWN_TIME, placed ? positionAt : LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince,
+        return new ServerObservation(
+                led ? Role.values()[role] : Role.UNKNOWN,
+                led ? roleAt : LoadReport.UNKNOWN_TIME,
+                placed ? position : LoadReport.UNKNOWN_TIME,
+                placed ? positionAt : LoadReport.UNKNOWN_TIME,
+                aliveAt,
+                silentAt,
+                coldSince,
                 drainAt);
     }
 
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -13,9 +13,9 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import ploverdale.gossip.Datagram.Kind;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
 
 /**
  * What one instance hears from others and tells them. A new instance asks a few others for all that they know; from then
@@ -32,6 +32,7 @@
     private static final long MS = 10;
     /** From one telling of positions to the age that they have at the next, at most; see the rota. */
     public static final long PLACES_EVERY = PeerSelector.EVERY + PeerSelector.WITHIN;
+
     private static final long PROVES_FOR = 30_000 * MS; // who leads or is silent; older words prove nothing
     private static final long ON_ITS_WAY_MOST = 2000 * MS; // later, something is wrong with the way or a clock
     private static final long CLOCKS_APART = 500 * MS; // at most; a word from the future is one of now
@@ -96,7 +97,12 @@
      * @param bound the tightest staleness bound, in tenths of a millisecond
      * @param own what this instance knows of a server, hearsay that it believed included
      */
-    public GossipProtocol(int me, int instances, double requestsPerSecond, long bound, RandomGenerator random,
+    public GossipProtocol(
+            int me,
+            int instances,
+            double requestsPerSecond,
+            long bound,
+            RandomGenerator random,
             Function<ServerId, ServerObservation> own) {
         rota = new PeerSelector(me, instances);
         opsHere = requestsPerSecond / instances;
@@ -178,14 +184,18 @@
                 }
             }
         });
-        return new ReceivedGossip(words, switch (d.kind()) {
-            case ASKS -> answer(now, from);
-            case PLACES_ON -> rota.tellOn(from, d);
-            default -> List.of();
-        }, null);
+        return new ReceivedGossip(
+                words,
+                switch (d.kind()) {
+                    case ASKS -> answer(now, from);
+                    case PLACES_ON -> rota.tellOn(from, d);
+                    default -> List.of();
+                },
+                null);
     }
 
-    private ServerObservation take(long now, int from, KnownServer k, ServerObservation told, long ahead, boolean toSpread) {
+    private ServerObservation take(
+            long now, int from, KnownServer k, ServerObservation told, long ahead, boolean toSpread) {
         ServerObservation w = (ahead > 0 ? told.notAfter(now) : told).since(now - PROVES_FOR);
         double t = trust(now, from);
         w = t < NO_TRUST ? w.withoutRole() : w.withRoleOlder((long) ((1 - t) * DOUBT));
@@ -217,10 +227,13 @@
             return new ReceivedGossip(Map.of(), List.of(), null);
         }
         lineAt = now;
-        String all = refusals.entrySet().stream().map(e -> e.getValue() + " " + e.getKey()).sorted()
+        String all = refusals.entrySet().stream()
+                .map(e -> e.getValue() + " " + e.getKey())
+                .sorted()
                 .collect(Collectors.joining(", "));
         refusals.clear();
-        return new ReceivedGossip(Map.of(), List.of(), "words of instances not read: " + all + ", the last of instance " + from);
+        return new ReceivedGossip(
+                Map.of(), List.of(), "words of instances not read: " + all + ", the last of instance " + from);
     }
 
     /** All that this instance knows, for one that starts; nothing where it knows nothing or was asked too often. */
@@ -238,7 +251,9 @@
         Map<Integer, ServerObservation> all = new LinkedHashMap<>();
         for (KnownServer k : servers.values()) {
             ServerObservation w = own.apply(k.id).since(now - PROVES_FOR);
-            if (!w.equals(ServerObservation.NONE) && all.size() < ENOUGH_ENTRIES && byNumber.get(Datagram.number(k.id)) == k) {
+            if (!w.equals(ServerObservation.NONE)
+                    && all.size() < ENOUGH_ENTRIES
+                    && byNumber.get(Datagram.number(k.id)) == k) {
                 all.put(Datagram.number(k.id), w);
             }
         }
@@ -307,7 +322,8 @@
         List<OutboundPacket> letters = new ArrayList<>();
         if (!servers.isEmpty() && asks < ASKS_AFTER.length && now - startedAt >= ASKS_AFTER[asks]) {
             asks++;
-            boolean unheard = servers.values().stream().anyMatch(k -> own.apply(k.id).aliveAt() == LoadReport.UNKNOWN_TIME);
+            boolean unheard =
+                    servers.values().stream().anyMatch(k -> own.apply(k.id).aliveAt() == LoadReport.UNKNOWN_TIME);
             if (unheard) {
                 byte[] bytes = new Datagram(Kind.ASKS, now, Map.of()).bytes();
                 some(now, ASKED, -1).forEach(peer -> letters.add(new OutboundPacket(peer, bytes)));
--- a/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -9,9 +9,9 @@
 import java.util.function.Function;
 import ploverdale.gossip.Datagram.Kind;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
 
 /**
  * How positions get round where each instance alone hears too few. One instance at a time collects: whose turn it is
@@ -95,7 +95,8 @@
         }
         pending.clear();
         upAt = now;
-        return words.isEmpty() ? List.of()
+        return words.isEmpty()
+                ? List.of()
                 : List.of(new OutboundPacket(collector(now), new Datagram(Kind.PLACES_UP, now, words).bytes()));
     }
 
@@ -103,8 +104,17 @@
         Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         places.forEach((id, p) -> {
             if (now - p.at <= WITHIN - UP_WITHIN && words.size() < Datagram.PLACES_MOST) {
-                words.put(Datagram.shortNumber(id), new ServerObservation(p.role, now, p.position, now, now, LoadReport.UNKNOWN_TIME,
-                        LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME));
+                words.put(
+                        Datagram.shortNumber(id),
+                        new ServerObservation(
+                                p.role,
+                                now,
+                                p.position,
+                                now,
+                                now,
+                                LoadReport.UNKNOWN_TIME,
+                                LoadReport.UNKNOWN_TIME,
+                                LoadReport.UNKNOWN_TIME));
             }
         });
         toldAt = words.isEmpty() ? toldAt : now;
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -17,50 +17,86 @@
  * @param coldSince when it last began cold
  * @param drainAt when it was listed as draining
  */
-public record ServerObservation(Role role, long roleAt, long position, long positionAt, long aliveAt, long silentAt, long coldSince,
+public record ServerObservation(
+        Role role,
+        long roleAt,
+        long position,
+        long positionAt,
+        long aliveAt,
+        long silentAt,
+        long coldSince,
         long drainAt) {
 
     /** Nothing known. */
-    public static final ServerObservation NONE = new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
-            LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
+    public static final ServerObservation NONE = new ServerObservation(
+            Role.UNKNOWN,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME);
 
     /** Both words in one. */
     public ServerObservation join(ServerObservation o) {
         boolean role = o.roleAt > roleAt || o.roleAt == roleAt && o.role.ordinal() > this.role.ordinal();
-        return new ServerObservation(role ? o.role : this.role, Math.max(roleAt, o.roleAt), Math.max(position, o.position),
-                Math.max(positionAt, o.positionAt), Math.max(aliveAt, o.aliveAt), Math.max(silentAt, o.silentAt),
-                Math.max(coldSince, o.coldSince), Math.max(drainAt, o.drainAt));
+        return new ServerObservation(
+                role ? o.role : this.role,
+                Math.max(roleAt, o.roleAt),
+                Math.max(position, o.position),
+                Math.max(positionAt, o.positionAt),
+                Math.max(aliveAt, o.aliveAt),
+                Math.max(silentAt, o.silentAt),
+                Math.max(coldSince, o.coldSince),
+                Math.max(drainAt, o.drainAt));
     }
 
     /** The same without what was learnt before a time, since it proves nothing any more; a drain and a cold start stay. */
     public ServerObservation since(long time) {
         boolean role = roleAt >= time;
         boolean placed = positionAt >= time;
-        return new ServerObservation(role ? this.role : Role.UNKNOWN, role ? roleAt : LoadReport.UNKNOWN_TIME,
-                placed ? position : LoadReport.UNKNOWN_TIME, placed ? positionAt : LoadReport.UNKNOWN_TIME,
-                aliveAt >= time ? aliveAt : LoadReport.UNKNOWN_TIME, silentAt >= time ? silentAt : LoadReport.UNKNOWN_TIME, coldSince, drainAt);
+        return new ServerObservation(
+                role ? this.role : Role.UNKNOWN,
+                role ? roleAt : LoadReport.UNKNOWN_TIME,
+                placed ? position : LoadReport.UNKNOWN_TIME,
+                placed ? positionAt : LoadReport.UNKNOWN_TIME,
+                aliveAt >= time ? aliveAt : LoadReport.UNKNOWN_TIME,
+                silentAt >= time ? silentAt : LoadReport.UNKNOWN_TIME,
+                coldSince,
+                drainAt);
     }
 
     /** The same with nothing learnt after a time; for words of a clock that runs ahead. */
     public ServerObservation notAfter(long time) {
-        return new ServerObservation(role, Math.min(roleAt, time), position, Math.min(positionAt, time), Math.min(aliveAt, time),
-                Math.min(silentAt, time), Math.min(coldSince, time), Math.min(drainAt, time));
+        return new ServerObservation(
+                role,
+                Math.min(roleAt, time),
+                position,
+                Math.min(positionAt, time),
+                Math.min(aliveAt, time),
+                Math.min(silentAt, time),
+                Math.min(coldSince, time),
+                Math.min(drainAt, time));
     }
 
     /** The same with a role that is not believed left out. */
     public ServerObservation withoutRole() {
-        return new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
+        return new ServerObservation(
+                Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** The same with no position. */
     public ServerObservation withoutPosition() {
-        return new ServerObservation(role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince, drainAt);
+        return new ServerObservation(
+                role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** The same, its role told earlier by so much. */
     public ServerObservation withRoleOlder(long by) {
-        return by == 0 || roleAt == LoadReport.UNKNOWN_TIME ? this : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt,
-                silentAt, coldSince, drainAt);
+        return by == 0 || roleAt == LoadReport.UNKNOWN_TIME
+                ? this
+                : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
     /** Whether somebody found it silent and nobody has heard of it since. */
--- a/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
+++ b/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
@@ -14,7 +14,11 @@
  */
 public final class ConnectionLimits<C> {
     /** Why a client's connection is to end. */
-    public enum Why { NO_GREETING, UNFINISHED, IDLE }
+    public enum Why {
+        NO_GREETING,
+        UNFINISHED,
+        IDLE
+    }
 
     /** Who is to end, and why. */
     public record Eviction<C>(C who, Why why, long sinceMs) {
@@ -181,12 +185,16 @@
      * about used up, so does each that is idle.
      */
     public Eviction<C> overdue(long nowMs) {
-        Eviction<C> l = oldest(strangers, nowMs, strangers.size() > clientsMost / STRANGERS_PART ? MOMENT_MS : UNFINISHED_MS,
+        Eviction<C> l = oldest(
+                strangers,
+                nowMs,
+                strangers.size() > clientsMost / STRANGERS_PART ? MOMENT_MS : UNFINISHED_MS,
                 Why.NO_GREETING);
         l = l != null ? l : oldest(unfinished, nowMs, UNFINISHED_MS, Why.UNFINISHED);
         l = l == null && clients > clientsMost / MANY_PART ? oldest(idle, nowMs, IDLE_MS, Why.IDLE) : l;
         return l == null && clients - strangers.size() > clientsMost / CROWDED_PART
-                ? oldest(idle, nowMs, MOMENT_MS, Why.IDLE) : l;
+                ? oldest(idle, nowMs, MOMENT_MS, Why.IDLE)
+                : l;
     }
 
     /** Since when what was said of a connection has held without a break; empty where it holds no more. */
--- a/gateway/src/main/java/ploverdale/membership/Membership.java
+++ b/gateway/src/main/java/ploverdale/membership/Membership.java
@@ -19,7 +19,13 @@
  */
 public final class Membership {
     /** How a member stands, in the order in which later words of the same incarnation override earlier ones. */
-    public enum MemberState { UNHEARD, ALIVE, SUSPECTED, LEAVING, GONE }
+    public enum MemberState {
+        UNHEARD,
+        ALIVE,
+        SUSPECTED,
+        LEAVING,
+        GONE
+    }
 
     /** A member's standing has changed. */
     public record Change(int member, MemberState was, MemberState is, long incarnation) {}
@@ -34,7 +40,8 @@
     private static final long ANSWER_WITHIN = 150 * MS; // several ways there and back; then others are asked
     private static final int OTHERS = 3; // asked when one does not answer; a lost way from here only is found out
     private static final double SUSPECTED_PERIODS = 4; // then gone, times the logarithm of the number of members
-    private static final double WITNESSES = 8; // who ask, on the average, when one is suspected; some suspicions are false
+    private static final double WITNESSES =
+            8; // who ask, on the average, when one is suspected; some suspicions are false
     private static final int NEWS_MOST = 12; // in a part
     private static final int NEWS_BYTES = 9;
     private static final int WORD_BITS = 7; // of an incarnation count what one start has said against suspicions
@@ -176,7 +183,9 @@
      * with a higher one (SWIM's refutation).
      */
     public void corrects(int from, PacketQueue out) {
-        out.add(from, new Part(UPDATES, update(ByteBuffer.allocate(NEWS_BYTES), from).array()));
+        out.add(
+                from,
+                new Part(UPDATES, update(ByteBuffer.allocate(NEWS_BYTES), from).array()));
     }
 
     /** One part of it; other kinds are somebody else's. */
@@ -211,7 +220,7 @@
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -234,7 +243,8 @@
                 return;
             }
             set(now, of, inc, is);
-            // A few of all who hear of a suspicion look for themselves, so that the dead are known soon in a large fleet too.
+            // A few of all who hear of a suspicion look for themselves, so that the dead are known soon in a large
+            // fleet too.
             if (is == MemberState.SUSPECTED && random.nextDouble() * (members.length - 1) < WITNESSES) {
                 questions.get(ask(now, of, me, 0, out)).witness = true;
             }
@@ -268,13 +278,23 @@
                 questions.remove(e.getKey());
                 Member m = members[q.of];
                 if (m.heardAt < q.at && (m.standing == MemberState.ALIVE || m.standing == MemberState.UNHEARD)) {
-                    set(now, q.of, m.incarnation, m.standing == MemberState.UNHEARD ? MemberState.GONE : MemberState.SUSPECTED);
-                } else if (m.heardAt < q.at && m.standing == MemberState.SUSPECTED && q.witness && m.incarnation == q.incarnation) {
+                    set(
+                            now,
+                            q.of,
+                            m.incarnation,
+                            m.standing == MemberState.UNHEARD ? MemberState.GONE : MemberState.SUSPECTED);
+                } else if (m.heardAt < q.at
+                        && m.standing == MemberState.SUSPECTED
+                        && q.witness
+                        && m.incarnation == q.incarnation) {
                     set(now, q.of, m.incarnation, MemberState.GONE); // found so by two who asked apart from one another
                 }
             } else if (!q.othersAsked && now - q.at >= ANSWER_WITHIN && members[q.of].heardAt < q.at) {
                 q.othersAsked = true;
-                byte[] content = ByteBuffer.allocate(6).putInt(e.getKey()).putShort((short) q.of).array();
+                byte[] content = ByteBuffer.allocate(6)
+                        .putInt(e.getKey())
+                        .putShort((short) q.of)
+                        .array();
                 some(OTHERS, q.of).forEach(other -> out.add(other, new Part(PING_REQUEST, content)));
             }
         }
@@ -330,7 +350,8 @@
     private void tellNews(int to, PacketQueue out) {
         List<Integer> told = new ArrayList<>();
         for (int i = 0; i < members.length; i++) {
-            boolean itself = i == to && (members[i].standing == MemberState.SUSPECTED || members[i].standing == MemberState.GONE);
+            boolean itself = i == to
+                    && (members[i].standing == MemberState.SUSPECTED || members[i].standing == MemberState.GONE);
             if (members[i].tellLeft > 0 && members[i].standing != MemberState.UNHEARD || itself) {
                 told.add(i);
             }
@@ -351,7 +372,9 @@
 
     private ByteBuffer update(ByteBuffer b, int member) {
         Member m = members[member];
-        return b.putShort((short) member).putShort((short) (m.incarnation >>> 32)).putInt((int) m.incarnation)
+        return b.putShort((short) member)
+                .putShort((short) (m.incarnation >>> 32))
+                .putInt((int) m.incarnation)
                 .put((byte) m.standing.ordinal());
     }
 }
--- a/gateway/src/main/java/ploverdale/membership/Packet.java
+++ b/gateway/src/main/java/ploverdale/membership/Packet.java
@@ -39,11 +39,16 @@
 
     /** The datagram. */
     public byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + CHECK + parts.stream().mapToInt(Part::length).sum());
+        ByteBuffer b = ByteBuffer.allocate(
+                HEAD + CHECK + parts.stream().mapToInt(Part::length).sum());
         if (b.capacity() > MOST) {
             throw new IllegalStateException("a parcel of " + b.capacity() + " bytes");
         }
-        b.put(MARK).put((byte) VERSION).putShort((short) (incarnation >>> 32)).putInt((int) incarnation).putInt(division);
+        b.put(MARK)
+                .put((byte) VERSION)
+                .putShort((short) (incarnation >>> 32))
+                .putInt((int) incarnation)
+                .putInt(division);
         for (Part p : parts) {
             b.put((byte) p.kind).put((byte) p.content.length).put(p.content);
         }
--- a/gateway/src/main/java/ploverdale/membership/PacketQueue.java
+++ b/gateway/src/main/java/ploverdale/membership/PacketQueue.java
@@ -38,7 +38,8 @@
 
     /** What is left now of the bytes that may be saved up, as a share; for what can wait. */
     public double left(long now) {
-        return Math.min(1, (purse + Math.max(0, now - purseAt) / SECOND * bytesPerSecond) / (bytesPerSecond * SAVED_SECONDS));
+        return Math.min(
+                1, (purse + Math.max(0, now - purseAt) / SECOND * bytesPerSecond) / (bytesPerSecond * SAVED_SECONDS));
     }
 
     /** What can go now; parts over the budget are dropped, since each is told again when it still matters. */
--- a/gateway/src/main/java/ploverdale/model/Capabilities.java
+++ b/gateway/src/main/java/ploverdale/model/Capabilities.java
@@ -2,5 +2,9 @@
 
 /** What a gateway may do here. */
 public record Capabilities(
-        int attemptsPerRequest, boolean cancel, boolean probes, boolean retryAfterAllowed, long longestRetryAfter,
+        int attemptsPerRequest,
+        boolean cancel,
+        boolean probes,
+        boolean retryAfterAllowed,
+        long longestRetryAfter,
         boolean peerMessages) {}
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -8,8 +8,17 @@
 
     /** The gateway starts and knows nothing but this; it is number me of the gateways. */
     record Started(
-            long seed, int gateways, List<RequestClass> requestClasses, List<Tenant> tenants, double beyondShareValue,
-            ServerGuarantees guarantees, Capabilities capabilities, ReplicaGuarantees copies, boolean listOnDemand, int me) implements Event {}
+            long seed,
+            int gateways,
+            List<RequestClass> requestClasses,
+            List<Tenant> tenants,
+            double beyondShareValue,
+            ServerGuarantees guarantees,
+            Capabilities capabilities,
+            ReplicaGuarantees copies,
+            boolean listOnDemand,
+            int me)
+            implements Event {}
 
     /** The list of servers, whole or its changes; failed when asking for it brought none. */
     record EndpointUpdate(boolean whole, boolean failed, List<Endpoint> endpoints) implements Event {}
@@ -19,16 +28,31 @@
      * little later than now.
      */
     record RequestArrived(
-            RequestId request, RequestClassId type, TenantId tenant, GroupId group, SessionId session, long timeoutAt,
-            boolean again, long expectedWork, long tokenAge) implements Event {}
+            RequestId request,
+            RequestClassId type,
+            TenantId tenant,
+            GroupId group,
+            SessionId session,
+            long timeoutAt,
+            boolean again,
+            long expectedWork,
+            long tokenAge)
+            implements Event {}
 
     /** The answer to a streamed op has begun. */
     record ResponseStarted(RequestId request, int send, ServerId server) implements Event {}
 
     /** A send has ended; settled when the op has, too. Either report may be null. */
     record AttemptEnded(
-            RequestId request, int send, ServerId server, Outcome outcome, long took, boolean settled, LoadReport note,
-            LoadReport report) implements Event {}
+            RequestId request,
+            int send,
+            ServerId server,
+            Outcome outcome,
+            long took,
+            boolean settled,
+            LoadReport note,
+            LoadReport report)
+            implements Event {}
 
     /** The client has gone. */
     record ClientDisconnected(RequestId request) implements Event {}
@@ -59,8 +83,15 @@
 
     /** How a send ended. Cut off: on the way to a connection, by whom is not known; broken off: after it was sent. */
     enum Outcome {
-        ACKED(false, true), ERRORED(false, true), FULL(true, true), TIMED_OUT(false, false),
-        CONNECT_FAILED(true, false), CONNECT_INTERRUPTED(true, false), CONNECTION_LOST(false, false), CANCELLED(false, false), NEVER_SENT(true, false),
+        ACKED(false, true),
+        ERRORED(false, true),
+        FULL(true, true),
+        TIMED_OUT(false, false),
+        CONNECT_FAILED(true, false),
+        CONNECT_INTERRUPTED(true, false),
+        CONNECTION_LOST(false, false),
+        CANCELLED(false, false),
+        NEVER_SENT(true, false),
         MISDIRECTED(true, true);
 
         /** True when this proves that the op did not run. */
--- a/gateway/src/main/java/ploverdale/model/LoadReport.java
+++ b/gateway/src/main/java/ploverdale/model/LoadReport.java
@@ -11,5 +11,9 @@
     public static final long UNKNOWN_TIME = Long.MIN_VALUE / 4;
 
     /** A member's part in its group. */
-    public enum Role { UNKNOWN, PRIMARY, REPLICA }
+    public enum Role {
+        UNKNOWN,
+        PRIMARY,
+        REPLICA
+    }
 }
--- a/gateway/src/main/java/ploverdale/model/Quota.java
+++ b/gateway/src/main/java/ploverdale/model/Quota.java
@@ -6,7 +6,11 @@
  */
 public interface Quota {
     /** What a probe is for: its time has come, an op needs the word, or a sign of trouble. */
-    enum HealthCheckReason { TIMED, ASKED, OTHER }
+    enum HealthCheckReason {
+        TIMED,
+        ASKED,
+        OTHER
+    }
 
     /**
      * Spends one op of a tenant's agreed traffic; false where none is to be had now.
--- a/gateway/src/main/java/ploverdale/model/ReplicaGuarantees.java
+++ b/gateway/src/main/java/ploverdale/model/ReplicaGuarantees.java
@@ -4,5 +4,9 @@
 public record ReplicaGuarantees(StalenessCheck checks, long checkWait, boolean tokensCarried) {
 
     /** What a replica does with a read for which it lags too far. */
-    public enum StalenessCheck { NONE, TURNS_AWAY, WAITS }
+    public enum StalenessCheck {
+        NONE,
+        TURNS_AWAY,
+        WAITS
+    }
 }
--- a/gateway/src/main/java/ploverdale/net/AcceptRetry.java
+++ b/gateway/src/main/java/ploverdale/net/AcceptRetry.java
@@ -23,7 +23,8 @@
         Channel listener = context.channel();
         if (listener.config().isAutoRead()) {
             listener.config().setAutoRead(false);
-            listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), RETRY_AFTER_MS, TimeUnit.MILLISECONDS);
+            listener.eventLoop()
+                    .schedule(() -> listener.config().setAutoRead(true), RETRY_AFTER_MS, TimeUnit.MILLISECONDS);
         }
         context.fireExceptionCaught(failure);
     }
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -1,9 +1,5 @@
 package ploverdale.net;
 
-import ploverdale.net.postgres.ClientMessage;
-import ploverdale.net.postgres.ClientMessageReader;
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
 import io.netty.channel.socket.DuplexChannel;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -20,18 +16,22 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
-import ploverdale.shutdown.Traffic;
+import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
-import ploverdale.model.GroupId;
 import ploverdale.model.Event;
-import ploverdale.model.RequestId;
+import ploverdale.model.GroupId;
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClassId;
+import ploverdale.model.RequestId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
-import ploverdale.limits.ConnectionLimits;
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
 import ploverdale.settings.GatewaySettings;
+import ploverdale.shutdown.Traffic;
 
 /**
  * Owns the clients' connections and the ops taken from them: reads queries, tells the module of each op, and
@@ -40,17 +40,20 @@
  */
 public final class ClientConnections {
     private static final int AHEAD_MOST = 8; // commands of one client taken before their answers are out
-    // Bytes of requests of one client that wait behind these; further requests are refused. The end of a connection comes
+    // Bytes of requests of one client that wait behind these; further requests are refused. The end of a connection
+    // comes
     // behind its bytes, so a client that has closed is known only once all that it wrote has been read.
     private static final int READ_AHEAD_MOST = 64 * 1024;
     private static final int QUEUED_COST = 64; // bytes that a queued message takes beside its text
     private static final int QUEUED_MOST = 4 * READ_AHEAD_MOST; // then no more is read, and what is queued is refused
     private static final int BEHIND_MOST = 1000; // requests answered behind a message that ends the connection
-    // An attempt may begin up to 100 ms after its client closed; a connection read longer ago than this is read once more first.
+    // An attempt may begin up to 100 ms after its client closed; a connection read longer ago than this is read once
+    // more first.
     private static final long READ_LATELY_MS = 20;
     private static final int DROPPED_MOST = 64 * 1024; // of what a client writes after its end
     private static final long PARTING_MS = 500; // for a client to close, too, once its connection has been ended here
-    private static final long GREETING_WAIT_MS = 100; // of a connection that is refused, for what its client has written
+    private static final long GREETING_WAIT_MS =
+            100; // of a connection that is refused, for what its client has written
     private static final long LOOK_MS = 20;
     private static final long LAST_RESORT_MS = 250; // after a request's time; half of what an answer may be late
     private static final long SILENT_MS = 20; // for a greeting, once the gateway ends connections
@@ -60,10 +63,11 @@
     private static final String BUSY = "53300";
     private static final ClientMessage.InvalidQuery TOO_MUCH =
             new ClientMessage.InvalidQuery(BUSY, "too many requests at once, trying again does no harm", false);
-    private static final ClientMessage.InvalidQuery CANCELED =
-            new ClientMessage.InvalidQuery("57014", "canceled on the client's request; whether it ran is not known", false);
+    private static final ClientMessage.InvalidQuery CANCELED = new ClientMessage.InvalidQuery(
+            "57014", "canceled on the client's request; whether it ran is not known", false);
     private static final String ENDS_SOON = "this gateway ends, trying again does no harm";
-    private static final long UNREAD_LEAST_MS = 5000; // for a client to read on, or as long as an op may take, before it is closed
+    private static final long UNREAD_LEAST_MS =
+            5000; // for a client to read on, or as long as an op may take, before it is closed
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
     interface RequestHistoryLookup {
@@ -78,7 +82,8 @@
         private final long lastResortMs;
         private int sends;
 
-        private AcceptedRequest(ClientMessage.RequestQuery ask, Session session, PendingResponse slot, long lastResortMs) {
+        private AcceptedRequest(
+                ClientMessage.RequestQuery ask, Session session, PendingResponse slot, long lastResortMs) {
             this.lastResortMs = lastResortMs;
             this.ask = ask;
             this.session = session;
@@ -118,7 +123,7 @@
     private final SplittableRandom secrets = new SplittableRandom();
     private int processes;
     private long load; // bytes of ops in hand, of messages not yet whole and of answers not yet read
-    private LongConsumer asked = x -> { };
+    private LongConsumer asked = x -> {};
     private RequestHistoryLookup past; // null where gateways keep nothing together
     private boolean ready;
     private boolean ending;
@@ -127,15 +132,26 @@
     private final Set<NetSocket> parting = new LinkedHashSet<>(); // ended here and not yet by their clients
     private long answersBy = Long.MAX_VALUE;
 
-    public ClientConnections(Vertx vertx, Log log, RouterEventLoop loop, GatewaySettings settings, ConnectionLimits<Session> limits, ServerClock time) {
+    public ClientConnections(
+            Vertx vertx,
+            Log log,
+            RouterEventLoop loop,
+            GatewaySettings settings,
+            ConnectionLimits<Session> limits,
+            ServerClock time) {
         this.time = time;
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
         this.settings = settings;
         this.limits = limits;
-        unreadMs = Math.max(UNREAD_LEAST_MS,
-                settings.started().requestClasses().stream().mapToLong(RequestClass::timeout).max().orElse(0) / 10);
+        unreadMs = Math.max(
+                UNREAD_LEAST_MS,
+                settings.started().requestClasses().stream()
+                                .mapToLong(RequestClass::timeout)
+                                .max()
+                                .orElse(0)
+                        / 10);
         vertx.setPeriodic(LOOK_MS, x -> look());
     }
 
@@ -151,7 +167,8 @@
         for (ConnectionLimits.Eviction<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
             end(l);
         }
-        for (ConnectionLimits.Eviction<Session> l = ending ? limits.silentFor(SILENT_MS, nowMs()) : null; l != null;
+        for (ConnectionLimits.Eviction<Session> l = ending ? limits.silentFor(SILENT_MS, nowMs()) : null;
+                l != null;
                 l = limits.silentFor(SILENT_MS, nowMs())) {
             end(l);
         }
@@ -160,7 +177,8 @@
     /** Answers what the router has left unanswered beyond its time, whatever the cause: each request gets its final answer. */
     private void answerOverdue() {
         long now = nowMs();
-        List<AcceptedRequest> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
+        List<AcceptedRequest> overdue =
+                taken.values().stream().filter(t -> now > t.lastResortMs).toList();
         for (AcceptedRequest t : overdue) {
             RequestId request = new RequestId(t.ask.id());
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
@@ -182,13 +200,17 @@
         }
         if (l.why() == ConnectionLimits.Why.IDLE) {
             if (l.who().closeIfIdle()) {
-                log.often("idle client connection", "ended after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
+                log.often(
+                        "idle client connection",
+                        "ended after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
             } else {
                 limits.asks(l.who()); // it is not named again before it has been answered
             }
             return;
         }
-        String what = l.why() == ConnectionLimits.Why.NO_GREETING ? "client without a greeting" : "client with an unfinished message";
+        String what = l.why() == ConnectionLimits.Why.NO_GREETING
+                ? "client without a greeting"
+                : "client with an unfinished message";
         log.often(what, "closed after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
         // What ends for this gateway's sake is refused, since its client may have written a request meanwhile.
         l.who().giveUp(ending ? "57P03" : l.forRoom() ? BUSY : "08P01", what);
@@ -208,7 +230,7 @@
         if (!limits.clientFits()) {
             log.often("no room for a connection", "of a client, " + limits.clients() + " of clients");
             limits.turnedAway();
-            socket.exceptionHandler(e -> { });
+            socket.exceptionHandler(e -> {});
             long waitMs = limits.over() > 0 ? 0 : GREETING_WAIT_MS;
             RefusedConnection refused = new RefusedConnection(socket, this::cancel, () -> part(socket));
             socket.closeHandler(x -> {
@@ -246,7 +268,8 @@
         unsent++;
         socket.write(Buffer.buffer()).onComplete(r -> {
             unsent--;
-            if (r.succeeded() && ((NetSocketInternal) socket).channelHandlerContext().channel() instanceof DuplexChannel c) {
+            if (r.succeeded()
+                    && ((NetSocketInternal) socket).channelHandlerContext().channel() instanceof DuplexChannel c) {
                 c.shutdownOutput();
             }
         });
@@ -256,11 +279,14 @@
     /** Reads and drops what still comes on a connection whose output has ended, and closes it after a while. */
     private void dropInput(NetSocket socket) {
         parting.add(socket);
-        // Guards against floods that cost a busy gateway the time to read what nobody wants: they are left where they are.
+        // Guards against floods that cost a busy gateway the time to read what nobody wants: they are left where they
+        // are.
         int[] dropped = {0};
         socket.handler(more -> {
             dropped[0] += more.length();
-            log.often("client bytes after its end", more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
+            log.often(
+                    "client bytes after its end",
+                    more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
             if (dropped[0] > DROPPED_MOST) {
                 socket.pause();
             }
@@ -391,7 +417,9 @@
     }
 
     public void errored(RequestId request) {
-        answer(request, MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
+        answer(
+                request,
+                MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
     }
 
     /**
@@ -470,7 +498,9 @@
             readAt = nowMs();
             bytesRead += more.length();
             if (closed || framingLost) {
-                log.often("client bytes after its end", more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
+                log.often(
+                        "client bytes after its end",
+                        more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
                 return;
             }
             reading = true;
@@ -570,7 +600,9 @@
                 }
                 if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                     framingLost = !stream.skipMessage();
-                } else if (m instanceof ClientMessage.RequestQuery || m instanceof ClientMessage.EmptyQuery || m instanceof ClientMessage.InvalidQuery) {
+                } else if (m instanceof ClientMessage.RequestQuery
+                        || m instanceof ClientMessage.EmptyQuery
+                        || m instanceof ClientMessage.InvalidQuery) {
                     behind = Math.min(BEHIND_MOST, behind + 1);
                 }
             }
@@ -651,7 +683,8 @@
                 put(MessageWriter.readyForQuery());
             } else if (m instanceof ClientMessage.UnsupportedMessage n && !skipping) {
                 skipping = n.untilSync();
-                put(MessageWriter.errorResponse("0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
+                put(MessageWriter.errorResponse(
+                        "0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
             } else if ((m == TOO_MUCH || m == CANCELED) && !skipping) {
                 ClientMessage.InvalidQuery not = (ClientMessage.InvalidQuery) m;
                 log.often("client's request not run", not.text());
@@ -728,8 +761,16 @@
             Consistency needs = settings.started().requestClasses().get(type).needs();
             boolean inSession = ask.key() != null && (needs == Consistency.WRITE || needs == Consistency.SESSION);
             long tokenAge = ask.afterMs() <= 0 ? 0 : time.tokenAge(now, ask.afterMs() * 10); // 0 is the word for none
-            Event.RequestArrived arrived = new Event.RequestArrived(request, new RequestClassId(type), new TenantId(tenant),
-                    new GroupId(ask.group()), inSession ? new SessionId(ask.key()) : null, timeoutAt, ask.again(), 0, tokenAge);
+            Event.RequestArrived arrived = new Event.RequestArrived(
+                    request,
+                    new RequestClassId(type),
+                    new TenantId(tenant),
+                    new GroupId(ask.group()),
+                    inSession ? new SessionId(ask.key()) : null,
+                    timeoutAt,
+                    ask.again(),
+                    0,
+                    tokenAge);
             if (past == null) {
                 loop.tell(arrived);
             } else {
@@ -748,7 +789,8 @@
                 }
                 if (s.ends) {
                     for (int i = 0; i < behind && !closed; i++) {
-                        socket.write(MessageWriter.errorResponse(BUSY, "not run, this connection ends", null, false, true));
+                        socket.write(
+                                MessageWriter.errorResponse(BUSY, "not run, this connection ends", null, false, true));
                     }
                     close();
                 }
@@ -807,7 +849,12 @@
         }
 
         private boolean waitsForNothing() {
-            return !closed && slots.isEmpty() && waiting.isEmpty() && stream.greeted() && stream.held() == 0 && first == null;
+            return !closed
+                    && slots.isEmpty()
+                    && waiting.isEmpty()
+                    && stream.greeted()
+                    && stream.held() == 0
+                    && first == null;
         }
 
         private boolean owesAnswer() {
--- a/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
@@ -11,13 +11,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.model.GroupId;
 import ploverdale.model.Endpoint;
+import ploverdale.model.GroupId;
 import ploverdale.model.ServerId;
 import ploverdale.model.ZoneId;
-import ploverdale.settings.JsonFields;
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.InvalidSettingsException;
+import ploverdale.settings.JsonFields;
 
 /**
  * Owns the reading and checking of what a gateway is told at its start (the JSON file that EDGE_CONFIG names) and
@@ -25,8 +25,15 @@
  * are figures.
  */
 public record ConfigurationFile(
-        String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets, GatewaySettings settings,
-        ServerList known, InetSocketAddress peerListen, List<InetSocketAddress> peers) {
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        GatewaySettings settings,
+        ServerList known,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers) {
 
     /** A list of servers, whole or its changes, with where each is reached; unusable entries are left out. */
     public record ServerList(long revision, boolean whole, List<Entry> entries, List<String> leftOut) {}
@@ -60,15 +67,25 @@
         if (!all.has("known")) {
             throw new InvalidSettingsException("configuration without field known");
         }
-        return new ConfigurationFile(all.text("name"), address("listen", all.text("listen")),
-                address("discovery", all.text("discovery")), seed(all.text("seed")), (int) sockets, settings,
-                serverList(all.object("known"), settings), peerListen(all, settings), peers(all, settings));
+        return new ConfigurationFile(
+                all.text("name"),
+                address("listen", all.text("listen")),
+                address("discovery", all.text("discovery")),
+                seed(all.text("seed")),
+                (int) sockets,
+                settings,
+                serverList(all.object("known"), settings),
+                peerListen(all, settings),
+                peers(all, settings));
     }
 
     /** Where other instances' words come in; null where there are none or words are not allowed. */
     private static InetSocketAddress peerListen(JsonFields all, GatewaySettings settings) {
-        return all.has("peer_listen") && all.list("peers").size() > 1 && settings.started().capabilities().peerMessages()
-                ? address("peer_listen", all.text("peer_listen")) : null;
+        return all.has("peer_listen")
+                        && all.list("peers").size() > 1
+                        && settings.started().capabilities().peerMessages()
+                ? address("peer_listen", all.text("peer_listen"))
+                : null;
     }
 
     private static List<InetSocketAddress> peers(JsonFields all, GatewaySettings settings) {
@@ -77,8 +94,8 @@
             peers.add(address("peers", String.valueOf(o)));
         }
         if (!peers.isEmpty() && peers.size() != settings.started().gateways()) {
-            throw new InvalidSettingsException("configuration with a field peers of " + peers.size() + ", settings with "
-                    + settings.started().gateways() + " instances");
+            throw new InvalidSettingsException("configuration with a field peers of " + peers.size()
+                    + ", settings with " + settings.started().gateways() + " instances");
         }
         return peers;
     }
@@ -137,15 +154,22 @@
             throw new InvalidSettingsException(id + " without an address that can be used: " + e.text("host_port", ""));
         }
         int zone = settings.zones().indexOf(e.text("locality", ""));
-        return new Entry(new Endpoint(new ServerId(id), new GroupId((long) e.number("cell", 0)),
-                new ZoneId(zone < 0 ? settings.zones().size() : zone), stage, e.text("rank", "").equals("source"),
-                JsonFields.up(e.number("up_since_ms", 0))), address);
+        return new Entry(
+                new Endpoint(
+                        new ServerId(id),
+                        new GroupId((long) e.number("cell", 0)),
+                        new ZoneId(zone < 0 ? settings.zones().size() : zone),
+                        stage,
+                        e.text("rank", "").equals("source"),
+                        JsonFields.up(e.number("up_since_ms", 0))),
+                address);
     }
 
     private static InetSocketAddress address(String field, String text) {
         InetSocketAddress a = parse(text);
         if (a == null) {
-            throw new InvalidSettingsException("configuration with a field " + field + " that is no address and port: " + text);
+            throw new InvalidSettingsException(
+                    "configuration with a field " + field + " that is no address and port: " + text);
         }
         return a;
     }
@@ -158,11 +182,14 @@
         }
         String host = text.substring(0, colon);
         boolean six = host.startsWith("[") && host.endsWith("]");
-        boolean figures = six ? host.substring(1, host.length() - 1).matches("[0-9a-fA-F:.]+")
+        boolean figures = six
+                ? host.substring(1, host.length() - 1).matches("[0-9a-fA-F:.]+")
                 : host.matches("\\d{1,3}(\\.\\d{1,3}){3}");
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return figures && port >= 0 && port < 65536 ? new InetSocketAddress(InetAddress.getByName(host), port) : null;
+            return figures && port >= 0 && port < 65536
+                    ? new InetSocketAddress(InetAddress.getByName(host), port)
+                    : null;
         } catch (NumberFormatException | java.net.UnknownHostException e) {
             return null;
         }
--- a/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
+++ b/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
@@ -26,9 +26,14 @@
     CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
     // EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM, EACCES as the C library words them.
-    private static final List<String> LOCAL_TEXTS = List.of("Too many open files", "No buffer space available",
-            "Cannot allocate memory", "Cannot assign requested address", "Resource temporarily unavailable",
-            "Operation not permitted", "Permission denied");
+    private static final List<String> LOCAL_TEXTS = List.of(
+            "Too many open files",
+            "No buffer space available",
+            "Cannot allocate memory",
+            "Cannot assign requested address",
+            "Resource temporarily unavailable",
+            "Operation not permitted",
+            "Permission denied");
     // ENETUNREACH, ENETDOWN
     private static final List<String> NO_ROUTE_TEXTS = List.of("Network is unreachable", "Network is down");
 
@@ -53,8 +58,10 @@
     /** Classifies what a failed connect, or a failed write, was completed with. */
     static ConnectionFailure of(Throwable failure) {
         String text = String.valueOf(failure.getMessage());
-        if (failure instanceof ChannelException || failure instanceof BindException
-                || failure.getCause() instanceof BindException || startsWithAny(text, LOCAL_TEXTS)) {
+        if (failure instanceof ChannelException
+                || failure instanceof BindException
+                || failure.getCause() instanceof BindException
+                || startsWithAny(text, LOCAL_TEXTS)) {
             return LOCAL;
         }
         if (startsWithAny(text, NO_ROUTE_TEXTS)) {
--- a/gateway/src/main/java/ploverdale/net/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/Discovery.java
@@ -19,9 +19,9 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.net.ConfigurationFile.ServerList;
-import ploverdale.settings.JsonFields;
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.InvalidSettingsException;
+import ploverdale.settings.JsonFields;
 
 /**
  * Owns the talk with discovery: asks for the whole list at start and then watches it, one call after the other, at
@@ -29,13 +29,16 @@
  */
 public final class Discovery {
     private static final String PATH = "/registry/instances";
-    // A change counts as told 6 s after discovery had it and could be reached, whatever became of a call. Within that time a
+    // A change counts as told 6 s after discovery had it and could be reached, whatever became of a call. Within that
+    // time a
     // watch that fell silent is given up and a few further calls may fail: 2 + 1.2 s, then calls of 1.2 s each.
     private static final long HOLD_MS = 2000; // a watch
     private static final long GRACE_MS = 1200; // past a watch, or for a call without one, before the next call is made
-    private static final long AGAIN_FIRST_MS = 100; // after a failed call; doubled, and up to half as much more by chance
+    private static final long AGAIN_FIRST_MS =
+            100; // after a failed call; doubled, and up to half as much more by chance
     private static final long AGAIN_MOST_MS = 400;
-    // One that does not come up holds up no later call. A call that is overdue keeps its connection until a later one is
+    // One that does not come up holds up no later call. A call that is overdue keeps its connection until a later one
+    // is
     // answered or needs it: discovery may be slow rather than gone, and then no call is answered within the grace.
     private static final int CONNECTIONS_MOST = 3;
     private static final int KEEP_ALIVE_S = 2; // for an idle connection; longer than the longest wait between two calls
@@ -57,8 +60,14 @@
     private boolean lost;
     private boolean stopped;
 
-    public Discovery(Vertx vertx, Log log, GatewaySettings settings, InetSocketAddress at, RandomGenerator random,
-            Consumer<ServerList> told, Clock clock) {
+    public Discovery(
+            Vertx vertx,
+            Log log,
+            GatewaySettings settings,
+            InetSocketAddress at,
+            RandomGenerator random,
+            Consumer<ServerList> told,
+            Clock clock) {
         this.clock = clock;
         this.random = random;
         this.vertx = vertx;
@@ -67,7 +76,10 @@
         this.at = at;
         this.told = told;
         http = vertx.createHttpClient(
-                new HttpClientOptions().setConnectTimeout((int) GRACE_MS).setTcpNoDelay(true).setKeepAliveTimeout(KEEP_ALIVE_S),
+                new HttpClientOptions()
+                        .setConnectTimeout((int) GRACE_MS)
+                        .setTcpNoDelay(true)
+                        .setKeepAliveTimeout(KEEP_ALIVE_S),
                 new PoolOptions().setHttp1MaxSize(CONNECTIONS_MOST).setMaxWaitQueueSize(CONNECTIONS_MOST));
     }
 
@@ -122,27 +134,33 @@
         if (calls.size() >= CONNECTIONS_MOST) {
             calls.peekFirst().end();
         }
-        long hold = revision < 0 || lost ? 0 : HOLD_MS; // after a loss the first call is to show soon whether it is over
+        long hold =
+                revision < 0 || lost ? 0 : HOLD_MS; // after a loss the first call is to show soon whether it is over
         String uri = revision < 0 ? PATH : PATH + "?from=" + revision + "&hold_ms=" + hold;
-        RequestOptions what = new RequestOptions().setMethod(HttpMethod.GET).setURI(uri)
-                .setHost(at.getAddress().getHostAddress()).setPort(at.getPort());
+        RequestOptions what = new RequestOptions()
+                .setMethod(HttpMethod.GET)
+                .setURI(uri)
+                .setHost(at.getAddress().getHostAddress())
+                .setPort(at.getPort());
         Call call = new Call();
         calls.addLast(call);
         call.graceTimer = vertx.setTimer(hold + GRACE_MS, x -> overdue(call, hold > 0));
-        http.request(what).compose(r -> {
-            if (call.over) {
-                r.reset(); // a later call has taken its place
-                return Future.failedFuture("not wanted any more");
-            }
-            call.request = r;
-            return r.send();
-        }).onComplete(r -> {
-            if (r.failed()) {
-                failed(call, String.valueOf(r.cause().getMessage()));
-            } else {
-                collect(call, r.result());
-            }
-        });
+        http.request(what)
+                .compose(r -> {
+                    if (call.over) {
+                        r.reset(); // a later call has taken its place
+                        return Future.failedFuture("not wanted any more");
+                    }
+                    call.request = r;
+                    return r.send();
+                })
+                .onComplete(r -> {
+                    if (r.failed()) {
+                        failed(call, String.valueOf(r.cause().getMessage()));
+                    } else {
+                        collect(call, r.result());
+                    }
+                });
     }
 
     private void collect(Call call, HttpClientResponse answer) {
@@ -179,8 +197,7 @@
         call.end();
         endCalls(); // what they would tell is as old, or older
         if (lost) {
-            log.line("discovery back after " + (clock.monotonicMs() - lostAt) + " ms, revision "
-                    + list.revision());
+            log.line("discovery back after " + (clock.monotonicMs() - lostAt) + " ms, revision " + list.revision());
         }
         lost = false;
         again = AGAIN_FIRST_MS;
@@ -227,7 +244,8 @@
             lostAt = clock.monotonicMs();
             log.line("discovery lost: " + why);
         }
-        askIn(again + random.nextLong(again / 2)); // so that gateways that lost it together do not all come back at once
+        askIn(again
+                + random.nextLong(again / 2)); // so that gateways that lost it together do not all come back at once
         again = Math.min(AGAIN_MOST_MS, again * 2);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -1,6 +1,5 @@
 package ploverdale.net;
 
-import ploverdale.net.postgres.MessageWriter;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -11,7 +10,6 @@
 import io.vertx.core.net.NetServerOptions;
 import io.vertx.core.spi.transport.Transport;
 import java.net.BindException;
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
@@ -21,18 +19,19 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
-import ploverdale.quota.QuotaSettings;
 import ploverdale.clock.Clock;
-import ploverdale.shutdown.GracefulShutdown;
+import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.Event;
 import ploverdale.model.Endpoint;
-import ploverdale.model.RequestId;
+import ploverdale.model.Event;
 import ploverdale.model.RequestClass;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
-import ploverdale.limits.ConnectionLimits;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.quota.QuotaSettings;
+import ploverdale.shutdown.GracefulShutdown;
 
 /**
  * Owns the parts of one gateway: starts them in order, passes each action of the module to the part that carries
@@ -47,7 +46,8 @@
     private static final long START_LOOK_MS = 10;
     private static final long WORDS_WITHIN_MS = 100; // of other instances, before service begins without them
     private static final long LOOK_MS = 20;
-    private static final long LONGEST_COUNTED_MS = 3000; // the platform kills no earlier than after the longest op timeout,
+    private static final long LONGEST_COUNTED_MS =
+            3000; // the platform kills no earlier than after the longest op timeout,
     private static final long KILLED_AFTER_MS = 700; // counted up to this, and this much more
 
     private final Vertx vertx;
@@ -70,7 +70,12 @@
     /** When a server last started, as the list dates it and as service time. */
     private record Start(long wall, long serviceTime) {}
 
-    private Gateway(Vertx vertx, Context context, Log log, ConfigurationFile file, Optional<QuotaSettings> quotaSettings,
+    private Gateway(
+            Vertx vertx,
+            Context context,
+            Log log,
+            ConfigurationFile file,
+            Optional<QuotaSettings> quotaSettings,
             Clock clock) {
         this.vertx = vertx;
         this.log = log;
@@ -78,8 +83,15 @@
         time = new ServerClock(log, clock);
         vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
-        fleet = quotaSettings.isEmpty() || file.peerListen() == null ? null
-                : new MembershipTransport(vertx, log, quotaSettings.get(), file.settings().started(), (to, bytes) -> peers().send(to, bytes), time);
+        fleet = quotaSettings.isEmpty() || file.peerListen() == null
+                ? null
+                : new MembershipTransport(
+                        vertx,
+                        log,
+                        quotaSettings.get(),
+                        file.settings().started(),
+                        (to, bytes) -> peers().send(to, bytes),
+                        time);
         loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
         clients = new ClientConnections(vertx, log, loop, file.settings(), limits, time);
         servers = new ServerConnections(vertx, log, file.settings(), limits, this::makeRoom, time);
@@ -90,13 +102,24 @@
         if (fleet != null) {
             peers.readFirst(fleet::hears);
         }
-        past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicationCoordinator(vertx, log, loop, clients,
-                file.settings(), quotaSettings.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
+        past = fleet == null || fleet.shared().replicas() == null
+                ? null
+                : new ReplicationCoordinator(
+                        vertx,
+                        log,
+                        loop,
+                        clients,
+                        file.settings(),
+                        quotaSettings.get().keeping(),
+                        fleet.shared().replicas(),
+                        fleet::keeps,
+                        time);
         if (past != null) {
             clients.past(past);
             fleet.whenHeard(past::ended);
         }
-        discovery = new Discovery(vertx, log, file.settings(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
+        discovery = new Discovery(
+                vertx, log, file.settings(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
         time.whenChanged(this::datedAnew);
     }
 
@@ -116,10 +139,17 @@
 
     private static Vertx vertx(SleepingTransport transport) {
         System.setProperty("vertx.disableDnsResolver", "true");
-        return Vertx.builder().withTransport(transport).with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setBlockedThreadCheckInterval(60_000)
-                .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
-                        .setClassPathResolvingEnabled(false))).build();
+        return Vertx.builder()
+                .withTransport(transport)
+                .with(new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setBlockedThreadCheckInterval(60_000)
+                        .setFileSystemOptions(new FileSystemOptions()
+                                .setFileCachingEnabled(false)
+                                .setClassPathResolvingEnabled(false)))
+                .build();
     }
 
     /** Practises, then starts a gateway; done when it listens. */
@@ -137,9 +167,11 @@
         return start(vertx, log, file, fleet, Clock.system());
     }
 
-    private static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
+    private static Future<Gateway> start(
+            Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Context context = vertx.getOrCreateContext();
-        return StartupWarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
+        return StartupWarmUp.run(vertx, log, file, clock)
+                .compose(x -> unpractised(vertx, context, log, file, fleet, clock));
     }
 
     /** Starts a gateway as it is, for one that has practised in this process; done when it listens. */
@@ -152,8 +184,8 @@
         return unpractised(vertx, context, log, file, Optional.empty(), clock);
     }
 
-    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet,
-            Clock clock) {
+    private static Future<Gateway> unpractised(
+            Vertx vertx, Context context, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Promise<Gateway> listening = Promise.promise();
         context.runOnContext(x -> new Gateway(vertx, context, log, file, fleet, clock).listen(listening));
         return listening.future();
@@ -171,7 +203,10 @@
 
     /** Listens for clients; again a little later where this machine lacked descriptors or buffers for the socket. */
     private Future<NetServer> bindListener(int triesLeft) {
-        return vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true).setAcceptBacklog(1024))
+        return vertx.createNetServer(new NetServerOptions()
+                        .setTcpNoDelay(true)
+                        .setReuseAddress(true)
+                        .setAcceptBacklog(1024))
                 .connectHandler(clients::accept)
                 .listen(file.listen().getPort(), file.listen().getAddress().getHostAddress())
                 .recover(e -> {
@@ -195,14 +230,21 @@
             listed(file.known());
             discovery.follow();
             long since = time.clock().monotonicMs();
-            when(() -> peers == null ? firstProbesEnded() : peers.heard() ? probesEnded > 0
-                            : firstProbesEnded() && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
-                    (int) (file.settings().connectLimit() / 10 / START_LOOK_MS) + 1, 1, () -> {
-                clients.ready();
-                log.line("gateway " + file.name() + " listens at " + file.listen().getAddress().getHostAddress()
-                        + ":" + port() + ", " + file.known().entries().size() + " servers known");
-                listening.complete(this);
-            });
+            when(
+                    () -> peers == null
+                            ? firstProbesEnded()
+                            : peers.heard()
+                                    ? probesEnded > 0
+                                    : firstProbesEnded() && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
+                    (int) (file.settings().connectLimit() / 10 / START_LOOK_MS) + 1,
+                    1,
+                    () -> {
+                        clients.ready();
+                        log.line("gateway " + file.name() + " listens at "
+                                + file.listen().getAddress().getHostAddress() + ":" + port() + ", "
+                                + file.known().entries().size() + " servers known");
+                        listening.complete(this);
+                    });
         });
     }
 
@@ -214,8 +256,19 @@
     /** What the module is told; where the fleet keeps sessions, each op brings how far its reads must reach. */
     private Event.Started started() {
         Event.Started s = file.settings().started();
-        return past == null ? s : new Event.Started(s.seed(), s.gateways(), s.requestClasses(), s.tenants(), s.beyondShareValue(),
-                s.guarantees(), s.capabilities(), past.copies(s.copies()), s.listOnDemand(), s.me());
+        return past == null
+                ? s
+                : new Event.Started(
+                        s.seed(),
+                        s.gateways(),
+                        s.requestClasses(),
+                        s.tenants(),
+                        s.beyondShareValue(),
+                        s.guarantees(),
+                        s.capabilities(),
+                        past.copies(s.copies()),
+                        s.listOnDemand(),
+                        s.me());
     }
 
     /** Does the next thing once this was so at that many looks, or after the most looks. */
@@ -230,7 +283,8 @@
     /** Has ended what the limits say makes way for one more connection to a server; false where none may be opened yet. */
     private boolean makeRoom() {
         while (!limits.serverFits()) {
-            ConnectionLimits.Eviction<ClientConnections.Session> way = limits.wayForServer(time.clock().monotonicMs());
+            ConnectionLimits.Eviction<ClientConnections.Session> way =
+                    limits.wayForServer(time.clock().monotonicMs());
             if (way != null) {
                 clients.end(way);
             } else if (!servers.closeLongestIdle()) {
@@ -248,9 +302,13 @@
 
     private void listed(ServerList list) {
         if (list.whole()) {
-            starts.keySet().retainAll(list.entries().stream().map(e -> e.listing().server()).collect(Collectors.toSet()));
+            starts.keySet()
+                    .retainAll(list.entries().stream()
+                            .map(e -> e.listing().server())
+                            .collect(Collectors.toSet()));
         }
-        List<Endpoint> endpoints = list.entries().stream().map(e -> dated(e.listing())).toList();
+        List<Endpoint> endpoints =
+                list.entries().stream().map(e -> dated(e.listing())).toList();
         for (ConfigurationFile.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
@@ -290,7 +348,8 @@
     public void send(Action.StartAttempt a) {
         ClientConnections.AcceptedRequest t = clients.taken(a.request());
         if (t == null) { // its client has gone while the module was deciding
-            loop.tell(new Event.AttemptEnded(a.request(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
+            loop.tell(
+                    new Event.AttemptEnded(a.request(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
             answered(a.request());
             return;
         }
@@ -301,11 +360,16 @@
         }
         // The process may have been paused since the module read the clock; its limit goes on from there.
         long left = a.timeLimit() - (time.now() - loop.decidedAt());
-        // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its server may
+        // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its
+        // server may
         // drain by now, with the grace for that long over.
-        servers.send(a.request(), a.server(), left,
-                () -> clients.waits(t) && loop.mayReceive(a.server()) && (a.writeBy() == Long.MAX_VALUE
-                        || time.changes() == changes && time.now() <= a.writeBy()),
+        servers.send(
+                a.request(),
+                a.server(),
+                left,
+                () -> clients.waits(t)
+                        && loop.mayReceive(a.server())
+                        && (a.writeBy() == Long.MAX_VALUE || time.changes() == changes && time.now() <= a.writeBy()),
                 waitMs -> MessageWriter.request(t.ask(), waitMs),
                 outcome -> sendEnded(a.request(), number, a.server(), outcome));
     }
@@ -320,7 +384,8 @@
             clients.acked(request, o.row());
         }
         boolean settled = o.row() != null || clients.taken(request) == null; // its answer may still wait for copies
-        loop.tell(new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
+        loop.tell(
+                new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
     }
 
     @Override
@@ -383,7 +448,11 @@
 
     /** The same, with its times counted from the signal, which this loop may have come to late. */
     public void endPlanned(long signalNanos, CountDownLatch done) {
-        long longest = file.settings().started().requestClasses().stream().mapToLong(RequestClass::timeout).max().orElse(0) / 10;
+        long longest = file.settings().started().requestClasses().stream()
+                        .mapToLong(RequestClass::timeout)
+                        .max()
+                        .orElse(0)
+                / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
         long began = signalNanos / 1_000_000;
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.requestsPerSecond());
@@ -412,11 +481,11 @@
                 case OVER -> {
                     vertx.cancelTimer(timer);
                     clients.stopReading(); // before the process exits, which takes a moment
-                    log.line("planned restart: ends after " + passed + " ms, " + clients.requestsInFlight() + " ops unanswered, "
-                            + clients.sessions() + " connections");
+                    log.line("planned restart: ends after " + passed + " ms, " + clients.requestsInFlight()
+                            + " ops unanswered, " + clients.sessions() + " connections");
                     done.countDown();
                 }
-                default -> { }
+                default -> {}
             }
         });
     }
@@ -441,8 +510,12 @@
             file = next;
             limits.renew(next.sockets());
             boolean kept = next.listen().equals(was.listen())
-                    && next.settings().started().requestClasses().equals(was.settings().started().requestClasses());
-            log.line("new configuration: discovery at " + next.discovery().getAddress().getHostAddress() + ":"
+                    && next.settings()
+                            .started()
+                            .requestClasses()
+                            .equals(was.settings().started().requestClasses());
+            log.line("new configuration: discovery at "
+                    + next.discovery().getAddress().getHostAddress() + ":"
                     + next.discovery().getPort() + ", " + next.sockets() + " descriptors"
                     + (kept ? "" : "; what else it says needs a restart"));
             discovery.follow(next.discovery());
--- a/gateway/src/main/java/ploverdale/net/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -44,7 +44,11 @@
         this.loop = loop;
         this.peers = peers;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(name(peers.get(i).getAddress().getHostAddress(), peers.get(i).getPort()), i);
+            numbers.put(
+                    name(
+                            peers.get(i).getAddress().getHostAddress(),
+                            peers.get(i).getPort()),
+                    i);
         }
     }
 
@@ -69,15 +73,18 @@
             reopenLater("cannot be opened: " + e);
             return Future.succeededFuture();
         }
-        return opening.listen(at.getPort(), at.getAddress().getHostAddress()).<Void>mapEmpty().onSuccess(x -> {
-            socket = opening;
-            opening.handler(this::came);
-            opening.exceptionHandler(e -> failed(opening, e));
-        }).otherwise(e -> {
-            opening.close();
-            reopenLater("cannot be bound: " + e);
-            return null;
-        });
+        return opening.listen(at.getPort(), at.getAddress().getHostAddress())
+                .<Void>mapEmpty()
+                .onSuccess(x -> {
+                    socket = opening;
+                    opening.handler(this::came);
+                    opening.exceptionHandler(e -> failed(opening, e));
+                })
+                .otherwise(e -> {
+                    opening.close();
+                    reopenLater("cannot be bound: " + e);
+                    return null;
+                });
     }
 
     /** The socket failed to receive; Vert.x closes it then, whatever the failure was. */
--- a/gateway/src/main/java/ploverdale/net/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -3,11 +3,11 @@
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.function.ObjLongConsumer;
-import ploverdale.quota.QuotaNode;
-import ploverdale.quota.QuotaSettings;
-import ploverdale.membership.PacketQueue;
 import ploverdale.log.Log;
+import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Started;
+import ploverdale.quota.QuotaNode;
+import ploverdale.quota.QuotaSettings;
 
 /**
  * Owns the clock and the ways of what the fleet agrees on: hands parcels in and out, and looks round. Must never decide who
@@ -24,12 +24,13 @@
     private final Log log;
     private final Out out;
     private final QuotaNode shared;
-    private Runnable heard = () -> { };
+    private Runnable heard = () -> {};
 
     MembershipTransport(Vertx vertx, Log log, QuotaSettings quotaSettings, Started told, Out out, ServerClock time) {
         this.log = log;
         this.out = out;
-        shared = new QuotaNode(quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
+        shared = new QuotaNode(
+                quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
         vertx.setPeriodic(QuotaNode.LOOK / 10, x -> sends(shared.due()));
         vertx.setPeriodic(LINE_MS, x -> log.line(shared.figures()));
         lines();
--- a/gateway/src/main/java/ploverdale/net/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/RefusedConnection.java
@@ -1,12 +1,12 @@
 package ploverdale.net;
 
-import ploverdale.net.postgres.ClientMessage;
-import ploverdale.net.postgres.ClientMessageReader;
-import ploverdale.net.postgres.MessageWriter;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetSocket;
 import java.util.function.Consumer;
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
 
 /**
  * A client's connection for which there is no room. Waits a moment for the startup message, since requests may come right
@@ -71,7 +71,11 @@
             if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                 return requests;
             }
-            requests += m instanceof ClientMessage.RequestQuery || m instanceof ClientMessage.EmptyQuery || m instanceof ClientMessage.InvalidQuery ? 1 : 0;
+            requests += m instanceof ClientMessage.RequestQuery
+                            || m instanceof ClientMessage.EmptyQuery
+                            || m instanceof ClientMessage.InvalidQuery
+                    ? 1
+                    : 0;
         }
         return requests;
     }
@@ -84,7 +88,8 @@
         over = true;
         socket.write(MessageWriter.errorResponse(TOO_MANY_CONNECTIONS, "too many connections", null, true, false));
         for (int i = 1; i < requests; i++) {
-            socket.write(MessageWriter.errorResponse(TOO_MANY_CONNECTIONS, "not run, too many connections", null, false, true));
+            socket.write(MessageWriter.errorResponse(
+                    TOO_MANY_CONNECTIONS, "not run, too many connections", null, false, true));
         }
         end.run();
     }
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -1,32 +1,32 @@
 package ploverdale.net;
 
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
 import io.vertx.core.Vertx;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
-import ploverdale.membership.PacketQueue;
 import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
-import ploverdale.model.ReplicaGuarantees;
-import ploverdale.model.GroupId;
+import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.Event.RequestArrived;
-import ploverdale.model.RequestId;
+import ploverdale.model.GroupId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.LoadReport;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
 import ploverdale.replication.IdempotencyRecord;
-import ploverdale.replication.WriteOutcome;
-import ploverdale.replication.ReplicationSettings;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.WriteOutcome;
 import ploverdale.settings.GatewaySettings;
 
 /**
@@ -73,9 +73,18 @@
     private final ServerClock time;
     private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
     private final Map<RequestId, InHand> inHand = new HashMap<>();
-    private final Map<GroupId, Integer> acker = new HashMap<>(); // by group, the number of the server of the last acked write
+    private final Map<GroupId, Integer> acker =
+            new HashMap<>(); // by group, the number of the server of the last acked write
 
-    ReplicationCoordinator(Vertx vertx, Log log, RouterEventLoop loop, ClientConnections clients, GatewaySettings settings, ReplicationSettings keeping, Replicas replicas, Way way,
+    ReplicationCoordinator(
+            Vertx vertx,
+            Log log,
+            RouterEventLoop loop,
+            ClientConnections clients,
+            GatewaySettings settings,
+            ReplicationSettings keeping,
+            Replicas replicas,
+            Way way,
             ServerClock time) {
         this.vertx = vertx;
         this.log = log;
@@ -87,8 +96,11 @@
         this.way = way;
         this.time = time;
         // Clients that left while their op was held: nothing is sent for it any more.
-        vertx.setPeriodic(LOOK_MS, x -> List.copyOf(inHand.keySet()).stream().filter(request -> clients.taken(request) == null)
-                .forEach(this::over));
+        vertx.setPeriodic(
+                LOOK_MS,
+                x -> List.copyOf(inHand.keySet()).stream()
+                        .filter(request -> clients.taken(request) == null)
+                        .forEach(this::over));
     }
 
     /** What this gateway vouched for was dated wrongly; from now on it vouches for what comes from here on. */
@@ -128,13 +140,16 @@
     @Override
     public void arrives(RequestArrived a, String key) {
         RequestClass type = settings.started().requestClasses().get(a.type().index());
-        boolean waits = keeping.waits().contains(settings.requestClasses().get(a.type().index()));
+        boolean waits =
+                keeping.waits().contains(settings.requestClasses().get(a.type().index()));
         if (keeping.sessions() && type.needs() == Consistency.SESSION && key != null) {
             long arrived = time.now();
             asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
                 int leads = acker.getOrDefault(a.group(), d.server());
                 if (d.end() == End.KNOWN && d.server() >= 0 && d.server() != leads) {
-                    log.often("a session over a takeover", "its last write was acked by another server than the group's last");
+                    log.often(
+                            "a session over a takeover",
+                            "its last write was acked by another server than the group's last");
                 }
                 arrived(a, time.tokenAge(time.now(), d.end() == End.KNOWN ? d.position() : time.toWall(arrived)));
             });
@@ -172,40 +187,51 @@
 
     private void arrived(RequestArrived a, long tokenAge) {
         if (clients.taken(a.request()) != null) {
-            loop.tell(new RequestArrived(a.request(), a.type(), a.tenant(), a.group(), a.session(), a.timeoutAt(), a.again(),
-                    a.expectedWork(), tokenAge));
+            loop.tell(new RequestArrived(
+                    a.request(),
+                    a.type(),
+                    a.tenant(),
+                    a.group(),
+                    a.session(),
+                    a.timeoutAt(),
+                    a.again(),
+                    a.expectedWork(),
+                    tokenAge));
         }
     }
 
     /** A write goes on once its claim is granted; one that was submitted before joins what became of that. */
     private void claims(InHand i) {
         RequestId request = i.asked.request();
-        asks((now, to) -> replicas.claims(now, Replicas.key(false, request.text()), !i.asked.again(), i.arrivedAt, to), d -> {
-            if (d.end() == End.GRANTED) {
-                i.claim = d.claim();
-                if (clients.taken(request) != null) {
-                    loop.tell(i.asked);
-                } else {
-                    inHand.remove(request);
-                    neverRan(i); // its client has left, and nothing was sent
-                }
-            } else if (clients.taken(request) == null) {
-                inHand.remove(request);
-            } else if (d.end() == End.RAN) {
-                inHand.remove(request);
-                if (d.answer().length > 0) {
-                    clients.ranBefore(request, d.answer());
-                } else {
-                    clients.errored(request);
-                }
-            } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
-                vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
-            } else {
-                inHand.remove(request);
-                clients.errored(request);
-                log.often("a write submitted before", "errored, since it may have run");
-            }
-        });
+        asks(
+                (now, to) ->
+                        replicas.claims(now, Replicas.key(false, request.text()), !i.asked.again(), i.arrivedAt, to),
+                d -> {
+                    if (d.end() == End.GRANTED) {
+                        i.claim = d.claim();
+                        if (clients.taken(request) != null) {
+                            loop.tell(i.asked);
+                        } else {
+                            inHand.remove(request);
+                            neverRan(i); // its client has left, and nothing was sent
+                        }
+                    } else if (clients.taken(request) == null) {
+                        inHand.remove(request);
+                    } else if (d.end() == End.RAN) {
+                        inHand.remove(request);
+                        if (d.answer().length > 0) {
+                            clients.ranBefore(request, d.answer());
+                        } else {
+                            clients.errored(request);
+                        }
+                    } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
+                        vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
+                    } else {
+                        inHand.remove(request);
+                        clients.errored(request);
+                        log.often("a write submitted before", "errored, since it may have run");
+                    }
+                });
     }
 
     /** A send of the op goes out. */
@@ -242,8 +268,17 @@
 
     private void neverRan(InHand i) {
         if (i.claim != null) {
-            asks((now, to) -> replicas.became(now, Replicas.key(false, i.asked.request().text()), i.claim, WriteOutcome.NEVER_RAN,
-                    new byte[0], 0, false, to), d -> { });
+            asks(
+                    (now, to) -> replicas.became(
+                            now,
+                            Replicas.key(false, i.asked.request().text()),
+                            i.claim,
+                            WriteOutcome.NEVER_RAN,
+                            new byte[0],
+                            0,
+                            false,
+                            to),
+                    d -> {});
         }
     }
 
@@ -270,13 +305,26 @@
             clients.acked(request, row);
         }
         if (keeping.sessions() && session != null) {
-            long at = note != null && note.position() != LoadReport.UNKNOWN_TIME ? time.toWall(note.position()) : time.wallNow();
-            asks((now, to) -> replicas.wrote(now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
+            long at = note != null && note.position() != LoadReport.UNKNOWN_TIME
+                    ? time.toWall(note.position())
+                    : time.wallNow();
+            asks(
+                    (now, to) -> replicas.wrote(
+                            now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
                     d -> copied(i, row, d));
         }
         if (i.claim != null) {
-            asks((now, to) -> replicas.became(now, Replicas.key(false, request.text()), i.claim, WriteOutcome.ACKED,
-                    MessageWriter.resultRow(row).getBytes(), left, i.waits, to), d -> copied(i, row, d));
+            asks(
+                    (now, to) -> replicas.became(
+                            now,
+                            Replicas.key(false, request.text()),
+                            i.claim,
+                            WriteOutcome.ACKED,
+                            MessageWriter.resultRow(row).getBytes(),
+                            left,
+                            i.waits,
+                            to),
+                    d -> copied(i, row, d));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
@@ -4,13 +4,13 @@
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import ploverdale.routing.Router;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.Quota;
 import ploverdale.model.Event;
+import ploverdale.model.Quota;
 import ploverdale.model.ServerId;
+import ploverdale.routing.Router;
 
 /**
  * Sole owner of the decision module: takes events from a queue, hands each to the module with the clock,
@@ -38,7 +38,8 @@
     }
 
     private static final long TICK_MS = 10;
-    private static final long LATE = 200; // from an event to its turn, in tenths of a millisecond; usually a part of one
+    private static final long LATE =
+            200; // from an event to its turn, in tenths of a millisecond; usually a part of one
     private static final long READ_ON_MS = 1; // after a standstill, for what came during it
     private static final long DELAY_REPORTED_MS = 50; // shorter ones make no health check fail
     private static final int READ_ON_TURNS = 3; // one to accept the connection of a cancel message, one to read it
@@ -59,7 +60,8 @@
     private long tickBefore;
 
     /** @param quota what the module may spend of the fleet's budgets, or null */
-    public RouterEventLoop(Vertx vertx, Context context, Log log, ActionHandler actionHandler, Quota quota, Clock clock) {
+    public RouterEventLoop(
+            Vertx vertx, Context context, Log log, ActionHandler actionHandler, Quota quota, Clock clock) {
         this.clock = clock;
         lastTick = clock.now();
         tickBefore = lastTick;
@@ -158,7 +160,8 @@
             } catch (RuntimeException e) {
                 log.fault("module fault on " + h.getClass().getSimpleName(), e);
                 if (h instanceof Event.RequestArrived a) {
-                    actionHandler.failRequest(new Action.FailRequest(a.request())); // an op taken is answered all the same
+                    actionHandler.failRequest(
+                            new Action.FailRequest(a.request())); // an op taken is answered all the same
                 }
             }
         }
--- a/gateway/src/main/java/ploverdale/net/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/net/ServerClock.java
@@ -19,7 +19,7 @@
     private final Log log;
     private final Clock clock;
     private final WallClockOffset offset = new WallClockOffset();
-    private Runnable changed = () -> { };
+    private Runnable changed = () -> {};
     private int changes;
     private long wallAhead; // of service time, in milliseconds, when last looked at
 
@@ -72,7 +72,9 @@
 
     /** A position as service time; untold while it cannot be dated. */
     long position(long wallPosition) {
-        return wallPosition == LoadReport.UNKNOWN_TIME || !offset.isKnown() ? LoadReport.UNKNOWN_TIME : offset.toServiceTime(wallPosition);
+        return wallPosition == LoadReport.UNKNOWN_TIME || !offset.isKnown()
+                ? LoadReport.UNKNOWN_TIME
+                : offset.toServiceTime(wallPosition);
     }
 
     /**
@@ -105,9 +107,11 @@
             return;
         }
         changes++;
-        log.line(offset.isKnown()
-                ? "clock corrected: the servers' wall clock is " + offset.offset() / 10 + " ms ahead of service time"
-                : "clock in doubt: positions of servers contradict it, and count as unknown until a majority agrees");
+        log.line(
+                offset.isKnown()
+                        ? "clock corrected: the servers' wall clock is " + offset.offset() / 10
+                                + " ms ahead of service time"
+                        : "clock in doubt: positions of servers contradict it, and count as unknown until a majority agrees");
         changed.run();
     }
 
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -1,9 +1,5 @@
 package ploverdale.net;
 
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
-import ploverdale.net.postgres.ServerMessage;
-import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
@@ -19,13 +15,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
+import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.RequestId;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
-import ploverdale.limits.ConnectionLimits;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import ploverdale.settings.GatewaySettings;
 
 /**
@@ -35,10 +35,16 @@
  */
 public final class ServerConnections {
     /** How far a send had come. What is not written whole has not run; after that it may have. */
-    public enum Reach { NO_CONNECTION, NOT_WRITTEN, IN_DOUBT, WRITTEN }
+    public enum Reach {
+        NO_CONNECTION,
+        NOT_WRITTEN,
+        IN_DOUBT,
+        WRITTEN
+    }
 
     /** How a send ended. The row is there when it was acked; note and report may be null. */
-    public record AttemptEnd(Outcome outcome, Reach reach, ResultRow row, LoadReport note, LoadReport report, long took) {}
+    public record AttemptEnd(
+            Outcome outcome, Reach reach, ResultRow row, LoadReport note, LoadReport report, long took) {}
 
     /** Hears the outcome of a send or probe, once. */
     public interface AttemptListener {
@@ -54,8 +60,10 @@
     private static final int SURPLUS_PARTS = 8; // of that time, for one where another is idle, too
     private static final int TOLD_MOST = 64; // a bound on memory; an answer tells a few
     private static final int BESIDE_MOST = 1000; // values told and notices beside one answer, or between two
-    private static final long LONG_IDLE = 20_000; // as long as a server counts as heard; a probe goes before the next request
-    private static final long PROBE_PATIENCE_MS = 100; // many times what a probe takes, short beside what a request may take
+    private static final long LONG_IDLE =
+            20_000; // as long as a server counts as heard; a probe goes before the next request
+    private static final long PROBE_PATIENCE_MS =
+            100; // many times what a probe takes, short beside what a request may take
     private static final long REST = 50; // after an answer, in tenths of a ms; a close behind it has come by then
     private static final int TENTHS_A_MS = 10;
     private static final int OPEN_TRIES = 10; // for room
@@ -75,15 +83,23 @@
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
     private final IdleConnectionLossRate losses = new IdleConnectionLossRate();
 
-    ServerConnections(Vertx vertx, Log log, GatewaySettings settings, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
+    ServerConnections(
+            Vertx vertx,
+            Log log,
+            GatewaySettings settings,
+            ConnectionLimits<?> limits,
+            BooleanSupplier makeRoom,
+            ServerClock time) {
         this.vertx = vertx;
         this.log = log;
         this.settings = settings;
         this.limits = limits;
         this.makeRoom = makeRoom;
         this.time = time;
-        net = vertx.createNetClient(new NetClientOptions().setConnectTimeout((int) ((settings.connectLimit() + 9) / 10))
-                .setReconnectAttempts(0).setTcpNoDelay(true));
+        net = vertx.createNetClient(new NetClientOptions()
+                .setConnectTimeout((int) ((settings.connectLimit() + 9) / 10))
+                .setReconnectAttempts(0)
+                .setTcpNoDelay(true));
         vertx.setPeriodic(Math.max(10, settings.idleLimit() / 10 / LOOKS), x -> closeOld());
     }
 
@@ -113,9 +129,16 @@
         private boolean over;
         private int opensLeft = OPEN_TRIES;
         private boolean lacksLocally; // descriptors, ports or the like kept its connection from being made
-        private long silentAfter = -1; // idle time of the connection that this probe was moved from; below 0: it was not
-
-        private Attempt(RequestId request, Server server, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
+        private long silentAfter =
+                -1; // idle time of the connection that this probe was moved from; below 0: it was not
+
+        private Attempt(
+                RequestId request,
+                Server server,
+                long limit,
+                BooleanSupplier wanted,
+                RequestEncoder text,
+                AttemptListener ear) {
             this.wanted = wanted;
             this.request = request;
             this.server = server;
@@ -152,7 +175,13 @@
      * Writes the text to the server on a free connection, or on a new one; the limit is in tenths of a ms. It counts as never
      * sent if it is not wanted any more when its connection is there.
      */
-    public void send(RequestId request, ServerId id, long limit, BooleanSupplier wanted, RequestEncoder text, AttemptListener ear) {
+    public void send(
+            RequestId request,
+            ServerId id,
+            long limit,
+            BooleanSupplier wanted,
+            RequestEncoder text,
+            AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
         Attempt x = new Attempt(request, s, limit, wanted, text, ear);
         if (request != null) {
@@ -255,7 +284,13 @@
      */
     public void probe(ServerId id, AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Attempt x = new Attempt(null, s, settings.connectLimit(), () -> true, waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()), ear);
+        Attempt x = new Attempt(
+                null,
+                s,
+                settings.connectLimit(),
+                () -> true,
+                waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()),
+                ear);
         assign(s, x);
         if (x.on != null && x.on.rest >= LONG_IDLE) {
             vertx.setTimer(PROBE_PATIENCE_MS, y -> moveSilentProbe(x));
@@ -339,7 +374,8 @@
         while (!idle.isEmpty() && now - idle.iterator().next().idleSince > keep) {
             idle.iterator().next().close();
         }
-        // Guards against many gateways that together hold more connections than a server has: one more than is in use is
+        // Guards against many gateways that together hold more connections than a server has: one more than is in use
+        // is
         // kept for long, others for a shorter while.
         for (Server s : servers.values()) {
             while (s.free.size() > 1 && now - s.free.peekFirst().idleSince > keep / SURPLUS_PARTS) {
@@ -390,7 +426,8 @@
         }
 
         private void open() {
-            openTimer = vertx.setTimer((settings.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.CONNECT_FAILED));
+            openTimer = vertx.setTimer(
+                    (settings.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.CONNECT_FAILED));
             net.connect(SocketAddress.inetSocketAddress(address)).onComplete(r -> {
                 if (r.failed()) {
                     connect(r.cause());
@@ -401,7 +438,7 @@
                     socket.close();
                     return;
                 }
-                socket.exceptionHandler(e -> { }); // the close that follows tells
+                socket.exceptionHandler(e -> {}); // the close that follows tells
                 socket.closeHandler(x -> lost("closed by the server"));
                 socket.handler(b -> {
                     try {
@@ -457,7 +494,10 @@
             } else if (sending == null) {
                 // Guards against answers nobody asked for: they must not reach the next op.
                 outOfOrder("an answer without a query");
-            } else if (m instanceof ServerMessage.RowDescription c && column == null && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.RowDescription c
+                    && column == null
+                    && done == null
+                    && problem == null) {
                 column = c;
             } else if (m instanceof ServerMessage.DataRow v && column != null && value == null && done == null) {
                 value = v;
@@ -520,7 +560,9 @@
 
         /** Takes the next send that waits, its own opener first, or is idle. */
         private void free() {
-            Attempt next = opener.over || opener.on != null ? server.waiting.stream().findFirst().orElse(null) : opener;
+            Attempt next = opener.over || opener.on != null
+                    ? server.waiting.stream().findFirst().orElse(null)
+                    : opener;
             if (next == opener) {
                 server.waiting.remove(next);
                 write(next);
@@ -562,7 +604,8 @@
             } else if (value == null) {
                 x.end(Outcome.ERRORED, null, note, report);
             } else if (probe) {
-                LoadReport asked = settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
+                LoadReport asked =
+                        settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
             } else {
                 x.end(Outcome.ACKED, new ResultRow(column, value.bytes(), done.tag()), note, report);
@@ -590,7 +633,11 @@
         private void connect(Throwable e) {
             ConnectionFailure failure = ConnectionFailure.of(e);
             opener.lacksLocally = failure == ConnectionFailure.LOCAL;
-            if (!closed && failure.isTransient() && !opener.over && opener.on == null && openAgainLater(server, opener)) {
+            if (!closed
+                    && failure.isTransient()
+                    && !opener.over
+                    && opener.on == null
+                    && openAgainLater(server, opener)) {
                 log.often("connection not made yet", server.id.text() + " " + e.getMessage());
                 close();
             } else {
@@ -665,7 +712,8 @@
         Map<String, Double> values = new HashMap<>();
         for (String part : text.split(",")) {
             int equals = part.indexOf('=');
-            double v = equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
+            double v =
+                    equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
             if (Double.isNaN(v) || v < 0) {
                 return null;
             }
@@ -681,7 +729,8 @@
             return told;
         }
         time.heard(server, told.position(), writtenAt, false); // made some time ago, by a primary too
-        return time.isAhead(told.position()) ? null
+        return time.isAhead(told.position())
+                ? null
                 : new LoadReport(told.role(), time.position(told.position()), told.busy());
     }
 
--- a/gateway/src/main/java/ploverdale/net/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/SleepingTransport.java
@@ -1,12 +1,12 @@
 package ploverdale.net;
 
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
 import io.netty.channel.IoHandlerContext;
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.IoRegistration;
-import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.DatagramChannel;
 import io.netty.channel.socket.InternetProtocolFamily;
@@ -26,7 +26,8 @@
  */
 final class SleepingTransport implements io.vertx.core.transport.Transport, Transport {
     private static final long MS = 1_000_000; // in nanoseconds
-    private static final long LATE = 5 * MS; // longer than a wait and the reading behind it usually take beyond the wait
+    private static final long LATE =
+            5 * MS; // longer than a wait and the reading behind it usually take beyond the wait
     private static final int READS_AGAIN_MOST = 2; // in a turn, so that a flood keeps no timer from running
 
     private final AcceptRetry acceptRetry = new AcceptRetry();
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -1,11 +1,5 @@
 package ploverdale.net;
 
-import ploverdale.net.postgres.ClientMessage;
-import ploverdale.net.postgres.ClientMessageReader;
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
-import ploverdale.net.postgres.ServerMessage;
-import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.VerticleBase;
@@ -26,11 +20,17 @@
 import java.util.function.Consumer;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
-import ploverdale.model.GroupId;
 import ploverdale.model.Endpoint;
+import ploverdale.model.GroupId;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.ZoneId;
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 
 /**
  * Owns the practice before service: a gateway of its own, with a module of its own, between a made-up client, server and
@@ -41,7 +41,7 @@
     private static final int OPS_MOST = 120; // most is called twice an op or more, and compiled after 200 calls
     private static final int OPS_LEAST = 24; // after these all classes are there
     private static final double OF_A_SECOND = 0.5; // of the ops agreed for one gateway; what is compiled for more is
-            // needed late, and meanwhile nobody serves
+    // needed late, and meanwhile nobody serves
     private static final long ENOUGH_MS = 3000; // on a slow machine; after a restart nobody may serve meanwhile
     private static final long MOST_MS = 5000; // then service begins all the same
     private static final int ANSWERS_A_CONNECTION = 2;
@@ -52,10 +52,13 @@
     /** Practises; done when all of it is gone again, however it went. */
     static Future<Void> run(Vertx vertx, Log log, ConfigurationFile file, Clock clock) {
         long began = clock.monotonicMs();
-        return vertx.deployVerticle(new Practice(file, clock)).compose(vertx::undeploy).otherwise(e -> {
-            log.line("service begins without practice: " + e.getMessage());
-            return null;
-        }).onSuccess(x -> log.line("practised for " + (clock.monotonicMs() - began) + " ms"));
+        return vertx.deployVerticle(new Practice(file, clock))
+                .compose(vertx::undeploy)
+                .otherwise(e -> {
+                    log.line("service begins without practice: " + e.getMessage());
+                    return null;
+                })
+                .onSuccess(x -> log.line("practised for " + (clock.monotonicMs() - began) + " ms"));
     }
 
     /** All that it opens, its timers too, ends with it. */
@@ -70,7 +73,9 @@
             this.file = file;
             this.clock = clock;
             began = clock.monotonicMs();
-            double agreed = file.settings().started().tenants().stream().mapToDouble(Tenant::requestsPerSecond).sum()
+            double agreed = file.settings().started().tenants().stream()
+                            .mapToDouble(Tenant::requestsPerSecond)
+                            .sum()
                     / Math.max(1, file.settings().started().gateways());
             requests = agreed == 0 ? OPS_MOST : (int) Math.max(OPS_LEAST, Math.min(OPS_MOST, agreed * OF_A_SECOND));
         }
@@ -79,15 +84,38 @@
         public Future<?> start() {
             Log nowhere = new Log(new PrintStream(OutputStream.nullOutputStream()));
             client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
-            return listen(this::serve).compose(server -> listen(s -> list(s, server)).compose(list -> {
-                List<ConfigurationFile.Entry> made = new ArrayList<>();
-                for (String name : List.of("a", "b", "c")) {
-                    made.add(new ConfigurationFile.Entry(new Endpoint(new ServerId(name), new GroupId(0), new ZoneId(0),
-                            Endpoint.EndpointState.IN, true, 0), server));
-                }
-                return Gateway.unpractised(vertx, context, nowhere, new ConfigurationFile("practice", at(0), list, file.seed(),
-                        file.sockets(), file.settings(), new ConfigurationFile.ServerList(0, true, made, List.of()), null, List.of()), clock);
-            })).compose(g -> requests(at(g.port())).onComplete(x -> g.unfollow())).timeout(MOST_MS, TimeUnit.MILLISECONDS);
+            return listen(this::serve)
+                    .compose(server -> listen(s -> list(s, server)).compose(list -> {
+                        List<ConfigurationFile.Entry> made = new ArrayList<>();
+                        for (String name : List.of("a", "b", "c")) {
+                            made.add(new ConfigurationFile.Entry(
+                                    new Endpoint(
+                                            new ServerId(name),
+                                            new GroupId(0),
+                                            new ZoneId(0),
+                                            Endpoint.EndpointState.IN,
+                                            true,
+                                            0),
+                                    server));
+                        }
+                        return Gateway.unpractised(
+                                vertx,
+                                context,
+                                nowhere,
+                                new ConfigurationFile(
+                                        "practice",
+                                        at(0),
+                                        list,
+                                        file.seed(),
+                                        file.sockets(),
+                                        file.settings(),
+                                        new ConfigurationFile.ServerList(0, true, made, List.of()),
+                                        null,
+                                        List.of()),
+                                clock);
+                    }))
+                    .compose(g -> requests(at(g.port())).onComplete(x -> g.unfollow()))
+                    .timeout(MOST_MS, TimeUnit.MILLISECONDS);
         }
 
         private InetSocketAddress at(int port) {
@@ -95,8 +123,11 @@
         }
 
         private Future<InetSocketAddress> listen(Consumer<NetSocket> to) {
-            return vertx.createNetServer().connectHandler(to::accept)
-                    .listen(0, file.listen().getAddress().getHostAddress()).map(NetServer::actualPort).map(this::at);
+            return vertx.createNetServer()
+                    .connectHandler(to::accept)
+                    .listen(0, file.listen().getAddress().getHostAddress())
+                    .map(NetServer::actualPort)
+                    .map(this::at);
         }
 
         /** Asks one op after the other, each on a connection of its own. */
@@ -134,9 +165,11 @@
 
         private Buffer query(int i) {
             int type = i % file.settings().requestClasses().size();
-            String tenant = file.settings().tenants().isEmpty() ? "" : ",t=" + file.settings().tenants().get(0);
-            return MessageWriter.query("SELECT " + COLUMN + " FROM state WHERE uid = 'k" + i % 9 + "' /* id=" + i + ",c="
-                    + file.settings().requestClasses().get(type) + tenant + ",d=900,cluster=0 */");
+            String tenant = file.settings().tenants().isEmpty()
+                    ? ""
+                    : ",t=" + file.settings().tenants().get(0);
+            return MessageWriter.query("SELECT " + COLUMN + " FROM state WHERE uid = 'k" + i % 9 + "' /* id=" + i
+                    + ",c=" + file.settings().requestClasses().get(type) + tenant + ",d=900,cluster=0 */");
         }
 
         /** The made-up server, which ends its connections so that opening them is practised, too. */
@@ -156,8 +189,10 @@
                     MessageWriter.parameterStatus(answer, "rank", "source");
                     MessageWriter.parameterStatus(answer, "as_of", Long.toString(now));
                     MessageWriter.parameterStatus(answer, "vitals", vitals);
-                    s.write(answer.appendBuffer(MessageWriter.resultRow(new ResultRow(new ServerMessage.RowDescription(COLUMN, 0, (short) 0, 17,
-                            (short) -1, -1, (short) 1), vitals.getBytes(StandardCharsets.UTF_8), "SELECT 1"))));
+                    s.write(answer.appendBuffer(MessageWriter.resultRow(new ResultRow(
+                            new ServerMessage.RowDescription(COLUMN, 0, (short) 0, 17, (short) -1, -1, (short) 1),
+                            vitals.getBytes(StandardCharsets.UTF_8),
+                            "SELECT 1"))));
                     if (++answers[0] == ANSWERS_A_CONNECTION) {
                         s.close();
                         return;
@@ -172,7 +207,7 @@
                     + server.getAddress().getHostAddress() + ":" + server.getPort()
                     + "\",\"cell\":0,\"phase\":\"SERVING\",\"up_since_ms\":0}]}";
             s.handler(b -> s.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                    .onComplete(x -> s.handler(more -> { })));
+                    .onComplete(x -> s.handler(more -> {})));
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -97,9 +97,8 @@
     }
 
     private ClientMessage cancelRequest(int length) {
-        ClientMessage request = length == CANCEL_REQUEST_BYTES
-                ? new CancelRequest(frames.int32(8), frames.int32(12))
-                : new Terminate();
+        ClientMessage request =
+                length == CANCEL_REQUEST_BYTES ? new CancelRequest(frames.int32(8), frames.int32(12)) : new Terminate();
         frames.drop(length);
         return request;
     }
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -125,6 +125,9 @@
     public static Buffer query(String text) {
         byte[] bytes = text.getBytes(UTF_8);
         Buffer buffer = Buffer.buffer(bytes.length + 6);
-        return buffer.appendByte((byte) 'Q').appendInt(5 + bytes.length).appendBytes(bytes).appendByte((byte) 0);
+        return buffer.appendByte((byte) 'Q')
+                .appendInt(5 + bytes.length)
+                .appendBytes(bytes)
+                .appendByte((byte) 0);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
@@ -63,9 +63,8 @@
             case 'R' -> fields.int32() == 0 ? new AuthenticationOk() : new Malformed("a password asked for");
             case 'S' -> new ParameterStatus(fields.text(), fields.text());
             case 'T' -> rowDescription(fields);
-            case 'D' -> fields.int16() == 1
-                    ? new DataRow(fields.sizedBytes())
-                    : new Malformed("a row that has not one value");
+            case 'D' ->
+                fields.int16() == 1 ? new DataRow(fields.sizedBytes()) : new Malformed("a row that has not one value");
             case 'C' -> new CommandComplete(fields.text());
             case 'E' -> errorResponse(fields);
             case 'Z' -> new ReadyForQuery(fields.int8() == 'I');
--- a/gateway/src/main/java/ploverdale/quota/Budget.java
+++ b/gateway/src/main/java/ploverdale/quota/Budget.java
@@ -11,7 +11,10 @@
  */
 public record Budget(String name, Kind kind, int whole, long holds) {
     /** How parts are spent. */
-    public enum Kind { RATE, IN_USE }
+    public enum Kind {
+        RATE,
+        IN_USE
+    }
 
     public Budget {
         if (whole < 0 || whole > QuotaAllocation.WHOLE_MOST || holds <= 0) {
--- a/gateway/src/main/java/ploverdale/quota/Budgets.java
+++ b/gateway/src/main/java/ploverdale/quota/Budgets.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
 
 /**
  * The fleet's quota as one gateway has it. Of each budget it owns guaranteed units outright. The rest of its
@@ -66,7 +66,13 @@
      * @param start which start of its name this is, by which acceptors and lenders tell it from earlier ones
      * @param random chooses lenders
      */
-    public Budgets(int me, long start, QuotaAllocation division, LeaseDurations leaseDurations, RandomGenerator random, long now) {
+    public Budgets(
+            int me,
+            long start,
+            QuotaAllocation division,
+            LeaseDurations leaseDurations,
+            RandomGenerator random,
+            long now) {
         this.me = me;
         this.start = start;
         this.division = division;
--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -179,7 +179,11 @@
     String told(long now) {
         passes(now);
         StringBuilder b = new StringBuilder().append(inUse).append(' ').append(Math.round(saved * 100));
-        held.forEach(h -> b.append(' ').append(h.of instanceof LeasePartition e ? "e" + e.number : h.of instanceof String t ? t : "b").append('=').append(h.parts).append('@')
+        held.forEach(h -> b.append(' ')
+                .append(h.of instanceof LeasePartition e ? "e" + e.number : h.of instanceof String t ? t : "b")
+                .append('=')
+                .append(h.parts)
+                .append('@')
                 .append(h.until == Long.MAX_VALUE ? -1 : h.until - now));
         return b.toString();
     }
--- a/gateway/src/main/java/ploverdale/quota/LeaseDurations.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseDurations.java
@@ -12,7 +12,8 @@
 public record LeaseDurations(long leaseHolder, long loan, double clocksApart) {
     public LeaseDurations {
         if (leaseHolder <= 0 || loan <= 0 || clocksApart < 0 || clocksApart > 0.5) {
-            throw new IllegalArgumentException("leases of " + leaseHolder + " and " + loan + ", clocks " + clocksApart + " apart");
+            throw new IllegalArgumentException(
+                    "leases of " + leaseHolder + " and " + loan + ", clocks " + clocksApart + " apart");
         }
     }
 
--- a/gateway/src/main/java/ploverdale/quota/LeasePartition.java
+++ b/gateway/src/main/java/ploverdale/quota/LeasePartition.java
@@ -143,13 +143,20 @@
 
     /** All that tells two states apart, for an explorer. */
     String told(long now) {
-        StringBuilder b = new StringBuilder("e" + number + " " + Math.max(0, promisedUntil == Long.MAX_VALUE ? -1
-                : promisedUntil - now) + " " + Math.max(0, servesFrom - now) + " " + round + " " + promises + " "
-                + Math.max(0, roundAt + leaseDurations.leaseHolder() - now));
+        StringBuilder b = new StringBuilder(
+                "e" + number + " " + Math.max(0, promisedUntil == Long.MAX_VALUE ? -1 : promisedUntil - now) + " "
+                        + Math.max(0, servesFrom - now) + " " + round + " " + promises + " "
+                        + Math.max(0, roundAt + leaseDurations.leaseHolder() - now));
         for (SubLease l : loans) {
             if (now < l.endsAt) {
-                b.append(" l").append(l.to).append('.').append(l.itsStart).append('.').append(l.number)
-                        .append(java.util.Arrays.toString(l.parts)).append(l.endsAt - now);
+                b.append(" l")
+                        .append(l.to)
+                        .append('.')
+                        .append(l.itsStart)
+                        .append('.')
+                        .append(l.number)
+                        .append(java.util.Arrays.toString(l.parts))
+                        .append(l.endsAt - now);
             }
         }
         return b.toString();
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -6,12 +6,12 @@
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
+import ploverdale.gossip.Datagram;
 import ploverdale.membership.Membership;
-import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
-import ploverdale.gossip.Datagram;
-import ploverdale.model.Quota;
+import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Started;
+import ploverdale.model.Quota;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
 import ploverdale.replication.Replicas;
@@ -49,16 +49,29 @@
         SplittableRandom random = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
         long now = clock.getAsLong();
         membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
-        budgets = new Budgets(told.me(), Membership.start(membership.incarnation()), division, quotaSettings.leaseDurations(),
-                random.split(), now);
+        budgets = new Budgets(
+                told.me(),
+                Membership.start(membership.incarnation()),
+                division,
+                quotaSettings.leaseDurations(),
+                random.split(),
+                now);
         packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
         staticQuota = new StaticQuota(told.tenants(), told.gateways());
-        replicas = quotaSettings.keeping() == null ? null : new Replicas(told.me(), told.gateways(),
-                Membership.start(membership.incarnation()), quotaSettings.keeping(), random.split(), wall);
+        replicas = quotaSettings.keeping() == null
+                ? null
+                : new Replicas(
+                        told.me(),
+                        told.gateways(),
+                        Membership.start(membership.incarnation()),
+                        quotaSettings.keeping(),
+                        random.split(),
+                        wall);
         id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
         if (divides()) {
-            lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways() + " gateways, division "
-                    + Integer.toHexString(id) + ", on its floor until others have promised more");
+            lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways()
+                    + " gateways, division " + Integer.toHexString(id)
+                    + ", on its floor until others have promised more");
         }
     }
 
@@ -76,8 +89,8 @@
         long now = clock.getAsLong();
         membership.due(now, packing);
         for (Membership.Change c : membership.changes()) {
-            lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", " + membership.present()
-                    + " of " + membership.size() + " present");
+            lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", "
+                    + membership.present() + " of " + membership.size() + " present");
         }
         budgets.speaksAs(Membership.start(membership.incarnation()));
         budgets.due(now, membership::isPresent, packing);
--- a/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.quota.Budget.Kind;
 import ploverdale.model.Event.Started;
+import ploverdale.quota.Budget.Kind;
 import ploverdale.replication.ReplicationSettings;
 
 /**
@@ -19,8 +19,17 @@
  * @param floorShare of each gateway's right that it owns outright
  * @param keeping what else gateways hold together, see {@code ploverdale.replication}; null: nothing
  */
-public record QuotaSettings(boolean tenants, int sendsAtServer, int coldSends, int serverSlots, int secondSends, int probes,
-        double floorShare, LeaseDurations leaseDurations, double bytesPerSecond, ReplicationSettings keeping) {
+public record QuotaSettings(
+        boolean tenants,
+        int sendsAtServer,
+        int coldSends,
+        int serverSlots,
+        int secondSends,
+        int probes,
+        double floorShare,
+        LeaseDurations leaseDurations,
+        double bytesPerSecond,
+        ReplicationSettings keeping) {
     private static final long SECOND = 10_000; // times are tenths of a millisecond
 
     /** Whether there is anything for the fleet to hold together. */
@@ -32,10 +41,12 @@
     public QuotaAllocation division(Started told) {
         List<Budget> all = new ArrayList<>();
         for (int t = 0; t < tenantBudgets(told); t++) {
-            int whole = (int) Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).requestsPerSecond());
+            int whole = (int)
+                    Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).requestsPerSecond());
             all.add(new Budget("tenant " + t, Kind.RATE, whole, SECOND));
         }
-        long longest = told.requestClasses().stream().mapToLong(o -> o.timeout()).max().orElse(SECOND);
+        long longest =
+                told.requestClasses().stream().mapToLong(o -> o.timeout()).max().orElse(SECOND);
         for (int s = 0; sendsAtServer > 0 && s < serverSlots; s++) {
             all.add(new Budget("server " + s, Kind.IN_USE, sendsAtServer, longest));
         }
@@ -63,7 +74,9 @@
 
     /** The budget of sends at it while it is cold, or -1. */
     int cold(int tenantBudgets, int server) {
-        return coldSends == 0 ? -1 : tenantBudgets + (sendsAtServer > 0 ? serverSlots : 0) + Math.floorMod(server, serverSlots);
+        return coldSends == 0
+                ? -1
+                : tenantBudgets + (sendsAtServer > 0 ? serverSlots : 0) + Math.floorMod(server, serverSlots);
     }
 
     private int behindServers(int tenantBudgets) {
--- a/gateway/src/main/java/ploverdale/quota/StaticQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -19,7 +19,9 @@
     private final TokenBucket tokenBucket = new TokenBucket();
 
     public StaticQuota(List<Tenant> tenants, int gateways) {
-        rate = tenants.stream().mapToDouble(t -> t.requestsPerSecond() / gateways).toArray();
+        rate = tenants.stream()
+                .mapToDouble(t -> t.requestsPerSecond() / gateways)
+                .toArray();
         left = rate.clone();
         at = new long[rate.length];
     }
--- a/gateway/src/main/java/ploverdale/quota/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -54,7 +54,8 @@
     /** Extends a loan; of each budget that this gateway lacks units of, it takes back up to half of those lent. */
     void extend(long now, int borrower, long borrowersStart, int request, int loan, int[] wanted, PacketQueue out) {
         for (LeasePartition partition : leaseHolder.partitions()) {
-            LeasePartition.SubLease found = partition.serves(now) ? partition.loan(now, borrower, borrowersStart, loan) : null;
+            LeasePartition.SubLease found =
+                    partition.serves(now) ? partition.loan(now, borrower, borrowersStart, loan) : null;
             if (found == null) {
                 continue;
             }
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
 
 /**
  * Makes copies equal: walks with one other gateway at a time over the ranges of keys that both keep, compares digests, goes
@@ -34,7 +34,8 @@
     private static final int LEAF = 3; // level at which a node is one range of keys
     private static final int COMPARE_HEAD = 19;
     private static final int STEPS_OUT = 4;
-    private static final int LARGE = 20_000; // facts; with more the walk begins at the sixteenths, whose digests are quick
+    private static final int LARGE =
+            20_000; // facts; with more the walk begins at the sixteenths, whose digests are quick
     private static final long ENDING = 1000 * MS; // facts that end within this are left out: they end a little apart
     private static final int PART_MOST = 220;
     private static final double PURSE_KEPT = 0.5; // of the budget of bytes, for words that ops wait for
@@ -57,7 +58,8 @@
     private final EntryStore store;
     private final ReplicaPlacement keepers;
     private final RandomGenerator random;
-    private final long[] blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
+    private final long[]
+            blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
     private final List<Integer> first = new ArrayList<>(); // to walk with since the start
     private final Deque<Node> todo = new ArrayDeque<>();
     private final Map<Integer, Step> out = new LinkedHashMap<>();
@@ -183,7 +185,8 @@
         if (with >= 0 && out.isEmpty() && todo.isEmpty()) {
             blanks[with] = blank;
             if (first.remove((Integer) with) && first.isEmpty()) {
-                line = "replicas: caught up with all others, " + store.size() + " facts held, " + taken + " of them from others";
+                line = "replicas: caught up with all others, " + store.size() + " facts held, " + taken
+                        + " of them from others";
             }
             ends(now);
         }
@@ -191,11 +194,23 @@
 
     private void asks(long wall, int number, Node n, PacketQueue to) {
         if (n.level == LEAF) {
-            to.add(with, new Part(FETCHES, ByteBuffer.allocate(15).putInt(number).putShort((short) n.index)
-                    .put((byte) (n.after == null ? 0 : 1)).putLong(n.after == null ? 0 : n.after).array()));
+            to.add(
+                    with,
+                    new Part(
+                            FETCHES,
+                            ByteBuffer.allocate(15)
+                                    .putInt(number)
+                                    .putShort((short) n.index)
+                                    .put((byte) (n.after == null ? 0 : 1))
+                                    .putLong(n.after == null ? 0 : n.after)
+                                    .array()));
         } else {
-            ByteBuffer b = ByteBuffer.allocate(COMPARE_HEAD + 8 * FANOUT).putInt(number).put((byte) n.level)
-                    .putShort((short) n.index).putInt((int) salt).putLong(wall + ENDING);
+            ByteBuffer b = ByteBuffer.allocate(COMPARE_HEAD + 8 * FANOUT)
+                    .putInt(number)
+                    .put((byte) n.level)
+                    .putShort((short) n.index)
+                    .putInt((int) salt)
+                    .putLong(wall + ENDING);
             for (long d : digests(n.level, n.index, with, (int) salt, wall + ENDING)) {
                 b.putLong(d);
             }
@@ -215,7 +230,16 @@
     }
 
     /** A part that has come; the start that an answer was for has been looked at. */
-    void part(long now, long wall, int from, long start, int kind, ByteBuffer b, long askersStart, long ownBlank, PacketQueue to) {
+    void part(
+            long now,
+            long wall,
+            int from,
+            long start,
+            int kind,
+            ByteBuffer b,
+            long askersStart,
+            long ownBlank,
+            PacketQueue to) {
         switch (kind) {
             case COMPARES -> {
                 if (b.remaining() >= COMPARE_HEAD + 8 * FANOUT) {
@@ -230,8 +254,16 @@
                         for (int c = 0; c < FANOUT; c++) {
                             differ |= own[c] != b.getLong() ? 1 << c : 0;
                         }
-                        to.add(from, new Part(DIFFERS, ByteBuffer.allocate(22).putLong(askersStart).putInt(number)
-                                .putShort((short) differ).putLong(ownBlank).array()));
+                        to.add(
+                                from,
+                                new Part(
+                                        DIFFERS,
+                                        ByteBuffer.allocate(22)
+                                                .putLong(askersStart)
+                                                .putInt(number)
+                                                .putShort((short) differ)
+                                                .putLong(ownBlank)
+                                                .array()));
                     }
                 }
             }
@@ -273,7 +305,7 @@
                     goesOn(now, wall, to);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -291,7 +323,8 @@
         return out.remove(number);
     }
 
-    private void tells(long wall, int to, long askersStart, int number, int bucket, boolean after, long key, PacketQueue out) {
+    private void tells(
+            long wall, int to, long askersStart, int number, int bucket, boolean after, long key, PacketQueue out) {
         if (bucket >= EntryStore.BUCKETS) {
             return;
         }
--- a/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
@@ -20,7 +20,12 @@
 
     /** @param startedAt what was copied to this gateway's name before it is lost */
     CompletenessBound(
-            ReplicationSettings keeping, LongSupplier wall, ReplicaPlacement placement, EntryStore store, AntiEntropy catchUp, long startedAt) {
+            ReplicationSettings keeping,
+            LongSupplier wall,
+            ReplicaPlacement placement,
+            EntryStore store,
+            AntiEntropy catchUp,
+            long startedAt) {
         this.keeping = keeping;
         this.wall = wall;
         this.placement = placement;
--- a/gateway/src/main/java/ploverdale/replication/EntryStore.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryStore.java
@@ -149,7 +149,9 @@
         long sum = 0;
         for (int b = fromBucket; b < toBucket; b++) {
             for (int i = 0; i < sizes[b]; i++) {
-                if (all.has(keepers[b][i], one) && all.has(keepers[b][i], other) && !forgetting.isOver(facts[b][i], until)) {
+                if (all.has(keepers[b][i], one)
+                        && all.has(keepers[b][i], other)
+                        && !forgetting.isOver(facts[b][i], until)) {
                     sum += VersionedEntry.mix(keys[b][i] ^ salt ^ facts[b][i].hash());
                 }
             }
@@ -161,7 +163,9 @@
     void each(int bucket, Long after, ReplicaPlacement all, int one, int other, long until, Each each) {
         for (int i = 0; i < sizes[bucket]; i++) {
             boolean next = after == null || keys[bucket][i] > after;
-            if (next && all.has(keepers[bucket][i], one) && all.has(keepers[bucket][i], other)
+            if (next
+                    && all.has(keepers[bucket][i], one)
+                    && all.has(keepers[bucket][i], other)
                     && !forgetting.isOver(facts[bucket][i], until)) {
                 each.fact(keys[bucket][i], facts[bucket][i]);
             }
--- a/gateway/src/main/java/ploverdale/replication/IdempotencyRecord.java
+++ b/gateway/src/main/java/ploverdale/replication/IdempotencyRecord.java
@@ -10,7 +10,8 @@
 public record IdempotencyRecord(int gateway, long start, int number) implements Comparable<IdempotencyRecord> {
     @Override
     public int compareTo(IdempotencyRecord o) {
-        return gateway != o.gateway ? Integer.compare(gateway, o.gateway)
+        return gateway != o.gateway
+                ? Integer.compare(gateway, o.gateway)
                 : start != o.start ? Long.compare(start, o.start) : Integer.compare(number, o.number);
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -90,7 +90,14 @@
 
     /** Copies what is proven of a claim that was granted to this gateway. */
     long copyOutcome(
-            long now, long key, IdempotencyRecord claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
+            long now,
+            long key,
+            IdempotencyRecord claim,
+            int proof,
+            byte[] answer,
+            long within,
+            boolean waits,
+            PacketQueue to) {
         WriteOutcome held = holder.outcomeOf(key);
         long at = held != null ? held.at() : wall.getAsLong();
         return copy(now, key, WriteOutcome.of(at, claim, proof, answer), within, waits, to);
@@ -189,7 +196,11 @@
             case CLAIM -> {
                 if (content.remaining() >= ReplicaMessages.GRANT_BYTES) {
                     boolean granted = content.get() != 0;
-                    onClaimAnswer(request, place, granted, VersionedEntry.read(content) instanceof WriteOutcome known ? known : null);
+                    onClaimAnswer(
+                            request,
+                            place,
+                            granted,
+                            VersionedEntry.read(content) instanceof WriteOutcome known ? known : null);
                 }
             }
             default -> throw new IllegalStateException(request.kind.name());
--- a/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
@@ -21,7 +21,12 @@
      * @param wall Unix time in tenths of a millisecond
      * @param log takes lines for the log
      */
-    ReplicaHolder(LongSupplier wall, ReplicaPlacement placement, EntryStore store, CompletenessBound bound, Consumer<String> log) {
+    ReplicaHolder(
+            LongSupplier wall,
+            ReplicaPlacement placement,
+            EntryStore store,
+            CompletenessBound bound,
+            Consumer<String> log) {
         this.wall = wall;
         this.placement = placement;
         this.store = store;
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -9,8 +9,8 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
 
 /**
  * Facts replicated among the gateways of a fleet, as one gateway holds and asks for them. A fact is copied to the
@@ -70,7 +70,8 @@
      * @param random chooses whom to compare with, and salts of digests
      * @param wall Unix time, in tenths of a millisecond
      */
-    public Replicas(int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator random, LongSupplier wall) {
+    public Replicas(
+            int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator random, LongSupplier wall) {
         this.me = me;
         this.start = start;
         this.keeping = keeping;
@@ -86,7 +87,8 @@
     }
 
     private boolean isOver(VersionedEntry fact, long at) {
-        long lasts = fact instanceof WriteOutcome ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
+        long lasts =
+                fact instanceof WriteOutcome ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
         return fact.at() + lasts < at;
     }
 
@@ -134,7 +136,14 @@
      * #wrote}.
      */
     public long became(
-            long now, long key, IdempotencyRecord claim, int proof, byte[] answer, long within, boolean waits, PacketQueue to) {
+            long now,
+            long key,
+            IdempotencyRecord claim,
+            int proof,
+            byte[] answer,
+            long within,
+            boolean waits,
+            PacketQueue to) {
         return coordinator.copyOutcome(now, key, claim, proof, answer, within, waits, to);
     }
 
--- a/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
@@ -16,8 +16,17 @@
  * @param most facts held here at the most
  * @param clocksApart by which the clocks that positions and starts are told by may differ at most
  */
-public record ReplicationSettings(int copies, boolean sessions, long sessionsFor, long askWithin, long submitsFor, boolean retriesMarked,
-        Set<String> waits, long waitWithin, int most, long clocksApart) {
+public record ReplicationSettings(
+        int copies,
+        boolean sessions,
+        long sessionsFor,
+        long askWithin,
+        long submitsFor,
+        boolean retriesMarked,
+        Set<String> waits,
+        long waitWithin,
+        int most,
+        long clocksApart) {
     public ReplicationSettings {
         waits = Set.copyOf(waits);
         if (copies < 1 || copies > ReplicaPlacement.COPIES_MOST || sessionsFor <= 0 || most < 1) {
--- a/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
+++ b/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
@@ -28,7 +28,9 @@
     /** Reads what {@link #write} wrote; null where it is of a kind or form that is not known here. */
     static VersionedEntry read(ByteBuffer from) {
         int kind = from.remaining() > 0 ? from.get() : 0;
-        return kind == Position.KIND ? Position.readContent(from) : kind == WriteOutcome.KIND ? WriteOutcome.readContent(from) : null;
+        return kind == Position.KIND
+                ? Position.readContent(from)
+                : kind == WriteOutcome.KIND ? WriteOutcome.readContent(from) : null;
     }
 
     /** Spreads bits, so that sums of such words hardly ever meet by accident. */
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -27,6 +27,7 @@
     public static final int CLAIMS_MOST = 6;
     /** Bytes of the longest answer that is kept. */
     public static final int ANSWER_MOST = 96;
+
     private static final int CLAIM_BYTES = 13;
     private static final byte[] NONE = {};
 
@@ -38,8 +39,11 @@
     /** Over the bound, claims that never ran go first; a doubt or an acked one is never made room for those. */
     private static TreeMap<IdempotencyRecord, Integer> fewEnough(TreeMap<IdempotencyRecord, Integer> claims) {
         while (claims.size() > CLAIMS_MOST) {
-            IdempotencyRecord least = claims.entrySet().stream().filter(e -> (e.getValue() & NEVER_RAN) != 0).map(Map.Entry::getKey)
-                    .findFirst().orElse(claims.firstKey());
+            IdempotencyRecord least = claims.entrySet().stream()
+                    .filter(e -> (e.getValue() & NEVER_RAN) != 0)
+                    .map(Map.Entry::getKey)
+                    .findFirst()
+                    .orElse(claims.firstKey());
             claims.remove(least);
         }
         return claims;
@@ -66,7 +70,8 @@
 
     /** Whether that is so but for this claim. */
     boolean isFreeBut(IdempotencyRecord claim) {
-        return claims.entrySet().stream().allMatch(e -> e.getKey().equals(claim) || (e.getValue() & (NEVER_RAN | ACKED)) == NEVER_RAN);
+        return claims.entrySet().stream()
+                .allMatch(e -> e.getKey().equals(claim) || (e.getValue() & (NEVER_RAN | ACKED)) == NEVER_RAN);
     }
 
     /** Whether two proofs contradict one another: ran and never ran, or ran twice. */
@@ -110,7 +115,11 @@
     public long hash() {
         long h = at;
         for (Map.Entry<IdempotencyRecord, Integer> e : claims.entrySet()) {
-            h = VersionedEntry.mix(h + e.getKey().gateway() * 0x9E3779B97F4A7C15L + e.getKey().start() * 31 + e.getKey().number()) + e.getValue();
+            h = VersionedEntry.mix(h
+                            + e.getKey().gateway() * 0x9E3779B97F4A7C15L
+                            + e.getKey().start() * 31
+                            + e.getKey().number())
+                    + e.getValue();
         }
         return VersionedEntry.mix(h * 31 + Arrays.hashCode(answer));
     }
@@ -118,9 +127,13 @@
     @Override
     public void write(ByteBuffer to) {
         to.put(KIND).putLong(at).put((byte) Math.min(CLAIMS_MOST, claims.size()));
-        claims.entrySet().stream().limit(CLAIMS_MOST).forEach(e -> to.putShort((short) e.getKey().gateway())
-                .putShort((short) (e.getKey().start() >>> 32)).putInt((int) e.getKey().start()).putInt(e.getKey().number())
-                .put(e.getValue().byteValue()));
+        claims.entrySet().stream()
+                .limit(CLAIMS_MOST)
+                .forEach(e -> to.putShort((short) e.getKey().gateway())
+                        .putShort((short) (e.getKey().start() >>> 32))
+                        .putInt((int) e.getKey().start())
+                        .putInt(e.getKey().number())
+                        .put(e.getValue().byteValue()));
         to.put((byte) answer.length).put(answer);
     }
 
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -4,8 +4,8 @@
 import java.util.Collection;
 import java.util.Deque;
 import java.util.Iterator;
-import ploverdale.state.ServerState;
 import ploverdale.state.PendingRequest;
+import ploverdale.state.ServerState;
 
 /**
  * Local health awareness (as Lifeguard has it for SWIM) with a limited self-preservation (as Eureka has it): tells which time
@@ -39,7 +39,8 @@
 
     private static final int OTHERS_LEAST = 4; // silence of fewer servers is no sign of a common cause
     private static final long NOTICED_AFTER = 1_000; // 100 ms; what needs no work takes at most half of that
-    private static final double ANSWERS_MISSING = 3; // of a server, by chance once in twenty times; of nearly all, never
+    private static final double ANSWERS_MISSING =
+            3; // of a server, by chance once in twenty times; of nearly all, never
     private static final int SPANS_KEPT = 64; // those of the last seconds at the least; older ones explain nothing more
 
     /** Explained from one time until the other; what was held up meanwhile is worked off by the third. */
@@ -129,7 +130,11 @@
 
     private static boolean mostAnsweredSince(long time, Collection<ServerState> all) {
         long others = all.stream().filter(ServerState::isPromising).count();
-        return 2 * all.stream().filter(m -> m.isPromising() && m.respondedAt > time).count() > others;
+        return 2
+                        * all.stream()
+                                .filter(m -> m.isPromising() && m.respondedAt > time)
+                                .count()
+                > others;
     }
 
     private static boolean answersAreMissing(ServerState m, long now) {
