--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -3,15 +3,15 @@
 import java.util.*;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import ploverdale.quota.StaticQuota;
 import ploverdale.gossip.GossipProtocol;
 import ploverdale.gossip.ServerObservation;
 import ploverdale.model.*;
-import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.Event.Outcome;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
-import ploverdale.model.LoadReport.Role;
+import ploverdale.quota.StaticQuota;
 import ploverdale.state.*;
 
 /**
@@ -123,8 +123,14 @@
         }
         watchEndpointsAt = s.listOnDemand() ? now : Long.MAX_VALUE;
         if (capabilities.peerMessages() && gateways > 1) {
-            double requests = s.tenants().stream().mapToDouble(Tenant::requestsPerSecond).sum();
-            gossip = new GossipProtocol(s.me(), gateways, requests, tightestBound, new SplittableRandom(~s.seed()),
+            double requests =
+                    s.tenants().stream().mapToDouble(Tenant::requestsPerSecond).sum();
+            gossip = new GossipProtocol(
+                    s.me(),
+                    gateways,
+                    requests,
+                    tightestBound,
+                    new SplittableRandom(~s.seed()),
                     id -> word(members.get(id)));
             gossip.starts(now);
         }
@@ -140,7 +146,9 @@
         for (Endpoint l : told.endpoints()) {
             ServerState m = members.get(l.server());
             if (m == null) {
-                m = new ServerState(l.server(), groups.computeIfAbsent(l.group(), ReplicaGroup::new),
+                m = new ServerState(
+                        l.server(),
+                        groups.computeIfAbsent(l.group(), ReplicaGroup::new),
                         Math.max(leastLimit, firstLimit));
                 members.put(m.id, m);
                 m.group.members.add(m);
@@ -154,7 +162,9 @@
                 gossip.listed(m.id);
             }
             boolean drained = m.listed == Endpoint.EndpointState.DRAINING; // by the list itself, which may undo it
-            m.drainReportedAt = l.stage() == Endpoint.EndpointState.DRAINING ? now : drained ? LoadReport.UNKNOWN_TIME : m.drainReportedAt;
+            m.drainReportedAt = l.stage() == Endpoint.EndpointState.DRAINING
+                    ? now
+                    : drained ? LoadReport.UNKNOWN_TIME : m.drainReportedAt;
             m.listed = l.stage();
             // Guards against a list that does not know yet of a drain heard elsewhere: it does not undo it.
             stage(m, heardOfDrain(m) && l.startedAt() <= m.startedAt ? m.stage : l.stage());
@@ -171,7 +181,8 @@
     }
 
     private boolean heardOfDrain(ServerState m) {
-        return m.stage == Endpoint.EndpointState.DRAINING && m.listed == Endpoint.EndpointState.IN
+        return m.stage == Endpoint.EndpointState.DRAINING
+                && m.listed == Endpoint.EndpointState.IN
                 && now - m.drainReportedAt < DRAIN_HEARD_LASTS;
     }
 
@@ -198,7 +209,9 @@
             m.startedAt = startedAt;
         }
         sessionWrites.allBy(now);
-        requests.values().forEach(request -> request.needPosition = request.needPosition == LoadReport.UNKNOWN_TIME ? LoadReport.UNKNOWN_TIME : now);
+        requests.values()
+                .forEach(request -> request.needPosition =
+                        request.needPosition == LoadReport.UNKNOWN_TIME ? LoadReport.UNKNOWN_TIME : now);
         if (gossip != null) {
             gossip.forgetPositions();
         }
@@ -206,9 +219,12 @@
 
     private void onRequestArrived(Event.RequestArrived a) {
         RequestClass type = requestClasses.get(a.type().index());
-        long target = now + type.latencyTarget() + (long) (type.targetPerWork() * a.expectedWork())
+        long target = now
+                + type.latencyTarget()
+                + (long) (type.targetPerWork() * a.expectedWork())
                 - (a.again() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
-        PendingRequest request = new PendingRequest(a, type, latencyEstimates.get(a.type().index()), now, Math.min(target, now + type.timeout()));
+        PendingRequest request = new PendingRequest(
+                a, type, latencyEstimates.get(a.type().index()), now, Math.min(target, now + type.timeout()));
         request.needPosition = needPosition(a, type);
         request.beyondShare = !quota.request(now, a.tenant());
         requests.put(a.request(), request);
@@ -223,7 +239,8 @@
     /** A session's last write, as the position its reads must reach; others have none that stands still. */
     private long needPosition(Event.RequestArrived a, RequestClass type) {
         boolean none = type.needs() != Consistency.SESSION || copies.tokensCarried() && a.tokenAge() == 0;
-        return none ? LoadReport.UNKNOWN_TIME
+        return none
+                ? LoadReport.UNKNOWN_TIME
                 : copies.tokensCarried() ? now - a.tokenAge() : sessionWrites.of(a.session());
     }
 
@@ -253,8 +270,9 @@
 
     private boolean dispatch(PendingRequest request) {
         ReplicaGroup g = groups.computeIfAbsent(request.asked.group(), ReplicaGroup::new);
-        boolean may = request.sends < capabilities.attemptsPerRequest() && (!request.mayHaveRun
-                || request.type.repeats() != Idempotence.NOT_IDEMPOTENT && now < request.repeatUntil);
+        boolean may = request.sends < capabilities.attemptsPerRequest()
+                && (!request.mayHaveRun
+                        || request.type.repeats() != Idempotence.NOT_IDEMPOTENT && now < request.repeatUntil);
         boolean toPrimary = request.type.needs() == Consistency.WRITE || request.type.needs() == Consistency.FRESH;
         ServerState to = !may ? null : toPrimary ? choosePrimary(request, g) : chooseServer(request, g);
         if (to == WAIT && now < holdUntil(request)) {
@@ -262,7 +280,9 @@
             return false;
         }
         g.held.remove(request);
-        boolean go = to != null && to != WAIT && !shed(request, to)
+        boolean go = to != null
+                && to != WAIT
+                && !shed(request, to)
                 && worthUntil(request) - now >= WORTH_SENDING * request.latency.usual * to.stretch
                 && quota.send(to.id, request.cold = slowStartFraction(to) < 1);
         shedPrice += request.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(request)) - shedPrice);
@@ -276,20 +296,26 @@
 
     /** Guards against long reads that age out replicas, or keep them so, while worthier ops are refused. */
     private boolean shed(PendingRequest request, ServerState m) {
-        return request.sends == 0 && longRead(request) && valuePerWork(request) < shedPrice
+        return request.sends == 0
+                && longRead(request)
+                && valuePerWork(request) < shedPrice
                 && (now - m.position <= tightestBound || m.out.values().stream().anyMatch(this::longRead));
     }
 
     /** A tokened op that may have run goes only where its repeat is known. */
     private boolean knowsRepeat(PendingRequest request, ServerState m) {
-        return !request.mayHaveRun || request.type.repeats() != Idempotence.WITH_IDEMPOTENCY_KEY || request.type.scope() == RequestClass.Scope.ALL
+        return !request.mayHaveRun
+                || request.type.repeats() != Idempotence.WITH_IDEMPOTENCY_KEY
+                || request.type.scope() == RequestClass.Scope.ALL
                 || request.type.scope() == RequestClass.Scope.GROUP && m.group.equals(request.firstMaybeServer.group)
                 || request.type.scope() == RequestClass.Scope.ZONE && m.zone.equals(request.firstMaybeServer.zone);
     }
 
     private long holdUntil(PendingRequest request) {
         long end = Math.min(worthUntil(request), request.repeatUntil);
-        long half = request.mayHaveRun ? end : (request.arrivedAt + request.asked.timeoutAt()) / 2 - MARGIN; // no vain waits
+        long half = request.mayHaveRun
+                ? end
+                : (request.arrivedAt + request.asked.timeoutAt()) / 2 - MARGIN; // no vain waits
         long hopeless = request.type.lateShare() > 0 ? 0 : (long) (FEW_TAKE * request.latency.usual);
         return Math.min(Math.min(end, half), Math.max(end - hopeless, request.arrivedAt + 2 * PATIENCE)) - BEAT;
     }
@@ -302,7 +328,8 @@
             ask(g, m -> m == p || !known && (!told || now - m.positionReportedAt > askAgain()));
         }
         return known && heardLately(p) && knowsRepeat(request, p) && hasRoom(p, WRITE_SHARE) && coldAllows(p, request)
-                ? p : WAIT;
+                ? p
+                : WAIT;
     }
 
     private ServerState chooseServer(PendingRequest request, ReplicaGroup g) {
@@ -313,30 +340,49 @@
             return best;
         }
         ServerState p = g.primary;
-        if (ask(g, m -> !heardLately(m)
-                || !checked && m != p && !admits(m, request) && now - m.positionReportedAt > askAgain())) {
+        if (ask(
+                g,
+                m -> !heardLately(m)
+                        || !checked && m != p && !admits(m, request) && now - m.positionReportedAt > askAgain())) {
             return WAIT;
         }
-        if (p != null && p.isIn() && !p.silent && heardLately(p) && hasRoom(p, PRIMARY_READ_SHARE)
-                && stretchNow(p) <= FEW_TAKE && notTooBusy(p, PRIMARY_BUSY) && coldAllows(p, request)) {
+        if (p != null
+                && p.isIn()
+                && !p.silent
+                && heardLately(p)
+                && hasRoom(p, PRIMARY_READ_SHARE)
+                && stretchNow(p) <= FEW_TAKE
+                && notTooBusy(p, PRIMARY_BUSY)
+                && coldAllows(p, request)) {
             return p; // also while the admitted replicas are full
         }
         // Guards against old reports: where replicas check reads, one a second tries each, not a refusal.
-        ServerState guess = checked ? spread(request, g, m -> m != request.at && now - m.misdirectedAt > GUESS_AGAIN) : null;
+        ServerState guess =
+                checked ? spread(request, g, m -> m != request.at && now - m.misdirectedAt > GUESS_AGAIN) : null;
         if (guess != null) {
             guess.misdirectedAt = now; // until it answers
             return guess;
         }
-        // Nobody was heard lately, and the health check that tells is on its way: perhaps on a second connection, where a server
+        // Nobody was heard lately, and the health check that tells is on its way: perhaps on a second connection, where
+        // a server
         // has forgotten the first while it was idle.
         if (g.members.stream().noneMatch(this::heardLately)
                 && g.members.stream().anyMatch(m -> m.isPromising() && m.probeOut && now - m.probedAt < CHECK_WAIT)) {
             return WAIT;
         }
         // Waits for room, or for a replica little too old by a report that is old itself to be asked again.
-        return g.members.stream().anyMatch(m -> m != p && m.isIn() && !m.silent && heardLately(m)
-                && m.busy < REPLICA_BUSY - BUSY_BAND && (admits(m, request) || request.type.needs() == Consistency.BOUNDED
-                && !checked && now - m.position <= 2 * request.type.stalenessBound())) ? WAIT : null;
+        return g.members.stream()
+                        .anyMatch(m -> m != p
+                                && m.isIn()
+                                && !m.silent
+                                && heardLately(m)
+                                && m.busy < REPLICA_BUSY - BUSY_BAND
+                                && (admits(m, request)
+                                        || request.type.needs() == Consistency.BOUNDED
+                                                && !checked
+                                                && now - m.position <= 2 * request.type.stalenessBound()))
+                ? WAIT
+                : null;
     }
 
     /** Guards against many gateways with few ops that crowd a server together; where own answers are old. */
@@ -348,8 +394,15 @@
         ServerState best = null;
         double least = Double.MAX_VALUE;
         for (ServerState m : g.members) {
-            boolean may = m != g.primary && m.isIn() && !m.silent && heardLately(m) && knowsRepeat(request, m)
-                    && hasRoom(m, 1) && letIn.test(m) && notTooBusy(m, REPLICA_BUSY) && coldAllows(m, request);
+            boolean may = m != g.primary
+                    && m.isIn()
+                    && !m.silent
+                    && heardLately(m)
+                    && knowsRepeat(request, m)
+                    && hasRoom(m, 1)
+                    && letIn.test(m)
+                    && notTooBusy(m, REPLICA_BUSY)
+                    && coldAllows(m, request);
             double cost = may ? cost(m, request) : Double.MAX_VALUE;
             if (cost < least) {
                 best = m;
@@ -369,13 +422,16 @@
 
     /** Where replicas check reads, one that lags a little may go first, until it turns one away. */
     private boolean lagsALittle(ServerState m, PendingRequest request) {
-        return m.misdirectedAt < m.positionReportedAt && m != request.at && now - m.positionReportedAt < NEWS_FADES_IN
+        return m.misdirectedAt < m.positionReportedAt
+                && m != request.at
+                && now - m.positionReportedAt < NEWS_FADES_IN
                 && m.positionReportedAt - m.position <= request.type.stalenessBound();
     }
 
     /** Counts only sends made since it last returned; older ones may be stuck. None where just found full. */
     private boolean hasRoom(ServerState m, double share) {
-        return now - m.fullAt >= m.fullFor && m.outSinceReturn().size() < m.limit * share
+        return now - m.fullAt >= m.fullFor
+                && m.outSinceReturn().size() < m.limit * share
                 && quota.hasSend(m.id, slowStartFraction(m) < 1);
     }
 
@@ -384,11 +440,22 @@
     private double cost(ServerState m, PendingRequest request) {
         double again = m == request.at ? AVOID_COST : 1;
         if (longRead(request)) { // rank by id, the same at every gateway
-            again *= Math.pow(AVOID_COST, m.group.members.stream().filter(o -> o != m.group.primary
-                    && o.isIn() && !o.silent && o.id.text().compareTo(m.id.text()) < 0).count());
+            again *= Math.pow(
+                    AVOID_COST,
+                    m.group.members.stream()
+                            .filter(o -> o != m.group.primary
+                                    && o.isIn()
+                                    && !o.silent
+                                    && o.id.text().compareTo(m.id.text()) < 0)
+                            .count());
         }
         double room = now - m.stretchAt < REPORT_AGE ? 1 : Math.max(0.1, 1 - m.busy);
-        return again * stretchNow(m) * (m.out.size() + 1) / room / slowStartFraction(m) * (1 + random.nextDouble() / 10);
+        return again
+                * stretchNow(m)
+                * (m.out.size() + 1)
+                / room
+                / slowStartFraction(m)
+                * (1 + random.nextDouble() / 10);
     }
 
     private boolean longRead(PendingRequest request) {
@@ -398,7 +465,9 @@
     // -- Cold servers; how much of the requests they get is decided in ploverdale.routing.SlowStart
 
     private double requestsPerWindow(List<Tenant> tenants) {
-        return tenants.stream().mapToDouble(Tenant::requestsPerSecond).sum() * guarantees.overloadWindow() / (1000 * MS);
+        return tenants.stream().mapToDouble(Tenant::requestsPerSecond).sum()
+                * guarantees.overloadWindow()
+                / (1000 * MS);
     }
 
     private double slowStartFraction(ServerState m) {
@@ -406,14 +475,19 @@
     }
 
     private boolean coldAllows(ServerState m, PendingRequest request) {
-        return slowStartFraction(m) >= 1 || m.busy < REPLICA_BUSY - BUSY_BAND
-                && slowStart.admits(m, request.latency.usual, meanWork(), members.values(), now);
+        return slowStartFraction(m) >= 1
+                || m.busy < REPLICA_BUSY - BUSY_BAND
+                        && slowStart.admits(m, request.latency.usual, meanWork(), members.values(), now);
     }
 
     /** What a request usually takes, over the op types as often as they come. */
     private double meanWork() {
-        double samples = latencyEstimates.stream().mapToDouble(p -> 1 + p.samples).sum();
-        return latencyEstimates.stream().mapToDouble(p -> p.usual * (1 + p.samples)).sum() / samples;
+        double samples =
+                latencyEstimates.stream().mapToDouble(p -> 1 + p.samples).sum();
+        return latencyEstimates.stream()
+                        .mapToDouble(p -> p.usual * (1 + p.samples))
+                        .sum()
+                / samples;
     }
 
     private double takenWork(ServerState m) {
@@ -437,14 +511,17 @@
         long early = now + (long) (FEW_TAKE * request.latency.usual * stretchNow(m));
         // Only where a retry may follow and can be paid for: an attempt without one has all the time that is left.
         boolean retryFollows = request.sends + 1 < capabilities.attemptsPerRequest() && quota.hasAgain(earlyTimeouts);
-        request.hasEarlyTimeout = m.lostShare > LOST_SHARE && request.type.repeats() != Idempotence.NOT_IDEMPOTENT && retryFollows
+        request.hasEarlyTimeout = m.lostShare > LOST_SHARE
+                && request.type.repeats() != Idempotence.NOT_IDEMPOTENT
+                && retryFollows
                 && worthUntil(request) - early > request.latency.usual * stretchNow(m);
         if (request.hasEarlyTimeout) {
             earlyTimeouts++;
             until = Math.min(until, early);
         }
         // Guards against positions that age while a connection is made; servers that check reads see to it.
-        boolean ages = request.type.needs() == Consistency.BOUNDED && m != m.group.primary
+        boolean ages = request.type.needs() == Consistency.BOUNDED
+                && m != m.group.primary
                 && copies.checks() == ReplicaGuarantees.StalenessCheck.NONE;
         long writeBy = ages ? m.position + request.type.stalenessBound() : Long.MAX_VALUE;
         out.add(new Action.StartAttempt(request.asked.request(), m.id, Math.max(1, until - now), writeBy));
@@ -501,13 +578,17 @@
 
     private void finish(PendingRequest request) {
         requests.remove(request.asked.request());
-        boolean harmless = !request.mayHaveRun || request.type.repeats() == Idempotence.IDEMPOTENT
-                || request.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY && request.type.scope() == RequestClass.Scope.ALL;
+        boolean harmless = !request.mayHaveRun
+                || request.type.repeats() == Idempotence.IDEMPOTENT
+                || request.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY
+                        && request.type.scope() == RequestClass.Scope.ALL;
         long budget = request.beyondShare ? quota.retryAfter(now, request.asked.tenant()) : 0;
         long back = Math.max((long) (COME_BACK * request.type.latencyTarget()), budget);
         back = Math.min(back, capabilities.longestRetryAfter());
-        out.add(harmless ? new Action.RejectRequest(request.asked.request(), capabilities.retryAfterAllowed() ? back : 0)
-                : new Action.FailRequest(request.asked.request()));
+        out.add(
+                harmless
+                        ? new Action.RejectRequest(request.asked.request(), capabilities.retryAfterAllowed() ? back : 0)
+                        : new Action.FailRequest(request.asked.request()));
     }
 
     private void endBeforeShutdown(PendingRequest request) {
@@ -526,8 +607,10 @@
 
     /** Gives freed room to the ops with the most value per work, newest first. */
     private void release(ReplicaGroup g) {
-        List<PendingRequest> order = g.held.stream().sorted(Comparator.comparingDouble((PendingRequest o) -> -valuePerWork(o))
-                .thenComparing(o -> -o.arrivedAt)).toList();
+        List<PendingRequest> order = g.held.stream()
+                .sorted(Comparator.comparingDouble((PendingRequest o) -> -valuePerWork(o))
+                        .thenComparing(o -> -o.arrivedAt))
+                .toList();
         boolean[] stuck = new boolean[requestClasses.size()];
         for (PendingRequest request : order) {
             int type = request.asked.type().index();
@@ -546,7 +629,8 @@
     private static final long HEARD_LASTS = 2000 * MS; // no op to a server not heard of for longer
     private static final long ASK_AGAIN = 150 * MS; // about how often reports are made anew
     private static final long SCARCE_LASTS = 10_000 * MS; // after a refused connect that a probe outlived
-    private static final long CHECK_WAIT = 250 * MS; // a health check on an idle connection, 100 ms in vain, and on a new one
+    private static final long CHECK_WAIT =
+            250 * MS; // a health check on an idle connection, 100 ms in vain, and on a new one
     private static final long PATIENCE = 50 * MS; // what needs no work takes a few: probes, refused connects
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
@@ -731,7 +815,9 @@
             lookForSilence(m);
             if (gossip != null) {
                 gossip.learnt(now, m.id);
-                if (m.stage == Endpoint.EndpointState.DRAINING && m.listed == Endpoint.EndpointState.IN && !heardOfDrain(m)) {
+                if (m.stage == Endpoint.EndpointState.DRAINING
+                        && m.listed == Endpoint.EndpointState.IN
+                        && !heardOfDrain(m)) {
                     stage(m, Endpoint.EndpointState.IN); // no list knew of that drain
                 }
             }
@@ -764,8 +850,13 @@
     }
 
     private ServerObservation word(ServerState m) {
-        return new ServerObservation(m.role, m.role == Role.UNKNOWN ? LoadReport.UNKNOWN_TIME : Math.min(now, m.roleReportedAt),
-                m.position, m.positionReportedAt, m.aliveAt, m.silentAt,
+        return new ServerObservation(
+                m.role,
+                m.role == Role.UNKNOWN ? LoadReport.UNKNOWN_TIME : Math.min(now, m.roleReportedAt),
+                m.position,
+                m.positionReportedAt,
+                m.aliveAt,
+                m.silentAt,
                 slowStartFraction(m) < 1 ? m.coldSince : LoadReport.UNKNOWN_TIME,
                 m.stage == Endpoint.EndpointState.DRAINING ? m.drainReportedAt : LoadReport.UNKNOWN_TIME);
     }
@@ -796,7 +887,8 @@
         if (w.silentAt() > m.aliveAt) {
             m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // a probe tells, before the next op there
             m.retryAt = Math.max(m.retryAt, m.aliveAt == LoadReport.UNKNOWN_TIME ? w.silentAt() + PENALTY_MOST : 0);
-        } else if (w.aliveAt() > Math.max(m.heardAt, m.connectFailedAt) && !m.silent
+        } else if (w.aliveAt() > Math.max(m.heardAt, m.connectFailedAt)
+                && !m.silent
                 && (m != m.group.primary || m.heardAt != LoadReport.UNKNOWN_TIME)) {
             m.heardAt = w.aliveAt();
         }
@@ -874,7 +966,9 @@
                 // What may be the network's doing counts half.
                 double counted = inconclusive ? m.failShare : outcome == Outcome.ERRORED ? 1 : 0.5;
                 m.failShare += NEWEST * (counted - m.failShare);
-                long well = m.group.members.stream().filter(o -> o != m && o.isIn() && !o.silent).count();
+                long well = m.group.members.stream()
+                        .filter(o -> o != m && o.isIn() && !o.silent)
+                        .count();
                 if (m.failShare >= FAIL_SHARE && m != m.group.primary && well * 2 >= m.group.members.size()) {
                     silent(m, "fails " + Math.round(m.failShare * 100) + " %");
                 }
@@ -925,8 +1019,9 @@
     private void lookForSilence(ServerState m) {
         List<PendingRequest> waiting = m.outSinceReturn();
         long quiet = now - Math.max(m.answeredAt, waiting.isEmpty() ? now : waiting.get(0).sentAt);
-        double missing = waiting.stream().mapToDouble(
-                o -> Math.min(quiet, now - o.sentAt) / (o.latency.usual * Math.max(1, m.stretch))).sum();
+        double missing = waiting.stream()
+                .mapToDouble(o -> Math.min(quiet, now - o.sentAt) / (o.latency.usual * Math.max(1, m.stretch)))
+                .sum();
         // Guards against slow servers taken for dead by gateways with few ops, while others hear them.
         boolean heardSince = askAgain() > ASK_AGAIN && now - m.positionReportedAt < quiet;
         if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && heardSince && now - m.probedAt > quiet) {
@@ -951,12 +1046,15 @@
     }
 
     private void callOffRetryable(ServerState m) {
-        m.out.values().stream().filter(o -> o.type.repeats() == Idempotence.IDEMPOTENT).forEach(this::cancelAttempt);
+        m.out.values().stream()
+                .filter(o -> o.type.repeats() == Idempotence.IDEMPOTENT)
+                .forEach(this::cancelAttempt);
     }
 
     /** Not so where nobody was heard: guards against a slow start, of this gateway or of all servers. */
     private boolean neverThere(ServerState m) {
-        return m.heardAt == LoadReport.UNKNOWN_TIME && !localHealth.explainedLately(now)
+        return m.heardAt == LoadReport.UNKNOWN_TIME
+                && !localHealth.explainedLately(now)
                 && members.values().stream().anyMatch(ServerState::isPromising);
     }
 
@@ -965,7 +1063,8 @@
             log("server " + m.id.text() + " silent: " + why);
             m.silent = true;
             m.silentSince = m.silentAt = now;
-            m.penalty = neverThere(m) ? PENALTY_MOST
+            m.penalty = neverThere(m)
+                    ? PENALTY_MOST
                     : now - m.returnedAt < BRIEF ? Math.min(PENALTY_MOST, m.penalty * 2) : PENALTY_FIRST;
             m.retryAt = now + m.penalty;
             callOffRetryable(m);
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -2,8 +2,8 @@
 
 import java.util.Collection;
 import java.util.random.RandomGenerator;
-import ploverdale.model.ServerGuarantees;
 import ploverdale.model.LoadReport;
+import ploverdale.model.ServerGuarantees;
 import ploverdale.state.ServerState;
 
 /**
@@ -17,7 +17,8 @@
     // BUDGET_SHARE * (1 + BURST) of the budget; the rest is for servers that are slower than their peers.
     private static final double BUDGET_SHARE = 0.6;
     private static final double BURST = 0.25; // of a window's refill, which the bucket holds at most
-    private static final double SLACK_SHARE = 0.4; // of the rule's slack, which it holds besides; the rest is for chance
+    private static final double SLACK_SHARE =
+            0.4; // of the rule's slack, which it holds besides; the rest is for chance
     private static final double LOT_LASTS = 0.5; // windows
     private static final double AGREED_SHARE = 0.5; // of the equal part, kept where peers take less; most goes by use
     private static final double UNAGREED = 24; // requests a window and server, over all gateways, where none are agreed
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.model.ReplicaGuarantees;
-import ploverdale.model.Event;
-import ploverdale.model.RequestClass;
 import ploverdale.model.Capabilities;
-import ploverdale.model.ServerGuarantees;
+import ploverdale.model.Event;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClass;
+import ploverdale.model.ServerGuarantees;
 import ploverdale.model.Tenant;
 
 /**
@@ -32,7 +32,9 @@
         JsonFields special = all.object("specifics");
         positionZeroMs = special.number("positionZeroMs", 0);
         positionsInNotes = special.mark("positions");
-        reportFields = all.object("report").list("fields").stream().map(String::valueOf).toList();
+        reportFields = all.object("report").list("fields").stream()
+                .map(String::valueOf)
+                .toList();
         String via = all.object("report").text("via", "silent");
         reportsInAnswers = via.equals("piggyback");
         reportsInProbes = reportsInAnswers || via.equals("pull");
@@ -94,7 +96,8 @@
 
     /** A load report, its values named; an absent one is null. Positions are counted from a zero. */
     public static LoadReport report(Double position, Double role, Double busy, double zeroMs) {
-        return new LoadReport(role == null ? Role.UNKNOWN : role.intValue() == 1 ? Role.PRIMARY : Role.REPLICA,
+        return new LoadReport(
+                role == null ? Role.UNKNOWN : role.intValue() == 1 ? Role.PRIMARY : Role.REPLICA,
                 position == null ? LoadReport.UNKNOWN_TIME : JsonFields.down(zeroMs + position * 1000),
                 busy == null ? Double.NaN : busy);
     }
@@ -115,29 +118,54 @@
             JsonFields f = JsonFields.of("profiles", p);
             int i = types.size();
             long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? JsonFields.down(n.doubleValue()) : 0;
-            types.add(new RequestClass(JsonFields.down(f.number("aimMs")), f.number("aimStretch", 0),
-                    JsonFields.down(f.number("deadlineMs")), repeats(f.text("effect", "once")),
-                    scope(f.text("dedupScope", "cell")), JsonFields.down(f.number("dedupWindowMs", 0)),
-                    f.number("worth", 1), f.number("lateShare", 0), f.mark("stream"),
-                    needs(i < needs.size() ? String.valueOf(needs.get(i)) : "mutate"), bound));
+            types.add(new RequestClass(
+                    JsonFields.down(f.number("aimMs")),
+                    f.number("aimStretch", 0),
+                    JsonFields.down(f.number("deadlineMs")),
+                    repeats(f.text("effect", "once")),
+                    scope(f.text("dedupScope", "cell")),
+                    JsonFields.down(f.number("dedupWindowMs", 0)),
+                    f.number("worth", 1),
+                    f.number("lateShare", 0),
+                    f.mark("stream"),
+                    needs(i < needs.size() ? String.valueOf(needs.get(i)) : "mutate"),
+                    bound));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Object a : all.list("accounts")) {
             tenants.add(new Tenant(JsonFields.of("accounts", a).number("quotaPerS", 0)));
         }
         JsonFields rules = all.object("contract");
-        ServerGuarantees guarantees = new ServerGuarantees(rules.number("startCapacity", 0), JsonFields.up(rules.number("coldMs", 0)),
-                rules.number("overloadFactor", 1), JsonFields.up(rules.number("overloadForMs", 0)),
-                !rules.mark("removalNotBinding"), JsonFields.down(rules.number("mustAskInMs", 0)));
+        ServerGuarantees guarantees = new ServerGuarantees(
+                rules.number("startCapacity", 0),
+                JsonFields.up(rules.number("coldMs", 0)),
+                rules.number("overloadFactor", 1),
+                JsonFields.up(rules.number("overloadForMs", 0)),
+                !rules.mark("removalNotBinding"),
+                JsonFields.down(rules.number("mustAskInMs", 0)));
         JsonFields limits = all.object("policyLimits");
-        Capabilities capabilities = new Capabilities((int) limits.whole("sendCap", 1), limits.mark("cancel"), limits.mark("probes"),
-                limits.mark("retryAfter"), JsonFields.down(limits.number("maxRetryAfterMs", 0)),
+        Capabilities capabilities = new Capabilities(
+                (int) limits.whole("sendCap", 1),
+                limits.mark("cancel"),
+                limits.mark("probes"),
+                limits.mark("retryAfter"),
+                JsonFields.down(limits.number("maxRetryAfterMs", 0)),
                 limits.mark("peerMessages"));
-        ReplicaGuarantees copies = new ReplicaGuarantees(checks(special.text("checks", "silent")),
-                JsonFields.down(special.number("waitMs", 0)), special.text("tokens", "").equals("brought"));
-        return new Event.Started(seed, (int) all.whole("balancers", 1), types, tenants,
-                all.number("overShareWorth", 1), guarantees, capabilities, copies,
-                all.text("discovery", "").equals("subscribe"), (int) all.whole("selfIndex", 0));
+        ReplicaGuarantees copies = new ReplicaGuarantees(
+                checks(special.text("checks", "silent")),
+                JsonFields.down(special.number("waitMs", 0)),
+                special.text("tokens", "").equals("brought"));
+        return new Event.Started(
+                seed,
+                (int) all.whole("balancers", 1),
+                types,
+                tenants,
+                all.number("overShareWorth", 1),
+                guarantees,
+                capabilities,
+                copies,
+                all.text("discovery", "").equals("subscribe"),
+                (int) all.whole("selfIndex", 0));
     }
 
     private static RequestClass.Idempotence repeats(String word) {
--- a/gateway/src/main/java/ploverdale/settings/JsonFields.java
+++ b/gateway/src/main/java/ploverdale/settings/JsonFields.java
@@ -40,7 +40,9 @@
             case VALUE_STRING:
                 return p.getText();
             case VALUE_NUMBER_INT:
-                return p.getNumberType() == JsonParser.NumberType.BIG_INTEGER ? p.getDoubleValue() : (Object) p.getLongValue();
+                return p.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? p.getDoubleValue()
+                        : (Object) p.getLongValue();
             case VALUE_NUMBER_FLOAT:
                 return p.getDoubleValue();
             case VALUE_TRUE:
--- a/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
+++ b/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
@@ -7,14 +7,20 @@
  */
 public final class GracefulShutdown {
     /** What to do now: serve on, end connections that wait for nothing, only answer what has been read, or stop. */
-    public enum Step { SERVES, ENDS, FINISHES, OVER }
+    public enum Step {
+        SERVES,
+        ENDS,
+        FINISHES,
+        OVER
+    }
 
     private static final long STILL_ARRIVING_MS = 500; // new connections are served as before
     private static final long ENDING_TAKES_MS = 1200; // for ops in hand, many times what one usually takes
     // The process may be paused for 150 ms at any moment; what is left of this is for the exit itself.
     private static final long SPARE_MS = 200;
     private static final long EXIT_MS = 50; // without its last answers, if they cannot be written
-    // Guards against a standstill right before the end: elsewhere an answer half a second late is only worth nothing, but
+    // Guards against a standstill right before the end: elsewhere an answer half a second late is only worth nothing,
+    // but
     // whatever the platform's kill finds unanswered is lost.
     private static final long ANSWERED_BEFORE_MS = 500;
     private static final double HARDLY_ANYONE = 0.1; // of the ops a second before
@@ -34,7 +40,8 @@
      */
     public GracefulShutdown(long killedAfterMs, double requestsPerSecond) {
         endsBy = Math.max(STILL_ARRIVING_MS, killedAfterMs - ENDING_TAKES_MS);
-        // With short op timeouts the end is so near that half a second before it clients still arrive, who are to be served.
+        // With short op timeouts the end is so near that half a second before it clients still arrive, who are to be
+        // served.
         answersBy = Math.max(STILL_ARRIVING_MS, killedAfterMs - ANSWERED_BEFORE_MS);
         readsUntil = killedAfterMs - SPARE_MS;
         overBy = killedAfterMs - EXIT_MS;
--- a/gateway/src/main/java/ploverdale/state/PendingRequest.java
+++ b/gateway/src/main/java/ploverdale/state/PendingRequest.java
@@ -24,7 +24,8 @@
     public long repeatUntil = Long.MAX_VALUE;
     public ServerState firstMaybeServer;
 
-    public PendingRequest(RequestArrived asked, RequestClass type, LatencyEstimate latency, long arrivedAt, long targetAt) {
+    public PendingRequest(
+            RequestArrived asked, RequestClass type, LatencyEstimate latency, long arrivedAt, long targetAt) {
         this.asked = asked;
         this.type = type;
         this.latency = latency;
--- a/gateway/src/main/java/ploverdale/state/ServerState.java
+++ b/gateway/src/main/java/ploverdale/state/ServerState.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 import ploverdale.model.Endpoint;
+import ploverdale.model.LoadReport;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.LoadReport;
 import ploverdale.model.ZoneId;
 
 /** All that this gateway holds about one database server. Times in tenths of a millisecond. */
@@ -24,7 +24,8 @@
     public long positionReportedAt = LoadReport.UNKNOWN_TIME;
     public long misdirectedAt = LoadReport.UNKNOWN_TIME;
 
-    public long heardAt = LoadReport.UNKNOWN_TIME; // by this gateway, or as good as that; put back where a probe is wanted
+    public long heardAt =
+            LoadReport.UNKNOWN_TIME; // by this gateway, or as good as that; put back where a probe is wanted
     public long aliveAt = LoadReport.UNKNOWN_TIME; // by any gateway
     public long silentAt = LoadReport.UNKNOWN_TIME; // the same
     public Endpoint.EndpointState listed = Endpoint.EndpointState.IN;
--- a/gateway/src/main/java/ploverdale/state/SessionWrites.java
+++ b/gateway/src/main/java/ploverdale/state/SessionWrites.java
@@ -3,8 +3,8 @@
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
-import ploverdale.model.SessionId;
 import ploverdale.model.LoadReport;
+import ploverdale.model.SessionId;
 
 /** The last write of each session; past the most kept, all are folded into one floor. Times in tenths of a ms. */
 public final class SessionWrites {
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -19,20 +19,44 @@
 class ArchitectureTest {
     private static final String CLOCK = "ploverdale.clock..";
     private static final String[] DECISIONS = {
-        "ploverdale.model..", "ploverdale.state..", "ploverdale.limits..", "ploverdale.shutdown..", "ploverdale.gossip..",
-        "ploverdale.membership..", "ploverdale.quota..", "ploverdale.replication..", "ploverdale.routing..",
+        "ploverdale.model..",
+        "ploverdale.state..",
+        "ploverdale.limits..",
+        "ploverdale.shutdown..",
+        "ploverdale.gossip..",
+        "ploverdale.membership..",
+        "ploverdale.quota..",
+        "ploverdale.replication..",
+        "ploverdale.routing..",
     };
 
-    private final JavaClasses classes =
-            new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("ploverdale");
+    private final JavaClasses classes = new ClassFileImporter()
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("ploverdale");
 
     @Test
     void decisionsDoNoInputOrOutput() {
         String[] io = {
-            "java.io..", "java.net..", "java.nio.channels..", "java.nio.file..", "java.util.logging..", "io.vertx..", "io.netty..",
-            "ploverdale.net..", "ploverdale.benchlink..", "ploverdale.log..", "ploverdale.dev..", "ploverdale.settings..",
+            "java.io..",
+            "java.net..",
+            "java.nio.channels..",
+            "java.nio.file..",
+            "java.util.logging..",
+            "io.vertx..",
+            "io.netty..",
+            "ploverdale.net..",
+            "ploverdale.benchlink..",
+            "ploverdale.log..",
+            "ploverdale.dev..",
+            "ploverdale.settings..",
         };
-        noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat().resideInAnyPackage(io).check(classes);
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(io)
+                .check(classes);
     }
 
     @Test
@@ -45,8 +69,9 @@
         return new ArchCondition<>("read a clock") {
             @Override
             public void check(JavaClass item, ConditionEvents events) {
-                item.getAccessesFromSelf().stream().filter(ArchitectureTest::readsAClock).forEach(access -> events.add(
-                        SimpleConditionEvent.satisfied(access, access.getDescription())));
+                item.getAccessesFromSelf().stream()
+                        .filter(ArchitectureTest::readsAClock)
+                        .forEach(access -> events.add(SimpleConditionEvent.satisfied(access, access.getDescription())));
             }
         };
     }
@@ -54,7 +79,8 @@
     private static boolean readsAClock(JavaAccess<?> access) {
         String owner = access.getTargetOwner().getName();
         String name = access.getTarget().getName();
-        boolean ofSystem = owner.equals("java.lang.System") && (name.equals("currentTimeMillis") || name.equals("nanoTime"));
+        boolean ofSystem =
+                owner.equals("java.lang.System") && (name.equals("currentTimeMillis") || name.equals("nanoTime"));
         boolean ofTime = owner.startsWith("java.time.") && (name.equals("now") || name.startsWith("system"));
         boolean ofOldTime = owner.equals("java.util.Date") && name.equals("<init>")
                 || owner.equals("java.util.Calendar") && name.equals("getInstance");
@@ -63,48 +89,90 @@
 
     @Test
     void decisionsAreHandedTheirClockAndChance() {
-        noClasses().that().resideInAnyPackage(DECISIONS)
-                .should().dependOnClassesThat().belongToAnyOf(Clock.class).check(classes);
-        noClasses().that().resideInAnyPackage(DECISIONS)
-                .should().callMethod(Math.class, "random").check(classes);
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Clock.class)
+                .check(classes);
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .should()
+                .callMethod(Math.class, "random")
+                .check(classes);
     }
 
     @Test
     void eachPackageDependsOnlyOnThoseBelowIt() {
-        layeredArchitecture().consideringOnlyDependenciesInAnyPackage("ploverdale..")
-                .layer("model").definedBy("ploverdale.model..")
-                .layer("state").definedBy("ploverdale.state..")
-                .layer("fleet").definedBy("ploverdale.membership..")
-                .layer("gossip").definedBy("ploverdale.gossip..")
-                .layer("replica").definedBy("ploverdale.replication..")
-                .layer("budgets").definedBy("ploverdale.quota..")
-                .layer("limits").definedBy("ploverdale.limits..")
-                .layer("shutdown").definedBy("ploverdale.shutdown..")
-                .layer("clock").definedBy(CLOCK)
-                .layer("log").definedBy("ploverdale.log..")
-                .layer("settings").definedBy("ploverdale.settings..")
-                .layer("routing").definedBy("ploverdale.routing..")
-                .layer("main").definedBy(belongToAnyOf(Main.class))
-                .layer("net").definedBy("ploverdale.net..")
-                .layer("simulator").definedBy("ploverdale.benchlink..")
-                .layer("toy").definedBy("ploverdale.dev..")
-                .whereLayer("toy").mayOnlyBeAccessedByLayers("main")
-                .whereLayer("simulator").mayOnlyBeAccessedByLayers("main")
-                .whereLayer("net").mayOnlyBeAccessedByLayers("main", "toy", "simulator")
-                .whereLayer("settings").mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
-                .whereLayer("clock").mayOnlyBeAccessedByLayers("main", "net", "log", "simulator", "toy")
-                .whereLayer("log").mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
-                .whereLayer("shutdown").mayOnlyBeAccessedByLayers("net")
-                .whereLayer("limits").mayOnlyBeAccessedByLayers("net")
-                .whereLayer("budgets").mayOnlyBeAccessedByLayers("routing", "main", "net", "simulator")
-                .whereLayer("replica").mayOnlyBeAccessedByLayers("main", "net", "budgets", "simulator")
-                .whereLayer("routing").mayOnlyBeAccessedByLayers("net", "simulator")
-                .whereLayer("state").mayOnlyBeAccessedByLayers("routing")
+        layeredArchitecture()
+                .consideringOnlyDependenciesInAnyPackage("ploverdale..")
+                .layer("model")
+                .definedBy("ploverdale.model..")
+                .layer("state")
+                .definedBy("ploverdale.state..")
+                .layer("fleet")
+                .definedBy("ploverdale.membership..")
+                .layer("gossip")
+                .definedBy("ploverdale.gossip..")
+                .layer("replica")
+                .definedBy("ploverdale.replication..")
+                .layer("budgets")
+                .definedBy("ploverdale.quota..")
+                .layer("limits")
+                .definedBy("ploverdale.limits..")
+                .layer("shutdown")
+                .definedBy("ploverdale.shutdown..")
+                .layer("clock")
+                .definedBy(CLOCK)
+                .layer("log")
+                .definedBy("ploverdale.log..")
+                .layer("settings")
+                .definedBy("ploverdale.settings..")
+                .layer("routing")
+                .definedBy("ploverdale.routing..")
+                .layer("main")
+                .definedBy(belongToAnyOf(Main.class))
+                .layer("net")
+                .definedBy("ploverdale.net..")
+                .layer("simulator")
+                .definedBy("ploverdale.benchlink..")
+                .layer("toy")
+                .definedBy("ploverdale.dev..")
+                .whereLayer("toy")
+                .mayOnlyBeAccessedByLayers("main")
+                .whereLayer("simulator")
+                .mayOnlyBeAccessedByLayers("main")
+                .whereLayer("net")
+                .mayOnlyBeAccessedByLayers("main", "toy", "simulator")
+                .whereLayer("settings")
+                .mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
+                .whereLayer("clock")
+                .mayOnlyBeAccessedByLayers("main", "net", "log", "simulator", "toy")
+                .whereLayer("log")
+                .mayOnlyBeAccessedByLayers("main", "net", "simulator", "toy")
+                .whereLayer("shutdown")
+                .mayOnlyBeAccessedByLayers("net")
+                .whereLayer("limits")
+                .mayOnlyBeAccessedByLayers("net")
+                .whereLayer("budgets")
+                .mayOnlyBeAccessedByLayers("routing", "main", "net", "simulator")
+                .whereLayer("replica")
+                .mayOnlyBeAccessedByLayers("main", "net", "budgets", "simulator")
+                .whereLayer("routing")
+                .mayOnlyBeAccessedByLayers("net", "simulator")
+                .whereLayer("state")
+                .mayOnlyBeAccessedByLayers("routing")
                 .check(classes);
     }
 
     @Test
     void nothingDependsOnTheTools() {
-        noClasses().should().dependOnClassesThat().resideInAPackage("ploverdale.tools..").check(classes);
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("ploverdale.tools..")
+                .check(classes);
     }
 }
--- a/gateway/src/test/java/ploverdale/AttemptRecorder.java
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -44,7 +44,9 @@
     List<Arrival> await(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeHost.Net.PATIENCE_S);
         while (arrivals.size() < count) {
-            assertThat(System.nanoTime()).as("%d attempts, there are %s", count, arrivals).isLessThan(end);
+            assertThat(System.nanoTime())
+                    .as("%d attempts, there are %s", count, arrivals)
+                    .isLessThan(end);
             Thread.sleep(1);
         }
         return List.copyOf(arrivals);
@@ -57,7 +59,10 @@
     /** The ids of the attempts that began later than the grace after this time, by the monotonic clock. */
     List<String> begunAfter(long closedAtNanos) {
         long latest = closedAtNanos + TimeUnit.MILLISECONDS.toNanos(GRACE_MS);
-        return arrivals.stream().filter(a -> a.atNanos() > latest).map(Arrival::id).toList();
+        return arrivals.stream()
+                .filter(a -> a.atNanos() > latest)
+                .map(Arrival::id)
+                .toList();
     }
 
     @Override
--- a/gateway/src/test/java/ploverdale/ClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/ClassArchiveTest.java
@@ -71,7 +71,8 @@
     }
 
     private static boolean mapsArchive(ServingProcess gateway) throws IOException {
-        return Files.readString(Path.of("/proc/" + gateway.process.pid() + "/maps")).contains("ploverdale.jsa");
+        return Files.readString(Path.of("/proc/" + gateway.process.pid() + "/maps"))
+                .contains("ploverdale.jsa");
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -19,6 +18,7 @@
 import ploverdale.AttemptRecorder.Arrival;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
 
 /** No attempt begins later than the grace after its client closed or cancelled, whatever the request waits for by then. */
 @Timeout(120)
@@ -89,8 +89,13 @@
 
         private void cancel() throws IOException {
             try (Socket other = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                other.getOutputStream().write(Buffer.buffer().appendInt(16).appendInt(80877102).appendInt(process)
-                        .appendInt(secret).getBytes());
+                other.getOutputStream()
+                        .write(Buffer.buffer()
+                                .appendInt(16)
+                                .appendInt(80877102)
+                                .appendInt(process)
+                                .appendInt(secret)
+                                .getBytes());
                 other.getInputStream().read();
             }
         }
@@ -143,7 +148,8 @@
     @ParameterizedTest
     @EnumSource
     void noRequestBehindThoseInHandIsForwardedOnceItsClientHasLeft(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 3 * IN_HAND_MOST; i++) {
@@ -172,7 +178,8 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE"})
     void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 200; i++) { // 1.8 MB, taken by the systems on the way
@@ -280,7 +287,8 @@
     @ParameterizedTest
     @EnumSource
     void aRequestAndItsClientsDepartureDuringAPauseOfTheLoopCauseNoAttempt(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             List<LeavingClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 clients.add(new LeavingClient(net.gateway.port()));
@@ -308,13 +316,15 @@
     }
 
     private static void leaveAll(List<LeavingClient> clients, Departure how) {
-        List<Thread> all = clients.stream().map(c -> new Thread(() -> {
-            try {
-                c.leave(how);
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        })).toList();
+        List<Thread> all = clients.stream()
+                .map(c -> new Thread(() -> {
+                    try {
+                        c.leave(how);
+                    } catch (IOException e) {
+                        throw new java.io.UncheckedIOException(e);
+                    }
+                }))
+                .toList();
         all.forEach(Thread::start);
         for (Thread t : all) {
             try {
@@ -329,10 +339,12 @@
     @ParameterizedTest
     @EnumSource
     void aDepartureDuringAPauseBetweenReadingARequestAndForwardingItCausesNoAttempt(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
-            Buffer both = MessageWriter.query(net.request("order")).appendBuffer(MessageWriter.query(net.request("no such type")));
+            Buffer both = MessageWriter.query(net.request("order"))
+                    .appendBuffer(MessageWriter.query(net.request("no such type")));
             net.pauseWhileReading(() -> client.write(both));
             long leftAt = System.nanoTime();
             Thread leaves = new Thread(() -> leaveAll(List.of(client), how));
@@ -367,7 +379,8 @@
 
     @Test
     void aCancelMessageIsAnsweredOnTheConnectionThatItNamesAndTheAttemptIsGivenUp() throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.leave(Departure.CANCEL);
@@ -378,13 +391,16 @@
 
     @Test
     void aCancelMessageWithAnotherSecretCancelsNothing() throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.secret++;
             client.leave(Departure.CANCEL);
             first.attempt().row(new byte[] {7});
-            assertThat((char) client.socket.getInputStream().read()).as(net::log).isEqualTo('T');
+            assertThat((char) client.socket.getInputStream().read())
+                    .as(net::log)
+                    .isEqualTo('T');
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/ClockOffsetInRouterTest.java
@@ -4,13 +4,13 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Endpoint.EndpointState;
-import ploverdale.model.RequestId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
 /** What the decisions make of a servers' clock whose offset turns out to be another. */
@@ -49,7 +49,12 @@
         h.list(true, "p", "r1");
         h.levelled("p", "r1");
         RequestId write = h.ask(FakeHost.SUBMIT, "s", 0);
-        h.ends(write, 0, "p", Outcome.ACKED, new LoadReport(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
+        h.ends(
+                write,
+                0,
+                "p",
+                Outcome.ACKED,
+                new LoadReport(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
         offsetChanges(h, Map.of());
         h.nowMs += 200;
         h.probed("r1", Role.REPLICA, h.nowMs - 300);
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -78,7 +78,8 @@
             net.servers.get("p").next().row(new byte[] {1});
             assertThat(writer.answer()).isEqualTo("row 01 ready");
             assertUndisturbed(net);
-            assertThat(net.log().lines().filter(l -> l.contains("wall clock stepped by "))).hasSize(1);
+            assertThat(net.log().lines().filter(l -> l.contains("wall clock stepped by ")))
+                    .hasSize(1);
         }
     }
 
@@ -168,7 +169,9 @@
             startedAt(net, Clock.system().wallMs());
             net.started();
             Client one = net.client();
-            assertThat(one.ask(net.request("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(one.ask(net.request("order", 5_000)).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             clock.step(step);
             net.servers.get("p").writes = false;
             List<Client> others = new ArrayList<>();
@@ -212,8 +215,8 @@
 
     private Net tokened() throws Exception {
         Net net = net(clock, "p").readable();
-        net.settings = told -> told.replace("\"effect\":\"once\"",
-                "\"effect\":\"by_key\",\"dedupScope\":\"cell\",\"dedupWindowMs\":1000");
+        net.settings = told -> told.replace(
+                "\"effect\":\"once\"", "\"effect\":\"by_key\",\"dedupScope\":\"cell\",\"dedupWindowMs\":1000");
         return net.started();
     }
 
@@ -254,7 +257,8 @@
             was.step(-off);
             net.logged("wall clock stepped by ");
             readsFor(net, c, 500);
-            assertThat(net.log().lines().filter(l -> l.contains("clock corrected"))).hasSize(1);
+            assertThat(net.log().lines().filter(l -> l.contains("clock corrected")))
+                    .hasSize(1);
             assertThat(net.log()).doesNotContain("silent");
         }
     }
@@ -272,7 +276,9 @@
             }
             long began = System.nanoTime();
             for (int i = 0; i < 40; i++) { // a cold one would take 10 a second
-                assertThat(c.ask(net.request("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(c.ask(net.request("order", 5_000)).answer())
+                        .as(net::log)
+                        .isEqualTo(ROW_7);
             }
             assertThat(sinceMs(began)).as(net::log).isLessThan(2_000);
         }
--- a/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
@@ -51,13 +51,15 @@
         servers.forEach(s -> s.writes = true);
         List<String> rows = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            rows.add("{\"id\":\"" + ids[i] + "\",\"host_port\":\"127.0.0.1:" + servers.get(i).port() + "\",\"cell\":"
-                    + i / GROUP_SIZE + ",\"phase\":\"SERVING\"}");
+            rows.add("{\"id\":\"" + ids[i] + "\",\"host_port\":\"127.0.0.1:"
+                    + servers.get(i).port() + "\",\"cell\":" + i / GROUP_SIZE + ",\"phase\":\"SERVING\"}");
         }
         net.registry.whole = "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", rows) + "]}";
-        Files.writeString(configuration, Net.configuration(net.registry, 2000, 30_000)
-                .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":250")
-                .replace("[30000,0,0]", "[500,0,0]"));
+        Files.writeString(
+                configuration,
+                Net.configuration(net.registry, 2000, 30_000)
+                        .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":250")
+                        .replace("[30000,0,0]", "[500,0,0]"));
     }
 
     @AfterEach
@@ -79,20 +81,25 @@
         CountDownLatch heldUp = new CountDownLatch(1);
         servers.forEach(s -> s.holdsGreetings = heldUp);
         start();
-        awaits(() -> count(i -> !servers.get(i).connects.isEmpty()) >= Math.min(count, CHECKS_OUT), "the first health checks are out");
+        awaits(
+                () -> count(i -> !servers.get(i).connects.isEmpty()) >= Math.min(count, CHECKS_OUT),
+                "the first health checks are out");
         signal("-STOP");
         Thread.sleep(HOLD_UP_MS);
         signal("-CONT");
         heldUp.countDown();
         long since = System.nanoTime();
         Thread load = load(line("listens at"));
-        awaits(() -> count(i -> servers.get(i).probed > 0) == servers.size() && silent().isEmpty(), "all have answered, none is silent");
+        awaits(
+                () -> count(i -> servers.get(i).probed > 0) == servers.size() && silent().isEmpty(),
+                "all have answered, none is silent");
         long back = millisSince(since);
         Thread.sleep(1000); // what was wrongly taken for dead would be found by now
         awaits(() -> silent().isEmpty(), "none is silent");
         int calledSilent = lines(" silent: ").size();
-        System.out.println("of " + count + " servers " + calledSilent + " times called silent; all had answered and were in use after " + back + " ms, "
-                + "last line: " + last(lines(" returns: ")));
+        System.out.println("of " + count + " servers " + calledSilent
+                + " times called silent; all had answered and were in use after " + back + " ms, " + "last line: "
+                + last(lines(" returns: ")));
         ended = true;
         load.join();
         assertThat(calledSilent).isZero();
@@ -104,7 +111,9 @@
         standIns(MANY);
         start();
         Thread load = load(line("listens at"));
-        awaits(() -> count(i -> servers.get(i).probed > 0) == servers.size() && silent().isEmpty(), "all have answered, none is silent");
+        awaits(
+                () -> count(i -> servers.get(i).probed > 0) == servers.size() && silent().isEmpty(),
+                "all have answered, none is silent");
         Set<String> dead = new HashSet<>();
         for (int i = 0; i < MANY; i++) {
             if (i % 3 != 0) {
@@ -120,7 +129,8 @@
         System.out.println("of " + dead.size() + " dead half found after " + half + " ms, all after " + all + " ms");
         ended = true;
         load.join();
-        // 1.0 and 2.6 s, before and after; more where this machine delays the gateway. CommonSilenceTest has it to the ms.
+        // 1.0 and 2.6 s, before and after; more where this machine delays the gateway. CommonSilenceTest has it to the
+        // ms.
         assertThat(half).isLessThan(4000);
         assertThat(all).isLessThan(8000);
     }
@@ -156,10 +166,17 @@
         while (!Files.exists(root.resolve("deploy/gateway.args"))) {
             root = root.getParent();
         }
-        gateway = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "@" + root.resolve("deploy/gateway.args"), "-cp",
-                System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                "ploverdale.Main", "serve", "--config", configuration.toString()).redirectError(log.toFile()).start();
+        gateway = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "@" + root.resolve("deploy/gateway.args"),
+                        "-cp",
+                        System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                        "ploverdale.Main",
+                        "serve",
+                        "--config",
+                        configuration.toString())
+                .redirectError(log.toFile())
+                .start();
     }
 
     /** Sends each group's queries at a steady pace, whatever becomes of those before. */
@@ -197,8 +214,10 @@
 
     private static String query(int i, int group) {
         boolean write = i % 4 == 0;
-        return (write ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
-                : "SELECT val FROM state WHERE uid = 'k'") + " /* id=" + Integer.toHexString(i * 1000 + group)
+        return (write
+                        ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
+                        : "SELECT val FROM state WHERE uid = 'k'")
+                + " /* id=" + Integer.toHexString(i * 1000 + group)
                 + ",c=" + (write ? "order" : "quick") + ",t=north,d=900,cluster=" + group + " */";
     }
 
@@ -211,7 +230,10 @@
     }
 
     private void signal(String name) throws Exception {
-        assertThat(new ProcessBuilder("kill", name, Long.toString(gateway.pid())).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", name, Long.toString(gateway.pid()))
+                        .start()
+                        .waitFor())
+                .isZero();
     }
 
     private static long millisSince(long nanos) {
@@ -224,7 +246,9 @@
 
     private List<String> lines(String part) {
         try {
-            return Files.readAllLines(log).stream().filter(l -> l.contains(part)).toList();
+            return Files.readAllLines(log).stream()
+                    .filter(l -> l.contains(part))
+                    .toList();
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
@@ -238,7 +262,9 @@
     private void awaits(BooleanSupplier so, String what) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Net.PATIENCE_S);
         while (!so.getAsBoolean()) {
-            assertThat(System.nanoTime()).as("%s:\n%s", what, Files.readString(log)).isLessThan(end);
+            assertThat(System.nanoTime())
+                    .as("%s:\n%s", what, Files.readString(log))
+                    .isLessThan(end);
             Thread.sleep(2);
         }
     }
--- a/gateway/src/test/java/ploverdale/CommonSilenceTest.java
+++ b/gateway/src/test/java/ploverdale/CommonSilenceTest.java
@@ -30,7 +30,8 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 15})
     void aHoldUpOfTheGatewayEjectsNobodyOfASmallFleet(int servers) {
-        VirtualFleet fleet = fleet(servers).heldUp(1, 300, true).heldUp(5000, 600, true).play(10_000, OPS_PER_SECOND);
+        VirtualFleet fleet =
+                fleet(servers).heldUp(1, 300, true).heldUp(5000, 600, true).play(10_000, OPS_PER_SECOND);
         report(fleet, servers + " servers, held up");
         assertThat(fleet.calledSilent()).isEmpty();
     }
@@ -57,8 +58,15 @@
     /** The last columns are what was measured before there was any doubt about oneself. */
     @ParameterizedTest
     @CsvSource({
-        "240, 160, 578.9, 1066", "240, 120, 559.6, 970", "240, 80, 553.3, 850", "15, 10, 408.0, 410", "15, 5, 410.0, 410",
-        "6, 4, 410.0, 410", "2, 1, 410.0, 410", "2, 2, 410.0, 410", "1, 1, 410.0, 410",
+        "240, 160, 578.9, 1066",
+        "240, 120, 559.6, 970",
+        "240, 80, 553.3, 850",
+        "15, 10, 408.0, 410",
+        "15, 5, 410.0, 410",
+        "6, 4, 410.0, 410",
+        "2, 1, 410.0, 410",
+        "2, 2, 410.0, 410",
+        "1, 1, 410.0, 410",
     })
     void serversThatDieAreFoundAsSoonAsEver(int servers, int dead, double meanBefore, long lastBefore) {
         VirtualFleet fleet = fleet(servers).die(5000, servers - dead, servers).play(15_000, 2 * OPS_PER_SECOND);
@@ -107,9 +115,16 @@
     }
 
     private static void report(VirtualFleet fleet, String what) {
-        System.out.printf("%s: %d called silent, the last found at %d ms (from 5000: mean %.1f), silent still %d, last return at "
-                + "%d ms, %d ops succeeded, at most %d checks at once%n", what, fleet.calledSilent().size(),
-                fleet.calledSilent().isEmpty() ? -1 : fleet.lastDetectedAfter(0), fleet.calledSilent().isEmpty() ? 0 : fleet.detectedAfter(5000), fleet.silent().size(), fleet.lastReturn(),
-                fleet.succeeded, fleet.healthChecksOutMost());
+        System.out.printf(
+                "%s: %d called silent, the last found at %d ms (from 5000: mean %.1f), silent still %d, last return at "
+                        + "%d ms, %d ops succeeded, at most %d checks at once%n",
+                what,
+                fleet.calledSilent().size(),
+                fleet.calledSilent().isEmpty() ? -1 : fleet.lastDetectedAfter(0),
+                fleet.calledSilent().isEmpty() ? 0 : fleet.detectedAfter(5000),
+                fleet.silent().size(),
+                fleet.lastReturn(),
+                fleet.succeeded,
+                fleet.healthChecksOutMost());
     }
 }
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -47,43 +47,70 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"name\":\"n1\", | name", "\"listen\":\"127.0.0.1:7000\", | listen", "\"seed\":\"ffffffffffffffff\", | seed",
-        "\"limits\":{\"sockets\":256}, | limits", "\"sockets\":256 | sockets", "\"revision\":3, | revision",
-        "\"discovery\":\"127.0.0.1:7001\", | discovery", ",\"deadlineMs\":20 | deadlineMs"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"name\":\"n1\", | name", "\"listen\":\"127.0.0.1:7000\", | listen",
+                        "\"seed\":\"ffffffffffffffff\", | seed",
+                "\"limits\":{\"sockets\":256}, | limits", "\"sockets\":256 | sockets", "\"revision\":3, | revision",
+                "\"discovery\":\"127.0.0.1:7001\", | discovery", ",\"deadlineMs\":20 | deadlineMs"
+            })
     void aFieldThatLacksIsNamed(String left, String named) {
-        assertThatThrownBy(() -> read(GOOD.replace(left, ""))).isInstanceOf(InvalidSettingsException.class).hasMessageContaining(named);
+        assertThatThrownBy(() -> read(GOOD.replace(left, "")))
+                .isInstanceOf(InvalidSettingsException.class)
+                .hasMessageContaining(named);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "127.0.0.1:7000 | localhost:7000 | listen", "127.0.0.1:7001 | 127.0.0.1 | discovery",
-        "127.0.0.1:7000 | 127.0.0.300:7000 | listen", "ffffffffffffffff | none | seed", "256 | 3 | sockets",
-        "256 | \"many\" | sockets", "\"n1\" | 7 | name", "\"aimMs\":10 | \"aimMs\":\"soon\" | aimMs"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "127.0.0.1:7000 | localhost:7000 | listen",
+                "127.0.0.1:7001 | 127.0.0.1 | discovery",
+                "127.0.0.1:7000 | 127.0.0.300:7000 | listen",
+                "ffffffffffffffff | none | seed",
+                "256 | 3 | sockets",
+                "256 | \"many\" | sockets",
+                "\"n1\" | 7 | name",
+                "\"aimMs\":10 | \"aimMs\":\"soon\" | aimMs"
+            })
     void aFieldOfTheWrongFormIsNamed(String right, String wrong, String named) {
-        assertThatThrownBy(() -> read(GOOD.replace(right, wrong))).isInstanceOf(InvalidSettingsException.class)
+        assertThatThrownBy(() -> read(GOOD.replace(right, wrong)))
+                .isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining(named);
     }
 
     @Test
     void aFileThatLacksOrIsNotJsonIsSaidSo() {
-        assertThatThrownBy(() -> ConfigurationFile.read(dir.resolve("none.json"))).isInstanceOf(InvalidSettingsException.class)
+        assertThatThrownBy(() -> ConfigurationFile.read(dir.resolve("none.json")))
+                .isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("none.json");
-        assertThatThrownBy(() -> read("{\"name\":")).isInstanceOf(InvalidSettingsException.class).hasMessageContaining("not JSON");
-        assertThatThrownBy(() -> read("[1]")).isInstanceOf(InvalidSettingsException.class).hasMessageContaining("not a JSON object");
+        assertThatThrownBy(() -> read("{\"name\":"))
+                .isInstanceOf(InvalidSettingsException.class)
+                .hasMessageContaining("not JSON");
+        assertThatThrownBy(() -> read("[1]"))
+                .isInstanceOf(InvalidSettingsException.class)
+                .hasMessageContaining("not a JSON object");
     }
 
     @Test
     void otherInstancesAreHeardOnlyWhereWordsAreAllowedAndThereAreSome() throws IOException {
-        String two = GOOD.replace("\"limits\"", "\"peer_listen\":\"127.0.0.1:7200\",\"peers\":[\"127.0.0.1:7200\","
-                + "\"127.0.0.1:7201\"],\"limits\"").replace("\"zones\"", "\"balancers\":2,\"zones\"");
+        String two = GOOD.replace(
+                        "\"limits\"",
+                        "\"peer_listen\":\"127.0.0.1:7200\",\"peers\":[\"127.0.0.1:7200\","
+                                + "\"127.0.0.1:7201\"],\"limits\"")
+                .replace("\"zones\"", "\"balancers\":2,\"zones\"");
         assertThat(read(two).peerListen()).isNull();
         String allowed = two.replace("\"zones\"", "\"policyLimits\":{\"peerMessages\":true},\"zones\"");
         assertThat(read(allowed).peerListen().getPort()).isEqualTo(7200);
-        assertThat(read(allowed).peers()).extracting(java.net.InetSocketAddress::getPort).containsExactly(7200, 7201);
-        assertThat(read(allowed.replace(",\"127.0.0.1:7201\"", "").replace("\"balancers\":2", "\"balancers\":1")).peerListen())
+        assertThat(read(allowed).peers())
+                .extracting(java.net.InetSocketAddress::getPort)
+                .containsExactly(7200, 7201);
+        assertThat(read(allowed.replace(",\"127.0.0.1:7201\"", "").replace("\"balancers\":2", "\"balancers\":1"))
+                        .peerListen())
                 .isNull();
         assertThatThrownBy(() -> read(allowed.replace("\"balancers\":2", "\"balancers\":3")))
-                .isInstanceOf(InvalidSettingsException.class).hasMessageContaining("peers");
+                .isInstanceOf(InvalidSettingsException.class)
+                .hasMessageContaining("peers");
     }
 }
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -30,7 +30,9 @@
 
     private static String configuration(int discoveryPort, Net net) {
         return Net.configuration(net.registry, SOCKETS, 30_000)
-                .replace("\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + discoveryPort);
+                .replace(
+                        "\"discovery\":\"127.0.0.1:" + net.registry.port(),
+                        "\"discovery\":\"127.0.0.1:" + discoveryPort);
     }
 
     private void reload(Net net, int discoveryPort) throws IOException {
@@ -58,8 +60,13 @@
             long reloaded = System.nanoTime();
             net.logged("server r2 listed GONE");
             assertThat(msSince(reloaded)).as(net::log).isLessThan(IN_FORCE_WITHIN_MS);
-            List<String> r1 = net.log().lines().filter(l -> l.contains("server r1 listed")).toList();
-            assertThat(r1.isEmpty() || r1.get(r1.size() - 1).endsWith(" IN")).as(net::log).isTrue(); // also where a former list held
+            List<String> r1 = net.log()
+                    .lines()
+                    .filter(l -> l.contains("server r1 listed"))
+                    .toList();
+            assertThat(r1.isEmpty() || r1.get(r1.size() - 1).endsWith(" IN"))
+                    .as(net::log)
+                    .isTrue(); // also where a former list held
         }
     }
 
@@ -77,13 +84,18 @@
             reload(net, last.port());
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
             while (one.open.get() + other.open.get() > 0) {
-                assertThat(System.nanoTime()).as("%d and %d connections are open, %d to the last:\n%s", one.open.get(),
-                        other.open.get(), last.open.get(), net.log()).isLessThan(end);
+                assertThat(System.nanoTime())
+                        .as(
+                                "%d and %d connections are open, %d to the last:\n%s",
+                                one.open.get(), other.open.get(), last.open.get(), net.log())
+                        .isLessThan(end);
                 Thread.sleep(20);
             }
             int calls = one.calls.get() + other.calls.get();
             Thread.sleep(3000); // longer than a watch
-            assertThat(one.calls.get() + other.calls.get()).as("calls to former ones").isEqualTo(calls);
+            assertThat(one.calls.get() + other.calls.get())
+                    .as("calls to former ones")
+                    .isEqualTo(calls);
             assertThat(last.open.get()).as(net::log).isBetween(1, 3);
         }
     }
@@ -94,8 +106,10 @@
         try (Net net = new Net("p", "r1", "r2").started();
                 SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r1"), 0);
                 SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r2"), 0)) {
-            assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor()).isZero();
-            Thread first = new Thread(() -> net.gateway.renew(file)); // as the JVM does: each signal on a thread of its own
+            assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor())
+                    .isZero();
+            Thread first =
+                    new Thread(() -> net.gateway.renew(file)); // as the JVM does: each signal on a thread of its own
             Thread second = new Thread(() -> net.gateway.renew(file));
             try (RandomAccessFile slow = new RandomAccessFile(file.toFile(), "rw")) {
                 first.start();
@@ -109,10 +123,17 @@
             }
             first.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
             second.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
-            List<String> taken = new ArrayList<>(net.log().lines().filter(l -> l.contains("new configuration: ")).toList());
+            List<String> taken = new ArrayList<>(net.log()
+                    .lines()
+                    .filter(l -> l.contains("new configuration: "))
+                    .toList());
             for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
-                    taken.size() < 2 && System.nanoTime() < end; Thread.sleep(20)) {
-                taken = new ArrayList<>(net.log().lines().filter(l -> l.contains("new configuration: ")).toList());
+                    taken.size() < 2 && System.nanoTime() < end;
+                    Thread.sleep(20)) {
+                taken = new ArrayList<>(net.log()
+                        .lines()
+                        .filter(l -> l.contains("new configuration: "))
+                        .toList());
             }
             assertThat(taken).as(net::log).hasSize(2).last().asString().contains(":" + last.port() + ",");
         }
@@ -120,7 +141,8 @@
 
     /** Waits until this thread is in the system call that reads the named pipe. */
     private static void awaitReading(Thread reader) throws InterruptedException {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S); System.nanoTime() < end;
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+                System.nanoTime() < end;
                 Thread.sleep(10)) {
             if (List.of(reader.getStackTrace()).toString().contains("read0")) {
                 return;
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -79,7 +79,8 @@
             String answer;
             try {
                 answer = client.ask("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=" + id
-                        + ",c=order,t=north,d=4000,cluster=1 */").answer();
+                                + ",c=order,t=north,d=4000,cluster=1 */")
+                        .answer();
             } catch (IOException e) {
                 answer = "closed";
             }
@@ -106,7 +107,8 @@
         System.out.println("CrossingCloseTest " + end + " seed " + seed);
         int descriptors = end == End.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
         try (Net net = new Net("p", "r1").readable().started(descriptors, 30_000);
-                AnsweringServer answers = new AnsweringServer(net.servers.get("p"), query -> query.row(new byte[] {7}))) {
+                AnsweringServer answers =
+                        new AnsweringServer(net.servers.get("p"), query -> query.row(new byte[] {7}))) {
             RestingClients clients = new RestingClients(net.gateway.port(), seed);
             Thread.sleep(PLAYS_MS / 2);
             CountDownLatch ended = new CountDownLatch(1);
@@ -114,14 +116,18 @@
                 net.renew(FEW_DESCRIPTORS);
             } else if (end == End.GRACEFUL_SHUTDOWN) {
                 net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
-                assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+                assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .as(net::log)
+                        .isTrue();
             }
             Thread.sleep(PLAYS_MS / 2);
             clients.stop();
             assertThat(clients.answered).as(net::log).hasValueGreaterThan(CLIENTS);
             assertThat(clients.unanswered).as("some requests crossed an end").isNotEmpty();
-            assertThat(clients.unanswered).allSatisfy(
-                    id -> assertThat(answers.attempts(id)).as("attempts of %s, seed %d:\n%s", id, seed, net.log()).isZero());
+            assertThat(clients.unanswered)
+                    .allSatisfy(id -> assertThat(answers.attempts(id))
+                            .as("attempts of %s, seed %d:\n%s", id, seed, net.log())
+                            .isZero());
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
@@ -18,7 +18,8 @@
     private static final long LONG_OUTAGE_MS = 20_000;
     private static final long OUTAGE_MS = 5000; // longer than the longest wait between two calls, many times
     private static final long TOLD_WITHIN_MS = 6000;
-    private static final int CALLS_A_SECOND_MOST = 3; // the gateway waits at least a third of a second between calls that fail
+    private static final int CALLS_A_SECOND_MOST =
+            3; // the gateway waits at least a third of a second between calls that fail
 
     private static void moveDiscovery(Net net, FaultyDiscovery to) {
         net.settings = told -> told.replace(
@@ -29,7 +30,8 @@
 
     @ParameterizedTest
     @EnumSource(value = FaultyDiscovery.State.class, names = "WORKS", mode = EnumSource.Mode.EXCLUDE)
-    void serviceGoesOnThroughALongOutageAndADrainAtItsEndIsInForceInTime(FaultyDiscovery.State outage) throws Exception {
+    void serviceGoesOnThroughALongOutageAndADrainAtItsEndIsInForceInTime(FaultyDiscovery.State outage)
+            throws Exception {
         try (Net net = new Net("p", "r1", "r2").readable().started();
                 FaultyDiscovery discovery = new FaultyDiscovery(5, net.list(5, true, "p", "r1"))) {
             moveDiscovery(net, discovery);
@@ -37,16 +39,21 @@
             Client client = net.client();
             int calls = discovery.calls.get();
             long outageMs = outage == FaultyDiscovery.State.SILENT ? LONG_OUTAGE_MS : OUTAGE_MS;
-            for (long began = System.nanoTime(); TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) < outageMs; ) {
+            for (long began = System.nanoTime();
+                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) < outageMs; ) {
                 assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
                 Thread.sleep(50);
             }
-            assertThat(discovery.calls.get() - calls).as(net::log).isBetween(2, (int) (outageMs / 1000 * CALLS_A_SECOND_MOST) + 3);
+            assertThat(discovery.calls.get() - calls)
+                    .as(net::log)
+                    .isBetween(2, (int) (outageMs / 1000 * CALLS_A_SECOND_MOST) + 3);
             discovery.list(6, net.list(6, false, "r1:DRAINING"));
             discovery.state = FaultyDiscovery.State.WORKS;
             long returned = System.nanoTime();
             net.logged("server r1 listed DRAINING");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - returned)).as(net::log).isLessThan(TOLD_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - returned))
+                    .as(net::log)
+                    .isLessThan(TOLD_WITHIN_MS);
         }
     }
 
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -15,7 +15,8 @@
 @Timeout(120)
 class DrainWhileConnectingTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final long DRAIN_GRACE_MS = 500; // as in the example settings; counted to the first byte of an attempt
+    private static final long DRAIN_GRACE_MS =
+            500; // as in the example settings; counted to the first byte of an attempt
     private static final long HELD_UP_MS = 150;
 
     @Test
@@ -27,7 +28,9 @@
             primary.holdsGreetings = new CountDownLatch(1);
             primary.connects.clear();
             Client second = net.client().ask(net.request("order", 4000));
-            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isNotNull();
+            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as(net::log)
+                    .isNotNull();
             net.registry.news.add(net.list(2, false, "p:DRAINING"));
             net.logged("server p listed DRAINING");
             Thread.sleep(DRAIN_GRACE_MS + 100); // the connection comes up later than the grace ends
@@ -62,7 +65,9 @@
                     assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
                 }
                 net.logged("server r1 listed DRAINING");
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told)).as(net::log).isLessThan(DRAIN_GRACE_MS);
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told))
+                        .as(net::log)
+                        .isLessThan(DRAIN_GRACE_MS);
                 int before = answers.queries.size();
                 for (int i = 0; i < 50; i++) {
                     assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -17,6 +16,7 @@
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
 
 /** Stories of what meets an end: each holds one side back until the event that it is to meet. docs/endings.md has them in order. */
 @Timeout(120)
@@ -87,7 +87,8 @@
     @Test
     void aSendThatWaitsForItsConnectionIsNotWrittenForAClientThatHasGone() throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
+            net.settings =
+                    told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
             net.started();
             Server p = net.servers.get("p");
             Client other = net.client().ask(net.request("order"));
@@ -176,7 +177,7 @@
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             net.logged("planned restart: 20 connections");
-            net.pauseBeforeTimers(() -> { });
+            net.pauseBeforeTimers(() -> {});
             for (Client c : idle) {
                 c.ask(net.request("order"));
             }
@@ -260,13 +261,18 @@
             net.registry.mute = true;
             net.logged("discovery lost: no answer");
             for (int i = 0; i < 5; i++) { // so many further calls have failed
-                assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isNotNull();
+                assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .as(net::log)
+                        .isNotNull();
             }
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.mute = false;
             long back = System.nanoTime();
             net.logged("server r1 listed DRAINING");
-            assertThat(since(back)).as(net::log).isLessThan(4000); // 1.8 s, a call that is out and the wait behind it, on a machine that may be slow
+            assertThat(since(back))
+                    .as(net::log)
+                    .isLessThan(
+                            4000); // 1.8 s, a call that is out and the wait behind it, on a machine that may be slow
         }
     }
 
@@ -296,10 +302,21 @@
         Process gateway = null;
         try (Net net = new Net("p")) {
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
-            gateway = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$@\"", "sh",
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                    "ploverdale.Main", "serve", "--config", file.toString()).redirectError(log.toFile()).start();
+            gateway = new ProcessBuilder(
+                            "sh",
+                            "-c",
+                            "trap '' HUP; exec \"$@\"",
+                            "sh",
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                            "ploverdale.Main",
+                            "serve",
+                            "--config",
+                            file.toString())
+                    .redirectError(log.toFile())
+                    .start();
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
             while (!Files.readString(log).contains("SIGHUP is ignored by what started this program")) {
                 assertThat(System.nanoTime()).as(Files.readString(log)).isLessThan(end);
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -1,9 +1,5 @@
 package ploverdale;
 
-import ploverdale.routing.Router;
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
-import ploverdale.net.postgres.ServerMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -37,27 +33,31 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.ReplicaGuarantees;
-import ploverdale.model.GroupId;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Endpoint;
-import ploverdale.model.RequestId;
+import ploverdale.model.GroupId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestClassId;
-import ploverdale.model.Capabilities;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
-import ploverdale.model.LoadReport;
-import ploverdale.model.LoadReport.Role;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
-import ploverdale.net.Gateway;
 import ploverdale.net.ConfigurationFile;
+import ploverdale.net.Gateway;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.routing.Router;
 
 /**
  * Stands in for the module's surroundings; the clock moves only when a story says so. Times in milliseconds. Its
@@ -90,14 +90,31 @@
         return new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, gateways, true);
     }
 
-    private FakeHost(ReplicaGuarantees.StalenessCheck checks, boolean tokensCarried, boolean removalBinds, int gateways, boolean talks) {
-        List<RequestClass> types = List.of(type(Idempotence.IDEMPOTENT, Consistency.BOUNDED, 0), type(Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0),
-                type(Idempotence.NOT_IDEMPOTENT, Consistency.WRITE, 0.5), type(Idempotence.WITH_IDEMPOTENCY_KEY, Consistency.WRITE, 0.7),
-                type(Idempotence.IDEMPOTENT, Consistency.SESSION, 0), type(Idempotence.IDEMPOTENT, Consistency.FRESH, 0),
+    private FakeHost(
+            ReplicaGuarantees.StalenessCheck checks,
+            boolean tokensCarried,
+            boolean removalBinds,
+            int gateways,
+            boolean talks) {
+        List<RequestClass> types = List.of(
+                type(Idempotence.IDEMPOTENT, Consistency.BOUNDED, 0),
+                type(Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0),
+                type(Idempotence.NOT_IDEMPOTENT, Consistency.WRITE, 0.5),
+                type(Idempotence.WITH_IDEMPOTENCY_KEY, Consistency.WRITE, 0.7),
+                type(Idempotence.IDEMPOTENT, Consistency.SESSION, 0),
+                type(Idempotence.IDEMPOTENT, Consistency.FRESH, 0),
                 type(20_000, Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0));
-        tell(new Event.Started(6 + gateways, gateways, types, List.of(new Tenant(100)), 0.05,
-                new ServerGuarantees(0.2, 160_000, 2.5, 10_000, removalBinds, 0), new Capabilities(6, true, true, true, 10_000, talks),
-                new ReplicaGuarantees(checks, 500, tokensCarried), false, 0));
+        tell(new Event.Started(
+                6 + gateways,
+                gateways,
+                types,
+                List.of(new Tenant(100)),
+                0.05,
+                new ServerGuarantees(0.2, 160_000, 2.5, 10_000, removalBinds, 0),
+                new Capabilities(6, true, true, true, 10_000, talks),
+                new ReplicaGuarantees(checks, 500, tokensCarried),
+                false,
+                0));
     }
 
     private static RequestClass type(Idempotence repeats, Consistency needs, double late) {
@@ -105,8 +122,18 @@
     }
 
     private static RequestClass type(long target, Idempotence repeats, Consistency needs, double late) {
-        return new RequestClass(target, 0, 30_000, repeats, RequestClass.Scope.GROUP, 20_000, needs == Consistency.WRITE ? 6 : 2, late,
-                false, needs, 5000);
+        return new RequestClass(
+                target,
+                0,
+                30_000,
+                repeats,
+                RequestClass.Scope.GROUP,
+                20_000,
+                needs == Consistency.WRITE ? 6 : 2,
+                late,
+                false,
+                needs,
+                5000);
     }
 
     /** A host with a primary p and replicas r1, r2, all probed and level. */
@@ -152,7 +179,8 @@
     }
 
     private static Endpoint row(String server, Endpoint.EndpointState stage, long startedMs) {
-        return new Endpoint(new ServerId(server), new GroupId(1), new ZoneId(0), stage, server.equals("p"), startedMs * 10);
+        return new Endpoint(
+                new ServerId(server), new GroupId(1), new ZoneId(0), stage, server.equals("p"), startedMs * 10);
     }
 
     /** Moves the clock, looking round every 20 ms as the module asked to. */
@@ -177,8 +205,16 @@
 
     RequestId ask(int type, String session, long tokenAgeMs) {
         RequestId request = new RequestId("op" + names++);
-        tell(new Event.RequestArrived(request, new RequestClassId(type), new TenantId(0), new GroupId(1),
-                session == null ? null : new SessionId(session), nowMs * 10 + 30_000, false, 0, tokenAgeMs * 10));
+        tell(new Event.RequestArrived(
+                request,
+                new RequestClassId(type),
+                new TenantId(0),
+                new GroupId(1),
+                session == null ? null : new SessionId(session),
+                nowMs * 10 + 30_000,
+                false,
+                0,
+                tokenAgeMs * 10));
         return request;
     }
 
@@ -189,28 +225,40 @@
 
     /** Servers the op was sent to, in order. */
     List<String> sends(RequestId request) {
-        return acts.stream().filter(a -> a instanceof Action.StartAttempt s && s.request().equals(request))
-                .map(a -> ((Action.StartAttempt) a).server().text()).toList();
+        return acts.stream()
+                .filter(a -> a instanceof Action.StartAttempt s && s.request().equals(request))
+                .map(a -> ((Action.StartAttempt) a).server().text())
+                .toList();
     }
 
     long busyReplies(RequestId request) {
-        return acts.stream().filter(a -> a instanceof Action.RejectRequest b && b.request().equals(request)).count();
+        return acts.stream()
+                .filter(a -> a instanceof Action.RejectRequest b && b.request().equals(request))
+                .count();
     }
 
     long errorReplies(RequestId request) {
-        return acts.stream().filter(a -> a instanceof Action.FailRequest b && b.request().equals(request)).count();
+        return acts.stream()
+                .filter(a -> a instanceof Action.FailRequest b && b.request().equals(request))
+                .count();
     }
 
     boolean calledOff(RequestId request) {
-        return acts.stream().anyMatch(a -> a instanceof Action.CancelAttempt c && c.request().equals(request));
+        return acts.stream()
+                .anyMatch(
+                        a -> a instanceof Action.CancelAttempt c && c.request().equals(request));
     }
 
     long probes(String server) {
-        return acts.stream().filter(a -> a instanceof Action.CheckHealth p && p.server().text().equals(server)).count();
+        return acts.stream()
+                .filter(a ->
+                        a instanceof Action.CheckHealth p && p.server().text().equals(server))
+                .count();
     }
 
     boolean logged(String part) {
-        return acts.stream().anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(part));
+        return acts.stream()
+                .anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(part));
     }
 
     /** Stand-ins on loopback for all that surrounds a real gateway; a story drives them by hand. */
@@ -249,8 +297,9 @@
             List<String> rows = new ArrayList<>();
             for (String id : ids) {
                 String[] parts = id.split(":");
-                rows.add("{\"id\":\"" + parts[0] + "\",\"host_port\":\"127.0.0.1:" + servers.get(parts[0]).port()
-                        + "\",\"cell\":1,\"phase\":\"" + (parts.length > 1 ? parts[1] : "SERVING") + "\"}");
+                rows.add("{\"id\":\"" + parts[0] + "\",\"host_port\":\"127.0.0.1:"
+                        + servers.get(parts[0]).port() + "\",\"cell\":1,\"phase\":\""
+                        + (parts.length > 1 ? parts[1] : "SERVING") + "\"}");
             }
             return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":[" + String.join(",", rows)
                     + "]}";
@@ -272,7 +321,8 @@
                     + "\"oldestDataMs\":[30000,0,0],\"positions\":true,\"checks\":\"silent\"},"
                     + "\"report\":{\"via\":\"piggyback\",\"fields\":[\"x0\",\"x1\",\"busy\"]},"
                     + "\"policyLimits\":{\"sendCap\":4,\"cancel\":true,\"probes\":true,\"retryAfter\":true,"
-                    + "\"maxRetryAfterMs\":1000,\"connectTimeoutMs\":2000,\"idleCloseMs\":" + idleMs + "},\"contract\":{"
+                    + "\"maxRetryAfterMs\":1000,\"connectTimeoutMs\":2000,\"idleCloseMs\":" + idleMs
+                    + "},\"contract\":{"
                     + "\"startCapacity\":0.3,\"coldMs\":10000,\"overloadFactor\":3,\"overloadForMs\":1000}}}";
         }
 
@@ -293,7 +343,9 @@
                     pauseAt(line);
                 }
             };
-            return Gateway.start(vertx, new Log(log, clock), read, clock).toCompletionStage().toCompletableFuture();
+            return Gateway.start(vertx, new Log(log, clock), read, clock)
+                    .toCompletionStage()
+                    .toCompletableFuture();
         }
 
         /** An action that may throw. */
@@ -334,7 +386,9 @@
             Thread.sleep(50); // by now the timers that look for idle connections are due
             goesOn = goesOnAgain;
             reads.countDown();
-            assertThat(pausedAgain.await(PATIENCE_S, TimeUnit.SECONDS)).as(this::log).isTrue();
+            assertThat(pausedAgain.await(PATIENCE_S, TimeUnit.SECONDS))
+                    .as(this::log)
+                    .isTrue();
         }
 
         /** Pauses whoever logs a line with this, once; {@link #goOn} ends that. */
@@ -403,7 +457,9 @@
         void logged(String part) {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
             while (!lines.toString().contains(part)) {
-                assertThat(System.nanoTime()).as("the log has \"%s\":\n%s", part, lines).isLessThan(end);
+                assertThat(System.nanoTime())
+                        .as("the log has \"%s\":\n%s", part, lines)
+                        .isLessThan(end);
                 Thread.onSpinWait();
             }
         }
@@ -419,10 +475,12 @@
         }
 
         String request(String type, long waitMs) {
-            String comment = " /* id=" + Integer.toHexString(++names) + ",c=" + type + ",t=north,d=" + waitMs
-                    + ",cluster=1 */";
-            return (type.equals("order") ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
-                    : "SELECT val FROM state WHERE uid = 'k'") + comment;
+            String comment =
+                    " /* id=" + Integer.toHexString(++names) + ",c=" + type + ",t=north,d=" + waitMs + ",cluster=1 */";
+            return (type.equals("order")
+                            ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
+                            : "SELECT val FROM state WHERE uid = 'k'")
+                    + comment;
         }
 
         /** Reads as clients do, which come back when told that it does no harm, for instance before any probe is in. */
@@ -604,7 +662,9 @@
         }
 
         private String report() {
-            return vitals != null ? vitals : "x0=" + System.currentTimeMillis() / 1000 + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
+            return vitals != null
+                    ? vitals
+                    : "x0=" + System.currentTimeMillis() / 1000 + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
         }
 
         /** The next query of an op. */
@@ -641,7 +701,9 @@
             }
             MessageWriter.parameterStatus(b, "vitals", at.report());
             return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
-                    new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1), value, "SELECT 1")));
+                    new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+                    value,
+                    "SELECT 1")));
         }
 
         void problem(String code) throws IOException {
@@ -655,7 +717,9 @@
 
         /** Waits until the gateway has ended the connection. */
         void endedByGateway() throws InterruptedException {
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as("the connection ends").isTrue();
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as("the connection ends")
+                    .isTrue();
         }
     }
 
@@ -685,14 +749,17 @@
                 }
                 String body;
                 try {
-                    body = !uri.contains("?") ? whole : changes != null && uri.contains("from=1&") ? changes : news.take();
+                    body = !uri.contains("?")
+                            ? whole
+                            : changes != null && uri.contains("from=1&") ? changes : news.take();
                 } catch (InterruptedException e) {
                     return;
                 }
                 String status = body.startsWith("status ") ? body.substring(7) : "200 OK";
                 byte[] bytes = body.getBytes(UTF_8);
-                s.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + bytes.length + "\r\n\r\n")
-                        .getBytes(UTF_8));
+                s.getOutputStream()
+                        .write(("HTTP/1.1 " + status + "\r\nContent-Length: " + bytes.length + "\r\n\r\n")
+                                .getBytes(UTF_8));
                 s.getOutputStream().write(bytes);
             }
         }
@@ -774,12 +841,15 @@
                     in.readFully(body);
                     String text = new String(body, UTF_8);
                     if (type == 'D') {
-                        all.append("row ").append(HexFormat.of().formatHex(body, 6, body.length)).append(' ');
+                        all.append("row ")
+                                .append(HexFormat.of().formatHex(body, 6, body.length))
+                                .append(' ');
                     } else if (type == 'I') {
                         all.append("empty ");
                     } else if (type == 'E') {
                         int d = text.indexOf("\0D");
-                        all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7).append(' ')
+                        all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
+                                .append(' ')
                                 .append(d < 0 ? "" : "after " + text.substring(d + 2, text.indexOf(0, d + 1)) + " ");
                     }
                 }
--- a/gateway/src/test/java/ploverdale/FaultyDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FaultyDiscovery.java
@@ -63,7 +63,7 @@
             case CLOSES -> socket.close();
             case FAILS -> write(socket, "503 Service Unavailable", new byte[0], 0);
             case ANSWERS_HALF -> write(socket, "200 OK", body, body.length / 2);
-            default -> { }
+            default -> {}
         }
     }
 
--- a/gateway/src/test/java/ploverdale/FaultyTransport.java
+++ b/gateway/src/test/java/ploverdale/FaultyTransport.java
@@ -48,15 +48,38 @@
     private static final int ALL_BUT_LAST = Integer.MAX_VALUE;
 
     /** A system call. */
-    public enum Call { LISTENER_SOCKET, ACCEPT, SOCKET, CONNECT, FINISH_CONNECT, READ, WRITE, SHUTDOWN, SET_OPTION, DATAGRAM_SOCKET, SEND, RECEIVE }
+    public enum Call {
+        LISTENER_SOCKET,
+        ACCEPT,
+        SOCKET,
+        CONNECT,
+        FINISH_CONNECT,
+        READ,
+        WRITE,
+        SHUTDOWN,
+        SET_OPTION,
+        DATAGRAM_SOCKET,
+        SEND,
+        RECEIVE
+    }
 
     /** A failure, with the C library's text for it. */
     public enum Errno {
-        ECONNABORTED("Software caused connection abort"), ECONNREFUSED("Connection refused"), ECONNRESET("Connection reset by peer"),
-        EADDRNOTAVAIL("Cannot assign requested address"), EHOSTUNREACH("No route to host"), EINTR("Interrupted system call"),
-        EINVAL("Invalid argument"), EMFILE("Too many open files"), ENETUNREACH("Network is unreachable"),
-        ENFILE("Too many open files in system"), ENOBUFS("No buffer space available"), ENOMEM("Cannot allocate memory"),
-        ENOTCONN("Transport endpoint is not connected"), EPERM("Operation not permitted"), ETIMEDOUT("Connection timed out");
+        ECONNABORTED("Software caused connection abort"),
+        ECONNREFUSED("Connection refused"),
+        ECONNRESET("Connection reset by peer"),
+        EADDRNOTAVAIL("Cannot assign requested address"),
+        EHOSTUNREACH("No route to host"),
+        EINTR("Interrupted system call"),
+        EINVAL("Invalid argument"),
+        EMFILE("Too many open files"),
+        ENETUNREACH("Network is unreachable"),
+        ENFILE("Too many open files in system"),
+        ENOBUFS("No buffer space available"),
+        ENOMEM("Cannot allocate memory"),
+        ENOTCONN("Transport endpoint is not connected"),
+        EPERM("Operation not permitted"),
+        ETIMEDOUT("Connection timed out");
 
         private final String text;
 
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -21,8 +21,8 @@
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.net.ClientConnections;
-import ploverdale.net.Gateway;
 import ploverdale.net.ConfigurationFile;
+import ploverdale.net.Gateway;
 import ploverdale.net.RouterEventLoop;
 import ploverdale.net.ServerClock;
 
@@ -38,7 +38,8 @@
     @Test
     void aRequestIsAnsweredInTimeThoughOtherClientsHoldAsMuchAsTheGatewayKeeps() throws Exception {
         try (Net net = new Net("p").started(1024, 30_000)) {
-            for (int valueBytes : new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
+            for (int valueBytes :
+                    new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
                 fill(net, valueBytes, valueBytes == 60_000 ? 145 : 20);
             }
             Client client = net.client();
@@ -88,19 +89,23 @@
         Vertx vertx = Gateway.vertx();
         try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
-            ConfigurationFile settings = ConfigurationFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
+            ConfigurationFile settings =
+                    ConfigurationFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
             Files.delete(file);
             ByteArrayOutputStream lines = new ByteArrayOutputStream();
             Log log = new Log(new PrintStream(lines, true));
             CompletableFuture<NetServer> listening = new CompletableFuture<>();
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
-                RouterEventLoop loop = new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
+                RouterEventLoop loop =
+                        new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
                 ServerClock time = new ServerClock(log, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
                 clients.ready();
-                vertx.createNetServer().connectHandler(clients::accept).listen(0, "127.0.0.1")
+                vertx.createNetServer()
+                        .connectHandler(clients::accept)
+                        .listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
             });
             int port = listening.get(Net.PATIENCE_S, TimeUnit.SECONDS).actualPort();
--- a/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import ploverdale.net.ConfigurationFile;
+import ploverdale.net.FleetConfigurationFile;
 import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.QuotaSettings;
-import ploverdale.net.FleetConfigurationFile;
-import ploverdale.net.ConfigurationFile;
 
 /** The file that switches the fleet's parts on. */
 class FleetConfigurationFileTest {
@@ -38,7 +38,8 @@
                 for (int i = 0; i < n; i++) {
                     sum += of.right(i, b);
                     assertThat(of.floor(i, b)).isBetween(0, of.right(i, b) / 2);
-                    assertThat(new QuotaAllocation(d.budgets(), n + 1, 0.5).right(i, b)).isLessThanOrEqualTo(of.right(i, b) + 1);
+                    assertThat(new QuotaAllocation(d.budgets(), n + 1, 0.5).right(i, b))
+                            .isLessThanOrEqualTo(of.right(i, b) + 1);
                 }
                 assertThat(sum).isEqualTo(d.budgets().get(b).whole());
             }
@@ -46,24 +47,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{\"tenant\":true}|unknown field tenant",
-        "{}|nothing to divide",
-        "{\"tenants\":true,\"floor_share\":0.6}|floor_share out of range",
-        "{\"sends_at_server\":-1}|sends_at_server out of range",
-        "{\"sends_at_server\":\"many\"}|sends_at_server of the wrong form",
-        "{\"probes_per_second\":-1}|probes_per_second out of range",
-        "{\"cold_sends_at_server\":\"x\"}|cold_sends_at_server of the wrong form",
-        "{\"second_sends_per_second\":70000}|second_sends_per_second out of range",
-        "{\"tenants\":true,\"loan_ms\":1}|loan_ms out of range",
-        "{\"tenants\":true,\"clocks_apart\":0}|clocks_apart out of range",
-        "{\"sessions\":{\"keep\":1}}|unknown field keep",
-        "{\"sessions\":{\"keep_ms\":1}}|keep_ms out of range",
-        "{\"submits\":{\"window_ms\":1}}|window_ms out of range",
-        "{\"sessions\":{},\"copies\":6}|copies out of range",
-        "{\"sessions\":{},\"wait_ms\":151}|wait_ms out of range",
-        "{\"tenants\":true,\"copies\":3}|copies and neither sessions nor submits",
-        "[1]|not a JSON object"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{\"tenant\":true}|unknown field tenant",
+                "{}|nothing to divide",
+                "{\"tenants\":true,\"floor_share\":0.6}|floor_share out of range",
+                "{\"sends_at_server\":-1}|sends_at_server out of range",
+                "{\"sends_at_server\":\"many\"}|sends_at_server of the wrong form",
+                "{\"probes_per_second\":-1}|probes_per_second out of range",
+                "{\"cold_sends_at_server\":\"x\"}|cold_sends_at_server of the wrong form",
+                "{\"second_sends_per_second\":70000}|second_sends_per_second out of range",
+                "{\"tenants\":true,\"loan_ms\":1}|loan_ms out of range",
+                "{\"tenants\":true,\"clocks_apart\":0}|clocks_apart out of range",
+                "{\"sessions\":{\"keep\":1}}|unknown field keep",
+                "{\"sessions\":{\"keep_ms\":1}}|keep_ms out of range",
+                "{\"submits\":{\"window_ms\":1}}|window_ms out of range",
+                "{\"sessions\":{},\"copies\":6}|copies out of range",
+                "{\"sessions\":{},\"wait_ms\":151}|wait_ms out of range",
+                "{\"tenants\":true,\"copies\":3}|copies and neither sessions nor submits",
+                "[1]|not a JSON object"
+            })
     void mistakesAreNamedByTheirField(String text, String says) {
         assertThatThrownBy(() -> read(text)).hasMessageContaining(says);
     }
@@ -71,18 +75,21 @@
     @Test
     void whatIsKeptIsOnlyWhatTheFileNamesAndHasToFitWhatTheGatewayIsTold() throws IOException {
         ConfigurationFile g = ConfigurationFile.read(Path.of("../example/gateway.json"));
-        QuotaSettings all = FleetConfigurationFile.fits(FleetConfigurationFile.read(Path.of("../deploy/replicas.json")), g.settings());
+        QuotaSettings all = FleetConfigurationFile.fits(
+                FleetConfigurationFile.read(Path.of("../deploy/replicas.json")), g.settings());
         assertThat(all.keeping().sessions()).isTrue();
         assertThat(all.keeping().submits()).isTrue();
         assertThat(all.division(g.settings().started()).budgets()).isEmpty();
         assertThat(read("{\"tenants\":true}").keeping()).isNull();
         assertThat(read("{\"sessions\":{}}").keeping().submits()).isFalse();
         QuotaSettings wrong = read("{\"sessions\":{},\"wait_for_copies\":[\"no such op type\"]}");
-        assertThatThrownBy(() -> FleetConfigurationFile.fits(wrong, g.settings())).hasMessageContaining("names no op type: no such op type");
+        assertThatThrownBy(() -> FleetConfigurationFile.fits(wrong, g.settings()))
+                .hasMessageContaining("names no op type: no such op type");
     }
 
     @Test
     void noFileStandsForAnother() {
-        assertThatThrownBy(() -> FleetConfigurationFile.read(Path.of("no-such.json"))).hasMessageContaining("cannot be read");
+        assertThatThrownBy(() -> FleetConfigurationFile.read(Path.of("no-such.json")))
+                .hasMessageContaining("cannot be read");
     }
 }
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -1,8 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
-import ploverdale.net.postgres.ServerMessage;
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -22,6 +19,9 @@
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Registry;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
 
 /** Stories of a real gateway between stand-ins on loopback. */
 @Timeout(120)
@@ -41,7 +41,8 @@
             }
             Client c = net.client().ask(net.request("order", 9000));
             Got g = net.servers.get("p").next();
-            assertThat(g.text()).startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
+            assertThat(g.text())
+                    .startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
             String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
             assertThat(Integer.parseInt(wait)).isBetween(1, 9000);
             g.row(value);
@@ -56,8 +57,14 @@
                 assertThat(s.probed).as(net::log).isPositive();
                 assertThat(s.got).isEmpty(); // no made-up op of the practice reaches a server
             }
-            assertThat(net.log().lines().filter(l -> l.contains("primary p") || l.contains("listens")).toList())
-                    .hasSize(2).last().asString().contains("listens");
+            assertThat(net.log()
+                            .lines()
+                            .filter(l -> l.contains("primary p") || l.contains("listens"))
+                            .toList())
+                    .hasSize(2)
+                    .last()
+                    .asString()
+                    .contains("listens");
         }
     }
 
@@ -73,7 +80,9 @@
             }
             p.holdsProbes.countDown();
             Got g = p.next();
-            assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1"))).as(net::log).isLessThanOrEqualTo(8700);
+            assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1")))
+                    .as(net::log)
+                    .isLessThanOrEqualTo(8700);
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -86,8 +95,10 @@
             c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
             assertThat(c.answer()).startsWith("08P01");
             c = new Client(net.gateway.port());
-            c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.request("order")))
-                    .appendBuffer(MessageWriter.query(net.request("order"))).appendBuffer(MessageWriter.query(" ;")));
+            c.write(MessageWriter.startup()
+                    .appendBuffer(MessageWriter.query(net.request("order")))
+                    .appendBuffer(MessageWriter.query(net.request("order")))
+                    .appendBuffer(MessageWriter.query(" ;")));
             assertThat(c.answer()).isEqualTo("ready");
             Got one = net.servers.get("p").next();
             Got other = net.servers.get("p").next();
@@ -273,13 +284,16 @@
     void aSpoiltAnswerIsNoneWhateverItBeginsWith() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = net.client();
-            Buffer cut = Buffer.buffer().appendBuffer(MessageWriter.resultRow(new ResultRow(
-                    new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
-                    new byte[] {1, 2, 3}, "SELECT 1")));
+            Buffer cut = Buffer.buffer()
+                    .appendBuffer(MessageWriter.resultRow(new ResultRow(
+                            new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+                            new byte[] {1, 2, 3},
+                            "SELECT 1")));
             int value = 1 + cut.getInt(1) + 7;
             cut.setInt(value, 2); // says that the value is shorter than its message
             Buffer full = MessageWriter.errorResponse("53300", "full", null, false, false);
-            for (Buffer b : List.of(cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
+            for (Buffer b : List.of(
+                    cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
                 c.ask(net.request("order"));
                 Got g = net.servers.get("p").next();
                 Server.write(g.socket(), b, false);
@@ -291,7 +305,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"x0=99999999999.000,x1=0,busy=0.1", "x0=NOW,x1=0,busy=\u0007", "x0=NOW,x1=7,busy=0", "x0=NOW,=,"})
+    @ValueSource(
+            strings = {"x0=99999999999.000,x1=0,busy=0.1", "x0=NOW,x1=0,busy=\u0007", "x0=NOW,x1=7,busy=0", "x0=NOW,=,"
+            })
     void aReportThatIsSpoiltIsNotBelieved(String vitals) throws Exception {
         try (Net net = new Net("p", "r1")) {
             net.servers.get("p").vitals = "x0=0.000,x1=0,busy=0"; // has made none yet, and is the primary all the same
@@ -312,7 +328,8 @@
     void anAnswerCutShortOrOversizedMayHaveRun() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = net.client();
-            for (Buffer b : List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
+            for (Buffer b :
+                    List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
                 c.ask(net.request("order"));
                 Got g = net.servers.get("p").next();
                 Server.write(g.socket(), b, false);
@@ -394,7 +411,8 @@
             assertThat(c.answer()).isEqualTo(ROW_7);
             long answered = System.nanoTime();
             g.endedByGateway();
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered)).isBetween(1000L, 4000L);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
+                    .isBetween(1000L, 4000L);
         }
     }
 
@@ -498,7 +516,9 @@
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(net.log()).contains("0 ops unanswered").doesNotContain("1 ops unanswered"); // here a process would exit
+            assertThat(net.log())
+                    .contains("0 ops unanswered")
+                    .doesNotContain("1 ops unanswered"); // here a process would exit
             assertThat(patient.answer()).startsWith("58000");
         }
     }
@@ -508,11 +528,20 @@
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable(); Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (Net net = new Net("p", "r1").readable();
+                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
-            gateway = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                    "ploverdale.Main", "serve", "--config", file.toString()).redirectError(log.toFile()).start();
+            gateway = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                            "ploverdale.Main",
+                            "serve",
+                            "--config",
+                            file.toString())
+                    .redirectError(log.toFile())
+                    .start();
             int port = Integer.parseInt(line(log, "listens at").replaceAll(".*:(\\d+), .*", "$1"));
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             Client c = new Client(port).greeted();
@@ -541,7 +570,10 @@
     }
 
     private static void hangUp(Process p) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(p.pid())).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
+                        .start()
+                        .waitFor())
+                .isZero();
     }
 
     /** Waits for a line of the log with this. */
@@ -553,7 +585,9 @@
                     return line;
                 }
             }
-            assertThat(System.nanoTime()).as("the log has \"%s\":\n%s", part, Files.readString(log)).isLessThan(end);
+            assertThat(System.nanoTime())
+                    .as("the log has \"%s\":\n%s", part, Files.readString(log))
+                    .isLessThan(end);
             Thread.sleep(20);
         }
     }
@@ -568,8 +602,11 @@
             c.write(Buffer.buffer().appendInt(8).appendInt(80877104));
             assertThat(c.readByte()).isEqualTo('N');
             c.greeted();
-            for (String text : List.of("SELECT 1", "SELECT 1 /* id=a,c=nothing,t=north,d=5 */",
-                    "SELECT 1 /* id=a,c=page,t=nobody,d=5 */", "SELECT 1 /* id=a,c=page,t=north,d=-1 */")) {
+            for (String text : List.of(
+                    "SELECT 1",
+                    "SELECT 1 /* id=a,c=nothing,t=north,d=5 */",
+                    "SELECT 1 /* id=a,c=page,t=nobody,d=5 */",
+                    "SELECT 1 /* id=a,c=page,t=north,d=-1 */")) {
                 assertThat(c.ask(text).answer()).matches("(42601|22023) ready");
             }
             c.write(bytes('P', 8).appendInt(0).appendBuffer(bytes('B', 4)).appendBuffer(bytes('S', 4)));
@@ -583,10 +620,17 @@
             for (Buffer b : List.of(bytes('?', 4), bytes('Q', 3), bytes('Q', 1 << 30))) {
                 assertThat(net.client().write(b).answer()).isEqualTo("08P01 closed");
             }
-            assertThat(new Client(net.gateway.port()).write(Buffer.buffer().appendInt(8).appendInt(2 << 16)).answer())
+            assertThat(new Client(net.gateway.port())
+                            .write(Buffer.buffer().appendInt(8).appendInt(2 << 16))
+                            .answer())
                     .isEqualTo("0A000 closed");
-            assertThat(new Client(net.gateway.port()).write(Buffer.buffer().appendInt(16).appendInt(80877102).appendLong(0))
-                    .answer()).isEqualTo("closed");
+            assertThat(new Client(net.gateway.port())
+                            .write(Buffer.buffer()
+                                    .appendInt(16)
+                                    .appendInt(80877102)
+                                    .appendLong(0))
+                            .answer())
+                    .isEqualTo("closed");
             assertThat(net.read(good)).isEqualTo(ROW_7);
         }
     }
@@ -594,7 +638,8 @@
     @Test
     void aClientThatDoesNotReadIsHeldBackAndClosedAndHarmsNoOther() throws Exception {
         try (Net net = new Net("p", "r1")) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no op takes longer than its 5 s
+            net.settings = told ->
+                    told.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no op takes longer than its 5 s
             net.started();
             net.readable().servers.values().forEach(s -> s.value = new byte[60_000]);
             Client deaf = net.client();
@@ -635,7 +680,8 @@
 
     @Test
     void whereClientsHoldAboutAllTheyMayThoseThatDoNothingMakeWaySoon() throws Exception {
-        try (Net net = new Net("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
+        try (Net net =
+                new Net("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
             List<Client> all = new ArrayList<>();
             for (int i = 0; i < 15; i++) {
                 all.add(net.client());
@@ -644,7 +690,8 @@
             for (Client c : all.subList(0, 3)) {
                 assertThat(c.answer()).isEqualTo("closed");
             }
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since)).isLessThan(1900); // not the usual 2.1 s
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since))
+                    .isLessThan(1900); // not the usual 2.1 s
             assertThat(net.read(all.get(14))).isEqualTo(ROW_7);
         }
     }
--- a/gateway/src/test/java/ploverdale/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -11,17 +11,24 @@
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.RequestId;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
 
 /** What the module makes of words of other gateways. */
 class GossipInRouterTest {
     private final FakeHost host = FakeHost.talking(3);
 
     private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
-        return new ServerObservation(role, at(roleMs), at(positionMs), at(positionMs), at(aliveMs), at(silentMs), LoadReport.UNKNOWN_TIME,
+        return new ServerObservation(
+                role,
+                at(roleMs),
+                at(positionMs),
+                at(positionMs),
+                at(aliveMs),
+                at(silentMs),
+                LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME);
     }
 
@@ -30,12 +37,16 @@
     }
 
     private void told(int from, String server, ServerObservation w) {
-        host.tell(new Event.GossipReceived(from, new Datagram(Kind.TELLS, host.nowMs * 10,
-                Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
+        host.tell(new Event.GossipReceived(
+                from,
+                new Datagram(Kind.TELLS, host.nowMs * 10, Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
     }
 
     private List<Action.SendGossip> tells() {
-        return host.acts.stream().filter(a -> a instanceof Action.SendGossip).map(a -> (Action.SendGossip) a).toList();
+        return host.acts.stream()
+                .filter(a -> a instanceof Action.SendGossip)
+                .map(a -> (Action.SendGossip) a)
+                .toList();
     }
 
     @Test
@@ -66,8 +77,15 @@
         many.list(true, "p", "r1", "r2");
         assertThat(many.probes("p")).isZero();
         many.probed("r1", Role.REPLICA, many.nowMs);
-        many.tell(new Event.GossipReceived(1, new Datagram(Kind.TELLS, many.nowMs * 10, Map.of(Datagram.number(
-                new ServerId("p")), word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1))).bytes()));
+        many.tell(new Event.GossipReceived(
+                1,
+                new Datagram(
+                                Kind.TELLS,
+                                many.nowMs * 10,
+                                Map.of(
+                                        Datagram.number(new ServerId("p")),
+                                        word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1)))
+                        .bytes()));
         many.nowMs += 1200; // r1 is too old by now
         many.probed("r1", Role.REPLICA, many.nowMs - 1200);
         RequestId request = many.ask(FakeHost.VIEW);
@@ -77,8 +95,15 @@
     }
 
     private Event.GossipReceived heardByOthers(FakeHost h, String server, Role role) {
-        return new Event.GossipReceived(1, new Datagram(Kind.TELLS, h.nowMs * 10, Map.of(Datagram.number(
-                new ServerId(server)), word(role, h.nowMs, h.nowMs, h.nowMs, -1))).bytes());
+        return new Event.GossipReceived(
+                1,
+                new Datagram(
+                                Kind.TELLS,
+                                h.nowMs * 10,
+                                Map.of(
+                                        Datagram.number(new ServerId(server)),
+                                        word(role, h.nowMs, h.nowMs, h.nowMs, -1)))
+                        .bytes());
     }
 
     @Test
@@ -147,8 +172,15 @@
     void aDrainHeardBindsAtOnceAndAnOlderListDoesNotUndoIt() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        ServerObservation drains = new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
-                LoadReport.UNKNOWN_TIME, host.nowMs * 10 - 100);
+        ServerObservation drains = new ServerObservation(
+                Role.UNKNOWN,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                host.nowMs * 10 - 100);
         told(1, "r1", drains);
         host.list(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
@@ -162,8 +194,18 @@
     void aDrainThatNoListConfirmsLapses() {
         host.list(true, "p", "r1");
         host.levelled("p", "r1");
-        told(1, "r1", new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
-                LoadReport.UNKNOWN_TIME, host.nowMs * 10));
+        told(
+                1,
+                "r1",
+                new ServerObservation(
+                        Role.UNKNOWN,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        host.nowMs * 10));
         host.pass(10_500);
         host.levelled("p", "r1");
         assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
@@ -173,8 +215,18 @@
     void coldHeardIsCold() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        told(1, "r1", new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
-                host.nowMs * 10 - 100, LoadReport.UNKNOWN_TIME));
+        told(
+                1,
+                "r1",
+                new ServerObservation(
+                        Role.UNKNOWN,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        host.nowMs * 10 - 100,
+                        LoadReport.UNKNOWN_TIME));
         int cold = 0;
         for (int i = 0; i < 20; i++) {
             cold += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
@@ -213,12 +265,15 @@
     void aGatewayAsksAtItsStartAndAnswersThoseThatStart() {
         host.list(true, "p", "r1");
         host.pass(20);
-        assertThat(tells()).hasSize(2).allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
+        assertThat(tells())
+                .hasSize(2)
+                .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
         host.levelled("p", "r1");
         host.acts.clear();
         host.tell(new Event.GossipReceived(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
         assertThat(tells()).hasSize(1);
-        Map<Integer, ServerObservation> words = Datagram.read(tells().get(0).bytes()).datagram().words();
+        Map<Integer, ServerObservation> words =
+                Datagram.read(tells().get(0).bytes()).datagram().words();
         assertThat(words.get(Datagram.number(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
         assertThat(words.get(Datagram.number(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
     }
@@ -234,11 +289,17 @@
         host.pass(600);
         host.unanswered("r1");
         host.pass(100);
-        assertThat(tells()).anyMatch(t -> Datagram.read(t.bytes()).datagram().words()
-                .getOrDefault(Datagram.number(new ServerId("r1")), ServerObservation.NONE).silent());
+        assertThat(tells())
+                .anyMatch(t -> Datagram.read(t.bytes())
+                        .datagram()
+                        .words()
+                        .getOrDefault(Datagram.number(new ServerId("r1")), ServerObservation.NONE)
+                        .silent());
         host.acts.clear();
         host.tell(new Event.ShutdownBegun());
-        assertThat(tells()).hasSize(2).allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
+        assertThat(tells())
+                .hasSize(2)
+                .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -23,17 +23,31 @@
         Path file = directory.resolve("gateway.json");
         Path log = directory.resolve("gateway.log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable(); Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (Net net = new Net("p", "r1").readable();
+                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
             CountDownLatch probes = new CountDownLatch(1);
             net.servers.values().forEach(server -> server.holdsProbes = probes); // service begins once they have ended
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
-            gateway = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                    "ploverdale.Main", "serve", "--config", file.toString()).redirectError(log.toFile()).start();
+            gateway = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                            "ploverdale.Main",
+                            "serve",
+                            "--config",
+                            file.toString())
+                    .redirectError(log.toFile())
+                    .start();
             net.registry.asked("/registry/instances");
             Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
-            assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid())).start().waitFor()).isZero();
-            assertThat(gateway.waitFor(500, TimeUnit.MILLISECONDS)).as("ended: %s", Files.readString(log)).isFalse();
+            assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid()))
+                            .start()
+                            .waitFor())
+                    .isZero();
+            assertThat(gateway.waitFor(500, TimeUnit.MILLISECONDS))
+                    .as("ended: %s", Files.readString(log))
+                    .isFalse();
             probes.countDown();
             elsewhere.asked("/registry/instances");
             elsewhere.asked("/registry/instances?from=5&hold_ms=2000");
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -80,7 +80,8 @@
                 }
             }
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm)).as(net::log)
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
+                    .as(net::log)
                     .isLessThan(LONGEST_COUNTED_MS + KILLED_AFTER_MS);
             assertThat(net.log()).contains(" 0 ops unanswered");
             resume(net);
@@ -93,7 +94,8 @@
         try (Net net = new Net("p", "r1").readable()) {
             net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
-                    .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2).replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
+                    .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
+                    .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
             net.started();
             Client client = net.client();
             net.read(client);
@@ -103,11 +105,13 @@
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
-                answer = client.ask(net.request(CLASSES.get(answered % CLASSES.size()), deadlineMs)).answer();
+                answer = client.ask(net.request(CLASSES.get(answered % CLASSES.size()), deadlineMs))
+                        .answer();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm)).as(net::log)
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
+                    .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
             assertThat(net.log()).contains(" 0 ops unanswered");
             assertThat(answered).isGreaterThan(1);
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -16,7 +16,8 @@
 @Timeout(120)
 class IdleServerConnectionTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final long QUIET_MS = 2600; // longer than any server counts as heard, shorter than surplus connections are kept
+    private static final long QUIET_MS =
+            2600; // longer than any server counts as heard, shorter than surplus connections are kept
     private static final long FORGOTTEN_AFTER_MS = 1000;
     private static final int WARM_UP_REQUESTS = 20;
 
@@ -33,7 +34,7 @@
             case CLOSED -> server.endConnections(false);
             case RESET -> server.endConnections(true);
             case SILENT -> server.dropsSilently = true;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -89,8 +90,12 @@
             for (int round = 0; round < 3; round++) {
                 quietTime(net, how);
                 long asked = System.nanoTime();
-                assertThat(client.ask(net.request("quick", 900)).answer()).as("round %d:\n%s", round, net.log()).isEqualTo(ROW_7);
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked)).as(net::log).isLessThan(900);
+                assertThat(client.ask(net.request("quick", 900)).answer())
+                        .as("round %d:\n%s", round, net.log())
+                        .isEqualTo(ROW_7);
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked))
+                        .as(net::log)
+                        .isLessThan(900);
             }
         }
     }
--- a/gateway/src/test/java/ploverdale/KnownRedTest.java
+++ b/gateway/src/test/java/ploverdale/KnownRedTest.java
@@ -20,15 +20,16 @@
     @Test
     void onlyListedTestsArePassedOver() throws IOException {
         List<String> listed = Files.exists(LIST)
-                ? Files.readAllLines(LIST).stream().filter(line -> !line.isBlank()).map(line -> line.split(":")[0]).toList()
+                ? Files.readAllLines(LIST).stream()
+                        .filter(line -> !line.isBlank())
+                        .map(line -> line.split(":")[0])
+                        .toList()
                 : List.of();
         List<String> tagged = new ClassFileImporter()
-                .withImportOption(new ImportOption.OnlyIncludeTests())
-                .importPackages("ploverdale")
-                .stream()
-                .filter(KnownRedTest::isPassedOver)
-                .map(JavaClass::getName)
-                .toList();
+                .withImportOption(new ImportOption.OnlyIncludeTests()).importPackages("ploverdale").stream()
+                        .filter(KnownRedTest::isPassedOver)
+                        .map(JavaClass::getName)
+                        .toList();
         assertThat(listed).hasSizeLessThanOrEqualTo(MOST);
         assertThat(tagged).containsExactlyInAnyOrderElementsOf(listed);
     }
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -10,6 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Net;
+import ploverdale.net.postgres.MessageWriter;
 
 /** What crosses the last moment of a graceful shutdown is answered, or left unread. */
 @Timeout(120)
@@ -83,7 +83,9 @@
             CountDownLatch endsIdle = net.pauseAtLog("planned restart: idle connections end");
             long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ANSWERS_BY_MS + 100);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
-            assertThat(endsIdle.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+            assertThat(endsIdle.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as(net::log)
+                    .isTrue();
             half.write(halfARequest()); // is read right before its connection would end as idle
             net.goOn();
             assertThat(half.answer()).as(net::log).isEqualTo("57P03 closed");
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -83,7 +83,9 @@
             long moved = System.nanoTime();
             moveDiscovery(net, discovery);
             net.logged("server r1 listed GONE");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - moved)).as(net::log).isLessThan(TOLD_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - moved))
+                    .as(net::log)
+                    .isLessThan(TOLD_WITHIN_MS);
             assertThat(discovery.calls).hasValue(1);
         }
     }
--- a/gateway/src/test/java/ploverdale/RetryFailureTest.java
+++ b/gateway/src/test/java/ploverdale/RetryFailureTest.java
@@ -66,16 +66,21 @@
                 boolean write = i % 2 == 0;
                 long asked = System.nanoTime();
                 long timeMs = write ? WRITE_TIME_MS : READ_TIME_MS;
-                String answer = client.ask(net.request(write ? "order" : "quick", timeMs)).answer();
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked)).as(net::log)
+                String answer = client.ask(net.request(write ? "order" : "quick", timeMs))
+                        .answer();
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked))
+                        .as(net::log)
                         .isLessThan(timeMs + ANSWER_SLACK_MS);
                 assertThat(answer).as(net::log).matches("(53300|58000).* ready");
                 String id = Integer.toHexString(i);
                 long attempts = servers.stream().mapToLong(s -> s.attempts(id)).sum();
-                assertThat(attempts).as("attempts of request %s:\n%s", id, net.log())
+                assertThat(attempts)
+                        .as("attempts of request %s:\n%s", id, net.log())
                         .isLessThanOrEqualTo(write && failure.mayHaveRun ? 1 : ATTEMPTS_MOST);
                 if (write && failure.mayHaveRun && attempts > 0) {
-                    assertThat(answer).as("a write that may have run is not called harmless").startsWith("58000");
+                    assertThat(answer)
+                            .as("a write that may have run is not called harmless")
+                            .startsWith("58000");
                 }
             }
             servers.forEach(AnsweringServer::close);
@@ -89,7 +94,8 @@
             List<AnsweringServer> servers = failing(net, failure);
             Client client = net.client();
             for (int i = 0; i < REQUESTS; i++) {
-                client.ask(i % 2 == 0 ? net.request("order", WRITE_TIME_MS) : net.request("quick", READ_TIME_MS)).answer();
+                client.ask(i % 2 == 0 ? net.request("order", WRITE_TIME_MS) : net.request("quick", READ_TIME_MS))
+                        .answer();
             }
             servers.forEach(AnsweringServer::close);
             net.servers.values().forEach(s -> s.writes = true);
@@ -98,8 +104,10 @@
             for (String type : List.of("order", "quick")) {
                 String answer = "";
                 while (!answer.equals(ROW_7)) {
-                    answer = client.ask(net.request(type, type.equals("order") ? WRITE_TIME_MS : READ_TIME_MS)).answer();
-                    assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - recovered)).as(net::log)
+                    answer = client.ask(net.request(type, type.equals("order") ? WRITE_TIME_MS : READ_TIME_MS))
+                            .answer();
+                    assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - recovered))
+                            .as(net::log)
                             .isLessThan(RECOVERS_WITHIN_MS);
                 }
             }
--- a/gateway/src/test/java/ploverdale/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/RouterTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import ploverdale.model.Action;
-import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Endpoint.EndpointState;
-import ploverdale.model.RequestId;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
 
 /** Stories of single failures, each against the fake host. */
 class RouterTest {
@@ -77,7 +77,9 @@
     void aServerThatIsListedButNeverHeardGetsNoOp() {
         host.list(false, "ghost");
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(FakeHost.HISTORY))).isSubsetOf("r1", "r2").hasSize(1);
+            assertThat(host.sends(host.ask(FakeHost.HISTORY)))
+                    .isSubsetOf("r1", "r2")
+                    .hasSize(1);
         }
     }
 
@@ -98,7 +100,9 @@
         List<Long> wakes = new ArrayList<>();
         for (int i = 0; i < 600 && host.busyReplies(write) == 0; i++) {
             host.nowMs += 5;
-            host.acts.stream().filter(Action.SetTimer.class::isInstance).forEach(a -> wakes.add(((Action.SetTimer) a).at()));
+            host.acts.stream()
+                    .filter(Action.SetTimer.class::isInstance)
+                    .forEach(a -> wakes.add(((Action.SetTimer) a).at()));
             host.acts.removeIf(Action.SetTimer.class::isInstance);
             host.ask(FakeHost.SUBMIT);
             if (wakes.removeIf(at -> at <= host.nowMs * 10 - 10)) {
@@ -112,8 +116,15 @@
     void atTheLastMomentOfAPlannedRestartEachOpInHandIsAnsweredOnceByWhatIsProven() {
         RequestId read = host.ask(FakeHost.VIEW);
         RequestId write = host.ask(FakeHost.SUBMIT);
-        host.tell(new Event.AttemptEnded(host.ask(FakeHost.SUBMIT), 0, new ServerId("p"), Outcome.MISDIRECTED, 10, false,
-                note(Role.REPLICA, host.nowMs), null));
+        host.tell(new Event.AttemptEnded(
+                host.ask(FakeHost.SUBMIT),
+                0,
+                new ServerId("p"),
+                Outcome.MISDIRECTED,
+                10,
+                false,
+                note(Role.REPLICA, host.nowMs),
+                null));
         RequestId held = host.ask(FakeHost.SUBMIT);
         assertThat(host.sends(held)).isEmpty();
         host.tell(new Event.ShutdownDeadline());
@@ -149,7 +160,9 @@
         RequestId last = refused;
         assertThat(host.sends(last)).isEmpty();
         assertThat(host.busyReplies(last)).isEqualTo(1);
-        assertThat(host.acts).filteredOn(a -> a instanceof Action.RejectRequest b && b.request().equals(last))
+        assertThat(host.acts)
+                .filteredOn(
+                        a -> a instanceof Action.RejectRequest b && b.request().equals(last))
                 .allMatch(a -> ((Action.RejectRequest) a).retryAfter() < 5000, "a second try is still in time");
     }
 
@@ -201,7 +214,8 @@
         RequestId write = host.ask(FakeHost.SUBMIT);
         for (int send = 0; send < 2; send++) {
             assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
-            host.tell(new Event.AttemptEnded(write, send, new ServerId("p"), Outcome.CONNECT_FAILED, 10, false, null, null));
+            host.tell(new Event.AttemptEnded(
+                    write, send, new ServerId("p"), Outcome.CONNECT_FAILED, 10, false, null, null));
             assertThat(host.probes("p")).isEqualTo(2 + send);
             host.probed("p", Role.PRIMARY, host.nowMs);
         }
@@ -210,14 +224,16 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"CONNECT_INTERRUPTED", "CONNECT_FAILED", "CONNECTION_LOST"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"CONNECT_INTERRUPTED", "CONNECT_FAILED", "CONNECTION_LOST"})
     void resetsByChanceNeitherCutAServersLimitNorLeaveItOut(Outcome outcome) {
         for (int i = 0; i < 60; i++) { // one op in eight at every server, as on a bad network
             for (int j = 0; j < 8; j++) {
                 RequestId read = host.ask(FakeHost.HISTORY);
                 if (j == 0) {
-                    host.tell(new Event.AttemptEnded(read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false,
-                            null, null));
+                    host.tell(new Event.AttemptEnded(
+                            read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false, null, null));
                 }
                 int last = host.sends(read).size() - 1;
                 host.ends(read, last, host.sends(read).get(last), Outcome.ACKED, note(Role.REPLICA, host.nowMs));
@@ -238,7 +254,8 @@
     void aSlowFailedConnectGivesUpNoIdleConnection() {
         RequestId read = host.ask(FakeHost.VIEW);
         String server = host.sends(read).get(0);
-        host.tell(new Event.AttemptEnded(read, 0, new ServerId(server), Outcome.CONNECT_FAILED, 2500, false, null, null));
+        host.tell(
+                new Event.AttemptEnded(read, 0, new ServerId(server), Outcome.CONNECT_FAILED, 2500, false, null, null));
         host.probed(server, Role.REPLICA, host.nowMs);
         host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.ACKED, null);
         assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
@@ -251,20 +268,23 @@
             host.ends(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.ACKED, null);
         }
         RequestId read = host.ask(FakeHost.FRESH);
-        assertThat(host.acts).anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).as("and its limit is kept").containsExactly("p");
+        assertThat(host.acts)
+                .anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
+        assertThat(host.sends(host.ask(FakeHost.SUBMIT)))
+                .as("and its limit is kept")
+                .containsExactly("p");
     }
 
     @Test
     void aBusyServersReadsThinOutWhereOwnAnswersAreOld() {
         FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100);
         small.list(true, "r1");
-        small.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.ACKED,
-                new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
+        small.tell(new Event.HealthCheckEnded(
+                new ServerId("r1"), Outcome.ACKED, new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
         assertThat(small.sends(small.ask(FakeHost.HISTORY))).isEmpty();
         small.nowMs += 200;
-        small.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.ACKED,
-                new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
+        small.tell(new Event.HealthCheckEnded(
+                new ServerId("r1"), Outcome.ACKED, new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
         assertThat(small.sends(small.ask(FakeHost.HISTORY))).containsExactly("r1");
     }
 
@@ -369,8 +389,8 @@
         for (int i = 0; i < 25; i++) {
             RequestId scan = host.ask(FakeHost.SCAN);
             host.nowMs += 100;
-            host.tell(new Event.AttemptEnded(scan, 0, new ServerId(host.sends(scan).get(0)),
-                    Outcome.ACKED, 9000, true, null, null));
+            host.tell(new Event.AttemptEnded(
+                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true, null, null));
         }
         host.levelled("p", "r1", "r2");
         assertThat(host.sends(host.ask(FakeHost.SCAN))).containsExactly("r1");
@@ -382,14 +402,16 @@
         for (int i = 0; i < 25; i++) {
             RequestId scan = host.ask(FakeHost.SCAN);
             host.nowMs += 100;
-            host.tell(new Event.AttemptEnded(scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true,
-                    null, null));
+            host.tell(new Event.AttemptEnded(
+                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true, null, null));
         }
         host.lagging(1100);
         for (int i = 0; i < 60; i++) {
             host.ask(FakeHost.VIEW);
         }
-        assertThat(host.sends(host.ask(FakeHost.SCAN))).as("a replica that lags of itself takes one").containsExactly("r1");
+        assertThat(host.sends(host.ask(FakeHost.SCAN)))
+                .as("a replica that lags of itself takes one")
+                .containsExactly("r1");
         RequestId scan = host.ask(FakeHost.SCAN);
         assertThat(host.sends(scan)).isEmpty();
         assertThat(host.busyReplies(scan)).isEqualTo(1);
@@ -472,8 +494,11 @@
         assertThat(host.logged("returns: answers probes")).isTrue();
         host.ask(FakeHost.VIEW);
         host.ask(FakeHost.VIEW);
-        assertThat(host.acts.stream().filter(a -> a instanceof Action.StartAttempt s
-                && s.server().text().equals(first)).count()).isLessThanOrEqualTo(2);
+        assertThat(host.acts.stream()
+                        .filter(a -> a instanceof Action.StartAttempt s
+                                && s.server().text().equals(first))
+                        .count())
+                .isLessThanOrEqualTo(2);
     }
 
     @Test
@@ -489,7 +514,9 @@
         host.levelled("p", "r1", "r2");
         assertThat(host.sends(held)).containsExactly("p");
         host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).as("writes may be two at once").isEmpty();
+        assertThat(host.sends(host.ask(FakeHost.SUBMIT)))
+                .as("writes may be two at once")
+                .isEmpty();
     }
 
     @Test
@@ -530,7 +557,9 @@
         host.nowMs += 100;
         host.ends(write, 0, "p", Outcome.ACKED, note(Role.PRIMARY, host.nowMs));
         assertThat(host.sends(host.ask(FakeHost.SESSION, "s", 0))).containsExactly("p");
-        assertThat(host.sends(host.ask(FakeHost.SESSION, "other", 0))).isSubsetOf("r1", "r2").hasSize(1);
+        assertThat(host.sends(host.ask(FakeHost.SESSION, "other", 0)))
+                .isSubsetOf("r1", "r2")
+                .hasSize(1);
         host.probed("r1", Role.REPLICA, host.nowMs + 1);
         assertThat(host.sends(host.ask(FakeHost.SESSION, "s", 0))).containsExactly("r1");
     }
@@ -598,8 +627,11 @@
         }
         host.nowMs += 400;
         host.probed("r1", Role.PRIMARY, host.nowMs);
-        assertThat(asked.subList(0, 99)).filteredOn(request -> !host.sends(request).isEmpty()).isNotEmpty();
-        assertThat(asked.subList(100, 130)).allMatch(request -> host.sends(request).isEmpty());
+        assertThat(asked.subList(0, 99))
+                .filteredOn(request -> !host.sends(request).isEmpty())
+                .isNotEmpty();
+        assertThat(asked.subList(100, 130))
+                .allMatch(request -> host.sends(request).isEmpty());
     }
 
     @Test
@@ -635,20 +667,29 @@
         FakeHost h = FakeHost.settled();
         h.pass(100); // r1 and r2 stand where they stood then, but for what a probe told since
         RequestId read = h.ask(FakeHost.VIEW);
-        Action.StartAttempt s = h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
-                .map(a -> (Action.StartAttempt) a).findFirst().orElseThrow();
+        Action.StartAttempt s = h.acts.stream()
+                .filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
+                .map(a -> (Action.StartAttempt) a)
+                .findFirst()
+                .orElseThrow();
         assertThat(s.server().text()).startsWith("r");
         assertThat(s.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000); // a position is rounded down by a millisecond
         RequestId write = h.ask(FakeHost.SUBMIT);
-        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.request().equals(write))
-                .map(a -> ((Action.StartAttempt) a).writeBy())).containsExactly(Long.MAX_VALUE);
+        assertThat(h.acts.stream()
+                        .filter(a -> a instanceof Action.StartAttempt x
+                                && x.request().equals(write))
+                        .map(a -> ((Action.StartAttempt) a).writeBy()))
+                .containsExactly(Long.MAX_VALUE);
     }
 
     @Test
     void aWriteIsGivenUpBeforeItsTimeIsUpSoThatItsAnswerComesInTime() {
         FakeHost h = FakeHost.settled();
         RequestId write = h.ask(FakeHost.SUBMIT);
-        assertThat(h.acts.stream().filter(a -> a instanceof Action.StartAttempt x && x.request().equals(write))
-                .map(a -> ((Action.StartAttempt) a).timeLimit())).containsExactly(30_000L - 30_000 / 50);
+        assertThat(h.acts.stream()
+                        .filter(a -> a instanceof Action.StartAttempt x
+                                && x.request().equals(write))
+                        .map(a -> ((Action.StartAttempt) a).timeLimit()))
+                .containsExactly(30_000L - 30_000 / 50);
     }
 }
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -41,7 +41,8 @@
         Got query = server.next();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
-        assertThat(passedMs).as("%d ms left, of %d\n%s", leftMs, sent.deadlineMs, net.log())
+        assertThat(passedMs)
+                .as("%d ms left, of %d\n%s", leftMs, sent.deadlineMs, net.log())
                 .isBetween(1L, leftMs + SLACK_MS);
         return query;
     }
@@ -100,7 +101,8 @@
 
     private static void retry(Failure failure) throws Exception {
         try (Net net = new Net("p", "r1")) {
-            net.settings = told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
+            net.settings =
+                    told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
             net.started();
             Sent sent = Sent.by(net.client(), net, "quick", DEADLINE_MS);
             Got first = arrivesInTime(net, firstAsked(net), sent);
--- a/gateway/src/test/java/ploverdale/ServingProcess.java
+++ b/gateway/src/test/java/ploverdale/ServingProcess.java
@@ -75,7 +75,9 @@
                     return line;
                 }
             }
-            assertThat(System.nanoTime()).as("the log has \"%s\":\n%s", part, log()).isLessThan(end);
+            assertThat(System.nanoTime())
+                    .as("the log has \"%s\":\n%s", part, log())
+                    .isLessThan(end);
             Thread.sleep(5);
         }
     }
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -32,12 +32,16 @@
     @ValueSource(strings = {"quick", "page", "order"})
     void eachIsAnsweredInTimeAndAServerThatAnswersOthersIsNotEjected(String requestClass) throws Exception {
         try (Net net = new Net("p", "r1").started();
-                AnsweringServer primary = new AnsweringServer(net.servers.get("p"), ShortDeadlineTest::answerUnlessShort);
-                AnsweringServer replica = new AnsweringServer(net.servers.get("r1"), ShortDeadlineTest::answerUnlessShort)) {
+                AnsweringServer primary =
+                        new AnsweringServer(net.servers.get("p"), ShortDeadlineTest::answerUnlessShort);
+                AnsweringServer replica =
+                        new AnsweringServer(net.servers.get("r1"), ShortDeadlineTest::answerUnlessShort)) {
             Client client = net.client();
             Client other = net.client();
             for (int i = 0; i < LEARNING_REQUESTS; i++) {
-                assertThat(other.ask(net.request(requestClass, OTHERS_MS)).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(other.ask(net.request(requestClass, OTHERS_MS)).answer())
+                        .as(net::log)
+                        .isEqualTo(ROW_7);
             }
             for (int i = 0; i < REQUESTS; i++) {
                 long asked = System.nanoTime();
@@ -47,10 +51,13 @@
                 assertThat(tookMs).as(net::log).isLessThan(LEFT_MS + ANSWER_SLACK_MS);
                 String text = net.request(requestClass, OTHERS_MS);
                 String id = text.replaceAll(".*id=(\\w+),.*", "$1");
-                assertThat(other.ask(text).answer()).as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id),
-                        replica.attempts(id), net.log()).isEqualTo(ROW_7);
+                assertThat(other.ask(text).answer())
+                        .as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id), replica.attempts(id), net.log())
+                        .isEqualTo(ROW_7);
             }
-            assertThat(primary.queries.size() + replica.queries.size()).as("some were forwarded").isGreaterThan(REQUESTS);
+            assertThat(primary.queries.size() + replica.queries.size())
+                    .as("some were forwarded")
+                    .isGreaterThan(REQUESTS);
             assertThat(net.log()).doesNotContain(" silent: ");
         }
     }
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -23,6 +22,7 @@
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
 
 /** A gateway as a process, its deadlines 300 ms, which gets SIGTERM under load and SIGKILL 1.0 s later. */
 @Timeout(120)
@@ -127,8 +127,8 @@
             gateway.process.onExit().thenRun(exited::countDown);
             long signalled = System.nanoTime();
             gateway.process.destroy();
-            boolean byItself = exited.await(
-                    KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - signalled), TimeUnit.NANOSECONDS);
+            boolean byItself =
+                    exited.await(KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - signalled), TimeUnit.NANOSECONDS);
             gateway.process.destroyForcibly();
             load.join();
             System.out.println("shutdown with deadlines of " + DEADLINE_MS + " ms: "
--- a/gateway/src/test/java/ploverdale/SlowDiscovery.java
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -54,7 +54,8 @@
             throw new IOException(e);
         }
         byte[] body = list.getBytes(UTF_8);
-        socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(UTF_8));
+        socket.getOutputStream()
+                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(UTF_8));
         socket.getOutputStream().write(body);
     }
 }
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.routing.Router;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,25 +9,26 @@
 import java.util.Queue;
 import java.util.SplittableRandom;
 import ploverdale.model.Action;
-import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Endpoint;
-import ploverdale.model.RequestId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestClassId;
-import ploverdale.model.Capabilities;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerGuarantees;
-import ploverdale.model.LoadReport;
-import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
+import ploverdale.routing.Router;
 
 /**
  * A fleet of routers on one simulated clock, sending to the same simulated database servers, some of which restart and come
@@ -57,7 +57,13 @@
 
     /** The contract of slow start, the cores of a server and its true capacity when warm, in requests per second. */
     record Deployment(
-            String name, double startCapacity, long coldMs, double multiple, long windowMs, int cores, double capacity) {}
+            String name,
+            double startCapacity,
+            long coldMs,
+            double multiple,
+            long windowMs,
+            int cores,
+            double capacity) {}
 
     /**
      * What one run showed.
@@ -196,7 +202,8 @@
         }
         double worst = restarting().stream().mapToDouble(this::worstLoad).max().orElseThrow();
         double answers = restarting().stream().mapToDouble(s -> s.coldAnswers).sum();
-        return new Result(worst, served / (double) asked, answers / (restarting().size() * possibleAnswers()));
+        return new Result(
+                worst, served / (double) asked, answers / (restarting().size() * possibleAnswers()));
     }
 
     private void createServers() {
@@ -222,7 +229,12 @@
             Router router = new Router(null);
             routers.add(router);
             tell(i, started(i));
-            tell(i, new Event.EndpointUpdate(true, false, servers.stream().map(s -> listing(s, 0)).toList()));
+            tell(
+                    i,
+                    new Event.EndpointUpdate(
+                            true,
+                            false,
+                            servers.stream().map(s -> listing(s, 0)).toList()));
         }
     }
 
@@ -231,21 +243,39 @@
                 type(2000 * MS, Idempotence.IDEMPOTENT, 2, 0, Consistency.BOUNDED),
                 type(1000 * MS, Idempotence.IDEMPOTENT, 1, 0, Consistency.UNBOUNDED),
                 type(3000 * MS, Idempotence.NOT_IDEMPOTENT, 6, 0.5, Consistency.WRITE));
-        ServerGuarantees guarantees = new ServerGuarantees(deployment.startCapacity, deployment.coldMs * MS, deployment.multiple,
-                deployment.windowMs * MS, true, 0);
-        return new Event.Started(random.nextLong(), gateways, types,
-                List.of(new Tenant(AGREED * SERVERS * deployment.capacity)), 0.05, guarantees,
+        ServerGuarantees guarantees = new ServerGuarantees(
+                deployment.startCapacity,
+                deployment.coldMs * MS,
+                deployment.multiple,
+                deployment.windowMs * MS,
+                true,
+                0);
+        return new Event.Started(
+                random.nextLong(),
+                gateways,
+                types,
+                List.of(new Tenant(AGREED * SERVERS * deployment.capacity)),
+                0.05,
+                guarantees,
                 new Capabilities(6, true, true, true, 1000 * MS, gossip),
-                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false), false, gateway);
+                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false),
+                false,
+                gateway);
     }
 
     private static RequestClass type(long timeout, Idempotence repeats, double value, double late, Consistency needs) {
-        return new RequestClass(500 * MS, 0, timeout, repeats, RequestClass.Scope.GROUP, 0, value, late, false, needs, BOUND);
+        return new RequestClass(
+                500 * MS, 0, timeout, repeats, RequestClass.Scope.GROUP, 0, value, late, false, needs, BOUND);
     }
 
     private static Endpoint listing(Server server, long startedAt) {
-        return new Endpoint(server.id, new GroupId(server.number / GROUP), new ZoneId(0), Endpoint.EndpointState.IN,
-                server.primary(), startedAt);
+        return new Endpoint(
+                server.id,
+                new GroupId(server.number / GROUP),
+                new ZoneId(0),
+                Endpoint.EndpointState.IN,
+                server.primary(),
+                startedAt);
     }
 
     private List<Server> restarting() {
@@ -288,8 +318,18 @@
         RequestId id = new RequestId("op" + names++);
         requests.put(id, request);
         long timeout = request.type == VIEW ? 2000 * MS : request.type == HISTORY ? 1000 * MS : 3000 * MS;
-        tell(request.gateway, new Event.RequestArrived(id, new RequestClassId(request.type), new TenantId(0),
-                new GroupId(request.group), new SessionId("c"), now + timeout, request.tries > 0, 0, 0));
+        tell(
+                request.gateway,
+                new Event.RequestArrived(
+                        id,
+                        new RequestClassId(request.type),
+                        new TenantId(0),
+                        new GroupId(request.group),
+                        new SessionId("c"),
+                        now + timeout,
+                        request.tries > 0,
+                        0,
+                        0));
     }
 
     private void refused(RequestId request) {
@@ -317,7 +357,8 @@
         } else if (action instanceof Action.SetTimer wake) {
             at(wake.at(), () -> tell(gateway, new Event.TimerFired(wake.mark())));
         } else if (action instanceof Action.SendGossip tell) {
-            at(now + (2 + random.nextInt(20)) * MS,
+            at(
+                    now + (2 + random.nextInt(20)) * MS,
                     () -> tell(tell.peer(), new Event.GossipReceived(gateway, tell.bytes())));
         } else if (action instanceof Action.RejectRequest reply) {
             at(now, () -> refused(reply.request()));
@@ -356,8 +397,17 @@
             served += now <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
         }
         boolean answered = acked || outcome == Outcome.ERRORED;
-        tell(attempt.gateway, new Event.AttemptEnded(attempt.request, attempt.number, attempt.server.id, outcome,
-                now - attempt.sentAt, acked, answered ? report(attempt.server) : null, null));
+        tell(
+                attempt.gateway,
+                new Event.AttemptEnded(
+                        attempt.request,
+                        attempt.number,
+                        attempt.server.id,
+                        outcome,
+                        now - attempt.sentAt,
+                        acked,
+                        answered ? report(attempt.server) : null,
+                        null));
     }
 
     // -- Servers
@@ -365,7 +415,8 @@
     private double warmth(Server server, long time) {
         double warmed = (time - RESTARTED_AT) / (double) (deployment.coldMs * MS);
         return server.restarted
-                ? Math.min(1, deployment.startCapacity + (1 - deployment.startCapacity) * Math.max(0, warmed)) : 1;
+                ? Math.min(1, deployment.startCapacity + (1 - deployment.startCapacity) * Math.max(0, warmed))
+                : 1;
     }
 
     private double capacity(Server server) {
@@ -383,10 +434,13 @@
     }
 
     private void notifyOfRestart() {
-        List<Endpoint> restarted = restarting().stream().map(s -> listing(s, RESTARTED_AT)).toList();
+        List<Endpoint> restarted =
+                restarting().stream().map(s -> listing(s, RESTARTED_AT)).toList();
         for (int i = 0; i < gateways; i++) {
             int gateway = i;
-            at(now + random.nextInt((int) (90 * MS)), () -> tell(gateway, new Event.EndpointUpdate(false, false, restarted)));
+            at(
+                    now + random.nextInt((int) (90 * MS)),
+                    () -> tell(gateway, new Event.EndpointUpdate(false, false, restarted)));
         }
     }
 
@@ -442,14 +496,15 @@
             return;
         }
         count(server, PROBE_WORK);
-        at(now + 10 + random.nextInt(20),
+        at(
+                now + 10 + random.nextInt(20),
                 () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.ACKED, report(server))));
     }
 
     private LoadReport report(Server server) {
         server.updateBusy(now);
-        return new LoadReport(server.primary() ? Role.PRIMARY : Role.REPLICA, server.primary() ? now : now - 5 * MS,
-                server.busy);
+        return new LoadReport(
+                server.primary() ? Role.PRIMARY : Role.REPLICA, server.primary() ? now : now - 5 * MS, server.busy);
     }
 
     // -- The rule
--- a/gateway/src/test/java/ploverdale/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleetTest.java
@@ -41,13 +41,22 @@
                     }
                 }
             }
-            floors.assertThat(results.stream().mapToDouble(Result::served).average().orElseThrow())
-                    .as("served in the mean, %s", scenario).isGreaterThan(scenario.leastServed);
-            floors.assertThat(results.stream().mapToDouble(Result::coldServed).average().orElseThrow())
+            floors.assertThat(results.stream()
+                            .mapToDouble(Result::served)
+                            .average()
+                            .orElseThrow())
+                    .as("served in the mean, %s", scenario)
+                    .isGreaterThan(scenario.leastServed);
+            floors.assertThat(results.stream()
+                            .mapToDouble(Result::coldServed)
+                            .average()
+                            .orElseThrow())
                     .as("part of the recovering servers' capacity used, %s", scenario)
                     .isGreaterThan(scenario.leastColdServed);
         }
-        assertThat(overloaded).as("recovering servers that got more than their budget").isEmpty();
+        assertThat(overloaded)
+                .as("recovering servers that got more than their budget")
+                .isEmpty();
         floors.assertAll();
     }
 
@@ -55,7 +64,13 @@
             int gateways, Scenario scenario, Deployment deployment, boolean gossip, long seed, Result result) {
         return String.format(
                 "%3d gateways  %-26s %-6s gossip %-5s seed %d  worst %.2f  served %.3f  cold %.3f",
-                gateways, scenario, deployment.name(), gossip, seed, result.worstLoad(), result.served(),
+                gateways,
+                scenario,
+                deployment.name(),
+                gossip,
+                seed,
+                result.worstLoad(),
+                result.served(),
                 result.coldServed());
     }
 }
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -14,6 +13,7 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
+import ploverdale.net.postgres.MessageWriter;
 
 /** Clients that stop in the middle of something and stay connected: each is owed an error or a close within 3 s. */
 @Timeout(120)
@@ -33,12 +33,14 @@
         HALF_AN_SSL_REQUEST(Buffer.buffer().appendInt(8).appendShort((short) 1234)),
         SSL_REQUESTED_AND_HALF_A_STARTUP(
                 Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST).appendBuffer(firstHalf(MessageWriter.startup()))),
-        HALF_A_CANCEL_REQUEST(Buffer.buffer().appendInt(16).appendInt(CANCEL_REQUEST).appendInt(1)),
+        HALF_A_CANCEL_REQUEST(
+                Buffer.buffer().appendInt(16).appendInt(CANCEL_REQUEST).appendInt(1)),
         TYPE_OF_A_QUERY(MessageWriter.startup().appendByte((byte) 'Q')),
         PART_OF_A_QUERY_LENGTH(MessageWriter.startup().appendByte((byte) 'Q').appendShort((short) 0)),
         HALF_A_QUERY(MessageWriter.startup().appendBuffer(firstHalf(MessageWriter.query("SELECT 1")))),
-        HALF_A_QUERY_BEHIND_AN_EMPTY_ONE(
-                MessageWriter.startup().appendBuffer(MessageWriter.query("")).appendBuffer(firstHalf(MessageWriter.query("SELECT 1"))));
+        HALF_A_QUERY_BEHIND_AN_EMPTY_ONE(MessageWriter.startup()
+                .appendBuffer(MessageWriter.query(""))
+                .appendBuffer(firstHalf(MessageWriter.query("SELECT 1"))));
 
         private final Buffer written;
 
@@ -67,7 +69,8 @@
             }
             for (EndpointState stage : EndpointState.values()) {
                 readToTheEnd(stalled.get(stage));
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped)).as("%s:\n%s", stage, net.log())
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped))
+                        .as("%s:\n%s", stage, net.log())
                         .isLessThan(OWED_WITHIN_MS);
             }
         }
@@ -77,11 +80,18 @@
     void aClientThatStopsInAMessageThatIsNotTakenHasItsErrorByThen() throws Exception {
         try (Net net = new Net("p").started()) {
             long began = System.nanoTime();
-            Client tooLong = net.client().write(Buffer.buffer().appendByte((byte) 'Q').appendInt(1_000_000).appendInt(0));
+            Client tooLong = net.client()
+                    .write(Buffer.buffer()
+                            .appendByte((byte) 'Q')
+                            .appendInt(1_000_000)
+                            .appendInt(0));
             assertThat(tooLong.answer()).as(net::log).isEqualTo("54000 ready");
-            Client notSpoken = net.client().write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
+            Client notSpoken = net.client()
+                    .write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
             assertThat((char) notSpoken.readByte()).as(net::log).isEqualTo('E');
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began)).as(net::log).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
+                    .as(net::log)
+                    .isLessThan(OWED_WITHIN_MS);
         }
     }
 
@@ -103,7 +113,9 @@
             });
             writes.start();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began)).as(net::log).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
+                    .as(net::log)
+                    .isLessThan(OWED_WITHIN_MS);
             client.close();
             writes.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
         }
@@ -121,7 +133,8 @@
             assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
             long answered = System.nanoTime();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered)).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
+                    .isLessThan(OWED_WITHIN_MS);
             assertThat(net.servers.get("p").got).isEmpty();
         }
     }
@@ -142,7 +155,8 @@
             }
             long answered = System.nanoTime();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered)).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
+                    .isLessThan(OWED_WITHIN_MS);
         }
     }
 
@@ -151,7 +165,8 @@
         try (Net net = new Net("p", "r1").started(64, 30_000).readable()) {
             List<Client> stalled = new ArrayList<>();
             for (int i = 0; i < 20; i++) { // of 28 that clients may hold
-                stalled.add(net.client().write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
+                stalled.add(net.client()
+                        .write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
             }
             assertThat(net.read(net.client())).as(net::log).isEqualTo("row 07 ready");
             for (Client client : stalled) {
