--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -34,6 +33,7 @@
 import ploverdale.FaultyTransport.Errno;
 import ploverdale.FaultyTransport.Fault;
 import ploverdale.net.Gateway;
+import ploverdale.net.postgres.MessageWriter;
 
 /** A real gateway whose system calls fail as Linux documents, between stand-ins on loopback. */
 @Timeout(120)
@@ -83,14 +83,18 @@
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
-            assertThat(net.client().ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.client().ask(net.request("order")).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
         }
     }
 
     @Test
     void anAddressThatIsTakenIsToldAtOnce() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); Net net = net("p")) {
-            net.settings = told -> told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
+        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Net net = net("p")) {
+            net.settings = told ->
+                    told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long began = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
             assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
@@ -124,12 +128,18 @@
             long began = System.nanoTime();
             Client waits = new Client(net.gateway.port());
             while (since(began) < 500) {
-                assertThat(other.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(other.ask(net.request("order")).answer())
+                        .as(net::log)
+                        .isEqualTo(ROW_7);
             }
-            assertThat(system.calls(Call.ACCEPT) - callsBefore).as("accepts in half a second").isBetween(2L, 200L);
+            assertThat(system.calls(Call.ACCEPT) - callsBefore)
+                    .as("accepts in half a second")
+                    .isBetween(2L, 200L);
             fault.end();
             long ended = System.nanoTime();
-            assertThat(waits.greeted().ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(waits.greeted().ask(net.request("order")).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(since(ended)).isLessThan(NETTY_PAUSE_MS / 2);
             waits.close();
         }
@@ -142,7 +152,9 @@
             Client other = net.client();
             Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
             Client reset = new Client(net.gateway.port());
-            assertThat(net.client().ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.client().ask(net.request("order")).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(1);
             assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
             reset.close();
@@ -152,9 +164,20 @@
     // -- socket and connect
 
     @ParameterizedTest
-    @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "SOCKET,ENOBUFS", "SOCKET,ENOMEM", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS",
-            "CONNECT,ENOMEM", "CONNECT,ENETUNREACH", "CONNECT,EPERM", "CONNECT,EINTR", "FINISH_CONNECT,ENETUNREACH",
-            "SET_OPTION,EINVAL"})
+    @CsvSource({
+        "SOCKET,EMFILE",
+        "SOCKET,ENFILE",
+        "SOCKET,ENOBUFS",
+        "SOCKET,ENOMEM",
+        "CONNECT,EADDRNOTAVAIL",
+        "CONNECT,ENOBUFS",
+        "CONNECT,ENOMEM",
+        "CONNECT,ENETUNREACH",
+        "CONNECT,EPERM",
+        "CONNECT,EINTR",
+        "FINISH_CONNECT,ENETUNREACH",
+        "SET_OPTION,EINVAL"
+    })
     void aRequestWhoseConnectionCannotBeMadeForAMomentIsServedAllTheSame(Call call, Errno errno) throws Exception {
         try (Net net = net("p").started(256, SHORT_IDLE_MS)) {
             Server p = net.servers.get("p");
@@ -164,7 +187,8 @@
             boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
             Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
             assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(fault.failed()).isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
+            assertThat(fault.failed())
+                    .isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
             assertThat(net.log()).doesNotContain("silent");
         }
     }
@@ -197,7 +221,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"CONNECT,ENETUNREACH", "FINISH_CONNECT,EHOSTUNREACH", "FINISH_CONNECT,ETIMEDOUT", "FINISH_CONNECT,ECONNREFUSED"})
+    @CsvSource({
+        "CONNECT,ENETUNREACH",
+        "FINISH_CONNECT,EHOSTUNREACH",
+        "FINISH_CONNECT,ETIMEDOUT",
+        "FINISH_CONNECT,ECONNREFUSED"
+    })
     void aServerThatCannotBeReachedLeavesItsRequestsToOthers(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
             Client c = net.client();
@@ -334,20 +363,32 @@
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             assertThat(idle.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as(net::log)
+                    .isTrue();
         }
     }
 
     // -- discovery
 
     @ParameterizedTest
-    @CsvSource({"CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENETUNREACH", "SOCKET,EMFILE", "SOCKET,ENOMEM",
-            "FINISH_CONNECT,EHOSTUNREACH", "FINISH_CONNECT,ETIMEDOUT", "WRITE,ETIMEDOUT", "READ,EHOSTUNREACH"})
+    @CsvSource({
+        "CONNECT,EADDRNOTAVAIL",
+        "CONNECT,ENOBUFS",
+        "CONNECT,ENETUNREACH",
+        "SOCKET,EMFILE",
+        "SOCKET,ENOMEM",
+        "FINISH_CONNECT,EHOSTUNREACH",
+        "FINISH_CONNECT,ETIMEDOUT",
+        "WRITE,ETIMEDOUT",
+        "READ,EHOSTUNREACH"
+    })
     void aChangeIsHeardInTimeThoughCallsToDiscoveryFail(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1").started()) {
             int port = net.registry.port();
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            Fault fault = call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
+            Fault fault =
+                    call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.closeConnections(); // so that the next call needs a new one
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
@@ -366,9 +407,12 @@
 
     @ParameterizedTest
     @CsvSource({"1,true", "2,true", "3,false", "4,false"})
-    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed, boolean clientsToo) throws Exception {
+    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed, boolean clientsToo)
+            throws Exception {
         Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
-        errnos.put(Call.ACCEPT, List.of(Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR));
+        errnos.put(
+                Call.ACCEPT,
+                List.of(Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR));
         errnos.put(Call.SOCKET, List.of(Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM));
         errnos.put(Call.CONNECT, List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS, Errno.EINTR));
         errnos.put(Call.FINISH_CONNECT, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH));
@@ -397,10 +441,15 @@
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
             for (Map.Entry<String, String> e : answers.entrySet()) {
-                long runs = p.ran.stream().filter(q -> q.contains(" id=" + e.getKey() + ",")).count();
-                String what = "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
+                long runs = p.ran.stream()
+                        .filter(q -> q.contains(" id=" + e.getKey() + ","))
+                        .count();
+                String what =
+                        "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
                 assertThat(runs).as(what).isLessThanOrEqualTo(1);
-                assertThat(e.getValue()).as(what).matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
+                assertThat(e.getValue())
+                        .as(what)
+                        .matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
                 if (!clientsToo) {
                     assertThat(e.getValue()).as(what).endsWith(" ready"); // each has its answer
                 }
@@ -410,7 +459,9 @@
                     assertThat(runs).as(what).isZero();
                 }
             }
-            assertThat(answers.values().stream().filter(ROW_7::equals).count()).as(answers.toString()).isGreaterThan(100);
+            assertThat(answers.values().stream().filter(ROW_7::equals).count())
+                    .as(answers.toString())
+                    .isGreaterThan(100);
         }
     }
 
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -1,6 +1,5 @@
 package ploverdale;
 
-import ploverdale.net.postgres.MessageWriter;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.buffer.Buffer;
@@ -12,6 +11,7 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
+import ploverdale.net.postgres.MessageWriter;
 
 /** A request that has been read is answered before the gateway ends its connection, on a new connection too. */
 @Timeout(120)
@@ -20,7 +20,8 @@
     private static final String REFUSED = "53300 ready";
     private static final int FEW_DESCRIPTORS = 64; // 28 connections of clients
     private static final int CLIENTS_MOST = 28;
-    private static final Buffer UNKNOWN_MESSAGE = Buffer.buffer().appendByte((byte) '?').appendInt(4);
+    private static final Buffer UNKNOWN_MESSAGE =
+            Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
     private static Buffer order(Net net) {
         return MessageWriter.query(net.request("order"));
@@ -38,7 +39,8 @@
     void aRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Client client = new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
+            Client client =
+                    new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo("53300 closed");
             assertThat(client.howItEnds()).isEqualTo("end");
         }
@@ -48,9 +50,14 @@
     void eachRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Buffer all = MessageWriter.startup().appendBuffer(order(net)).appendBuffer(order(net)).appendBuffer(order(net));
+            Buffer all = MessageWriter.startup()
+                    .appendBuffer(order(net))
+                    .appendBuffer(order(net))
+                    .appendBuffer(order(net));
             Client client = new Client(net.gateway.port()).write(all);
-            assertThat(client.answer()).as(net::log).isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
+            assertThat(client.answer())
+                    .as(net::log)
+                    .isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
             assertThat(client.answer()).isEqualTo(REFUSED);
             assertThat(client.answer()).isEqualTo("closed");
         }
@@ -60,7 +67,8 @@
     void aRequestBehindAMalformedMessageIsRefusedBeforeTheConnectionEnds() throws Exception {
         try (Net net = new Net("p").started()) {
             net.servers.get("p").writes = true;
-            Client client = net.client().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
+            Client client =
+                    net.client().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo(SERVED);
             assertThat(client.answer()).isEqualTo("08P01 53300 ready");
             assertThat(client.answer()).isEqualTo("closed");
@@ -160,7 +168,10 @@
         try (Net net = new Net("p").started()) {
             List<Client> unfinished = new ArrayList<>();
             for (int i = 0; i < 140; i++) {
-                Buffer begun = Buffer.buffer().appendByte((byte) 'Q').appendInt(130_000).appendBytes(new byte[125_000]);
+                Buffer begun = Buffer.buffer()
+                        .appendByte((byte) 'Q')
+                        .appendInt(130_000)
+                        .appendBytes(new byte[125_000]);
                 unfinished.add(net.client().write(begun));
             }
             assertThat(unfinished.get(0).answer()).as(net::log).isEqualTo("53300 closed");
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -68,7 +68,8 @@
         try (Client client = connects(port, gateway)) {
             for (int i = 0; i < 20; i++) {
                 assertThat(net.read(client)).isEqualTo("row 07 ready");
-                assertThat(client.ask(net.request("no such type")).answer()).isEqualTo("22023 ready"); // which is logged
+                assertThat(client.ask(net.request("no such type")).answer())
+                        .isEqualTo("22023 ready"); // which is logged
             }
         }
         gateway.destroy();
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -11,15 +11,15 @@
 import java.util.Random;
 import java.util.Set;
 import ploverdale.model.Action;
-import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Endpoint;
-import ploverdale.model.RequestId;
-import ploverdale.model.RequestClassId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
@@ -118,7 +118,8 @@
     private List<Endpoint> endpoints() {
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Endpoint(new ServerId(id(i)), group(i), new ZoneId(0), Endpoint.EndpointState.IN, isPrimary(i), 0));
+            all.add(new Endpoint(
+                    new ServerId(id(i)), group(i), new ZoneId(0), Endpoint.EndpointState.IN, isPrimary(i), 0));
         }
         return all;
     }
@@ -132,10 +133,19 @@
     }
 
     private void arrival() {
-        int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT).get(random.nextInt(4));
+        int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT)
+                .get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
-        tell(new Event.RequestArrived(new RequestId("op" + names++), new RequestClassId(type), new TenantId(0), group, null,
-                host.nowMs * 10 + 30_000, false, 0, 0));
+        tell(new Event.RequestArrived(
+                new RequestId("op" + names++),
+                new RequestClassId(type),
+                new TenantId(0),
+                group,
+                null,
+                host.nowMs * 10 + 30_000,
+                false,
+                0,
+                0));
     }
 
     private void tell(Event event) {
@@ -151,15 +161,25 @@
                 sentTo.put(name, a.server());
                 exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.ACKED ? 1 : 0;
-                    tell(new Event.AttemptEnded(a.request(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
-                            null, outcome == Outcome.ACKED ? report(a.server()) : null));
+                    tell(new Event.AttemptEnded(
+                            a.request(),
+                            attempt,
+                            a.server(),
+                            outcome,
+                            took * 10,
+                            outcome == Outcome.ACKED,
+                            null,
+                            outcome == Outcome.ACKED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.CancelAttempt a) {
                 String name = "send " + a.request().text() + " " + a.send();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
-                    gateway(host.nowMs, TIMERS, () -> tell(new Event.AttemptEnded(
-                            a.request(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
+                    gateway(
+                            host.nowMs,
+                            TIMERS,
+                            () -> tell(new Event.AttemptEnded(
+                                    a.request(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
             } else if (action instanceof Action.CheckHealth a) {
                 healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
@@ -264,6 +284,10 @@
 
     /** The same, on average. */
     double detectedAfter(long death) {
-        return silentAtFirst.values().stream().mapToLong(Long::longValue).average().orElse(Double.MAX_VALUE) - death;
+        return silentAtFirst.values().stream()
+                        .mapToLong(Long::longValue)
+                        .average()
+                        .orElse(Double.MAX_VALUE)
+                - death;
     }
 }
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedActions.java
+++ b/gateway/src/test/java/ploverdale/benchlink/RecordedActions.java
@@ -33,7 +33,8 @@
             parser.nextToken();
             List<Action> actions = new ArrayList<>();
             for (Object action : JsonFields.of("reply", JsonFields.read(parser)).list("out")) {
-                Map.Entry<?, ?> entry = ((Map<?, ?>) action).entrySet().iterator().next();
+                Map.Entry<?, ?> entry =
+                        ((Map<?, ?>) action).entrySet().iterator().next();
                 actions.add(new Action((String) entry.getKey(), JsonFields.of("action", entry.getValue())));
             }
             return actions;
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedDay.java
+++ b/gateway/src/test/java/ploverdale/benchlink/RecordedDay.java
@@ -45,9 +45,8 @@
     private record Due(double atMs, long order, String event) {}
 
     private final SplittableRandom random = new SplittableRandom(SEED);
-    private final PriorityQueue<Due> events = new PriorityQueue<>((a, b) -> a.atMs != b.atMs
-            ? Double.compare(a.atMs, b.atMs)
-            : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> events = new PriorityQueue<>(
+            (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
     private final Map<String, Integer> attempts = new LinkedHashMap<>();
     private final LineExchange gatewayProcess = new LineExchange();
     private final List<String> lines = new ArrayList<>();
@@ -111,13 +110,17 @@
         switch (action.name()) {
             case "ROUTE" -> attempt(action);
             case "TOUCH" -> healthCheck(action);
-            case "WAKE_AT" -> schedule(
-                    action.number("atMs"),
-                    "{\"ALARM\":{\"gateway\":\"" + action.gateway() + "\",\"tag\":" + (long) action.number("tag") + "}}");
-            case "BROADCAST_TO" -> schedule(
-                    now + GOSSIP_DELAY_MS,
-                    "{\"DATAGRAM\":{\"gateway\":\"gateway-" + (long) action.number("whom") + "\",\"from\":"
-                            + action.gateway().substring("gateway-".length()) + ",\"body\":\"" + action.text("body") + "\"}}");
+            case "WAKE_AT" ->
+                schedule(
+                        action.number("atMs"),
+                        "{\"ALARM\":{\"gateway\":\"" + action.gateway() + "\",\"tag\":" + (long) action.number("tag")
+                                + "}}");
+            case "BROADCAST_TO" ->
+                schedule(
+                        now + GOSSIP_DELAY_MS,
+                        "{\"DATAGRAM\":{\"gateway\":\"gateway-" + (long) action.number("whom") + "\",\"from\":"
+                                + action.gateway().substring("gateway-".length()) + ",\"body\":\"" + action.text("body")
+                                + "\"}}");
             default -> {
                 // Answers to clients and closed connections have no effect on the simulated servers.
             }
@@ -138,8 +141,10 @@
         String told = answered ? ",\"progress\":" + progress(server) + ",\"healthInfo\":" + report(server) : "";
         schedule(
                 now + took,
-                "{\"RESPONSE\":{\"gateway\":\"" + route.gateway() + "\",\"ref\":\"" + request + "\",\"roundNo\":" + number
-                        + ",\"server\":\"" + server + "\",\"verdict\":\"" + verdict + "\",\"durationMs\":" + ms(took) + settled
+                "{\"RESPONSE\":{\"gateway\":\"" + route.gateway() + "\",\"ref\":\"" + request + "\",\"roundNo\":"
+                        + number
+                        + ",\"server\":\"" + server + "\",\"verdict\":\"" + verdict + "\",\"durationMs\":" + ms(took)
+                        + settled
                         + told + "}}");
     }
 
@@ -161,7 +166,8 @@
         double timeoutMs = requestClass == 2 ? 3_000 : 1_000;
         schedule(
                 atMs,
-                "{\"REQ\":{\"gateway\":\"gateway-" + gateway + "\",\"ref\":\"" + id + "\",\"dropDeadMs\":" + ms(atMs + timeoutMs)
+                "{\"REQ\":{\"gateway\":\"gateway-" + gateway + "\",\"ref\":\"" + id + "\",\"dropDeadMs\":"
+                        + ms(atMs + timeoutMs)
                         + ",\"connKey\":\"k" + random.nextInt(20) + "\",\"realm\":0,\"setNo\":" + random.nextInt(GROUPS)
                         + ",\"hintMs\":8.0,\"grade\":" + requestClass + "}}");
         if (random.nextInt(40) == 0) {
@@ -197,8 +203,8 @@
     }
 
     private static String announce(int gateway, int sheet, String how) {
-        return "{\"ANNOUNCE\":{\"gateway\":\"gateway-" + gateway + "\",\"how\":\"" + how + "\",\"version\":" + (sheet + 1)
-                + ",\"sheet\":" + sheet + "}}";
+        return "{\"ANNOUNCE\":{\"gateway\":\"gateway-" + gateway + "\",\"how\":\"" + how + "\",\"version\":"
+                + (sheet + 1) + ",\"sheet\":" + sheet + "}}";
     }
 
     private static String serverList(int sheet, String stateOfDrained, double restartedAtMs) {
@@ -207,8 +213,10 @@
             for (int member = 0; member < SERVERS_PER_GROUP; member++) {
                 boolean drained = group == 0 && member == 2;
                 boolean restarted = group == 1 && member == 0 && restartedAtMs > 0;
-                rows.add("{\"stageState\":\"" + (drained ? stateOfDrained : "IN") + "\",\"writer\":" + (member == 0 ? 1 : 0)
-                        + ",\"locality\":" + member % 2 + ",\"server\":\"" + server(group, member) + "\",\"model\":0,\"cell\":" + group
+                rows.add("{\"stageState\":\"" + (drained ? stateOfDrained : "IN") + "\",\"writer\":"
+                        + (member == 0 ? 1 : 0)
+                        + ",\"locality\":" + member % 2 + ",\"server\":\"" + server(group, member)
+                        + "\",\"model\":0,\"cell\":" + group
                         + ",\"rating\":1" + (restarted ? ",\"bornMs\":" + ms(restartedAtMs) : "") + "}");
             }
         }
@@ -217,22 +225,26 @@
 
     private static String boot(int gateway) {
         return "{\"BOOT\":{\"gateway\":\"gateway-" + gateway + "\",\"salt\":" + (71 + gateway) + ",\"profileData\":{"
-                + "\"accounts\":[{\"name\":\"a\",\"quotaPerS\":300}],\"balancers\":" + GATEWAYS + ",\"selfIndex\":" + gateway + ","
+                + "\"accounts\":[{\"name\":\"a\",\"quotaPerS\":300}],\"balancers\":" + GATEWAYS + ",\"selfIndex\":"
+                + gateway + ","
                 + "\"contract\":{\"answerSlackMs\":50,\"coldMs\":4000,\"mustAskInMs\":0,\"overloadFactor\":1.5,\"overloadForMs\":400,"
                 + "\"startCapacity\":0.2,\"stopSendingWithinMs\":500},\"discovery\":\"automatic\",\"overShareWorth\":0.05,"
                 + "\"policyLimits\":{\"cancel\":true,\"connectTimeoutMs\":250.0,\"idleCloseMs\":30000.0,\"maxRetryAfterMs\":1000.0,"
                 + "\"mayDuplicate\":false,\"peerMessages\":true,\"probes\":true,\"retryAfter\":true,\"sendCap\":6},"
-                + "\"profiles\":[" + profile("bounded", "repeatable", 300, 1_000, 2) + "," + profile("any", "repeatable", 300, 1_000, 1)
+                + "\"profiles\":[" + profile("bounded", "repeatable", 300, 1_000, 2) + ","
+                + profile("any", "repeatable", 300, 1_000, 1)
                 + "," + profile("write", "once", 400, 3_000, 6) + "],"
                 + "\"report\":{\"fields\":[\"x0\",\"x1\",\"busy\"],\"via\":\"piggyback\"},"
                 + "\"specifics\":{\"checks\":\"silent\",\"classRead\":[\"lag_bound\",\"eventual\",\"mutate\"],"
-                + "\"oldestDataMs\":[200.0,0.0,0.0],\"positionZeroMs\":" + ms(START_MS - 100_000) + ",\"positions\":true,"
+                + "\"oldestDataMs\":[200.0,0.0,0.0],\"positionZeroMs\":" + ms(START_MS - 100_000)
+                + ",\"positions\":true,"
                 + "\"tokens\":\"kept\",\"waitMs\":0.0},\"zones\":[\"a\",\"b\"]}}}";
     }
 
     private static String profile(String name, String effect, int aimMs, int deadlineMs, int worth) {
-        return "{\"name\":\"" + name + "\",\"effect\":\"" + effect + "\",\"aimMs\":" + aimMs + ",\"deadlineMs\":" + deadlineMs
-                + ",\"dedupScope\":\"all\",\"dedupWindowMs\":5000,\"worth\":" + worth + ",\"lateShare\":0,\"stream\":false}";
+        return "{\"name\":\"" + name + "\",\"effect\":\"" + effect + "\",\"aimMs\":" + aimMs + ",\"deadlineMs\":"
+                + deadlineMs + ",\"dedupScope\":\"all\",\"dedupWindowMs\":5000,\"worth\":" + worth
+                + ",\"lateShare\":0,\"stream\":false}";
     }
 
     private static String ms(double value) {
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedDayTest.java
+++ b/gateway/src/test/java/ploverdale/benchlink/RecordedDayTest.java
@@ -27,13 +27,16 @@
             recorded.add(lines.get(i + 1));
         }
         assertThat(input).hasSizeGreaterThan(LEAST_BATCHES);
-        assertThat(String.join("\n", recorded)).contains("\"ROUTE\"", "\"BOUNCE\"", "\"TOUCH\"", "\"BROADCAST_TO\"", " silent: ");
+        assertThat(String.join("\n", recorded))
+                .contains("\"ROUTE\"", "\"BOUNCE\"", "\"TOUCH\"", "\"BROADCAST_TO\"", " silent: ");
         assertThat(replies(input)).isEqualTo(recorded);
     }
 
     private static List<String> recordedLines() throws IOException {
         try (InputStream day = new GZIPInputStream(RecordedDayTest.class.getResourceAsStream(DAY))) {
-            return new String(day.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
+            return new String(day.readAllBytes(), StandardCharsets.UTF_8)
+                    .lines()
+                    .toList();
         }
     }
 
--- a/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
+++ b/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
@@ -96,7 +96,8 @@
     @Test
     void anAnswerThatIsReadLateContradictsNothing() {
         long position = now + MS;
-        assertThat(offset.heard("p", position / MS * MS, now, now + 30 * SECOND, true)).isFalse();
+        assertThat(offset.heard("p", position / MS * MS, now, now + 30 * SECOND, true))
+                .isFalse();
         assertThat(offset.isKnown()).isTrue();
     }
 
@@ -170,14 +171,15 @@
                 long writtenAt = now;
                 now += 1 + random.nextLong(random.nextInt(20) == 0 ? SECOND : 5 * MS);
                 boolean primary = random.nextBoolean();
-                long dated = primary ? writtenAt + random.nextLong(now - writtenAt + 1)
-                        : now - random.nextLong(20 * SECOND);
+                long dated =
+                        primary ? writtenAt + random.nextLong(now - writtenAt + 1) : now - random.nextLong(20 * SECOND);
                 int server = random.nextInt(3) * 2 + (primary ? 1 : 0);
                 long corrupt = random.nextInt(30) == 0 ? random.nextLong(7200 * SECOND) - 3600 * SECOND : 0;
                 its.heard(server, Math.floorDiv(dated + off + corrupt, MS) * MS, writtenAt, now, primary);
                 corrected |= its.offset() != 0;
                 if (its.isKnown() && corrected) {
-                    assertThat(its.offset()).as("seed %d, story %d, answer %d", seed, story, i)
+                    assertThat(its.offset())
+                            .as("seed %d, story %d, answer %d", seed, story, i)
                             .isGreaterThanOrEqualTo(off);
                 }
                 now += random.nextLong(200 * MS);
--- a/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -13,14 +13,21 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.Datagram.Kind;
 import ploverdale.gossip.Datagram.Refusal;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
 
 /** What fits a datagram, and what is not read. */
 class DatagramTest {
-    private static final ServerObservation PRIMARY = new ServerObservation(Role.PRIMARY, NOW - 5000, NOW - 5010, NOW - 5000, NOW - 5000,
-            LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
+    private static final ServerObservation PRIMARY = new ServerObservation(
+            Role.PRIMARY,
+            NOW - 5000,
+            NOW - 5010,
+            NOW - 5000,
+            NOW - 5000,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME,
+            LoadReport.UNKNOWN_TIME);
 
     private static byte[] checked(byte[] b) {
         CRC32C crc = new CRC32C();
@@ -82,8 +89,16 @@
         byte[] older = Arrays.copyOf(b, 10 + 7 + 4); // number, role and its age only
         older[3] = 7;
         ServerObservation w = Datagram.read(checked(older)).datagram().words().get(7);
-        assertThat(w).isEqualTo(new ServerObservation(Role.PRIMARY, NOW - 5000, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
-                LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME));
+        assertThat(w)
+                .isEqualTo(new ServerObservation(
+                        Role.PRIMARY,
+                        NOW - 5000,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME));
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
-import ploverdale.model.ServerId;
+import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
 
 /** What instances make of one another's words, with their letters carried by hand. */
 class GossipProtocolTest {
@@ -31,7 +31,13 @@
         private Tier(int instances) {
             for (int i = 0; i < instances; i++) {
                 Map<ServerId, ServerObservation> mine = new HashMap<>();
-                GossipProtocol h = new GossipProtocol(i, instances, 1e9, 5000, new SplittableRandom(i), id -> mine.getOrDefault(id, ServerObservation.NONE));
+                GossipProtocol h = new GossipProtocol(
+                        i,
+                        instances,
+                        1e9,
+                        5000,
+                        new SplittableRandom(i),
+                        id -> mine.getOrDefault(id, ServerObservation.NONE));
                 h.listed(P);
                 h.listed(R);
                 all.add(h);
@@ -70,12 +76,22 @@
         }
 
         private long knowing(ServerId id, Role role) {
-            return known.stream().filter(m -> m.getOrDefault(id, ServerObservation.NONE).role() == role).count();
+            return known.stream()
+                    .filter(m -> m.getOrDefault(id, ServerObservation.NONE).role() == role)
+                    .count();
         }
     }
 
     static ServerObservation role(Role role, long at) {
-        return new ServerObservation(role, at, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, at, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
+        return new ServerObservation(
+                role,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     private static byte[] told(long sentAt, ServerId id, ServerObservation w) {
@@ -137,13 +153,17 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW + 400 * MS, P, role(Role.PRIMARY, NOW + 400 * MS)));
         assertThat(t.known.get(0).get(P).roleAt()).isLessThanOrEqualTo(NOW);
-        assertThat(t.hear(NOW, 0, 1, told(NOW + 600 * MS, P, role(Role.PRIMARY, NOW))).line()).contains("OF_THE_FUTURE");
+        assertThat(t.hear(NOW, 0, 1, told(NOW + 600 * MS, P, role(Role.PRIMARY, NOW)))
+                        .line())
+                .contains("OF_THE_FUTURE");
     }
 
     @Test
     void aServerThatOnlyOthersNameIsNotSpokenOf() {
         Tier t = new Tier(2);
-        assertThat(t.hear(NOW, 0, 1, told(NOW, new ServerId("unknown"), role(Role.PRIMARY, NOW))).words()).isEmpty();
+        assertThat(t.hear(NOW, 0, 1, told(NOW, new ServerId("unknown"), role(Role.PRIMARY, NOW)))
+                        .words())
+                .isEmpty();
     }
 
     @Test
@@ -167,7 +187,9 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW, P, role(Role.PRIMARY, NOW)));
         t.all.get(0).proved(NOW, P, false);
-        ServerObservation w = t.hear(NOW + MS, 0, 1, told(NOW + MS, P, role(Role.PRIMARY, NOW))).words().get(P);
+        ServerObservation w = t.hear(NOW + MS, 0, 1, told(NOW + MS, P, role(Role.PRIMARY, NOW)))
+                .words()
+                .get(P);
         assertThat(w.roleAt()).isBetween(NOW - 520 * MS, NOW - 480 * MS);
     }
 
@@ -180,7 +202,9 @@
         t.learns(NOW, 0, R, role(Role.PRIMARY, NOW));
         assertThat(t.all.get(0).due(NOW + MS)).isEmpty();
         t.hear(NOW + 2500 * MS, 0, 1, new Datagram(Datagram.Kind.ASKS, NOW + 2500 * MS, Map.of()).bytes());
-        assertThat(t.all.get(0).due(NOW + 2500 * MS)).extracting(OutboundPacket::peer).containsExactly(1);
+        assertThat(t.all.get(0).due(NOW + 2500 * MS))
+                .extracting(OutboundPacket::peer)
+                .containsExactly(1);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
@@ -14,9 +14,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.GossipProtocol.OutboundPacket;
-import ploverdale.model.ServerId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
 
 /** Positions that few hear get round to all. */
 class PeerSelectorTest {
@@ -34,7 +34,12 @@
         for (int i = 0; i < instances; i++) {
             Map<ServerId, ServerObservation> mine = new HashMap<>();
             known.put(i, mine);
-            GossipProtocol h = new GossipProtocol(i, instances, requestsPerSecond, 500 * MS, new SplittableRandom(i),
+            GossipProtocol h = new GossipProtocol(
+                    i,
+                    instances,
+                    requestsPerSecond,
+                    500 * MS,
+                    new SplittableRandom(i),
                     id -> mine.getOrDefault(id, ServerObservation.NONE));
             h.listed(R);
             all.add(h);
@@ -42,7 +47,15 @@
     }
 
     private static ServerObservation place(long now, long position) {
-        return new ServerObservation(Role.REPLICA, now, position, now, now, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
+        return new ServerObservation(
+                Role.REPLICA,
+                now,
+                position,
+                now,
+                now,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     private void pass(long from, long until, Set<Integer> dead) {
@@ -59,7 +72,8 @@
                 letters++;
                 bytes += w.letter().bytes().length;
                 if (!dead.contains(w.letter().peer())) {
-                    GossipProtocol.ReceivedGossip h = all.get(w.letter().peer()).hears(now, w.from(), w.letter().bytes());
+                    GossipProtocol.ReceivedGossip h = all.get(w.letter().peer())
+                            .hears(now, w.from(), w.letter().bytes());
                     h.words().forEach((id, x) -> known.get(w.letter().peer()).merge(id, x, ServerObservation::join));
                     h.letters().forEach(l -> ways.add(new Way(w.letter().peer(), l)));
                 }
@@ -73,7 +87,9 @@
     }
 
     private long knowing(long position) {
-        return known.values().stream().filter(m -> m.getOrDefault(R, ServerObservation.NONE).position() >= position).count();
+        return known.values().stream()
+                .filter(m -> m.getOrDefault(R, ServerObservation.NONE).position() >= position)
+                .count();
     }
 
     @Test
@@ -94,7 +110,8 @@
         known.forEach((i, m) -> {
             if (i != 7) {
                 assertThat(m.getOrDefault(R, ServerObservation.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
-                assertThat(m.getOrDefault(R, ServerObservation.NONE).positionAt()).isLessThanOrEqualTo(NOW);
+                assertThat(m.getOrDefault(R, ServerObservation.NONE).positionAt())
+                        .isLessThanOrEqualTo(NOW);
                 assertThat(m.getOrDefault(R, ServerObservation.NONE).aliveAt()).isLessThanOrEqualTo(NOW);
             }
         });
--- a/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
@@ -20,15 +20,26 @@
     private static final int SERVER = Datagram.number(new ServerId("r1"));
 
     private static ServerObservation placed(long position, long at) {
-        return new ServerObservation(Role.REPLICA, at, position, at, at, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME);
+        return new ServerObservation(
+                Role.REPLICA,
+                at,
+                position,
+                at,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
     void aPositionIsTheSameForTheReaderHoweverFarTheSendersServiceTimeIsOff(long senderAhead) {
         long position = NOW - 700 * MS;
-        byte[] sent = new Datagram(Kind.TELLS, NOW + senderAhead,
-                Map.of(SERVER, placed(position + senderAhead, NOW + senderAhead))).bytes();
+        byte[] sent = new Datagram(
+                        Kind.TELLS,
+                        NOW + senderAhead,
+                        Map.of(SERVER, placed(position + senderAhead, NOW + senderAhead)))
+                .bytes();
         Datagram read = Datagram.read(Datagram.redated(sent, -senderAhead)).datagram();
         assertThat(read.sentAt()).isEqualTo(NOW);
         assertThat(read.words().get(SERVER).position()).isEqualTo(position);
@@ -43,9 +54,10 @@
     @ValueSource(longs = {400 * MS, -400 * MS, -1900 * MS, 5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
     void aSenderWhoseClockIsOffUnnoticedMakesNoPositionFresher(long senderAhead) {
         long position = NOW - 3 * SECOND;
-        byte[] sent = new Datagram(Kind.TELLS, NOW + senderAhead,
-                Map.of(SERVER, placed(position, NOW + senderAhead))).bytes();
-        GossipProtocol gossip = new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
+        byte[] sent = new Datagram(Kind.TELLS, NOW + senderAhead, Map.of(SERVER, placed(position, NOW + senderAhead)))
+                .bytes();
+        GossipProtocol gossip =
+                new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.listed(new ServerId("r1"));
         gossip.starts(NOW);
         Map<ServerId, ServerObservation> words = gossip.hears(NOW, 1, sent).words();
@@ -62,15 +74,19 @@
     @Test
     void positionsThatCannotBeDatedAreNotTold() {
         ServerId server = new ServerId("r1");
-        GossipProtocol gossip = new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
+        GossipProtocol gossip =
+                new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.listed(server);
         gossip.starts(NOW);
         ServerObservation drained = // news, which is told on
-                new ServerObservation(Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
+                new ServerObservation(
+                        Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
         gossip.hears(NOW, 1, new Datagram(Kind.TELLS, NOW, Map.of(SERVER, drained)).bytes());
         gossip.forgetPositions();
-        assertThat(gossip.due(NOW + SECOND)).isNotEmpty().allSatisfy(letter -> assertThat(
-                Datagram.read(letter.bytes()).datagram().words().values())
-                .allSatisfy(w -> assertThat(w.position()).isEqualTo(LoadReport.UNKNOWN_TIME)));
+        assertThat(gossip.due(NOW + SECOND))
+                .isNotEmpty()
+                .allSatisfy(letter -> assertThat(
+                                Datagram.read(letter.bytes()).datagram().words().values())
+                        .allSatisfy(w -> assertThat(w.position()).isEqualTo(LoadReport.UNKNOWN_TIME)));
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -23,16 +23,25 @@
 
     /** A time of the last ten seconds, or unknown. */
     private static Arbitrary<Long> time() {
-        return Arbitraries.longs().between(NOW - 100_000, NOW).injectNull(0.2).map(t -> t == null ? LoadReport.UNKNOWN_TIME : t);
+        return Arbitraries.longs()
+                .between(NOW - 100_000, NOW)
+                .injectNull(0.2)
+                .map(t -> t == null ? LoadReport.UNKNOWN_TIME : t);
     }
 
     @Provide
     static Arbitrary<ServerObservation> words() {
-        Arbitrary<ServerObservation> known = Combinators.combine(Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(),
-                time(), time(), time())
+        Arbitrary<ServerObservation> known = Combinators.combine(
+                        Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(), time(), time(), time())
                 .as((role, roleAt, placedAt, alive, silent, cold, drain) -> new ServerObservation(
-                        roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role, roleAt,
-                        placedAt == LoadReport.UNKNOWN_TIME ? placedAt : placedAt - 500, placedAt, alive, silent, cold, drain));
+                        roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
+                        roleAt,
+                        placedAt == LoadReport.UNKNOWN_TIME ? placedAt : placedAt - 500,
+                        placedAt,
+                        alive,
+                        silent,
+                        cold,
+                        drain));
         return known;
     }
 
@@ -41,7 +50,8 @@
     }
 
     @Property(seed = "7")
-    void orderAndRepetitionChangeNothing(@ForAll @Size(max = 8) List<@From("words") ServerObservation> words, @ForAll Random random) {
+    void orderAndRepetitionChangeNothing(
+            @ForAll @Size(max = 8) List<@From("words") ServerObservation> words, @ForAll Random random) {
         List<ServerObservation> other = new ArrayList<>(words);
         other.addAll(words.subList(0, words.size() / 2));
         Collections.shuffle(other, random);
@@ -81,8 +91,16 @@
     @Property(seed = "10")
     void whatIsTooOldIsForgottenButADrainAndAColdStart(@ForAll("words") ServerObservation word) {
         ServerObservation later = word.since(NOW + 1);
-        assertThat(later.withRoleOlder(0)).isEqualTo(new ServerObservation(Role.UNKNOWN, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME,
-                LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, word.coldSince(), word.drainAt()));
+        assertThat(later.withRoleOlder(0))
+                .isEqualTo(new ServerObservation(
+                        Role.UNKNOWN,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        word.coldSince(),
+                        word.drainAt()));
         assertThat(word.since(NOW - 200_000)).isEqualTo(word);
     }
 }
--- a/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -24,17 +24,27 @@
             DatagramSocket other = vertx.createDatagramSocket();
             other.listen(0, HERE).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
             DatagramSocket free = vertx.createDatagramSocket();
-            int port = free.listen(0, HERE).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS)
-                    .localAddress().port();
+            int port = free.listen(0, HERE)
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .get(20, TimeUnit.SECONDS)
+                    .localAddress()
+                    .port();
             free.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
             InetSocketAddress at = new InetSocketAddress(HERE, port);
             CompletableFuture<byte[]> heard = new CompletableFuture<>();
             vertx.runOnContext(x -> {
-                GossipTransport side = new GossipTransport(vertx, new Log(new PrintStream(System.err)), null,
-                        List.of(at, new InetSocketAddress(HERE, other.localAddress().port())));
+                GossipTransport side = new GossipTransport(
+                        vertx,
+                        new Log(new PrintStream(System.err)),
+                        null,
+                        List.of(
+                                at,
+                                new InetSocketAddress(HERE, other.localAddress().port())));
                 side.readFirst((from, bytes) -> heard.complete(bytes));
                 side.send(1, new byte[] {1});
-                vertx.setTimer(20, y -> side.listen(at).onSuccess(z -> other.send(Buffer.buffer(new byte[] {7}), port, HERE)));
+                vertx.setTimer(
+                        20, y -> side.listen(at).onSuccess(z -> other.send(Buffer.buffer(new byte[] {7}), port, HERE)));
             });
             assertThat(heard.get(20, TimeUnit.SECONDS)).containsExactly(7);
         } finally {
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -61,8 +61,9 @@
     private void listen() throws Exception {
         CompletableFuture<Void> listened = new CompletableFuture<>();
         vertx.runOnContext(x -> {
-            side = new GossipTransport(vertx, new Log(new PrintStream(lines, true)), null,
-                    List.of(at, (InetSocketAddress) other.getLocalSocketAddress()));
+            side = new GossipTransport(
+                    vertx, new Log(new PrintStream(lines, true)), null, List.of(at, (InetSocketAddress)
+                            other.getLocalSocketAddress()));
             side.readFirst((from, bytes) -> received.add(bytes));
             side.listen(at).onComplete(y -> listened.complete(null));
         });
--- a/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
@@ -31,14 +31,16 @@
     @Test
     void aTurnThatWasPausedReadsOnceMoreBeforeAnyTimerRuns() {
         Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10)))).isEqualTo(2);
+        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10))))
+                .isEqualTo(2);
         assertThat(turns.mayBlock).containsExactly(true, false);
     }
 
     @Test
     void aTurnThatOnlyWaitedForItsTimerDoesNot() {
         Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30)))).isEqualTo(1);
+        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30))))
+                .isEqualTo(1);
         assertThat(turns.mayBlock).containsExactly(true);
     }
 
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Event;
 import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.ReplicaGuarantees;
-import ploverdale.model.Event;
 import ploverdale.model.RequestClass;
-import ploverdale.model.Capabilities;
 import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
@@ -24,11 +24,34 @@
     private long now = SECOND;
 
     private QuotaNode settled(QuotaSettings quotaSettings) {
-        RequestClass type = new RequestClass(5000, 0, 30_000, RequestClass.Idempotence.IDEMPOTENT, RequestClass.Scope.GROUP, 0, 1, 0, false,
-                RequestClass.Consistency.UNBOUNDED, 5000);
-        QuotaNode s = new QuotaNode(quotaSettings, new Event.Started(7, 1, List.of(type), List.of(new Tenant(10)), 0.1,
-                new ServerGuarantees(0.2, 0, 2.5, 0, true, 0), new Capabilities(6, true, true, true, SECOND, true),
-                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 500, false), false, 0), 1, () -> now, () -> now);
+        RequestClass type = new RequestClass(
+                5000,
+                0,
+                30_000,
+                RequestClass.Idempotence.IDEMPOTENT,
+                RequestClass.Scope.GROUP,
+                0,
+                1,
+                0,
+                false,
+                RequestClass.Consistency.UNBOUNDED,
+                5000);
+        QuotaNode s = new QuotaNode(
+                quotaSettings,
+                new Event.Started(
+                        7,
+                        1,
+                        List.of(type),
+                        List.of(new Tenant(10)),
+                        0.1,
+                        new ServerGuarantees(0.2, 0, 2.5, 0, true, 0),
+                        new Capabilities(6, true, true, true, SECOND, true),
+                        new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 500, false),
+                        false,
+                        0),
+                1,
+                () -> now,
+                () -> now);
         now += 20 * SECOND;
         s.due();
         now += 2 * SECOND; // parts that come bring none that are saved up
@@ -36,7 +59,8 @@
     }
 
     private static QuotaSettings quotaSettings(boolean tenants, int sends, int cold, int again, int probes) {
-        return new QuotaSettings(tenants, sends, cold, 8, again, probes, 0.5, new LeaseDurations(30_000, 20_000, 0.05), 2000, null);
+        return new QuotaSettings(
+                tenants, sends, cold, 8, again, probes, 0.5, new LeaseDurations(30_000, 20_000, 0.05), 2000, null);
     }
 
     private static int spent(BooleanSupplier one) {
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -18,16 +18,28 @@
 
     @Provide
     Arbitrary<VersionedEntry> positions() {
-        return Combinators.combine(Arbitraries.longs().between(0, 5), Arbitraries.integers().between(0, 2)).as(Position::new);
+        return Combinators.combine(
+                        Arbitraries.longs().between(0, 5),
+                        Arbitraries.integers().between(0, 2))
+                .as(Position::new);
     }
 
     @Provide
     Arbitrary<VersionedEntry> fates() {
-        Arbitrary<IdempotencyRecord> claims = Combinators.combine(Arbitraries.integers().between(0, 2), Arbitraries.longs().between(1, 2),
-                Arbitraries.integers().between(1, 2)).as(IdempotencyRecord::new);
-        Arbitrary<byte[]> answers = Arbitraries.bytes().array(byte[].class).ofMinSize(0).ofMaxSize(3);
-        return Combinators.combine(Arbitraries.longs().between(0, 3),
-                Arbitraries.maps(claims, Arbitraries.of(1, 3, 5, 7)).ofMinSize(1).ofMaxSize(2), answers).as(WriteOutcome::new);
+        Arbitrary<IdempotencyRecord> claims = Combinators.combine(
+                        Arbitraries.integers().between(0, 2),
+                        Arbitraries.longs().between(1, 2),
+                        Arbitraries.integers().between(1, 2))
+                .as(IdempotencyRecord::new);
+        Arbitrary<byte[]> answers =
+                Arbitraries.bytes().array(byte[].class).ofMinSize(0).ofMaxSize(3);
+        return Combinators.combine(
+                        Arbitraries.longs().between(0, 3),
+                        Arbitraries.maps(claims, Arbitraries.of(1, 3, 5, 7))
+                                .ofMinSize(1)
+                                .ofMaxSize(2),
+                        answers)
+                .as(WriteOutcome::new);
     }
 
     private static void laws(VersionedEntry a, VersionedEntry b, VersionedEntry c) {
@@ -42,12 +54,16 @@
     }
 
     @Property
-    void positionsJoinInAnyOrder(@ForAll("positions") VersionedEntry a, @ForAll("positions") VersionedEntry b, @ForAll("positions") VersionedEntry c) {
+    void positionsJoinInAnyOrder(
+            @ForAll("positions") VersionedEntry a,
+            @ForAll("positions") VersionedEntry b,
+            @ForAll("positions") VersionedEntry c) {
         laws(a, b, c);
     }
 
     @Property
-    void fatesJoinInAnyOrder(@ForAll("fates") VersionedEntry a, @ForAll("fates") VersionedEntry b, @ForAll("fates") VersionedEntry c) {
+    void fatesJoinInAnyOrder(
+            @ForAll("fates") VersionedEntry a, @ForAll("fates") VersionedEntry b, @ForAll("fates") VersionedEntry c) {
         laws(a, b, c);
     }
 
@@ -64,7 +80,8 @@
         assertThat(both.alarm()).isTrue();
         assertThat(both.free()).isFalse();
         assertThat(both.acked()).isTrue();
-        WriteOutcome twice = (WriteOutcome) acked.join(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), WriteOutcome.ACKED, NO_ANSWER));
+        WriteOutcome twice = (WriteOutcome)
+                acked.join(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), WriteOutcome.ACKED, NO_ANSWER));
         assertThat(twice.alarm()).as("it ran twice").isTrue();
     }
 
@@ -72,17 +89,23 @@
     void madeRoomForNeitherADoubtNorAnAckedClaimGoes() {
         WriteOutcome f = WriteOutcome.of(5, new IdempotencyRecord(0, 1, 0), WriteOutcome.MADE, NO_ANSWER);
         for (int n = 1; n < 20; n++) {
-            f = (WriteOutcome) f.join(new WriteOutcome(5, Map.of(new IdempotencyRecord(1, 1, n), WriteOutcome.MADE | WriteOutcome.NEVER_RAN), NO_ANSWER));
+            f = (WriteOutcome) f.join(new WriteOutcome(
+                    5, Map.of(new IdempotencyRecord(1, 1, n), WriteOutcome.MADE | WriteOutcome.NEVER_RAN), NO_ANSWER));
         }
-        assertThat(f.claims()).hasSizeLessThanOrEqualTo(WriteOutcome.CLAIMS_MOST).containsKey(new IdempotencyRecord(0, 1, 0));
+        assertThat(f.claims())
+                .hasSizeLessThanOrEqualTo(WriteOutcome.CLAIMS_MOST)
+                .containsKey(new IdempotencyRecord(0, 1, 0));
         assertThat(f.inDoubt()).isTrue();
         assertThat(f.length()).isLessThanOrEqualTo(VersionedEntry.MOST);
     }
 
     @Test
     void whatIsOfALaterVersionOrCutShortIsNotRead() {
-        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {9, 1, 2, 3}))).isNull();
-        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {Position.KIND, 1, 2}))).isNull();
-        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {WriteOutcome.KIND, 0, 0, 0, 0, 0, 0, 0, 0, 5, 1}))).isNull();
+        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {9, 1, 2, 3})))
+                .isNull();
+        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {Position.KIND, 1, 2})))
+                .isNull();
+        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {WriteOutcome.KIND, 0, 0, 0, 0, 0, 0, 0, 0, 5, 1})))
+                .isNull();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -84,7 +84,9 @@
         for (long at = START; at < START + 100_000; at += 1_000) {
             long now = at;
             members.forEach(m -> m.checkMissedAt = now);
-            assertThat(doubt(now)).as("%d after the start", now - START).isEqualTo(now - START < LocalHealth.DOUBT_MOST);
+            assertThat(doubt(now))
+                    .as("%d after the start", now - START)
+                    .isEqualTo(now - START < LocalHealth.DOUBT_MOST);
         }
     }
 
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -22,14 +22,16 @@
     private static final double BUDGET = 20; // requests a window that the contract lets the server bear at its start
     private static final double ALLOWED = BUDGET + 3 * Math.sqrt(BUDGET) + 3;
     private static final double AGREED_PER_SERVER = 40; // a window; what a warm server can do
-    private static final ServerGuarantees CONTRACT = new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0); // hardly warms up
+    private static final ServerGuarantees CONTRACT =
+            new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0); // hardly warms up
     private static final long STARTED = 100 * WINDOW;
     private static final long SEED = 11;
 
     /** A gateway with one recovering server and as many warm peers as told. */
     private static final class Gateway {
         final List<ServerState> servers = new ArrayList<>();
-        final ServerState recovering = new ServerState(new ServerId("recovering"), new ReplicaGroup(new GroupId(1)), 24);
+        final ServerState recovering =
+                new ServerState(new ServerId("recovering"), new ReplicaGroup(new GroupId(1)), 24);
         final SlowStart slowStart;
 
         Gateway(int number, int gateways, int warmPeers) {
--- a/gateway/src/test/java/ploverdale/shutdown/GracefulShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/shutdown/GracefulShutdownTest.java
@@ -65,6 +65,8 @@
 
     @Test
     void eachOpIsAnsweredSoLongBeforeTheEndThatAStandstillOfHalfASecondLosesNone() {
-        assertThat(new GracefulShutdown(3700, 100).answersBy()).isLessThanOrEqualTo(3700 - 500).isGreaterThan(2500);
+        assertThat(new GracefulShutdown(3700, 100).answersBy())
+                .isLessThanOrEqualTo(3700 - 500)
+                .isGreaterThan(2500);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -44,7 +44,8 @@
 
     /** All gateways are asked as much, from the beginning. */
     public static Workload even(Launch launch, int gateways, double requestsPerSecond) {
-        return new Workload(launch, Collections.nCopies(gateways, requestsPerSecond), 0, (request, server, now, comes) -> {});
+        return new Workload(
+                launch, Collections.nCopies(gateways, requestsPerSecond), 0, (request, server, now, comes) -> {});
     }
 
     /**
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import ploverdale.membership.Membership;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
 import ploverdale.quota.Budget;
 import ploverdale.quota.Budgets;
-import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.LeaseDurations;
-import ploverdale.membership.Membership;
-import ploverdale.membership.PacketQueue;
-import ploverdale.membership.Packet;
+import ploverdale.quota.QuotaAllocation;
 
 /**
  * Instances of membership and budgets in simulated time, with clocks of their own that run fast or slow, datagrams that are
@@ -142,7 +142,8 @@
         }
 
         private void sends() {
-            for (PacketQueue.OutboundPacket l : packing.letters(local(), membership.incarnation(), world.division.id())) {
+            for (PacketQueue.OutboundPacket l :
+                    packing.letters(local(), membership.incarnation(), world.division.id())) {
                 network.send(number, l.to(), l.bytes());
             }
         }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -9,14 +9,14 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import ploverdale.membership.Membership;
-import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
 import ploverdale.replication.IdempotencyRecord;
-import ploverdale.replication.WriteOutcome;
-import ploverdale.replication.ReplicationSettings;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.WriteOutcome;
 
 /**
  * Instances of membership and replicated state in simulated time, with clients that roam, datagrams that are lost, doubled and
@@ -308,7 +308,14 @@
     private void proves(Instance g, int process, long key, IdempotencyRecord claim, boolean ran) {
         if (g.runs() && g.process == process) {
             g.replicas.became(
-                    g.local(), key, claim, ran ? WriteOutcome.ACKED : WriteOutcome.NEVER_RAN, new byte[] {1}, 0, false, g.packing);
+                    g.local(),
+                    key,
+                    claim,
+                    ran ? WriteOutcome.ACKED : WriteOutcome.NEVER_RAN,
+                    new byte[] {1},
+                    0,
+                    false,
+                    g.packing);
             g.sends();
         }
     }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
@@ -108,7 +108,8 @@
 
     /** One gateway is cut off while so many facts come that it does not get; told is how long it then takes, and its bytes. */
     public static CaughtUp catchesUp(int n, int facts, int differ, double bytesPerSecond, long seed) {
-        ReplicationSettings keeps = new ReplicationSettings(3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
+        ReplicationSettings keeps = new ReplicationSettings(
+                3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
         ReplicaModel m = new ReplicaModel(new Settings(n, keeps, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
         m.until(3 * SECOND);
         fill(m, "s", facts, n);
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import ploverdale.membership.PacketQueue;
 import ploverdale.membership.Packet;
-import ploverdale.replication.ReplicationSettings;
+import ploverdale.membership.PacketQueue;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
 
 /**
  * A world small enough to try all that can happen in it: three gateways that keep the fate of one write, submitted at one and
--- a/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
@@ -5,12 +5,12 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
 import ploverdale.quota.Budget;
 import ploverdale.quota.Budgets;
-import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.LeaseDurations;
-import ploverdale.membership.PacketQueue;
-import ploverdale.membership.Packet;
+import ploverdale.quota.QuotaAllocation;
 
 /**
  * A world small enough to try all that can happen in it: three gateways, four parts, time in steps, and faults that are
@@ -144,7 +144,12 @@
 
     /** Plays it; null if all is well, or what was not: too much in use, or parts lost for ever. */
     public static String play(
-            LeaseDurations leaseDurations, double drift, long told, boolean startsAlike, Demand demand, List<Fault> faults) {
+            LeaseDurations leaseDurations,
+            double drift,
+            long told,
+            boolean startsAlike,
+            Demand demand,
+            List<Fault> faults) {
         SmallWorld w = new SmallWorld(leaseDurations, drift, told, startsAlike);
         for (int s = 0; s < STEPS + HEALS; s++) {
             List<Fault> now = new ArrayList<>();
--- a/tools/src/main/java/ploverdale/tools/lab/Trial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Trial.java
@@ -5,8 +5,8 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 import ploverdale.quota.Budget;
-import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.LeaseDurations;
+import ploverdale.quota.QuotaAllocation;
 import ploverdale.tools.lab.FleetModel.Settings;
 
 /**
@@ -79,7 +79,8 @@
             FleetModel m = new FleetModel(new Settings(d, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
             m.instances().forEach(i -> i.start(0));
-            m.until(2 * leaseDurations.overFor(leaseDurations.leaseHolder()) + 2 * leaseDurations.overFor(leaseDurations.loan()));
+            m.until(2 * leaseDurations.overFor(leaseDurations.leaseHolder())
+                    + 2 * leaseDurations.overFor(leaseDurations.loan()));
             long calmFrom = m.now();
             long bytesFrom = bytes(m);
             double sum = 0;
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -105,7 +105,8 @@
         }
         for (int i = 0; i < INSTANCES; i++) {
             Map<ServerId, ServerObservation> mine = new HashMap<>();
-            GossipProtocol h = new GossipProtocol(i, INSTANCES, OPS, BOUND, random.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
+            GossipProtocol h = new GossipProtocol(
+                    i, INSTANCES, OPS, BOUND, random.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
             servers.forEach(h::listed);
             h.starts(START);
             all.add(h);
@@ -159,7 +160,8 @@
         while (!ways.isEmpty() && ways.peek().at() <= now) {
             OnItsWay w = ways.poll();
             int to = w.letter().peer();
-            GossipProtocol.ReceivedGossip h = all.get(to).hears(now, w.from(), w.letter().bytes());
+            GossipProtocol.ReceivedGossip h =
+                    all.get(to).hears(now, w.from(), w.letter().bytes());
             h.words().forEach((id, x) -> known.get(to).merge(id, x, ServerObservation::join));
             order = send(now, to, h.letters(), order);
         }
@@ -212,7 +214,15 @@
             known.get(at)
                     .merge(
                             id,
-                            new ServerObservation(role, now, now - 5 * MS, now, now, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME),
+                            new ServerObservation(
+                                    role,
+                                    now,
+                                    now - 5 * MS,
+                                    now,
+                                    now,
+                                    LoadReport.UNKNOWN_TIME,
+                                    LoadReport.UNKNOWN_TIME,
+                                    LoadReport.UNKNOWN_TIME),
                             ServerObservation::join);
             all.get(at).placed(now, id);
             all.get(at).learnt(now, id);
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -7,27 +7,27 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ploverdale.routing.Router;
 import ploverdale.model.Action;
-import ploverdale.model.ReplicaGuarantees;
-import ploverdale.model.ReplicaGuarantees.StalenessCheck;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Endpoint;
-import ploverdale.model.RequestId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.ReplicaGuarantees.StalenessCheck;
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestClassId;
-import ploverdale.model.Capabilities;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerGuarantees;
-import ploverdale.model.LoadReport;
-import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
+import ploverdale.routing.Router;
 
 /**
  * One gateway's decision module, as it runs in service, on a simulated clock among stand-in servers: groups of three, reads
@@ -126,7 +126,17 @@
 
     private static Event.Started started(double readsPerSecond) {
         RequestClass read = new RequestClass(
-                500 * MS, 0, CLIENT_WAITS, Idempotence.IDEMPOTENT, RequestClass.Scope.GROUP, 0, 1, 0, false, Consistency.BOUNDED, BOUND);
+                500 * MS,
+                0,
+                CLIENT_WAITS,
+                Idempotence.IDEMPOTENT,
+                RequestClass.Scope.GROUP,
+                0,
+                1,
+                0,
+                false,
+                Consistency.BOUNDED,
+                BOUND);
         return new Event.Started(
                 7,
                 1,
@@ -144,7 +154,12 @@
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             all.add(new Endpoint(
-                    ids.get(i), new GroupId(i / GROUP), new ZoneId(i % ZONES), Endpoint.EndpointState.IN, i % GROUP == 0, 0));
+                    ids.get(i),
+                    new GroupId(i / GROUP),
+                    new ZoneId(i % ZONES),
+                    Endpoint.EndpointState.IN,
+                    i % GROUP == 0,
+                    0));
         }
         return all;
     }
@@ -229,14 +244,23 @@
             add(
                     at,
                     new Event.AttemptEnded(
-                            send.request(), number, send.server(), Outcome.TIMED_OUT, send.timeLimit(), false, null, null));
+                            send.request(),
+                            number,
+                            send.server(),
+                            Outcome.TIMED_OUT,
+                            send.timeLimit(),
+                            false,
+                            null,
+                            null));
             return;
         }
         long took = 1 + random.nextLong(ANSWERS_WITHIN);
         served++;
         sends.remove(send.request());
         LoadReport note = report(send.server(), now + took);
-        add(now + took, new Event.AttemptEnded(send.request(), number, send.server(), Outcome.ACKED, took, true, note, null));
+        add(
+                now + took,
+                new Event.AttemptEnded(send.request(), number, send.server(), Outcome.ACKED, took, true, note, null));
     }
 
     private boolean answers(ServerId server) {
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -1,8 +1,5 @@
 package ploverdale.tools.stand;
 
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ServerMessage;
-import ploverdale.net.postgres.ServerMessageReader;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
@@ -13,6 +10,9 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import ploverdale.clock.Clock;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.ledger.Ledger.Answer;
 
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -1,8 +1,5 @@
 package ploverdale.tools.stand;
 
-import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ResultRow;
-import ploverdale.net.postgres.ServerMessage;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -22,6 +19,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
 import ploverdale.tools.model.GroupModel.Done;
@@ -343,7 +343,9 @@
             MessageWriter.parameterStatus(b, "as_of", Long.toString(Math.floorDiv(position, 10)));
             MessageWriter.parameterStatus(b, "vitals", vitals(now));
             return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
-                    new ServerMessage.RowDescription("val", 0, (short) 0, OID_BYTES, (short) -1, -1, (short) 1), value, "SELECT 1")));
+                    new ServerMessage.RowDescription("val", 0, (short) 0, OID_BYTES, (short) -1, -1, (short) 1),
+                    value,
+                    "SELECT 1")));
         }
 
         private boolean leads(long now) {
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -18,7 +18,9 @@
 
     @Test
     void aTimeOfUseThatIsToldTooShortIsFound() {
-        assertThat(new Explorer(SmallWorld.leaseDurations(0.001), 0, 10).explore(1999).firstBad())
+        assertThat(new Explorer(SmallWorld.leaseDurations(0.001), 0, 10)
+                        .explore(1999)
+                        .firstBad())
                 .contains("in use");
     }
 
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import ploverdale.membership.Membership.MemberState;
 import ploverdale.quota.Budget;
-import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.LeaseDurations;
-import ploverdale.membership.Membership.MemberState;
+import ploverdale.quota.QuotaAllocation;
 import ploverdale.tools.lab.FleetModel.Instance;
 import ploverdale.tools.lab.FleetModel.Settings;
 
@@ -152,7 +152,8 @@
 
     @Test
     void aLoanIsOverForTheBorrowerBeforeItIsForTheLenderByAnyClock() {
-        assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0.25))).isEmpty();
+        assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0.25)))
+                .isEmpty();
         assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0)))
                 .as("without that guard")
                 .isNotEmpty();
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import ploverdale.membership.PacketQueue;
-import ploverdale.replication.ReplicationSettings;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
 import ploverdale.tools.lab.ReplicaModel.Settings;
 import ploverdale.tools.lab.ReplicaTrial.CaughtUp;
 
