--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -10,8 +10,10 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
@@ -42,9 +44,9 @@
     public static Future<DevServers> start(Vertx vertx, ConfigurationFile file, boolean anyPorts) {
         DevServers toy = new DevServers(vertx);
         Future<?> all = Future.succeededFuture();
-        Map<Long, Boolean> hasPrimary = new HashMap<>();
+        Set<Long> groups = new HashSet<>();
         for (ConfigurationFile.Entry e : file.known().entries()) {
-            boolean primary = hasPrimary.put(e.listing().group().number(), true) == null;
+            boolean primary = groups.add(e.listing().group().number());
             all = all.compose(x -> toy.server(e, primary, anyPorts));
         }
         return all.compose(x -> toy.list(file.discovery(), anyPorts))
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -82,7 +82,7 @@
 
         @Override
         public Future<?> start() {
-            Log nowhere = new Log(new PrintStream(OutputStream.nullOutputStream()));
+            Log nowhere = new Log(new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
             client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
             return listen(this::serve)
                     .compose(server -> listen(s -> list(s, server)).compose(list -> {
--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -1,18 +1,40 @@
 package ploverdale.routing;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import ploverdale.gossip.GossipProtocol;
 import ploverdale.gossip.ServerObservation;
-import ploverdale.model.*;
+import ploverdale.model.Action;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Endpoint;
+import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
+import ploverdale.model.GroupId;
+import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
+import ploverdale.model.Quota;
 import ploverdale.model.Quota.HealthCheckReason;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClass;
 import ploverdale.model.RequestClass.Consistency;
 import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerGuarantees;
+import ploverdale.model.ServerId;
+import ploverdale.model.Tenant;
 import ploverdale.quota.StaticQuota;
-import ploverdale.state.*;
+import ploverdale.state.LatencyEstimate;
+import ploverdale.state.PendingRequest;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ServerState;
+import ploverdale.state.SessionWrites;
 
 /**
  * All decisions of one gateway. The host hands each {@link Event} to {@link #on} with the clock and does
@@ -31,7 +53,8 @@
 
     private RandomGenerator random;
     private GossipProtocol gossip; // null where gateways tell each other nothing
-    private double firstLimit, leastLimit;
+    private double firstLimit;
+    private double leastLimit;
     private List<RequestClass> requestClasses;
     private double beyondShareValue;
     private ServerGuarantees guarantees;
@@ -52,7 +75,8 @@
     private double shedPrice;
     private int earlyTimeouts; // attempts out that end early for a retry, each of which has one reserved
     private long scarceUntil = LoadReport.UNKNOWN_TIME;
-    private long nextBeat = Long.MIN_VALUE, watchEndpointsAt = Long.MAX_VALUE;
+    private long nextBeat = Long.MIN_VALUE;
+    private long watchEndpointsAt = Long.MAX_VALUE;
 
     private long now;
     private List<Action> out;
@@ -927,23 +951,15 @@
         long took = Math.max(0, e.took() - localHealth.explainedIn(request.sentAt, now));
         boolean inconclusive = outcome == Outcome.CONNECT_FAILED && localHealth.inconclusive(request.sentAt, now);
         if (outcome == Outcome.CONNECT_FAILED && !inconclusive) {
-            // Guards against networks that reset by chance: refusals in a row or slow ones are the server's.
-            m.refusesConnects = e.took() < PATIENCE && now - m.connectFailedAt < BRIEF / 3;
-            m.connectFailedAt = now;
-            m.cutAt = m.refusesConnects || e.took() >= PATIENCE ? now : m.cutAt;
+            learnConnectFailure(m, e.took());
         }
         if (outcome.isOfConnection() && m.answeredAt < request.sentAt) {
-            m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // dead, or no room; a probe tells
+            m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // dead, or no room; a health check tells
             probe(m, HealthCheckReason.OTHER);
         } else if (outcome.byServer) {
-            m.answeredAt = m.heardAt = m.aliveAt = now;
-            answered(m);
-            m.deadSigns = 0;
-            if (m.silent && m.failShare < FAIL_SHARE) {
-                returns(m, now, "answers"); // to a send from before, so it has not started anew
-            }
+            learnAnswered(m);
         }
-        if (outcome == Outcome.FULL) { // asks again ever more seldom, and not at the same time as all others
+        if (outcome == Outcome.FULL) { // tried again ever more seldom, and not at the same time as by all others
             m.fullAt = now;
             m.fullFor = Math.min(HEARD_LASTS, 2 * m.fullFor + PATIENCE + random.nextLong(PATIENCE));
         }
@@ -951,47 +967,80 @@
             m.limit = Math.max(leastLimit, Math.min(m.limit, m.out.size())); // what is open already is kept
         }
         switch (outcome) {
-            case ACKED -> {
-                proved(m, request, true);
-                m.missedInARow = 0;
-                m.fullFor = 0;
-                m.takenWork = takenWork(m) + request.latency.usual;
-                m.lostShare *= 1 - NEWEST;
-                m.ackedStretch += NEWEST * (took / request.latency.usual - m.ackedStretch);
-                learnPace(m, request, took, took);
-                m.failShare *= 1 - NEWEST;
-            }
-            case ERRORED, CONNECTION_LOST, CONNECT_INTERRUPTED, CONNECT_FAILED -> {
-                // Guards against servers that fail fast and so draw traffic; leaves the group enough others.
-                // What may be the network's doing counts half.
-                double counted = inconclusive ? m.failShare : outcome == Outcome.ERRORED ? 1 : 0.5;
-                m.failShare += NEWEST * (counted - m.failShare);
-                long well = m.group.members.stream()
-                        .filter(o -> o != m && o.isIn() && !o.silent)
-                        .count();
-                if (m.failShare >= FAIL_SHARE && m != m.group.primary && well * 2 >= m.group.members.size()) {
-                    silent(m, "fails " + Math.round(m.failShare * 100) + " %");
-                }
-            }
-            case TIMED_OUT -> {
-                // Guards against lost answers taken for slow ones, where the others come in time.
-                boolean lost = ++m.missedInARow <= 2 && m.ackedStretch < LOST_BELOW;
-                m.lostShare += lost ? NEWEST * (1 - m.lostShare) : 0;
-                double like = request.latency.usual * m.stretch;
-                long waited = (long) Math.max(took, like);
-                learnPace(m, request, waited, lost ? Math.min(waited, (long) (LOST_BELOW * like)) : waited);
-            }
-            case MISDIRECTED -> {
-                m.misdirectedAt = now;
-                proved(m, request, false);
-                if (request.type.needs() == Consistency.WRITE) {
-                    // Guards against one that hands over: it turns writes away and still signs as primary.
-                    learnRole(m, new LoadReport(Role.REPLICA, LoadReport.UNKNOWN_TIME), now + ASK_AGAIN);
-                }
+            case ACKED -> learnSuccess(m, request, took);
+            case ERRORED, CONNECTION_LOST, CONNECT_INTERRUPTED, CONNECT_FAILED ->
+                learnFailure(m, outcome, inconclusive);
+            case TIMED_OUT -> learnTimeout(m, request, took);
+            case MISDIRECTED -> learnMisdirected(m, request);
+            default -> {
+                // FULL was handled above; CANCELLED and NEVER_SENT say nothing about the server.
             }
         }
     }
 
+    /** Networks reset connections by chance: only refusals in a row, or slow failures, count against the server. */
+    private void learnConnectFailure(ServerState m, long took) {
+        m.refusesConnects = took < PATIENCE && now - m.connectFailedAt < BRIEF / 3;
+        m.connectFailedAt = now;
+        m.cutAt = m.refusesConnects || took >= PATIENCE ? now : m.cutAt;
+    }
+
+    private void learnAnswered(ServerState m) {
+        m.answeredAt = now;
+        m.heardAt = now;
+        m.aliveAt = now;
+        answered(m);
+        m.deadSigns = 0;
+        if (m.silent && m.failShare < FAIL_SHARE) {
+            returns(m, now, "answers"); // to an attempt from before, so it has not restarted
+        }
+    }
+
+    private void learnSuccess(ServerState m, PendingRequest request, long took) {
+        proved(m, request, true);
+        m.missedInARow = 0;
+        m.fullFor = 0;
+        m.takenWork = takenWork(m) + request.latency.usual;
+        m.lostShare *= 1 - NEWEST;
+        m.ackedStretch += NEWEST * (took / request.latency.usual - m.ackedStretch);
+        learnPace(m, request, took, took);
+        m.failShare *= 1 - NEWEST;
+    }
+
+    /**
+     * A server that fails fast would draw traffic, so it is ejected, where its group has enough others left. What may be the
+     * network's doing counts half.
+     */
+    private void learnFailure(ServerState m, Outcome outcome, boolean inconclusive) {
+        double weight = outcome == Outcome.ERRORED ? 1 : 0.5;
+        double counted = inconclusive ? m.failShare : weight;
+        m.failShare += NEWEST * (counted - m.failShare);
+        long well = m.group.members.stream()
+                .filter(o -> o != m && o.isIn() && !o.silent)
+                .count();
+        if (m.failShare >= FAIL_SHARE && m != m.group.primary && well * 2 >= m.group.members.size()) {
+            silent(m, "fails " + Math.round(m.failShare * 100) + " %");
+        }
+    }
+
+    /** An answer that does not come while the others come in time was lost rather than slow, and does not count as load. */
+    private void learnTimeout(ServerState m, PendingRequest request, long took) {
+        boolean lost = ++m.missedInARow <= 2 && m.ackedStretch < LOST_BELOW;
+        m.lostShare += lost ? NEWEST * (1 - m.lostShare) : 0;
+        double like = request.latency.usual * m.stretch;
+        long waited = (long) Math.max(took, like);
+        learnPace(m, request, waited, lost ? Math.min(waited, (long) (LOST_BELOW * like)) : waited);
+    }
+
+    private void learnMisdirected(ServerState m, PendingRequest request) {
+        m.misdirectedAt = now;
+        proved(m, request, false);
+        if (request.type.needs() == Consistency.WRITE) {
+            // A primary that hands over refuses writes while its answers still say that it is one.
+            learnRole(m, new LoadReport(Role.REPLICA, LoadReport.UNKNOWN_TIME), now + ASK_AGAIN);
+        }
+    }
+
     /** Latency as a multiple of the op type's usual; load, as a part of the target, moves the limit. */
     private void learnPace(ServerState m, PendingRequest request, long took, long load) {
         LatencyEstimate p = request.latency;
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -83,6 +83,7 @@
                 case HALF_CLOSE -> socket.shutdownOutput();
                 case TERMINATE -> write(Buffer.buffer().appendByte((byte) 'X').appendInt(4)); // and stays connected
                 case CANCEL -> cancel();
+                default -> throw new IllegalArgumentException(how.name());
             }
             return at;
         }
--- a/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
+/** The selector sleeps up to its timers, and reads what came during a pause before timers run. */
 class SleepingTransportTest {
     @Test
     void aWaitForATimerIsRoundedUpSoThatNothingIsPolledBeforeIt() {
