--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -864,7 +864,7 @@
         }
     }
 
-    // -- What gateways tell each other; who is told what is decided in ploverdale.hearsay
+    // -- What gateways tell each other; who is told what is decided in ploverdale.gossip
 
     private static final long DRAIN_HEARD_LASTS = 10_000 * MS; // longer than any list is late
 
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -17,14 +17,14 @@
     @CsvSource(
             delimiterString = " -> ",
             value = {
-                "Keepers.java -> return copies / 2 + 1; -> return 1;",
+                "ReplicaPlacement.java -> return copies / 2 + 1; -> return 1;",
                 "CompletenessBound.java -> Math.max(store.blank(), Math.min(startedAt, missed)) -> store.blank()",
                 "ReplicaHolder.java -> !mayKnowAll || !free -> !free",
                 "ReplicaHolder.java -> f.isFreeBut(claim) && f.hasRoom(claim)"
                         + " -> (f.claims().containsKey(claim) || f.free())"
             })
     void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
-        try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replica/" + file, guard, instead)) {
+        try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replication/" + file, guard, instead)) {
             Process p = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -156,7 +156,7 @@
         FaultSchedule day = FaultSchedule.read(othersWantTheirPartsBack());
         try (MutationCheck none = MutationCheck.of(
                 sound,
-                "budgets/LeaseDurations.java",
+                "quota/LeaseDurations.java",
                 "(long) Math.ceil(lease * (1 + clocksApart) / (1 - clocksApart)) + 1",
                 "lease / 20")) {
             BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
