--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -17,16 +17,16 @@
 import org.kohsuke.args4j.spi.SubCommands;
 import ploverdale.benchlink.BenchLink;
 import ploverdale.clock.Clock;
+import ploverdale.dev.DevClient;
+import ploverdale.dev.DevServers;
+import ploverdale.dev.Rehearsal;
 import ploverdale.log.Log;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Sharing;
-import ploverdale.net.FleetFile;
+import ploverdale.net.ConfigurationFile;
+import ploverdale.net.FleetConfigurationFile;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
-import ploverdale.terms.Unreadable;
-import ploverdale.toy.Rehearsal;
-import ploverdale.toy.ToyClient;
-import ploverdale.toy.ToyServers;
+import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.InvalidSettingsException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -60,7 +60,8 @@
         @SubCommand(name = "ask", impl = Ask.class),
         @SubCommand(name = "benchlink", impl = Bench.class),
         @SubCommand(name = "version", impl = Version.class),
-        @SubCommand(name = "help", impl = Help.class)})
+        @SubCommand(name = "help", impl = Help.class)
+    })
     private Command command;
 
     private Main() {}
@@ -76,7 +77,7 @@
         }
         try {
             System.exit(main.command.run());
-        } catch (Unreadable | IOException e) {
+        } catch (InvalidSettingsException | IOException e) {
             System.err.println("ploverdale: " + e.getMessage());
             System.exit(1);
         }
@@ -89,13 +90,13 @@
 
         Path path() {
             if (config == null || config.isEmpty()) {
-                throw new Unreadable("no configuration: neither --config nor EDGE_CONFIG names a file");
+                throw new InvalidSettingsException("no configuration: neither --config nor EDGE_CONFIG names a file");
             }
             return Path.of(config);
         }
 
-        GatewayFile file() {
-            return GatewayFile.read(path());
+        ConfigurationFile file() {
+            return ConfigurationFile.read(path());
         }
     }
 
@@ -116,12 +117,18 @@
         public int run() throws IOException, InterruptedException {
             Log log = new Log(System.err);
             log.takeOver();
-            GatewayFile file = file();
-            Optional<Sharing> fleet = fleetFile() == null ? Optional.empty() : Optional.of(FleetFile.fits(FleetFile.read(fleetFile()), file.terms()));
+            ConfigurationFile file = file();
+            Optional<QuotaSettings> fleet = fleetFile() == null
+                    ? Optional.empty()
+                    : Optional.of(
+                            FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), file.settings()));
             CompletableFuture<Gateway> started = new CompletableFuture<>();
-            // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted on behind it.
-            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path()))) == SignalHandler.SIG_IGN) {
-                log.line("SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
+            // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted
+            // on behind it.
+            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path())))
+                    == SignalHandler.SIG_IGN) {
+                log.line(
+                        "SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
             }
             Vertx vertx = Gateway.vertx();
             Gateway gateway;
@@ -132,16 +139,20 @@
             }
             started.complete(gateway);
             CountDownLatch ended = new CountDownLatch(1);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                long signalNanos = Clock.system().nanos();
-                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
-                try {
-                    ended.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                Runtime.getRuntime().halt(0); // a planned restart went well; the signal's own code says otherwise
-            }, "planned-restart"));
+            Runtime.getRuntime()
+                    .addShutdownHook(new Thread(
+                            () -> {
+                                long signalNanos = Clock.system().nanos();
+                                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
+                                try {
+                                    ended.await();
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                                Runtime.getRuntime()
+                                        .halt(0); // a planned restart went well; the signal's own code says otherwise
+                            },
+                            "planned-restart"));
             new CountDownLatch(1).await();
             return 0;
         }
@@ -151,19 +162,23 @@
     public static final class Check extends WithFleet {
         @Override
         public int run() {
-            GatewayFile f = file();
+            ConfigurationFile f = file();
             System.out.println("gateway " + f.name() + " listens at " + f.listen() + ", discovery at " + f.discovery());
-            System.out.println(f.terms().opTypes().size() + " op types, " + f.terms().tenants().size() + " tenants, "
+            System.out.println(f.settings().requestClasses().size() + " op types, "
+                    + f.settings().tenants().size() + " tenants, "
                     + f.known().entries().size() + " servers known, " + f.sockets() + " descriptors");
-            Sharing fleet = fleetFile() == null ? null : FleetFile.fits(FleetFile.read(fleetFile()), f.terms());
+            QuotaSettings fleet = fleetFile() == null
+                    ? null
+                    : FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), f.settings());
             if (fleet != null) {
-                Division d = fleet.division(f.terms().started());
+                QuotaAllocation d = fleet.division(f.settings().started());
                 System.out.println("fleet of " + d.gateways() + ", division " + Integer.toHexString(d.id()) + ", floor "
                         + fleet.floorShare() + " of each right");
                 for (int b = 0; b < d.budgets().size(); b++) {
-                    System.out.println("  " + d.budgets().get(b).name() + ": " + d.budgets().get(b).whole() + " in all, "
-                            + d.right(f.terms().started().me(), b) + " here by right, of them "
-                            + d.floor(f.terms().started().me(), b) + " as floor");
+                    System.out.println("  " + d.budgets().get(b).name() + ": "
+                            + d.budgets().get(b).whole() + " in all, "
+                            + d.right(f.settings().started().me(), b) + " here by right, of them "
+                            + d.floor(f.settings().started().me(), b) + " as floor");
                 }
                 if (fleet.keeping() != null) {
                     System.out.println("  kept by " + fleet.keeping().copies() + ": " + fleet.keeping());
@@ -188,8 +203,8 @@
     public static final class Toy extends WithFile {
         @Override
         public int run() throws IOException, InterruptedException {
-            GatewayFile file = file();
-            ToyServers toy = await(ToyServers.start(Gateway.vertx(), file, false));
+            ConfigurationFile file = file();
+            DevServers toy = await(DevServers.start(Gateway.vertx(), file, false));
             System.out.println(toy.entries().size() + " toy servers and discovery at " + toy.discovery() + " are up");
             new CountDownLatch(1).await();
             return 0;
@@ -204,7 +219,7 @@
         @Override
         public int run() throws IOException, InterruptedException {
             Vertx vertx = Gateway.vertx();
-            String answer = await(ToyClient.connect(vertx, file().listen()).compose(c -> c.ask(query)));
+            String answer = await(DevClient.connect(vertx, file().listen()).compose(c -> c.ask(query)));
             System.out.println(answer);
             return 0;
         }
@@ -222,7 +237,8 @@
     public static final class Bench extends WithFleet {
         @Override
         public int run() throws IOException {
-            new BenchLink(System.in, System.out, fleetFile() == null ? null : FleetFile.read(fleetFile())).run();
+            new BenchLink(System.in, System.out, fleetFile() == null ? null : FleetConfigurationFile.read(fleetFile()))
+                    .run();
             return 0;
         }
     }
--- a/gateway/src/main/java/ploverdale/toy/ToyServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -1,4 +1,4 @@
-package ploverdale.toy;
+package ploverdale.dev;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
@@ -10,57 +10,61 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
-import ploverdale.net.GatewayFile;
-import ploverdale.net.PgCodec;
+import ploverdale.net.ConfigurationFile;
+import ploverdale.net.postgres.MessageWriter;
 
 /**
  * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
  * of the gateway. The first server of each group is its primary. Must never be taken for a database: nothing is
  * kept, and statements are told apart by their first word.
  */
-public final class ToyServers {
+public final class DevServers {
     private static final Pattern QUOTED = Pattern.compile("'([^']*)'");
 
     private final Vertx vertx;
     private final Map<String, String> table = new HashMap<>();
     private final List<String> members = new ArrayList<>();
-    private final List<GatewayFile.Entry> entries = new ArrayList<>();
+    private final List<ConfigurationFile.Entry> entries = new ArrayList<>();
     private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
     private long writtenAt = Clock.system().wallMs();
     private InetSocketAddress discovery;
 
-    private ToyServers(Vertx vertx) {
+    private DevServers(Vertx vertx) {
         this.vertx = vertx;
     }
 
     /** Starts a server for each that the file knows, and discovery; at the told ports, or at any free ones. */
-    public static Future<ToyServers> start(Vertx vertx, GatewayFile file, boolean anyPorts) {
-        ToyServers toy = new ToyServers(vertx);
+    public static Future<DevServers> start(Vertx vertx, ConfigurationFile file, boolean anyPorts) {
+        DevServers toy = new DevServers(vertx);
         Future<?> all = Future.succeededFuture();
-        Map<Long, Boolean> hasPrimary = new HashMap<>();
-        for (GatewayFile.Entry e : file.known().entries()) {
-            boolean primary = hasPrimary.put(e.listing().group().number(), true) == null;
+        Set<Long> groups = new HashSet<>();
+        for (ConfigurationFile.Entry e : file.known().entries()) {
+            boolean primary = groups.add(e.listing().group().number());
             all = all.compose(x -> toy.server(e, primary, anyPorts));
         }
-        return all.compose(x -> toy.list(file.discovery(), anyPorts)).compose(x -> toy.warmUp()).map(toy);
+        return all.compose(x -> toy.list(file.discovery(), anyPorts))
+                .compose(x -> toy.warmUp())
+                .map(toy);
     }
 
     /** Asks each server once, so that the first probe of a gateway does not wait for this program's classes. */
     private Future<?> warmUp() {
         Future<?> all = Future.succeededFuture();
-        for (GatewayFile.Entry e : entries) {
-            all = all.compose(x -> ToyClient.connect(vertx, e.address()))
+        for (ConfigurationFile.Entry e : entries) {
+            all = all.compose(x -> DevClient.connect(vertx, e.address()))
                     .compose(c -> c.ask("SHOW vitals").compose(x -> c.close()));
         }
         return all;
     }
 
-    public List<GatewayFile.Entry> entries() {
+    public List<ConfigurationFile.Entry> entries() {
         return entries;
     }
 
@@ -68,14 +72,17 @@
         return discovery;
     }
 
-    private Future<NetServer> server(GatewayFile.Entry e, boolean primary, boolean anyPort) {
+    private Future<NetServer> server(ConfigurationFile.Entry e, boolean primary, boolean anyPort) {
         String host = e.address().getAddress().getHostAddress();
-        return vertx.createNetServer().connectHandler(s -> serve(s, primary))
-                .listen(anyPort ? 0 : e.address().getPort(), host).onSuccess(s -> {
+        return vertx.createNetServer()
+                .connectHandler(s -> serve(s, primary))
+                .listen(anyPort ? 0 : e.address().getPort(), host)
+                .onSuccess(s -> {
                     up.add(s);
-                    entries.add(new GatewayFile.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
+                    entries.add(new ConfigurationFile.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
                     members.add("{\"id\":\"" + e.listing().server().text() + "\",\"host_port\":\"" + host + ":"
-                            + s.actualPort() + "\",\"cell\":" + e.listing().group().number()
+                            + s.actualPort() + "\",\"cell\":"
+                            + e.listing().group().number()
                             + ",\"phase\":\"SERVING\",\"up_since_ms\":0}");
                 });
     }
@@ -84,14 +91,18 @@
         String host = at.getAddress().getHostAddress();
         String whole = "{\"revision\":2,\"complete\":true,\"members\":[" + String.join(",", members) + "]}";
         String none = "{\"revision\":2,\"complete\":false,\"members\":[]}";
-        return vertx.createHttpServer().requestHandler(r -> {
-            String hold = r.getParam("hold_ms");
-            if (hold == null || !hold.matches("\\d{1,5}")) {
-                r.response().end(whole);
-            } else {
-                vertx.setTimer(Math.max(1, Long.parseLong(hold)), x -> r.response().end(none));
-            }
-        }).listen(anyPort ? 0 : at.getPort(), host)
+        return vertx.createHttpServer()
+                .requestHandler(r -> {
+                    String hold = r.getParam("hold_ms");
+                    if (hold == null || !hold.matches("\\d{1,5}")) {
+                        r.response().end(whole);
+                    } else {
+                        vertx.setTimer(
+                                Math.max(1, Long.parseLong(hold)),
+                                x -> r.response().end(none));
+                    }
+                })
+                .listen(anyPort ? 0 : at.getPort(), host)
                 .onSuccess(s -> {
                     up.add(s);
                     discovery = new InetSocketAddress(host, s.actualPort());
@@ -112,7 +123,8 @@
                 }
                 if (!greeted[0]) {
                     greeted[0] = true;
-                    socket.write(ready(Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0)));
+                    socket.write(ready(
+                            Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0)));
                 } else if (b.getByte(from) == 'Q') {
                     String text = b.getBuffer(from + 5, from + length).toString(ISO_8859_1);
                     // a little work, so that there is something to see
@@ -126,11 +138,11 @@
 
     private Buffer answer(String text, boolean primary) {
         long now = Clock.system().wallMs();
-        String vitals = "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0)
-                + ",busy=0.1";
+        String vitals =
+                "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
         Buffer b = Buffer.buffer();
-        PgCodec.told(b, "rank", primary ? "source" : "copy");
-        PgCodec.told(b, "vitals", vitals);
+        MessageWriter.parameterStatus(b, "rank", primary ? "source" : "copy");
+        MessageWriter.parameterStatus(b, "vitals", vitals);
         Matcher quoted = QUOTED.matcher(text);
         String key = quoted.find() ? quoted.group(1) : "";
         if (text.startsWith("SHOW")) {
@@ -140,7 +152,7 @@
             return row(b, "1".getBytes(ISO_8859_1), "SELECT 1");
         }
         if (text.startsWith("SELECT")) {
-            PgCodec.told(b, "as_of", Long.toString(now));
+            MessageWriter.parameterStatus(b, "as_of", Long.toString(now));
             return row(b, bytes(table.getOrDefault(key, "")), "SELECT 1");
         }
         if (!primary) {
@@ -149,7 +161,7 @@
         String value = quoted.find() ? quoted.group(1) : "";
         table.put(key, value);
         writtenAt = now;
-        PgCodec.told(b, "as_of", Long.toString(writtenAt));
+        MessageWriter.parameterStatus(b, "as_of", Long.toString(writtenAt));
         return row(b, bytes(value), "INSERT 0 1");
     }
 
@@ -166,9 +178,21 @@
     }
 
     private static Buffer row(Buffer b, byte[] value, String tag) {
-        b.appendByte((byte) 'T').appendInt(28).appendShort((short) 1).appendString("val").appendByte((byte) 0);
-        b.appendInt(0).appendShort((short) 0).appendInt(17).appendShort((short) -1).appendInt(-1).appendShort((short) 1);
-        b.appendByte((byte) 'D').appendInt(10 + value.length).appendShort((short) 1).appendInt(value.length)
+        b.appendByte((byte) 'T')
+                .appendInt(28)
+                .appendShort((short) 1)
+                .appendString("val")
+                .appendByte((byte) 0);
+        b.appendInt(0)
+                .appendShort((short) 0)
+                .appendInt(17)
+                .appendShort((short) -1)
+                .appendInt(-1)
+                .appendShort((short) 1);
+        b.appendByte((byte) 'D')
+                .appendInt(10 + value.length)
+                .appendShort((short) 1)
+                .appendInt(value.length)
                 .appendBytes(value);
         b.appendByte((byte) 'C').appendInt(5 + tag.length()).appendString(tag).appendByte((byte) 0);
         return ready(b);
--- a/gateway/src/main/java/ploverdale/hearsay/Datagram.java
+++ b/gateway/src/main/java/ploverdale/gossip/Datagram.java
@@ -1,13 +1,13 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.zip.CRC32C;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
 
 /**
  * One datagram of at most {@value #MOST} bytes: who it is for is known from outside, what it says is checked here. Each is
@@ -22,12 +22,26 @@
  * @param sentAt by the sender's clock, in tenths of a millisecond
  * @param words by server number, at most {@link #ENTRIES_MOST}
  */
-public record Datagram(Kind kind, long sentAt, Map<Integer, Word> words) {
+public record Datagram(Kind kind, long sentAt, Map<Integer, ServerObservation> words) {
     /** What a datagram is for. */
-    public enum Kind { ASKS, TELLS, LEAVES, PLACES_UP, PLACES_ON, PLACES }
+    public enum Kind {
+        ASKS,
+        TELLS,
+        LEAVES,
+        PLACES_UP,
+        PLACES_ON,
+        PLACES
+    }
 
     /** Why one is not read. */
-    public enum Refusal { TOO_LONG, TOO_SHORT, NOT_OURS, CHECKSUM, VERSION, MISSHAPEN }
+    public enum Refusal {
+        TOO_LONG,
+        TOO_SHORT,
+        NOT_OURS,
+        CHECKSUM,
+        VERSION,
+        MISSHAPEN
+    }
 
     /** What came of reading: one of both is null. */
     public record Read(Datagram datagram, Refusal refusal) {}
@@ -89,7 +103,8 @@
         words.forEach((number, w) -> {
             b.putInt(number).put((byte) w.role().ordinal());
             age(b, w.roleAt());
-            long old = w.position() == Report.UNTOLD ? POSITION_AGE_NONE : ms - Math.floorDiv(w.position(), MS);
+            long old =
+                    w.position() == LoadReport.UNKNOWN_TIME ? POSITION_AGE_NONE : ms - Math.floorDiv(w.position(), MS);
             int position = old < 0 || old >= POSITION_AGE_NONE ? POSITION_AGE_NONE : (int) old;
             b.put((byte) (position >> 16)).putShort((short) position);
             age(b, w.positionAt());
@@ -112,7 +127,7 @@
         b.put(MARK).put((byte) VERSION).put((byte) kind.ordinal()).put((byte) PLACE);
         b.putShort((short) (ms >> 32)).putInt((int) ms);
         words.forEach((number, w) -> {
-            long old = w.position() == Report.UNTOLD ? PLACE_AGE : ms - Math.floorDiv(w.position(), MS);
+            long old = w.position() == LoadReport.UNKNOWN_TIME ? PLACE_AGE : ms - Math.floorDiv(w.position(), MS);
             int age = old >= PLACE_AGE ? PLACE_AGE : (int) Math.max(0, old);
             b.putShort((short) (int) number).putShort((short) (age | (w.role() == Role.PRIMARY ? PLACE_AGE + 1 : 0)));
         });
@@ -121,17 +136,27 @@
         return b.putInt((int) crc.getValue()).array();
     }
 
-    private static Word place(int age, Kind kind, long sentAt) {
+    private static ServerObservation place(int age, Kind kind, long sentAt) {
         boolean told = (age & PLACE_AGE) < PLACE_AGE;
-        long learnt = sentAt - (kind == Kind.PLACES_UP ? Rota.UP_WITHIN : Rota.WITHIN);
-        long at = told ? Math.max(learnt, sentAt - (age & PLACE_AGE) * MS) : learnt; // no position is learnt before it is so
-        return new Word((age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA, at,
-                told ? sentAt - (age & PLACE_AGE) * MS : Report.UNTOLD, told ? at : Report.UNTOLD, at, Report.UNTOLD,
-                Report.UNTOLD, Report.UNTOLD);
+        long learnt = sentAt - (kind == Kind.PLACES_UP ? PeerSelector.UP_WITHIN : PeerSelector.WITHIN);
+        long at = told
+                ? Math.max(learnt, sentAt - (age & PLACE_AGE) * MS)
+                : learnt; // no position is learnt before it is so
+        return new ServerObservation(
+                (age & PLACE_AGE + 1) != 0 ? Role.PRIMARY : Role.REPLICA,
+                at,
+                told ? sentAt - (age & PLACE_AGE) * MS : LoadReport.UNKNOWN_TIME,
+                told ? at : LoadReport.UNKNOWN_TIME,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     private void age(ByteBuffer b, long at) {
-        long units = at == Report.UNTOLD ? AGE_NONE : Math.max(0, Math.floorDiv(sentAt - at + AGE_UNIT - 1, AGE_UNIT));
+        long units = at == LoadReport.UNKNOWN_TIME
+                ? AGE_NONE
+                : Math.max(0, Math.floorDiv(sentAt - at + AGE_UNIT - 1, AGE_UNIT));
         b.putShort((short) Math.min(units, AGE_NONE));
     }
 
@@ -180,47 +205,55 @@
             return new Read(null, Refusal.MISSHAPEN);
         }
         long sentAt = ((b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL) * MS;
-        Map<Integer, Word> words = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         for (int at = HEAD; at < HEAD + room; at += entry) {
             if (places) {
-                words.merge(b.getShort(at) & 0xFFFF, place(b.getShort(at + 2) & 0xFFFF, Kind.values()[kind], sentAt),
-                        Word::join);
+                words.merge(
+                        b.getShort(at) & 0xFFFF,
+                        place(b.getShort(at + 2) & 0xFFFF, Kind.values()[kind], sentAt),
+                        ServerObservation::join);
                 continue;
             }
-            Word w = word(ByteBuffer.wrap(bytes, at + 4, entry - 4), sentAt);
+            ServerObservation w = word(ByteBuffer.wrap(bytes, at + 4, entry - 4), sentAt);
             if (w == null) {
                 return new Read(null, Refusal.MISSHAPEN);
             }
-            words.merge(b.getInt(at), w, Word::join);
+            words.merge(b.getInt(at), w, ServerObservation::join);
         }
         return new Read(new Datagram(Kind.values()[kind], sentAt, words), null);
     }
 
-    private static Word word(ByteBuffer b, long sentAt) {
+    private static ServerObservation word(ByteBuffer b, long sentAt) {
         int role = b.get() & ROLE_PARTS;
         if (role >= Role.values().length) {
             return null;
         }
         long roleAt = at(b, sentAt);
-        long position = Report.UNTOLD;
+        long position = LoadReport.UNKNOWN_TIME;
         if (b.remaining() >= 3) {
             int old = (b.get() & 0xFF) << 16 | b.getShort() & 0xFFFF;
-            position = old == POSITION_AGE_NONE ? Report.UNTOLD : sentAt - old * MS;
+            position = old == POSITION_AGE_NONE ? LoadReport.UNKNOWN_TIME : sentAt - old * MS;
         }
         long positionAt = at(b, sentAt);
         long aliveAt = at(b, sentAt);
         long silentAt = at(b, sentAt);
         long coldSince = at(b, sentAt);
         long drainAt = at(b, sentAt);
-        boolean led = role > 0 && roleAt != Report.UNTOLD;
-        boolean placed = position != Report.UNTOLD && positionAt != Report.UNTOLD;
-        return new Word(led ? Role.values()[role] : Role.UNKNOWN, led ? roleAt : Report.UNTOLD,
-                placed ? position : Report.UNTOLD, placed ? positionAt : Report.UNTOLD, aliveAt, silentAt, coldSince,
+        boolean led = role > 0 && roleAt != LoadReport.UNKNOWN_TIME;
+        boolean placed = position != LoadReport.UNKNOWN_TIME && positionAt != LoadReport.UNKNOWN_TIME;
+        return new ServerObservation(
+                led ? Role.values()[role] : Role.UNKNOWN,
+                led ? roleAt : LoadReport.UNKNOWN_TIME,
+                placed ? position : LoadReport.UNKNOWN_TIME,
+                placed ? positionAt : LoadReport.UNKNOWN_TIME,
+                aliveAt,
+                silentAt,
+                coldSince,
                 drainAt);
     }
 
     private static long at(ByteBuffer b, long sentAt) {
         int units = b.remaining() >= 2 ? b.getShort() & 0xFFFF : AGE_NONE;
-        return units == AGE_NONE ? Report.UNTOLD : sentAt - units * AGE_UNIT;
+        return units == AGE_NONE ? LoadReport.UNKNOWN_TIME : sentAt - units * AGE_UNIT;
     }
 }
--- a/gateway/src/main/java/ploverdale/hearsay/Rota.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -1,4 +1,4 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import ploverdale.hearsay.Datagram.Kind;
-import ploverdale.hearsay.Hearsay.Letter;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
 
 /**
  * How positions get round where each instance alone hears too few. One instance at a time collects: whose turn it is
@@ -19,7 +19,7 @@
  * the positions that its own answers brought; the collector sends all of them, a few bytes a server, to some, and each of
  * these to its part of the others. Times in tenths of a millisecond.
  */
-final class Rota {
+final class PeerSelector {
     private static final long MS = 10;
     private static final long TURN = 2000 * MS;
     static final long EVERY = 250 * MS; // between two tellings; half of the tightest bound in use
@@ -36,10 +36,10 @@
     private final int instances;
     private final Map<ServerId, Place> places = new LinkedHashMap<>();
     private final Set<ServerId> pending = new LinkedHashSet<>();
-    private long upAt = Report.UNTOLD;
-    private long toldAt = Report.UNTOLD;
+    private long upAt = LoadReport.UNKNOWN_TIME;
+    private long toldAt = LoadReport.UNKNOWN_TIME;
 
-    Rota(int me, int instances) {
+    PeerSelector(int me, int instances) {
         this.me = me;
         this.instances = instances;
     }
@@ -49,7 +49,7 @@
     }
 
     /** An answer to this instance told a server's position. */
-    void placed(long now, ServerId id, Word w) {
+    void placed(long now, ServerId id, ServerObservation w) {
         Place was = places.get(id);
         if (pending.size() < PENDING_MOST && (was == null || now - was.at > KNOWN_ANYWAY || collector(now) == me)) {
             pending.add(id);
@@ -60,8 +60,8 @@
     }
 
     /** Another instance told a server's position. */
-    void place(ServerId id, Word w, long at) {
-        if (w.position() != Report.UNTOLD && w.role() != Role.UNKNOWN) {
+    void place(ServerId id, ServerObservation w, long at) {
+        if (w.position() != LoadReport.UNKNOWN_TIME && w.role() != Role.UNKNOWN) {
             Place p = places.get(id);
             places.put(id, new Place(p == null ? w.position() : Math.max(p.position, w.position()), w.role(), at));
         }
@@ -78,7 +78,7 @@
     }
 
     /** What is to be sent by now; own gives what is known of a server here. */
-    List<Letter> due(long now, Function<ServerId, Word> own) {
+    List<OutboundPacket> due(long now, Function<ServerId, ServerObservation> own) {
         if (collector(now) == me) {
             pending.clear();
             return now - toldAt < EVERY ? List.of() : tellAll(now);
@@ -86,34 +86,44 @@
         if (pending.isEmpty() || now - upAt < UP_EVERY) {
             return List.of();
         }
-        Map<Integer, Word> words = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         for (ServerId id : pending) {
-            Word w = own.apply(id);
+            ServerObservation w = own.apply(id);
             if (now - w.positionAt() <= UP_WITHIN && w.role() != Role.UNKNOWN) {
                 words.put(Datagram.shortNumber(id), w);
             }
         }
         pending.clear();
         upAt = now;
-        return words.isEmpty() ? List.of()
-                : List.of(new Letter(collector(now), new Datagram(Kind.PLACES_UP, now, words).bytes()));
+        return words.isEmpty()
+                ? List.of()
+                : List.of(new OutboundPacket(collector(now), new Datagram(Kind.PLACES_UP, now, words).bytes()));
     }
 
-    private List<Letter> tellAll(long now) {
-        Map<Integer, Word> words = new LinkedHashMap<>();
+    private List<OutboundPacket> tellAll(long now) {
+        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
         places.forEach((id, p) -> {
             if (now - p.at <= WITHIN - UP_WITHIN && words.size() < Datagram.PLACES_MOST) {
-                words.put(Datagram.shortNumber(id), new Word(p.role, now, p.position, now, now, Report.UNTOLD,
-                        Report.UNTOLD, Report.UNTOLD));
+                words.put(
+                        Datagram.shortNumber(id),
+                        new ServerObservation(
+                                p.role,
+                                now,
+                                p.position,
+                                now,
+                                now,
+                                LoadReport.UNKNOWN_TIME,
+                                LoadReport.UNKNOWN_TIME,
+                                LoadReport.UNKNOWN_TIME));
             }
         });
         toldAt = words.isEmpty() ? toldAt : now;
-        List<Letter> letters = new ArrayList<>();
+        List<OutboundPacket> letters = new ArrayList<>();
         if (!words.isEmpty()) {
             boolean directly = instances - 1 <= DIRECTLY;
             byte[] bytes = new Datagram(directly ? Kind.PLACES : Kind.PLACES_ON, now, words).bytes();
             for (int place = 0; place < instances - 1; place += directly ? 1 : part()) {
-                letters.add(new Letter(at(place, me, now), bytes));
+                letters.add(new OutboundPacket(at(place, me, now), bytes));
             }
         }
         return letters;
@@ -134,13 +144,13 @@
     }
 
     /** Tells on what the collector told this instance for its part of the others. */
-    List<Letter> tellOn(int collector, Datagram d) {
-        List<Letter> letters = new ArrayList<>();
+    List<OutboundPacket> tellOn(int collector, Datagram d) {
+        List<OutboundPacket> letters = new ArrayList<>();
         int mine = Math.floorMod(Math.floorMod(me - collector - 1, instances) - turned(d.sentAt()), instances - 1);
         if (mine % part() == 0) { // else it was not for this instance to tell on
             byte[] bytes = new Datagram(Kind.PLACES, d.sentAt(), d.words()).bytes();
             for (int place = mine + 1; place < Math.min(mine + part(), instances - 1); place++) {
-                letters.add(new Letter(at(place, collector, d.sentAt()), bytes));
+                letters.add(new OutboundPacket(at(place, collector, d.sentAt()), bytes));
             }
         }
         return letters;
--- a/gateway/src/main/java/ploverdale/fleet/Parcel.java
+++ b/gateway/src/main/java/ploverdale/membership/Packet.java
@@ -1,4 +1,4 @@
-package ploverdale.fleet;
+package ploverdale.membership;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -9,12 +9,12 @@
  * One datagram between gateways of a fleet, of at most {@value #MOST} bytes. Layout, big-endian: mark, version, incarnation
  * of the sender (6 bytes), division that it goes by (4), parts, checksum of all before it (4). A part: kind (1), length (1),
  * content. A part of a kind that the reader does not know is passed over, so versions can run side by side; so is what is
- * longer than the reader expects. The mark is none of the words' ({@code ploverdale.hearsay}), and older versions leave it.
+ * longer than the reader expects. The mark is none of the words' ({@code ploverdale.gossip}), and older versions leave it.
  *
  * @param incarnation which start of the sender this is from; higher is later
- * @param division which division of the budgets the sender goes by, see {@code ploverdale.budgets}
+ * @param division which division of the budgets the sender goes by, see {@code ploverdale.quota}
  */
-public record Parcel(long incarnation, int division, List<Part> parts) {
+public record Packet(long incarnation, int division, List<Part> parts) {
     public static final int MOST = 256;
     private static final byte MARK = (byte) 0xB2;
     private static final int VERSION = 1;
@@ -39,11 +39,16 @@
 
     /** The datagram. */
     public byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + CHECK + parts.stream().mapToInt(Part::length).sum());
+        ByteBuffer b = ByteBuffer.allocate(
+                HEAD + CHECK + parts.stream().mapToInt(Part::length).sum());
         if (b.capacity() > MOST) {
             throw new IllegalStateException("a parcel of " + b.capacity() + " bytes");
         }
-        b.put(MARK).put((byte) VERSION).putShort((short) (incarnation >>> 32)).putInt((int) incarnation).putInt(division);
+        b.put(MARK)
+                .put((byte) VERSION)
+                .putShort((short) (incarnation >>> 32))
+                .putInt((int) incarnation)
+                .putInt(division);
         for (Part p : parts) {
             b.put((byte) p.kind).put((byte) p.content.length).put(p.content);
         }
@@ -53,7 +58,7 @@
     }
 
     /** Reads a datagram; null where it is none, spoilt, or cut short. */
-    public static Parcel read(byte[] bytes) {
+    public static Packet read(byte[] bytes) {
         if (bytes.length < HEAD + CHECK || bytes.length > MOST || bytes[0] != MARK || bytes[1] < VERSION) {
             return null;
         }
@@ -78,6 +83,6 @@
             b.get(content);
             parts.add(new Part(kind, content));
         }
-        return new Parcel(incarnation, division, parts);
+        return new Packet(incarnation, division, parts);
     }
 }
--- a/gateway/src/main/java/ploverdale/model/Pledges.java
+++ /dev/null
@@ -1,6 +0,0 @@
-package ploverdale.model;
-
-/** Figures of the rules that hold between the operator and its databases. Times in tenths of a millisecond. */
-public record Pledges(
-        double startCapacity, long warmWithin, double overloadMultiple, long overloadWindow,
-        boolean removalBinds, long askListWithin) {}
--- a/gateway/src/main/java/ploverdale/net/ClientSide.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -16,37 +16,44 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
-import ploverdale.shutdown.Traffic;
+import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
-import ploverdale.model.GroupId;
 import ploverdale.model.Event;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpTypeId;
+import ploverdale.model.GroupId;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.RequestId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
-import ploverdale.limits.ConnectionLimits;
-import ploverdale.terms.Terms;
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.settings.GatewaySettings;
+import ploverdale.shutdown.Traffic;
 
 /**
  * Owns the clients' connections and the ops taken from them: reads queries, tells the module of each op, and
  * writes one answer for each command in the order of the commands. Must never decide an op's fate, answer an op
  * twice, or keep more of a client that does not read than its bounds allow.
  */
-public final class ClientSide {
+public final class ClientConnections {
     private static final int AHEAD_MOST = 8; // commands of one client taken before their answers are out
-    // Bytes of requests of one client that wait behind these; further requests are refused. The end of a connection comes
+    // Bytes of requests of one client that wait behind these; further requests are refused. The end of a connection
+    // comes
     // behind its bytes, so a client that has closed is known only once all that it wrote has been read.
     private static final int READ_AHEAD_MOST = 64 * 1024;
     private static final int QUEUED_COST = 64; // bytes that a queued message takes beside its text
     private static final int QUEUED_MOST = 4 * READ_AHEAD_MOST; // then no more is read, and what is queued is refused
     private static final int BEHIND_MOST = 1000; // requests answered behind a message that ends the connection
-    // An attempt may begin up to 100 ms after its client closed; a connection read longer ago than this is read once more first.
+    // An attempt may begin up to 100 ms after its client closed; a connection read longer ago than this is read once
+    // more first.
     private static final long READ_LATELY_MS = 20;
     private static final int DROPPED_MOST = 64 * 1024; // of what a client writes after its end
     private static final long PARTING_MS = 500; // for a client to close, too, once its connection has been ended here
-    private static final long GREETING_WAIT_MS = 100; // of a connection that is refused, for what its client has written
+    private static final long GREETING_WAIT_MS =
+            100; // of a connection that is refused, for what its client has written
     private static final long LOOK_MS = 20;
     private static final long LAST_RESORT_MS = 250; // after a request's time; half of what an answer may be late
     private static final long SILENT_MS = 20; // for a greeting, once the gateway ends connections
@@ -54,34 +61,36 @@
     private static final long LOAD_MOST = 16 * 1024 * 1024; // see makeLighter
     private static final int READS_MOST = 4; // of a connection at a time
     private static final String BUSY = "53300";
-    private static final PgCodec.BadAsk TOO_MUCH =
-            new PgCodec.BadAsk(BUSY, "too many requests at once, trying again does no harm", false);
-    private static final PgCodec.BadAsk CANCELED =
-            new PgCodec.BadAsk("57014", "canceled on the client's request; whether it ran is not known", false);
+    private static final ClientMessage.InvalidQuery TOO_MUCH =
+            new ClientMessage.InvalidQuery(BUSY, "too many requests at once, trying again does no harm", false);
+    private static final ClientMessage.InvalidQuery CANCELED = new ClientMessage.InvalidQuery(
+            "57014", "canceled on the client's request; whether it ran is not known", false);
     private static final String ENDS_SOON = "this gateway ends, trying again does no harm";
-    private static final long UNREAD_LEAST_MS = 5000; // for a client to read on, or as long as an op may take, before it is closed
+    private static final long UNREAD_LEAST_MS =
+            5000; // for a client to read on, or as long as an op may take, before it is closed
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
-    interface Past {
-        void arrives(Event.OpArrived op, String key);
+    interface RequestHistoryLookup {
+        void arrives(Event.RequestArrived request, String key);
     }
 
     /** An op in hand. */
-    public static final class Taken {
-        private final PgCodec.OpAsk ask;
+    public static final class AcceptedRequest {
+        private final ClientMessage.RequestQuery ask;
         private final Session session;
-        private final Slot slot;
+        private final PendingResponse slot;
         private final long lastResortMs;
         private int sends;
 
-        private Taken(PgCodec.OpAsk ask, Session session, Slot slot, long lastResortMs) {
+        private AcceptedRequest(
+                ClientMessage.RequestQuery ask, Session session, PendingResponse slot, long lastResortMs) {
             this.lastResortMs = lastResortMs;
             this.ask = ask;
             this.session = session;
             this.slot = slot;
         }
 
-        public PgCodec.OpAsk ask() {
+        public ClientMessage.RequestQuery ask() {
             return ask;
         }
 
@@ -92,21 +101,21 @@
     }
 
     /** A command's place in the order of answers. */
-    private static final class Slot {
-        private OpId op;
+    private static final class PendingResponse {
+        private RequestId request;
         private Buffer answer;
         private boolean ends;
     }
 
     private final Vertx vertx;
     private final Log log;
-    private final LogicLoop loop;
-    private final Terms terms;
+    private final RouterEventLoop loop;
+    private final GatewaySettings settings;
     private final ConnectionLimits<Session> limits;
     private final ServerClock time;
     private final long unreadMs;
     private final Traffic traffic = new Traffic(TRAFFIC_FADES_MS);
-    private final Map<OpId, Taken> taken = new HashMap<>();
+    private final Map<RequestId, AcceptedRequest> taken = new HashMap<>();
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final List<Session> early = new ArrayList<>(); // asked before the module was told what it needs
     private final Map<Integer, Session> byProcess = new HashMap<>(); // by the number that a cancel message names
@@ -114,8 +123,8 @@
     private final SplittableRandom secrets = new SplittableRandom();
     private int processes;
     private long load; // bytes of ops in hand, of messages not yet whole and of answers not yet read
-    private LongConsumer asked = x -> { };
-    private Past past; // null where gateways keep nothing together
+    private LongConsumer asked = x -> {};
+    private RequestHistoryLookup past; // null where gateways keep nothing together
     private boolean ready;
     private boolean ending;
     private boolean stopped; // reads nothing more
@@ -123,15 +132,26 @@
     private final Set<NetSocket> parting = new LinkedHashSet<>(); // ended here and not yet by their clients
     private long answersBy = Long.MAX_VALUE;
 
-    public ClientSide(Vertx vertx, Log log, LogicLoop loop, Terms terms, ConnectionLimits<Session> limits, ServerClock time) {
+    public ClientConnections(
+            Vertx vertx,
+            Log log,
+            RouterEventLoop loop,
+            GatewaySettings settings,
+            ConnectionLimits<Session> limits,
+            ServerClock time) {
         this.time = time;
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
-        this.terms = terms;
+        this.settings = settings;
         this.limits = limits;
-        unreadMs = Math.max(UNREAD_LEAST_MS,
-                terms.started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10);
+        unreadMs = Math.max(
+                UNREAD_LEAST_MS,
+                settings.started().requestClasses().stream()
+                                .mapToLong(RequestClass::timeout)
+                                .max()
+                                .orElse(0)
+                        / 10);
         vertx.setPeriodic(LOOK_MS, x -> look());
     }
 
@@ -144,10 +164,11 @@
         if (loop.behind() == 0) {
             answerOverdue();
         }
-        for (ConnectionLimits.Leave<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
+        for (ConnectionLimits.Eviction<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
             end(l);
         }
-        for (ConnectionLimits.Leave<Session> l = ending ? limits.silentFor(SILENT_MS, nowMs()) : null; l != null;
+        for (ConnectionLimits.Eviction<Session> l = ending ? limits.silentFor(SILENT_MS, nowMs()) : null;
+                l != null;
                 l = limits.silentFor(SILENT_MS, nowMs())) {
             end(l);
         }
@@ -156,12 +177,13 @@
     /** Answers what the router has left unanswered beyond its time, whatever the cause: each request gets its final answer. */
     private void answerOverdue() {
         long now = nowMs();
-        List<Taken> overdue = taken.values().stream().filter(t -> now > t.lastResortMs).toList();
-        for (Taken t : overdue) {
-            OpId op = new OpId(t.ask.id());
+        List<AcceptedRequest> overdue =
+                taken.values().stream().filter(t -> now > t.lastResortMs).toList();
+        for (AcceptedRequest t : overdue) {
+            RequestId request = new RequestId(t.ask.id());
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
-            loop.tell(new Event.ClientLeft(op)); // it is answered here
-            errored(op);
+            loop.tell(new Event.ClientDisconnected(request)); // it is answered here
+            errored(request);
         }
     }
 
@@ -170,7 +192,7 @@
      * asked by now stays: what the system holds for it is read first, since after a pause of this process a timer fires before
      * the requests that came during the pause have been read.
      */
-    public void end(ConnectionLimits.Leave<Session> l) {
+    public void end(ConnectionLimits.Eviction<Session> l) {
         OptionalLong since = limits.heldSince(l);
         NioSockets.readNow(l.who().socket);
         if (since.isEmpty() || !since.equals(limits.heldSince(l))) {
@@ -178,13 +200,17 @@
         }
         if (l.why() == ConnectionLimits.Why.IDLE) {
             if (l.who().closeIfIdle()) {
-                log.often("idle client connection", "ended after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
+                log.often(
+                        "idle client connection",
+                        "ended after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
             } else {
                 limits.asks(l.who()); // it is not named again before it has been answered
             }
             return;
         }
-        String what = l.why() == ConnectionLimits.Why.NO_GREETING ? "client without a greeting" : "client with an unfinished message";
+        String what = l.why() == ConnectionLimits.Why.NO_GREETING
+                ? "client without a greeting"
+                : "client with an unfinished message";
         log.often(what, "closed after " + l.sinceMs() + " ms, " + limits.clients() + " of clients");
         // What ends for this gateway's sake is refused, since its client may have written a request meanwhile.
         l.who().giveUp(ending ? "57P03" : l.forRoom() ? BUSY : "08P01", what);
@@ -196,7 +222,7 @@
             NioSockets.stopReading(socket); // the process exits in a moment
             return;
         }
-        ConnectionLimits.Leave<Session> way = limits.clientFits() ? null : limits.wayForClient(nowMs());
+        ConnectionLimits.Eviction<Session> way = limits.clientFits() ? null : limits.wayForClient(nowMs());
         while (way != null) {
             end(way);
             way = limits.clientFits() ? null : limits.wayForClient(nowMs());
@@ -204,7 +230,7 @@
         if (!limits.clientFits()) {
             log.often("no room for a connection", "of a client, " + limits.clients() + " of clients");
             limits.turnedAway();
-            socket.exceptionHandler(e -> { });
+            socket.exceptionHandler(e -> {});
             long waitMs = limits.over() > 0 ? 0 : GREETING_WAIT_MS;
             RefusedConnection refused = new RefusedConnection(socket, this::cancel, () -> part(socket));
             socket.closeHandler(x -> {
@@ -242,7 +268,8 @@
         unsent++;
         socket.write(Buffer.buffer()).onComplete(r -> {
             unsent--;
-            if (r.succeeded() && ((NetSocketInternal) socket).channelHandlerContext().channel() instanceof DuplexChannel c) {
+            if (r.succeeded()
+                    && ((NetSocketInternal) socket).channelHandlerContext().channel() instanceof DuplexChannel c) {
                 c.shutdownOutput();
             }
         });
@@ -252,11 +279,14 @@
     /** Reads and drops what still comes on a connection whose output has ended, and closes it after a while. */
     private void dropInput(NetSocket socket) {
         parting.add(socket);
-        // Guards against floods that cost a busy gateway the time to read what nobody wants: they are left where they are.
+        // Guards against floods that cost a busy gateway the time to read what nobody wants: they are left where they
+        // are.
         int[] dropped = {0};
         socket.handler(more -> {
             dropped[0] += more.length();
-            log.often("client bytes after its end", more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
+            log.often(
+                    "client bytes after its end",
+                    more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
             if (dropped[0] > DROPPED_MOST) {
                 socket.pause();
             }
@@ -293,7 +323,7 @@
     }
 
     /** Ops a second, lately. */
-    public double opsPerSecond() {
+    public double requestsPerSecond() {
         return traffic.perSecond(nowMs());
     }
 
@@ -303,11 +333,11 @@
     }
 
     /** Ops go by this from now on. */
-    void past(Past past) {
+    void past(RequestHistoryLookup past) {
         this.past = past;
     }
 
-    public int opsInHand() {
+    public int requestsInFlight() {
         return taken.size();
     }
 
@@ -315,14 +345,14 @@
      * Whether the client of an op still waits for it; asked right before an attempt is written. Where its connection was not
      * read a moment ago, as for a retry, a request that was held, or behind a pause of this process, it is read now.
      */
-    boolean waits(Taken t) {
-        OpId op = new OpId(t.ask.id());
-        return taken.get(op) == t && !t.session.leftUnseen() && taken.get(op) == t;
+    boolean waits(AcceptedRequest t) {
+        RequestId request = new RequestId(t.ask.id());
+        return taken.get(request) == t && !t.session.leftUnseen() && taken.get(request) == t;
     }
 
     /** The op if it is still in hand. */
-    public Taken taken(OpId op) {
-        return taken.get(op);
+    public AcceptedRequest taken(RequestId request) {
+        return taken.get(request);
     }
 
     /** Connections on which something has been read whole and not been answered. */
@@ -371,23 +401,25 @@
         }
     }
 
-    public void acked(OpId op, PgCodec.Row row) {
-        answer(op, PgCodec.acked(row));
+    public void acked(RequestId request, ResultRow row) {
+        answer(request, MessageWriter.resultRow(row));
     }
 
     /** The write ran before, under the same id; this is what its client was answered then. */
-    void ranBefore(OpId op, byte[] answer) {
-        answer(op, Buffer.buffer(answer));
+    void ranBefore(RequestId request, byte[] answer) {
+        answer(request, Buffer.buffer(answer));
     }
 
     /** Tells the client that trying again does no harm; after how long, in tenths of a millisecond, or 0. */
-    public void busyReplied(OpId op, long comeBackIn) {
-        String detail = comeBackIn > 0 ? Long.toString((comeBackIn + 9) / 10) : null;
-        answer(op, PgCodec.problem("53300", "busy, trying again does no harm", detail, false, true));
+    public void busyReplied(RequestId request, long retryAfter) {
+        String detail = retryAfter > 0 ? Long.toString((retryAfter + 9) / 10) : null;
+        answer(request, MessageWriter.errorResponse("53300", "busy, trying again does no harm", detail, false, true));
     }
 
-    public void errored(OpId op) {
-        answer(op, PgCodec.problem("58000", "the op failed; whether it ran is not known", null, false, true));
+    public void errored(RequestId request) {
+        answer(
+                request,
+                MessageWriter.errorResponse("58000", "the op failed; whether it ran is not known", null, false, true));
     }
 
     /**
@@ -407,8 +439,8 @@
         load -= by;
     }
 
-    private void answer(OpId op, Buffer answer) {
-        Taken t = taken.remove(op);
+    private void answer(RequestId request, Buffer answer) {
+        AcceptedRequest t = taken.remove(request);
         if (t != null) {
             lighter(t.ask.text().length);
             t.slot.answer = answer;
@@ -416,12 +448,12 @@
         }
     }
 
-    private static int cost(PgCodec.FromClient m) {
-        return QUEUED_COST + (m instanceof PgCodec.OpAsk ask ? ask.text().length : 0);
+    private static int cost(ClientMessage m) {
+        return QUEUED_COST + (m instanceof ClientMessage.RequestQuery ask ? ask.text().length : 0);
     }
 
     /** Cancels the requests of the connection that the message names, if it is one of these. */
-    private void cancel(PgCodec.Cancel c) {
+    private void cancel(ClientMessage.CancelRequest c) {
         Session s = byProcess.get(c.process());
         if (s != null && s.secret == c.secret()) {
             s.cancelRequests();
@@ -431,9 +463,9 @@
     /** One client's connection. */
     public final class Session {
         private final NetSocket socket;
-        private final PgCodec.ClientStream stream = new PgCodec.ClientStream();
-        private final Deque<Slot> slots = new ArrayDeque<>();
-        private final Deque<PgCodec.FromClient> waiting = new ArrayDeque<>(); // cut, behind as many as may be in hand
+        private final ClientMessageReader stream = new ClientMessageReader();
+        private final Deque<PendingResponse> slots = new ArrayDeque<>();
+        private final Deque<ClientMessage> waiting = new ArrayDeque<>(); // cut, behind as many as may be in hand
         private final int process = ++processes; // with the secret, what a cancel message names
         private final int secret = secrets.nextInt();
         private int waitingBytes;
@@ -446,7 +478,7 @@
         private boolean readsOn;
         private boolean unread;
         private boolean skipping;
-        private PgCodec.FromClient first;
+        private ClientMessage first;
         private long firstAt;
         private int partial;
         private long unreadBytes;
@@ -466,7 +498,9 @@
             readAt = nowMs();
             bytesRead += more.length();
             if (closed || framingLost) {
-                log.often("client bytes after its end", more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
+                log.often(
+                        "client bytes after its end",
+                        more.length() + " bytes, not read" + (ending ? ", in a planned restart" : ""));
                 return;
             }
             reading = true;
@@ -509,12 +543,12 @@
         private boolean cut() {
             boolean cut = false;
             while (!closed && !deaf && waitingBytes < QUEUED_MOST) {
-                PgCodec.FromClient m = stream.next();
+                ClientMessage m = stream.next();
                 if (m == null) {
                     return cut;
                 }
                 cut = true;
-                if (m instanceof PgCodec.Bye) {
+                if (m instanceof ClientMessage.Terminate) {
                     close();
                 } else {
                     enqueue(m);
@@ -527,15 +561,15 @@
             return cut;
         }
 
-        private void enqueue(PgCodec.FromClient m) {
+        private void enqueue(ClientMessage m) {
             boolean tooMuch = waitingBytes >= READ_AHEAD_MOST || load >= LOAD_MOST;
-            queue(tooMuch && m instanceof PgCodec.OpAsk ? TOO_MUCH : m);
-            if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+            queue(tooMuch && m instanceof ClientMessage.RequestQuery ? TOO_MUCH : m);
+            if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                 endInput();
             }
         }
 
-        private void queue(PgCodec.FromClient m) {
+        private void queue(ClientMessage m) {
             waiting.add(m);
             waitingBytes += cost(m);
             load += cost(m);
@@ -544,10 +578,10 @@
         /** Takes as many of the messages that wait as may be in hand; none is forwarded while its client's end cannot be seen. */
         private void take() {
             while (!closed && slots.size() < AHEAD_MOST && !unread && first == null && !waiting.isEmpty()) {
-                PgCodec.FromClient m = waiting.poll();
+                ClientMessage m = waiting.poll();
                 waitingBytes -= cost(m);
                 lighter(cost(m));
-                message(paused && m instanceof PgCodec.OpAsk ? TOO_MUCH : m);
+                message(paused && m instanceof ClientMessage.RequestQuery ? TOO_MUCH : m);
             }
         }
 
@@ -560,13 +594,15 @@
         /** Counts the requests behind the message that ends the connection: each is refused before the connection ends. */
         private void countBehind() {
             while (!framingLost) {
-                PgCodec.FromClient m = stream.next();
+                ClientMessage m = stream.next();
                 if (m == null) {
                     return;
                 }
-                if (m instanceof PgCodec.BadAsk bad && bad.ends()) {
+                if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
                     framingLost = !stream.skipMessage();
-                } else if (m instanceof PgCodec.OpAsk || m instanceof PgCodec.EmptyAsk || m instanceof PgCodec.BadAsk) {
+                } else if (m instanceof ClientMessage.RequestQuery
+                        || m instanceof ClientMessage.EmptyQuery
+                        || m instanceof ClientMessage.InvalidQuery) {
                     behind = Math.min(BEHIND_MOST, behind + 1);
                 }
             }
@@ -597,62 +633,63 @@
 
         /** Ends every request that has come and has no answer yet: none of them is attempted from now on. */
         private void cancelRequests() {
-            for (Slot s : slots) {
-                if (s.op != null && s.answer == null) {
-                    lighter(taken.remove(s.op).ask.text().length);
-                    loop.tell(new Event.ClientLeft(s.op));
-                    s.answer = PgCodec.problem(CANCELED.code(), CANCELED.text(), null, false, true);
+            for (PendingResponse s : slots) {
+                if (s.request != null && s.answer == null) {
+                    lighter(taken.remove(s.request).ask.text().length);
+                    loop.tell(new Event.ClientDisconnected(s.request));
+                    s.answer = MessageWriter.errorResponse(CANCELED.code(), CANCELED.text(), null, false, true);
                 }
             }
-            first = first instanceof PgCodec.OpAsk ? CANCELED : first;
-            List<PgCodec.FromClient> queued = List.copyOf(waiting);
+            first = first instanceof ClientMessage.RequestQuery ? CANCELED : first;
+            List<ClientMessage> queued = List.copyOf(waiting);
             waiting.clear();
             lighter(waitingBytes);
             waitingBytes = 0;
-            queued.forEach(m -> queue(m instanceof PgCodec.OpAsk ? CANCELED : m));
+            queued.forEach(m -> queue(m instanceof ClientMessage.RequestQuery ? CANCELED : m));
             flush();
         }
 
         private void takeEarly() {
-            PgCodec.FromClient m = first;
+            ClientMessage m = first;
             first = null;
-            if (m instanceof PgCodec.OpAsk ask) {
-                op(ask, firstAt);
+            if (m instanceof ClientMessage.RequestQuery ask) {
+                request(ask, firstAt);
             } else {
                 message(m);
             }
             read();
         }
 
-        private void message(PgCodec.FromClient m) {
-            if (!ready && (m instanceof PgCodec.OpAsk || m instanceof PgCodec.EmptyAsk)) {
+        private void message(ClientMessage m) {
+            if (!ready && (m instanceof ClientMessage.RequestQuery || m instanceof ClientMessage.EmptyQuery)) {
                 first = m;
                 firstAt = cameAt();
                 early.add(this);
                 limits.asks(this); // it waits for an answer, and so makes way for nobody
-            } else if (m instanceof PgCodec.OpAsk ask && !skipping) {
-                op(ask, cameAt());
-            } else if (m instanceof PgCodec.Hello) {
+            } else if (m instanceof ClientMessage.RequestQuery ask && !skipping) {
+                request(ask, cameAt());
+            } else if (m instanceof ClientMessage.Startup) {
                 limits.greeted(this);
-                put(PgCodec.welcome(process, secret));
-            } else if (m instanceof PgCodec.WantsCover) {
+                put(MessageWriter.startupResponse(process, secret));
+            } else if (m instanceof ClientMessage.EncryptionRequest) {
                 put(Buffer.buffer("N"));
-            } else if (m instanceof PgCodec.EmptyAsk && !skipping) {
-                put(PgCodec.emptyDone());
-            } else if (m instanceof PgCodec.Cancel c) {
+            } else if (m instanceof ClientMessage.EmptyQuery && !skipping) {
+                put(MessageWriter.emptyQueryResponse());
+            } else if (m instanceof ClientMessage.CancelRequest c) {
                 cancel(c);
                 close();
-            } else if (m instanceof PgCodec.Sync) {
+            } else if (m instanceof ClientMessage.Sync) {
                 skipping = false;
-                put(PgCodec.synced());
-            } else if (m instanceof PgCodec.NotSpoken n && !skipping) {
+                put(MessageWriter.readyForQuery());
+            } else if (m instanceof ClientMessage.UnsupportedMessage n && !skipping) {
                 skipping = n.untilSync();
-                put(PgCodec.problem("0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
+                put(MessageWriter.errorResponse(
+                        "0A000", "only simple queries are spoken here", null, false, !n.untilSync()));
             } else if ((m == TOO_MUCH || m == CANCELED) && !skipping) {
-                PgCodec.BadAsk not = (PgCodec.BadAsk) m;
+                ClientMessage.InvalidQuery not = (ClientMessage.InvalidQuery) m;
                 log.often("client's request not run", not.text());
                 refuse(not.code(), not.text(), false);
-            } else if (m instanceof PgCodec.BadAsk bad && (!skipping || bad.ends())) {
+            } else if (m instanceof ClientMessage.InvalidQuery bad && (!skipping || bad.ends())) {
                 bad(bad.code(), bad.text(), bad.ends());
             }
         }
@@ -672,7 +709,7 @@
             if (framingLost) {
                 stream.clear();
             }
-            queue(new PgCodec.BadAsk(code, why, true));
+            queue(new ClientMessage.InvalidQuery(code, why, true));
             take();
         }
 
@@ -685,47 +722,55 @@
 
         private void refuse(String code, String text, boolean ends) {
             deaf |= ends;
-            Slot slot = new Slot();
-            slot.answer = PgCodec.problem(code, text, null, ends, !ends);
+            PendingResponse slot = new PendingResponse();
+            slot.answer = MessageWriter.errorResponse(code, text, null, ends, !ends);
             slot.ends = ends;
             slots.add(slot);
             flush();
         }
 
         private void put(Buffer answer) {
-            Slot slot = new Slot();
+            PendingResponse slot = new PendingResponse();
             slot.answer = answer;
             slots.add(slot);
             flush();
         }
 
-        private void op(PgCodec.OpAsk ask, long now) {
-            int type = terms.opTypes().indexOf(ask.type());
-            int tenant = terms.tenants().isEmpty() ? 0 : terms.tenants().indexOf(ask.tenant());
-            OpId op = new OpId(ask.id());
+        private void request(ClientMessage.RequestQuery ask, long now) {
+            int type = settings.requestClasses().indexOf(ask.requestClass());
+            int tenant = settings.tenants().isEmpty() ? 0 : settings.tenants().indexOf(ask.tenant());
+            RequestId request = new RequestId(ask.id());
             if (type < 0 || tenant < 0) {
                 bad("22023", type < 0 ? "an unknown op type" : "an unknown tenant", false);
                 return;
             }
-            if (taken.containsKey(op)) {
+            if (taken.containsKey(request)) {
                 bad("42710", "the id of an op still in hand", false);
                 return;
             }
             limits.asks(this);
-            traffic.op(nowMs());
+            traffic.request(nowMs());
             asked.accept(nowMs());
-            Slot slot = new Slot();
-            slot.op = op;
+            PendingResponse slot = new PendingResponse();
+            slot.request = request;
             slots.add(slot);
-            long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.waitMs() * 10));
+            long timeoutAt = Math.min(answersBy, now + (long) Math.floor(ask.timeoutMs() * 10));
             long lastResortMs = nowMs() + Math.max(0, timeoutAt - now) / 10 + LAST_RESORT_MS;
-            taken.put(op, new Taken(ask, this, slot, lastResortMs));
+            taken.put(request, new AcceptedRequest(ask, this, slot, lastResortMs));
             load += ask.text().length;
-            Needs needs = terms.started().opTypes().get(type).needs();
-            boolean inSession = ask.key() != null && (needs == Needs.WRITE || needs == Needs.SESSION);
+            Consistency needs = settings.started().requestClasses().get(type).needs();
+            boolean inSession = ask.key() != null && (needs == Consistency.WRITE || needs == Consistency.SESSION);
             long tokenAge = ask.afterMs() <= 0 ? 0 : time.tokenAge(now, ask.afterMs() * 10); // 0 is the word for none
-            Event.OpArrived arrived = new Event.OpArrived(op, new OpTypeId(type), new TenantId(tenant),
-                    new GroupId(ask.group()), inSession ? new SessionId(ask.key()) : null, timeoutAt, ask.again(), 0, tokenAge);
+            Event.RequestArrived arrived = new Event.RequestArrived(
+                    request,
+                    new RequestClassId(type),
+                    new TenantId(tenant),
+                    new GroupId(ask.group()),
+                    inSession ? new SessionId(ask.key()) : null,
+                    timeoutAt,
+                    ask.again(),
+                    0,
+                    tokenAge);
             if (past == null) {
                 loop.tell(arrived);
             } else {
@@ -736,7 +781,7 @@
         /** Writes the answers that are due, in order. */
         private void flush() {
             while (!closed && !slots.isEmpty() && slots.peek().answer != null) {
-                Slot s = slots.poll();
+                PendingResponse s = slots.poll();
                 socket.write(s.answer);
                 if (unread || socket.writeQueueFull()) {
                     unreadBytes += s.answer.length();
@@ -744,7 +789,8 @@
                 }
                 if (s.ends) {
                     for (int i = 0; i < behind && !closed; i++) {
-                        socket.write(PgCodec.problem(BUSY, "not run, this connection ends", null, false, true));
+                        socket.write(
+                                MessageWriter.errorResponse(BUSY, "not run, this connection ends", null, false, true));
                     }
                     close();
                 }
@@ -803,7 +849,12 @@
         }
 
         private boolean waitsForNothing() {
-            return !closed && slots.isEmpty() && waiting.isEmpty() && stream.greeted() && stream.held() == 0 && first == null;
+            return !closed
+                    && slots.isEmpty()
+                    && waiting.isEmpty()
+                    && stream.greeted()
+                    && stream.held() == 0
+                    && first == null;
         }
 
         private boolean owesAnswer() {
@@ -861,10 +912,10 @@
             byProcess.remove(process);
             early.remove(this);
             sessions.remove(this);
-            for (Slot s : slots) {
-                if (s.op != null && s.answer == null) {
-                    lighter(taken.remove(s.op).ask.text().length);
-                    loop.tell(new Event.ClientLeft(s.op));
+            for (PendingResponse s : slots) {
+                if (s.request != null && s.answer == null) {
+                    lighter(taken.remove(s.request).ask.text().length);
+                    loop.tell(new Event.ClientDisconnected(s.request));
                 }
             }
             slots.clear();
--- a/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
+++ b/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
@@ -13,22 +13,27 @@
  * become a {@link ConnectException}, EADDRNOTAVAIL a {@link BindException}, EHOSTUNREACH a {@code NoRouteToHostException}; most
  * others share {@code SocketException} or {@code IOException}, so that only the text tells them apart. Netty adds the address
  * behind the text, keeps the original exception as the cause, and throws a {@link ChannelException} where no socket could be
- * made or set up. A text that is not known here, for instance a translated one, counts as {@link #CUT_OFF}.
+ * made or set up. A text that is not known here, for instance a translated one, counts as {@link #CONNECT_INTERRUPTED}.
  */
 enum ConnectionFailure {
     /** This machine lacked descriptors, ports, buffers, memory or the permission; says nothing about the server. */
     LOCAL(Outcome.NEVER_SENT, true),
     /** No route from here at this moment: the network's fault, perhaps for longer. */
-    NO_ROUTE(Outcome.CUT_OFF, true),
+    NO_ROUTE(Outcome.CONNECT_INTERRUPTED, true),
     /** The server refused the connection, or nothing answered. */
-    REFUSED(Outcome.NOT_CONNECTED, false),
+    REFUSED(Outcome.CONNECT_FAILED, false),
     /** Ended on the way; the server, or the network. */
-    CUT_OFF(Outcome.CUT_OFF, false);
+    CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
     // EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM, EACCES as the C library words them.
-    private static final List<String> LOCAL_TEXTS = List.of("Too many open files", "No buffer space available",
-            "Cannot allocate memory", "Cannot assign requested address", "Resource temporarily unavailable",
-            "Operation not permitted", "Permission denied");
+    private static final List<String> LOCAL_TEXTS = List.of(
+            "Too many open files",
+            "No buffer space available",
+            "Cannot allocate memory",
+            "Cannot assign requested address",
+            "Resource temporarily unavailable",
+            "Operation not permitted",
+            "Permission denied");
     // ENETUNREACH, ENETDOWN
     private static final List<String> NO_ROUTE_TEXTS = List.of("Network is unreachable", "Network is down");
 
@@ -53,14 +58,16 @@
     /** Classifies what a failed connect, or a failed write, was completed with. */
     static ConnectionFailure of(Throwable failure) {
         String text = String.valueOf(failure.getMessage());
-        if (failure instanceof ChannelException || failure instanceof BindException
-                || failure.getCause() instanceof BindException || startsWithAny(text, LOCAL_TEXTS)) {
+        if (failure instanceof ChannelException
+                || failure instanceof BindException
+                || failure.getCause() instanceof BindException
+                || startsWithAny(text, LOCAL_TEXTS)) {
             return LOCAL;
         }
         if (startsWithAny(text, NO_ROUTE_TEXTS)) {
             return NO_ROUTE;
         }
-        return failure instanceof ConnectException ? REFUSED : CUT_OFF;
+        return failure instanceof ConnectException ? REFUSED : CONNECT_INTERRUPTED;
     }
 
     private static boolean startsWithAny(String text, List<String> beginnings) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -10,7 +10,6 @@
 import io.vertx.core.net.NetServerOptions;
 import io.vertx.core.spi.transport.Transport;
 import java.net.BindException;
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
@@ -20,25 +19,26 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
-import ploverdale.budgets.Sharing;
 import ploverdale.clock.Clock;
-import ploverdale.shutdown.GracefulShutdown;
+import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.net.GatewayFile.ServerList;
-import ploverdale.limits.ConnectionLimits;
+import ploverdale.net.ConfigurationFile.ServerList;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.quota.QuotaSettings;
+import ploverdale.shutdown.GracefulShutdown;
 
 /**
  * Owns the parts of one gateway: starts them in order, passes each action of the module to the part that carries
  * it out and each outcome back, gives them a new configuration and ends them at a planned restart. Must never decide
  * anything about an op or a server, nor stop while an op taken in time has no answer.
  */
-public final class Gateway implements LogicLoop.Hands {
+public final class Gateway implements RouterEventLoop.ActionHandler {
     private static final int LISTEN_TRIES = 50; // 5 s, half of what a restart may take
     private static final long LISTEN_AGAIN_MS = 100;
     private static final int CALM_LOOKS = 5; // at the clock, with the loop on time, before service begins
@@ -46,20 +46,21 @@
     private static final long START_LOOK_MS = 10;
     private static final long WORDS_WITHIN_MS = 100; // of other instances, before service begins without them
     private static final long LOOK_MS = 20;
-    private static final long LONGEST_COUNTED_MS = 3000; // the platform kills no earlier than after the longest op timeout,
+    private static final long LONGEST_COUNTED_MS =
+            3000; // the platform kills no earlier than after the longest op timeout,
     private static final long KILLED_AFTER_MS = 700; // counted up to this, and this much more
 
     private final Vertx vertx;
     private final Log log;
-    private GatewayFile file;
-    private final LogicLoop loop;
-    private final ClientSide clients;
-    private final ServerSide servers;
+    private ConfigurationFile file;
+    private final RouterEventLoop loop;
+    private final ClientConnections clients;
+    private final ServerConnections servers;
     private final Discovery discovery;
-    private final PeerSide peers; // null where instances do not talk
-    private final FleetSide fleet; // null but where a fleet file switches it on
-    private final ReplicaSide past; // null but where that file has something kept
-    private final ConnectionLimits<ClientSide.Session> limits;
+    private final GossipTransport peers; // null where instances do not talk
+    private final MembershipTransport fleet; // null but where a fleet file switches it on
+    private final ReplicationCoordinator past; // null but where that file has something kept
+    private final ConnectionLimits<ClientConnections.Session> limits;
     private final ServerClock time;
     private final Map<ServerId, Start> starts = new HashMap<>();
     private int probesOut;
@@ -69,7 +70,12 @@
     /** When a server last started, as the list dates it and as service time. */
     private record Start(long wall, long serviceTime) {}
 
-    private Gateway(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> sharing,
+    private Gateway(
+            Vertx vertx,
+            Context context,
+            Log log,
+            ConfigurationFile file,
+            Optional<QuotaSettings> quotaSettings,
             Clock clock) {
         this.vertx = vertx;
         this.log = log;
@@ -77,29 +83,47 @@
         time = new ServerClock(log, clock);
         vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
-        fleet = sharing.isEmpty() || file.peerListen() == null ? null
-                : new FleetSide(vertx, log, sharing.get(), file.terms().started(), (to, bytes) -> peers().send(to, bytes), time);
-        loop = new LogicLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
-        clients = new ClientSide(vertx, log, loop, file.terms(), limits, time);
-        servers = new ServerSide(vertx, log, file.terms(), limits, this::makeRoom, time);
-        peers = file.peerListen() == null ? null : new PeerSide(vertx, log, loop, file.peers());
+        fleet = quotaSettings.isEmpty() || file.peerListen() == null
+                ? null
+                : new MembershipTransport(
+                        vertx,
+                        log,
+                        quotaSettings.get(),
+                        file.settings().started(),
+                        (to, bytes) -> peers().send(to, bytes),
+                        time);
+        loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
+        clients = new ClientConnections(vertx, log, loop, file.settings(), limits, time);
+        servers = new ServerConnections(vertx, log, file.settings(), limits, this::makeRoom, time);
+        peers = file.peerListen() == null ? null : new GossipTransport(vertx, log, loop, file.peers());
         if (peers != null) {
             peers.datedBy(time);
         }
         if (fleet != null) {
             peers.readFirst(fleet::hears);
         }
-        past = fleet == null || fleet.shared().replicas() == null ? null : new ReplicaSide(vertx, log, loop, clients,
-                file.terms(), sharing.get().keeping(), fleet.shared().replicas(), fleet::keeps, time);
+        past = fleet == null || fleet.shared().replicas() == null
+                ? null
+                : new ReplicationCoordinator(
+                        vertx,
+                        log,
+                        loop,
+                        clients,
+                        file.settings(),
+                        quotaSettings.get().keeping(),
+                        fleet.shared().replicas(),
+                        fleet::keeps,
+                        time);
         if (past != null) {
             clients.past(past);
             fleet.whenHeard(past::ended);
         }
-        discovery = new Discovery(vertx, log, file.terms(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
+        discovery = new Discovery(
+                vertx, log, file.settings(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
         time.whenChanged(this::datedAnew);
     }
 
-    private PeerSide peers() {
+    private GossipTransport peers() {
         return peers;
     }
 
@@ -115,44 +139,53 @@
 
     private static Vertx vertx(SleepingTransport transport) {
         System.setProperty("vertx.disableDnsResolver", "true");
-        return Vertx.builder().withTransport(transport).with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setBlockedThreadCheckInterval(60_000)
-                .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
-                        .setClassPathResolvingEnabled(false))).build();
+        return Vertx.builder()
+                .withTransport(transport)
+                .with(new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setBlockedThreadCheckInterval(60_000)
+                        .setFileSystemOptions(new FileSystemOptions()
+                                .setFileCachingEnabled(false)
+                                .setClassPathResolvingEnabled(false)))
+                .build();
     }
 
     /** Practises, then starts a gateway; done when it listens. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file) {
+    public static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file) {
         return start(vertx, log, file, Optional.empty());
     }
 
     /** The same, by that clock. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Clock clock) {
+    public static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Clock clock) {
         return start(vertx, log, file, Optional.empty(), clock);
     }
 
     /** The same, with the fleet's parts that this file switches on. Optional, so that where there is none its class is not loaded. */
-    public static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<Sharing> fleet) {
+    public static Future<Gateway> start(Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet) {
         return start(vertx, log, file, fleet, Clock.system());
     }
 
-    private static Future<Gateway> start(Vertx vertx, Log log, GatewayFile file, Optional<Sharing> fleet, Clock clock) {
+    private static Future<Gateway> start(
+            Vertx vertx, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Context context = vertx.getOrCreateContext();
-        return WarmUp.run(vertx, log, file, clock).compose(x -> unpractised(vertx, context, log, file, fleet, clock));
+        return StartupWarmUp.run(vertx, log, file, clock)
+                .compose(x -> unpractised(vertx, context, log, file, fleet, clock));
     }
 
     /** Starts a gateway as it is, for one that has practised in this process; done when it listens. */
-    public static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file) {
+    public static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, ConfigurationFile file) {
         return unpractised(vertx, context, log, file, Clock.system());
     }
 
     /** The same, by that clock. */
-    static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Clock clock) {
+    static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, ConfigurationFile file, Clock clock) {
         return unpractised(vertx, context, log, file, Optional.empty(), clock);
     }
 
-    private static Future<Gateway> unpractised(Vertx vertx, Context context, Log log, GatewayFile file, Optional<Sharing> fleet,
-            Clock clock) {
+    private static Future<Gateway> unpractised(
+            Vertx vertx, Context context, Log log, ConfigurationFile file, Optional<QuotaSettings> fleet, Clock clock) {
         Promise<Gateway> listening = Promise.promise();
         context.runOnContext(x -> new Gateway(vertx, context, log, file, fleet, clock).listen(listening));
         return listening.future();
@@ -170,7 +203,10 @@
 
     /** Listens for clients; again a little later where this machine lacked descriptors or buffers for the socket. */
     private Future<NetServer> bindListener(int triesLeft) {
-        return vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true).setAcceptBacklog(1024))
+        return vertx.createNetServer(new NetServerOptions()
+                        .setTcpNoDelay(true)
+                        .setReuseAddress(true)
+                        .setAcceptBacklog(1024))
                 .connectHandler(clients::accept)
                 .listen(file.listen().getPort(), file.listen().getAddress().getHostAddress())
                 .recover(e -> {
@@ -194,14 +230,21 @@
             listed(file.known());
             discovery.follow();
             long since = time.clock().monotonicMs();
-            when(() -> peers == null ? firstProbesEnded() : peers.heard() ? probesEnded > 0
-                            : firstProbesEnded() && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
-                    (int) (file.terms().connectLimit() / 10 / START_LOOK_MS) + 1, 1, () -> {
-                clients.ready();
-                log.line("gateway " + file.name() + " listens at " + file.listen().getAddress().getHostAddress()
-                        + ":" + port() + ", " + file.known().entries().size() + " servers known");
-                listening.complete(this);
-            });
+            when(
+                    () -> peers == null
+                            ? firstProbesEnded()
+                            : peers.heard()
+                                    ? probesEnded > 0
+                                    : firstProbesEnded() && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
+                    (int) (file.settings().connectLimit() / 10 / START_LOOK_MS) + 1,
+                    1,
+                    () -> {
+                        clients.ready();
+                        log.line("gateway " + file.name() + " listens at "
+                                + file.listen().getAddress().getHostAddress() + ":" + port() + ", "
+                                + file.known().entries().size() + " servers known");
+                        listening.complete(this);
+                    });
         });
     }
 
@@ -212,9 +255,20 @@
 
     /** What the module is told; where the fleet keeps sessions, each op brings how far its reads must reach. */
     private Event.Started started() {
-        Event.Started s = file.terms().started();
-        return past == null ? s : new Event.Started(s.seed(), s.gateways(), s.opTypes(), s.tenants(), s.beyondShareValue(),
-                s.pledges(), s.permits(), past.copies(s.copies()), s.listOnDemand(), s.me());
+        Event.Started s = file.settings().started();
+        return past == null
+                ? s
+                : new Event.Started(
+                        s.seed(),
+                        s.gateways(),
+                        s.requestClasses(),
+                        s.tenants(),
+                        s.beyondShareValue(),
+                        s.guarantees(),
+                        s.capabilities(),
+                        past.copies(s.copies()),
+                        s.listOnDemand(),
+                        s.me());
     }
 
     /** Does the next thing once this was so at that many looks, or after the most looks. */
@@ -229,7 +283,8 @@
     /** Has ended what the limits say makes way for one more connection to a server; false where none may be opened yet. */
     private boolean makeRoom() {
         while (!limits.serverFits()) {
-            ConnectionLimits.Leave<ClientSide.Session> way = limits.wayForServer(time.clock().monotonicMs());
+            ConnectionLimits.Eviction<ClientConnections.Session> way =
+                    limits.wayForServer(time.clock().monotonicMs());
             if (way != null) {
                 clients.end(way);
             } else if (!servers.closeLongestIdle()) {
@@ -247,32 +302,36 @@
 
     private void listed(ServerList list) {
         if (list.whole()) {
-            starts.keySet().retainAll(list.entries().stream().map(e -> e.listing().server()).collect(Collectors.toSet()));
+            starts.keySet()
+                    .retainAll(list.entries().stream()
+                            .map(e -> e.listing().server())
+                            .collect(Collectors.toSet()));
         }
-        List<Listing> listings = list.entries().stream().map(e -> dated(e.listing())).toList();
-        for (GatewayFile.Entry e : list.entries()) {
+        List<Endpoint> endpoints =
+                list.entries().stream().map(e -> dated(e.listing())).toList();
+        for (ConfigurationFile.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
             }
-            if (e.listing().stage() == Listing.Stage.GONE) {
+            if (e.listing().stage() == Endpoint.EndpointState.GONE) {
                 servers.closeIdle(e.listing().server());
             }
         }
-        loop.tell(new Event.ListTold(list.whole(), false, listings));
+        loop.tell(new Event.EndpointUpdate(list.whole(), false, endpoints));
     }
 
     /** The listing with its start as service time, the same each time that the same start is listed. */
-    private Listing dated(Listing l) {
+    private Endpoint dated(Endpoint l) {
         Start start = starts.get(l.server());
         if (start == null || start.wall() != l.startedAt()) {
             start = new Start(l.startedAt(), time.start(l.startedAt()));
         }
-        if (l.stage() == Listing.Stage.GONE) {
+        if (l.stage() == Endpoint.EndpointState.GONE) {
             starts.remove(l.server());
         } else {
             starts.put(l.server(), start);
         }
-        return new Listing(l.server(), l.group(), l.zone(), l.stage(), l.primary(), start.serviceTime());
+        return new Endpoint(l.server(), l.group(), l.zone(), l.stage(), l.primary(), start.serviceTime());
     }
 
     private void datedAnew() {
@@ -286,89 +345,96 @@
     }
 
     @Override
-    public void send(Action.Send a) {
-        ClientSide.Taken t = clients.taken(a.op());
+    public void send(Action.StartAttempt a) {
+        ClientConnections.AcceptedRequest t = clients.taken(a.request());
         if (t == null) { // its client has gone while the module was deciding
-            loop.tell(new Event.SendEnded(a.op(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
-            answered(a.op());
+            loop.tell(
+                    new Event.AttemptEnded(a.request(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
+            answered(a.request());
             return;
         }
         int number = t.nextSend();
         int changes = time.changes();
         if (past != null) {
-            past.sent(a.op());
+            past.sent(a.request());
         }
         // The process may have been paused since the module read the clock; its limit goes on from there.
         long left = a.timeLimit() - (time.now() - loop.decidedAt());
-        // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its server may
+        // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its
+        // server may
         // drain by now, with the grace for that long over.
-        servers.send(a.op(), a.server(), left,
-                () -> clients.waits(t) && loop.mayReceive(a.server()) && (a.writeBy() == Long.MAX_VALUE
-                        || time.changes() == changes && time.now() <= a.writeBy()),
-                waitMs -> PgCodec.ask(t.ask(), waitMs),
-                outcome -> sendEnded(a.op(), number, a.server(), outcome));
-    }
-
-    private void sendEnded(OpId op, int number, ServerId server, ServerSide.AttemptEnd o) {
+        servers.send(
+                a.request(),
+                a.server(),
+                left,
+                () -> clients.waits(t)
+                        && loop.mayReceive(a.server())
+                        && (a.writeBy() == Long.MAX_VALUE || time.changes() == changes && time.now() <= a.writeBy()),
+                waitMs -> MessageWriter.request(t.ask(), waitMs),
+                outcome -> sendEnded(a.request(), number, a.server(), outcome));
+    }
+
+    private void sendEnded(RequestId request, int number, ServerId server, ServerConnections.AttemptEnd o) {
         if (past != null) {
-            past.sendEnded(op, o.outcome(), o.row() != null);
+            past.sendEnded(request, o.outcome(), o.row() != null);
         }
         if (o.row() != null && past != null) {
-            past.acked(op, o.row(), o.note(), server);
+            past.acked(request, o.row(), o.note(), server);
         } else if (o.row() != null) {
-            clients.acked(op, o.row());
+            clients.acked(request, o.row());
         }
-        boolean settled = o.row() != null || clients.taken(op) == null; // its answer may still wait for copies
-        loop.tell(new Event.SendEnded(op, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
+        boolean settled = o.row() != null || clients.taken(request) == null; // its answer may still wait for copies
+        loop.tell(
+                new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
     }
 
     @Override
-    public void callOff(Action.CallOff a) {
-        servers.callOff(a.op());
+    public void cancel(Action.CancelAttempt a) {
+        servers.cancel(a.request());
     }
 
     @Override
-    public void busyReply(Action.BusyReply a) {
-        clients.busyReplied(a.op(), a.comeBackIn());
-        answered(a.op());
+    public void rejectRequest(Action.RejectRequest a) {
+        clients.busyReplied(a.request(), a.retryAfter());
+        answered(a.request());
     }
 
-    private void answered(OpId op) {
+    private void answered(RequestId request) {
         if (past != null) {
-            past.over(op);
+            past.over(request);
         }
     }
 
     @Override
-    public void errorReply(Action.ErrorReply a) {
-        clients.errored(a.op());
-        answered(a.op());
+    public void failRequest(Action.FailRequest a) {
+        clients.errored(a.request());
+        answered(a.request());
     }
 
     @Override
-    public void probe(Action.Probe a) {
+    public void probe(Action.CheckHealth a) {
         probesOut++;
         servers.probe(a.server(), o -> {
             probesOut--;
             probesEnded++;
-            loop.tell(new Event.ProbeEnded(a.server(), o.outcome(), o.report()));
+            loop.tell(new Event.HealthCheckEnded(a.server(), o.outcome(), o.report()));
         });
     }
 
     @Override
-    public void closeIdle(Action.CloseIdle a) {
+    public void closeIdle(Action.CloseIdleConnections a) {
         servers.closeIdle(a.server());
     }
 
     @Override
-    public void tell(Action.Tell a) {
+    public void tell(Action.SendGossip a) {
         if (peers != null) {
             peers.tell(a);
         }
     }
 
     @Override
-    public void followList() {
+    public void watchEndpoints() {
         discovery.follow();
     }
 
@@ -382,11 +448,15 @@
 
     /** The same, with its times counted from the signal, which this loop may have come to late. */
     public void endPlanned(long signalNanos, CountDownLatch done) {
-        long longest = file.terms().started().opTypes().stream().mapToLong(OpType::opTimeout).max().orElse(0) / 10;
+        long longest = file.settings().started().requestClasses().stream()
+                        .mapToLong(RequestClass::timeout)
+                        .max()
+                        .orElse(0)
+                / 10;
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
         long began = signalNanos / 1_000_000;
-        GracefulShutdown shutdown = new GracefulShutdown(killed, clients.opsPerSecond());
-        log.line("planned restart: " + clients.sessions() + " connections, " + clients.opsInHand()
+        GracefulShutdown shutdown = new GracefulShutdown(killed, clients.requestsPerSecond());
+        log.line("planned restart: " + clients.sessions() + " connections, " + clients.requestsInFlight()
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
         long answersIn = Math.max(1, shutdown.answersBy() - (time.clock().monotonicMs() - began));
         clients.answerAllBy(time.now() + answersIn * 10);
@@ -411,11 +481,11 @@
                 case OVER -> {
                     vertx.cancelTimer(timer);
                     clients.stopReading(); // before the process exits, which takes a moment
-                    log.line("planned restart: ends after " + passed + " ms, " + clients.opsInHand() + " ops unanswered, "
-                            + clients.sessions() + " connections");
+                    log.line("planned restart: ends after " + passed + " ms, " + clients.requestsInFlight()
+                            + " ops unanswered, " + clients.sessions() + " connections");
                     done.countDown();
                 }
-                default -> { }
+                default -> {}
             }
         });
     }
@@ -428,20 +498,24 @@
      * configuration in force behind a later one.
      */
     public synchronized void renew(Path path) {
-        GatewayFile next;
+        ConfigurationFile next;
         try {
-            next = GatewayFile.read(path);
+            next = ConfigurationFile.read(path);
         } catch (RuntimeException e) {
             log.line("new configuration not taken, all goes on as before: " + e.getMessage());
             return;
         }
         runOnLoop(() -> {
-            GatewayFile was = file;
+            ConfigurationFile was = file;
             file = next;
             limits.renew(next.sockets());
             boolean kept = next.listen().equals(was.listen())
-                    && next.terms().started().opTypes().equals(was.terms().started().opTypes());
-            log.line("new configuration: discovery at " + next.discovery().getAddress().getHostAddress() + ":"
+                    && next.settings()
+                            .started()
+                            .requestClasses()
+                            .equals(was.settings().started().requestClasses());
+            log.line("new configuration: discovery at "
+                    + next.discovery().getAddress().getHostAddress() + ":"
                     + next.discovery().getPort() + ", " + next.sockets() + " descriptors"
                     + (kept ? "" : "; what else it says needs a restart"));
             discovery.follow(next.discovery());
--- a/gateway/src/main/java/ploverdale/net/PeerSide.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiPredicate;
-import ploverdale.hearsay.Datagram;
+import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
@@ -21,12 +21,12 @@
  * module says. Must never read or make a message, repeat one, answer one, or pass on one from an address that is not
  * among the instances'.
  */
-final class PeerSide {
+final class GossipTransport {
     private static final long REOPEN_FIRST_MS = 20; // after a failure; doubled each time, until a datagram has come
     private static final long REOPEN_MOST_MS = 2000;
 
     private final Log log;
-    private final LogicLoop loop;
+    private final RouterEventLoop loop;
     private final List<InetSocketAddress> peers;
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Vertx vertx;
@@ -38,13 +38,17 @@
     private BiPredicate<Integer, byte[]> others = (from, bytes) -> false;
     private ServerClock time; // null: all read the same clock
 
-    PeerSide(Vertx vertx, Log log, LogicLoop loop, List<InetSocketAddress> peers) {
+    GossipTransport(Vertx vertx, Log log, RouterEventLoop loop, List<InetSocketAddress> peers) {
         this.vertx = vertx;
         this.log = log;
         this.loop = loop;
         this.peers = peers;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(name(peers.get(i).getAddress().getHostAddress(), peers.get(i).getPort()), i);
+            numbers.put(
+                    name(
+                            peers.get(i).getAddress().getHostAddress(),
+                            peers.get(i).getPort()),
+                    i);
         }
     }
 
@@ -69,15 +73,18 @@
             reopenLater("cannot be opened: " + e);
             return Future.succeededFuture();
         }
-        return opening.listen(at.getPort(), at.getAddress().getHostAddress()).<Void>mapEmpty().onSuccess(x -> {
-            socket = opening;
-            opening.handler(this::came);
-            opening.exceptionHandler(e -> failed(opening, e));
-        }).otherwise(e -> {
-            opening.close();
-            reopenLater("cannot be bound: " + e);
-            return null;
-        });
+        return opening.listen(at.getPort(), at.getAddress().getHostAddress())
+                .<Void>mapEmpty()
+                .onSuccess(x -> {
+                    socket = opening;
+                    opening.handler(this::came);
+                    opening.exceptionHandler(e -> failed(opening, e));
+                })
+                .otherwise(e -> {
+                    opening.close();
+                    reopenLater("cannot be bound: " + e);
+                    return null;
+                });
     }
 
     /** The socket failed to receive; Vert.x closes it then, whatever the failure was. */
@@ -117,7 +124,7 @@
             return; // all that it says is dated
         }
         heard = true;
-        loop.tell(new Event.PeerMessage(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
+        loop.tell(new Event.GossipReceived(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
     }
 
     /** Whether any other instance has spoken. */
@@ -135,7 +142,7 @@
         this.time = time;
     }
 
-    void tell(Action.Tell a) {
+    void tell(Action.SendGossip a) {
         if (time == null || time.isKnown()) {
             send(a.peer(), time == null ? a.bytes() : Datagram.redated(a.bytes(), time.offset()));
         }
--- a/gateway/src/main/java/ploverdale/net/FleetSide.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -3,17 +3,17 @@
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.function.ObjLongConsumer;
-import ploverdale.budgets.Shared;
-import ploverdale.budgets.Sharing;
-import ploverdale.fleet.Packing;
 import ploverdale.log.Log;
+import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Started;
+import ploverdale.quota.QuotaNode;
+import ploverdale.quota.QuotaSettings;
 
 /**
  * Owns the clock and the ways of what the fleet agrees on: hands parcels in and out, and looks round. Must never decide who
  * is alive or who gets which part, and must look at a clock that never steps.
  */
-final class FleetSide {
+final class MembershipTransport {
     /** Sends bytes to another gateway. */
     interface Out {
         void send(int to, byte[] bytes);
@@ -23,24 +23,25 @@
 
     private final Log log;
     private final Out out;
-    private final Shared shared;
-    private Runnable heard = () -> { };
+    private final QuotaNode shared;
+    private Runnable heard = () -> {};
 
-    FleetSide(Vertx vertx, Log log, Sharing sharing, Started told, Out out, ServerClock time) {
+    MembershipTransport(Vertx vertx, Log log, QuotaSettings quotaSettings, Started told, Out out, ServerClock time) {
         this.log = log;
         this.out = out;
-        shared = new Shared(sharing, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
-        vertx.setPeriodic(Shared.LOOK / 10, x -> sends(shared.due()));
+        shared = new QuotaNode(
+                quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
+        vertx.setPeriodic(QuotaNode.LOOK / 10, x -> sends(shared.due()));
         vertx.setPeriodic(LINE_MS, x -> log.line(shared.figures()));
         lines();
     }
 
     /** What the module may spend. */
-    Shared shared() {
+    QuotaNode shared() {
         return shared;
     }
 
-    private void sends(List<Packing.Letter> letters) {
+    private void sends(List<PacketQueue.OutboundPacket> letters) {
         letters.forEach(l -> out.send(l.to(), l.bytes()));
         lines();
         heard.run();
@@ -52,7 +53,7 @@
     }
 
     /** Has something asked or told by what is kept, and sends what that brings. */
-    void keeps(ObjLongConsumer<Packing> what) {
+    void keeps(ObjLongConsumer<PacketQueue> what) {
         shared.keeps(what).forEach(l -> out.send(l.to(), l.bytes()));
         lines();
     }
@@ -70,7 +71,7 @@
 
     /** Whether this datagram is the fleet's; it has been read if it is. */
     boolean hears(int from, byte[] bytes) {
-        List<Packing.Letter> answers = shared.hears(from, bytes);
+        List<PacketQueue.OutboundPacket> answers = shared.hears(from, bytes);
         if (answers != null) {
             sends(answers);
         }
--- a/gateway/src/main/java/ploverdale/net/LogicLoop.java
+++ b/gateway/src/main/java/ploverdale/net/RouterEventLoop.java
@@ -4,41 +4,42 @@
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import ploverdale.Logic;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.Allotment;
 import ploverdale.model.Event;
+import ploverdale.model.Quota;
 import ploverdale.model.ServerId;
+import ploverdale.routing.Router;
 
 /**
  * Sole owner of the decision module: takes events from a queue, hands each to the module with the clock,
  * has the actions carried out in order, and keeps the wake-ups. Must never choose, drop or reorder anything,
  * and must never let the module see the clock go back or a wake-up come early.
  */
-public final class LogicLoop {
+public final class RouterEventLoop {
     /** Those who carry out actions. */
-    public interface Hands {
-        void send(Action.Send send);
+    public interface ActionHandler {
+        void send(Action.StartAttempt send);
 
-        void callOff(Action.CallOff callOff);
+        void cancel(Action.CancelAttempt cancel);
 
-        void busyReply(Action.BusyReply reply);
+        void rejectRequest(Action.RejectRequest reply);
 
-        void errorReply(Action.ErrorReply reply);
+        void failRequest(Action.FailRequest reply);
 
-        void probe(Action.Probe probe);
+        void probe(Action.CheckHealth probe);
 
-        void closeIdle(Action.CloseIdle close);
+        void closeIdle(Action.CloseIdleConnections close);
 
-        void followList();
+        void watchEndpoints();
 
-        void tell(Action.Tell tell);
+        void tell(Action.SendGossip tell);
     }
 
     private static final long TICK_MS = 10;
-    private static final long LATE = 200; // from an event to its turn, in tenths of a millisecond; usually a part of one
+    private static final long LATE =
+            200; // from an event to its turn, in tenths of a millisecond; usually a part of one
     private static final long READ_ON_MS = 1; // after a standstill, for what came during it
     private static final long DELAY_REPORTED_MS = 50; // shorter ones make no health check fail
     private static final int READ_ON_TURNS = 3; // one to accept the connection of a cancel message, one to read it
@@ -47,8 +48,8 @@
     private final Vertx vertx;
     private final Context context;
     private final Log log;
-    private final Hands hands;
-    private final Logic logic;
+    private final ActionHandler actionHandler;
+    private final Router router;
     private final Clock clock;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean due;
@@ -58,16 +59,17 @@
     private long lastTick;
     private long tickBefore;
 
-    /** @param allotment what the module may spend of the fleet's budgets, or null */
-    public LogicLoop(Vertx vertx, Context context, Log log, Hands hands, Allotment allotment, Clock clock) {
+    /** @param quota what the module may spend of the fleet's budgets, or null */
+    public RouterEventLoop(
+            Vertx vertx, Context context, Log log, ActionHandler actionHandler, Quota quota, Clock clock) {
         this.clock = clock;
         lastTick = clock.now();
         tickBefore = lastTick;
-        logic = new Logic(allotment);
+        router = new Router(quota);
         this.vertx = vertx;
         this.context = context;
         this.log = log;
-        this.hands = hands;
+        this.actionHandler = actionHandler;
         vertx.setPeriodic(TICK_MS, x -> {
             tickBefore = lastTick;
             lastTick = clock.now();
@@ -121,7 +123,7 @@
 
     /** Whether requests may still be written to this server; for attempts that had to wait for their connection. */
     public boolean mayReceive(ServerId server) {
-        return logic.mayReceive(server);
+        return router.mayReceive(server);
     }
 
     /** The time by which the module decided on the action that is being carried out; spans in it count from then. */
@@ -152,49 +154,50 @@
         for (Event h = queue.poll(); h != null; h = queue.poll()) {
             try {
                 decidedAt = clock.now();
-                for (Action a : logic.on(decidedAt, h)) {
+                for (Action a : router.on(decidedAt, h)) {
                     act(a);
                 }
             } catch (RuntimeException e) {
                 log.fault("module fault on " + h.getClass().getSimpleName(), e);
-                if (h instanceof Event.OpArrived a) {
-                    hands.errorReply(new Action.ErrorReply(a.op())); // an op taken is answered all the same
+                if (h instanceof Event.RequestArrived a) {
+                    actionHandler.failRequest(
+                            new Action.FailRequest(a.request())); // an op taken is answered all the same
                 }
             }
         }
     }
 
     private void act(Action action) {
-        if (action instanceof Action.Send a) {
-            hands.send(a);
-        } else if (action instanceof Action.CallOff a) {
-            hands.callOff(a);
-        } else if (action instanceof Action.BusyReply a) {
-            hands.busyReply(a);
-        } else if (action instanceof Action.ErrorReply a) {
-            hands.errorReply(a);
-        } else if (action instanceof Action.Wake a) {
+        if (action instanceof Action.StartAttempt a) {
+            actionHandler.send(a);
+        } else if (action instanceof Action.CancelAttempt a) {
+            actionHandler.cancel(a);
+        } else if (action instanceof Action.RejectRequest a) {
+            actionHandler.rejectRequest(a);
+        } else if (action instanceof Action.FailRequest a) {
+            actionHandler.failRequest(a);
+        } else if (action instanceof Action.SetTimer a) {
             wakeAt(a);
-        } else if (action instanceof Action.Probe a) {
-            hands.probe(a);
-        } else if (action instanceof Action.CloseIdle a) {
-            hands.closeIdle(a);
-        } else if (action instanceof Action.FollowList) {
-            hands.followList();
-        } else if (action instanceof Action.Tell a) {
-            hands.tell(a);
+        } else if (action instanceof Action.CheckHealth a) {
+            actionHandler.probe(a);
+        } else if (action instanceof Action.CloseIdleConnections a) {
+            actionHandler.closeIdle(a);
+        } else if (action instanceof Action.WatchEndpoints) {
+            actionHandler.watchEndpoints();
+        } else if (action instanceof Action.SendGossip a) {
+            actionHandler.tell(a);
         } else if (action instanceof Action.LogLine a) {
             log.line(a.text());
         }
     }
 
     /** Guards against timers that count another clock: an early one is set again, since the module asks once. */
-    private void wakeAt(Action.Wake wake) {
+    private void wakeAt(Action.SetTimer wake) {
         vertx.setTimer(Math.max(1, (wake.at() - clock.now() + 9) / 10), x -> {
             if (clock.now() < wake.at()) {
                 wakeAt(wake);
             } else {
-                tell(new Event.WakeUp(wake.mark()));
+                tell(new Event.TimerFired(wake.mark()));
             }
         });
     }
--- a/gateway/src/main/java/ploverdale/net/ServerSide.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -15,34 +15,44 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
+import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.OpId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
-import ploverdale.limits.ConnectionLimits;
-import ploverdale.terms.Terms;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
+import ploverdale.settings.GatewaySettings;
 
 /**
  * Owns the connections to database servers: opens, reuses and closes them, writes each send or probe once, and
  * tells how it ended with how far it had come. Must never choose a server, repeat anything, write what no send
  * or probe asked for, or let a late answer reach another op: giving up closes the connection.
  */
-public final class ServerSide {
+public final class ServerConnections {
     /** How far a send had come. What is not written whole has not run; after that it may have. */
-    public enum Reach { NO_CONNECTION, NOT_WRITTEN, IN_DOUBT, WRITTEN }
+    public enum Reach {
+        NO_CONNECTION,
+        NOT_WRITTEN,
+        IN_DOUBT,
+        WRITTEN
+    }
 
     /** How a send ended. The row is there when it was acked; note and report may be null. */
-    public record AttemptEnd(Outcome outcome, Reach reach, PgCodec.Row row, Report note, Report report, long took) {}
+    public record AttemptEnd(
+            Outcome outcome, Reach reach, ResultRow row, LoadReport note, LoadReport report, long took) {}
 
     /** Hears the outcome of a send or probe, once. */
-    public interface Ear {
+    public interface AttemptListener {
         void ended(AttemptEnd outcome);
     }
 
     /** What a send or probe writes, given the wait that is left, at least 1. */
-    public interface Text {
+    public interface RequestEncoder {
         Buffer bytes(long waitMs);
     }
 
@@ -50,8 +60,10 @@
     private static final int SURPLUS_PARTS = 8; // of that time, for one where another is idle, too
     private static final int TOLD_MOST = 64; // a bound on memory; an answer tells a few
     private static final int BESIDE_MOST = 1000; // values told and notices beside one answer, or between two
-    private static final long LONG_IDLE = 20_000; // as long as a server counts as heard; a probe goes before the next request
-    private static final long PROBE_PATIENCE_MS = 100; // many times what a probe takes, short beside what a request may take
+    private static final long LONG_IDLE =
+            20_000; // as long as a server counts as heard; a probe goes before the next request
+    private static final long PROBE_PATIENCE_MS =
+            100; // many times what a probe takes, short beside what a request may take
     private static final long REST = 50; // after an answer, in tenths of a ms; a close behind it has come by then
     private static final int TENTHS_A_MS = 10;
     private static final int OPEN_TRIES = 10; // for room
@@ -61,32 +73,40 @@
 
     private final Vertx vertx;
     private final Log log;
-    private final Terms terms;
+    private final GatewaySettings settings;
     private final ConnectionLimits<?> limits;
     private final BooleanSupplier makeRoom;
     private final ServerClock time;
     private final NetClient net;
     private final Map<ServerId, Server> servers = new HashMap<>();
-    private final Map<OpId, Sending> byOp = new HashMap<>();
+    private final Map<RequestId, Attempt> byOp = new HashMap<>();
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
-    private final Losses losses = new Losses();
-
-    ServerSide(Vertx vertx, Log log, Terms terms, ConnectionLimits<?> limits, BooleanSupplier makeRoom, ServerClock time) {
+    private final IdleConnectionLossRate losses = new IdleConnectionLossRate();
+
+    ServerConnections(
+            Vertx vertx,
+            Log log,
+            GatewaySettings settings,
+            ConnectionLimits<?> limits,
+            BooleanSupplier makeRoom,
+            ServerClock time) {
         this.vertx = vertx;
         this.log = log;
-        this.terms = terms;
+        this.settings = settings;
         this.limits = limits;
         this.makeRoom = makeRoom;
         this.time = time;
-        net = vertx.createNetClient(new NetClientOptions().setConnectTimeout((int) ((terms.connectLimit() + 9) / 10))
-                .setReconnectAttempts(0).setTcpNoDelay(true));
-        vertx.setPeriodic(Math.max(10, terms.idleLimit() / 10 / LOOKS), x -> closeOld());
+        net = vertx.createNetClient(new NetClientOptions()
+                .setConnectTimeout((int) ((settings.connectLimit() + 9) / 10))
+                .setReconnectAttempts(0)
+                .setTcpNoDelay(true));
+        vertx.setPeriodic(Math.max(10, settings.idleLimit() / 10 / LOOKS), x -> closeOld());
     }
 
     private static final class Server {
         private final ServerId id;
         private final Deque<Connection> free = new ArrayDeque<>(); // latest last
-        private final Set<Sending> waiting = new LinkedHashSet<>();
+        private final Set<Attempt> waiting = new LinkedHashSet<>();
         private InetSocketAddress address;
 
         private Server(ServerId id) {
@@ -95,12 +115,12 @@
     }
 
     /** One send or probe under way. */
-    private final class Sending {
-        private final OpId op;
+    private final class Attempt {
+        private final RequestId request;
         private final Server server;
         private final BooleanSupplier wanted; // right before it is written
-        private final Text text;
-        private final Ear ear;
+        private final RequestEncoder text;
+        private final AttemptListener ear;
         private final long startedAt = time.now();
         private final long limit;
         private final long timer;
@@ -109,11 +129,18 @@
         private boolean over;
         private int opensLeft = OPEN_TRIES;
         private boolean lacksLocally; // descriptors, ports or the like kept its connection from being made
-        private long silentAfter = -1; // idle time of the connection that this probe was moved from; below 0: it was not
-
-        private Sending(OpId op, Server server, long limit, BooleanSupplier wanted, Text text, Ear ear) {
+        private long silentAfter =
+                -1; // idle time of the connection that this probe was moved from; below 0: it was not
+
+        private Attempt(
+                RequestId request,
+                Server server,
+                long limit,
+                BooleanSupplier wanted,
+                RequestEncoder text,
+                AttemptListener ear) {
             this.wanted = wanted;
-            this.op = op;
+            this.request = request;
             this.server = server;
             this.limit = limit;
             this.text = text;
@@ -121,15 +148,15 @@
             timer = vertx.setTimer(Math.max(1, (limit + 9) / 10), x -> giveUp(this, Outcome.TIMED_OUT));
         }
 
-        private void end(Outcome outcome, PgCodec.Row row, Report note, Report report) {
+        private void end(Outcome outcome, ResultRow row, LoadReport note, LoadReport report) {
             if (over) {
                 return;
             }
             over = true;
             vertx.cancelTimer(timer);
             server.waiting.remove(this);
-            if (op != null) {
-                byOp.remove(op, this);
+            if (request != null) {
+                byOp.remove(request, this);
             }
             ear.ended(new AttemptEnd(outcome, reach, row, note, report, Math.max(0, time.now() + 1 - startedAt)));
         }
@@ -148,17 +175,23 @@
      * Writes the text to the server on a free connection, or on a new one; the limit is in tenths of a ms. It counts as never
      * sent if it is not wanted any more when its connection is there.
      */
-    public void send(OpId op, ServerId id, long limit, BooleanSupplier wanted, Text text, Ear ear) {
+    public void send(
+            RequestId request,
+            ServerId id,
+            long limit,
+            BooleanSupplier wanted,
+            RequestEncoder text,
+            AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Sending x = new Sending(op, s, limit, wanted, text, ear);
-        if (op != null) {
-            byOp.put(op, x);
+        Attempt x = new Attempt(request, s, limit, wanted, text, ear);
+        if (request != null) {
+            byOp.put(request, x);
         }
         assign(s, x);
     }
 
     /** Writes to a free connection, or to a new one once it is up. */
-    private void assign(Server s, Sending x) {
+    private void assign(Server s, Attempt x) {
         Connection c = free(s);
         if (c != null) {
             s.free.remove(c);
@@ -171,19 +204,19 @@
     }
 
     /** Opens a connection, perhaps once others have given back their descriptors; a free one may come first. */
-    private void openOrWait(Server s, Sending x) {
+    private void openOrWait(Server s, Attempt x) {
         if (x.over || x.on != null || open(s, x)) {
             return;
         }
         x.lacksLocally = s.address != null;
         if (s.address == null || !openAgainLater(s, x)) {
             log.often("no room for a connection", "to server " + s.id.text() + ", " + limits.servers() + " to servers");
-            x.end(unsentOutcome(x, Outcome.NOT_CONNECTED), null, null, null);
+            x.end(unsentOutcome(x, Outcome.CONNECT_FAILED), null, null, null);
         }
     }
 
     /** Opens a connection a moment later, or takes one that is free by then; false where that was done often enough. */
-    private boolean openAgainLater(Server s, Sending x) {
+    private boolean openAgainLater(Server s, Attempt x) {
         if (x.opensLeft == 0) {
             return false;
         }
@@ -196,8 +229,8 @@
      * The outcome of an attempt that found no connection. A request was never sent, whatever the cause; a health check says
      * nothing about its server only where the cause was a local one.
      */
-    private static Outcome unsentOutcome(Sending x, Outcome ofServer) {
-        return x.op != null || x.lacksLocally ? Outcome.NEVER_SENT : ofServer;
+    private static Outcome unsentOutcome(Attempt x, Outcome ofServer) {
+        return x.request != null || x.lacksLocally ? Outcome.NEVER_SENT : ofServer;
     }
 
     /**
@@ -220,7 +253,7 @@
     }
 
     /** How many kept connections were lately lost at their next send, by how long they had been idle. */
-    private static final class Losses {
+    private static final class IdleConnectionLossRate {
         private static final long FIRST = 500; // doubled a step; shorter rests are not judged
         private static final double NEWEST = 0.1;
         private static final double TOO_MANY = 0.3; // more than resets by chance would make
@@ -249,16 +282,22 @@
      * A probe: how the server is, in as long as a connection may take to make. Where it goes to a connection that has been idle for
      * long and is not answered soon, it moves to a new one: the server or the way may have forgotten the old one.
      */
-    public void probe(ServerId id, Ear ear) {
+    public void probe(ServerId id, AttemptListener ear) {
         Server s = servers.computeIfAbsent(id, Server::new);
-        Sending x = new Sending(null, s, terms.connectLimit(), () -> true, waitMs -> PgCodec.probe(terms.reportsInProbes()), ear);
+        Attempt x = new Attempt(
+                null,
+                s,
+                settings.connectLimit(),
+                () -> true,
+                waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()),
+                ear);
         assign(s, x);
         if (x.on != null && x.on.rest >= LONG_IDLE) {
             vertx.setTimer(PROBE_PATIENCE_MS, y -> moveSilentProbe(x));
         }
     }
 
-    private void moveSilentProbe(Sending probe) {
+    private void moveSilentProbe(Attempt probe) {
         if (!probe.over && probe.on != null && probe.silentAfter < 0) {
             NioSockets.readNow(probe.on.socket); // its answer may have come during a pause of this process
         }
@@ -268,7 +307,7 @@
     }
 
     /** Gives up the connection of a probe, and opens a new one for it. */
-    private void moveProbe(Sending probe) {
+    private void moveProbe(Attempt probe) {
         Connection old = probe.on;
         probe.silentAfter = old.rest;
         old.sending = null;
@@ -292,10 +331,10 @@
     }
 
     /** Stops waiting for the op's send, if one is out. */
-    public void callOff(OpId op) {
-        Sending x = byOp.get(op);
+    public void cancel(RequestId request) {
+        Attempt x = byOp.get(request);
         if (x != null) {
-            giveUp(x, Outcome.CALLED_OFF);
+            giveUp(x, Outcome.CANCELLED);
         }
     }
 
@@ -316,7 +355,7 @@
     }
 
     /** What was not written whole has not run, whoever stopped waiting. */
-    private void giveUp(Sending x, Outcome outcome) {
+    private void giveUp(Attempt x, Outcome outcome) {
         if (x.over) {
             return;
         }
@@ -330,12 +369,13 @@
     }
 
     private void closeOld() {
-        long keep = terms.idleLimit() - terms.idleLimit() / IDLE_PARTS;
+        long keep = settings.idleLimit() - settings.idleLimit() / IDLE_PARTS;
         long now = time.now();
         while (!idle.isEmpty() && now - idle.iterator().next().idleSince > keep) {
             idle.iterator().next().close();
         }
-        // Guards against many gateways that together hold more connections than a server has: one more than is in use is
+        // Guards against many gateways that together hold more connections than a server has: one more than is in use
+        // is
         // kept for long, others for a shorter while.
         for (Server s : servers.values()) {
             while (s.free.size() > 1 && now - s.free.peekFirst().idleSince > keep / SURPLUS_PARTS) {
@@ -344,7 +384,7 @@
         }
     }
 
-    private boolean open(Server s, Sending opener) {
+    private boolean open(Server s, Attempt opener) {
         if (s.address == null || !makeRoom.getAsBoolean()) {
             return false;
         }
@@ -357,8 +397,8 @@
     private final class Connection {
         private final Server server;
         private final InetSocketAddress address;
-        private final Sending opener;
-        private final PgCodec.ServerStream stream = new PgCodec.ServerStream();
+        private final Attempt opener;
+        private final ServerMessageReader stream = new ServerMessageReader();
         private NetSocket socket;
         private boolean up;
         private boolean ready; // but what has come with the answer is not looked through yet
@@ -369,16 +409,16 @@
         private long idleSince;
         private long rest = -1; // before the send that is out; below 0: it is the first
 
-        private Sending sending;
+        private Attempt sending;
         private int saidBeside;
         private final Map<String, String> told = new HashMap<>();
-        private PgCodec.Column column;
-        private PgCodec.Value value;
-        private PgCodec.Done done;
-        private PgCodec.Problem problem;
+        private ServerMessage.RowDescription column;
+        private ServerMessage.DataRow value;
+        private ServerMessage.CommandComplete done;
+        private ServerMessage.ErrorResponse problem;
         private long writtenAt;
 
-        private Connection(Server server, Sending opener) {
+        private Connection(Server server, Attempt opener) {
             this.server = server;
             this.address = server.address;
             this.opener = opener;
@@ -386,7 +426,8 @@
         }
 
         private void open() {
-            openTimer = vertx.setTimer((terms.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.NOT_CONNECTED));
+            openTimer = vertx.setTimer(
+                    (settings.connectLimit() + 9) / 10, x -> lost("not up in time", Outcome.CONNECT_FAILED));
             net.connect(SocketAddress.inetSocketAddress(address)).onComplete(r -> {
                 if (r.failed()) {
                     connect(r.cause());
@@ -397,7 +438,7 @@
                     socket.close();
                     return;
                 }
-                socket.exceptionHandler(e -> { }); // the close that follows tells
+                socket.exceptionHandler(e -> {}); // the close that follows tells
                 socket.closeHandler(x -> lost("closed by the server"));
                 socket.handler(b -> {
                     try {
@@ -407,13 +448,13 @@
                         lost("fault");
                     }
                 });
-                socket.write(PgCodec.hello()).onFailure(this::connect);
+                socket.write(MessageWriter.startup()).onFailure(this::connect);
             });
         }
 
         private void bytes(Buffer more) {
             stream.feed(more);
-            for (PgCodec.FromServer m = closed ? null : stream.next(); m != null; m = closed ? null : stream.next()) {
+            for (ServerMessage m = closed ? null : stream.next(); m != null; m = closed ? null : stream.next()) {
                 message(m);
             }
             if (ready && !closed) {
@@ -426,42 +467,45 @@
             }
         }
 
-        private void message(PgCodec.FromServer m) {
+        private void message(ServerMessage m) {
             // Guards against a server that says ever more and answers nothing, also on a connection that nobody uses.
-            boolean beside = m instanceof PgCodec.Aside || m instanceof PgCodec.Told;
+            boolean beside = m instanceof ServerMessage.Ignorable || m instanceof ServerMessage.ParameterStatus;
             if (beside && ++saidBeside > BESIDE_MOST) {
                 outOfOrder(BESIDE_MOST + " values and notices beside an answer");
-            } else if (m instanceof PgCodec.Garbled g) {
+            } else if (m instanceof ServerMessage.Malformed g) {
                 outOfOrder(g.what());
-            } else if (m instanceof PgCodec.Aside) {
+            } else if (m instanceof ServerMessage.Ignorable) {
                 return;
-            } else if (m instanceof PgCodec.Told t) {
+            } else if (m instanceof ServerMessage.ParameterStatus t) {
                 if (told.size() >= TOLD_MOST) {
                     outOfOrder(TOLD_MOST + " values told before an answer");
                 }
                 told.put(t.name(), t.value());
             } else if (!up) {
-                if (m instanceof PgCodec.Ready) {
+                if (m instanceof ServerMessage.ReadyForQuery) {
                     vertx.cancelTimer(openTimer);
                     up = true;
                     ready = true;
-                } else if (m instanceof PgCodec.Problem p) {
-                    lost("refused with " + p.code(), Outcome.NOT_CONNECTED);
-                } else if (!(m instanceof PgCodec.LetIn)) {
+                } else if (m instanceof ServerMessage.ErrorResponse p) {
+                    lost("refused with " + p.code(), Outcome.CONNECT_FAILED);
+                } else if (!(m instanceof ServerMessage.AuthenticationOk)) {
                     outOfOrder("an answer before any query");
                 }
             } else if (sending == null) {
                 // Guards against answers nobody asked for: they must not reach the next op.
                 outOfOrder("an answer without a query");
-            } else if (m instanceof PgCodec.Column c && column == null && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.RowDescription c
+                    && column == null
+                    && done == null
+                    && problem == null) {
                 column = c;
-            } else if (m instanceof PgCodec.Value v && column != null && value == null && done == null) {
+            } else if (m instanceof ServerMessage.DataRow v && column != null && value == null && done == null) {
                 value = v;
-            } else if (m instanceof PgCodec.Done d && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.CommandComplete d && done == null && problem == null) {
                 done = d;
-            } else if (m instanceof PgCodec.Problem p && done == null && problem == null) {
+            } else if (m instanceof ServerMessage.ErrorResponse p && done == null && problem == null) {
                 problem = p;
-            } else if (m instanceof PgCodec.Ready r && (done != null || problem != null)) {
+            } else if (m instanceof ServerMessage.ReadyForQuery r && (done != null || problem != null)) {
                 mayClose = problem != null && TURNED_OFF.equals(problem.code());
                 finish();
                 ready = r.idle();
@@ -476,7 +520,7 @@
         /** Guards against spoilt answers: the server lives and may have run the op, but nothing it says here is used. */
         private void outOfOrder(String what) {
             log.often("server out of order", server.id.text() + ": " + what);
-            Sending x = sending;
+            Attempt x = sending;
             if (x == null) {
                 lost(what);
             } else {
@@ -485,7 +529,7 @@
             }
         }
 
-        private void write(Sending x) {
+        private void write(Attempt x) {
             // Rounded down: the server must not be told more time than its client has left.
             long leftMs = (x.limit - (time.now() - x.startedAt)) / TENTHS_A_MS;
             if (leftMs <= 0 || !x.wanted.getAsBoolean()) {
@@ -516,7 +560,9 @@
 
         /** Takes the next send that waits, its own opener first, or is idle. */
         private void free() {
-            Sending next = opener.over || opener.on != null ? server.waiting.stream().findFirst().orElse(null) : opener;
+            Attempt next = opener.over || opener.on != null
+                    ? server.waiting.stream().findFirst().orElse(null)
+                    : opener;
             if (next == opener) {
                 server.waiting.remove(next);
                 write(next);
@@ -542,7 +588,7 @@
 
         /** Tells the answer that has come. */
         private void finish() {
-            Sending x = sending;
+            Attempt x = sending;
             sending = null;
             if (rest >= 0) {
                 losses.learn(rest, false, time.now());
@@ -550,18 +596,19 @@
             if (x.silentAfter >= 0) {
                 forgotten(server, x.silentAfter);
             }
-            Report note = note();
-            Report report = terms.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
-            boolean probe = x.op == null;
+            LoadReport note = note();
+            LoadReport report = settings.reportsInAnswers() ? report(server.id, told.get("vitals"), writtenAt) : null;
+            boolean probe = x.request == null;
             if (problem != null) {
                 x.end(outcome(problem.code(), probe), null, note, report);
             } else if (value == null) {
                 x.end(Outcome.ERRORED, null, note, report);
             } else if (probe) {
-                Report asked = terms.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
+                LoadReport asked =
+                        settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
             } else {
-                x.end(Outcome.ACKED, new PgCodec.Row(column, value.bytes(), done.tag()), note, report);
+                x.end(Outcome.ACKED, new ResultRow(column, value.bytes(), done.tag()), note, report);
             }
         }
 
@@ -586,7 +633,11 @@
         private void connect(Throwable e) {
             ConnectionFailure failure = ConnectionFailure.of(e);
             opener.lacksLocally = failure == ConnectionFailure.LOCAL;
-            if (!closed && failure.isTransient() && !opener.over && opener.on == null && openAgainLater(server, opener)) {
+            if (!closed
+                    && failure.isTransient()
+                    && !opener.over
+                    && opener.on == null
+                    && openAgainLater(server, opener)) {
                 log.often("connection not made yet", server.id.text() + " " + e.getMessage());
                 close();
             } else {
@@ -596,7 +647,7 @@
 
         /** The connection has ended; what was out on it ends with it. */
         private void lost(String why) {
-            lost(why, Outcome.CUT_OFF);
+            lost(why, Outcome.CONNECT_INTERRUPTED);
         }
 
         /** The same; the outcome is that of a send not written whole. */
@@ -605,7 +656,7 @@
                 return;
             }
             close();
-            Sending x = up ? sending : opener;
+            Attempt x = up ? sending : opener;
             if (x == null || x.over || !up && x.on != null) {
                 return;
             }
@@ -617,23 +668,23 @@
             if (up && column == null && rest >= 0) {
                 forgotten(server, rest);
             }
-            if (up && x.op == null && rest >= LONG_IDLE && x.silentAfter < 0) {
+            if (up && x.request == null && rest >= LONG_IDLE && x.silentAfter < 0) {
                 moveProbe(x);
                 return;
             }
             boolean written = x.reach == Reach.IN_DOUBT || x.reach == Reach.WRITTEN;
-            x.end(written ? Outcome.BROKEN_OFF : unwritten, null, null, null);
+            x.end(written ? Outcome.CONNECTION_LOST : unwritten, null, null, null);
         }
 
-        private Report note() {
+        private LoadReport note() {
             Role role = role(told.get("rank"));
             double told = number(this.told.get("as_of"));
-            long position = Double.isNaN(told) ? Report.UNTOLD : (long) Math.floor(told) * 10;
-            if (position != Report.UNTOLD) {
+            long position = Double.isNaN(told) ? LoadReport.UNKNOWN_TIME : (long) Math.floor(told) * 10;
+            if (position != LoadReport.UNKNOWN_TIME) {
                 time.heard(server.id, position, writtenAt, role == Role.PRIMARY);
-                position = time.isAhead(position) ? Report.UNTOLD : time.position(position);
+                position = time.isAhead(position) ? LoadReport.UNKNOWN_TIME : time.position(position);
             }
-            return role == Role.UNKNOWN && position == Report.UNTOLD ? null : new Report(role, position);
+            return role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME ? null : new LoadReport(role, position);
         }
     }
 
@@ -641,7 +692,7 @@
         return switch (code) {
             case TURNED_OFF -> Outcome.FULL;
             case "57P03" -> probe ? Outcome.FULL : Outcome.ERRORED;
-            case "25006", "72000" -> Outcome.TURNED_AWAY;
+            case "25006", "72000" -> Outcome.MISDIRECTED;
             default -> Outcome.ERRORED;
         };
     }
@@ -654,14 +705,15 @@
      * A load report as text, its positions in Unix seconds. Guards against reports that would mislead: one that is in any
      * part misshapen, of the future, or from before the server made its first counts as not told.
      */
-    private Report report(ServerId server, String text, long writtenAt) {
+    private LoadReport report(ServerId server, String text, long writtenAt) {
         if (text == null) {
             return null;
         }
         Map<String, Double> values = new HashMap<>();
         for (String part : text.split(",")) {
             int equals = part.indexOf('=');
-            double v = equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
+            double v =
+                    equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
             if (Double.isNaN(v) || v < 0) {
                 return null;
             }
@@ -672,13 +724,14 @@
         if (position != null && position <= 0 || role != null && role != 0 && role != 1) {
             return null;
         }
-        Report told = Terms.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
+        LoadReport told = GatewaySettings.report(position, role, values.getOrDefault("util", values.get("busy")), 0);
         if (position == null) {
             return told;
         }
         time.heard(server, told.position(), writtenAt, false); // made some time ago, by a primary too
-        return time.isAhead(told.position()) ? null
-                : new Report(told.role(), time.position(told.position()), told.busy());
+        return time.isAhead(told.position())
+                ? null
+                : new LoadReport(told.role(), time.position(told.position()), told.busy());
     }
 
     private static String text(byte[] bytes) {
--- a/gateway/src/main/java/ploverdale/budgets/Budgets.java
+++ b/gateway/src/main/java/ploverdale/quota/Budgets.java
@@ -1,12 +1,12 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
 
 /**
  * The fleet's quota as one gateway has it. Of each budget it owns guaranteed units outright. The rest of its
@@ -46,12 +46,12 @@
     private static final String GUARANTEED = "floor";
 
     private final int me;
-    private final Division division;
-    private final Leasing leasing;
+    private final QuotaAllocation division;
+    private final LeaseDurations leaseDurations;
     private final int budgets;
     private final long longestUse;
-    private final Purse[] held;
-    private final Keeper acceptor;
+    private final HeldUnits[] held;
+    private final LeaseAcceptor acceptor;
     private final LeaseHolder leaseHolder;
     private final UnitLender lender;
     private final UnitBorrower borrower;
@@ -64,29 +64,35 @@
     /**
      * @param me this gateway's number
      * @param start which start of its name this is, by which acceptors and lenders tell it from earlier ones
-     * @param chance chooses lenders
+     * @param random chooses lenders
      */
-    public Budgets(int me, long start, Division division, Leasing leasing, RandomGenerator chance, long now) {
+    public Budgets(
+            int me,
+            long start,
+            QuotaAllocation division,
+            LeaseDurations leaseDurations,
+            RandomGenerator random,
+            long now) {
         this.me = me;
         this.start = start;
         this.division = division;
-        this.leasing = leasing;
+        this.leaseDurations = leaseDurations;
         budgets = division.budgets().size();
         longestUse = longestUse(division);
         startedAt = now;
-        held = new Purse[budgets];
+        held = new HeldUnits[budgets];
         for (int budget = 0; budget < budgets; budget++) {
-            held[budget] = new Purse(division.budgets().get(budget), now);
+            held[budget] = new HeldUnits(division.budgets().get(budget), now);
         }
-        acceptor = new Keeper(division.gateways(), leasing, now);
-        leaseHolder = new LeaseHolder(me, division, leasing, longestUse, held, acceptor, this::nextNumber, now);
+        acceptor = new LeaseAcceptor(division.gateways(), leaseDurations, now);
+        leaseHolder = new LeaseHolder(me, division, leaseDurations, longestUse, held, acceptor, this::nextNumber, now);
         UnitDemand demand = new UnitDemand(held);
         lender = new UnitLender(division, leaseHolder, demand);
-        borrower = new UnitBorrower(me, division, leasing, chance, held, demand, this::nextNumber);
+        borrower = new UnitBorrower(me, division, leaseDurations, random, held, demand, this::nextNumber);
         holdGuaranteedUnits(now, Budget.Kind.RATE);
     }
 
-    private static long longestUse(Division division) {
+    private static long longestUse(QuotaAllocation division) {
         return division.budgets().stream()
                 .filter(budget -> budget.kind() == Budget.Kind.IN_USE)
                 .mapToLong(Budget::holds)
@@ -106,7 +112,7 @@
         }
     }
 
-    public Division division() {
+    public QuotaAllocation division() {
         return division;
     }
 
@@ -128,8 +134,8 @@
     }
 
     /** After how long a rejected client should retry. */
-    public long comeBackIn(long now, int budget) {
-        return held[budget].comeBackIn(now);
+    public long retryAfter(long now, int budget) {
+        return held[budget].retryAfter(now);
     }
 
     /** Units that this gateway holds now, those in use included. */
@@ -143,7 +149,7 @@
      * the same name has taken has ended. Loans end by themselves.
      */
     private void updateHeldUnits(long now) {
-        if (now - startedAt >= leasing.overFor(longestUse)) {
+        if (now - startedAt >= leaseDurations.overFor(longestUse)) {
             holdGuaranteedUnits(now, Budget.Kind.IN_USE);
         }
         leaseHolder.updateHeldUnits(now);
@@ -154,7 +160,7 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, Packing out) {
+    public void due(long now, IntPredicate present, PacketQueue out) {
         updateHeldUnits(now);
         leaseHolder.onTick(now, start, present, out);
         borrower.onTick(now, present, out);
@@ -188,7 +194,7 @@
     }
 
     /** Handles a message of another gateway of the same division; ignores kinds that are not of this class. */
-    public void part(long now, int from, long itsStart, Part part, Packing out) {
+    public void part(long now, int from, long itsStart, Part part, PacketQueue out) {
         updateHeldUnits(now);
         ByteBuffer content = ByteBuffer.wrap(part.content());
         switch (part.kind()) {
@@ -202,7 +208,7 @@
         updateHeldUnits(now);
     }
 
-    private void onLeaseRequest(long now, int from, long itsStart, ByteBuffer content, Packing out) {
+    private void onLeaseRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
         if (content.remaining() < QuotaMessages.LEASE_REQUEST_BYTES) {
             return;
         }
@@ -226,7 +232,7 @@
         }
     }
 
-    private void onUnitRequest(long now, int from, long itsStart, ByteBuffer content, Packing out) {
+    private void onUnitRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
         if (content.remaining() < QuotaMessages.UNIT_REQUEST_HEAD_BYTES) {
             return;
         }
@@ -259,7 +265,7 @@
         updateHeldUnits(now);
         List<Figures> all = new ArrayList<>();
         for (int budget = 0; budget < budgets; budget++) {
-            Purse units = held[budget];
+            HeldUnits units = held[budget];
             all.add(new Figures(
                     division.budgets().get(budget).name(),
                     units.parts(now),
@@ -279,7 +285,7 @@
         updateHeldUnits(now);
         StringBuilder text = new StringBuilder().append(acceptor.told(now));
         leaseHolder.partitions().forEach(partition -> text.append(" | ").append(partition.told(now)));
-        for (Purse units : held) {
+        for (HeldUnits units : held) {
             text.append(" | ").append(units.told(now));
         }
         borrower.describe(now, text);
--- a/gateway/src/main/java/ploverdale/budgets/Shared.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -1,4 +1,4 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,59 +6,72 @@
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
-import ploverdale.fleet.Membership;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
-import ploverdale.hearsay.Datagram;
-import ploverdale.model.Allotment;
+import ploverdale.gossip.Datagram;
+import ploverdale.membership.Membership;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Started;
+import ploverdale.model.Quota;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
-import ploverdale.replica.Replicas;
+import ploverdale.replication.Replicas;
 
 /**
  * All that one gateway has of its fleet: who is there, the budgets, the letters between them, and what of the budgets the
  * module may spend. The same on sockets and on the simulator's wire; whoever owns it looks round in time and carries the
  * letters. Times in tenths of a millisecond, of a clock that never steps.
  */
-public final class Shared implements Allotment {
+public final class QuotaNode implements Quota {
     /** How often {@link #due} is to be asked, in tenths of a millisecond; short beside any lease. */
     public static final long LOOK = 200;
 
-    private final Sharing sharing;
+    private final QuotaSettings quotaSettings;
     private final LongSupplier clock;
     private final int tenants;
-    private final Division division;
+    private final QuotaAllocation division;
     private final Membership membership;
     private final Budgets budgets;
-    private final Packing packing;
+    private final PacketQueue packing;
     private final Replicas replicas; // null where nothing is kept
     private final int id; // by which parcels of gateways that divide or keep otherwise are told apart
-    private final Apart apart; // what is no budget of the fleet
+    private final StaticQuota staticQuota; // what is no budget of the fleet
     private final List<String> lines = new ArrayList<>();
 
     /**
      * @param startedMs Unix ms, by which later starts of a name are told from earlier ones
      * @param wall Unix time, in tenths of a millisecond
      */
-    public Shared(Sharing sharing, Started told, long startedMs, LongSupplier clock, LongSupplier wall) {
-        this.sharing = sharing;
+    public QuotaNode(QuotaSettings quotaSettings, Started told, long startedMs, LongSupplier clock, LongSupplier wall) {
+        this.quotaSettings = quotaSettings;
         this.clock = clock;
-        tenants = sharing.tenantBudgets(told);
-        division = sharing.division(told);
-        SplittableRandom chance = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
+        tenants = quotaSettings.tenantBudgets(told);
+        division = quotaSettings.division(told);
+        SplittableRandom random = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
         long now = clock.getAsLong();
-        membership = new Membership(told.me(), told.gateways(), startedMs, chance.split());
-        budgets = new Budgets(told.me(), Membership.start(membership.incarnation()), division, sharing.leasing(),
-                chance.split(), now);
-        packing = new Packing(sharing.bytesPerSecond(), now);
-        apart = new Apart(told.tenants(), told.gateways());
-        replicas = sharing.keeping() == null ? null : new Replicas(told.me(), told.gateways(),
-                Membership.start(membership.incarnation()), sharing.keeping(), chance.split(), wall);
-        id = division.id() + (replicas == null ? 0 : sharing.keeping().copies());
+        membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
+        budgets = new Budgets(
+                told.me(),
+                Membership.start(membership.incarnation()),
+                division,
+                quotaSettings.leaseDurations(),
+                random.split(),
+                now);
+        packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
+        staticQuota = new StaticQuota(told.tenants(), told.gateways());
+        replicas = quotaSettings.keeping() == null
+                ? null
+                : new Replicas(
+                        told.me(),
+                        told.gateways(),
+                        Membership.start(membership.incarnation()),
+                        quotaSettings.keeping(),
+                        random.split(),
+                        wall);
+        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
         if (divides()) {
-            lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways() + " gateways, division "
-                    + Integer.toHexString(id) + ", on its floor until others have promised more");
+            lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways()
+                    + " gateways, division " + Integer.toHexString(id)
+                    + ", on its floor until others have promised more");
         }
     }
 
@@ -72,12 +85,12 @@
     }
 
     /** Looks round: what is to be told by now. */
-    public List<Packing.Letter> due() {
+    public List<PacketQueue.OutboundPacket> due() {
         long now = clock.getAsLong();
         membership.due(now, packing);
         for (Membership.Change c : membership.changes()) {
-            lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", " + membership.present()
-                    + " of " + membership.size() + " present");
+            lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", "
+                    + membership.present() + " of " + membership.size() + " present");
         }
         budgets.speaksAs(Membership.start(membership.incarnation()));
         budgets.due(now, membership::isPresent, packing);
@@ -92,7 +105,7 @@
         return letters(now);
     }
 
-    private List<Packing.Letter> letters(long now) {
+    private List<PacketQueue.OutboundPacket> letters(long now) {
         if (replicas != null) {
             lines.addAll(replicas.lines());
         }
@@ -100,18 +113,18 @@
     }
 
     /** Has something asked or told by what is kept; tells what is to be sent for it. */
-    public List<Packing.Letter> keeps(ObjLongConsumer<Packing> what) {
+    public List<PacketQueue.OutboundPacket> keeps(ObjLongConsumer<PacketQueue> what) {
         long now = clock.getAsLong();
         what.accept(packing, now);
         return letters(now);
     }
 
     /** Reads a datagram and tells what is to be answered; null where it is none of the fleet's. */
-    public List<Packing.Letter> hears(int from, byte[] bytes) {
-        if (!Parcel.isOne(bytes)) {
+    public List<PacketQueue.OutboundPacket> hears(int from, byte[] bytes) {
+        if (!Packet.isOne(bytes)) {
             return null;
         }
-        Parcel p = Parcel.read(bytes);
+        Packet p = Packet.read(bytes);
         long now = clock.getAsLong();
         if (p == null) {
             lines.add("parcels of the fleet not read: of n" + from + ", " + bytes.length + " bytes");
@@ -122,7 +135,7 @@
             return letters(now);
         }
         boolean same = p.division() == id;
-        for (Parcel.Part part : p.parts()) {
+        for (Packet.Part part : p.parts()) {
             membership.part(now, from, part, packing);
             if (same) {
                 budgets.part(now, from, Membership.start(p.incarnation()), part, packing);
@@ -170,11 +183,11 @@
     // -- What the module may spend
 
     private int sends(ServerId server) {
-        return sharing.sends(tenants, Datagram.number(server));
+        return quotaSettings.sends(tenants, Datagram.number(server));
     }
 
     private int cold(ServerId server, boolean cold) {
-        return cold ? sharing.cold(tenants, Datagram.number(server)) : -1;
+        return cold ? quotaSettings.cold(tenants, Datagram.number(server)) : -1;
     }
 
     private boolean spends(int budget) {
@@ -182,14 +195,14 @@
     }
 
     @Override
-    public boolean op(long now, TenantId tenant) {
-        boolean its = apart.op(now, tenant);
+    public boolean request(long now, TenantId tenant) {
+        boolean its = staticQuota.request(now, tenant);
         return tenants == 0 ? its : tenant.index() >= tenants || spends(tenant.index());
     }
 
     @Override
     public boolean limitsSends() {
-        return sharing.sendsAtServer() > 0;
+        return quotaSettings.sendsAtServer() > 0;
     }
 
     @Override
@@ -224,18 +237,26 @@
         }
     }
 
+    /** Where the fleet pays for further sends, units that others have reserved here are not counted. */
+    @Override
+    public boolean hasAgain(int reserved) {
+        return quotaSettings.secondSends() == 0
+                ? staticQuota.hasAgain(reserved)
+                : budgets.has(clock.getAsLong(), quotaSettings.again(tenants));
+    }
+
     @Override
     public boolean again() {
-        return sharing.secondSends() == 0 ? apart.again() : spends(sharing.again(tenants));
+        return quotaSettings.secondSends() == 0 ? staticQuota.again() : spends(quotaSettings.again(tenants));
     }
 
     @Override
-    public boolean probe(Probing why) {
-        return sharing.probes() == 0 ? apart.probe(why) : spends(sharing.probing(tenants));
+    public boolean probe(HealthCheckReason why) {
+        return quotaSettings.probes() == 0 ? staticQuota.probe(why) : spends(quotaSettings.probing(tenants));
     }
 
     @Override
-    public long comeBackIn(long now, TenantId tenant) {
-        return tenant.index() >= tenants ? 0 : budgets.comeBackIn(clock.getAsLong(), tenant.index());
+    public long retryAfter(long now, TenantId tenant) {
+        return tenant.index() >= tenants ? 0 : budgets.retryAfter(clock.getAsLong(), tenant.index());
     }
 }
--- a/gateway/src/main/java/ploverdale/budgets/Sharing.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -1,10 +1,10 @@
-package ploverdale.budgets;
+package ploverdale.quota;
 
 import java.util.ArrayList;
 import java.util.List;
-import ploverdale.budgets.Budget.Kind;
 import ploverdale.model.Event.Started;
-import ploverdale.replica.Keeping;
+import ploverdale.quota.Budget.Kind;
+import ploverdale.replication.ReplicationSettings;
 
 /**
  * What of a fleet is a budget, and how it is divided. Servers are spread over slots by a number that all gateways know them
@@ -17,10 +17,19 @@
  * @param secondSends a second, all that follow an op's first; 0: not a budget
  * @param probes a second; 0: not a budget
  * @param floorShare of each gateway's right that it owns outright
- * @param keeping what else gateways hold together, see {@code ploverdale.replica}; null: nothing
+ * @param keeping what else gateways hold together, see {@code ploverdale.replication}; null: nothing
  */
-public record Sharing(boolean tenants, int sendsAtServer, int coldSends, int serverSlots, int secondSends, int probes,
-        double floorShare, Leasing leasing, double bytesPerSecond, Keeping keeping) {
+public record QuotaSettings(
+        boolean tenants,
+        int sendsAtServer,
+        int coldSends,
+        int serverSlots,
+        int secondSends,
+        int probes,
+        double floorShare,
+        LeaseDurations leaseDurations,
+        double bytesPerSecond,
+        ReplicationSettings keeping) {
     private static final long SECOND = 10_000; // times are tenths of a millisecond
 
     /** Whether there is anything for the fleet to hold together. */
@@ -29,13 +38,15 @@
     }
 
     /** How the budgets are divided among the gateways that are told of; their order is that of the numbers below. */
-    public Division division(Started told) {
+    public QuotaAllocation division(Started told) {
         List<Budget> all = new ArrayList<>();
         for (int t = 0; t < tenantBudgets(told); t++) {
-            int whole = (int) Math.min(Division.WHOLE_MOST, told.tenants().get(t).opsPerSecond());
+            int whole = (int)
+                    Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).requestsPerSecond());
             all.add(new Budget("tenant " + t, Kind.RATE, whole, SECOND));
         }
-        long longest = told.opTypes().stream().mapToLong(o -> o.opTimeout()).max().orElse(SECOND);
+        long longest =
+                told.requestClasses().stream().mapToLong(o -> o.timeout()).max().orElse(SECOND);
         for (int s = 0; sendsAtServer > 0 && s < serverSlots; s++) {
             all.add(new Budget("server " + s, Kind.IN_USE, sendsAtServer, longest));
         }
@@ -48,7 +59,7 @@
         if (probes > 0) {
             all.add(new Budget("probes", Kind.RATE, probes, SECOND));
         }
-        return new Division(all, told.gateways(), floorShare);
+        return new QuotaAllocation(all, told.gateways(), floorShare);
     }
 
     /** How many of the budgets, the first ones, are tenants'. */
@@ -63,7 +74,9 @@
 
     /** The budget of sends at it while it is cold, or -1. */
     int cold(int tenantBudgets, int server) {
-        return coldSends == 0 ? -1 : tenantBudgets + (sendsAtServer > 0 ? serverSlots : 0) + Math.floorMod(server, serverSlots);
+        return coldSends == 0
+                ? -1
+                : tenantBudgets + (sendsAtServer > 0 ? serverSlots : 0) + Math.floorMod(server, serverSlots);
     }
 
     private int behindServers(int tenantBudgets) {
--- a/gateway/src/main/java/ploverdale/replica/CatchUp.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
 
 /**
  * Makes copies equal: walks with one other gateway at a time over the ranges of keys that both keep, compares digests, goes
@@ -20,7 +20,7 @@
  * whose other end started anew begins again. Digests are salted by walk, so that two that match by accident do not the next
  * time. Times in tenths of a millisecond, of a clock that never steps.
  */
-final class CatchUp {
+final class AntiEntropy {
     static final int COMPARES = 38;
     static final int DIFFERS = 39;
     static final int FETCHES = 40;
@@ -34,7 +34,8 @@
     private static final int LEAF = 3; // level at which a node is one range of keys
     private static final int COMPARE_HEAD = 19;
     private static final int STEPS_OUT = 4;
-    private static final int LARGE = 20_000; // facts; with more the walk begins at the sixteenths, whose digests are quick
+    private static final int LARGE =
+            20_000; // facts; with more the walk begins at the sixteenths, whose digests are quick
     private static final long ENDING = 1000 * MS; // facts that end within this are left out: they end a little apart
     private static final int PART_MOST = 220;
     private static final double PURSE_KEPT = 0.5; // of the budget of bytes, for words that ops wait for
@@ -54,10 +55,11 @@
     }
 
     private final int me;
-    private final Store store;
-    private final Keepers keepers;
-    private final RandomGenerator chance;
-    private final long[] blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
+    private final EntryStore store;
+    private final ReplicaPlacement keepers;
+    private final RandomGenerator random;
+    private final long[]
+            blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
     private final List<Integer> first = new ArrayList<>(); // to walk with since the start
     private final Deque<Node> todo = new ArrayDeque<>();
     private final Map<Integer, Step> out = new LinkedHashMap<>();
@@ -72,11 +74,11 @@
     private long taken;
     private String line;
 
-    CatchUp(int me, int gateways, Store store, Keepers keepers, RandomGenerator chance) {
+    AntiEntropy(int me, int gateways, EntryStore store, ReplicaPlacement keepers, RandomGenerator random) {
         this.me = me;
         this.store = store;
         this.keepers = keepers;
-        this.chance = chance;
+        this.random = random;
         blanks = new long[gateways];
         Arrays.fill(blanks, NEVER);
         blanks[me] = Long.MIN_VALUE / 2;
@@ -109,7 +111,7 @@
         return l;
     }
 
-    void due(long now, long wall, IntPredicate present, Packing to) {
+    void due(long now, long wall, IntPredicate present, PacketQueue to) {
         if (with >= 0 && (!present.test(with) || now - heardAt > GIVES_UP)) {
             ends(now);
         }
@@ -144,7 +146,7 @@
             }
         }
         if (!may.isEmpty()) {
-            with = may.get(chance.nextInt(may.size()));
+            with = may.get(random.nextInt(may.size()));
             heardAt = now;
             begins();
         }
@@ -153,7 +155,7 @@
     private void begins() {
         itsStart = 0;
         blank = Long.MIN_VALUE / 2;
-        salt = chance.nextInt();
+        salt = random.nextInt();
         todo.clear();
         out.clear();
         if (store.size() < LARGE) {
@@ -173,7 +175,7 @@
         nextAt = now + EVERY;
     }
 
-    private void goesOn(long now, long wall, Packing to) {
+    private void goesOn(long now, long wall, PacketQueue to) {
         while (with >= 0 && out.size() < STEPS_OUT && !todo.isEmpty() && to.left(now) > PURSE_KEPT) {
             int number = ++numbers;
             Step s = new Step(todo.pollLast(), now); // depth first, so that little is to do at any time
@@ -183,19 +185,32 @@
         if (with >= 0 && out.isEmpty() && todo.isEmpty()) {
             blanks[with] = blank;
             if (first.remove((Integer) with) && first.isEmpty()) {
-                line = "replicas: caught up with all others, " + store.size() + " facts held, " + taken + " of them from others";
+                line = "replicas: caught up with all others, " + store.size() + " facts held, " + taken
+                        + " of them from others";
             }
             ends(now);
         }
     }
 
-    private void asks(long wall, int number, Node n, Packing to) {
+    private void asks(long wall, int number, Node n, PacketQueue to) {
         if (n.level == LEAF) {
-            to.add(with, new Part(FETCHES, ByteBuffer.allocate(15).putInt(number).putShort((short) n.index)
-                    .put((byte) (n.after == null ? 0 : 1)).putLong(n.after == null ? 0 : n.after).array()));
+            to.add(
+                    with,
+                    new Part(
+                            FETCHES,
+                            ByteBuffer.allocate(15)
+                                    .putInt(number)
+                                    .putShort((short) n.index)
+                                    .put((byte) (n.after == null ? 0 : 1))
+                                    .putLong(n.after == null ? 0 : n.after)
+                                    .array()));
         } else {
-            ByteBuffer b = ByteBuffer.allocate(COMPARE_HEAD + 8 * FANOUT).putInt(number).put((byte) n.level)
-                    .putShort((short) n.index).putInt((int) salt).putLong(wall + ENDING);
+            ByteBuffer b = ByteBuffer.allocate(COMPARE_HEAD + 8 * FANOUT)
+                    .putInt(number)
+                    .put((byte) n.level)
+                    .putShort((short) n.index)
+                    .putInt((int) salt)
+                    .putLong(wall + ENDING);
             for (long d : digests(n.level, n.index, with, (int) salt, wall + ENDING)) {
                 b.putLong(d);
             }
@@ -205,17 +220,26 @@
 
     /** Digests of a node's children, of what the other and this gateway both keep. */
     private long[] digests(int level, int index, int other, int itsSalt, long until) {
-        int span = Store.BUCKETS >> 4 * (level + 1);
+        int span = EntryStore.BUCKETS >> 4 * (level + 1);
         long[] all = new long[FANOUT];
         for (int c = 0; c < FANOUT; c++) {
             int from = (index * FANOUT + c) * span;
-            all[c] = store.digest(from, from + span, keepers, me, other, Held.mix(itsSalt), until);
+            all[c] = store.digest(from, from + span, keepers, me, other, VersionedEntry.mix(itsSalt), until);
         }
         return all;
     }
 
     /** A part that has come; the start that an answer was for has been looked at. */
-    void part(long now, long wall, int from, long start, int kind, ByteBuffer b, long askersStart, long ownBlank, Packing to) {
+    void part(
+            long now,
+            long wall,
+            int from,
+            long start,
+            int kind,
+            ByteBuffer b,
+            long askersStart,
+            long ownBlank,
+            PacketQueue to) {
         switch (kind) {
             case COMPARES -> {
                 if (b.remaining() >= COMPARE_HEAD + 8 * FANOUT) {
@@ -230,8 +254,16 @@
                         for (int c = 0; c < FANOUT; c++) {
                             differ |= own[c] != b.getLong() ? 1 << c : 0;
                         }
-                        to.add(from, new Part(DIFFERS, ByteBuffer.allocate(22).putLong(askersStart).putInt(number)
-                                .putShort((short) differ).putLong(ownBlank).array()));
+                        to.add(
+                                from,
+                                new Part(
+                                        DIFFERS,
+                                        ByteBuffer.allocate(22)
+                                                .putLong(askersStart)
+                                                .putInt(number)
+                                                .putShort((short) differ)
+                                                .putLong(ownBlank)
+                                                .array()));
                     }
                 }
             }
@@ -260,7 +292,7 @@
                     Long last = null;
                     while (b.remaining() > 8) {
                         long key = b.getLong();
-                        Held fact = Held.read(b);
+                        VersionedEntry fact = VersionedEntry.read(b);
                         if (fact == null) {
                             break; // of a later version, perhaps; what follows cannot be told apart
                         }
@@ -273,7 +305,7 @@
                     goesOn(now, wall, to);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -291,11 +323,12 @@
         return out.remove(number);
     }
 
-    private void tells(long wall, int to, long askersStart, int number, int bucket, boolean after, long key, Packing out) {
-        if (bucket >= Store.BUCKETS) {
+    private void tells(
+            long wall, int to, long askersStart, int number, int bucket, boolean after, long key, PacketQueue out) {
+        if (bucket >= EntryStore.BUCKETS) {
             return;
         }
-        ByteBuffer b = ByteBuffer.allocate(PART_MOST + Held.MOST + 8);
+        ByteBuffer b = ByteBuffer.allocate(PART_MOST + VersionedEntry.MOST + 8);
         b.putLong(askersStart).putInt(number).put((byte) 0);
         boolean[] more = {false};
         store.each(bucket, after ? key : null, keepers, me, to, wall + ENDING, (k, fact) -> {
--- a/gateway/src/main/java/ploverdale/replica/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -1,4 +1,4 @@
-package ploverdale.replica;
+package ploverdale.replication;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -9,8 +9,8 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel.Part;
+import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
 
 /**
  * Facts replicated among the gateways of a fleet, as one gateway holds and asks for them. A fact is copied to the
@@ -41,7 +41,7 @@
     }
 
     /** The end of the request that a ticket stands for. */
-    public record Done(long ticket, End end, long position, int server, Claim claim, byte[] answer) {}
+    public record Done(long ticket, End end, long position, int server, IdempotencyRecord claim, byte[] answer) {}
 
     public static final int COPIES = ReplicaMessages.COPY_REQUEST;
     public static final int COPIED = ReplicaMessages.COPY_ANSWER;
@@ -53,11 +53,11 @@
     private static final long MS = 10;
 
     private final int me;
-    private final Keeping keeping;
+    private final ReplicationSettings keeping;
     private final LongSupplier wall;
-    private final Keepers placement;
-    private final Store store;
-    private final CatchUp catchUp;
+    private final ReplicaPlacement placement;
+    private final EntryStore store;
+    private final AntiEntropy catchUp;
     private final CompletenessBound bound;
     private final ReplicaHolder holder;
     private final QuorumCoordinator coordinator;
@@ -67,26 +67,28 @@
     /**
      * @param me this gateway's number
      * @param start which start of its name this is
-     * @param chance chooses whom to compare with, and salts of digests
+     * @param random chooses whom to compare with, and salts of digests
      * @param wall Unix time, in tenths of a millisecond
      */
-    public Replicas(int me, int gateways, long start, Keeping keeping, RandomGenerator chance, LongSupplier wall) {
+    public Replicas(
+            int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator random, LongSupplier wall) {
         this.me = me;
         this.start = start;
         this.keeping = keeping;
         this.wall = wall;
         long startedAt = wall.getAsLong() + keeping.clocksApart();
-        placement = new Keepers(gateways, keeping.copies());
-        store = new Store(keeping.most(), placement::of, this::isOver);
-        catchUp = new CatchUp(me, gateways, store, placement, chance);
+        placement = new ReplicaPlacement(gateways, keeping.copies());
+        store = new EntryStore(keeping.most(), placement::of, this::isOver);
+        catchUp = new AntiEntropy(me, gateways, store, placement, random);
         bound = new CompletenessBound(keeping, wall, placement, store, catchUp, startedAt);
         holder = new ReplicaHolder(wall, placement, store, bound, lines::add);
         coordinator = new QuorumCoordinator(me, keeping, wall, placement, store, bound, holder);
         lines.add(settingsLine(gateways));
     }
 
-    private boolean isOver(Held fact, long at) {
-        long lasts = fact instanceof Fate ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
+    private boolean isOver(VersionedEntry fact, long at) {
+        long lasts =
+                fact instanceof WriteOutcome ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
         return fact.at() + lasts < at;
     }
 
@@ -123,7 +125,7 @@
      * A session's write was acknowledged at that position by a server of that number. Where somebody waits, the
      * ticket ends as copied or unknown; else it is 0.
      */
-    public long wrote(long now, long key, long position, int server, long within, boolean waits, Packing to) {
+    public long wrote(long now, long key, long position, int server, long within, boolean waits, PacketQueue to) {
         // A position wrongly in the future would force the session's reads to the primary until then.
         long bounded = Math.min(position, wall.getAsLong() + keeping.clocksApart());
         return coordinator.copy(now, key, new Position(bounded, server & 0xFFFF), within, waits, to);
@@ -134,12 +136,19 @@
      * #wrote}.
      */
     public long became(
-            long now, long key, Claim claim, int proof, byte[] answer, long within, boolean waits, Packing to) {
+            long now,
+            long key,
+            IdempotencyRecord claim,
+            int proof,
+            byte[] answer,
+            long within,
+            boolean waits,
+            PacketQueue to) {
         return coordinator.copyOutcome(now, key, claim, proof, answer, within, waits, to);
     }
 
     /** Asks how far a session's reads must reach; the ticket ends as known or unknown. */
-    public long asks(long now, long key, Packing to) {
+    public long asks(long now, long key, PacketQueue to) {
         return coordinator.askPosition(now, key, to);
     }
 
@@ -149,7 +158,7 @@
      * @param first whether its client has marked it as a first submission
      * @param arrivedAt when it came here, Unix time
      */
-    public long claims(long now, long key, boolean first, long arrivedAt, Packing to) {
+    public long claims(long now, long key, boolean first, long arrivedAt, PacketQueue to) {
         return coordinator.claim(now, key, start, first, arrivedAt, to);
     }
 
@@ -159,7 +168,7 @@
     }
 
     /** Handles a message of another gateway. */
-    public void part(long now, int from, long itsStart, Part part, Packing to) {
+    public void part(long now, int from, long itsStart, Part part, PacketQueue to) {
         ByteBuffer content = ByteBuffer.wrap(part.content());
         int kind = part.kind();
         switch (kind) {
@@ -173,7 +182,7 @@
                     coordinator.onAnswer(from, kind, content);
                 }
             }
-            case CatchUp.DIFFERS, CatchUp.ENTRIES -> {
+            case AntiEntropy.DIFFERS, AntiEntropy.ENTRIES -> {
                 if (isAnswerToThisStart(content)) {
                     catchUp.part(now, wall.getAsLong(), from, itsStart, kind, content, itsStart, 0, to);
                 }
@@ -193,7 +202,7 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, Packing to) {
+    public void due(long now, IntPredicate present, PacketQueue to) {
         coordinator.onTick(now, to);
         store.sweep(wall.getAsLong());
         catchUp.due(now, wall.getAsLong(), present, to);
@@ -231,7 +240,7 @@
      * agree.
      */
     public long digest(int other, long until) {
-        return store.digest(0, Store.BUCKETS, placement, me, other, 0, until);
+        return store.digest(0, EntryStore.BUCKETS, placement, me, other, 0, until);
     }
 
     /** All that tells two states apart where one key is all there is, for an explorer. */
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -18,7 +18,7 @@
 import ploverdale.AttemptRecorder.Arrival;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
-import ploverdale.net.PgCodec;
+import ploverdale.net.postgres.MessageWriter;
 
 /** No attempt begins later than the grace after its client closed or cancelled, whatever the request waits for by then. */
 @Timeout(120)
@@ -48,7 +48,7 @@
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
-            write(PgCodec.hello());
+            write(MessageWriter.startup());
             DataInputStream in = new DataInputStream(socket.getInputStream());
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 int length = in.readInt();
@@ -68,7 +68,7 @@
         }
 
         LeavingClient ask(String text) throws IOException {
-            return write(PgCodec.query(text));
+            return write(MessageWriter.query(text));
         }
 
         /** Leaves; returns the time by the monotonic clock. */
@@ -83,14 +83,20 @@
                 case HALF_CLOSE -> socket.shutdownOutput();
                 case TERMINATE -> write(Buffer.buffer().appendByte((byte) 'X').appendInt(4)); // and stays connected
                 case CANCEL -> cancel();
+                default -> throw new IllegalArgumentException(how.name());
             }
             return at;
         }
 
         private void cancel() throws IOException {
             try (Socket other = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                other.getOutputStream().write(Buffer.buffer().appendInt(16).appendInt(80877102).appendInt(process)
-                        .appendInt(secret).getBytes());
+                other.getOutputStream()
+                        .write(Buffer.buffer()
+                                .appendInt(16)
+                                .appendInt(80877102)
+                                .appendInt(process)
+                                .appendInt(secret)
+                                .getBytes());
                 other.getInputStream().read();
             }
         }
@@ -131,7 +137,7 @@
     }
 
     private static String longStatement(Net net) {
-        return net.op("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
+        return net.request("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
     }
 
     /** Lets whatever could still begin do so, and asserts that nothing began late. */
@@ -143,11 +149,12 @@
     @ParameterizedTest
     @EnumSource
     void noRequestBehindThoseInHandIsForwardedOnceItsClientHasLeft(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 3 * IN_HAND_MOST; i++) {
-                    all.appendBuffer(PgCodec.query(net.op("order")));
+                    all.appendBuffer(MessageWriter.query(net.request("order")));
                 }
                 client.write(all);
                 List<Arrival> inHand = recorder.await(IN_HAND_MOST);
@@ -172,11 +179,12 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE"})
     void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 200; i++) { // 1.8 MB, taken by the systems on the way
-                    all.appendBuffer(PgCodec.query(longStatement(net)));
+                    all.appendBuffer(MessageWriter.query(longStatement(net)));
                 }
                 client.write(all);
                 List<Arrival> inHand = recorder.await(IN_HAND_MOST);
@@ -198,12 +206,12 @@
             net.started();
             Server p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.op("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1); // has the connection that the health check opened
                 p.holdsGreetings = new CountDownLatch(1);
                 p.connects.clear();
-                client.ask(net.op("order"));
+                client.ask(net.request("order"));
                 assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
@@ -220,12 +228,12 @@
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.op("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1);
                 p.holdsGreetings = new CountDownLatch(1);
                 p.connects.clear();
-                client.ask(net.op("order"));
+                client.ask(net.request("order"));
                 assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
@@ -249,7 +257,7 @@
             p.holdsProbes = new CountDownLatch(1);
             Thread.sleep(2200); // by now the primary was last heard too long ago, and a health check is under way
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
                 Thread.sleep(50); // held
                 assertThat(recorder.count()).isZero();
                 long leftAt = client.leave(how);
@@ -267,7 +275,7 @@
             net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // so that it stays out
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
@@ -280,7 +288,8 @@
     @ParameterizedTest
     @EnumSource
     void aRequestAndItsClientsDepartureDuringAPauseOfTheLoopCauseNoAttempt(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             List<LeavingClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 clients.add(new LeavingClient(net.gateway.port()));
@@ -289,7 +298,7 @@
             Thread[] cancels = {null};
             holdUp(net, 150, () -> {
                 for (LeavingClient c : clients) {
-                    c.ask(net.op("order"));
+                    c.ask(net.request("order"));
                 }
                 Runnable leave = () -> leaveAll(clients, how);
                 leftAt[0] = System.nanoTime();
@@ -308,13 +317,15 @@
     }
 
     private static void leaveAll(List<LeavingClient> clients, Departure how) {
-        List<Thread> all = clients.stream().map(c -> new Thread(() -> {
-            try {
-                c.leave(how);
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        })).toList();
+        List<Thread> all = clients.stream()
+                .map(c -> new Thread(() -> {
+                    try {
+                        c.leave(how);
+                    } catch (IOException e) {
+                        throw new java.io.UncheckedIOException(e);
+                    }
+                }))
+                .toList();
         all.forEach(Thread::start);
         for (Thread t : all) {
             try {
@@ -329,10 +340,12 @@
     @ParameterizedTest
     @EnumSource
     void aDepartureDuringAPauseBetweenReadingARequestAndForwardingItCausesNoAttempt(Departure how) throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
-            Buffer both = PgCodec.query(net.op("order")).appendBuffer(PgCodec.query(net.op("no such type")));
+            Buffer both = MessageWriter.query(net.request("order"))
+                    .appendBuffer(MessageWriter.query(net.request("no such type")));
             net.pauseWhileReading(() -> client.write(both));
             long leftAt = System.nanoTime();
             Thread leaves = new Thread(() -> leaveAll(List.of(client), how));
@@ -355,7 +368,7 @@
                 CountDownLatch ended = new CountDownLatch(1);
                 net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
                 net.logged("planned restart: 1 connections");
-                client.ask(net.op("order"));
+                client.ask(net.request("order"));
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
@@ -367,8 +380,9 @@
 
     @Test
     void aCancelMessageIsAnsweredOnTheConnectionThatItNamesAndTheAttemptIsGivenUp() throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
+                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.leave(Departure.CANCEL);
             assertThat(client.errorCode()).as(net::log).isEqualTo("57014");
@@ -378,13 +392,16 @@
 
     @Test
     void aCancelMessageWithAnotherSecretCancelsNothing() throws Exception {
-        try (Net net = new Net("p").started(); AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.op("order"))) {
+        try (Net net = new Net("p").started();
+                AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
+                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.secret++;
             client.leave(Departure.CANCEL);
             first.attempt().row(new byte[] {7});
-            assertThat((char) client.socket.getInputStream().read()).as(net::log).isEqualTo('T');
+            assertThat((char) client.socket.getInputStream().read())
+                    .as(net::log)
+                    .isEqualTo('T');
         }
     }
 }
