--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -65,7 +65,7 @@
     void underLoadAStepEndsNoRequestEarlyAndIsLoggedOnce(long step) throws Exception {
         try (Net net = net(clock, "p", "r1", "r2").readable().started()) {
             Client reader = net.client();
-            Client writer = net.client().ask(net.op("order"));
+            Client writer = net.client().ask(net.request("order"));
             Got inHand = net.servers.get("p").next();
             readsFor(net, reader, 200);
             clock.step(step);
@@ -74,11 +74,12 @@
             assertThat(net.servers.get("p").got).isEmpty(); // not sent again
             inHand.row(new byte[] {7});
             assertThat(writer.answer()).as(net::log).isEqualTo(ROW_7);
-            writer.ask(net.op("order"));
+            writer.ask(net.request("order"));
             net.servers.get("p").next().row(new byte[] {1});
             assertThat(writer.answer()).isEqualTo("row 01 ready");
             assertUndisturbed(net);
-            assertThat(net.log().lines().filter(l -> l.contains("wall clock stepped by "))).hasSize(1);
+            assertThat(net.log().lines().filter(l -> l.contains("wall clock stepped by ")))
+                    .hasSize(1);
         }
     }
 
@@ -111,7 +112,7 @@
             net.servers.get("r1").mute = true;
             long hangs = System.nanoTime();
             while (!net.log().contains("server r1 silent")) {
-                net.client().ask(net.op("page", 1000)); // those at r1 wait in vain
+                net.client().ask(net.request("page", 1000)); // those at r1 wait in vain
                 assertThat(sinceMs(hangs)).as(net::log).isLessThan(5_000);
                 Thread.sleep(20);
             }
@@ -142,7 +143,7 @@
                     .replace("\"aimMs\":10000", "\"aimMs\":500");
             net.started();
             Client c = net.client();
-            c.ask(net.op("order", 900));
+            c.ask(net.request("order", 900));
             Got g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             long began = System.nanoTime();
@@ -163,18 +164,22 @@
     void duringSlowStartTheBudgetFillsAsBeforeWhateverTheStep(long step) throws Exception {
         try (Net net = net(clock, "p").readable()) {
             net.servers.get("p").writes = true;
+            // Slow start goes by the agreed traffic where there are no warm peers to go by.
+            net.settings = told -> told.replace("\"quotaPerS\":1000", "\"quotaPerS\":15");
             startedAt(net, Clock.system().wallMs());
             net.started();
             Client one = net.client();
-            assertThat(one.ask(net.op("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(one.ask(net.request("order", 5_000)).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             clock.step(step);
             net.servers.get("p").writes = false;
             List<Client> others = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                others.add(net.client().ask(net.op("order", 5_000)));
+                others.add(net.client().ask(net.request("order", 5_000)));
             }
             Thread.sleep(500);
-            int atOnce = net.servers.get("p").got.size(); // 10 of usual work a second, at 3 of 10 of its capacity
+            int atOnce = net.servers.get("p").got.size(); // some 10 of usual work, at 3 of 10 of its capacity
             assertThat(atOnce).as(net::log).isBetween(2, 15);
             assertUndisturbed(net);
         }
@@ -185,7 +190,7 @@
     @ValueSource(longs = {-5_000, -3_600_000})
     void aStepBackLengthensNoRepeatWindow(long step) throws Exception {
         try (Net net = tokened()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             clock.step(step);
             Thread.sleep(1_200);
@@ -199,7 +204,7 @@
     @ValueSource(longs = {5_000, 3_600_000})
     void aStepForwardEndsNoRepeatWindow(long step) throws Exception {
         try (Net net = tokened()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             clock.step(step);
             g.reset();
@@ -210,8 +215,8 @@
 
     private Net tokened() throws Exception {
         Net net = net(clock, "p").readable();
-        net.settings = told -> told.replace("\"effect\":\"once\"",
-                "\"effect\":\"by_key\",\"dedupScope\":\"cell\",\"dedupWindowMs\":1000");
+        net.settings = told -> told.replace(
+                "\"effect\":\"once\"", "\"effect\":\"by_key\",\"dedupScope\":\"cell\",\"dedupWindowMs\":1000");
         return net.started();
     }
 
@@ -232,7 +237,7 @@
             Client toReplica = null;
             for (long began = System.nanoTime(); r1.got.isEmpty(); Thread.sleep(20)) {
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
-                toReplica = net.client().ask(net.op("page"));
+                toReplica = net.client().ask(net.request("page"));
             }
             r1.reads = true;
             r1.next().row(new byte[] {7});
@@ -252,7 +257,8 @@
             was.step(-off);
             net.logged("wall clock stepped by ");
             readsFor(net, c, 500);
-            assertThat(net.log().lines().filter(l -> l.contains("clock corrected"))).hasSize(1);
+            assertThat(net.log().lines().filter(l -> l.contains("clock corrected")))
+                    .hasSize(1);
             assertThat(net.log()).doesNotContain("silent");
         }
     }
@@ -265,12 +271,14 @@
             net.started();
             Client c = net.client();
             for (long began = System.nanoTime(); !net.log().contains("clock corrected: "); Thread.sleep(10)) {
-                c.ask(net.op("page")).answer(); // or is refused: it may have started just now
+                c.ask(net.request("page")).answer(); // or is refused: it may have started just now
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
             }
             long began = System.nanoTime();
             for (int i = 0; i < 40; i++) { // a cold one would take 10 a second
-                assertThat(c.ask(net.op("order", 5_000)).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(c.ask(net.request("order", 5_000)).answer())
+                        .as(net::log)
+                        .isEqualTo(ROW_7);
             }
             assertThat(sinceMs(began)).as(net::log).isLessThan(2_000);
         }
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -15,19 +15,22 @@
 @Timeout(120)
 class DrainWhileConnectingTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final long DRAIN_GRACE_MS = 500; // as in the example settings; counted to the first byte of an attempt
+    private static final long DRAIN_GRACE_MS =
+            500; // as in the example settings; counted to the first byte of an attempt
     private static final long HELD_UP_MS = 150;
 
     @Test
     void anAttemptThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
         try (Net net = new Net("p").started()) {
             Server primary = net.servers.get("p");
-            Client first = net.client().ask(net.op("order"));
+            Client first = net.client().ask(net.request("order"));
             Got inHand = primary.next(); // has the connection that the probe opened
             primary.holdsGreetings = new CountDownLatch(1);
             primary.connects.clear();
-            Client second = net.client().ask(net.op("order", 4000));
-            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isNotNull();
+            Client second = net.client().ask(net.request("order", 4000));
+            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as(net::log)
+                    .isNotNull();
             net.registry.news.add(net.list(2, false, "p:DRAINING"));
             net.logged("server p listed DRAINING");
             Thread.sleep(DRAIN_GRACE_MS + 100); // the connection comes up later than the grace ends
@@ -54,7 +57,7 @@
                 net.registry.news.add(net.list(2, false, "r1:DRAINING"));
                 long told = System.nanoTime();
                 for (int i = 0; i < 8; i++) {
-                    client.ask(net.op("page"));
+                    client.ask(net.request("page"));
                 }
                 Thread.sleep(HELD_UP_MS); // the pause itself
                 net.goOn();
@@ -62,7 +65,9 @@
                     assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
                 }
                 net.logged("server r1 listed DRAINING");
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told)).as(net::log).isLessThan(DRAIN_GRACE_MS);
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told))
+                        .as(net::log)
+                        .isLessThan(DRAIN_GRACE_MS);
                 int before = answers.queries.size();
                 for (int i = 0; i < 50; i++) {
                     assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -16,6 +16,7 @@
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
 
 /** Stories of what meets an end: each holds one side back until the event that it is to meet. docs/endings.md has them in order. */
 @Timeout(120)
@@ -37,7 +38,7 @@
             Server p = net.servers.get("p");
             Client c = net.client();
             for (int i = 0; i < 60; i++) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
                 Thread.sleep(2); // so that each is read by itself
             }
             List<Got> out = new ArrayList<>();
@@ -59,7 +60,7 @@
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
             Client c = new Client(net.gateway.port(), 4000).greeted(); // takes little at a time
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             Got g = p.next();
             Thread writes = new Thread(() -> {
                 try {
@@ -86,17 +87,18 @@
     @Test
     void aSendThatWaitsForItsConnectionIsNotWrittenForAClientThatHasGone() throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
+            net.settings =
+                    told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
             net.started();
             Server p = net.servers.get("p");
-            Client other = net.client().ask(net.op("order"));
+            Client other = net.client().ask(net.request("order"));
             Got first = p.next(); // has the connection that the probe opened
             p.holdsGreetings = new CountDownLatch(1);
             p.connects.clear();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             c.close();
-            other.ask(net.op("order"));
+            other.ask(net.request("order"));
             first.row(new byte[] {7}); // read after the close
             assertThat(other.answer()).isEqualTo(ROW_7);
             p.holdsGreetings.countDown();
@@ -128,11 +130,11 @@
             });
             still.await();
             for (Client c : left) {
-                c.ask(net.op("order")).close();
+                c.ask(net.request("order")).close();
             }
             Thread.sleep(500); // the standstill itself
             on.countDown();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             assertThat(g.text()).as(net::log).contains("id=b,");
             g.row(new byte[] {7});
@@ -156,7 +158,7 @@
             List<Client> idle = clients(net, 80);
             net.pauseBeforeTimers(() -> net.renew(256)); // 80 clients are too many then, and idle ones end
             for (Client c : idle) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
             }
             Thread.sleep(400); // the pause itself, longer than idle ones are left then
             net.goOn();
@@ -175,9 +177,9 @@
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             net.logged("planned restart: 20 connections");
-            net.pauseBeforeTimers(() -> { });
+            net.pauseBeforeTimers(() -> {});
             for (Client c : idle) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
             }
             Thread.sleep(2600); // so that idle ones are to end by then
             net.goOn();
@@ -200,7 +202,7 @@
             net.client(); // greeted behind those, so they have been let in
             net.pauseBeforeTimers(() -> net.renew(64)); // 20 without a greeting are too many then
             for (Client c : strangers) {
-                c.write(ploverdale.net.PgCodec.hello()).ask(net.op("order"));
+                c.write(MessageWriter.startup()).ask(net.request("order"));
             }
             Thread.sleep(400); // the pause itself
             net.goOn();
@@ -216,7 +218,7 @@
     @Test
     void anAnswerThatCameDuringAPauseCountsThoughItsAttemptTimedOutMeanwhile() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("quick", 5000)); // an attempt is given up after some 600 ms
+            Client c = net.client().ask(net.request("quick", 5000)); // an attempt is given up after some 600 ms
             Got g = net.servers.get("p").next();
             net.pauseWhileReading();
             g.row(new byte[] {7});
@@ -259,20 +261,25 @@
             net.registry.mute = true;
             net.logged("discovery lost: no answer");
             for (int i = 0; i < 5; i++) { // so many further calls have failed
-                assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isNotNull();
+                assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .as(net::log)
+                        .isNotNull();
             }
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.mute = false;
             long back = System.nanoTime();
             net.logged("server r1 listed DRAINING");
-            assertThat(since(back)).as(net::log).isLessThan(4000); // 1.8 s, a call that is out and the wait behind it, on a machine that may be slow
+            assertThat(since(back))
+                    .as(net::log)
+                    .isLessThan(
+                            4000); // 1.8 s, a call that is out and the wait behind it, on a machine that may be slow
         }
     }
 
     @Test
     void aServerThatTellsEverMoreOnAConnectionThatNobodyUsesLosesIt() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             Buffer notices = Buffer.buffer();
             for (int i = 0; i < 1100; i++) {
@@ -295,10 +302,21 @@
         Process gateway = null;
         try (Net net = new Net("p")) {
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
-            gateway = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$@\"", "sh",
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                    "ploverdale.Main", "serve", "--config", file.toString()).redirectError(log.toFile()).start();
+            gateway = new ProcessBuilder(
+                            "sh",
+                            "-c",
+                            "trap '' HUP; exec \"$@\"",
+                            "sh",
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                            "ploverdale.Main",
+                            "serve",
+                            "--config",
+                            file.toString())
+                    .redirectError(log.toFile())
+                    .start();
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
             while (!Files.readString(log).contains("SIGHUP is ignored by what started this program")) {
                 assertThat(System.nanoTime()).as(Files.readString(log)).isLessThan(end);
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -33,28 +33,31 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
-import ploverdale.model.GroupId;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpType;
-import ploverdale.model.OpType.Needs;
-import ploverdale.model.OpType.Repeats;
-import ploverdale.model.OpTypeId;
-import ploverdale.model.Permits;
-import ploverdale.model.Pledges;
+import ploverdale.model.GroupId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
+import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
-import ploverdale.net.PgCodec;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.routing.Router;
 
 /**
  * Stands in for the module's surroundings; the clock moves only when a story says so. Times in milliseconds. Its
@@ -64,46 +67,73 @@
     static final int VIEW = 0;
     static final int HISTORY = 1;
     static final int SUBMIT = 2;
-    static final int TOKENED = 3;
+    static final int WITH_IDEMPOTENCY_KEY = 3;
     static final int SESSION = 4;
     static final int FRESH = 5;
     static final int SCAN = 6;
 
-    final Logic logic = new Logic(null);
+    final Router router = new Router(null);
     final List<Action> acts = new ArrayList<>();
     long nowMs = 100_000;
     private int names;
 
     FakeHost() {
-        this(CopyKeeping.Checks.NONE, false, true, 1);
+        this(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
     }
 
-    FakeHost(CopyKeeping.Checks checks, boolean tokensCarried, boolean removalBinds, int gateways) {
+    FakeHost(ReplicaGuarantees.StalenessCheck checks, boolean tokensCarried, boolean removalBinds, int gateways) {
         this(checks, tokensCarried, removalBinds, gateways, false);
     }
 
     /** A host whose gateway, number 0, may tell other gateways what it knows. */
     static FakeHost talking(int gateways) {
-        return new FakeHost(CopyKeeping.Checks.NONE, false, true, gateways, true);
+        return new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, gateways, true);
     }
 
-    private FakeHost(CopyKeeping.Checks checks, boolean tokensCarried, boolean removalBinds, int gateways, boolean talks) {
-        List<OpType> types = List.of(type(Repeats.RETRYABLE, Needs.BOUNDED, 0), type(Repeats.RETRYABLE, Needs.UNBOUNDED, 0),
-                type(Repeats.NON_RETRYABLE, Needs.WRITE, 0.5), type(Repeats.TOKENED, Needs.WRITE, 0.7),
-                type(Repeats.RETRYABLE, Needs.SESSION, 0), type(Repeats.RETRYABLE, Needs.FRESH, 0),
-                type(20_000, Repeats.RETRYABLE, Needs.UNBOUNDED, 0));
-        tell(new Event.Started(6 + gateways, gateways, types, List.of(new Tenant(100)), 0.05,
-                new Pledges(0.2, 160_000, 2.5, 10_000, removalBinds, 0), new Permits(6, true, true, true, 10_000, talks),
-                new CopyKeeping(checks, 500, tokensCarried), false, 0));
+    private FakeHost(
+            ReplicaGuarantees.StalenessCheck checks,
+            boolean tokensCarried,
+            boolean removalBinds,
+            int gateways,
+            boolean talks) {
+        List<RequestClass> types = List.of(
+                type(Idempotence.IDEMPOTENT, Consistency.BOUNDED, 0),
+                type(Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0),
+                type(Idempotence.NOT_IDEMPOTENT, Consistency.WRITE, 0.5),
+                type(Idempotence.WITH_IDEMPOTENCY_KEY, Consistency.WRITE, 0.7),
+                type(Idempotence.IDEMPOTENT, Consistency.SESSION, 0),
+                type(Idempotence.IDEMPOTENT, Consistency.FRESH, 0),
+                type(20_000, Idempotence.IDEMPOTENT, Consistency.UNBOUNDED, 0));
+        tell(new Event.Started(
+                6 + gateways,
+                gateways,
+                types,
+                List.of(new Tenant(100)),
+                0.05,
+                new ServerGuarantees(0.2, 160_000, 2.5, 10_000, removalBinds, 0),
+                new Capabilities(6, true, true, true, 10_000, talks),
+                new ReplicaGuarantees(checks, 500, tokensCarried),
+                false,
+                0));
     }
 
-    private static OpType type(Repeats repeats, Needs needs, double late) {
+    private static RequestClass type(Idempotence repeats, Consistency needs, double late) {
         return type(5000, repeats, needs, late);
     }
 
-    private static OpType type(long target, Repeats repeats, Needs needs, double late) {
-        return new OpType(target, 0, 30_000, repeats, OpType.Scope.GROUP, 20_000, needs == Needs.WRITE ? 6 : 2, late,
-                false, needs, 5000);
+    private static RequestClass type(long target, Idempotence repeats, Consistency needs, double late) {
+        return new RequestClass(
+                target,
+                0,
+                30_000,
+                repeats,
+                RequestClass.Scope.GROUP,
+                20_000,
+                needs == Consistency.WRITE ? 6 : 2,
+                late,
+                false,
+                needs,
+                5000);
     }
 
     /** A host with a primary p and replicas r1, r2, all probed and level. */
@@ -131,83 +161,104 @@
     }
 
     List<Action> tell(Event h) {
-        List<Action> now = logic.on(nowMs * 10, h);
+        List<Action> now = router.on(nowMs * 10, h);
         acts.addAll(now);
         return now;
     }
 
     void list(boolean whole, String... servers) {
-        List<Listing> rows = new ArrayList<>();
+        List<Endpoint> rows = new ArrayList<>();
         for (String s : servers) {
-            rows.add(row(s, Listing.Stage.IN, 0));
+            rows.add(row(s, Endpoint.EndpointState.IN, 0));
         }
-        tell(new Event.ListTold(whole, false, rows));
+        tell(new Event.EndpointUpdate(whole, false, rows));
     }
 
-    void listed(String server, Listing.Stage stage, long startedMs) {
-        tell(new Event.ListTold(false, false, List.of(row(server, stage, startedMs))));
+    void listed(String server, Endpoint.EndpointState stage, long startedMs) {
+        tell(new Event.EndpointUpdate(false, false, List.of(row(server, stage, startedMs))));
     }
 
-    private static Listing row(String server, Listing.Stage stage, long startedMs) {
-        return new Listing(new ServerId(server), new GroupId(1), new ZoneId(0), stage, server.equals("p"), startedMs * 10);
+    private static Endpoint row(String server, Endpoint.EndpointState stage, long startedMs) {
+        return new Endpoint(
+                new ServerId(server), new GroupId(1), new ZoneId(0), stage, server.equals("p"), startedMs * 10);
     }
 
     /** Moves the clock, looking round every 20 ms as the module asked to. */
     void pass(long ms) {
         for (long end = nowMs + ms; nowMs < end; ) {
             nowMs = Math.min(end, nowMs + 20);
-            tell(new Event.WakeUp(0));
+            tell(new Event.TimerFired(0));
         }
     }
 
     void probed(String server, Role role, long positionMs) {
-        tell(new Event.ProbeEnded(new ServerId(server), Outcome.ACKED, new Report(role, positionMs * 10)));
+        tell(new Event.HealthCheckEnded(new ServerId(server), Outcome.ACKED, new LoadReport(role, positionMs * 10)));
     }
 
     void unanswered(String server) {
-        tell(new Event.ProbeEnded(new ServerId(server), Outcome.TIMED_OUT, null));
+        tell(new Event.HealthCheckEnded(new ServerId(server), Outcome.TIMED_OUT, null));
     }
 
-    OpId ask(int type) {
+    RequestId ask(int type) {
         return ask(type, null, 0);
     }
 
-    OpId ask(int type, String session, long tokenAgeMs) {
-        OpId op = new OpId("op" + names++);
-        tell(new Event.OpArrived(op, new OpTypeId(type), new TenantId(0), new GroupId(1),
-                session == null ? null : new SessionId(session), nowMs * 10 + 30_000, false, 0, tokenAgeMs * 10));
-        return op;
+    RequestId ask(int type, String session, long tokenAgeMs) {
+        RequestId request = new RequestId("op" + names++);
+        tell(new Event.RequestArrived(
+                request,
+                new RequestClassId(type),
+                new TenantId(0),
+                new GroupId(1),
+                session == null ? null : new SessionId(session),
+                nowMs * 10 + 30_000,
+                false,
+                0,
+                tokenAgeMs * 10));
+        return request;
     }
 
-    void ends(OpId op, int send, String server, Outcome outcome, Report note) {
+    void ends(RequestId request, int send, String server, Outcome outcome, LoadReport note) {
         boolean settled = outcome == Outcome.ACKED;
-        tell(new Event.SendEnded(op, send, new ServerId(server), outcome, 1000, settled, note, null));
+        tell(new Event.AttemptEnded(request, send, new ServerId(server), outcome, 1000, settled, note, null));
     }
 
     /** Servers the op was sent to, in order. */
-    List<String> sends(OpId op) {
-        return acts.stream().filter(a -> a instanceof Action.Send s && s.op().equals(op))
-                .map(a -> ((Action.Send) a).server().text()).toList();
+    List<String> sends(RequestId request) {
+        return acts.stream()
+                .filter(a -> a instanceof Action.StartAttempt s && s.request().equals(request))
+                .map(a -> ((Action.StartAttempt) a).server().text())
+                .toList();
     }
 
-    long busyReplies(OpId op) {
-        return acts.stream().filter(a -> a instanceof Action.BusyReply b && b.op().equals(op)).count();
+    long busyReplies(RequestId request) {
+        return acts.stream()
+                .filter(a -> a instanceof Action.RejectRequest b && b.request().equals(request))
+                .count();
     }
 
-    long errorReplies(OpId op) {
-        return acts.stream().filter(a -> a instanceof Action.ErrorReply b && b.op().equals(op)).count();
+    long errorReplies(RequestId request) {
+        return acts.stream()
+                .filter(a -> a instanceof Action.FailRequest b && b.request().equals(request))
+                .count();
     }
 
-    boolean calledOff(OpId op) {
-        return acts.stream().anyMatch(a -> a instanceof Action.CallOff c && c.op().equals(op));
+    boolean calledOff(RequestId request) {
+        return acts.stream()
+                .anyMatch(
+                        a -> a instanceof Action.CancelAttempt c && c.request().equals(request));
     }
 
     long probes(String server) {
-        return acts.stream().filter(a -> a instanceof Action.Probe p && p.server().text().equals(server)).count();
+        return acts.stream()
+                .filter(a ->
+                        a instanceof Action.CheckHealth p && p.server().text().equals(server))
+                .count();
     }
 
     boolean logged(String part) {
-        return acts.stream().anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(part));
+        return acts.stream()
+                .anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(part));
     }
 
     /** Stand-ins on loopback for all that surrounds a real gateway; a story drives them by hand. */
@@ -246,8 +297,9 @@
             List<String> rows = new ArrayList<>();
             for (String id : ids) {
                 String[] parts = id.split(":");
-                rows.add("{\"id\":\"" + parts[0] + "\",\"host_port\":\"127.0.0.1:" + servers.get(parts[0]).port()
-                        + "\",\"cell\":1,\"phase\":\"" + (parts.length > 1 ? parts[1] : "SERVING") + "\"}");
+                rows.add("{\"id\":\"" + parts[0] + "\",\"host_port\":\"127.0.0.1:"
+                        + servers.get(parts[0]).port() + "\",\"cell\":1,\"phase\":\""
+                        + (parts.length > 1 ? parts[1] : "SERVING") + "\"}");
             }
             return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":[" + String.join(",", rows)
                     + "]}";
@@ -269,7 +321,8 @@
                     + "\"oldestDataMs\":[30000,0,0],\"positions\":true,\"checks\":\"silent\"},"
                     + "\"report\":{\"via\":\"piggyback\",\"fields\":[\"x0\",\"x1\",\"busy\"]},"
                     + "\"policyLimits\":{\"sendCap\":4,\"cancel\":true,\"probes\":true,\"retryAfter\":true,"
-                    + "\"maxRetryAfterMs\":1000,\"connectTimeoutMs\":2000,\"idleCloseMs\":" + idleMs + "},\"contract\":{"
+                    + "\"maxRetryAfterMs\":1000,\"connectTimeoutMs\":2000,\"idleCloseMs\":" + idleMs
+                    + "},\"contract\":{"
                     + "\"startCapacity\":0.3,\"coldMs\":10000,\"overloadFactor\":3,\"overloadForMs\":1000}}}";
         }
 
@@ -281,7 +334,7 @@
         private CompletableFuture<Gateway> starting(int sockets, long idleMs) throws IOException {
             Path file = Files.createTempFile("gateway", ".json");
             String told = configuration(registry, sockets, idleMs).replace("127.0.0.1:0", "127.0.0.1:" + listen);
-            GatewayFile read = GatewayFile.read(Files.writeString(file, settings.apply(told)));
+            ConfigurationFile read = ConfigurationFile.read(Files.writeString(file, settings.apply(told)));
             Files.delete(file);
             PrintStream log = new PrintStream(lines, true) {
                 @Override
@@ -290,7 +343,9 @@
                     pauseAt(line);
                 }
             };
-            return Gateway.start(vertx, new Log(log, clock), read, clock).toCompletionStage().toCompletableFuture();
+            return Gateway.start(vertx, new Log(log, clock), read, clock)
+                    .toCompletionStage()
+                    .toCompletableFuture();
         }
 
         /** An action that may throw. */
@@ -301,7 +356,7 @@
         /** Pauses the gateway's event loop while it reads what a client wrote; {@link #goOn} ends that. */
         void pauseWhileReading() throws Exception {
             Client bad = client();
-            pauseWhileReading(() -> bad.ask(op("no such type")));
+            pauseWhileReading(() -> bad.ask(request("no such type")));
         }
 
         /** The same; what is done has a client write something whose error is logged. */
@@ -331,7 +386,9 @@
             Thread.sleep(50); // by now the timers that look for idle connections are due
             goesOn = goesOnAgain;
             reads.countDown();
-            assertThat(pausedAgain.await(PATIENCE_S, TimeUnit.SECONDS)).as(this::log).isTrue();
+            assertThat(pausedAgain.await(PATIENCE_S, TimeUnit.SECONDS))
+                    .as(this::log)
+                    .isTrue();
         }
 
         /** Pauses whoever logs a line with this, once; {@link #goOn} ends that. */
@@ -388,7 +445,7 @@
                     continue;
                 }
                 open.add(c);
-                c.write(PgCodec.hello().appendBuffer(PgCodecTest.query(text)));
+                c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(text)));
                 assertThat(c.answer()).isEqualTo("ready");
                 assertThat(ready).as(this::log).isNotDone();
                 ready.thenAccept(g -> gateway = g);
@@ -400,7 +457,9 @@
         void logged(String part) {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
             while (!lines.toString().contains(part)) {
-                assertThat(System.nanoTime()).as("the log has \"%s\":\n%s", part, lines).isLessThan(end);
+                assertThat(System.nanoTime())
+                        .as("the log has \"%s\":\n%s", part, lines)
+                        .isLessThan(end);
                 Thread.onSpinWait();
             }
         }
@@ -411,22 +470,24 @@
         }
 
         /** The text of a query; each call another op. */
-        String op(String type) {
-            return op(type, 15_000);
+        String request(String type) {
+            return request(type, 15_000);
         }
 
-        String op(String type, long waitMs) {
-            String comment = " /* id=" + Integer.toHexString(++names) + ",c=" + type + ",t=north,d=" + waitMs
-                    + ",cluster=1 */";
-            return (type.equals("order") ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
-                    : "SELECT val FROM state WHERE uid = 'k'") + comment;
+        String request(String type, long waitMs) {
+            String comment =
+                    " /* id=" + Integer.toHexString(++names) + ",c=" + type + ",t=north,d=" + waitMs + ",cluster=1 */";
+            return (type.equals("order")
+                            ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
+                            : "SELECT val FROM state WHERE uid = 'k'")
+                    + comment;
         }
 
         /** Reads as clients do, which come back when told that it does no harm, for instance before any probe is in. */
         String read(Client c) throws IOException {
             String answer = "53300";
             for (int i = 0; i < 100 && answer.startsWith("53300"); i++) {
-                answer = c.ask(op("page")).answer();
+                answer = c.ask(request("page")).answer();
             }
             return answer;
         }
@@ -601,7 +662,9 @@
         }
 
         private String report() {
-            return vitals != null ? vitals : "x0=" + System.currentTimeMillis() / 1000 + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
+            return vitals != null
+                    ? vitals
+                    : "x0=" + System.currentTimeMillis() / 1000 + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
         }
 
         /** The next query of an op. */
@@ -632,17 +695,19 @@
 
         Buffer answer(byte[] value) {
             Buffer b = Buffer.buffer();
-            PgCodec.told(b, "rank", at.primary ? "source" : "copy");
+            MessageWriter.parameterStatus(b, "rank", at.primary ? "source" : "copy");
             if (at.vitals == null) {
-                PgCodec.told(b, "as_of", Long.toString(System.currentTimeMillis()));
+                MessageWriter.parameterStatus(b, "as_of", Long.toString(System.currentTimeMillis()));
             }
-            PgCodec.told(b, "vitals", at.report());
-            return b.appendBuffer(PgCodec.acked(new PgCodec.Row(
-                    new PgCodec.Column("val", 0, (short) 0, 17, (short) -1, -1, (short) 1), value, "SELECT 1")));
+            MessageWriter.parameterStatus(b, "vitals", at.report());
+            return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
+                    new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+                    value,
+                    "SELECT 1")));
         }
 
         void problem(String code) throws IOException {
-            Server.write(socket, PgCodec.problem(code, "no", null, false, true), false);
+            Server.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
         }
 
         void reset() throws IOException {
@@ -652,7 +717,9 @@
 
         /** Waits until the gateway has ended the connection. */
         void endedByGateway() throws InterruptedException {
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as("the connection ends").isTrue();
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as("the connection ends")
+                    .isTrue();
         }
     }
 
@@ -682,14 +749,17 @@
                 }
                 String body;
                 try {
-                    body = !uri.contains("?") ? whole : changes != null && uri.contains("from=1&") ? changes : news.take();
+                    body = !uri.contains("?")
+                            ? whole
+                            : changes != null && uri.contains("from=1&") ? changes : news.take();
                 } catch (InterruptedException e) {
                     return;
                 }
                 String status = body.startsWith("status ") ? body.substring(7) : "200 OK";
                 byte[] bytes = body.getBytes(UTF_8);
-                s.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + bytes.length + "\r\n\r\n")
-                        .getBytes(UTF_8));
+                s.getOutputStream()
+                        .write(("HTTP/1.1 " + status + "\r\nContent-Length: " + bytes.length + "\r\n\r\n")
+                                .getBytes(UTF_8));
                 s.getOutputStream().write(bytes);
             }
         }
@@ -724,7 +794,7 @@
         }
 
         Client greeted() throws IOException {
-            write(PgCodec.hello());
+            write(MessageWriter.startup());
             assertThat(answer()).isEqualTo("ready");
             return this;
         }
@@ -735,7 +805,7 @@
         }
 
         Client ask(String text) throws IOException {
-            return write(PgCodecTest.query(text));
+            return write(MessageWriter.query(text));
         }
 
         /** Reads to the end: "end" where it is one in order, "reset" else. */
@@ -771,12 +841,15 @@
                     in.readFully(body);
                     String text = new String(body, UTF_8);
                     if (type == 'D') {
-                        all.append("row ").append(HexFormat.of().formatHex(body, 6, body.length)).append(' ');
+                        all.append("row ")
+                                .append(HexFormat.of().formatHex(body, 6, body.length))
+                                .append(' ');
                     } else if (type == 'I') {
                         all.append("empty ");
                     } else if (type == 'E') {
                         int d = text.indexOf("\0D");
-                        all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7).append(' ')
+                        all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
+                                .append(' ')
                                 .append(d < 0 ? "" : "after " + text.substring(d + 2, text.indexOf(0, d + 1)) + " ");
                     }
                 }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -20,10 +20,10 @@
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.net.ClientSide;
+import ploverdale.net.ClientConnections;
+import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
-import ploverdale.net.GatewayFile;
-import ploverdale.net.LogicLoop;
+import ploverdale.net.RouterEventLoop;
 import ploverdale.net.ServerClock;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
@@ -38,12 +38,13 @@
     @Test
     void aRequestIsAnsweredInTimeThoughOtherClientsHoldAsMuchAsTheGatewayKeeps() throws Exception {
         try (Net net = new Net("p").started(1024, 30_000)) {
-            for (int valueBytes : new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
+            for (int valueBytes :
+                    new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
                 fill(net, valueBytes, valueBytes == 60_000 ? 145 : 20);
             }
             Client client = net.client();
             long asked = System.nanoTime();
-            String answer = client.ask(net.op("quick", 1000)).answer();
+            String answer = client.ask(net.request("quick", 1000)).answer();
             assertThat(answer).as(net::log).startsWith("53300");
             assertThat(sinceMs(asked)).as(net::log).isLessThan(1000 + ANSWER_SLACK_MS);
         }
@@ -52,35 +53,35 @@
     /** So many clients, each with a request that the server does not answer. */
     private static void fill(Net net, int valueBytes, int clients) throws Exception {
         for (int i = 0; i < clients; i++) {
-            net.client().ask(net.op("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
+            net.client().ask(net.request("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
         }
     }
 
     /** Takes every action of the router and carries none out, as if its answers were lost. */
-    private static final class LosesActions implements LogicLoop.Hands {
+    private static final class LosesActions implements RouterEventLoop.ActionHandler {
         @Override
-        public void send(Action.Send send) {}
+        public void send(Action.StartAttempt send) {}
 
         @Override
-        public void callOff(Action.CallOff callOff) {}
+        public void cancel(Action.CancelAttempt cancel) {}
 
         @Override
-        public void busyReply(Action.BusyReply reply) {}
+        public void rejectRequest(Action.RejectRequest reply) {}
 
         @Override
-        public void errorReply(Action.ErrorReply reply) {}
+        public void failRequest(Action.FailRequest reply) {}
 
         @Override
-        public void probe(Action.Probe probe) {}
+        public void probe(Action.CheckHealth probe) {}
 
         @Override
-        public void closeIdle(Action.CloseIdle close) {}
+        public void closeIdle(Action.CloseIdleConnections close) {}
 
         @Override
-        public void followList() {}
+        public void watchEndpoints() {}
 
         @Override
-        public void tell(Action.Tell tell) {}
+        public void tell(Action.SendGossip tell) {}
     }
 
     @Test
@@ -88,19 +89,23 @@
         Vertx vertx = Gateway.vertx();
         try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
-            GatewayFile settings = GatewayFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
+            ConfigurationFile settings =
+                    ConfigurationFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
             Files.delete(file);
             ByteArrayOutputStream lines = new ByteArrayOutputStream();
             Log log = new Log(new PrintStream(lines, true));
             CompletableFuture<NetServer> listening = new CompletableFuture<>();
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
-                LogicLoop loop = new LogicLoop(vertx, context, log, new LosesActions(), null, Clock.system());
+                RouterEventLoop loop =
+                        new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
                 ServerClock time = new ServerClock(log, Clock.system());
-                ClientSide clients =
-                        new ClientSide(vertx, log, loop, settings.terms(), new ConnectionLimits<>(256), time);
+                ClientConnections clients =
+                        new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
                 clients.ready();
-                vertx.createNetServer().connectHandler(clients::accept).listen(0, "127.0.0.1")
+                vertx.createNetServer()
+                        .connectHandler(clients::accept)
+                        .listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
             });
             int port = listening.get(Net.PATIENCE_S, TimeUnit.SECONDS).actualPort();
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -19,6 +19,9 @@
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Registry;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
 
 /** Stories of a real gateway between stand-ins on loopback. */
 @Timeout(120)
@@ -36,9 +39,10 @@
             for (int i = 0; i < value.length; i++) {
                 value[i] = (byte) i;
             }
-            Client c = net.client().ask(net.op("order", 9000));
+            Client c = net.client().ask(net.request("order", 9000));
             Got g = net.servers.get("p").next();
-            assertThat(g.text()).startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
+            assertThat(g.text())
+                    .startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
             String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
             assertThat(Integer.parseInt(wait)).isBetween(1, 9000);
             g.row(value);
@@ -53,8 +57,14 @@
                 assertThat(s.probed).as(net::log).isPositive();
                 assertThat(s.got).isEmpty(); // no made-up op of the practice reaches a server
             }
-            assertThat(net.log().lines().filter(l -> l.contains("primary p") || l.contains("listens")).toList())
-                    .hasSize(2).last().asString().contains("listens");
+            assertThat(net.log()
+                            .lines()
+                            .filter(l -> l.contains("primary p") || l.contains("listens"))
+                            .toList())
+                    .hasSize(2)
+                    .last()
+                    .asString()
+                    .contains("listens");
         }
     }
 
@@ -63,14 +73,16 @@
         try (Net net = new Net("p")) {
             Server p = net.servers.get("p");
             p.holdsProbes = new CountDownLatch(1);
-            Client c = net.early(net.op("order", 9000));
+            Client c = net.early(net.request("order", 9000));
             long came = System.nanoTime();
             while (System.nanoTime() - came < TimeUnit.MILLISECONDS.toNanos(300)) {
                 Thread.onSpinWait(); // service cannot begin before its first probe has ended
             }
             p.holdsProbes.countDown();
             Got g = p.next();
-            assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1"))).as(net::log).isLessThanOrEqualTo(8700);
+            assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1")))
+                    .as(net::log)
+                    .isLessThanOrEqualTo(8700);
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -80,11 +92,13 @@
     void theFirstQueryMayComeRightBehindTheGreetingAndQueriesAreAnsweredInTheirOrder() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = new Client(net.gateway.port());
-            c.write(PgCodecTest.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
+            c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
             assertThat(c.answer()).startsWith("08P01");
             c = new Client(net.gateway.port());
-            c.write(ploverdale.net.PgCodec.hello().appendBuffer(PgCodecTest.query(net.op("order")))
-                    .appendBuffer(PgCodecTest.query(net.op("order"))).appendBuffer(PgCodecTest.query(" ;")));
+            c.write(MessageWriter.startup()
+                    .appendBuffer(MessageWriter.query(net.request("order")))
+                    .appendBuffer(MessageWriter.query(net.request("order")))
+                    .appendBuffer(MessageWriter.query(" ;")));
             assertThat(c.answer()).isEqualTo("ready");
             Got one = net.servers.get("p").next();
             Got other = net.servers.get("p").next();
@@ -102,7 +116,7 @@
         try (Net net = new Net("p")) {
             net.servers.get("p").close();
             net.started().logged("server p silent");
-            assertThat(net.client().ask(net.op("quick", 900)).answer()).matches("53300 after \\d+ ready");
+            assertThat(net.client().ask(net.request("quick", 900)).answer()).matches("53300 after \\d+ ready");
         }
     }
 
@@ -110,7 +124,7 @@
     void aWriteTurnedAwayByAReplicaGoesToThePrimary() throws Exception {
         try (Net net = new Net("r1", "p").started()) {
             net.logged("primary p");
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             net.servers.get("p").next().problem("25006");
             assertThat(net.servers.get("p").next().text()).contains("id=1,");
             assertThat(net.servers.get("r1").got).isEmpty();
@@ -121,10 +135,10 @@
     @Test
     void aNonRetryableOpWhoseConnectionBreaksAfterTheLastByteIsWrittenOnceAndErrored() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             net.servers.get("p").next().reset();
             assertThat(c.answer()).isEqualTo("58000 ready");
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             Got second = net.servers.get("p").next();
             assertThat(second.text()).contains("id=2,");
             second.row(new byte[] {2});
@@ -136,7 +150,7 @@
     @Test
     void anOpThatFoundAServerFullIsNotWrittenToTheConnectionThatItCloses() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got full = net.servers.get("p").next();
             full.problem("53300");
             full.socket().close(); // as servers do that have too many of them
@@ -152,11 +166,11 @@
     void aNonRetryableOpWhoseConnectionNeverComesUpHasNotRunAndGoesAgain() throws Exception {
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
-            Client first = net.client().ask(net.op("order"));
+            Client first = net.client().ask(net.request("order"));
             Got out = p.next(); // keeps the connection that the probe opened
             p.shut = true;
             p.connects.clear();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             p.shut = false;
             out.row(new byte[] {1});
@@ -177,16 +191,16 @@
             Client other = net.client();
             boolean rested = false;
             for (int i = 0; i < 50 && !rested; i++) { // often, since the moment is short and this machine may be slow
-                one.ask(net.op("order"));
+                one.ask(net.request("order"));
                 Got first = p.next();
-                other.ask(net.op("order"));
+                other.ask(net.request("order"));
                 Got second = p.next();
                 first.row(new byte[] {7});
                 assertThat(one.answer()).isEqualTo(ROW_7);
                 Thread.sleep(20);
                 second.row(new byte[] {7});
                 assertThat(other.answer()).isEqualTo(ROW_7);
-                one.ask(net.op("order"));
+                one.ask(net.request("order"));
                 Got third = p.next();
                 rested = third.socket() == first.socket();
                 third.row(new byte[] {7});
@@ -213,7 +227,7 @@
     @Test
     void givingUpClosesTheConnectionAndALateAnswerReachesNoOtherOp() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("quick", 700));
+            Client c = net.client().ask(net.request("quick", 700));
             Got late = net.servers.get("p").next();
             assertThat(c.answer()).startsWith("53300");
             late.endedByGateway();
@@ -222,7 +236,7 @@
             } catch (java.io.IOException e) {
                 assertThat(late.socket().isClosed() || e.getMessage() != null).isTrue();
             }
-            c.ask(net.op("page"));
+            c.ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -231,13 +245,13 @@
     @Test
     void anAnswerThatNobodyAskedForEndsTheConnectionAndReachesNoOp() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             Got g = net.servers.get("p").next();
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             g.row("unasked".getBytes(UTF_8));
             g.endedByGateway();
-            c.ask(net.op("page"));
+            c.ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             net.logged("server out of order");
@@ -248,11 +262,11 @@
     void aSurplusAnswerReachesNoOpThatWaitsForTheConnection() throws Exception {
         try (Net net = new Net("p").started()) {
             Server p = net.servers.get("p");
-            Client first = net.client().ask(net.op("order"));
+            Client first = net.client().ask(net.request("order"));
             Got g = p.next();
             p.mute = true;
             p.connects.clear();
-            Client second = net.client().ask(net.op("order"));
+            Client second = net.client().ask(net.request("order"));
             assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             g.row(new byte[] {7}, g.answer(new byte[] {7})); // a second copy in the same breath
             assertThat(first.answer()).isEqualTo(ROW_7);
@@ -270,14 +284,17 @@
     void aSpoiltAnswerIsNoneWhateverItBeginsWith() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = net.client();
-            Buffer cut = Buffer.buffer().appendBuffer(ploverdale.net.PgCodec.acked(new ploverdale.net.PgCodec.Row(
-                    new ploverdale.net.PgCodec.Column("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
-                    new byte[] {1, 2, 3}, "SELECT 1")));
+            Buffer cut = Buffer.buffer()
+                    .appendBuffer(MessageWriter.resultRow(new ResultRow(
+                            new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+                            new byte[] {1, 2, 3},
+                            "SELECT 1")));
             int value = 1 + cut.getInt(1) + 7;
             cut.setInt(value, 2); // says that the value is shorter than its message
-            Buffer full = ploverdale.net.PgCodec.problem("53300", "full", null, false, false);
-            for (Buffer b : List.of(cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
-                c.ask(net.op("order"));
+            Buffer full = MessageWriter.errorResponse("53300", "full", null, false, false);
+            for (Buffer b : List.of(
+                    cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
+                c.ask(net.request("order"));
                 Got g = net.servers.get("p").next();
                 Server.write(g.socket(), b, false);
                 assertThat(c.answer()).isEqualTo("58000 ready"); // it may have run: neither acked nor sent again
@@ -288,7 +305,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"x0=99999999999.000,x1=0,busy=0.1", "x0=NOW,x1=0,busy=\u0007", "x0=NOW,x1=7,busy=0", "x0=NOW,=,"})
+    @ValueSource(
+            strings = {"x0=99999999999.000,x1=0,busy=0.1", "x0=NOW,x1=0,busy=\u0007", "x0=NOW,x1=7,busy=0", "x0=NOW,=,"
+            })
     void aReportThatIsSpoiltIsNotBelieved(String vitals) throws Exception {
         try (Net net = new Net("p", "r1")) {
             net.servers.get("p").vitals = "x0=0.000,x1=0,busy=0"; // has made none yet, and is the primary all the same
@@ -309,8 +328,9 @@
     void anAnswerCutShortOrOversizedMayHaveRun() throws Exception {
         try (Net net = new Net("p").started()) {
             Client c = net.client();
-            for (Buffer b : List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
-                c.ask(net.op("order"));
+            for (Buffer b :
+                    List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
+                c.ask(net.request("order"));
                 Got g = net.servers.get("p").next();
                 Server.write(g.socket(), b, false);
                 if (b.getByte(0) == 'T') {
@@ -325,7 +345,7 @@
     @Test
     void theSendOfAClientThatHasGoneIsGivenUp() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             Got g = net.servers.get("p").next();
             c.close();
             g.endedByGateway();
@@ -363,7 +383,7 @@
             net.registry.news.add(net.list(4, false));
             net.logged("discovery went back from revision 9 to 4");
             net.registry.asked("/registry/instances");
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -385,13 +405,14 @@
     @Test
     void idleConnectionsAreClosedBeforeTheServerWould() throws Exception {
         try (Net net = new Net("p").started(256, 4000)) {
-            Client c = net.client().ask(net.op("page"));
+            Client c = net.client().ask(net.request("page"));
             Got g = net.servers.get("p").next();
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             long answered = System.nanoTime();
             g.endedByGateway();
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered)).isBetween(1000L, 4000L);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
+                    .isBetween(1000L, 4000L);
         }
     }
 
@@ -404,12 +425,12 @@
             boolean away = false;
             for (int i = 0; i < 64 && !away; i++) {
                 Client c = new Client(net.gateway.port());
-                c.write(ploverdale.net.PgCodec.hello());
+                c.write(MessageWriter.startup());
                 String greeting = c.answer();
                 away = greeting.equals("53300 closed");
                 if (!away) {
                     assertThat(greeting).isEqualTo("ready");
-                    taken.add(c.ask(net.op("order")));
+                    taken.add(c.ask(net.request("order")));
                     Got g = p.got.poll(20, TimeUnit.MILLISECONDS); // read by the gateway, so no longer idle there
                     if (g != null) {
                         out.add(g);
@@ -428,10 +449,10 @@
             net.logged("no room for a connection");
             String greeting = "53300 closed";
             while (greeting.equals("53300 closed")) { // until those that were answered have been idle for a moment
-                Client c = new Client(net.gateway.port()).write(ploverdale.net.PgCodec.hello());
+                Client c = new Client(net.gateway.port()).write(MessageWriter.startup());
                 greeting = c.answer();
                 if (greeting.equals("ready")) {
-                    assertThat(c.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+                    assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
                 }
             }
             assertThat(greeting).isEqualTo("ready");
@@ -444,13 +465,13 @@
             net.servers.values().forEach(x -> x.value = new byte[60_000]);
             List<Client> all = new ArrayList<>();
             for (int i = 0; i < 28; i++) {
-                all.add(new Client(net.gateway.port()).write(ploverdale.net.PgCodec.hello()));
+                all.add(new Client(net.gateway.port()).write(MessageWriter.startup()));
             }
             for (Client c : all) {
                 assertThat(c.answer()).isEqualTo("ready");
             }
             for (Client c : all) {
-                c.ask(net.op("page"));
+                c.ask(net.request("page"));
             }
             for (Client c : all) {
                 assertThat(c.answer()).as(net::log).startsWith("row ");
@@ -462,7 +483,7 @@
     void aPlannedRestartServesOnAnswersAllAndEnds() throws Exception {
         try (Net net = new Net("p", "r1").started().readable()) {
             Client idle = net.client();
-            Client held = net.client().ask(net.op("order"));
+            Client held = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
@@ -475,7 +496,7 @@
             assertThat(net.read(later)).isEqualTo(ROW_7);
             net.logged("planned restart: idle connections end");
             Client last = new Client(net.gateway.port());
-            last.write(ploverdale.net.PgCodec.hello().appendBuffer(PgCodecTest.query(net.op("page"))));
+            last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.request("page"))));
             assertThat(List.of(last.answer(), last.answer(), last.answer())).containsExactly("ready", ROW_7, "closed");
             assertThat(idle.answer()).isEqualTo("closed");
             assertThat(ended.getCount()).isEqualTo(1);
@@ -490,12 +511,14 @@
     @Test
     void anOpThatWaitsForLongerThanAPlannedRestartLastsIsAnsweredBeforeTheEnd() throws Exception {
         try (Net net = new Net("p", "r1").started().readable()) {
-            Client patient = net.client().ask(net.op("order", 9000));
+            Client patient = net.client().ask(net.request("order", 9000));
             net.servers.get("p").next(); // never answered
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(net.log()).contains("0 ops unanswered").doesNotContain("1 ops unanswered"); // here a process would exit
+            assertThat(net.log())
+                    .contains("0 ops unanswered")
+                    .doesNotContain("1 ops unanswered"); // here a process would exit
             assertThat(patient.answer()).startsWith("58000");
         }
     }
@@ -505,11 +528,20 @@
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable(); Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (Net net = new Net("p", "r1").readable();
+                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
-            gateway = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                    "ploverdale.Main", "serve", "--config", file.toString()).redirectError(log.toFile()).start();
+            gateway = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                            "ploverdale.Main",
+                            "serve",
+                            "--config",
+                            file.toString())
+                    .redirectError(log.toFile())
+                    .start();
             int port = Integer.parseInt(line(log, "listens at").replaceAll(".*:(\\d+), .*", "$1"));
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             Client c = new Client(port).greeted();
@@ -538,7 +570,10 @@
     }
 
     private static void hangUp(Process p) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(p.pid())).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
+                        .start()
+                        .waitFor())
+                .isZero();
     }
 
     /** Waits for a line of the log with this. */
@@ -550,7 +585,9 @@
                     return line;
                 }
             }
-            assertThat(System.nanoTime()).as("the log has \"%s\":\n%s", part, Files.readString(log)).isLessThan(end);
+            assertThat(System.nanoTime())
+                    .as("the log has \"%s\":\n%s", part, Files.readString(log))
+                    .isLessThan(end);
             Thread.sleep(20);
         }
     }
@@ -565,25 +602,35 @@
             c.write(Buffer.buffer().appendInt(8).appendInt(80877104));
             assertThat(c.readByte()).isEqualTo('N');
             c.greeted();
-            for (String text : List.of("SELECT 1", "SELECT 1 /* id=a,c=nothing,t=north,d=5 */",
-                    "SELECT 1 /* id=a,c=page,t=nobody,d=5 */", "SELECT 1 /* id=a,c=page,t=north,d=-1 */")) {
+            for (String text : List.of(
+                    "SELECT 1",
+                    "SELECT 1 /* id=a,c=nothing,t=north,d=5 */",
+                    "SELECT 1 /* id=a,c=page,t=nobody,d=5 */",
+                    "SELECT 1 /* id=a,c=page,t=north,d=-1 */")) {
                 assertThat(c.ask(text).answer()).matches("(42601|22023) ready");
             }
             c.write(bytes('P', 8).appendInt(0).appendBuffer(bytes('B', 4)).appendBuffer(bytes('S', 4)));
             assertThat(c.answer()).isEqualTo("0A000 ready");
-            String op = net.op("order");
-            c.ask(op);
+            String request = net.request("order");
+            c.ask(request);
             Got g = net.servers.get("p").next();
-            assertThat(good.ask(op).answer()).isEqualTo("42710 ready");
+            assertThat(good.ask(request).answer()).isEqualTo("42710 ready");
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             for (Buffer b : List.of(bytes('?', 4), bytes('Q', 3), bytes('Q', 1 << 30))) {
                 assertThat(net.client().write(b).answer()).isEqualTo("08P01 closed");
             }
-            assertThat(new Client(net.gateway.port()).write(Buffer.buffer().appendInt(8).appendInt(2 << 16)).answer())
+            assertThat(new Client(net.gateway.port())
+                            .write(Buffer.buffer().appendInt(8).appendInt(2 << 16))
+                            .answer())
                     .isEqualTo("0A000 closed");
-            assertThat(new Client(net.gateway.port()).write(Buffer.buffer().appendInt(16).appendInt(80877102).appendLong(0))
-                    .answer()).isEqualTo("closed");
+            assertThat(new Client(net.gateway.port())
+                            .write(Buffer.buffer()
+                                    .appendInt(16)
+                                    .appendInt(80877102)
+                                    .appendLong(0))
+                            .answer())
+                    .isEqualTo("closed");
             assertThat(net.read(good)).isEqualTo(ROW_7);
         }
     }
@@ -591,14 +638,15 @@
     @Test
     void aClientThatDoesNotReadIsHeldBackAndClosedAndHarmsNoOther() throws Exception {
         try (Net net = new Net("p", "r1")) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no op takes longer than its 5 s
+            net.settings = told ->
+                    told.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no op takes longer than its 5 s
             net.started();
             net.readable().servers.values().forEach(s -> s.value = new byte[60_000]);
             Client deaf = net.client();
             Thread asks = new Thread(() -> {
                 try {
                     for (int i = 0; i < 1000; i++) {
-                        deaf.ask(net.op("page")); // more than all buffers on the way can take
+                        deaf.ask(net.request("page")); // more than all buffers on the way can take
                     }
                 } catch (java.io.IOException e) {
                     return; // closed, as it should be
@@ -619,7 +667,7 @@
             Client silent = new Client(net.gateway.port());
             Client half = new Client(net.gateway.port()).write(Buffer.buffer().appendInt(40));
             Client lateHalf = net.client().write(bytes('Q', 50));
-            Client taken = net.client().ask(net.op("order")).write(bytes('Q', 50));
+            Client taken = net.client().ask(net.request("order")).write(bytes('Q', 50));
             Got g = net.servers.get("p").next();
             for (Client c : List.of(silent, half, lateHalf)) {
                 assertThat(c.answer()).isEqualTo("08P01 closed");
@@ -632,7 +680,8 @@
 
     @Test
     void whereClientsHoldAboutAllTheyMayThoseThatDoNothingMakeWaySoon() throws Exception {
-        try (Net net = new Net("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
+        try (Net net =
+                new Net("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
             List<Client> all = new ArrayList<>();
             for (int i = 0; i < 15; i++) {
                 all.add(net.client());
@@ -641,7 +690,8 @@
             for (Client c : all.subList(0, 3)) {
                 assertThat(c.answer()).isEqualTo("closed");
             }
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since)).isLessThan(1900); // not the usual 2.1 s
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since))
+                    .isLessThan(1900); // not the usual 2.1 s
             assertThat(net.read(all.get(14))).isEqualTo(ROW_7);
         }
     }
--- a/gateway/src/test/java/ploverdale/HearsayInLogicTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -5,37 +5,48 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ploverdale.hearsay.Datagram;
-import ploverdale.hearsay.Datagram.Kind;
-import ploverdale.hearsay.Word;
+import ploverdale.gossip.Datagram;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.ServerObservation;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
-import ploverdale.model.OpId;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
 
 /** What the module makes of words of other gateways. */
-class HearsayInLogicTest {
+class GossipInRouterTest {
     private final FakeHost host = FakeHost.talking(3);
 
-    private Word word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
-        return new Word(role, at(roleMs), at(positionMs), at(positionMs), at(aliveMs), at(silentMs), Report.UNTOLD,
-                Report.UNTOLD);
+    private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
+        return new ServerObservation(
+                role,
+                at(roleMs),
+                at(positionMs),
+                at(positionMs),
+                at(aliveMs),
+                at(silentMs),
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
     private static long at(long ms) {
-        return ms < 0 ? Report.UNTOLD : ms * 10;
+        return ms < 0 ? LoadReport.UNKNOWN_TIME : ms * 10;
     }
 
-    private void told(int from, String server, Word w) {
-        host.tell(new Event.PeerMessage(from, new Datagram(Kind.TELLS, host.nowMs * 10,
-                Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
+    private void told(int from, String server, ServerObservation w) {
+        host.tell(new Event.GossipReceived(
+                from,
+                new Datagram(Kind.TELLS, host.nowMs * 10, Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
     }
 
-    private List<Action.Tell> tells() {
-        return host.acts.stream().filter(a -> a instanceof Action.Tell).map(a -> (Action.Tell) a).toList();
+    private List<Action.SendGossip> tells() {
+        return host.acts.stream()
+                .filter(a -> a instanceof Action.SendGossip)
+                .map(a -> (Action.SendGossip) a)
+                .toList();
     }
 
     @Test
@@ -53,11 +64,11 @@
     void aPrimaryThatOnlyOthersHaveHeardIsAskedBeforeItGetsAWrite() {
         host.list(true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
         told(1, "p", word(Role.PRIMARY, host.nowMs - 100, host.nowMs - 100, host.nowMs - 100, -1));
-        OpId op = host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(op)).isEmpty();
+        RequestId request = host.ask(FakeHost.SUBMIT);
+        assertThat(host.sends(request)).isEmpty();
         assertThat(host.probes("p")).isPositive();
         host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(op)).containsExactly("p");
+        assertThat(host.sends(request)).containsExactly("p");
     }
 
     @Test
@@ -66,19 +77,33 @@
         many.list(true, "p", "r1", "r2");
         assertThat(many.probes("p")).isZero();
         many.probed("r1", Role.REPLICA, many.nowMs);
-        many.tell(new Event.PeerMessage(1, new Datagram(Kind.TELLS, many.nowMs * 10, Map.of(Datagram.number(
-                new ServerId("p")), word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1))).bytes()));
+        many.tell(new Event.GossipReceived(
+                1,
+                new Datagram(
+                                Kind.TELLS,
+                                many.nowMs * 10,
+                                Map.of(
+                                        Datagram.number(new ServerId("p")),
+                                        word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1)))
+                        .bytes()));
         many.nowMs += 1200; // r1 is too old by now
         many.probed("r1", Role.REPLICA, many.nowMs - 1200);
-        OpId op = many.ask(FakeHost.VIEW);
-        assertThat(many.busyReplies(op)).isZero();
+        RequestId request = many.ask(FakeHost.VIEW);
+        assertThat(many.busyReplies(request)).isZero();
         many.probed("p", Role.PRIMARY, many.nowMs);
-        assertThat(many.sends(op)).containsExactly("p");
+        assertThat(many.sends(request)).containsExactly("p");
     }
 
-    private Event.PeerMessage heardByOthers(FakeHost h, String server, Role role) {
-        return new Event.PeerMessage(1, new Datagram(Kind.TELLS, h.nowMs * 10, Map.of(Datagram.number(
-                new ServerId(server)), word(role, h.nowMs, h.nowMs, h.nowMs, -1))).bytes());
+    private Event.GossipReceived heardByOthers(FakeHost h, String server, Role role) {
+        return new Event.GossipReceived(
+                1,
+                new Datagram(
+                                Kind.TELLS,
+                                h.nowMs * 10,
+                                Map.of(
+                                        Datagram.number(new ServerId(server)),
+                                        word(role, h.nowMs, h.nowMs, h.nowMs, -1)))
+                        .bytes());
     }
 
     @Test
@@ -112,10 +137,10 @@
         assertThat(host.logged("r1 returns")).isTrue();
         int r1 = 0;
         for (int i = 0; i < 20; i++) {
-            OpId op = host.ask(FakeHost.HISTORY);
-            String to = host.sends(op).get(0);
+            RequestId request = host.ask(FakeHost.HISTORY);
+            String to = host.sends(request).get(0);
             r1 += to.equals("r1") ? 1 : 0;
-            host.ends(op, 0, to, Outcome.ACKED, null);
+            host.ends(request, 0, to, Outcome.ACKED, null);
         }
         assertThat(r1).isEqualTo(20); // the only replica
     }
@@ -137,18 +162,25 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 50;
         told(1, "p", word(Role.PRIMARY, host.nowMs - 40, -1, -1, host.nowMs - 10));
-        OpId op = host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(op)).isEmpty();
+        RequestId request = host.ask(FakeHost.SUBMIT);
+        assertThat(host.sends(request)).isEmpty();
         host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(op)).containsExactly("p");
+        assertThat(host.sends(request)).containsExactly("p");
     }
 
     @Test
     void aDrainHeardBindsAtOnceAndAnOlderListDoesNotUndoIt() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        Word drains = new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                Report.UNTOLD, host.nowMs * 10 - 100);
+        ServerObservation drains = new ServerObservation(
+                Role.UNKNOWN,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                host.nowMs * 10 - 100);
         told(1, "r1", drains);
         host.list(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
@@ -162,8 +194,18 @@
     void aDrainThatNoListConfirmsLapses() {
         host.list(true, "p", "r1");
         host.levelled("p", "r1");
-        told(1, "r1", new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                Report.UNTOLD, host.nowMs * 10));
+        told(
+                1,
+                "r1",
+                new ServerObservation(
+                        Role.UNKNOWN,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        host.nowMs * 10));
         host.pass(10_500);
         host.levelled("p", "r1");
         assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
@@ -173,8 +215,18 @@
     void coldHeardIsCold() {
         host.list(true, "p", "r1", "r2");
         host.levelled("p", "r1", "r2");
-        told(1, "r1", new Word(Role.UNKNOWN, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD,
-                host.nowMs * 10 - 100, Report.UNTOLD));
+        told(
+                1,
+                "r1",
+                new ServerObservation(
+                        Role.UNKNOWN,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        LoadReport.UNKNOWN_TIME,
+                        host.nowMs * 10 - 100,
+                        LoadReport.UNKNOWN_TIME));
         int cold = 0;
         for (int i = 0; i < 20; i++) {
             cold += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
@@ -199,9 +251,9 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
         told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        OpId op = host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(op)).startsWith("r1");
-        host.ends(op, 0, "r1", Outcome.TURNED_AWAY, new Report(Role.REPLICA, host.nowMs * 10));
+        RequestId request = host.ask(FakeHost.SUBMIT);
+        assertThat(host.sends(request)).startsWith("r1");
+        host.ends(request, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, host.nowMs * 10));
         host.nowMs += 1000;
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
@@ -213,12 +265,15 @@
     void aGatewayAsksAtItsStartAndAnswersThoseThatStart() {
         host.list(true, "p", "r1");
         host.pass(20);
-        assertThat(tells()).hasSize(2).allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
+        assertThat(tells())
+                .hasSize(2)
+                .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
         host.levelled("p", "r1");
         host.acts.clear();
-        host.tell(new Event.PeerMessage(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
+        host.tell(new Event.GossipReceived(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
         assertThat(tells()).hasSize(1);
-        Map<Integer, Word> words = Datagram.read(tells().get(0).bytes()).datagram().words();
+        Map<Integer, ServerObservation> words =
+                Datagram.read(tells().get(0).bytes()).datagram().words();
         assertThat(words.get(Datagram.number(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
         assertThat(words.get(Datagram.number(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
     }
@@ -234,11 +289,17 @@
         host.pass(600);
         host.unanswered("r1");
         host.pass(100);
-        assertThat(tells()).anyMatch(t -> Datagram.read(t.bytes()).datagram().words()
-                .getOrDefault(Datagram.number(new ServerId("r1")), Word.NONE).silent());
+        assertThat(tells())
+                .anyMatch(t -> Datagram.read(t.bytes())
+                        .datagram()
+                        .words()
+                        .getOrDefault(Datagram.number(new ServerId("r1")), ServerObservation.NONE)
+                        .silent());
         host.acts.clear();
         host.tell(new Event.ShutdownBegun());
-        assertThat(tells()).hasSize(2).allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
+        assertThat(tells())
+                .hasSize(2)
+                .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
     }
 
     @Test
@@ -258,10 +319,10 @@
         quiet.list(true, "p", "r1");
         quiet.levelled("p", "r1");
         int before = quiet.acts.size();
-        quiet.tell(new Event.PeerMessage(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
+        quiet.tell(new Event.GossipReceived(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
         quiet.tell(new Event.ShutdownBegun());
         assertThat(quiet.acts).hasSize(before);
         quiet.pass(1000);
-        assertThat(quiet.acts).noneMatch(a -> a instanceof Action.Tell);
+        assertThat(quiet.acts).noneMatch(a -> a instanceof Action.SendGossip);
     }
 }
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -83,7 +83,9 @@
             long moved = System.nanoTime();
             moveDiscovery(net, discovery);
             net.logged("server r1 listed GONE");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - moved)).as(net::log).isLessThan(TOLD_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - moved))
+                    .as(net::log)
+                    .isLessThan(TOLD_WITHIN_MS);
             assertThat(discovery.calls).hasValue(1);
         }
     }
@@ -106,7 +108,7 @@
     @ValueSource(booleans = {false, true})
     void aRowWithItsCommandCompleteIsForwardedThoughReadyForQueryNeverComes(boolean resets) throws Exception {
         try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.op("order"));
+            Client client = net.client().ask(net.request("order"));
             Got query = net.servers.get("p").next();
             Buffer answer = query.answer(new byte[] {7});
             Server.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -24,7 +24,7 @@
     /** A request that a client sends now. */
     private record Sent(Client client, long atNanos, long deadlineMs) {
         static Sent by(Client client, Net net, String type, long deadlineMs) throws Exception {
-            String query = net.op(type, deadlineMs);
+            String query = net.request(type, deadlineMs);
             long now = System.nanoTime();
             client.ask(query);
             return new Sent(client, now, deadlineMs);
@@ -41,7 +41,8 @@
         Got query = server.next();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
-        assertThat(passedMs).as("%d ms left, of %d\n%s", leftMs, sent.deadlineMs, net.log())
+        assertThat(passedMs)
+                .as("%d ms left, of %d\n%s", leftMs, sent.deadlineMs, net.log())
                 .isBetween(1L, leftMs + SLACK_MS);
         return query;
     }
@@ -100,7 +101,8 @@
 
     private static void retry(Failure failure) throws Exception {
         try (Net net = new Net("p", "r1")) {
-            net.settings = told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
+            net.settings =
+                    told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
             net.started();
             Sent sent = Sent.by(net.client(), net, "quick", DEADLINE_MS);
             Got first = arrivesInTime(net, firstAsked(net), sent);
@@ -127,7 +129,7 @@
     void ofAnAttemptThatWaitedForItsConnection() throws Exception {
         try (Net net = new Net("p").started()) {
             Server server = net.servers.get("p");
-            net.client().ask(net.op("order"));
+            net.client().ask(net.request("order"));
             server.next(); // has the connection that the health check opened
             server.holdsGreetings = new CountDownLatch(1);
             Sent sent = Sent.by(net.client(), net, "order", DEADLINE_MS);
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -22,6 +22,7 @@
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Server;
+import ploverdale.net.postgres.MessageWriter;
 
 /** A gateway as a process, its deadlines 300 ms, which gets SIGTERM under load and SIGKILL 1.0 s later. */
 @Timeout(120)
@@ -65,7 +66,7 @@
         private void sendsOn() {
             while (true) {
                 try (Client client = new Client(port)) {
-                    client.write(ploverdale.net.PgCodec.hello());
+                    client.write(MessageWriter.startup());
                     if (client.answer().equals("ready")) {
                         asksUntilItEnds(client);
                     }
@@ -83,7 +84,7 @@
                 long sent = System.nanoTime();
                 String answer;
                 try {
-                    client.ask(net.op("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
+                    client.ask(net.request("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
                     answer = client.answer();
                 } catch (IOException e) {
                     answer = "closed";
@@ -126,8 +127,8 @@
             gateway.process.onExit().thenRun(exited::countDown);
             long signalled = System.nanoTime();
             gateway.process.destroy();
-            boolean byItself = exited.await(
-                    KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - signalled), TimeUnit.NANOSECONDS);
+            boolean byItself =
+                    exited.await(KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - signalled), TimeUnit.NANOSECONDS);
             gateway.process.destroyForcibly();
             load.join();
             System.out.println("shutdown with deadlines of " + DEADLINE_MS + " ms: "
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -13,7 +13,7 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
-import ploverdale.net.PgCodec;
+import ploverdale.net.postgres.MessageWriter;
 
 /** Clients that stop in the middle of something and stay connected: each is owed an error or a close within 3 s. */
 @Timeout(120)
@@ -24,25 +24,27 @@
     private static final int PIPELINED = 12; // more than a gateway takes of one client at once
 
     /** Where a client stops before its first request is whole. */
-    enum Stage {
+    enum EndpointState {
         CONNECTED(Buffer.buffer()),
         PART_OF_A_LENGTH(Buffer.buffer().appendByte((byte) 0).appendByte((byte) 0)),
         LENGTH_OF_A_STARTUP(Buffer.buffer().appendInt(40)),
-        HALF_A_STARTUP(firstHalf(PgCodec.hello())),
+        HALF_A_STARTUP(firstHalf(MessageWriter.startup())),
         SSL_REQUESTED(Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST)),
         HALF_AN_SSL_REQUEST(Buffer.buffer().appendInt(8).appendShort((short) 1234)),
         SSL_REQUESTED_AND_HALF_A_STARTUP(
-                Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST).appendBuffer(firstHalf(PgCodec.hello()))),
-        HALF_A_CANCEL_REQUEST(Buffer.buffer().appendInt(16).appendInt(CANCEL_REQUEST).appendInt(1)),
-        TYPE_OF_A_QUERY(PgCodec.hello().appendByte((byte) 'Q')),
-        PART_OF_A_QUERY_LENGTH(PgCodec.hello().appendByte((byte) 'Q').appendShort((short) 0)),
-        HALF_A_QUERY(PgCodec.hello().appendBuffer(firstHalf(PgCodecTest.query("SELECT 1")))),
-        HALF_A_QUERY_BEHIND_AN_EMPTY_ONE(
-                PgCodec.hello().appendBuffer(PgCodecTest.query("")).appendBuffer(firstHalf(PgCodecTest.query("SELECT 1"))));
+                Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST).appendBuffer(firstHalf(MessageWriter.startup()))),
+        HALF_A_CANCEL_REQUEST(
+                Buffer.buffer().appendInt(16).appendInt(CANCEL_REQUEST).appendInt(1)),
+        TYPE_OF_A_QUERY(MessageWriter.startup().appendByte((byte) 'Q')),
+        PART_OF_A_QUERY_LENGTH(MessageWriter.startup().appendByte((byte) 'Q').appendShort((short) 0)),
+        HALF_A_QUERY(MessageWriter.startup().appendBuffer(firstHalf(MessageWriter.query("SELECT 1")))),
+        HALF_A_QUERY_BEHIND_AN_EMPTY_ONE(MessageWriter.startup()
+                .appendBuffer(MessageWriter.query(""))
+                .appendBuffer(firstHalf(MessageWriter.query("SELECT 1"))));
 
         private final Buffer written;
 
-        Stage(Buffer written) {
+        EndpointState(Buffer written) {
             this.written = written;
         }
 
@@ -60,14 +62,15 @@
     @Test
     void clientsThatStopBeforeTheirFirstRequestIsWholeAreEndedInTimeAtEveryStage() throws Exception {
         try (Net net = new Net("p").started()) {
-            Map<Stage, Client> stalled = new EnumMap<>(Stage.class);
+            Map<EndpointState, Client> stalled = new EnumMap<>(EndpointState.class);
             long stopped = System.nanoTime();
-            for (Stage stage : Stage.values()) {
+            for (EndpointState stage : EndpointState.values()) {
                 stalled.put(stage, new Client(net.gateway.port()).write(stage.written));
             }
-            for (Stage stage : Stage.values()) {
+            for (EndpointState stage : EndpointState.values()) {
                 readToTheEnd(stalled.get(stage));
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped)).as("%s:\n%s", stage, net.log())
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped))
+                        .as("%s:\n%s", stage, net.log())
                         .isLessThan(OWED_WITHIN_MS);
             }
         }
@@ -77,11 +80,18 @@
     void aClientThatStopsInAMessageThatIsNotTakenHasItsErrorByThen() throws Exception {
         try (Net net = new Net("p").started()) {
             long began = System.nanoTime();
-            Client tooLong = net.client().write(Buffer.buffer().appendByte((byte) 'Q').appendInt(1_000_000).appendInt(0));
+            Client tooLong = net.client()
+                    .write(Buffer.buffer()
+                            .appendByte((byte) 'Q')
+                            .appendInt(1_000_000)
+                            .appendInt(0));
             assertThat(tooLong.answer()).as(net::log).isEqualTo("54000 ready");
-            Client notSpoken = net.client().write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
+            Client notSpoken = net.client()
+                    .write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
             assertThat((char) notSpoken.readByte()).as(net::log).isEqualTo('E');
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began)).as(net::log).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
+                    .as(net::log)
+                    .isLessThan(OWED_WITHIN_MS);
         }
     }
 
@@ -89,7 +99,7 @@
     void aClientThatWritesAByteNowAndThenIsEndedInTime() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client();
-            Buffer query = PgCodecTest.query(net.op("page"));
+            Buffer query = MessageWriter.query(net.request("page"));
             long began = System.nanoTime();
             Thread writes = new Thread(() -> {
                 try {
@@ -103,7 +113,9 @@
             });
             writes.start();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began)).as(net::log).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
+                    .as(net::log)
+                    .isLessThan(OWED_WITHIN_MS);
             client.close();
             writes.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
         }
@@ -112,16 +124,17 @@
     @Test
     void aClientThatStopsInItsSecondRequestGetsTheFirstAnswerAndThenItsError() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.op("order"));
+            Client client = net.client().ask(net.request("order"));
             Got first = net.servers.get("p").next();
-            Buffer second = PgCodecTest.query(net.op("order"));
+            Buffer second = MessageWriter.query(net.request("order"));
             client.write(second.getBuffer(0, second.length() / 2));
             net.logged("client with an unfinished message");
             first.row(new byte[] {7});
             assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
             long answered = System.nanoTime();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered)).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
+                    .isLessThan(OWED_WITHIN_MS);
             assertThat(net.servers.get("p").got).isEmpty();
         }
     }
@@ -133,16 +146,17 @@
             Client client = net.client();
             Buffer all = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
-                all.appendBuffer(PgCodecTest.query(net.op("order")));
+                all.appendBuffer(MessageWriter.query(net.request("order")));
             }
-            Buffer last = PgCodecTest.query(net.op("order"));
+            Buffer last = MessageWriter.query(net.request("order"));
             client.write(all.appendBuffer(last.getBuffer(0, last.length() / 2)));
             for (int i = 0; i < PIPELINED; i++) {
                 assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
             }
             long answered = System.nanoTime();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered)).isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
+                    .isLessThan(OWED_WITHIN_MS);
         }
     }
 
@@ -151,7 +165,8 @@
         try (Net net = new Net("p", "r1").started(64, 30_000).readable()) {
             List<Client> stalled = new ArrayList<>();
             for (int i = 0; i < 20; i++) { // of 28 that clients may hold
-                stalled.add(net.client().write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
+                stalled.add(net.client()
+                        .write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
             }
             assertThat(net.read(net.client())).as(net::log).isEqualTo("row 07 ready");
             for (Client client : stalled) {
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -33,7 +33,7 @@
 import ploverdale.FaultyTransport.Errno;
 import ploverdale.FaultyTransport.Fault;
 import ploverdale.net.Gateway;
-import ploverdale.net.PgCodec;
+import ploverdale.net.postgres.MessageWriter;
 
 /** A real gateway whose system calls fail as Linux documents, between stand-ins on loopback. */
 @Timeout(120)
@@ -83,14 +83,18 @@
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
-            assertThat(net.client().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.client().ask(net.request("order")).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
         }
     }
 
     @Test
     void anAddressThatIsTakenIsToldAtOnce() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); Net net = net("p")) {
-            net.settings = told -> told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
+        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Net net = net("p")) {
+            net.settings = told ->
+                    told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long began = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
             assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
@@ -107,10 +111,10 @@
             Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
             long began = System.nanoTime();
             Client c = net.client();
-            assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(A_MOMENT);
-            assertThat(other.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         }
     }
 
@@ -124,12 +128,18 @@
             long began = System.nanoTime();
             Client waits = new Client(net.gateway.port());
             while (since(began) < 500) {
-                assertThat(other.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(other.ask(net.request("order")).answer())
+                        .as(net::log)
+                        .isEqualTo(ROW_7);
             }
-            assertThat(system.calls(Call.ACCEPT) - callsBefore).as("accepts in half a second").isBetween(2L, 200L);
+            assertThat(system.calls(Call.ACCEPT) - callsBefore)
+                    .as("accepts in half a second")
+                    .isBetween(2L, 200L);
             fault.end();
             long ended = System.nanoTime();
-            assertThat(waits.greeted().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(waits.greeted().ask(net.request("order")).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(since(ended)).isLessThan(NETTY_PAUSE_MS / 2);
             waits.close();
         }
@@ -142,9 +152,11 @@
             Client other = net.client();
             Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
             Client reset = new Client(net.gateway.port());
-            assertThat(net.client().ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.client().ask(net.request("order")).answer())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(other.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
             reset.close();
         }
     }
@@ -152,9 +164,20 @@
     // -- socket and connect
 
     @ParameterizedTest
-    @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "SOCKET,ENOBUFS", "SOCKET,ENOMEM", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS",
-            "CONNECT,ENOMEM", "CONNECT,ENETUNREACH", "CONNECT,EPERM", "CONNECT,EINTR", "FINISH_CONNECT,ENETUNREACH",
-            "SET_OPTION,EINVAL"})
+    @CsvSource({
+        "SOCKET,EMFILE",
+        "SOCKET,ENFILE",
+        "SOCKET,ENOBUFS",
+        "SOCKET,ENOMEM",
+        "CONNECT,EADDRNOTAVAIL",
+        "CONNECT,ENOBUFS",
+        "CONNECT,ENOMEM",
+        "CONNECT,ENETUNREACH",
+        "CONNECT,EPERM",
+        "CONNECT,EINTR",
+        "FINISH_CONNECT,ENETUNREACH",
+        "SET_OPTION,EINVAL"
+    })
     void aRequestWhoseConnectionCannotBeMadeForAMomentIsServedAllTheSame(Call call, Errno errno) throws Exception {
         try (Net net = net("p").started(256, SHORT_IDLE_MS)) {
             Server p = net.servers.get("p");
@@ -163,8 +186,9 @@
             waitForNoConnection(net, p);
             boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
             Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
-            assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(fault.failed()).isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
+            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(fault.failed())
+                    .isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
             assertThat(net.log()).doesNotContain("silent");
         }
     }
@@ -182,14 +206,14 @@
             long began = System.nanoTime();
             int rejected = 0;
             while (since(began) < 3500) { // longer than a server counts as heard, so that health checks come in, too
-                rejected += c.ask(net.op("quick", 200)).answer().startsWith("53300") ? 1 : 0;
+                rejected += c.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
             assertThat(net.log()).doesNotContain("silent");
             fault.end();
             long ended = System.nanoTime();
-            while (!c.ask(net.op("quick", 200)).answer().equals(ROW_7)) {
+            while (!c.ask(net.request("quick", 200)).answer().equals(ROW_7)) {
                 assertThat(since(ended)).as(net::log).isLessThan(1500);
             }
             assertThat(net.log()).doesNotContain("silent");
@@ -197,7 +221,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"CONNECT,ENETUNREACH", "FINISH_CONNECT,EHOSTUNREACH", "FINISH_CONNECT,ETIMEDOUT", "FINISH_CONNECT,ECONNREFUSED"})
+    @CsvSource({
+        "CONNECT,ENETUNREACH",
+        "FINISH_CONNECT,EHOSTUNREACH",
+        "FINISH_CONNECT,ETIMEDOUT",
+        "FINISH_CONNECT,ECONNREFUSED"
+    })
     void aServerThatCannotBeReachedLeavesItsRequestsToOthers(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
             Client c = net.client();
@@ -242,9 +271,9 @@
         Server p = net.servers.get("p");
         p.writes = true;
         Client c = net.client();
-        assertThat(c.ask(net.op("order")).answer()).isEqualTo(ROW_7);
+        assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         Fault fault = installs.apply(p.port());
-        assertThat(c.ask(net.op("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
         assertThat(p.ran).as("queries that came whole").hasSize(2);
         net.logged("NOT_WRITTEN");
@@ -256,13 +285,13 @@
     void aQueryThatWasTakenWholeIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
             Server p = net.servers.get("p");
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             Fault fault = system.fail(Call.READ, p.port(), errno, 1);
             g.row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo("58000 ready");
             assertThat(fault.failed()).isEqualTo(1);
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             p.next().row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(p.ran).hasSize(2);
@@ -277,7 +306,7 @@
             Client c = net.client();
             byte[] value = new byte[1000];
             for (int i = 0; i < 3; i++) {
-                c.ask(net.op("order"));
+                c.ask(net.request("order"));
                 Got g = p.next();
                 g.row(value);
                 assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
@@ -294,14 +323,14 @@
         try (Net net = net("p").started()) {
             Server p = net.servers.get("p");
             Client other = net.client();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             Fault fault = system.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
-            c.ask(net.op("order"));
+            c.ask(net.request("order"));
             g.endedByGateway();
             assertThat(fault.failed()).isEqualTo(1);
             assertThat(p.got).isEmpty();
-            other.ask(net.op("order"));
+            other.ask(net.request("order"));
             p.next().row(new byte[] {7});
             assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
         }
@@ -313,13 +342,13 @@
         try (Net net = net("p").started()) {
             Server p = net.servers.get("p");
             Client other = net.client();
-            Client c = net.client().ask(net.op("order"));
+            Client c = net.client().ask(net.request("order"));
             Got g = p.next();
             Fault fault = system.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
             g.row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            other.ask(net.op("order"));
+            other.ask(net.request("order"));
             p.next().row(new byte[] {7});
             assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
         }
@@ -334,20 +363,32 @@
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
             assertThat(idle.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                    .as(net::log)
+                    .isTrue();
         }
     }
 
     // -- discovery
 
     @ParameterizedTest
-    @CsvSource({"CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENETUNREACH", "SOCKET,EMFILE", "SOCKET,ENOMEM",
-            "FINISH_CONNECT,EHOSTUNREACH", "FINISH_CONNECT,ETIMEDOUT", "WRITE,ETIMEDOUT", "READ,EHOSTUNREACH"})
+    @CsvSource({
+        "CONNECT,EADDRNOTAVAIL",
+        "CONNECT,ENOBUFS",
+        "CONNECT,ENETUNREACH",
+        "SOCKET,EMFILE",
+        "SOCKET,ENOMEM",
+        "FINISH_CONNECT,EHOSTUNREACH",
+        "FINISH_CONNECT,ETIMEDOUT",
+        "WRITE,ETIMEDOUT",
+        "READ,EHOSTUNREACH"
+    })
     void aChangeIsHeardInTimeThoughCallsToDiscoveryFail(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1").started()) {
             int port = net.registry.port();
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            Fault fault = call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
+            Fault fault =
+                    call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.closeConnections(); // so that the next call needs a new one
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
@@ -366,9 +407,12 @@
 
     @ParameterizedTest
     @CsvSource({"1,true", "2,true", "3,false", "4,false"})
-    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed, boolean clientsToo) throws Exception {
+    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed, boolean clientsToo)
+            throws Exception {
         Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
-        errnos.put(Call.ACCEPT, List.of(Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR));
+        errnos.put(
+                Call.ACCEPT,
+                List.of(Errno.ECONNABORTED, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM, Errno.EINTR));
         errnos.put(Call.SOCKET, List.of(Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM));
         errnos.put(Call.CONNECT, List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS, Errno.EINTR));
         errnos.put(Call.FINISH_CONNECT, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH));
@@ -383,7 +427,7 @@
             Client c = null;
             for (int i = 0; i < 300; i++) {
                 c = c == null ? clientInStorm(net) : c;
-                String query = net.op("order");
+                String query = net.request("order");
                 String answer = answerInStorm(c, query);
                 answers.put(query.replaceAll(".* id=(\\w+),.*", "$1"), answer);
                 c = answer.endsWith("closed") ? null : c;
@@ -393,14 +437,19 @@
             long began = System.nanoTime();
             String last = "";
             while (!last.equals(ROW_7) && since(began) < 5000) {
-                last = after.ask(net.op("order")).answer();
+                last = after.ask(net.request("order")).answer();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
             for (Map.Entry<String, String> e : answers.entrySet()) {
-                long runs = p.ran.stream().filter(q -> q.contains(" id=" + e.getKey() + ",")).count();
-                String what = "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
+                long runs = p.ran.stream()
+                        .filter(q -> q.contains(" id=" + e.getKey() + ","))
+                        .count();
+                String what =
+                        "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
                 assertThat(runs).as(what).isLessThanOrEqualTo(1);
-                assertThat(e.getValue()).as(what).matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
+                assertThat(e.getValue())
+                        .as(what)
+                        .matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
                 if (!clientsToo) {
                     assertThat(e.getValue()).as(what).endsWith(" ready"); // each has its answer
                 }
@@ -410,7 +459,9 @@
                     assertThat(runs).as(what).isZero();
                 }
             }
-            assertThat(answers.values().stream().filter(ROW_7::equals).count()).as(answers.toString()).isGreaterThan(100);
+            assertThat(answers.values().stream().filter(ROW_7::equals).count())
+                    .as(answers.toString())
+                    .isGreaterThan(100);
         }
     }
 
@@ -419,7 +470,7 @@
         for (int i = 0; i < 50; i++) {
             Client c = new Client(net.gateway.port());
             try {
-                if (c.write(PgCodec.hello()).answer().equals("ready")) {
+                if (c.write(MessageWriter.startup()).answer().equals("ready")) {
                     return c;
                 }
             } catch (EOFException | SocketException e) {
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -11,7 +11,7 @@
 import ploverdale.FakeHost.Client;
 import ploverdale.FakeHost.Got;
 import ploverdale.FakeHost.Net;
-import ploverdale.net.PgCodec;
+import ploverdale.net.postgres.MessageWriter;
 
 /** A request that has been read is answered before the gateway ends its connection, on a new connection too. */
 @Timeout(120)
@@ -20,16 +20,17 @@
     private static final String REFUSED = "53300 ready";
     private static final int FEW_DESCRIPTORS = 64; // 28 connections of clients
     private static final int CLIENTS_MOST = 28;
-    private static final Buffer UNKNOWN_MESSAGE = Buffer.buffer().appendByte((byte) '?').appendInt(4);
+    private static final Buffer UNKNOWN_MESSAGE =
+            Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
     private static Buffer order(Net net) {
-        return PgCodec.query(net.op("order"));
+        return MessageWriter.query(net.request("order"));
     }
 
     /** As many clients as there may be, each with a request that waits for a group without servers, so that none is idle. */
     private static void fill(Net net) throws Exception {
         for (int i = 0; i < CLIENTS_MOST; i++) {
-            net.client().ask(net.op("order").replace("cluster=1", "cluster=2"));
+            net.client().ask(net.request("order").replace("cluster=1", "cluster=2"));
         }
         Thread.sleep(50); // all have been read
     }
@@ -38,7 +39,8 @@
     void aRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Client client = new Client(net.gateway.port()).write(PgCodec.hello().appendBuffer(order(net)));
+            Client client =
+                    new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo("53300 closed");
             assertThat(client.howItEnds()).isEqualTo("end");
         }
@@ -48,9 +50,14 @@
     void eachRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Buffer all = PgCodec.hello().appendBuffer(order(net)).appendBuffer(order(net)).appendBuffer(order(net));
+            Buffer all = MessageWriter.startup()
+                    .appendBuffer(order(net))
+                    .appendBuffer(order(net))
+                    .appendBuffer(order(net));
             Client client = new Client(net.gateway.port()).write(all);
-            assertThat(client.answer()).as(net::log).isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
+            assertThat(client.answer())
+                    .as(net::log)
+                    .isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
             assertThat(client.answer()).isEqualTo(REFUSED);
             assertThat(client.answer()).isEqualTo("closed");
         }
@@ -60,7 +67,8 @@
     void aRequestBehindAMalformedMessageIsRefusedBeforeTheConnectionEnds() throws Exception {
         try (Net net = new Net("p").started()) {
             net.servers.get("p").writes = true;
-            Client client = net.client().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
+            Client client =
+                    net.client().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo(SERVED);
             assertThat(client.answer()).isEqualTo("08P01 53300 ready");
             assertThat(client.answer()).isEqualTo("closed");
@@ -70,7 +78,7 @@
     @Test
     void aRequestReadWhileTheAnswerBeforeAMalformedMessageIsAwaitedIsRefusedAndNotForwarded() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.op("order"));
+            Client client = net.client().ask(net.request("order"));
             Got first = net.servers.get("p").next();
             client.write(UNKNOWN_MESSAGE);
             net.logged("bad input from a client");
@@ -91,7 +99,7 @@
             net.started();
             Client client = net.client();
             Buffer order = order(net);
-            client.ask(net.op("order")).write(order.getBuffer(0, 20));
+            client.ask(net.request("order")).write(order.getBuffer(0, 20));
             net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
@@ -107,7 +115,7 @@
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
-                all.appendBuffer(PgCodec.query(net.op("order").replace("\\x01", "\\x" + "01".repeat(4500))));
+                all.appendBuffer(MessageWriter.query(net.request("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
             List<Got> inHand = new ArrayList<>();
@@ -160,7 +168,10 @@
         try (Net net = new Net("p").started()) {
             List<Client> unfinished = new ArrayList<>();
             for (int i = 0; i < 140; i++) {
-                Buffer begun = Buffer.buffer().appendByte((byte) 'Q').appendInt(130_000).appendBytes(new byte[125_000]);
+                Buffer begun = Buffer.buffer()
+                        .appendByte((byte) 'Q')
+                        .appendInt(130_000)
+                        .appendBytes(new byte[125_000]);
                 unfinished.add(net.client().write(begun));
             }
             assertThat(unfinished.get(0).answer()).as(net::log).isEqualTo("53300 closed");
@@ -176,7 +187,7 @@
             }
             for (Client c : idle.subList(0, 3)) {
                 assertThat(c.readByte()).isEqualTo(-1);
-                c.ask(net.op("order")); // written before the end was known, for all that the gateway can tell
+                c.ask(net.request("order")); // written before the end was known, for all that the gateway can tell
                 assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
             }
             Thread.sleep(600); // until the gateway has closed these connections
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -11,15 +11,15 @@
 import java.util.Random;
 import java.util.Set;
 import ploverdale.model.Action;
-import ploverdale.model.CopyKeeping;
+import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
-import ploverdale.model.Listing;
-import ploverdale.model.OpId;
-import ploverdale.model.OpTypeId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClassId;
+import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
@@ -54,7 +54,7 @@
     private final Set<String> pending = new HashSet<>(); // attempts and health checks that have not ended
     private final Map<String, Long> silentSince = new LinkedHashMap<>();
     private final Map<String, Long> silentAtFirst = new LinkedHashMap<>();
-    private final Map<OpId, Integer> attempts = new LinkedHashMap<>();
+    private final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
     private final Map<String, ServerId> sentTo = new HashMap<>();
     private long sequence;
     private long lastReturn;
@@ -66,7 +66,7 @@
     VirtualFleet(int servers, long seed) {
         this.servers = servers;
         random = new Random(seed);
-        host = new FakeHost(CopyKeeping.Checks.NONE, false, true, GATEWAYS);
+        host = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, GATEWAYS);
     }
 
     /** Holds up the servers, and the gateway, too, unless told otherwise. */
@@ -92,7 +92,7 @@
     }
 
     /** Lists all servers and plays for so long, with so many client ops a second after the first health checks. */
-    VirtualFleet play(long lasts, int opsPerSecond) {
+    VirtualFleet play(long lasts, int requestsPerSecond) {
         for (HoldUp h : holdUps) {
             if (h.gatewayToo) {
                 later(h.until, -1, () -> tell(new Event.LoopDelayed(h.from * 10, h.until * 10)));
@@ -100,10 +100,10 @@
         }
         later(start(), READS, () -> {
             carryOut(List.copyOf(host.acts)); // what the module wanted at its start
-            tell(new Event.ListTold(true, false, listings()));
+            tell(new Event.EndpointUpdate(true, false, endpoints()));
         });
-        long gap = opsPerSecond == 0 ? lasts : 1000 / opsPerSecond;
-        for (long at = HEALTH_CHECK_LIMIT_MS; opsPerSecond > 0 && at < lasts; at += gap) {
+        long gap = requestsPerSecond == 0 ? lasts : 1000 / requestsPerSecond;
+        for (long at = HEALTH_CHECK_LIMIT_MS; requestsPerSecond > 0 && at < lasts; at += gap) {
             gateway(start() + at, READS, this::arrival);
         }
         long end = start() + lasts;
@@ -115,10 +115,11 @@
         return this;
     }
 
-    private List<Listing> listings() {
-        List<Listing> all = new ArrayList<>();
+    private List<Endpoint> endpoints() {
+        List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Listing(new ServerId(id(i)), group(i), new ZoneId(0), Listing.Stage.IN, isPrimary(i), 0));
+            all.add(new Endpoint(
+                    new ServerId(id(i)), group(i), new ZoneId(0), Endpoint.EndpointState.IN, isPrimary(i), 0));
         }
         return all;
     }
@@ -132,10 +133,19 @@
     }
 
     private void arrival() {
-        int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT).get(random.nextInt(4));
+        int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT)
+                .get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
-        tell(new Event.OpArrived(new OpId("op" + names++), new OpTypeId(type), new TenantId(0), group, null,
-                host.nowMs * 10 + 30_000, false, 0, 0));
+        tell(new Event.RequestArrived(
+                new RequestId("op" + names++),
+                new RequestClassId(type),
+                new TenantId(0),
+                group,
+                null,
+                host.nowMs * 10 + 30_000,
+                false,
+                0,
+                0));
     }
 
     private void tell(Event event) {
@@ -145,31 +155,41 @@
 
     private void carryOut(List<Action> actions) {
         for (Action action : actions) {
-            if (action instanceof Action.Send a) {
-                int attempt = attempts.merge(a.op(), 1, Integer::sum) - 1;
-                String name = "send " + a.op().text() + " " + attempt;
+            if (action instanceof Action.StartAttempt a) {
+                int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
+                String name = "send " + a.request().text() + " " + attempt;
                 sentTo.put(name, a.server());
                 exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.ACKED ? 1 : 0;
-                    tell(new Event.SendEnded(a.op(), attempt, a.server(), outcome, took * 10, outcome == Outcome.ACKED,
-                            null, outcome == Outcome.ACKED ? report(a.server()) : null));
+                    tell(new Event.AttemptEnded(
+                            a.request(),
+                            attempt,
+                            a.server(),
+                            outcome,
+                            took * 10,
+                            outcome == Outcome.ACKED,
+                            null,
+                            outcome == Outcome.ACKED ? report(a.server()) : null));
                 });
-            } else if (action instanceof Action.CallOff a) {
-                String name = "send " + a.op().text() + " " + a.send();
+            } else if (action instanceof Action.CancelAttempt a) {
+                String name = "send " + a.request().text() + " " + a.send();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
-                    gateway(host.nowMs, TIMERS, () -> tell(new Event.SendEnded(
-                            a.op(), a.send(), at, Outcome.CALLED_OFF, 0, false, null, null)));
+                    gateway(
+                            host.nowMs,
+                            TIMERS,
+                            () -> tell(new Event.AttemptEnded(
+                                    a.request(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
-            } else if (action instanceof Action.Probe a) {
+            } else if (action instanceof Action.CheckHealth a) {
                 healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
                 exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + names++, (outcome, took) -> {
                     healthChecksOut--;
-                    tell(new Event.ProbeEnded(
+                    tell(new Event.HealthCheckEnded(
                             a.server(), outcome, outcome == Outcome.ACKED ? report(a.server()) : null));
                 });
-            } else if (action instanceof Action.Wake a) {
-                gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.WakeUp(a.mark())));
+            } else if (action instanceof Action.SetTimer a) {
+                gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.TimerFired(a.mark())));
             } else if (action instanceof Action.LogLine a) {
                 logged(a.text().split(" "));
             }
@@ -209,9 +229,9 @@
         });
     }
 
-    private Report report(ServerId server) {
+    private LoadReport report(ServerId server) {
         boolean primary = isPrimary(Integer.parseInt(server.text().substring(1)));
-        return new Report(primary ? Role.PRIMARY : Role.REPLICA, (host.nowMs - 20) * 10);
+        return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (host.nowMs - 20) * 10);
     }
 
     /** In the gateway's process, which does it once it goes on. */
@@ -264,6 +284,10 @@
 
     /** The same, on average. */
     double detectedAfter(long death) {
-        return silentAtFirst.values().stream().mapToLong(Long::longValue).average().orElse(Double.MAX_VALUE) - death;
+        return silentAtFirst.values().stream()
+                        .mapToLong(Long::longValue)
+                        .average()
+                        .orElse(Double.MAX_VALUE)
+                - death;
     }
 }
--- a/gateway/src/test/java/ploverdale/hearsay/HearsayTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -1,7 +1,7 @@
-package ploverdale.hearsay;
+package ploverdale.gossip;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static ploverdale.hearsay.WordTest.NOW;
+import static ploverdale.gossip.ServerObservationTest.NOW;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,29 +9,35 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ploverdale.hearsay.Hearsay.Heard;
-import ploverdale.hearsay.Hearsay.Letter;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
+import ploverdale.gossip.GossipProtocol.ReceivedGossip;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
 
 /** What instances make of one another's words, with their letters carried by hand. */
-class HearsayTest {
+class GossipProtocolTest {
     private static final ServerId P = new ServerId("p");
     private static final ServerId R = new ServerId("r");
     private static final long MS = 10;
 
     /** Instances with what each knows; believes what it hears, as the module does. */
     private static final class Tier {
-        private final List<Hearsay> all = new ArrayList<>();
-        private final List<Map<ServerId, Word>> known = new ArrayList<>();
+        private final List<GossipProtocol> all = new ArrayList<>();
+        private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
         private int letters;
         private int bytes;
 
         private Tier(int instances) {
             for (int i = 0; i < instances; i++) {
-                Map<ServerId, Word> mine = new HashMap<>();
-                Hearsay h = new Hearsay(i, instances, 1e9, 5000, new SplittableRandom(i), id -> mine.getOrDefault(id, Word.NONE));
+                Map<ServerId, ServerObservation> mine = new HashMap<>();
+                GossipProtocol h = new GossipProtocol(
+                        i,
+                        instances,
+                        1e9,
+                        5000,
+                        new SplittableRandom(i),
+                        id -> mine.getOrDefault(id, ServerObservation.NONE));
                 h.listed(P);
                 h.listed(R);
                 all.add(h);
@@ -39,46 +45,56 @@
             }
         }
 
-        private Heard hear(long now, int at, int from, byte[] bytes) {
-            Heard h = all.get(at).hears(now, from, bytes);
-            h.words().forEach((id, w) -> known.get(at).merge(id, w, Word::join));
+        private ReceivedGossip hear(long now, int at, int from, byte[] bytes) {
+            ReceivedGossip h = all.get(at).hears(now, from, bytes);
+            h.words().forEach((id, w) -> known.get(at).merge(id, w, ServerObservation::join));
             return h;
         }
 
-        private void carry(long now, int from, List<Letter> out, double loss, SplittableRandom chance) {
-            for (Letter l : out) {
+        private void carry(long now, int from, List<OutboundPacket> out, double loss, SplittableRandom random) {
+            for (OutboundPacket l : out) {
                 letters++;
                 bytes += l.bytes().length;
-                if (chance.nextDouble() >= loss) {
-                    carry(now, l.peer(), hear(now, l.peer(), from, l.bytes()).letters(), loss, chance);
+                if (random.nextDouble() >= loss) {
+                    carry(now, l.peer(), hear(now, l.peer(), from, l.bytes()).letters(), loss, random);
                 }
             }
         }
 
         private void pass(long from, long until, double loss) {
-            SplittableRandom chance = new SplittableRandom(3);
+            SplittableRandom random = new SplittableRandom(3);
             for (long now = from; now < until; now += 20 * MS) {
                 for (int i = 0; i < all.size(); i++) {
-                    carry(now, i, all.get(i).due(now), loss, chance);
+                    carry(now, i, all.get(i).due(now), loss, random);
                 }
             }
         }
 
-        private void learns(long now, int at, ServerId id, Word w) {
-            known.get(at).merge(id, w, Word::join);
+        private void learns(long now, int at, ServerId id, ServerObservation w) {
+            known.get(at).merge(id, w, ServerObservation::join);
             all.get(at).learnt(now, id);
         }
 
         private long knowing(ServerId id, Role role) {
-            return known.stream().filter(m -> m.getOrDefault(id, Word.NONE).role() == role).count();
+            return known.stream()
+                    .filter(m -> m.getOrDefault(id, ServerObservation.NONE).role() == role)
+                    .count();
         }
     }
 
-    static Word role(Role role, long at) {
-        return new Word(role, at, Report.UNTOLD, Report.UNTOLD, at, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD);
+    static ServerObservation role(Role role, long at) {
+        return new ServerObservation(
+                role,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                at,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
-    private static byte[] told(long sentAt, ServerId id, Word w) {
+    private static byte[] told(long sentAt, ServerId id, ServerObservation w) {
         return new Datagram(Datagram.Kind.TELLS, sentAt, Map.of(Datagram.number(id), w)).bytes();
     }
 
@@ -127,7 +143,7 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW, P, role(Role.PRIMARY, NOW - 31_000 * MS)));
         assertThat(t.known.get(0).get(P).role()).isEqualTo(Role.UNKNOWN);
-        Heard late = t.hear(NOW, 0, 1, told(NOW - 3000 * MS, P, role(Role.PRIMARY, NOW - 3000 * MS)));
+        ReceivedGossip late = t.hear(NOW, 0, 1, told(NOW - 3000 * MS, P, role(Role.PRIMARY, NOW - 3000 * MS)));
         assertThat(late.words()).isEmpty();
         assertThat(late.line()).contains("1 LATE");
     }
@@ -137,13 +153,17 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW + 400 * MS, P, role(Role.PRIMARY, NOW + 400 * MS)));
         assertThat(t.known.get(0).get(P).roleAt()).isLessThanOrEqualTo(NOW);
-        assertThat(t.hear(NOW, 0, 1, told(NOW + 600 * MS, P, role(Role.PRIMARY, NOW))).line()).contains("OF_THE_FUTURE");
+        assertThat(t.hear(NOW, 0, 1, told(NOW + 600 * MS, P, role(Role.PRIMARY, NOW)))
+                        .line())
+                .contains("OF_THE_FUTURE");
     }
 
     @Test
     void aServerThatOnlyOthersNameIsNotSpokenOf() {
         Tier t = new Tier(2);
-        assertThat(t.hear(NOW, 0, 1, told(NOW, new ServerId("unknown"), role(Role.PRIMARY, NOW))).words()).isEmpty();
+        assertThat(t.hear(NOW, 0, 1, told(NOW, new ServerId("unknown"), role(Role.PRIMARY, NOW)))
+                        .words())
+                .isEmpty();
     }
 
     @Test
@@ -167,7 +187,9 @@
         Tier t = new Tier(3);
         t.hear(NOW, 0, 1, told(NOW, P, role(Role.PRIMARY, NOW)));
         t.all.get(0).proved(NOW, P, false);
-        Word w = t.hear(NOW + MS, 0, 1, told(NOW + MS, P, role(Role.PRIMARY, NOW))).words().get(P);
+        ServerObservation w = t.hear(NOW + MS, 0, 1, told(NOW + MS, P, role(Role.PRIMARY, NOW)))
+                .words()
+                .get(P);
         assertThat(w.roleAt()).isBetween(NOW - 520 * MS, NOW - 480 * MS);
     }
 
@@ -180,7 +202,9 @@
         t.learns(NOW, 0, R, role(Role.PRIMARY, NOW));
         assertThat(t.all.get(0).due(NOW + MS)).isEmpty();
         t.hear(NOW + 2500 * MS, 0, 1, new Datagram(Datagram.Kind.ASKS, NOW + 2500 * MS, Map.of()).bytes());
-        assertThat(t.all.get(0).due(NOW + 2500 * MS)).extracting(Letter::peer).containsExactly(1);
+        assertThat(t.all.get(0).due(NOW + 2500 * MS))
+                .extracting(OutboundPacket::peer)
+                .containsExactly(1);
     }
 
     @Test
@@ -199,7 +223,7 @@
     @Test
     void wordsArePaidForAndThoseNotPaidWait() {
         Tier t = new Tier(300);
-        Hearsay h = t.all.get(0);
+        GossipProtocol h = t.all.get(0);
         h.starts(NOW - 10_000 * MS);
         h.due(NOW - 9_999 * MS);
         int sent = 0;
@@ -210,7 +234,7 @@
         }
         assertThat(sent).isBetween(1, 1100);
         for (int i = 0; i < 20; i++) {
-            h.op();
+            h.request();
         }
         assertThat(h.due(NOW + 500 * MS)).isNotEmpty();
     }
--- a/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
+/** The selector sleeps up to its timers, and reads what came during a pause before timers run. */
 class SleepingTransportTest {
     @Test
     void aWaitForATimerIsRoundedUpSoThatNothingIsPolledBeforeIt() {
@@ -31,14 +32,16 @@
     @Test
     void aTurnThatWasPausedReadsOnceMoreBeforeAnyTimerRuns() {
         Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10)))).isEqualTo(2);
+        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10))))
+                .isEqualTo(2);
         assertThat(turns.mayBlock).containsExactly(true, false);
     }
 
     @Test
     void aTurnThatOnlyWaitedForItsTimerDoesNot() {
         Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30)))).isEqualTo(1);
+        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30))))
+                .isEqualTo(1);
         assertThat(turns.mayBlock).containsExactly(true);
     }
 
--- a/gateway/src/test/java/ploverdale/shutdown/GracefulShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/shutdown/GracefulShutdownTest.java
@@ -57,7 +57,7 @@
     void trafficIsCountedByWhatCameLately() {
         Traffic t = new Traffic(1000);
         for (long ms = 0; ms < 10_000; ms += 10) {
-            t.op(ms);
+            t.request(ms);
         }
         assertThat(t.perSecond(10_000)).isBetween(95.0, 105.0);
         assertThat(t.perSecond(12_000)).isBetween(10.0, 18.0);
@@ -65,6 +65,8 @@
 
     @Test
     void eachOpIsAnsweredSoLongBeforeTheEndThatAStandstillOfHalfASecondLosesNone() {
-        assertThat(new GracefulShutdown(3700, 100).answersBy()).isLessThanOrEqualTo(3700 - 500).isGreaterThan(2500);
+        assertThat(new GracefulShutdown(3700, 100).answersBy())
+                .isLessThanOrEqualTo(3700 - 500)
+                .isGreaterThan(2500);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import ploverdale.budgets.Budget;
-import ploverdale.budgets.Budgets;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Leasing;
-import ploverdale.fleet.Membership;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
+import ploverdale.membership.Membership;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
+import ploverdale.quota.Budget;
+import ploverdale.quota.Budgets;
+import ploverdale.quota.LeaseDurations;
+import ploverdale.quota.QuotaAllocation;
 
 /**
  * Instances of membership and budgets in simulated time, with clocks of their own that run fast or slow, datagrams that are
@@ -29,8 +29,8 @@
      * @param delay of a datagram, at most
      */
     public record Settings(
-            Division division,
-            Leasing leasing,
+            QuotaAllocation division,
+            LeaseDurations leaseDurations,
             double drift,
             double loss,
             double twice,
@@ -44,7 +44,7 @@
         private final long zero;
         private Membership membership;
         private Budgets budgets;
-        private Packing packing;
+        private PacketQueue packing;
         private boolean stopped;
         private int process; // counts its starts
         private final List<Runnable> held = new ArrayList<>();
@@ -52,8 +52,8 @@
 
         private Instance(int number) {
             this.number = number;
-            rate = 1 + world.drift * (2 * chance.nextDouble() - 1);
-            zero = chance.nextLong(1_000_000_000L);
+            rate = 1 + world.drift * (2 * random.nextDouble() - 1);
+            zero = random.nextLong(1_000_000_000L);
         }
 
         /** Its own clock: it never steps, and says nothing about any other's. */
@@ -89,15 +89,15 @@
         /** Starts it, with nothing but its name; the clock by which it names its start may have stepped. */
         public void start(long stepMs) {
             long startedMs = STEPS_MS + now() / MS + stepMs;
-            membership = new Membership(number, world.division.gateways(), startedMs, chance.split());
+            membership = new Membership(number, world.division.gateways(), startedMs, random.split());
             budgets = new Budgets(
                     number,
                     Membership.start(membership.incarnation()),
                     world.division,
-                    world.leasing,
-                    chance.split(),
+                    world.leaseDurations,
+                    random.split(),
                     local());
-            packing = new Packing(world.bytesPerSecond, local());
+            packing = new PacketQueue(world.bytesPerSecond, local());
             stopped = false;
             int p = ++process;
             at(now() + 1, () -> look(p));
@@ -142,7 +142,8 @@
         }
 
         private void sends() {
-            for (Packing.Letter l : packing.letters(local(), membership.incarnation(), world.division.id())) {
+            for (PacketQueue.OutboundPacket l :
+                    packing.letters(local(), membership.incarnation(), world.division.id())) {
                 network.send(number, l.to(), l.bytes());
             }
         }
@@ -157,9 +158,9 @@
                 }
                 return;
             }
-            Parcel p = Parcel.read(bytes);
+            Packet p = Packet.read(bytes);
             if (p != null && membership.hears(local(), from, p.incarnation())) {
-                for (Parcel.Part part : p.parts()) {
+                for (Packet.Part part : p.parts()) {
                     membership.part(local(), from, part, packing);
                     if (p.division() == world.division.id()) {
                         budgets.part(local(), from, Membership.start(p.incarnation()), part, packing);
@@ -199,21 +200,21 @@
     }
 
     private final Settings world;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
     private final List<Spending> spending = new ArrayList<>();
     private final SimulatedNetwork network;
 
     public FleetModel(Settings world, long seed) {
         this.world = world;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         int n = world.division.gateways();
         network = new SimulatedNetwork(
                 n,
                 world.loss,
                 world.twice,
                 world.delay,
-                chance,
+                random,
                 (from, to, bytes) -> instances.get(to).hears(from, bytes));
         for (int i = 0; i < n; i++) {
             instances.add(new Instance(i));
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -8,15 +8,15 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import ploverdale.fleet.Membership;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
-import ploverdale.replica.Claim;
-import ploverdale.replica.Fate;
-import ploverdale.replica.Keeping;
-import ploverdale.replica.Replicas;
-import ploverdale.replica.Replicas.Done;
-import ploverdale.replica.Replicas.End;
+import ploverdale.membership.Membership;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
+import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.WriteOutcome;
 
 /**
  * Instances of membership and replicated state in simulated time, with clients that roam, datagrams that are lost, doubled and
@@ -38,7 +38,7 @@
      */
     public record Settings(
             int gateways,
-            Keeping keeping,
+            ReplicationSettings keeping,
             double drift,
             double loss,
             double twice,
@@ -52,7 +52,7 @@
         private final long wallOff;
         private Membership membership;
         private Replicas replicas;
-        private Packing packing;
+        private PacketQueue packing;
         private boolean stopped;
         private int process;
         private long bytes;
@@ -61,8 +61,8 @@
 
         private Instance(int number) {
             this.number = number;
-            rate = 1 + world.drift * (2 * chance.nextDouble() - 1);
-            wallOff = chance.nextLong(world.keeping.clocksApart() / 2 + 1) - world.keeping.clocksApart() / 4;
+            rate = 1 + world.drift * (2 * random.nextDouble() - 1);
+            wallOff = random.nextLong(world.keeping.clocksApart() / 2 + 1) - world.keeping.clocksApart() / 4;
         }
 
         private long local() {
@@ -87,14 +87,14 @@
 
         /** Starts it with nothing but its name. */
         public void start() {
-            membership = new Membership(number, world.gateways, wall() / MS, chance.split());
-            packing = new Packing(world.bytesPerSecond, local());
+            membership = new Membership(number, world.gateways, wall() / MS, random.split());
+            packing = new PacketQueue(world.bytesPerSecond, local());
             replicas = new Replicas(
                     number,
                     world.gateways,
                     Membership.start(membership.incarnation()),
                     world.keeping,
-                    chance.split(),
+                    random.split(),
                     this::wall);
             stopped = false;
             int p = ++process;
@@ -140,7 +140,7 @@
         }
 
         private void sends() {
-            for (Packing.Letter l : packing.letters(local(), membership.incarnation(), 1)) {
+            for (PacketQueue.OutboundPacket l : packing.letters(local(), membership.incarnation(), 1)) {
                 network.send(number, l.to(), l.bytes());
             }
             for (Done d : replicas.done()) {
@@ -161,9 +161,9 @@
                 }
                 return;
             }
-            Parcel p = Parcel.read(bytes);
+            Packet p = Packet.read(bytes);
             if (p != null && membership.hears(local(), from, p.incarnation())) {
-                for (Parcel.Part part : p.parts()) {
+                for (Packet.Part part : p.parts()) {
                     membership.part(local(), from, part, packing);
                     replicas.part(local(), from, Membership.start(p.incarnation()), part, packing);
                 }
@@ -182,7 +182,7 @@
     }
 
     private final Settings world;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
     private final SimulatedNetwork network;
     private final Map<String, Long> promised = new HashMap<>(); // by session, the position of the last write seen acked
@@ -194,13 +194,13 @@
 
     public ReplicaModel(Settings world, long seed) {
         this.world = world;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         network = new SimulatedNetwork(
                 world.gateways,
                 world.loss,
                 world.twice,
                 world.delay,
-                chance,
+                random,
                 (from, to, bytes) -> instances.get(to).hears(from, bytes));
         for (int i = 0; i < world.gateways; i++) {
             instances.add(new Instance(i));
@@ -305,10 +305,17 @@
         });
     }
 
-    private void proves(Instance g, int process, long key, Claim claim, boolean ran) {
+    private void proves(Instance g, int process, long key, IdempotencyRecord claim, boolean ran) {
         if (g.runs() && g.process == process) {
             g.replicas.became(
-                    g.local(), key, claim, ran ? Fate.ACKED : Fate.NEVER_RAN, new byte[] {1}, 0, false, g.packing);
+                    g.local(),
+                    key,
+                    claim,
+                    ran ? WriteOutcome.ACKED : WriteOutcome.NEVER_RAN,
+                    new byte[] {1},
+                    0,
+                    false,
+                    g.packing);
             g.sends();
         }
     }
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import ploverdale.fleet.Packing;
-import ploverdale.fleet.Parcel;
-import ploverdale.replica.Keeping;
-import ploverdale.replica.Replicas;
-import ploverdale.replica.Replicas.Done;
-import ploverdale.replica.Replicas.End;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
 
 /**
  * A world small enough to try all that can happen in it: three gateways that keep the fate of one write, submitted at one and
@@ -30,15 +30,15 @@
     private static final long ZERO = 17_000_000_000_000L;
     private static final long WINDOW = 5 * SECOND;
     private static final long KEY = Replicas.key(false, "w");
-    private static final Keeping KEEPING =
-            new Keeping(GATEWAYS, false, SECOND, SECOND / 10, WINDOW, true, Set.of(), 1, 100, 100);
+    private static final ReplicationSettings KEEPING =
+            new ReplicationSettings(GATEWAYS, false, SECOND, SECOND / 10, WINDOW, true, Set.of(), 1, 100, 100);
 
     private record Message(int from, long start, int to, byte[] bytes) {}
 
     /** One course. */
     private static final class State {
         private final Replicas[] gateways = new Replicas[GATEWAYS];
-        private final Packing[] packing = new Packing[GATEWAYS];
+        private final PacketQueue[] packing = new PacketQueue[GATEWAYS];
         private final long[] start = new long[GATEWAYS];
         private final List<Message> onTheWay = new ArrayList<>();
         private final long startsAsIf;
@@ -61,7 +61,7 @@
             long now = wall;
             wall -= ago;
             gateways[i] = new Replicas(i, GATEWAYS, ++start[i], KEEPING, new SplittableRandom(i), () -> wall);
-            packing[i] = new Packing(1e9, 0);
+            packing[i] = new PacketQueue(1e9, 0);
             wall = now;
         }
 
@@ -87,7 +87,7 @@
             int n = choice.endsWith("submit") ? 0 : Integer.parseInt(choice.substring(choice.indexOf(' ') + 1));
             if (choice.startsWith("deliver")) {
                 Message m = onTheWay.remove(n);
-                for (Parcel.Part p : Parcel.read(m.bytes).parts()) {
+                for (Packet.Part p : Packet.read(m.bytes).parts()) {
                     gateways[m.to].part(0, m.from, m.start, p, packing[m.to]);
                 }
                 sends(m.to);
@@ -110,7 +110,7 @@
         }
 
         private void sends(int i) {
-            for (Packing.Letter l : packing[i].letters(0, start[i], 1)) {
+            for (PacketQueue.OutboundPacket l : packing[i].letters(0, start[i], 1)) {
                 onTheWay.add(new Message(i, start[i], l.to(), l.bytes()));
             }
             onTheWay.sort(Comparator.comparingInt((Message m) -> m.from * GATEWAYS + m.to)
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ploverdale.hearsay.Hearsay;
-import ploverdale.hearsay.Hearsay.Letter;
-import ploverdale.hearsay.Word;
-import ploverdale.model.Report;
-import ploverdale.model.Report.Role;
+import ploverdale.gossip.GossipProtocol;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
+import ploverdale.gossip.ServerObservation;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
 /**
@@ -37,11 +37,11 @@
     private static final int MOST_WAY = 40;
     private static final long START = 17_672_256_000_000L;
 
-    private record OnItsWay(long at, long order, int from, Letter letter) {}
+    private record OnItsWay(long at, long order, int from, OutboundPacket letter) {}
 
-    private final SplittableRandom chance;
-    private final List<Hearsay> all = new ArrayList<>();
-    private final List<Map<ServerId, Word>> known = new ArrayList<>();
+    private final SplittableRandom random;
+    private final List<GossipProtocol> all = new ArrayList<>();
+    private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
     private final PriorityQueue<OnItsWay> ways =
             new PriorityQueue<>(java.util.Comparator.comparingLong(OnItsWay::at).thenComparingLong(OnItsWay::order));
     private final List<ServerId> servers = new ArrayList<>();
@@ -58,7 +58,7 @@
     private long fresh;
 
     private Tier(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     /** Plays each seed, one after the other. */
@@ -104,8 +104,9 @@
             servers.add(new ServerId("s-" + named++));
         }
         for (int i = 0; i < INSTANCES; i++) {
-            Map<ServerId, Word> mine = new HashMap<>();
-            Hearsay h = new Hearsay(i, INSTANCES, OPS, BOUND, chance.split(), id -> mine.getOrDefault(id, Word.NONE));
+            Map<ServerId, ServerObservation> mine = new HashMap<>();
+            GossipProtocol h = new GossipProtocol(
+                    i, INSTANCES, OPS, BOUND, random.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
             servers.forEach(h::listed);
             h.starts(START);
             all.add(h);
@@ -119,7 +120,7 @@
             goesSilent(now);
         }
         for (opsDue += OPS * STEP / (1000.0 * MS); opsDue >= 1; opsDue--) {
-            op(now, lost);
+            request(now, lost);
         }
         if (passed % REPLACED_EVERY == 0 && passed > 0) {
             replace(lost);
@@ -131,7 +132,7 @@
         startBytes = passed == 2000 * MS ? bytes : startBytes;
         if (lost != null && reached < 0) {
             long silent = known.stream()
-                    .filter(m -> m.getOrDefault(lost, Word.NONE).silent())
+                    .filter(m -> m.getOrDefault(lost, ServerObservation.NONE).silent())
                     .count();
             reached = silent >= INSTANCES * TOLD ? (passed - SILENT_AT) / MS : -1;
         }
@@ -142,16 +143,16 @@
 
     private void goesSilent(long now) {
         lost = servers.get(1);
-        Word silent = new Word(
+        ServerObservation silent = new ServerObservation(
                 Role.UNKNOWN,
-                Report.UNTOLD,
-                Report.UNTOLD,
-                Report.UNTOLD,
-                Report.UNTOLD,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
                 now,
-                Report.UNTOLD,
-                Report.UNTOLD);
-        known.get(3).merge(lost, silent, Word::join);
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
+        known.get(3).merge(lost, silent, ServerObservation::join);
         all.get(3).learnt(now, lost);
     }
 
@@ -159,18 +160,19 @@
         while (!ways.isEmpty() && ways.peek().at() <= now) {
             OnItsWay w = ways.poll();
             int to = w.letter().peer();
-            Hearsay.Heard h = all.get(to).hears(now, w.from(), w.letter().bytes());
-            h.words().forEach((id, x) -> known.get(to).merge(id, x, Word::join));
+            GossipProtocol.ReceivedGossip h =
+                    all.get(to).hears(now, w.from(), w.letter().bytes());
+            h.words().forEach((id, x) -> known.get(to).merge(id, x, ServerObservation::join));
             order = send(now, to, h.letters(), order);
         }
     }
 
     private void countFresh(long now) {
-        for (Map<ServerId, Word> m : known) {
+        for (Map<ServerId, ServerObservation> m : known) {
             for (ServerId id : servers) {
                 if (!id.equals(lost)) {
                     looked++;
-                    fresh += now - m.getOrDefault(id, Word.NONE).position() <= BOUND ? 1 : 0;
+                    fresh += now - m.getOrDefault(id, ServerObservation.NONE).position() <= BOUND ? 1 : 0;
                 }
             }
         }
@@ -204,24 +206,32 @@
                         messages < 1));
     }
 
-    private void op(long now, ServerId lost) {
-        int at = chance.nextInt(INSTANCES);
-        ServerId id = servers.get(chance.nextInt(servers.size()));
+    private void request(long now, ServerId lost) {
+        int at = random.nextInt(INSTANCES);
+        ServerId id = servers.get(random.nextInt(servers.size()));
         if (!id.equals(lost)) {
             Role role = servers.indexOf(id) % 4 == 0 ? Role.PRIMARY : Role.REPLICA;
             known.get(at)
                     .merge(
                             id,
-                            new Word(role, now, now - 5 * MS, now, now, Report.UNTOLD, Report.UNTOLD, Report.UNTOLD),
-                            Word::join);
+                            new ServerObservation(
+                                    role,
+                                    now,
+                                    now - 5 * MS,
+                                    now,
+                                    now,
+                                    LoadReport.UNKNOWN_TIME,
+                                    LoadReport.UNKNOWN_TIME,
+                                    LoadReport.UNKNOWN_TIME),
+                            ServerObservation::join);
             all.get(at).placed(now, id);
             all.get(at).learnt(now, id);
         }
-        all.get(at).op();
+        all.get(at).request();
     }
 
     private void replace(ServerId lost) {
-        int i = 2 + chance.nextInt(servers.size() - 2); // not the one that goes silent
+        int i = 2 + random.nextInt(servers.size() - 2); // not the one that goes silent
         ServerId old = servers.get(i);
         servers.set(i, new ServerId("s-" + named++));
         for (int k = 0; k < INSTANCES; k++) {
@@ -231,13 +241,13 @@
         }
     }
 
-    private long send(long now, int from, List<Letter> out, long order) {
-        for (Letter l : out) {
+    private long send(long now, int from, List<OutboundPacket> out, long order) {
+        for (OutboundPacket l : out) {
             letters++;
             bytes += l.bytes().length;
             longest = Math.max(longest, l.bytes().length);
-            if (chance.nextDouble() >= LOSS) {
-                ways.add(new OnItsWay(now + LEAST_WAY + chance.nextInt(MOST_WAY) * MS, order++, from, l));
+            if (random.nextDouble() >= LOSS) {
+                ways.add(new OnItsWay(now + LEAST_WAY + random.nextInt(MOST_WAY) * MS, order++, from, l));
             }
         }
         return order;
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -10,7 +10,9 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import ploverdale.clock.Clock;
-import ploverdale.net.PgCodec;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.net.postgres.ServerMessageReader;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.ledger.Ledger.Answer;
 
@@ -35,7 +37,7 @@
 
     private final Vertx vertx;
     private final Ledger ledger;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final List<Integer> ports;
     private final Habit habit;
     private final NetClient net;
@@ -49,22 +51,22 @@
     private boolean stopped;
 
     /** @param ports of the gateways, by number */
-    public RoamingClients(Vertx vertx, Ledger ledger, RandomGenerator chance, List<Integer> ports, Habit habit) {
+    public RoamingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Habit habit) {
         this.vertx = vertx;
         this.ledger = ledger;
-        this.chance = chance;
+        this.random = random;
         this.ports = ports;
         this.habit = habit;
         net = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
     public void start() {
-        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * 1000 / habit.perSecond())), x -> {
+        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / habit.perSecond())), x -> {
             if (!stopped) {
-                int session = chance.nextInt(habit.sessions());
+                int session = random.nextInt(habit.sessions());
                 if (busy.add(session)) {
                     seen.add(session);
-                    new Ask(session, chance.nextDouble() < WRITES, "roam-" + names++, 0).begins();
+                    new Ask(session, random.nextDouble() < WRITES, "roam-" + names++, 0).begins();
                 }
                 start();
             }
@@ -104,9 +106,9 @@
         private final boolean write;
         private final String id;
         private final int times;
-        private final int gateway = chance.nextInt(ports.size());
+        private final int gateway = random.nextInt(ports.size());
         private final long at = System.nanoTime();
-        private final PgCodec.ServerStream stream = new PgCodec.ServerStream();
+        private final ServerMessageReader stream = new ServerMessageReader();
         private boolean taken;
         private boolean over;
         private Answer answer;
@@ -130,22 +132,22 @@
                 socket.closeHandler(x -> ends(null));
                 socket.handler(more -> {
                     stream.feed(more);
-                    for (PgCodec.FromServer m = stream.next(); m != null; m = stream.next()) {
-                        if (m instanceof PgCodec.Ready && !up[0]) {
+                    for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
+                        if (m instanceof ServerMessage.ReadyForQuery && !up[0]) {
                             up[0] = true;
                             asks(socket);
-                        } else if (m instanceof PgCodec.Ready) {
+                        } else if (m instanceof ServerMessage.ReadyForQuery) {
                             ends(answer == null ? Answer.ERRORED : answer);
                             socket.close();
-                        } else if (m instanceof PgCodec.Done) {
+                        } else if (m instanceof ServerMessage.CommandComplete) {
                             answer = Answer.ACKED;
-                        } else if (m instanceof PgCodec.Problem p) {
+                        } else if (m instanceof ServerMessage.ErrorResponse p) {
                             answer =
                                     p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
                         }
                     }
                 });
-                socket.write(PgCodec.hello());
+                socket.write(MessageWriter.startup());
                 vertx.setTimer(WAITS_MS + GIVES_UP_AFTER_MS, x -> {
                     ends(null);
                     socket.close();
@@ -167,7 +169,7 @@
             }
             String comment = " /* id=" + id + ",c=" + (write ? "put" : "mine") + ",t=all,d=" + WAITS_MS + ",cluster=0"
                     + (times > 0 ? ",r=1" : "") + " */";
-            socket.write(PgCodec.query((write
+            socket.write(MessageWriter.query((write
                             ? "INSERT INTO state (uid, val) VALUES ('s" + session + "', '\\x00') RETURNING val"
                             : "SELECT val FROM state WHERE uid = 's" + session + "'")
                     + comment));
@@ -189,7 +191,7 @@
             boolean oncemore =
                     write && habit.submitsAgain() && taken && how != Answer.ACKED && times < AGAIN_MOST && !stopped;
             if (oncemore) {
-                vertx.setTimer(1 + chance.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
+                vertx.setTimer(1 + random.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
             } else {
                 busy.remove(session);
             }
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ploverdale.budgets.Budget;
-import ploverdale.budgets.Division;
-import ploverdale.budgets.Leasing;
-import ploverdale.fleet.Membership.Standing;
+import ploverdale.membership.Membership.MemberState;
+import ploverdale.quota.Budget;
+import ploverdale.quota.LeaseDurations;
+import ploverdale.quota.QuotaAllocation;
 import ploverdale.tools.lab.FleetModel.Instance;
 import ploverdale.tools.lab.FleetModel.Settings;
 
@@ -19,12 +19,12 @@
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long USE = 400 * MS;
-    private static final Leasing LEASING = new Leasing(1500 * MS, 1000 * MS, 0.05);
+    private static final LeaseDurations LEASING = new LeaseDurations(1500 * MS, 1000 * MS, 0.05);
 
     private static double worst; // the most that was spent of what may be, of both budgets, on any day
 
-    private static Division division(int gateways) {
-        return new Division(
+    private static QuotaAllocation division(int gateways) {
+        return new QuotaAllocation(
                 List.of(
                         new Budget("tenant", Budget.Kind.RATE, 60, SECOND),
                         new Budget("server", Budget.Kind.IN_USE, 24, USE)),
@@ -32,8 +32,8 @@
                 0.5);
     }
 
-    private static Settings world(int gateways, Leasing leasing) {
-        return new Settings(division(gateways), leasing, 0.05, 0.05, 0.05, 30 * MS, 4000);
+    private static Settings world(int gateways, LeaseDurations leaseDurations) {
+        return new Settings(division(gateways), leaseDurations, 0.05, 0.05, 0.05, 30 * MS, 4000);
     }
 
     private static FleetModel started(Settings w, long seed) {
@@ -43,28 +43,28 @@
     }
 
     /** Each of them wants parts at this many a second, for so long; what is in use is used for up to its longest. */
-    private static int[] asks(FleetModel m, SplittableRandom chance, int who, double perSecond, long from, long to) {
+    private static int[] asks(FleetModel m, SplittableRandom random, int who, double perSecond, long from, long to) {
         int[] got = new int[2];
-        for (long t = from; t < to; t += 1 + (long) (-Math.log(1 - chance.nextDouble()) * SECOND / perSecond)) {
-            int budget = chance.nextInt(2);
-            long uses = (long) (USE * chance.nextDouble());
+        for (long t = from; t < to; t += 1 + (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond)) {
+            int budget = random.nextInt(2);
+            long uses = (long) (USE * random.nextDouble());
             m.at(t, () -> got[budget] += m.instance(who).spend(budget, uses) ? 1 : 0);
         }
         return got;
     }
 
-    private static void faults(FleetModel m, SplittableRandom chance, int n, long from, long to) {
+    private static void faults(FleetModel m, SplittableRandom random, int n, long from, long to) {
         for (int f = 0; f < 6; f++) {
-            long a = from + chance.nextLong(to - from);
-            long b = a + chance.nextLong(to - a) + 1;
-            int x = chance.nextInt(n);
-            int y = chance.nextInt(n);
-            switch (chance.nextInt(6)) {
+            long a = from + random.nextLong(to - from);
+            long b = a + random.nextLong(to - a) + 1;
+            int x = random.nextInt(n);
+            int y = random.nextInt(n);
+            switch (random.nextInt(6)) {
                 case 0 -> {
                     m.at(a, () -> m.instance(x).kill());
                     m.at(b, () -> {
                         if (!m.instance(x).alive()) {
-                            m.instance(x).start(chance.nextBoolean() ? 0 : -60_000); // its clock may have stepped back
+                            m.instance(x).start(random.nextBoolean() ? 0 : -60_000); // its clock may have stepped back
                         }
                     });
                 }
@@ -103,13 +103,13 @@
         }
     }
 
-    private static List<String> play(int n, long seed, Leasing leasing) {
-        FleetModel m = started(world(n, leasing), seed);
-        SplittableRandom chance = new SplittableRandom(~seed);
+    private static List<String> play(int n, long seed, LeaseDurations leaseDurations) {
+        FleetModel m = started(world(n, leaseDurations), seed);
+        SplittableRandom random = new SplittableRandom(~seed);
         for (int i = 0; i < n; i++) {
-            asks(m, chance, i, chance.nextInt(3) == 0 ? 500 : 8, 0, 30 * SECOND);
+            asks(m, random, i, random.nextInt(3) == 0 ? 500 : 8, 0, 30 * SECOND);
         }
-        faults(m, chance, n, 6 * SECOND, 22 * SECOND);
+        faults(m, random, n, 6 * SECOND, 22 * SECOND);
         m.until(30 * SECOND);
         worst = Math.max(worst, Math.min(m.spending(0).worst(), m.spending(1).worst()));
         return m.over();
@@ -127,15 +127,15 @@
     }
 
     /** One borrows nearly all and is then cut off, while all others want what comes back. */
-    private static List<String> cutOffWithAllLent(Leasing leasing) {
+    private static List<String> cutOffWithAllLent(LeaseDurations leaseDurations) {
         List<String> over = new ArrayList<>();
         for (long seed = 1; seed <= 30; seed++) {
-            FleetModel m = started(new Settings(division(4), leasing, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
-            SplittableRandom chance = new SplittableRandom(~seed);
+            FleetModel m = started(new Settings(division(4), leaseDurations, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
+            SplittableRandom random = new SplittableRandom(~seed);
             for (long t = 10 * SECOND; t < 24 * SECOND; t += MS) {
                 for (int i = t < 16 * SECOND ? 3 : 0; i < 4; i++) {
                     int who = i;
-                    m.at(t + chance.nextInt(10), () -> m.instance(who).spend(1, USE));
+                    m.at(t + random.nextInt(10), () -> m.instance(who).spend(1, USE));
                 }
             }
             m.at(
@@ -152,8 +152,9 @@
 
     @Test
     void aLoanIsOverForTheBorrowerBeforeItIsForTheLenderByAnyClock() {
-        assertThat(cutOffWithAllLent(new Leasing(4000 * MS, 3000 * MS, 0.25))).isEmpty();
-        assertThat(cutOffWithAllLent(new Leasing(4000 * MS, 3000 * MS, 0)))
+        assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0.25)))
+                .isEmpty();
+        assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0)))
                 .as("without that guard")
                 .isNotEmpty();
     }
@@ -161,9 +162,9 @@
     @Test
     void oneWithAllTheDemandGetsMostPartsFromThoseThatAreIdle() {
         FleetModel m = started(world(10, LEASING), 3);
-        SplittableRandom chance = new SplittableRandom(4);
+        SplittableRandom random = new SplittableRandom(4);
         m.until(6 * SECOND);
-        int[] got = asks(m, chance, 0, 160, 6 * SECOND, 16 * SECOND);
+        int[] got = asks(m, random, 0, 160, 6 * SECOND, 16 * SECOND);
         m.until(16 * SECOND);
         assertThat(m.over()).isEmpty();
         assertThat(got[0]).as("of 60 a second, 6 its own").isGreaterThan(250);
@@ -218,7 +219,7 @@
 
     @Test
     void threeHundredKnowTheDeadSoonAndNobodyElseIsTakenForDead() {
-        Division d = new Division(List.of(new Budget("tenant", Budget.Kind.RATE, 900, SECOND)), 300, 0.5);
+        QuotaAllocation d = new QuotaAllocation(List.of(new Budget("tenant", Budget.Kind.RATE, 900, SECOND)), 300, 0.5);
         FleetModel m = started(new Settings(d, LEASING, 0.05, 0.05, 0.05, 30 * MS, 2000), 8);
         m.until(30 * SECOND); // each is asked by somebody twice a second; all hear of all a little later
         for (Instance i : m.instances()) {
@@ -227,14 +228,14 @@
         m.instance(17).kill();
         m.until(37 * SECOND); // a round of asking, a few who look for themselves, and the news of it
         long know = m.instances().stream()
-                .filter(i -> i.alive() && i.membership().standing(17) == Standing.GONE)
+                .filter(i -> i.alive() && i.membership().standing(17) == MemberState.GONE)
                 .count();
         assertThat(know).isGreaterThan(295);
         m.until(60 * SECOND);
         for (int x = 0; x < 300; x++) {
             int of = x;
             long wrong = m.instances().stream()
-                    .filter(i -> i.alive() && i.membership().standing(of) == Standing.GONE)
+                    .filter(i -> i.alive() && i.membership().standing(of) == MemberState.GONE)
                     .count();
             assertThat(of == 17 || wrong < 3)
                     .as("n%d is taken for dead by %d", of, wrong)
@@ -250,8 +251,8 @@
             m.cut(i / 6, i % 6, i / 6 < 3 != i % 6 < 3);
         }
         m.until(20 * SECOND);
-        assertThat(m.instance(0).membership().standing(5)).isEqualTo(Standing.GONE);
-        assertThat(m.instance(5).membership().standing(0)).isEqualTo(Standing.GONE);
+        assertThat(m.instance(0).membership().standing(5)).isEqualTo(MemberState.GONE);
+        assertThat(m.instance(5).membership().standing(0)).isEqualTo(MemberState.GONE);
         for (int i = 0; i < 36; i++) {
             m.cut(i / 6, i % 6, false);
         }
