--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -155,7 +155,7 @@
     private void lookRound(JsonGenerator g, String gateway, Host host) throws IOException {
         if (host.shared() != null) {
             write(g, gateway, host.shared(), host.shared().due());
-            Writer.write(g, gateway, new Action.SetTimer(now + QuotaNode.LOOK, SHARED_MARK));
+            new Writer(g, gateway).write(new Action.SetTimer(now + QuotaNode.LOOK, SHARED_MARK));
         }
     }
 
@@ -170,10 +170,10 @@
             JsonGenerator g, String gateway, QuotaNode shared, List<PacketQueue.OutboundPacket> letters)
             throws IOException {
         for (PacketQueue.OutboundPacket l : letters) {
-            Writer.write(g, gateway, new Action.SendGossip(l.to(), l.bytes()));
+            new Writer(g, gateway).write(new Action.SendGossip(l.to(), l.bytes()));
         }
         for (String line : shared.lines()) {
-            Writer.write(g, gateway, new Action.LogLine(line));
+            new Writer(g, gateway).write(new Action.LogLine(line));
         }
     }
 
@@ -207,11 +207,11 @@
             actions = host.router().on(now, event);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            Writer.broken(g, gateway, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            new Writer(g, gateway).broken(e + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
         for (Action action : actions) {
-            Writer.write(g, gateway, action);
+            new Writer(g, gateway).write(action);
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Reader.java
@@ -39,15 +39,15 @@
 
     private static Outcome outcome(String word) {
         return switch (word) {
-            case "pass" -> Outcome.ACKED;
-            case "no_room" -> Outcome.FULL;
+            case "pass" -> Outcome.SUCCEEDED;
+            case "no_room" -> Outcome.REJECTED;
             case "too_slow" -> Outcome.TIMED_OUT;
             case "no_route" -> Outcome.CONNECT_FAILED;
             case "cut" -> Outcome.CONNECTION_LOST;
             case "undone" -> Outcome.CANCELLED;
             case "stale_send" -> Outcome.NEVER_SENT;
             case "none_here" -> Outcome.MISDIRECTED;
-            default -> Outcome.ERRORED;
+            default -> Outcome.FAILED;
         };
     }
 
--- a/gateway/src/main/java/ploverdale/benchlink/Writer.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Writer.java
@@ -2,76 +2,130 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.util.HexFormat;
 import ploverdale.model.Action;
+import ploverdale.model.ActionHandler;
 
-/** Writes actions as the wire words them. */
-final class Writer {
-    private Writer() {}
-
-    static void write(JsonGenerator g, String gateway, Action action) throws IOException {
-        if (action instanceof Action.StartAttempt a) {
-            open(g, "ROUTE", gateway);
-            g.writeStringField("ref", a.request().text());
-            tenths(g, "capMs", a.timeLimit());
-            g.writeStringField("server", a.server().text());
-        } else if (action instanceof Action.CancelAttempt a) {
-            open(g, "ABANDON", gateway);
-            g.writeStringField("ref", a.request().text());
-            g.writeNumberField("roundNo", a.send());
-        } else if (action instanceof Action.RejectRequest a) {
-            open(g, "BOUNCE", gateway);
-            g.writeStringField("ref", a.request().text());
-            tenths(g, "notBeforeForMs", a.retryAfter());
-        } else if (action instanceof Action.FailRequest a) {
-            open(g, "ABORT", gateway);
-            g.writeStringField("ref", a.request().text());
-        } else if (action instanceof Action.SetTimer a) {
-            open(g, "WAKE_AT", gateway);
-            tenths(g, "atMs", a.at());
-            g.writeNumberField("tag", a.mark());
-        } else if (action instanceof Action.CheckHealth a) {
-            open(g, "TOUCH", gateway);
-            g.writeStringField("server", a.server().text());
-        } else if (action instanceof Action.CloseIdleConnections a) {
-            open(g, "DROP_CONNS", gateway);
-            g.writeStringField("server", a.server().text());
-        } else if (action instanceof Action.WatchEndpoints) {
-            open(g, "KEEP_INFORMED", gateway);
-            g.writeBooleanField("enable", true);
-        } else if (action instanceof Action.SendGossip a) {
-            open(g, "BROADCAST_TO", gateway);
-            g.writeNumberField("whom", a.peer());
-            g.writeStringField("body", HexFormat.of().formatHex(a.bytes()));
-        } else if (action instanceof Action.LogLine a) {
-            open(g, "REMARK", gateway);
-            g.writeStringField("text", a.text());
+/** Writes the actions of one gateway in the wire's words. Used on one thread. */
+final class Writer implements ActionHandler {
+    /** The fields of one action; may fail as the generator does. */
+    private interface Fields {
+        void write() throws IOException;
+    }
+
+    private final JsonGenerator json;
+    private final String gateway;
+
+    Writer(JsonGenerator json, String gateway) {
+        this.json = json;
+        this.gateway = gateway;
+    }
+
+    /** Writes one action as the wire names it. */
+    void write(Action action) throws IOException {
+        rethrowing(() -> action.dispatchTo(this));
+    }
+
+    /** Reports that a gateway could not take an event. */
+    void broken(String text) throws IOException {
+        rethrowing(() -> object("BROKEN", () -> json.writeStringField("text", text)));
+    }
+
+    private static void rethrowing(Runnable write) throws IOException {
+        try {
+            write.run();
+        } catch (UncheckedIOException e) {
+            throw e.getCause();
         }
-        close(g);
     }
 
-    static void broken(JsonGenerator g, String gateway, String text) throws IOException {
-        open(g, "BROKEN", gateway);
-        g.writeStringField("text", text);
-        close(g);
+    @Override
+    public void startAttempt(Action.StartAttempt attempt) {
+        object("ROUTE", () -> {
+            json.writeStringField("ref", attempt.request().text());
+            tenths("capMs", attempt.timeLimit());
+            json.writeStringField("server", attempt.server().text());
+        });
+    }
+
+    @Override
+    public void cancelAttempt(Action.CancelAttempt cancellation) {
+        object("ABANDON", () -> {
+            json.writeStringField("ref", cancellation.request().text());
+            json.writeNumberField("roundNo", cancellation.attempt());
+        });
+    }
+
+    @Override
+    public void rejectRequest(Action.RejectRequest rejection) {
+        object("BOUNCE", () -> {
+            json.writeStringField("ref", rejection.request().text());
+            tenths("notBeforeForMs", rejection.retryAfter());
+        });
     }
 
-    private static void open(JsonGenerator g, String name, String gateway) throws IOException {
-        g.writeStartObject();
-        g.writeObjectFieldStart(name);
-        g.writeStringField("gateway", gateway);
+    @Override
+    public void failRequest(Action.FailRequest failure) {
+        object("ABORT", () -> json.writeStringField("ref", failure.request().text()));
     }
 
-    private static void close(JsonGenerator g) throws IOException {
-        g.writeEndObject();
-        g.writeEndObject();
+    @Override
+    public void setTimer(Action.SetTimer timer) {
+        object("WAKE_AT", () -> {
+            tenths("atMs", timer.at());
+            json.writeNumberField("tag", timer.mark());
+        });
+    }
+
+    @Override
+    public void checkHealth(Action.CheckHealth check) {
+        object("TOUCH", () -> json.writeStringField("server", check.server().text()));
+    }
+
+    @Override
+    public void closeIdleConnections(Action.CloseIdleConnections close) {
+        object(
+                "DROP_CONNS",
+                () -> json.writeStringField("server", close.server().text()));
+    }
+
+    @Override
+    public void watchEndpoints(Action.WatchEndpoints watch) {
+        object("KEEP_INFORMED", () -> json.writeBooleanField("enable", true));
+    }
+
+    @Override
+    public void sendGossip(Action.SendGossip gossip) {
+        object("BROADCAST_TO", () -> {
+            json.writeNumberField("whom", gossip.peer());
+            json.writeStringField("body", HexFormat.of().formatHex(gossip.bytes()));
+        });
+    }
+
+    @Override
+    public void writeLogLine(Action.LogLine line) {
+        object("REMARK", () -> json.writeStringField("text", line.text()));
+    }
+
+    private void object(String name, Fields fields) {
+        try {
+            json.writeStartObject();
+            json.writeObjectFieldStart(name);
+            json.writeStringField("gateway", gateway);
+            fields.write();
+            json.writeEndObject();
+            json.writeEndObject();
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
     }
 
-    private static void tenths(JsonGenerator g, String name, long tenths) throws IOException {
+    private void tenths(String name, long tenths) throws IOException {
         if (tenths % 10 == 0) {
-            g.writeNumberField(name, tenths / 10);
+            json.writeNumberField(name, tenths / 10);
         } else {
-            g.writeNumberField(name, tenths / 10.0);
+            json.writeNumberField(name, tenths / 10.0);
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -3,10 +3,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** All that can happen to a gateway. Times in tenths of a millisecond. */
+/**
+ * All that can happen to a gateway. Times are tenths of a millisecond. An event calls the method of an {@link EventHandler} that
+ * belongs to it, so that a new kind of event does not compile until every handler has a method for it.
+ */
 public sealed interface Event {
 
-    /** The gateway starts and knows nothing but this; it is number me of the gateways. */
+    /** Calls the handler's method for this kind of event. */
+    void dispatchTo(EventHandler handler);
+
+    /** The gateway starts and knows nothing but these settings; {@code me} is its number among the gateways. */
     record Started(
             long seed,
             int gateways,
@@ -18,14 +24,27 @@
             ReplicaGuarantees copies,
             boolean listOnDemand,
             int me)
-            implements Event {}
+            implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onStarted(this);
+        }
+    }
 
-    /** The list of servers, whole or its changes; failed when asking for it brought none. */
-    record EndpointUpdate(boolean whole, boolean failed, List<Endpoint> endpoints) implements Event {}
+    /** The endpoint list, whole or its changes; failed where discovery returned none. */
+    record EndpointUpdate(boolean whole, boolean failed, List<Endpoint> endpoints) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onEndpointUpdate(this);
+        }
+    }
 
     /**
-     * A client's op; a token age of 0 means that the session has no earlier write, one below 0 that the write is dated a
-     * little later than now.
+     * A client sent a request.
+     *
+     * @param resubmitted whether the client sent the same request before
+     * @param sessionWriteAge how long ago the session's last write was committed; 0 where it has none, below 0 where the write is
+     *     dated a little later than now
      */
     record RequestArrived(
             RequestId request,
@@ -34,80 +53,158 @@
             GroupId group,
             SessionId session,
             long timeoutAt,
-            boolean again,
+            boolean resubmitted,
             long expectedWork,
-            long tokenAge)
-            implements Event {}
+            long sessionWriteAge)
+            implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onRequestArrived(this);
+        }
+    }
 
-    /** The answer to a streamed op has begun. */
-    record ResponseStarted(RequestId request, int send, ServerId server) implements Event {}
+    /** The first part of a streamed response has arrived. */
+    record ResponseStarted(RequestId request, int attempt, ServerId server) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onResponseStarted(this);
+        }
+    }
 
-    /** A send has ended; settled when the op has, too. Either report may be null. */
+    /**
+     * An attempt has ended.
+     *
+     * @param requestSettled whether the request has its final answer with it
+     * @param answerReport role and position that the answer carried, or null
+     * @param loadReport the server's load report that came with it, or null
+     */
     record AttemptEnded(
             RequestId request,
-            int send,
+            int attempt,
             ServerId server,
             Outcome outcome,
-            long took,
-            boolean settled,
-            LoadReport note,
-            LoadReport report)
-            implements Event {}
+            long duration,
+            boolean requestSettled,
+            LoadReport answerReport,
+            LoadReport loadReport)
+            implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onAttemptEnded(this);
+        }
+    }
 
-    /** The client has gone. */
-    record ClientDisconnected(RequestId request) implements Event {}
+    /** The client closed its connection or cancelled the request. */
+    record ClientDisconnected(RequestId request) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onClientDisconnected(this);
+        }
+    }
 
-    /** A wake-up that was asked for. */
-    record TimerFired(long mark) implements Event {}
+    /** A timer that was set by {@link Action.SetTimer}. */
+    record TimerFired(long mark) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onTimerFired(this);
+        }
+    }
 
     /** The event loop did not run in this span: nothing was read, written or timed. */
-    record LoopDelayed(long from, long until) implements Event {}
+    record LoopDelayed(long from, long until) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onLoopDelayed(this);
+        }
+    }
 
-    /** A probe has ended; the report may be null. */
-    record HealthCheckEnded(ServerId server, Outcome outcome, LoadReport report) implements Event {}
+    /** A health check has ended; the report may be null. */
+    record HealthCheckEnded(ServerId server, Outcome outcome, LoadReport loadReport) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onHealthCheckEnded(this);
+        }
+    }
 
-    /** Another gateway's message. */
-    record GossipReceived(int from, byte[] bytes) implements Event {}
+    /** A gossip datagram of another gateway. */
+    record GossipReceived(int from, byte[] bytes) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onGossipReceived(this);
+        }
+    }
 
-    /** The gateway is about to leave. */
-    record ShutdownBegun() implements Event {}
+    /** The graceful shutdown begins. */
+    record ShutdownBegun() implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onShutdownBegun(this);
+        }
+    }
 
-    /** The gateway ends in a moment: each op in hand is to have its answer now, however long its client would wait. */
-    record ShutdownDeadline() implements Event {}
+    /** The process ends in a moment: each request in flight gets its final answer now, whatever its own timeout. */
+    record ShutdownDeadline() implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onShutdownDeadline(this);
+        }
+    }
 
     /**
-     * How far the servers' wall clock is from service time has turned out to be another, or is unknown now: positions told before
-     * count as unknown, and the servers started at these times, where the list has one.
+     * The offset between the servers' wall clock and this gateway's time has changed or become unknown: positions reported before
+     * count as unknown. Has the start times of the servers whose start the endpoint list names.
      */
-    record ClockOffsetChanged(Map<ServerId, Long> startedAt) implements Event {}
+    record ClockOffsetChanged(Map<ServerId, Long> startedAt) implements Event {
+        @Override
+        public void dispatchTo(EventHandler handler) {
+            handler.onClockOffsetChanged(this);
+        }
+    }
 
-    /** How a send ended. Cut off: on the way to a connection, by whom is not known; broken off: after it was sent. */
+    /** How an attempt or a health check ended. */
     enum Outcome {
-        ACKED(false, true),
-        ERRORED(false, true),
-        FULL(true, true),
+        /** The server answered with a result. */
+        SUCCEEDED(false, true),
+        /** The server answered with an error. */
+        FAILED(false, true),
+        /** The server refused for lack of capacity. */
+        REJECTED(true, true),
+        /** No answer came in time. */
         TIMED_OUT(false, false),
+        /** The connection was refused or not made in time. */
         CONNECT_FAILED(true, false),
+        /** The connection was lost while it was being made, by whose doing is not known. */
         CONNECT_INTERRUPTED(true, false),
+        /** The connection was lost after the request had been written. */
         CONNECTION_LOST(false, false),
+        /** The gateway gave the attempt up. */
         CANCELLED(false, false),
+        /** Nothing was written, for a reason on this machine. */
         NEVER_SENT(true, false),
+        /** The server has not the role or the position that the request needs. */
         MISDIRECTED(true, true);
 
-        /** True when this proves that the op did not run. */
-        public final boolean provesNotRun;
+        private final boolean provesNotRun;
+        private final boolean reportedByServer;
 
-        /** True when the server itself said so. */
-        public final boolean byServer;
+        Outcome(boolean provesNotRun, boolean reportedByServer) {
+            this.provesNotRun = provesNotRun;
+            this.reportedByServer = reportedByServer;
+        }
 
-        /** True when the connection was lost or never made. */
-        public boolean isOfConnection() {
-            return this == CONNECT_FAILED || this == CONNECT_INTERRUPTED || this == CONNECTION_LOST;
+        /** Whether this proves that the request did not run. */
+        public boolean provesNotRun() {
+            return provesNotRun;
         }
 
-        Outcome(boolean provesNotRun, boolean byServer) {
-            this.provesNotRun = provesNotRun;
-            this.byServer = byServer;
+        /** Whether the server itself reported this. */
+        public boolean reportedByServer() {
+            return reportedByServer;
+        }
+
+        /** Whether the connection was lost or never made. */
+        public boolean isConnectionFailure() {
+            return this == CONNECT_FAILED || this == CONNECT_INTERRUPTED || this == CONNECTION_LOST;
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/model/Quota.java
+++ b/gateway/src/main/java/ploverdale/model/Quota.java
@@ -1,45 +1,48 @@
 package ploverdale.model;
 
 /**
- * Parts of what belongs to all gateways together, as this one may spend them. The module asks before it spends; who holds
- * which parts is decided elsewhere.
+ * This gateway's units of the limits that belong to all gateways together. The router acquires a unit before it spends it; who
+ * holds which units is decided elsewhere. Not thread-safe.
  */
 public interface Quota {
-    /** What a probe is for: its time has come, an op needs the word, or a sign of trouble. */
+    /** Why a health check is sent. */
     enum HealthCheckReason {
-        TIMED,
-        ASKED,
-        OTHER
+        /** Its time has come. */
+        PERIODIC,
+        /** A request waits for its result. */
+        ON_DEMAND,
+        /** Something suggests a fault. */
+        SUSPICION
     }
 
     /**
-     * Spends one op of a tenant's agreed traffic; false where none is to be had now.
+     * Acquires one request of a tenant's agreed traffic; false where none is to be had now.
      *
-     * @param now as the module is told it, in tenths of a millisecond
+     * @param now the router's time, in tenths of a millisecond
      */
-    boolean request(long now, TenantId tenant);
+    boolean tryAcquireRequest(long now, TenantId tenant);
 
-    /** When an op of this tenant may be spent again, from now, in tenths of a millisecond; 0: nothing is known of that. */
+    /** After how long a request of this tenant may be acquired again, in tenths of a millisecond; 0 where it is not known. */
     long retryAfter(long now, TenantId tenant);
 
-    /** Whether sends out at a server are such parts; then each gateway's own limit need not be a share of a whole. */
-    boolean limitsSends();
+    /** Whether attempts in flight at a server are limited by quota; then a gateway's own limit need not be a part of a whole. */
+    boolean limitsAttempts();
 
-    /** Whether a further send may be out at this server; it may be cold. */
-    boolean hasSend(ServerId server, boolean cold);
+    /** Whether a further attempt at this server could be acquired now. */
+    boolean hasAttempt(ServerId server, boolean inSlowStart);
 
-    /** A send goes out, and {@link #sendEnded} follows; false, and none follows, where it may not after all. */
-    boolean send(ServerId server, boolean cold);
+    /** Acquires an attempt, to be returned by {@link #releaseAttempt}; false, and nothing to return, where none is to be had. */
+    boolean tryAcquireAttempt(ServerId server, boolean inSlowStart);
 
-    /** A send has ended; cold as it was told with the send. */
-    void sendEnded(ServerId server, boolean cold);
+    /** Returns an attempt that has ended; in slow start as it was when acquired. */
+    void releaseAttempt(ServerId server, boolean inSlowStart);
 
-    /** Whether a send beyond an op's first could be had now, beside so many others that are reserved. */
-    boolean hasAgain(int reserved);
+    /** Whether a retry could be acquired now, beside so many that are reserved. */
+    boolean hasRetry(int reserved);
 
-    /** Spends a send beyond an op's first; false where none is to be had now. */
-    boolean again();
+    /** Acquires a retry; false where none is to be had now. */
+    boolean tryAcquireRetry();
 
-    /** Spends a probe; false where none is to be had now. */
-    boolean probe(HealthCheckReason why);
+    /** Acquires a health check; false where none is to be had now. */
+    boolean tryAcquireHealthCheck(HealthCheckReason reason);
 }
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -178,7 +178,7 @@
                     arrives(a, key);
                 }
             });
-        } else if (a.again()) {
+        } else if (a.resubmitted()) {
             clients.errored(a.request()); // an earlier submit may have run
         } else {
             clients.busyReplied(a.request(), 0);
@@ -194,7 +194,7 @@
                     a.group(),
                     a.session(),
                     a.timeoutAt(),
-                    a.again(),
+                    a.resubmitted(),
                     a.expectedWork(),
                     tokenAge));
         }
@@ -204,8 +204,8 @@
     private void claims(InHand i) {
         RequestId request = i.asked.request();
         asks(
-                (now, to) ->
-                        replicas.claims(now, Replicas.key(false, request.text()), !i.asked.again(), i.arrivedAt, to),
+                (now, to) -> replicas.claims(
+                        now, Replicas.key(false, request.text()), !i.asked.resubmitted(), i.arrivedAt, to),
                 d -> {
                     if (d.end() == End.GRANTED) {
                         i.claim = d.claim();
@@ -247,7 +247,7 @@
         InHand i = inHand.get(request);
         if (i != null) {
             i.out--;
-            i.mayHaveRun |= !outcome.provesNotRun;
+            i.mayHaveRun |= !outcome.provesNotRun();
             if (!row && clients.taken(request) == null) {
                 over(request);
             }
@@ -319,7 +319,7 @@
                             now,
                             Replicas.key(false, request.text()),
                             i.claim,
-                            WriteOutcome.ACKED,
+                            WriteOutcome.SUCCEEDED,
                             MessageWriter.resultRow(row).getBytes(),
                             left,
                             i.waits,
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -525,7 +525,7 @@
                 lost(what);
             } else {
                 close();
-                x.end(Outcome.ERRORED, null, null, null);
+                x.end(Outcome.FAILED, null, null, null);
             }
         }
 
@@ -602,13 +602,13 @@
             if (problem != null) {
                 x.end(outcome(problem.code(), probe), null, note, report);
             } else if (value == null) {
-                x.end(Outcome.ERRORED, null, note, report);
+                x.end(Outcome.FAILED, null, note, report);
             } else if (probe) {
                 LoadReport asked =
                         settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
-                x.end(Outcome.ACKED, null, note, asked != null ? asked : report);
+                x.end(Outcome.SUCCEEDED, null, note, asked != null ? asked : report);
             } else {
-                x.end(Outcome.ACKED, new ResultRow(column, value.bytes(), done.tag()), note, report);
+                x.end(Outcome.SUCCEEDED, new ResultRow(column, value.bytes(), done.tag()), note, report);
             }
         }
 
@@ -690,10 +690,10 @@
 
     private static Outcome outcome(String code, boolean probe) {
         return switch (code) {
-            case TURNED_OFF -> Outcome.FULL;
-            case "57P03" -> probe ? Outcome.FULL : Outcome.ERRORED;
+            case TURNED_OFF -> Outcome.REJECTED;
+            case "57P03" -> probe ? Outcome.REJECTED : Outcome.FAILED;
             case "25006", "72000" -> Outcome.MISDIRECTED;
-            default -> Outcome.ERRORED;
+            default -> Outcome.FAILED;
         };
     }
 
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -195,18 +195,18 @@
     }
 
     @Override
-    public boolean request(long now, TenantId tenant) {
-        boolean its = staticQuota.request(now, tenant);
+    public boolean tryAcquireRequest(long now, TenantId tenant) {
+        boolean its = staticQuota.tryAcquireRequest(now, tenant);
         return tenants == 0 ? its : tenant.index() >= tenants || spends(tenant.index());
     }
 
     @Override
-    public boolean limitsSends() {
+    public boolean limitsAttempts() {
         return quotaSettings.sendsAtServer() > 0;
     }
 
     @Override
-    public boolean hasSend(ServerId server, boolean cold) {
+    public boolean hasAttempt(ServerId server, boolean cold) {
         long now = clock.getAsLong();
         int at = sends(server);
         int whileCold = cold(server, cold);
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public boolean send(ServerId server, boolean cold) {
+    public boolean tryAcquireAttempt(ServerId server, boolean cold) {
         if (!spends(sends(server))) {
             return false;
         }
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void sendEnded(ServerId server, boolean cold) {
+    public void releaseAttempt(ServerId server, boolean cold) {
         ended(sends(server));
         ended(cold(server, cold));
     }
@@ -239,20 +239,22 @@
 
     /** Where the fleet pays for further sends, units that others have reserved here are not counted. */
     @Override
-    public boolean hasAgain(int reserved) {
+    public boolean hasRetry(int reserved) {
         return quotaSettings.secondSends() == 0
-                ? staticQuota.hasAgain(reserved)
+                ? staticQuota.hasRetry(reserved)
                 : budgets.has(clock.getAsLong(), quotaSettings.again(tenants));
     }
 
     @Override
-    public boolean again() {
-        return quotaSettings.secondSends() == 0 ? staticQuota.again() : spends(quotaSettings.again(tenants));
+    public boolean tryAcquireRetry() {
+        return quotaSettings.secondSends() == 0 ? staticQuota.tryAcquireRetry() : spends(quotaSettings.again(tenants));
     }
 
     @Override
-    public boolean probe(HealthCheckReason why) {
-        return quotaSettings.probes() == 0 ? staticQuota.probe(why) : spends(quotaSettings.probing(tenants));
+    public boolean tryAcquireHealthCheck(HealthCheckReason why) {
+        return quotaSettings.probes() == 0
+                ? staticQuota.tryAcquireHealthCheck(why)
+                : spends(quotaSettings.probing(tenants));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/quota/StaticQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public boolean request(long now, TenantId tenant) {
+    public boolean tryAcquireRequest(long now, TenantId tenant) {
         tokenBucket.request();
         int t = tenant.index();
         if (t >= rate.length) {
@@ -39,36 +39,36 @@
     }
 
     @Override
-    public boolean limitsSends() {
+    public boolean limitsAttempts() {
         return false;
     }
 
     @Override
-    public boolean hasSend(ServerId server, boolean cold) {
+    public boolean hasAttempt(ServerId server, boolean cold) {
         return true;
     }
 
     @Override
-    public boolean send(ServerId server, boolean cold) {
+    public boolean tryAcquireAttempt(ServerId server, boolean cold) {
         return true;
     }
 
     @Override
-    public void sendEnded(ServerId server, boolean cold) {}
+    public void releaseAttempt(ServerId server, boolean cold) {}
 
     @Override
-    public boolean hasAgain(int reserved) {
-        return tokenBucket.hasAgain(reserved);
+    public boolean hasRetry(int reserved) {
+        return tokenBucket.hasRetry(reserved);
     }
 
     @Override
-    public boolean again() {
-        return tokenBucket.again();
+    public boolean tryAcquireRetry() {
+        return tokenBucket.tryAcquireRetry();
     }
 
     @Override
-    public boolean probe(HealthCheckReason why) {
-        return tokenBucket.probe(why);
+    public boolean tryAcquireHealthCheck(HealthCheckReason why) {
+        return tokenBucket.tryAcquireHealthCheck(why);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/quota/TokenBucket.java
+++ b/gateway/src/main/java/ploverdale/quota/TokenBucket.java
@@ -21,19 +21,19 @@
     }
 
     /** Whether a further send is left, beside so many others that are reserved. */
-    boolean hasAgain(int reserved) {
+    boolean hasRetry(int reserved) {
         return sends >= 1 + reserved;
     }
 
     /** Spends a further send; false where none is left. */
-    boolean again() {
+    boolean tryAcquireRetry() {
         return sends >= 1 && sends-- >= 1;
     }
 
     /** Whether a probe may go: one on the timer only where one is left; one for an op in need counts; others are rare. */
-    boolean probe(HealthCheckReason why) {
-        boolean may = why != HealthCheckReason.TIMED || probes >= 1;
-        probes = why == HealthCheckReason.OTHER || !may ? probes : Math.max(0, probes - 1);
+    boolean tryAcquireHealthCheck(HealthCheckReason why) {
+        boolean may = why != HealthCheckReason.PERIODIC || probes >= 1;
+        probes = why == HealthCheckReason.SUSPICION || !may ? probes : Math.max(0, probes - 1);
         return may;
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -11,7 +11,7 @@
  * To err on the side of doubt costs an error; on the other side, an effect twice.
  *
  * @param at when the write was submitted first; a later time from another copy stands, so that nothing is forgotten too soon
- * @param claims by who made them, as bits of {@link #MADE}, {@link #NEVER_RAN} and {@link #ACKED}
+ * @param claims by who made them, as bits of {@link #MADE}, {@link #NEVER_RAN} and {@link #SUCCEEDED}
  * @param answer to an acked write, or empty where it was not told or is too long to be kept
  */
 public record WriteOutcome(long at, Map<IdempotencyRecord, Integer> claims, byte[] answer) implements VersionedEntry {
@@ -20,7 +20,7 @@
     /** Proven: the claim's write never ran and never will. */
     public static final int NEVER_RAN = 2;
     /** Proven: the claim's write ran. */
-    public static final int ACKED = 4;
+    public static final int SUCCEEDED = 4;
 
     static final byte KIND = 2;
     /** Claims of one id; one more is refused, which errors its op. */
@@ -55,12 +55,12 @@
     }
 
     public boolean acked() {
-        return claims.values().stream().anyMatch(b -> (b & ACKED) != 0);
+        return claims.values().stream().anyMatch(b -> (b & SUCCEEDED) != 0);
     }
 
     /** Whether some claim's write may still run, or may have. */
     public boolean inDoubt() {
-        return claims.values().stream().anyMatch(b -> (b & (NEVER_RAN | ACKED)) == 0);
+        return claims.values().stream().anyMatch(b -> (b & (NEVER_RAN | SUCCEEDED)) == 0);
     }
 
     /** Whether nothing was sent, or all that was is proven not to have run: it may be sent again, by another claim. */
@@ -71,13 +71,13 @@
     /** Whether that is so but for this claim. */
     boolean isFreeBut(IdempotencyRecord claim) {
         return claims.entrySet().stream()
-                .allMatch(e -> e.getKey().equals(claim) || (e.getValue() & (NEVER_RAN | ACKED)) == NEVER_RAN);
+                .allMatch(e -> e.getKey().equals(claim) || (e.getValue() & (NEVER_RAN | SUCCEEDED)) == NEVER_RAN);
     }
 
     /** Whether two proofs contradict one another: ran and never ran, or ran twice. */
     public boolean alarm() {
-        return claims.values().stream().anyMatch(b -> (b & (NEVER_RAN | ACKED)) == (NEVER_RAN | ACKED))
-                || claims.values().stream().filter(b -> (b & ACKED) != 0).count() > 1;
+        return claims.values().stream().anyMatch(b -> (b & (NEVER_RAN | SUCCEEDED)) == (NEVER_RAN | SUCCEEDED))
+                || claims.values().stream().filter(b -> (b & SUCCEEDED) != 0).count() > 1;
     }
 
     /** Whether it can be told of one more claim. */
--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -129,7 +129,7 @@
         random = new SplittableRandom(s.seed());
         int gateways = Math.max(1, s.gateways());
         quota = quota != null ? quota : new StaticQuota(s.tenants(), gateways);
-        leastLimit = quota.limitsSends() ? LEAST_LIMIT : Math.min(2, Math.max(1, LEAST_LIMIT / gateways));
+        leastLimit = quota.limitsAttempts() ? LEAST_LIMIT : Math.min(2, Math.max(1, LEAST_LIMIT / gateways));
         firstLimit = FIRST_LIMIT / gateways;
         requestClasses = s.requestClasses();
         beyondShareValue = s.beyondShareValue();
@@ -246,11 +246,11 @@
         long target = now
                 + type.latencyTarget()
                 + (long) (type.targetPerWork() * a.expectedWork())
-                - (a.again() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
+                - (a.resubmitted() ? (long) (COME_BACK * type.latencyTarget()) : 0); // spent on the earlier try
         PendingRequest request = new PendingRequest(
                 a, type, latencyEstimates.get(a.type().index()), now, Math.min(target, now + type.timeout()));
         request.needPosition = needPosition(a, type);
-        request.beyondShare = !quota.request(now, a.tenant());
+        request.beyondShare = !quota.tryAcquireRequest(now, a.tenant());
         requests.put(a.request(), request);
         wakeIn(BEAT);
         groups.computeIfAbsent(a.group(), ReplicaGroup::new).askedAt = now;
@@ -262,10 +262,10 @@
 
     /** A session's last write, as the position its reads must reach; others have none that stands still. */
     private long needPosition(Event.RequestArrived a, RequestClass type) {
-        boolean none = type.needs() != Consistency.SESSION || copies.tokensCarried() && a.tokenAge() == 0;
+        boolean none = type.needs() != Consistency.SESSION || copies.tokensCarried() && a.sessionWriteAge() == 0;
         return none
                 ? LoadReport.UNKNOWN_TIME
-                : copies.tokensCarried() ? now - a.tokenAge() : sessionWrites.of(a.session());
+                : copies.tokensCarried() ? now - a.sessionWriteAge() : sessionWrites.of(a.session());
     }
 
     private long worthUntil(PendingRequest request) {
@@ -308,7 +308,7 @@
                 && to != WAIT
                 && !shed(request, to)
                 && worthUntil(request) - now >= WORTH_SENDING * request.latency.usual * to.stretch
-                && quota.send(to.id, request.cold = slowStartFraction(to) < 1);
+                && quota.tryAcquireAttempt(to.id, request.cold = slowStartFraction(to) < 1);
         shedPrice += request.sends > 0 ? 0 : NEWEST / 5 * ((go ? 0 : valuePerWork(request)) - shedPrice);
         if (go) {
             send(request, to);
@@ -456,7 +456,7 @@
     private boolean hasRoom(ServerState m, double share) {
         return now - m.fullAt >= m.fullFor
                 && m.outSinceReturn().size() < m.limit * share
-                && quota.hasSend(m.id, slowStartFraction(m) < 1);
+                && quota.hasAttempt(m.id, slowStartFraction(m) < 1);
     }
 
     // Guards against reads longer than the tightest bound, which may stop a replica's apply: all gateways put
@@ -520,7 +520,7 @@
 
     /** Only those answered: others may not have reached the server. */
     private void chargeProbe(ServerState m, Outcome outcome) {
-        if (m.probeOut && outcome == Outcome.ACKED) {
+        if (m.probeOut && outcome == Outcome.SUCCEEDED) {
             slowStart.probeAnswered(m, now - m.probedAt, now);
         }
     }
@@ -534,7 +534,7 @@
         // Guards against servers whose answers get lost while they work: sends again in time.
         long early = now + (long) (FEW_TAKE * request.latency.usual * stretchNow(m));
         // Only where a retry may follow and can be paid for: an attempt without one has all the time that is left.
-        boolean retryFollows = request.sends + 1 < capabilities.attemptsPerRequest() && quota.hasAgain(earlyTimeouts);
+        boolean retryFollows = request.sends + 1 < capabilities.attemptsPerRequest() && quota.hasRetry(earlyTimeouts);
         request.hasEarlyTimeout = m.lostShare > LOST_SHARE
                 && request.type.repeats() != Idempotence.NOT_IDEMPOTENT
                 && retryFollows
@@ -560,22 +560,22 @@
     private void onAttemptEnded(Event.AttemptEnded e) {
         ServerState m = members.get(e.server());
         PendingRequest request = m.out.remove(e.request());
-        learnRole(m, e.note(), now);
-        learnReport(m, e.report());
+        learnRole(m, e.answerReport(), now);
+        learnReport(m, e.loadReport());
         if (request != null) {
-            quota.sendEnded(m.id, request.cold);
+            quota.releaseAttempt(m.id, request.cold);
             learnHealth(m, request, e);
             earlyTimeouts -= request.hasEarlyTimeout ? 1 : 0;
             request.hasEarlyTimeout = false;
         }
         PendingRequest live = requests.get(e.request());
-        if (e.outcome() == Outcome.ACKED && request != null && request.type.needs() == Consistency.WRITE) {
-            boolean told = e.note() != null && e.note().position() != LoadReport.UNKNOWN_TIME;
-            sessionWrites.put(request.asked.session(), told ? e.note().position() : now);
+        if (e.outcome() == Outcome.SUCCEEDED && request != null && request.type.needs() == Consistency.WRITE) {
+            boolean told = e.answerReport() != null && e.answerReport().position() != LoadReport.UNKNOWN_TIME;
+            sessionWrites.put(request.asked.session(), told ? e.answerReport().position() : now);
         }
-        if (live != null && e.settled()) {
+        if (live != null && e.requestSettled()) {
             requests.remove(e.request());
-        } else if (live != null && live.attemptInFlight == e.send()) {
+        } else if (live != null && live.attemptInFlight == e.attempt()) {
             live.attemptInFlight = -1;
             next(live, m, e.outcome());
         }
@@ -586,14 +586,14 @@
     }
 
     private void next(PendingRequest request, ServerState m, Outcome outcome) {
-        if (!outcome.provesNotRun && !request.mayHaveRun) {
+        if (!outcome.provesNotRun() && !request.mayHaveRun) {
             request.mayHaveRun = true;
             boolean tokened = request.type.repeats() == Idempotence.WITH_IDEMPOTENCY_KEY;
             request.repeatUntil = tokened ? request.sentAt + request.type.repeatWindow() - MARGIN : Long.MAX_VALUE;
             request.firstMaybeServer = m;
         }
         boolean wrongRole = outcome == Outcome.MISDIRECTED && request.type.needs() == Consistency.WRITE;
-        if (wrongRole || quota.again()) {
+        if (wrongRole || quota.tryAcquireRetry()) {
             dispatch(request);
         } else {
             finish(request); // guards against storms: repeats stay a small part of all sends
@@ -659,7 +659,7 @@
     private static final long REPORT_AGE = 300 * MS; // of reports as they come; newer own latencies say more
 
     private boolean probe(ServerState m, HealthCheckReason why) {
-        boolean may = capabilities.probes() && !m.probeOut && quota.probe(why);
+        boolean may = capabilities.probes() && !m.probeOut && quota.tryAcquireHealthCheck(why);
         if (may) {
             healthChecks.sent(m);
             m.probeOut = true;
@@ -677,7 +677,7 @@
 
     private void checkNext() {
         for (ServerState m = healthChecks.next(); m != null; m = healthChecks.next()) {
-            probe(m, HealthCheckReason.OTHER);
+            probe(m, HealthCheckReason.SUSPICION);
         }
     }
 
@@ -702,7 +702,7 @@
             due &= !m.probeOut && now - m.probedAt > ASK_AGAIN;
             pick = wanted && due && random.nextInt(++count) == 0 ? m : pick;
         }
-        return pick != null && probe(pick, HealthCheckReason.ASKED);
+        return pick != null && probe(pick, HealthCheckReason.ON_DEMAND);
     }
 
     private void onHealthCheckEnded(Event.HealthCheckEnded e) {
@@ -715,7 +715,7 @@
         m.probeOut = false;
         if (e.outcome() == Outcome.NEVER_SENT) { // a lack on this machine; says nothing about the server
             m.retryAt = Math.max(m.retryAt, now + ASK_AGAIN);
-        } else if (e.outcome() == Outcome.ACKED || e.outcome() == Outcome.FULL) {
+        } else if (e.outcome() == Outcome.SUCCEEDED || e.outcome() == Outcome.REJECTED) {
             m.deadSigns = 0;
             m.heardAt = m.aliveAt = now;
             answered(m);
@@ -725,7 +725,7 @@
                 scarceUntil = now + SCARCE_LASTS;
                 log("connections scarce: " + m.id.text() + " answers probes but refuses connections");
             }
-            learnReport(m, e.report());
+            learnReport(m, e.loadReport());
             if (m.silent && now >= m.retryAt) {
                 returns(m, heardBefore, "answers probes");
             }
@@ -856,7 +856,7 @@
             }
         }
         if (due != null) {
-            probe(due, HealthCheckReason.TIMED);
+            probe(due, HealthCheckReason.PERIODIC);
         }
         groups.values().forEach(this::release);
         if (gossip != null) {
@@ -948,32 +948,31 @@
 
     private void learnHealth(ServerState m, PendingRequest request, Event.AttemptEnded e) {
         Outcome outcome = e.outcome();
-        long took = Math.max(0, e.took() - localHealth.explainedIn(request.sentAt, now));
+        long took = Math.max(0, e.duration() - localHealth.explainedIn(request.sentAt, now));
         boolean inconclusive = outcome == Outcome.CONNECT_FAILED && localHealth.inconclusive(request.sentAt, now);
         if (outcome == Outcome.CONNECT_FAILED && !inconclusive) {
-            learnConnectFailure(m, e.took());
+            learnConnectFailure(m, e.duration());
         }
-        if (outcome.isOfConnection() && m.answeredAt < request.sentAt) {
+        if (outcome.isConnectionFailure() && m.answeredAt < request.sentAt) {
             m.heardAt = Math.min(m.heardAt, now - HEARD_LASTS - 1); // dead, or no room; a health check tells
-            probe(m, HealthCheckReason.OTHER);
-        } else if (outcome.byServer) {
+            probe(m, HealthCheckReason.SUSPICION);
+        } else if (outcome.reportedByServer()) {
             learnAnswered(m);
         }
-        if (outcome == Outcome.FULL) { // tried again ever more seldom, and not at the same time as by all others
+        if (outcome == Outcome.REJECTED) { // tried again ever more seldom, and not at the same time as by all others
             m.fullAt = now;
             m.fullFor = Math.min(HEARD_LASTS, 2 * m.fullFor + PATIENCE + random.nextLong(PATIENCE));
         }
-        if (outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED && m.cutAt == now) {
+        if (outcome == Outcome.REJECTED || outcome == Outcome.CONNECT_FAILED && m.cutAt == now) {
             m.limit = Math.max(leastLimit, Math.min(m.limit, m.out.size())); // what is open already is kept
         }
         switch (outcome) {
-            case ACKED -> learnSuccess(m, request, took);
-            case ERRORED, CONNECTION_LOST, CONNECT_INTERRUPTED, CONNECT_FAILED ->
-                learnFailure(m, outcome, inconclusive);
+            case SUCCEEDED -> learnSuccess(m, request, took);
+            case FAILED, CONNECTION_LOST, CONNECT_INTERRUPTED, CONNECT_FAILED -> learnFailure(m, outcome, inconclusive);
             case TIMED_OUT -> learnTimeout(m, request, took);
             case MISDIRECTED -> learnMisdirected(m, request);
             default -> {
-                // FULL was handled above; CANCELLED and NEVER_SENT say nothing about the server.
+                // REJECTED was handled above; CANCELLED and NEVER_SENT say nothing about the server.
             }
         }
     }
@@ -1012,7 +1011,7 @@
      * network's doing counts half.
      */
     private void learnFailure(ServerState m, Outcome outcome, boolean inconclusive) {
-        double weight = outcome == Outcome.ERRORED ? 1 : 0.5;
+        double weight = outcome == Outcome.FAILED ? 1 : 0.5;
         double counted = inconclusive ? m.failShare : weight;
         m.failShare += NEWEST * (counted - m.failShare);
         long well = m.group.members.stream()
@@ -1074,7 +1073,7 @@
         // Guards against slow servers taken for dead by gateways with few ops, while others hear them.
         boolean heardSince = askAgain() > ASK_AGAIN && now - m.positionReportedAt < quiet;
         if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && heardSince && now - m.probedAt > quiet) {
-            probe(m, HealthCheckReason.OTHER);
+            probe(m, HealthCheckReason.SUSPICION);
         } else if (quiet >= SILENCE_LEAST && missing > ANSWERS_MISSED && !heardSince) {
             if (quiet - localHealth.explainedIn(now - quiet, now) < SILENCE_LEAST
                     || localHealth.commonSilence(now, m, now - quiet, members.values())) {
--- a/gateway/src/test/java/ploverdale/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/ClockOffsetInRouterTest.java
@@ -53,7 +53,7 @@
                 write,
                 0,
                 "p",
-                Outcome.ACKED,
+                Outcome.SUCCEEDED,
                 new LoadReport(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
         offsetChanges(h, Map.of());
         h.nowMs += 200;
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -192,7 +192,8 @@
     }
 
     void probed(String server, Role role, long positionMs) {
-        tell(new Event.HealthCheckEnded(new ServerId(server), Outcome.ACKED, new LoadReport(role, positionMs * 10)));
+        tell(new Event.HealthCheckEnded(
+                new ServerId(server), Outcome.SUCCEEDED, new LoadReport(role, positionMs * 10)));
     }
 
     void unanswered(String server) {
@@ -219,7 +220,7 @@
     }
 
     void ends(RequestId request, int send, String server, Outcome outcome, LoadReport note) {
-        boolean settled = outcome == Outcome.ACKED;
+        boolean settled = outcome == Outcome.SUCCEEDED;
         tell(new Event.AttemptEnded(request, send, new ServerId(server), outcome, 1000, settled, note, null));
     }
 
--- a/gateway/src/test/java/ploverdale/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -140,7 +140,7 @@
             RequestId request = host.ask(FakeHost.HISTORY);
             String to = host.sends(request).get(0);
             r1 += to.equals("r1") ? 1 : 0;
-            host.ends(request, 0, to, Outcome.ACKED, null);
+            host.ends(request, 0, to, Outcome.SUCCEEDED, null);
         }
         assertThat(r1).isEqualTo(20); // the only replica
     }
--- a/gateway/src/test/java/ploverdale/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/RouterTest.java
@@ -87,7 +87,7 @@
     void aFullProbeTableIsASignOfLifeAndNoDeadOne() {
         host.nowMs += 3000;
         for (int i = 0; i < 3; i++) {
-            host.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.FULL, null));
+            host.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.REJECTED, null));
         }
         assertThat(host.logged("silent")).isFalse();
         assertThat(host.sends(host.ask(FakeHost.HISTORY))).containsExactly("r1");
@@ -205,7 +205,7 @@
         assertThat(checked.sends(guess)).containsExactly("r1");
         assertThat(checked.busyReplies(checked.ask(FakeHost.VIEW))).isEqualTo(1);
         checked.nowMs += 50;
-        checked.ends(guess, 0, "r1", Outcome.ACKED, note(Role.REPLICA, checked.nowMs - 10));
+        checked.ends(guess, 0, "r1", Outcome.SUCCEEDED, note(Role.REPLICA, checked.nowMs - 10));
         assertThat(checked.sends(checked.ask(FakeHost.VIEW))).containsExactly("r1");
     }
 
@@ -219,7 +219,7 @@
             assertThat(host.probes("p")).isEqualTo(2 + send);
             host.probed("p", Role.PRIMARY, host.nowMs);
         }
-        host.ends(write, 2, "p", Outcome.ACKED, null);
+        host.ends(write, 2, "p", Outcome.SUCCEEDED, null);
         assertThat(host.acts).contains(new Action.CloseIdleConnections(new ServerId("p")));
     }
 
@@ -236,7 +236,7 @@
                             read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false, null, null));
                 }
                 int last = host.sends(read).size() - 1;
-                host.ends(read, last, host.sends(read).get(last), Outcome.ACKED, note(Role.REPLICA, host.nowMs));
+                host.ends(read, last, host.sends(read).get(last), Outcome.SUCCEEDED, note(Role.REPLICA, host.nowMs));
                 host.pass(100);
                 host.levelled("p", "r1", "r2");
             }
@@ -257,7 +257,7 @@
         host.tell(
                 new Event.AttemptEnded(read, 0, new ServerId(server), Outcome.CONNECT_FAILED, 2500, false, null, null));
         host.probed(server, Role.REPLICA, host.nowMs);
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.ACKED, null);
+        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.SUCCEEDED, null);
         assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
 
@@ -265,7 +265,7 @@
     void whereAnswersGetLostWhileOthersComeInTimeASendIsMadeAgainBeforeItsOpIsWorthless() {
         for (int i = 0; i < 40; i++) {
             RequestId request = host.ask(FakeHost.SUBMIT);
-            host.ends(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.ACKED, null);
+            host.ends(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.SUCCEEDED, null);
         }
         RequestId read = host.ask(FakeHost.FRESH);
         assertThat(host.acts)
@@ -280,11 +280,11 @@
         FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100);
         small.list(true, "r1");
         small.tell(new Event.HealthCheckEnded(
-                new ServerId("r1"), Outcome.ACKED, new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
+                new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
         assertThat(small.sends(small.ask(FakeHost.HISTORY))).isEmpty();
         small.nowMs += 200;
         small.tell(new Event.HealthCheckEnded(
-                new ServerId("r1"), Outcome.ACKED, new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
+                new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
         assertThat(small.sends(small.ask(FakeHost.HISTORY))).containsExactly("r1");
     }
 
@@ -295,7 +295,7 @@
             FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100 + i);
             small.list(true, "r1", "r2");
             small.levelled("r1", "r2");
-            small.ends(small.ask(FakeHost.HISTORY), 0, "r2", Outcome.ACKED, null);
+            small.ends(small.ask(FakeHost.HISTORY), 0, "r2", Outcome.SUCCEEDED, null);
             small.listed("r1", EndpointState.IN, small.nowMs);
             for (int s = 0; s < 4; s++) {
                 RequestId read = small.ask(FakeHost.HISTORY);
@@ -325,8 +325,9 @@
     void whatMakesNoSenseChangesNothing() {
         int before = host.acts.size();
         host.tell(new Event.GossipReceived(3, new byte[] {104, 105}));
-        host.tell(new Event.HealthCheckEnded(new ServerId("stranger"), Outcome.ACKED, note(Role.PRIMARY, host.nowMs)));
-        host.ends(new RequestId("none"), 0, "stranger", Outcome.ACKED, null);
+        host.tell(new Event.HealthCheckEnded(
+                new ServerId("stranger"), Outcome.SUCCEEDED, note(Role.PRIMARY, host.nowMs)));
+        host.ends(new RequestId("none"), 0, "stranger", Outcome.SUCCEEDED, null);
         host.tell(new Event.ClientDisconnected(new RequestId("none")));
         assertThat(host.acts).hasSize(before);
         assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
@@ -358,7 +359,7 @@
         RequestId write = host.ask(FakeHost.SUBMIT);
         host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
         host.nowMs += 20;
-        host.ends(read, 0, "p", Outcome.ACKED, note(Role.PRIMARY, host.nowMs)); // as it still calls itself
+        host.ends(read, 0, "p", Outcome.SUCCEEDED, note(Role.PRIMARY, host.nowMs)); // as it still calls itself
         assertThat(host.sends(write)).containsExactly("p");
         host.nowMs += 150;
         host.probed("p", Role.PRIMARY, host.nowMs);
@@ -390,7 +391,7 @@
             RequestId scan = host.ask(FakeHost.SCAN);
             host.nowMs += 100;
             host.tell(new Event.AttemptEnded(
-                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true, null, null));
+                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
         }
         host.levelled("p", "r1", "r2");
         assertThat(host.sends(host.ask(FakeHost.SCAN))).containsExactly("r1");
@@ -403,7 +404,7 @@
             RequestId scan = host.ask(FakeHost.SCAN);
             host.nowMs += 100;
             host.tell(new Event.AttemptEnded(
-                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.ACKED, 9000, true, null, null));
+                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
         }
         host.lagging(1100);
         for (int i = 0; i < 60; i++) {
@@ -420,7 +421,7 @@
     @Test
     void aNonRetryableWriteThatMayHaveRunGetsAnErrorAndNoSecondSend() {
         RequestId write = host.ask(FakeHost.SUBMIT);
-        host.ends(write, 0, "p", Outcome.ERRORED, null);
+        host.ends(write, 0, "p", Outcome.FAILED, null);
         assertThat(host.sends(write)).hasSize(1);
         assertThat(host.errorReplies(write)).isEqualTo(1);
         assertThat(host.busyReplies(write)).isZero();
@@ -429,12 +430,12 @@
     @Test
     void aWriteProvenNotRunIsSentAgainAMomentLaterToAPrimaryThatWasFull() {
         RequestId write = host.ask(FakeHost.SUBMIT);
-        host.ends(write, 0, "p", Outcome.FULL, null);
+        host.ends(write, 0, "p", Outcome.REJECTED, null);
         assertThat(host.sends(write)).as("not at once, while it is as full").containsExactly("p");
         assertThat(host.busyReplies(write)).isZero();
         host.pass(120);
         assertThat(host.sends(write)).containsExactly("p", "p");
-        host.ends(write, 1, "p", Outcome.FULL, null);
+        host.ends(write, 1, "p", Outcome.REJECTED, null);
         host.pass(120);
         assertThat(host.sends(write)).as("ever more seldom").hasSize(2);
     }
@@ -442,10 +443,10 @@
     @Test
     void aTokenedWriteIsRepeatedInItsWindowAndErroredAfterIt() {
         RequestId write = host.ask(FakeHost.WITH_IDEMPOTENCY_KEY);
-        host.ends(write, 0, "p", Outcome.ERRORED, null);
+        host.ends(write, 0, "p", Outcome.FAILED, null);
         assertThat(host.sends(write)).containsExactly("p", "p");
         host.nowMs += 2000;
-        host.ends(write, 1, "p", Outcome.ERRORED, null);
+        host.ends(write, 1, "p", Outcome.FAILED, null);
         assertThat(host.sends(write)).hasSize(2);
         assertThat(host.errorReplies(write)).isEqualTo(1);
     }
@@ -534,7 +535,7 @@
             RequestId read = host.ask(FakeHost.HISTORY);
             for (int s = 0; s < host.sends(read).size() && s < 4; s++) {
                 boolean bad = host.sends(read).get(s).equals("r1");
-                host.ends(read, s, host.sends(read).get(s), bad ? Outcome.ERRORED : Outcome.ACKED, null);
+                host.ends(read, s, host.sends(read).get(s), bad ? Outcome.FAILED : Outcome.SUCCEEDED, null);
             }
         }
         assertThat(host.logged("server r1 silent: fails")).isTrue();
@@ -555,7 +556,7 @@
     void sessionReadsFollowTheWritesAcknowledgedHere() {
         RequestId write = host.ask(FakeHost.SUBMIT, "s", 0);
         host.nowMs += 100;
-        host.ends(write, 0, "p", Outcome.ACKED, note(Role.PRIMARY, host.nowMs));
+        host.ends(write, 0, "p", Outcome.SUCCEEDED, note(Role.PRIMARY, host.nowMs));
         assertThat(host.sends(host.ask(FakeHost.SESSION, "s", 0))).containsExactly("p");
         assertThat(host.sends(host.ask(FakeHost.SESSION, "other", 0)))
                 .isSubsetOf("r1", "r2")
@@ -609,7 +610,7 @@
         for (int i = 0; i < 6; i++) {
             host.pass(90);
             for (int j = 0; j < 15; j++) {
-                host.ends(host.ask(FakeHost.FRESH), 0, "p", Outcome.ACKED, null);
+                host.ends(host.ask(FakeHost.FRESH), 0, "p", Outcome.SUCCEEDED, null);
             }
             host.ask(FakeHost.FRESH);
             host.pass(150);
@@ -658,7 +659,7 @@
         for (int i = 0; i < 12; i++) {
             RequestId read = fresh.ask(FakeHost.HISTORY);
             assertThat(fresh.sends(read)).as("read " + i).containsExactly("r1");
-            fresh.ends(read, 0, "r1", Outcome.ACKED, note(Role.REPLICA, fresh.nowMs));
+            fresh.ends(read, 0, "r1", Outcome.SUCCEEDED, note(Role.REPLICA, fresh.nowMs));
         }
     }
 
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/SlowStartFleet.java
@@ -367,7 +367,7 @@
             attempts.remove(reply.request());
         } else if (action instanceof Action.CancelAttempt cancel) {
             Attempt attempt = out.get(cancel.request());
-            if (attempt != null && attempt.number == cancel.send()) {
+            if (attempt != null && attempt.number == cancel.attempt()) {
                 at(now, () -> end(attempt, Outcome.CANCELLED));
             }
         }
@@ -389,14 +389,14 @@
         attempt.ended = true;
         attempt.server.queue.remove(attempt);
         out.remove(attempt.request, attempt);
-        boolean acked = outcome == Outcome.ACKED;
+        boolean acked = outcome == Outcome.SUCCEEDED;
         Request request = requests.get(attempt.request);
         if (acked && request != null) {
             requests.remove(attempt.request);
             attempts.remove(attempt.request);
             served += now <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
         }
-        boolean answered = acked || outcome == Outcome.ERRORED;
+        boolean answered = acked || outcome == Outcome.FAILED;
         tell(
                 attempt.gateway,
                 new Event.AttemptEnded(
@@ -460,7 +460,7 @@
             return;
         }
         if (scenario == Scenario.ALL_SERVERS_AND_FAILURES && server.restarted && random.nextDouble() < FAILURES) {
-            at(now + 3, () -> end(attempt, Outcome.ERRORED));
+            at(now + 3, () -> end(attempt, Outcome.FAILED));
             return;
         }
         server.queue.add(attempt);
@@ -486,7 +486,7 @@
         server.updateBusy(now);
         server.running.remove(attempt);
         server.coldAnswers += server.restarted && !attempt.ended ? attempt.work : 0;
-        end(attempt, Outcome.ACKED);
+        end(attempt, Outcome.SUCCEEDED);
         startNext(server);
     }
 
@@ -498,7 +498,7 @@
         count(server, PROBE_WORK);
         at(
                 now + 10 + random.nextInt(20),
-                () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.ACKED, report(server))));
+                () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.SUCCEEDED, report(server))));
     }
 
     private LoadReport report(Server server) {
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/VirtualFleet.java
@@ -160,33 +160,33 @@
                 String name = "send " + a.request().text() + " " + attempt;
                 sentTo.put(name, a.server());
                 exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
-                    succeeded += outcome == Outcome.ACKED ? 1 : 0;
+                    succeeded += outcome == Outcome.SUCCEEDED ? 1 : 0;
                     tell(new Event.AttemptEnded(
                             a.request(),
                             attempt,
                             a.server(),
                             outcome,
                             took * 10,
-                            outcome == Outcome.ACKED,
+                            outcome == Outcome.SUCCEEDED,
                             null,
-                            outcome == Outcome.ACKED ? report(a.server()) : null));
+                            outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.CancelAttempt a) {
-                String name = "send " + a.request().text() + " " + a.send();
+                String name = "send " + a.request().text() + " " + a.attempt();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
                     gateway(
                             host.nowMs,
                             TIMERS,
                             () -> tell(new Event.AttemptEnded(
-                                    a.request(), a.send(), at, Outcome.CANCELLED, 0, false, null, null)));
+                                    a.request(), a.attempt(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
             } else if (action instanceof Action.CheckHealth a) {
                 healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
                 exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + names++, (outcome, took) -> {
                     healthChecksOut--;
                     tell(new Event.HealthCheckEnded(
-                            a.server(), outcome, outcome == Outcome.ACKED ? report(a.server()) : null));
+                            a.server(), outcome, outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.SetTimer a) {
                 gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.TimerFired(a.mark())));
@@ -224,7 +224,7 @@
         }
         gateway(host.nowMs + 1, READS, () -> {
             if (pending.remove(name)) {
-                ended.with(Outcome.ACKED, host.nowMs - began);
+                ended.with(Outcome.SUCCEEDED, host.nowMs - began);
             }
         });
     }
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -74,42 +74,45 @@
     @Test
     void furtherSendsAndProbesOfWhateverKindAreSpentOfTheWhole() {
         QuotaNode s = settled(quotaSettings(false, 0, 0, 10, 4));
-        assertThat(spent(s::again)).isEqualTo(10);
-        assertThat(spent(() -> s.probe(HealthCheckReason.OTHER))).isEqualTo(4);
-        assertThat(s.probe(HealthCheckReason.ASKED)).isFalse();
+        assertThat(spent(s::tryAcquireRetry)).isEqualTo(10);
+        assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.SUSPICION)))
+                .isEqualTo(4);
+        assertThat(s.tryAcquireHealthCheck(HealthCheckReason.ON_DEMAND)).isFalse();
         now += SECOND / 2;
-        assertThat(spent(s::again)).isEqualTo(5);
-        assertThat(spent(() -> s.probe(HealthCheckReason.TIMED))).isEqualTo(2);
+        assertThat(spent(s::tryAcquireRetry)).isEqualTo(5);
+        assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
+                .isEqualTo(2);
     }
 
     @Test
     void whereTheyAreNoBudgetTheyAreEarnedByOps() {
         QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
-        assertThat(s.probe(HealthCheckReason.TIMED)).isFalse();
+        assertThat(s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)).isFalse();
         for (int i = 0; i < 5; i++) {
-            s.request(now, TENANT);
+            s.tryAcquireRequest(now, TENANT);
         }
-        assertThat(spent(() -> s.probe(HealthCheckReason.TIMED))).isEqualTo(1);
-        assertThat(spent(s::again)).isEqualTo(40);
+        assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
+                .isEqualTo(1);
+        assertThat(spent(s::tryAcquireRetry)).isEqualTo(40);
     }
 
     @Test
     void aSendAtAColdServerTakesAPartOfBothAndOneThatIsRefusedTakesNone() {
         QuotaNode s = settled(quotaSettings(false, 3, 1, 0, 0));
-        assertThat(s.send(SERVER, true)).isTrue();
-        assertThat(s.hasSend(SERVER, true)).isFalse();
-        assertThat(s.send(SERVER, true)).isFalse();
-        assertThat(spent(() -> s.send(SERVER, false))).isEqualTo(2);
-        s.sendEnded(SERVER, true);
-        assertThat(s.send(SERVER, true)).isTrue();
+        assertThat(s.tryAcquireAttempt(SERVER, true)).isTrue();
+        assertThat(s.hasAttempt(SERVER, true)).isFalse();
+        assertThat(s.tryAcquireAttempt(SERVER, true)).isFalse();
+        assertThat(spent(() -> s.tryAcquireAttempt(SERVER, false))).isEqualTo(2);
+        s.releaseAttempt(SERVER, true);
+        assertThat(s.tryAcquireAttempt(SERVER, true)).isTrue();
     }
 
     @Test
     void whoIsBeyondATenantsBudgetIsToldWhenTheNextPartComes() {
         QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
-        assertThat(spent(() -> s.request(now, TENANT))).isEqualTo(10);
+        assertThat(spent(() -> s.tryAcquireRequest(now, TENANT))).isEqualTo(10);
         assertThat(s.retryAfter(now, TENANT)).isBetween(1L, SECOND / 10);
         now += s.retryAfter(now, TENANT);
-        assertThat(s.request(now, TENANT)).isTrue();
+        assertThat(s.tryAcquireRequest(now, TENANT)).isTrue();
     }
 }
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -71,7 +71,7 @@
     void aProofWinsOverADoubtAndOfTwoThatDifferTheOneThatForbidsASendStands() {
         IdempotencyRecord one = new IdempotencyRecord(0, 1, 1);
         WriteOutcome doubt = WriteOutcome.of(5, one, WriteOutcome.MADE, NO_ANSWER);
-        WriteOutcome acked = WriteOutcome.of(5, one, WriteOutcome.ACKED, new byte[] {1});
+        WriteOutcome acked = WriteOutcome.of(5, one, WriteOutcome.SUCCEEDED, new byte[] {1});
         WriteOutcome never = WriteOutcome.of(5, one, WriteOutcome.NEVER_RAN, NO_ANSWER);
         assertThat(doubt.inDoubt()).isTrue();
         assertThat(((WriteOutcome) doubt.join(never)).free()).isTrue();
@@ -81,7 +81,7 @@
         assertThat(both.free()).isFalse();
         assertThat(both.acked()).isTrue();
         WriteOutcome twice = (WriteOutcome)
-                acked.join(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), WriteOutcome.ACKED, NO_ANSWER));
+                acked.join(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), WriteOutcome.SUCCEEDED, NO_ANSWER));
         assertThat(twice.alarm()).as("it ran twice").isTrue();
     }
 
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -311,7 +311,7 @@
                     g.local(),
                     key,
                     claim,
-                    ran ? WriteOutcome.ACKED : WriteOutcome.NEVER_RAN,
+                    ran ? WriteOutcome.SUCCEEDED : WriteOutcome.NEVER_RAN,
                     new byte[] {1},
                     0,
                     false,
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -228,7 +228,7 @@
             add(
                     at,
                     answers(probe.server())
-                            ? new Event.HealthCheckEnded(probe.server(), Outcome.ACKED, report(probe.server(), at))
+                            ? new Event.HealthCheckEnded(probe.server(), Outcome.SUCCEEDED, report(probe.server(), at))
                             : new Event.HealthCheckEnded(probe.server(), Outcome.TIMED_OUT, null));
         } else if (action instanceof Action.SetTimer wake) {
             add(wake.at(), new Event.TimerFired(wake.mark()));
@@ -260,7 +260,8 @@
         LoadReport note = report(send.server(), now + took);
         add(
                 now + took,
-                new Event.AttemptEnded(send.request(), number, send.server(), Outcome.ACKED, took, true, note, null));
+                new Event.AttemptEnded(
+                        send.request(), number, send.server(), Outcome.SUCCEEDED, took, true, note, null));
     }
 
     private boolean answers(ServerId server) {
