--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -0,0 +1,126 @@
+package ploverdale.routing;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import ploverdale.model.Endpoint;
+import ploverdale.model.Endpoint.EndpointState;
+import ploverdale.model.Event;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
+import ploverdale.state.EndpointLifecycle;
+import ploverdale.state.ServerState;
+
+/**
+ * Takes over the endpoint list: new servers, drains, removals and restarts. A drain that another gateway reported binds, too,
+ * until the own list had time to name it.
+ */
+final class EndpointRegistry {
+    private final DecisionContext context;
+    private final RoutingSettings settings;
+    private final ServerDirectory directory;
+    private final PeerGossip gossip;
+    private final HealthChecker healthChecker;
+    private final RandomGenerator random;
+
+    EndpointRegistry(
+            DecisionContext context,
+            RoutingSettings settings,
+            ServerDirectory directory,
+            PeerGossip gossip,
+            HealthChecker healthChecker,
+            RandomGenerator random) {
+        this.context = context;
+        this.settings = settings;
+        this.directory = directory;
+        this.gossip = gossip;
+        this.healthChecker = healthChecker;
+        this.random = random;
+    }
+
+    /** Takes over the list, or its changes. */
+    void update(Event.EndpointUpdate update) {
+        Set<ServerState> unlisted = new LinkedHashSet<>(update.whole() ? directory.servers() : List.of());
+        for (Endpoint entry : update.endpoints()) {
+            ServerState server = directory.find(entry.server()).orElseGet(() -> register(entry));
+            unlisted.remove(server);
+            updateServer(server, entry);
+        }
+        unlisted.forEach(server -> transition(server, EndpointState.GONE));
+    }
+
+    private ServerState register(Endpoint entry) {
+        ServerState server = directory.add(entry.server(), entry.group(), settings.initialLimit());
+        if (entry.stage() == EndpointState.IN && random.nextDouble() < settings.firstCheckProbability()) {
+            healthChecker.checkWhenPossible(server);
+        }
+        return server;
+    }
+
+    private void updateServer(ServerState server, Endpoint entry) {
+        EndpointLifecycle lifecycle = server.lifecycle();
+        lifecycle.placeInZone(entry.zone());
+        if (entry.stage() != EndpointState.GONE) {
+            gossip.serverListed(server.id());
+        }
+        lifecycle.recordListedState(entry.stage(), context.now());
+        transition(server, lifecycle.stateAfter(entry, context.now()));
+        if (entry.primary()) {
+            assumePrimary(server);
+        }
+        if (lifecycle.recordStart(entry.startedAt())) {
+            server.slowStart().recordColdStart(entry.startedAt());
+            server.load().forgetInflation();
+        }
+    }
+
+    /** The list's word on who leads is a hint, used until a server itself reports its role. */
+    private static void assumePrimary(ServerState server) {
+        boolean nothingKnown =
+                server.group().primary() == null && server.replication().role() == Role.UNKNOWN;
+        if (nothingKnown && server.lifecycle().isActive()) {
+            server.group().setPrimary(server);
+        }
+    }
+
+    private void transition(ServerState server, EndpointState next) {
+        if (server.lifecycle().moveTo(next, settings.guarantees().removalBinds())) {
+            context.log("server " + server.id().text() + " listed " + next);
+        }
+        if (server.lifecycle().isRemoved()) {
+            gossip.serverRemoved(server.id());
+        }
+    }
+
+    /** Another gateway's list named a drain of this server. */
+    void learnReportedDrain(ServerState server, long reportedAt) {
+        EndpointLifecycle lifecycle = server.lifecycle();
+        if (reportedAt <= lifecycle.drainReportedAt() || !lifecycle.isActive()) {
+            return;
+        }
+        lifecycle.recordReportedDrain(reportedAt);
+        if (EndpointLifecycle.reportedDrainBinds(reportedAt, context.now())) {
+            transition(server, EndpointState.DRAINING);
+        }
+    }
+
+    /** Ends a drain that another gateway reported and that no list confirmed in time. */
+    void endUnconfirmedDrain(ServerState server) {
+        if (gossip.isEnabled() && server.lifecycle().isUnconfirmedDrainOver(context.now())) {
+            transition(server, EndpointState.IN);
+        }
+    }
+
+    /** The servers' wall clock has another offset: positions so far cannot be compared with later ones, and starts are dated anew. */
+    void redate(Map<ServerId, Long> startedAt) {
+        for (ServerState server : directory.servers()) {
+            server.replication().forgetPosition();
+            long before = server.lifecycle().startedAt();
+            long start = startedAt.getOrDefault(server.id(), before);
+            server.slowStart().redateColdStart(before, start);
+            server.lifecycle().redateStart(start);
+        }
+    }
+}
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -117,10 +117,10 @@
         }
         int others = 0;
         int silent = 0;
-        for (ServerState m : all) {
-            if (m.isPromising()) {
+        for (ServerState server : all) {
+            if (server.isConfirmedServing()) {
                 others++;
-                silent += answersAreMissing(m, now) ? 1 : 0;
+                silent += answersAreMissing(server, now) ? 1 : 0;
             }
         }
         if (isNearlyAll(silent, others)) {
@@ -129,22 +129,25 @@
     }
 
     private static boolean mostAnsweredSince(long time, Collection<ServerState> all) {
-        long others = all.stream().filter(ServerState::isPromising).count();
+        long others = all.stream().filter(ServerState::isConfirmedServing).count();
         return 2
                         * all.stream()
-                                .filter(m -> m.isPromising() && m.respondedAt > time)
+                                .filter(server -> server.isConfirmedServing()
+                                        && server.liveness().respondedAt() > time)
                                 .count()
                 > others;
     }
 
-    private static boolean answersAreMissing(ServerState m, long now) {
-        if (m.out.isEmpty() || now - m.respondedAt < NOTICED_AFTER) {
+    private static boolean answersAreMissing(ServerState server, long now) {
+        if (server.load().inFlight().isEmpty() || now - server.liveness().respondedAt() < NOTICED_AFTER) {
             return false;
         }
         double missing = 0;
-        for (PendingRequest request : m.out.values()) {
-            long waited = now - Math.max(request.sentAt, m.respondedAt);
-            missing += waited / (request.latency.usual * Math.max(1, m.stretch));
+        for (PendingRequest request : server.load().inFlight()) {
+            long waited =
+                    now - Math.max(request.attemptStartedAt(), server.liveness().respondedAt());
+            missing +=
+                    waited / (request.usualLatency() * Math.max(1, server.load().measuredInflation()));
         }
         return missing > ANSWERS_MISSING;
     }
@@ -157,13 +160,17 @@
     private static boolean nearlyAllSilent(long now, ServerState silent, long since, Collection<ServerState> all) {
         int others = 0;
         int unanswered = 0;
-        for (ServerState m : all) {
-            if (m == silent || !m.isIn() || m.silent) {
+        for (ServerState server : all) {
+            if (server == silent
+                    || !server.lifecycle().isActive()
+                    || server.ejection().isEjected()) {
                 continue;
             }
-            boolean missing = unansweredSince(m, since, now);
+            boolean missing = unansweredSince(server, since, now);
             unanswered += missing ? 1 : 0;
-            others += missing || m.isPromising() ? 1 : 0; // one never heard says nothing until its check is overdue
+            others += missing || server.isConfirmedServing()
+                    ? 1
+                    : 0; // one never heard says nothing until its check is overdue
         }
         return isNearlyAll(unanswered, others);
     }
@@ -173,15 +180,15 @@
     }
 
     /** No answer since then, to a check or a request that waits for half of that time or was given up in it. */
-    private static boolean unansweredSince(ServerState m, long since, long now) {
-        if (m.respondedAt >= since) {
+    private static boolean unansweredSince(ServerState server, long since, long now) {
+        if (server.liveness().respondedAt() >= since) {
             return false;
         }
         long overdue = now - (now - since) / 2;
-        Iterator<PendingRequest> oldest = m.out.values().iterator();
-        return m.checkMissedAt >= since
-                || m.probeOut && m.probedAt <= overdue
-                || oldest.hasNext() && oldest.next().sentAt <= overdue;
+        Iterator<PendingRequest> oldest = server.load().inFlight().iterator();
+        return server.liveness().checkMissedAt() >= since
+                || server.healthCheck().isInFlight() && server.healthCheck().sentAt() <= overdue
+                || oldest.hasNext() && oldest.next().attemptStartedAt() <= overdue;
     }
 
     private void explain(long from, long until, long workedOff) {
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -0,0 +1,209 @@
+package ploverdale.routing;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import ploverdale.model.Action;
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.Event.RequestArrived;
+import ploverdale.model.Quota;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestId;
+import ploverdale.state.PendingRequest;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ServerState;
+
+/** Takes each request from its arrival through its attempts to its one final answer. */
+final class RequestDispatcher {
+    private final DecisionContext context;
+    private final RoutingSettings settings;
+    private final ServerDirectory directory;
+    private final Quota quota;
+    private final LatencyEstimates latencies;
+    private final StalenessFilter stalenessFilter;
+    private final ServerSelector selector;
+    private final AdmissionController admission;
+    private final RetryPolicy retryPolicy;
+    private final SlowStart slowStart;
+    private final AttemptCanceller canceller;
+    private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
+
+    /** The parts that a request's course depends on. */
+    record Dependencies(
+            DecisionContext context,
+            RoutingSettings settings,
+            ServerDirectory directory,
+            Quota quota,
+            LatencyEstimates latencies,
+            StalenessFilter stalenessFilter,
+            ServerSelector selector,
+            AdmissionController admission,
+            RetryPolicy retryPolicy,
+            SlowStart slowStart,
+            AttemptCanceller canceller) {}
+
+    RequestDispatcher(Dependencies dependencies) {
+        context = dependencies.context;
+        settings = dependencies.settings;
+        directory = dependencies.directory;
+        quota = dependencies.quota;
+        latencies = dependencies.latencies;
+        stalenessFilter = dependencies.stalenessFilter;
+        selector = dependencies.selector;
+        admission = dependencies.admission;
+        retryPolicy = dependencies.retryPolicy;
+        slowStart = dependencies.slowStart;
+        canceller = dependencies.canceller;
+    }
+
+    /** Takes a new request; it is dispatched by the caller. */
+    PendingRequest accept(RequestArrived arrival) {
+        long now = context.now();
+        RequestClass requestClass = settings.requestClass(arrival.type());
+        PendingRequest request = new PendingRequest(
+                arrival,
+                requestClass,
+                latencies.of(arrival.type()),
+                now,
+                Math.min(objectiveAt(arrival, requestClass), now + requestClass.timeout()),
+                stalenessFilter.requiredPosition(arrival, requestClass, now),
+                !quota.tryAcquireRequest(now, arrival.tenant()));
+        requests.put(request.id(), request);
+        directory.group(arrival.group()).recordRequest(now);
+        return request;
+    }
+
+    /** The latency objective, less what the client spent on an earlier submission. */
+    private long objectiveAt(RequestArrived arrival, RequestClass requestClass) {
+        long objective = requestClass.latencyTarget() + (long) (requestClass.targetPerWork() * arrival.expectedWork());
+        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_AFTER * requestClass.latencyTarget()) : 0;
+        return context.now() + objective - spent;
+    }
+
+    /** The request of this name, if it has no final answer yet. */
+    Optional<PendingRequest> find(RequestId id) {
+        return Optional.ofNullable(requests.get(id));
+    }
+
+    /** Whether no request is pending. */
+    boolean isIdle() {
+        return requests.isEmpty();
+    }
+
+    /**
+     * Has the request attempted, wait, or be answered with a rejection or failure.
+     *
+     * @return false where it waits
+     */
+    boolean dispatch(PendingRequest request) {
+        ReplicaGroup group = directory.group(request.arrival().group());
+        RoutingDecision decision =
+                retryPolicy.mayAttempt(request) ? selector.select(request, group) : RoutingDecision.REJECT;
+        if (decision.isWait() && context.now() < RequestDeadlines.waitUntil(request)) {
+            group.enqueue(request);
+            return false;
+        }
+        group.dequeue(request);
+        Optional<ServerState> admitted = decision.server().filter(server -> admits(server, request));
+        admission.recordAdmission(request, admitted.isPresent());
+        admitted.ifPresentOrElse(server -> startAttempt(request, server), () -> finish(request));
+        return true;
+    }
+
+    private boolean admits(ServerState server, PendingRequest request) {
+        long now = context.now();
+        if (admission.isShed(request, server, now)
+                || !RequestDeadlines.isWorthAttempt(request, server.load().measuredInflation(), now)) {
+            return false;
+        }
+        request.setAttemptInSlowStart(slowStart.isWarmingUp(server, now));
+        return quota.tryAcquireAttempt(server.id(), request.isAttemptInSlowStart());
+    }
+
+    private void startAttempt(PendingRequest request, ServerState server) {
+        long now = context.now();
+        boolean endsEarly = retryPolicy.endsEarly(request, server);
+        long until = request.idempotence() == Idempotence.IDEMPOTENT
+                ? RequestDeadlines.valuableUntil(request)
+                : RequestDeadlines.answerBy(request);
+        if (endsEarly) {
+            retryPolicy.reserveRetry();
+            until = Math.min(until, retryPolicy.earlyTimeoutAt(request, server));
+        }
+        long timeLimit = Math.max(1, until - now);
+        context.emit(new Action.StartAttempt(request.id(), server.id(), timeLimit, writeBy(request, server)));
+        request.startAttempt(server, endsEarly, now);
+        server.load().attemptStarted(request);
+        slowStart.attempted(server, request.usualLatency(), now);
+    }
+
+    /** A position ages while a connection is made, so a bounded read has a time to be written by, unless the replica checks it. */
+    private long writeBy(PendingRequest request, ServerState server) {
+        boolean ages =
+                request.consistency() == Consistency.BOUNDED && !server.isPrimary() && !settings.replicasCheckReads();
+        return ages ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
+    }
+
+    /** An attempt has ended without a final answer of the request: it is attempted again, if it may be, or finished. */
+    void continueAfter(PendingRequest request, ServerState server, Outcome outcome) {
+        request.endAttempt();
+        retryPolicy.recordOutcome(request, server, outcome);
+        if (retryPolicy.tryAcquireRetry(request, outcome)) {
+            dispatch(request);
+        } else {
+            finish(request);
+        }
+    }
+
+    /** The request has its final answer. */
+    void complete(PendingRequest request) {
+        requests.remove(request.id());
+    }
+
+    /** The client has gone: no answer is owed. */
+    void abandon(PendingRequest request) {
+        requests.remove(request.id());
+        canceller.cancel(request);
+    }
+
+    /** Answers each pending request now. */
+    void finishAll() {
+        for (PendingRequest request : List.copyOf(requests.values())) {
+            canceller.cancel(request);
+            request.assumeAttemptRan();
+            finish(request);
+        }
+    }
+
+    private void finish(PendingRequest request) {
+        requests.remove(request.id());
+        long retryAfter = retryPolicy.retryAfter(request);
+        boolean isSafe = retryPolicy.isSafeToResubmit(request);
+        context.emit(
+                isSafe ? new Action.RejectRequest(request.id(), retryAfter) : new Action.FailRequest(request.id()));
+    }
+
+    /** Dispatches the group's waiting requests anew, until one of each class has to wait on. */
+    void release(ReplicaGroup group) {
+        if (group.waiting().isEmpty()) {
+            return;
+        }
+        boolean[] classWaits = new boolean[settings.requestClasses().size()];
+        for (PendingRequest request : admission.releaseOrder(group)) {
+            int classIndex = request.arrival().type().index();
+            boolean isOverdue = context.now() >= RequestDeadlines.waitUntil(request);
+            if (isOverdue || !classWaits[classIndex]) {
+                boolean dispatched = dispatch(request);
+                classWaits[classIndex] |= !dispatched;
+            }
+        }
+    }
+
+    /** The servers' wall clock has another offset: required positions are dated anew. */
+    void redateRequiredPositions() {
+        requests.values().forEach(request -> request.redateRequiredPosition(context.now()));
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -0,0 +1,81 @@
+package ploverdale.routing;
+
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.Ticks;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ReplicationStatus;
+import ploverdale.state.ServerState;
+
+/** Learns roles and log positions from what servers report of themselves, and with them which server is a group's primary. */
+final class RoleTracker {
+    /** How old a load report may be when it arrives. */
+    static final long REPORT_AGE = Ticks.ofMillis(300);
+
+    private final DecisionContext context;
+    private final PeerGossip gossip;
+
+    RoleTracker(DecisionContext context, PeerGossip gossip) {
+        this.context = context;
+        this.gossip = gossip;
+    }
+
+    /**
+     * Takes over a load report, which may have been made a while ago. A primary's position tells when it was made, so that an old
+     * report does not revive a role that was lost since.
+     *
+     * @param report null where there is none
+     */
+    void learnLoadReport(ServerState server, LoadReport report) {
+        if (report == null) {
+            return;
+        }
+        boolean isDated = report.role() == Role.PRIMARY && report.position() != LoadReport.UNKNOWN_TIME;
+        learnReport(server, report, isDated ? report.position() : context.now() - REPORT_AGE);
+    }
+
+    /**
+     * Takes over what was reported at this time: the latest report of a role wins, and a position never goes back.
+     *
+     * @param report null where there is none
+     */
+    void learnReport(ServerState server, LoadReport report, long reportedAt) {
+        if (report == null) {
+            return;
+        }
+        server.load().recordUtilization(report.busy());
+        if (report.position() != LoadReport.UNKNOWN_TIME) {
+            server.replication().recordPosition(report.position(), context.now());
+            gossip.positionReported(context.now(), server.id());
+        }
+        learnRole(server, report.role(), reportedAt);
+    }
+
+    /** Takes over a role that was reported at this time, unless a later report is known. */
+    void learnRole(ServerState server, Role role, long reportedAt) {
+        if (!server.replication().recordRole(role, reportedAt)) {
+            return;
+        }
+        ReplicaGroup group = server.group();
+        ServerState before = group.primary();
+        if (role == Role.PRIMARY) {
+            if (replacesPrimary(before, reportedAt)) {
+                group.setPrimary(server);
+            }
+        } else if (before == server) {
+            group.setPrimary(null);
+        }
+        if (group.primary() != before) {
+            String change = group.primary() == server ? " primary " : " primary no longer ";
+            context.log("group " + group.id().number() + change + server.id().text());
+        }
+    }
+
+    private static boolean replacesPrimary(ServerState before, long reportedAt) {
+        if (before == null) {
+            return true;
+        }
+        ReplicationStatus known = before.replication();
+        return known.role() != Role.PRIMARY || known.roleReportedAt() < reportedAt;
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -0,0 +1,156 @@
+package ploverdale.routing;
+
+import java.util.SplittableRandom;
+import java.util.random.RandomGenerator;
+import ploverdale.gossip.GossipProtocol;
+import ploverdale.model.Event;
+import ploverdale.model.Quota;
+import ploverdale.quota.StaticQuota;
+import ploverdale.state.SessionWrites;
+
+/** Builds the parts of a router from what the gateway is started with. Decides nothing. */
+final class RouterAssembly {
+    private final DecisionContext context;
+    private final ServerDirectory directory;
+    private final LocalHealth localHealth;
+    private final SessionWrites sessionWrites;
+    private final Event.Started started;
+    private final Quota quota;
+    private final RoutingSettings settings;
+    private final RandomGenerator random;
+    private final LatencyEstimates latencies;
+    private final SlowStart slowStart;
+    private final PeerGossip gossip;
+    private final HealthChecker healthChecker;
+    private final AttemptCanceller canceller;
+    private final OutlierDetector outlierDetector;
+    private final ConcurrencyLimiter limiter;
+    private final RoleTracker roles;
+    private final RetryPolicy retryPolicy;
+    private final StalenessFilter stalenessFilter;
+
+    /** @param sharedQuota of what all gateways share, or null: each takes its part of the whole */
+    RouterAssembly(
+            DecisionContext context,
+            ServerDirectory directory,
+            LocalHealth localHealth,
+            SessionWrites sessionWrites,
+            Quota sharedQuota,
+            Event.Started started) {
+        this.context = context;
+        this.directory = directory;
+        this.localHealth = localHealth;
+        this.sessionWrites = sessionWrites;
+        this.started = started;
+        random = new SplittableRandom(started.seed());
+        quota = sharedQuota != null ? sharedQuota : new StaticQuota(started.tenants(), Math.max(1, started.gateways()));
+        settings = new RoutingSettings(started, quota.limitsAttempts());
+        latencies = new LatencyEstimates(settings.requestClasses());
+        slowStart =
+                new SlowStart(settings.guarantees(), settings.gateways(), settings.requestsPerOverloadWindow(), random);
+        gossip = gossip();
+        healthChecker = new HealthChecker(context, settings, quota, gossip, random);
+        canceller = new AttemptCanceller(context, settings.capabilities(), directory);
+        outlierDetector = new OutlierDetector(context, directory, localHealth, healthChecker, gossip, canceller);
+        limiter = new ConcurrencyLimiter(context, settings, quota, slowStart, random);
+        roles = new RoleTracker(context, gossip);
+        retryPolicy = new RetryPolicy(context, settings.capabilities(), quota);
+        stalenessFilter = new StalenessFilter(settings, sessionWrites);
+    }
+
+    private PeerGossip gossip() {
+        if (!settings.capabilities().peerMessages() || settings.gateways() < 2) {
+            return new DisabledGossip();
+        }
+        GossipProtocol protocol = new GossipProtocol(
+                started.me(),
+                settings.gateways(),
+                settings.agreedRequestsPerSecond(),
+                settings.tightestBound(),
+                new SplittableRandom(~started.seed()),
+                id -> ServerObservations.observe(context, directory, slowStart, id));
+        protocol.starts(context.now());
+        return new EnabledGossip(protocol);
+    }
+
+    /** Puts the parts together and has maintenance begin. */
+    EventDecisions assemble() {
+        EndpointRegistry endpoints = new EndpointRegistry(context, settings, directory, gossip, healthChecker, random);
+        EndpointWatch endpointWatch = new EndpointWatch(context, random);
+        ConnectionScarcity scarcity = new ConnectionScarcity();
+        RequestDispatcher dispatcher = dispatcher();
+        Maintenance maintenance = new Maintenance(new Maintenance.Dependencies(
+                context,
+                directory,
+                new MaintenanceTimer(context),
+                endpointWatch,
+                endpoints,
+                localHealth,
+                outlierDetector,
+                healthChecker,
+                dispatcher,
+                gossip));
+        if (started.listOnDemand()) {
+            endpointWatch.begin();
+        }
+        maintenance.runIfDue();
+        return new EventDecisions(new EventDecisions.Dependencies(
+                context,
+                directory,
+                quota,
+                gossip,
+                sessionWrites,
+                localHealth,
+                endpoints,
+                endpointWatch,
+                roles,
+                new ServerObservations(context, roles, endpoints),
+                healthChecker,
+                healthCheckEvaluator(scarcity),
+                attemptEvaluator(),
+                scarcity,
+                retryPolicy,
+                dispatcher,
+                maintenance));
+    }
+
+    private RequestDispatcher dispatcher() {
+        return new RequestDispatcher(new RequestDispatcher.Dependencies(
+                context,
+                settings,
+                directory,
+                quota,
+                latencies,
+                stalenessFilter,
+                selector(),
+                new AdmissionController(settings),
+                retryPolicy,
+                slowStart,
+                canceller));
+    }
+
+    private ServerSelector selector() {
+        return new ServerSelector(new ServerSelector.Dependencies(
+                context,
+                settings,
+                directory,
+                stalenessFilter,
+                limiter,
+                slowStart,
+                latencies,
+                healthChecker,
+                gossip,
+                retryPolicy,
+                random));
+    }
+
+    private AttemptEvaluator attemptEvaluator() {
+        return new AttemptEvaluator(
+                context, localHealth, healthChecker, outlierDetector, limiter, slowStart, roles, gossip);
+    }
+
+    private HealthCheckEvaluator healthCheckEvaluator(ConnectionScarcity scarcity) {
+        return new HealthCheckEvaluator(
+                context, directory, localHealth, healthChecker, outlierDetector, roles, slowStart, scarcity, gossip);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -0,0 +1,82 @@
+package ploverdale.routing;
+
+import ploverdale.gossip.ServerObservation;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
+import ploverdale.state.Ejection;
+import ploverdale.state.EndpointLifecycle;
+import ploverdale.state.Liveness;
+import ploverdale.state.ReplicationStatus;
+import ploverdale.state.ServerState;
+
+/**
+ * What this gateway says of servers to others, and what it takes over of theirs: own answers win over observations of the same
+ * time, and nothing gets newer than it was at its source.
+ */
+final class ServerObservations {
+    private final DecisionContext context;
+    private final RoleTracker roles;
+    private final EndpointRegistry endpoints;
+
+    ServerObservations(DecisionContext context, RoleTracker roles, EndpointRegistry endpoints) {
+        this.context = context;
+        this.roles = roles;
+        this.endpoints = endpoints;
+    }
+
+    /** What this gateway knows of a server, in the form in which gateways exchange it. */
+    static ServerObservation observe(
+            DecisionContext context, ServerDirectory directory, SlowStart slowStart, ServerId id) {
+        ServerState server = directory.find(id).orElseThrow();
+        long now = context.now();
+        EndpointLifecycle lifecycle = server.lifecycle();
+        ReplicationStatus replication = server.replication();
+        boolean roleKnown = replication.role() != Role.UNKNOWN;
+        return new ServerObservation(
+                replication.role(),
+                roleKnown ? Math.min(now, replication.roleReportedAt()) : LoadReport.UNKNOWN_TIME,
+                replication.position(),
+                replication.positionReportedAt(),
+                server.liveness().aliveAt(),
+                server.liveness().unresponsiveAt(),
+                slowStart.isWarmingUp(server, now) ? server.slowStart().coldSince() : LoadReport.UNKNOWN_TIME,
+                lifecycle.isDraining() ? lifecycle.drainReportedAt() : LoadReport.UNKNOWN_TIME);
+    }
+
+    /** Takes over another gateway's observation of a server. */
+    void merge(ServerState server, ServerObservation observation) {
+        endpoints.learnReportedDrain(server, observation.drainAt());
+        server.slowStart().recordColdStart(observation.coldSince());
+        server.replication().mergePosition(observation.position(), observation.positionAt());
+        Ejection ejection = server.ejection();
+        if (ejection.isEjected() && observation.aliveAt() > ejection.ejectedAt()) {
+            ejection.recheckNotAfter(context.now());
+        }
+        server.liveness().mergeObservation(observation.aliveAt(), observation.silentAt());
+        if (observation.roleAt() > server.replication().roleReportedAt()) {
+            roles.learnRole(server, observation.role(), observation.roleAt());
+        }
+        mergeLiveness(server, observation);
+    }
+
+    /**
+     * A server that others found unresponsive is checked before its next request. One that answers them counts as confirmed, but
+     * a primary is confirmed by this gateway itself once, before its first write: others may not know that it is unresponsive.
+     */
+    private void mergeLiveness(ServerState server, ServerObservation observation) {
+        Liveness liveness = server.liveness();
+        if (observation.silentAt() > liveness.aliveAt()) {
+            boolean neverAlive = liveness.aliveAt() == LoadReport.UNKNOWN_TIME;
+            liveness.expireConfirmation(context.now());
+            server.ejection()
+                    .recheckNotBefore(neverAlive ? observation.silentAt() + OutlierDetector.LONGEST_BACKOFF : 0);
+            return;
+        }
+        long knownAt = Math.max(liveness.confirmedAt(), server.connections().connectFailedAt());
+        boolean mayConfirm = !server.isPrimary() || liveness.wasEverConfirmed();
+        if (observation.aliveAt() > knownAt && !server.ejection().isEjected() && mayConfirm) {
+            liveness.confirmByPeer(observation.aliveAt());
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -0,0 +1,265 @@
+package ploverdale.routing;
+
+import java.util.function.Predicate;
+import java.util.random.RandomGenerator;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.Ticks;
+import ploverdale.state.LatencyEstimate;
+import ploverdale.state.Load;
+import ploverdale.state.PendingRequest;
+import ploverdale.state.ReplicaGroup;
+import ploverdale.state.ServerState;
+
+/**
+ * Chooses the server of a request: writes and fresh reads go to the primary, other reads to the replica of least cost that the
+ * {@link StalenessFilter} admits, and to the primary where none does and its latency permits. Cost is least outstanding requests,
+ * weighted by latency inflation, utilization and slow start.
+ */
+final class ServerSelector {
+    /** Reported utilization from which a primary gets no reads; it has the same effect as {@link #REPLICA_SATURATED}. */
+    private static final double PRIMARY_SATURATED = 0.95;
+    /** Reported utilization from which a replica gets no reads; queues grow from 0.8 on. */
+    private static final double REPLICA_SATURATED = 1.05;
+    /** Below the utilization from which none is admitted, over which ever fewer reads are. */
+    private static final double SATURATION_BAND = 0.25;
+    /** Part of the primary's limit that reads may use; the rest is kept for writes. */
+    private static final double PRIMARY_READ_SHARE = 0.7;
+    /** Part of the primary's limit that writes may use; late writes still have a value. */
+    private static final double WRITE_SHARE = 2;
+    /** Cost factor of the server of the failed attempt before, and of each rank among the servers of long reads. */
+    private static final double AVOIDANCE_FACTOR = 3;
+    /** A replica that turned a read away is tried again after this, since that costs a wait and another attempt. */
+    private static final long GUESS_INTERVAL = Ticks.ofMillis(1000);
+    /** A replica is ranked by its reported utilization as if this part of its capacity were left at least. */
+    private static final double LEAST_HEADROOM = 0.1;
+    /** Random part of the cost, so that gateways do not all choose the same of several equal servers. */
+    private static final double COST_JITTER = 10;
+
+    private final DecisionContext context;
+    private final RoutingSettings settings;
+    private final ServerDirectory directory;
+    private final StalenessFilter stalenessFilter;
+    private final ConcurrencyLimiter limiter;
+    private final SlowStart slowStart;
+    private final LatencyEstimates latencies;
+    private final HealthChecker healthChecker;
+    private final PeerGossip gossip;
+    private final RetryPolicy retryPolicy;
+    private final RandomGenerator random;
+
+    /** The parts that a choice depends on. */
+    record Dependencies(
+            DecisionContext context,
+            RoutingSettings settings,
+            ServerDirectory directory,
+            StalenessFilter stalenessFilter,
+            ConcurrencyLimiter limiter,
+            SlowStart slowStart,
+            LatencyEstimates latencies,
+            HealthChecker healthChecker,
+            PeerGossip gossip,
+            RetryPolicy retryPolicy,
+            RandomGenerator random) {}
+
+    ServerSelector(Dependencies dependencies) {
+        context = dependencies.context;
+        settings = dependencies.settings;
+        directory = dependencies.directory;
+        stalenessFilter = dependencies.stalenessFilter;
+        limiter = dependencies.limiter;
+        slowStart = dependencies.slowStart;
+        latencies = dependencies.latencies;
+        healthChecker = dependencies.healthChecker;
+        gossip = dependencies.gossip;
+        retryPolicy = dependencies.retryPolicy;
+        random = dependencies.random;
+    }
+
+    /** Chooses a server of the group for the request. */
+    RoutingDecision select(PendingRequest request, ReplicaGroup group) {
+        boolean needsPrimary = request.isWrite() || request.consistency() == Consistency.FRESH;
+        return needsPrimary ? selectPrimary(request, group) : selectForRead(request, group);
+    }
+
+    private RoutingDecision selectPrimary(PendingRequest request, ReplicaGroup group) {
+        ServerState primary = group.primary();
+        boolean isKnown = primary != null && primary.isServing();
+        if (!isKnown || !healthChecker.isConfirmed(primary)) {
+            checkForPrimary(group, primary, isKnown);
+        }
+        boolean admitted = isKnown
+                && healthChecker.isConfirmed(primary)
+                && retryPolicy.recognizesRepeat(request, primary)
+                && limiter.hasCapacity(primary, WRITE_SHARE)
+                && slowStartAdmits(primary, request);
+        return admitted ? RoutingDecision.forwardTo(primary) : RoutingDecision.WAIT;
+    }
+
+    /** Asks the known primary; where none is known, also the members whose role nobody reported lately. */
+    private void checkForPrimary(ReplicaGroup group, ServerState primary, boolean isKnown) {
+        boolean othersReport = gossip.isNeededForPositions();
+        healthChecker.checkOneOf(
+                group, server -> server == primary || !isKnown && (!othersReport || isReportOutdated(server)));
+    }
+
+    private boolean isReportOutdated(ServerState server) {
+        return server.replication().positionReportAge(context.now()) > healthChecker.recheckInterval();
+    }
+
+    private RoutingDecision selectForRead(PendingRequest request, ReplicaGroup group) {
+        ServerState replica = selectReplica(request, group);
+        if (replica != null) {
+            return RoutingDecision.forwardTo(replica);
+        }
+        if (healthChecker.checkOneOf(group, server -> mayBecomeUsable(server, request))) {
+            return RoutingDecision.WAIT;
+        }
+        ServerState primary = group.primary();
+        if (primary != null && primaryAdmitsRead(primary, request)) {
+            return RoutingDecision.forwardTo(primary);
+        }
+        ServerState guess = guessReplica(request, group);
+        if (guess != null) {
+            guess.replication().recordMisdirected(context.now()); // until it answers
+            return RoutingDecision.forwardTo(guess);
+        }
+        boolean worthWaiting = healthChecker.awaitsConfirmation(group) || mayGetCapacity(request, group);
+        return worthWaiting ? RoutingDecision.WAIT : RoutingDecision.REJECT;
+    }
+
+    /** The best replica that is surely fresh enough; where replicas check reads, else the best of those that probably are. */
+    private ServerState selectReplica(PendingRequest request, ReplicaGroup group) {
+        long now = context.now();
+        ServerState admitted = leastCost(request, group, server -> stalenessFilter.admits(server, request, now));
+        if (admitted != null || !settings.replicasCheckReads()) {
+            return admitted;
+        }
+        return leastCost(request, group, server -> stalenessFilter.mayBeFreshEnough(server, request, now));
+    }
+
+    /** Whether a health check may make the server usable for the read: it is not confirmed, or its position is outdated. */
+    private boolean mayBecomeUsable(ServerState server, PendingRequest request) {
+        if (!healthChecker.isConfirmed(server)) {
+            return true;
+        }
+        return !settings.replicasCheckReads()
+                && !server.isPrimary()
+                && !stalenessFilter.admits(server, request, context.now())
+                && isReportOutdated(server);
+    }
+
+    /** The primary takes reads while its latency permits, also while the admitted replicas are full. */
+    private boolean primaryAdmitsRead(ServerState primary, PendingRequest request) {
+        return primary.isServing()
+                && healthChecker.isConfirmed(primary)
+                && limiter.hasCapacity(primary, PRIMARY_READ_SHARE)
+                && primary.load().inflation(context.now()) <= LatencyEstimate.RARELY_EXCEEDED
+                && isAdmittedByUtilization(primary, PRIMARY_SATURATED)
+                && slowStartAdmits(primary, request);
+    }
+
+    /** Where replicas check reads, reports may be outdated: one read a second tries each of them instead of being rejected. */
+    private ServerState guessReplica(PendingRequest request, ReplicaGroup group) {
+        if (!settings.replicasCheckReads()) {
+            return null;
+        }
+        return leastCost(
+                request,
+                group,
+                server -> server != request.lastServer()
+                        && server.replication().sinceMisdirected(context.now()) > GUESS_INTERVAL);
+    }
+
+    /** Whether a replica is only full, or too old by a report that is itself old enough to be renewed. */
+    private boolean mayGetCapacity(PendingRequest request, ReplicaGroup group) {
+        return group.members().stream()
+                .anyMatch(server -> !server.isPrimary()
+                        && server.isServing()
+                        && healthChecker.isConfirmed(server)
+                        && server.load().utilization() < REPLICA_SATURATED - SATURATION_BAND
+                        && mayServeLater(server, request));
+    }
+
+    private boolean mayServeLater(ServerState server, PendingRequest request) {
+        long now = context.now();
+        return stalenessFilter.admits(server, request, now)
+                || stalenessFilter.mayBecomeFreshEnough(server, request, now);
+    }
+
+    private ServerState leastCost(PendingRequest request, ReplicaGroup group, Predicate<ServerState> eligible) {
+        ServerState best = null;
+        double leastCost = Double.MAX_VALUE;
+        for (ServerState server : group.members()) {
+            if (server.isPrimary() || !replicaAdmitsRead(server, request, eligible)) {
+                continue;
+            }
+            double cost = cost(server, request);
+            if (cost < leastCost) {
+                best = server;
+                leastCost = cost;
+            }
+        }
+        return best;
+    }
+
+    private boolean replicaAdmitsRead(ServerState replica, PendingRequest request, Predicate<ServerState> eligible) {
+        return replica.isServing()
+                && healthChecker.isConfirmed(replica)
+                && retryPolicy.recognizesRepeat(request, replica)
+                && limiter.hasCapacity(replica, 1)
+                && eligible.test(replica)
+                && isAdmittedByUtilization(replica, REPLICA_SATURATED)
+                && slowStartAdmits(replica, request);
+    }
+
+    /**
+     * Thins reads out at a busy server by chance, so that many gateways with few requests do not crowd one together. Own latencies,
+     * where they are newer than any report, say more than the report.
+     */
+    private boolean isAdmittedByUtilization(ServerState server, double saturated) {
+        return hasRecentLatency(server)
+                || random.nextDouble() < (saturated - server.load().utilization()) / SATURATION_BAND;
+    }
+
+    private boolean hasRecentLatency(ServerState server) {
+        return server.load().inflationAge(context.now()) < RoleTracker.REPORT_AGE;
+    }
+
+    /** Whether a server in slow start may have the request. */
+    private boolean slowStartAdmits(ServerState server, PendingRequest request) {
+        long now = context.now();
+        if (!slowStart.isWarmingUp(server, now)) {
+            return true;
+        }
+        return server.load().utilization() < REPLICA_SATURATED - SATURATION_BAND
+                && slowStart.admits(server, request.usualLatency(), latencies.mean(), directory.servers(), now);
+    }
+
+    private double cost(ServerState server, PendingRequest request) {
+        long now = context.now();
+        Load load = server.load();
+        double avoidance = server == request.lastServer() ? AVOIDANCE_FACTOR : 1;
+        if (request.isUnboundedReadLongerThan(settings.tightestBound())) {
+            avoidance *= Math.pow(AVOIDANCE_FACTOR, rankForLongReads(server));
+        }
+        double headroom = hasRecentLatency(server) ? 1 : Math.max(LEAST_HEADROOM, 1 - load.utilization());
+        return avoidance
+                * load.inflation(now)
+                * (load.attemptsInFlight() + 1)
+                / headroom
+                / slowStart.slowStartFraction(server, now)
+                * (1 + random.nextDouble() / COST_JITTER);
+    }
+
+    /**
+     * The server's rank by name, the same at every gateway. Reads that take longer than the tightest staleness bound may stop a
+     * replica's apply, so all gateways put them on the same few replicas and the others stay fresh.
+     */
+    private static long rankForLongReads(ServerState server) {
+        return server.group().members().stream()
+                .filter(other -> !other.isPrimary()
+                        && other.isServing()
+                        && other.id().text().compareTo(server.id().text()) < 0)
+                .count();
+    }
+}
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -5,6 +5,7 @@
 import ploverdale.model.LoadReport;
 import ploverdale.model.ServerGuarantees;
 import ploverdale.state.ServerState;
+import ploverdale.state.SlowStartProgress;
 
 /**
  * Slow start: limits what this gateway sends a recovering server, so that all gateways together stay within what the contract
@@ -28,7 +29,7 @@
     private final int gateways;
     private final double agreedPerWindow;
     private final RandomGenerator random;
-    private double shortestProbe = Double.MAX_VALUE;
+    private double shortestHealthCheck = Double.MAX_VALUE;
     private int mostServers = 1;
     private double workOfPeers;
     private boolean warmPeers;
@@ -47,10 +48,16 @@
 
     /** The part of its capacity that a server has by the contract, from its start capacity up to 1. */
     public double slowStartFraction(ServerState server, long now) {
-        double share = Math.max(0, (now - server.coldSince) / (double) Math.max(1, contract.slowStartDuration()));
+        double share = Math.max(
+                0, (now - server.slowStart().coldSince()) / (double) Math.max(1, contract.slowStartDuration()));
         return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
     }
 
+    /** Whether the server has not yet reached its full capacity. */
+    public boolean isWarmingUp(ServerState server, long now) {
+        return slowStartFraction(server, now) < 1;
+    }
+
     /**
      * Whether a request may go to the server now. A won lot stays valid for a moment, for the case that another server is
      * chosen.
@@ -60,36 +67,30 @@
      * @param servers all that are known
      */
     public boolean admits(ServerState server, double work, double meanWork, Collection<ServerState> servers, long now) {
-        if (slowStartFraction(server, now) >= 1) {
+        if (!isWarmingUp(server, now)) {
             return true;
         }
-        if (now <= server.coldLotUntil) {
-            server.coldCreditAt = now;
+        SlowStartProgress progress = server.slowStart();
+        if (progress.hasValidLot(now)) {
+            progress.touchCredit(now);
             return true;
         }
         double refill = refillPerWindow(server, meanWork, servers, now);
-        double full = refill * BURST + SLACK_SHARE * slack(server, now) * meanWork / gateways;
-        refill(server, refill, full, now);
-        return full >= work ? server.coldCredit >= work : drawsLot(server, work, now);
-    }
-
-    private void refill(ServerState server, double perWindow, double full, long now) {
-        if (server.coldCreditAt < server.coldSince) {
-            server.coldCredit = Math.min(0, server.coldCredit);
-        }
-        server.coldLotUntil = LoadReport.UNKNOWN_TIME; // not used in time: back to what the bucket holds
-        double windows = (now - Math.max(server.coldSince, server.coldCreditAt)) / (double) window();
-        server.coldCredit = Math.min(full, server.coldCredit + perWindow * Math.max(0, windows));
-        server.coldCreditAt = now;
+        double bucketSize = refill * BURST + SLACK_SHARE * slack(server, now) * meanWork / gateways;
+        progress.refill(refill, bucketSize, window(), now);
+        return bucketSize >= work ? progress.credit() >= work : drawsLot(progress, work, now);
     }
 
-    private boolean drawsLot(ServerState server, double work, long now) {
-        if (server.coldCredit <= 0) {
+    private boolean drawsLot(SlowStartProgress progress, double work, long now) {
+        if (progress.credit() <= 0) {
             return false;
         }
-        boolean won = random.nextDouble() < server.coldCredit / work;
-        server.coldCredit = won ? work : 0;
-        server.coldLotUntil = won ? now + (long) (LOT_LASTS * window()) : LoadReport.UNKNOWN_TIME;
+        boolean won = random.nextDouble() < progress.credit() / work;
+        if (won) {
+            progress.winLot(work, now + (long) (LOT_LASTS * window()));
+        } else {
+            progress.loseLot();
+        }
         return won;
     }
 
@@ -126,8 +127,8 @@
         int warm = 0;
         double sum = 0;
         for (ServerState server : servers) {
-            listed += server.isIn() ? 1 : 0;
-            if (server.isIn() && !server.silent && slowStartFraction(server, now) >= 1) {
+            listed += server.lifecycle().isActive() ? 1 : 0;
+            if (server.isServing() && !isWarmingUp(server, now)) {
                 warm++;
                 sum += recentWork(server, now);
             }
@@ -139,29 +140,29 @@
 
     /** The work that the server has answered in the last window, with older answers fading out. */
     public double recentWork(ServerState server, long now) {
-        server.takenWork *= Math.exp(-(now - server.takenWorkAt) / (double) window());
-        server.takenWorkAt = now;
-        return server.takenWork;
+        return server.slowStart().recentWork(window(), now);
+    }
+
+    /** An attempt was answered, which takes this work as a rule. */
+    public void answered(ServerState server, double work, long now) {
+        server.slowStart().addWork(work, window(), now);
     }
 
     /** An attempt goes to the server, first or further. */
     public void attempted(ServerState server, double work, long now) {
         charge(server, work, now);
-        if (server.coldLotUntil != LoadReport.UNKNOWN_TIME) {
-            server.coldLotUntil = LoadReport.UNKNOWN_TIME;
-            server.coldCreditAt = now;
-        }
+        server.slowStart().useLot(now);
     }
 
     /** A health check was answered. None takes more work than the shortest one took time. */
-    public void probeAnswered(ServerState server, long took, long now) {
-        shortestProbe = Math.min(shortestProbe, took);
-        charge(server, shortestProbe, now);
+    public void healthCheckAnswered(ServerState server, long took, long now) {
+        shortestHealthCheck = Math.min(shortestHealthCheck, took);
+        charge(server, shortestHealthCheck, now);
     }
 
     private void charge(ServerState server, double work, long now) {
-        if (slowStartFraction(server, now) < 1) {
-            server.coldCredit -= work;
+        if (isWarmingUp(server, now)) {
+            server.slowStart().charge(work);
         }
     }
 
--- a/gateway/src/main/java/ploverdale/state/ServerState.java
+++ b/gateway/src/main/java/ploverdale/state/ServerState.java
@@ -1,89 +1,106 @@
 package ploverdale.state;
 
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import ploverdale.model.Endpoint;
-import ploverdale.model.LoadReport;
-import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.model.ZoneId;
 
-/** All that this gateway holds about one database server. Times in tenths of a millisecond. */
+/** All that this gateway knows of one database server, in parts that each belong to one kind of decision. */
 public final class ServerState {
-    public final ServerId id;
-    public final ReplicaGroup group;
-    public ZoneId zone;
-    public Endpoint.EndpointState stage = Endpoint.EndpointState.IN;
-    public boolean drainSeen;
-    public long startedAt;
-
-    public LoadReport.Role role = LoadReport.Role.UNKNOWN;
-    public long roleReportedAt = LoadReport.UNKNOWN_TIME;
-    public long position = LoadReport.UNKNOWN_TIME;
-    public long positionReportedAt = LoadReport.UNKNOWN_TIME;
-    public long misdirectedAt = LoadReport.UNKNOWN_TIME;
-
-    public long heardAt =
-            LoadReport.UNKNOWN_TIME; // by this gateway, or as good as that; put back where a probe is wanted
-    public long aliveAt = LoadReport.UNKNOWN_TIME; // by any gateway
-    public long silentAt = LoadReport.UNKNOWN_TIME; // the same
-    public Endpoint.EndpointState listed = Endpoint.EndpointState.IN;
-    public long drainReportedAt = LoadReport.UNKNOWN_TIME; // by a list, here or elsewhere
-    public long connectFailedAt = LoadReport.UNKNOWN_TIME;
-    public boolean refusesConnects;
-    public long cutAt = LoadReport.UNKNOWN_TIME;
-    public long fullAt = LoadReport.UNKNOWN_TIME;
-    public long fullFor;
-    public long probedAt = LoadReport.UNKNOWN_TIME;
-    public boolean probeOut;
-    public long respondedAt = LoadReport.UNKNOWN_TIME; // any answer to this gateway itself, to an op or a health check
-    public long checkMissedAt = LoadReport.UNKNOWN_TIME; // a health check was given up after a wait
-    public int inconclusiveChecks; // health checks since the last answer that told nothing
-    public long inconclusiveWait; // for these, less what explains them
-
-    public boolean silent;
-    public long silentSince;
-    public long returnedAt = LoadReport.UNKNOWN_TIME;
-    public long retryAt;
-    public long penalty;
-    public int deadSigns;
-    public int missedInARow;
-    public double lostShare;
-    public double ackedStretch = 1;
-    public double failShare;
-    public long coldSince = LoadReport.UNKNOWN_TIME;
-    public double coldCredit;
-    public long coldCreditAt = LoadReport.UNKNOWN_TIME;
-    public long coldLotUntil = LoadReport.UNKNOWN_TIME; // until then one request may go there
-
-    public final Map<RequestId, PendingRequest> out = new LinkedHashMap<>();
-    public long answeredAt = LoadReport.UNKNOWN_TIME;
-    public double limit;
-    public double pressure;
-    public double busy;
-    public double stretch = 1;
-    public long stretchAt;
-    public double takenWork;
-    public long takenWorkAt;
+    private final ServerId id;
+    private final ReplicaGroup group;
+    private final EndpointLifecycle lifecycle = new EndpointLifecycle();
+    private final ReplicationStatus replication = new ReplicationStatus();
+    private final Liveness liveness = new Liveness();
+    private final Ejection ejection = new Ejection();
+    private final HealthCheckProgress healthCheck = new HealthCheckProgress();
+    private final ConnectionStatus connections = new ConnectionStatus();
+    private final AnswerLoss answerLoss = new AnswerLoss();
+    private final SlowStartProgress slowStart = new SlowStartProgress();
+    private final Load load;
 
+    /** @param limit how many attempts may be in flight at first */
     public ServerState(ServerId id, ReplicaGroup group, double limit) {
         this.id = id;
         this.group = group;
-        this.limit = limit;
+        load = new Load(limit);
     }
 
-    public boolean isIn() {
-        return stage == Endpoint.EndpointState.IN;
+    /** The server's name. */
+    public ServerId id() {
+        return id;
     }
 
-    /** Heard before and not silent now. */
-    public boolean isPromising() {
-        return isIn() && heardAt != LoadReport.UNKNOWN_TIME && !silent;
+    /** The replica group that the server belongs to. */
+    public ReplicaGroup group() {
+        return group;
     }
 
-    /** Sends made since it last returned from silence; older ones may be stuck for as long as they like. */
-    public List<PendingRequest> outSinceReturn() {
-        return out.values().stream().filter(o -> o.sentAt >= returnedAt).toList();
+    /** Whether the server is listed, draining or removed. */
+    public EndpointLifecycle lifecycle() {
+        return lifecycle;
+    }
+
+    /** Role and log position. */
+    public ReplicationStatus replication() {
+        return replication;
+    }
+
+    /** When the server last showed that it is alive. */
+    public Liveness liveness() {
+        return liveness;
+    }
+
+    /** Whether the server is ejected as an outlier. */
+    public Ejection ejection() {
+        return ejection;
+    }
+
+    /** The health check in flight. */
+    public HealthCheckProgress healthCheck() {
+        return healthCheck;
+    }
+
+    /** Refused connections and rejected requests. */
+    public ConnectionStatus connections() {
+        return connections;
+    }
+
+    /** Answers lost on their way. */
+    public AnswerLoss answerLoss() {
+        return answerLoss;
+    }
+
+    /** Slow start after a cold start. */
+    public SlowStartProgress slowStart() {
+        return slowStart;
+    }
+
+    /** Attempts in flight, limit and latency inflation. */
+    public Load load() {
+        return load;
+    }
+
+    /** Whether the server is the known primary of its group. */
+    public boolean isPrimary() {
+        return group.primary() == this;
+    }
+
+    /** Whether the server is listed and not ejected. */
+    public boolean isServing() {
+        return lifecycle.isActive() && !ejection.isEjected();
+    }
+
+    /** Whether the server is serving and was confirmed to be alive at least once. */
+    public boolean isConfirmedServing() {
+        return isServing() && liveness.wasEverConfirmed();
+    }
+
+    /** The attempts begun since the server was last readmitted; older ones may never be answered. */
+    public List<PendingRequest> attemptsSinceReadmission() {
+        return load.startedSince(ejection.readmittedAt());
+    }
+
+    /** How many attempts were begun since the server was last readmitted. */
+    public int countAttemptsSinceReadmission() {
+        return load.countStartedSince(ejection.readmittedAt());
     }
 }
--- a/gateway/src/main/java/ploverdale/state/SessionWrites.java
+++ b/gateway/src/main/java/ploverdale/state/SessionWrites.java
@@ -6,35 +6,40 @@
 import ploverdale.model.LoadReport;
 import ploverdale.model.SessionId;
 
-/** The last write of each session; past the most kept, all are folded into one floor. Times in tenths of a ms. */
+/**
+ * When the last write of each session was committed. Bounded: when the capacity is reached, all sessions are folded into one lower
+ * bound that holds for each of them.
+ */
 public final class SessionWrites {
-    private final int most;
-    private final Map<SessionId, Long> last = new HashMap<>();
-    private long floor = LoadReport.UNKNOWN_TIME;
+    private final int capacity;
+    private final Map<SessionId, Long> committedAt = new HashMap<>();
+    private long lowerBound = LoadReport.UNKNOWN_TIME;
 
-    public SessionWrites(int most) {
-        this.most = most;
+    /** @param capacity how many sessions are kept one by one */
+    public SessionWrites(int capacity) {
+        this.capacity = capacity;
     }
 
-    /** A write without a session is nobody's. */
-    public void put(SessionId session, long committedAt) {
+    /** A write of the session was committed; a write without a session (null) concerns none. */
+    public void put(SessionId session, long time) {
         if (session == null) {
             return;
         }
-        if (last.size() >= most) {
-            floor = Math.max(floor, Collections.max(last.values()));
-            last.clear();
+        if (committedAt.size() >= capacity) {
+            lowerBound = Math.max(lowerBound, Collections.max(committedAt.values()));
+            committedAt.clear();
         }
-        last.put(session, committedAt);
+        committedAt.put(session, time);
     }
 
-    /** All were committed by then; more is not known of any. */
-    public void allBy(long time) {
-        floor = time;
-        last.clear();
+    /** All writes so far were committed by this time; when each was is no longer known. */
+    public void foldAllInto(long time) {
+        lowerBound = time;
+        committedAt.clear();
     }
 
+    /** The commit time that a read of this session must include; unknown where there is none. */
     public long of(SessionId session) {
-        return last.getOrDefault(session, floor);
+        return committedAt.getOrDefault(session, lowerBound);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -21,10 +21,12 @@
     private void servers(int count, int checksMissed) {
         ReplicaGroup group = new ReplicaGroup(new GroupId(1));
         for (int i = 0; i < count; i++) {
-            ServerState m = new ServerState(new ServerId("s" + i), group, 8);
-            m.heardAt = m.respondedAt = START - 10_000;
-            m.checkMissedAt = i < checksMissed ? START : m.checkMissedAt;
-            members.add(m);
+            ServerState server = new ServerState(new ServerId("s" + i), group, 8);
+            server.liveness().recordCheckAnswered(START - 10_000);
+            if (i < checksMissed) {
+                server.liveness().recordCheckMissed(START);
+            }
+            members.add(server);
         }
     }
 
@@ -83,7 +85,7 @@
         servers(16, 16);
         for (long at = START; at < START + 100_000; at += 1_000) {
             long now = at;
-            members.forEach(m -> m.checkMissedAt = now);
+            members.forEach(server -> server.liveness().recordCheckMissed(now));
             assertThat(doubt(now))
                     .as("%d after the start", now - START)
                     .isEqualTo(now - START < LocalHealth.DOUBT_MOST);
@@ -95,9 +97,9 @@
         servers(16, 16);
         assertThat(doubt(START)).isTrue();
         assertThat(doubt(START + 2 * LocalHealth.DOUBT_MOST)).as("spent").isFalse();
-        members.forEach(m -> m.respondedAt = START + 11_000);
+        members.forEach(server -> server.liveness().recordCheckAnswered(START + 11_000));
         health.observe(START + 11_000, members);
-        members.forEach(m -> m.checkMissedAt = START + 15_000);
+        members.forEach(server -> server.liveness().recordCheckMissed(START + 15_000));
         assertThat(doubt(START + 15_000)).isTrue();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -35,10 +35,10 @@
         final SlowStart slowStart;
 
         Gateway(int number, int gateways, int warmPeers) {
-            recovering.coldSince = STARTED;
+            recovering.slowStart().recordColdStart(STARTED);
             servers.add(recovering);
             for (int i = 0; i < warmPeers; i++) {
-                servers.add(new ServerState(new ServerId("warm" + i), recovering.group, 24));
+                servers.add(new ServerState(new ServerId("warm" + i), recovering.group(), 24));
             }
             double agreed = AGREED_PER_SERVER * servers.size();
             slowStart = new SlowStart(CONTRACT, gateways, agreed, new SplittableRandom(SEED + number));
@@ -107,22 +107,21 @@
         Gateway busy = new Gateway(1, 6, 2);
         Gateway idle = new Gateway(1, 6, 2);
         for (ServerState peer : busy.servers.subList(1, 3)) {
-            peer.takenWork = AGREED_PER_SERVER * WORK / 2;
-            peer.takenWorkAt = STARTED + 5 * WINDOW;
+            busy.slowStart.answered(peer, AGREED_PER_SERVER * WORK / 2, STARTED + 5 * WINDOW);
         }
         int sentByBusy = sentInAWindow(List.of(busy), STARTED + 5 * WINDOW);
         assertThat(sentByBusy).isGreaterThan(2 * sentInAWindow(List.of(idle), STARTED + 5 * WINDOW));
     }
 
     @Test
-    void attemptsBeyondTheAdmittedAndAnsweredProbesAreChargedToLaterRequests() {
+    void attemptsBeyondTheAdmittedAndAnsweredHealthChecksAreChargedToLaterRequests() {
         Gateway free = new Gateway(1, 1, 0);
         Gateway charged = new Gateway(1, 1, 0);
         free.send(1, STARTED + WINDOW);
         charged.send(1, STARTED + WINDOW);
         charged.slowStart.attempted(charged.recovering, 3 * WORK, STARTED + WINDOW);
         for (int i = 0; i < 4; i++) {
-            charged.slowStart.probeAnswered(charged.recovering, (long) WORK / 4, STARTED + WINDOW);
+            charged.slowStart.healthCheckAnswered(charged.recovering, (long) WORK / 4, STARTED + WINDOW);
         }
         int freeSent = sentInAWindow(List.of(free), STARTED + WINDOW);
         assertThat(sentInAWindow(List.of(charged), STARTED + WINDOW)).isBetween(freeSent - 5, freeSent - 3);
@@ -132,7 +131,7 @@
     void aNewStartNeitherAddsToTheBucketNorForgivesWhatWasSent() {
         Gateway gateway = new Gateway(1, 1, 0);
         int sent = gateway.send(100, STARTED + WINDOW);
-        gateway.recovering.coldSince = STARTED + WINDOW + MS; // as another gateway dated it
+        gateway.recovering.slowStart().recordColdStart(STARTED + WINDOW + MS); // as another gateway dated it
         assertThat(sent).isPositive();
         assertThat(gateway.send(100, STARTED + WINDOW + 2 * MS)).isZero();
     }
