--- a/gateway/src/main/java/ploverdale/state/AnswerLoss.java
+++ b/gateway/src/main/java/ploverdale/state/AnswerLoss.java
@@ -1,6 +1,6 @@
 package ploverdale.state;
 
-/** How often a server's answers get lost on their way while it works, told apart from slowness. */
+/** How often a server's answers get lost on their way while it works, distinguished from slowness. */
 public final class AnswerLoss {
     private static final double NEWEST_WEIGHT = 0.1;
     /** Latency inflation of answers that come; where it is higher, a missing answer is put down to load. */
--- a/gateway/src/main/java/ploverdale/state/Liveness.java
+++ b/gateway/src/main/java/ploverdale/state/Liveness.java
@@ -17,7 +17,7 @@
     private int inconclusiveChecks;
     private long inconclusiveWait;
 
-    /** When the server last answered this gateway, or another one whose word is as good; put back to have it checked. */
+    /** When the server last answered this gateway, or another one whose observation is as good; put back to have it checked. */
     public long confirmedAt() {
         return confirmedAt;
     }
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -10,7 +10,7 @@
     private long coldSince = LoadReport.UNKNOWN_TIME;
     private double credit;
     private long creditAt = LoadReport.UNKNOWN_TIME;
-    private long lotValidUntil = LoadReport.UNKNOWN_TIME;
+    private long ticketValidUntil = LoadReport.UNKNOWN_TIME;
     private double recentWork;
     private long recentWorkAt;
 
@@ -39,43 +39,43 @@
         return credit;
     }
 
-    /** Whether a won lot still admits one request. */
-    public boolean hasValidLot(long now) {
-        return now <= lotValidUntil;
+    /** Whether a ticket that was won still admits one request. */
+    public boolean hasValidTicket(long now) {
+        return now <= ticketValidUntil;
     }
 
-    /** Keeps the bucket from filling up while a won lot waits to be used. */
+    /** Keeps the bucket from filling up while a ticket waits to be used. */
     public void touchCredit(long now) {
         creditAt = now;
     }
 
-    /** A lot that was not used in time is void, and the bucket fills up to its size. */
+    /** A ticket that was not used in time is void, and the bucket fills up to its size. */
     public void refill(double perWindow, double bucketSize, long window, long now) {
         if (creditAt < coldSince) {
             credit = Math.min(0, credit);
         }
-        lotValidUntil = LoadReport.UNKNOWN_TIME;
+        ticketValidUntil = LoadReport.UNKNOWN_TIME;
         double windows = (now - Math.max(coldSince, creditAt)) / (double) window;
         credit = Math.min(bucketSize, credit + perWindow * Math.max(0, windows));
         creditAt = now;
     }
 
-    /** A lot was won, which has tokens for one request and is valid until then. */
-    public void winLot(double work, long validUntil) {
+    /** A ticket was won, which has tokens for one request and is valid until then. */
+    public void winTicket(double work, long validUntil) {
         credit = work;
-        lotValidUntil = validUntil;
+        ticketValidUntil = validUntil;
     }
 
-    /** A lot was lost, with the tokens that were staked. */
-    public void loseLot() {
+    /** The lottery was lost, with the tokens that were staked. */
+    public void loseLottery() {
         credit = 0;
-        lotValidUntil = LoadReport.UNKNOWN_TIME;
+        ticketValidUntil = LoadReport.UNKNOWN_TIME;
     }
 
-    /** An attempt uses the won lot, if there is one. */
-    public void useLot(long now) {
-        if (lotValidUntil != LoadReport.UNKNOWN_TIME) {
-            lotValidUntil = LoadReport.UNKNOWN_TIME;
+    /** An attempt uses the ticket, if there is one. */
+    public void useTicket(long now) {
+        if (ticketValidUntil != LoadReport.UNKNOWN_TIME) {
+            ticketValidUntil = LoadReport.UNKNOWN_TIME;
             creditAt = now;
         }
     }
--- a/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
+++ b/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
@@ -24,7 +24,7 @@
         queue.add(first);
         queue.add(second);
         queue.add(first);
-        for (int i = 0; i < HealthCheckQueue.IN_FLIGHT_MOST - 1; i++) {
+        for (int i = 0; i < HealthCheckQueue.MOST_IN_FLIGHT - 1; i++) {
             queue.sent(server(10 + i));
         }
         assertThat(queue.next()).isSameAs(first);
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -88,7 +88,7 @@
             members.forEach(server -> server.liveness().recordCheckMissed(now));
             assertThat(doubt(now))
                     .as("%d after the start", now - START)
-                    .isEqualTo(now - START < LocalHealth.DOUBT_MOST);
+                    .isEqualTo(now - START < LocalHealth.LONGEST_COMMON_CAUSE);
         }
     }
 
@@ -96,7 +96,9 @@
     void onceMostHaveAnsweredTheNextCommonSilenceIsDoubtAgain() {
         servers(16, 16);
         assertThat(doubt(START)).isTrue();
-        assertThat(doubt(START + 2 * LocalHealth.DOUBT_MOST)).as("spent").isFalse();
+        assertThat(doubt(START + 2 * LocalHealth.LONGEST_COMMON_CAUSE))
+                .as("spent")
+                .isFalse();
         members.forEach(server -> server.liveness().recordCheckAnswered(START + 11_000));
         health.observe(START + 11_000, members);
         members.forEach(server -> server.liveness().recordCheckMissed(START + 15_000));
