--- a/gateway/src/main/java/ploverdale/model/ActionHandler.java
+++ b/gateway/src/main/java/ploverdale/model/ActionHandler.java
@@ -1,35 +1,11 @@
 package ploverdale.model;
 
 /** Carries out each kind of {@link Action}; called by {@link Action#dispatchTo}. */
-public interface ActionHandler {
-
-    /** Forwards a request to a server. */
-    void startAttempt(Action.StartAttempt attempt);
-
-    /** Gives up waiting for an attempt. */
-    void cancelAttempt(Action.CancelAttempt cancellation);
-
-    /** Answers a request with a rejection. */
-    void rejectRequest(Action.RejectRequest rejection);
-
-    /** Answers a request with an error. */
-    void failRequest(Action.FailRequest failure);
+public interface ActionHandler extends OutboundActionHandler {
 
     /** Sets a timer. */
     void setTimer(Action.SetTimer timer);
 
-    /** Sends a health check. */
-    void checkHealth(Action.CheckHealth check);
-
-    /** Closes the idle connections to a server. */
-    void closeIdleConnections(Action.CloseIdleConnections close);
-
-    /** Watches the endpoint list. */
-    void watchEndpoints(Action.WatchEndpoints watch);
-
-    /** Sends a datagram to another gateway. */
-    void sendGossip(Action.SendGossip gossip);
-
     /** Writes a line to the log. */
     void writeLogLine(Action.LogLine line);
 }
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -26,6 +26,8 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
+import ploverdale.net.eventloop.NioSockets;
+import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
 import ploverdale.net.postgres.MessageWriter;
@@ -161,7 +163,7 @@
 
     /** Ends what the limits say is to end by now. */
     private void look() {
-        if (loop.behind() == 0) {
+        if (loop.lag() == 0) {
             answerOverdue();
         }
         for (ConnectionLimits.Eviction<Session> l = limits.overdue(nowMs()); l != null; l = limits.overdue(nowMs())) {
@@ -182,7 +184,7 @@
         for (AcceptedRequest t : overdue) {
             RequestId request = new RequestId(t.ask.id());
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
-            loop.tell(new Event.ClientDisconnected(request)); // it is answered here
+            loop.enqueue(new Event.ClientDisconnected(request)); // it is answered here
             errored(request);
         }
     }
@@ -636,7 +638,7 @@
             for (PendingResponse s : slots) {
                 if (s.request != null && s.answer == null) {
                     lighter(taken.remove(s.request).ask.text().length);
-                    loop.tell(new Event.ClientDisconnected(s.request));
+                    loop.enqueue(new Event.ClientDisconnected(s.request));
                     s.answer = MessageWriter.errorResponse(CANCELED.code(), CANCELED.text(), null, false, true);
                 }
             }
@@ -696,7 +698,7 @@
 
         /** The earliest time at which what is read now may have come; its client counts from there. */
         private long cameAt() {
-            return time.now() - loop.behind();
+            return time.now() - loop.lag();
         }
 
         /** Ends with what it began; ops taken before that are answered first. */
@@ -772,7 +774,7 @@
                     0,
                     tokenAge);
             if (past == null) {
-                loop.tell(arrived);
+                loop.enqueue(arrived);
             } else {
                 past.arrives(arrived, ask.key());
             }
@@ -915,7 +917,7 @@
             for (PendingResponse s : slots) {
                 if (s.request != null && s.answer == null) {
                     lighter(taken.remove(s.request).ask.text().length);
-                    loop.tell(new Event.ClientDisconnected(s.request));
+                    loop.enqueue(new Event.ClientDisconnected(s.request));
                 }
             }
             slots.clear();
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -25,10 +25,13 @@
 import ploverdale.model.Action;
 import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
+import ploverdale.model.OutboundActionHandler;
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
+import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.eventloop.SleepingTransport;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.shutdown.GracefulShutdown;
@@ -38,7 +41,7 @@
  * it out and each outcome back, gives them a new configuration and ends them at a planned restart. Must never decide
  * anything about an op or a server, nor stop while an op taken in time has no answer.
  */
-public final class Gateway implements RouterEventLoop.ActionHandler {
+public final class Gateway implements OutboundActionHandler {
     private static final int LISTEN_TRIES = 50; // 5 s, half of what a restart may take
     private static final long LISTEN_AGAIN_MS = 100;
     private static final int CALM_LOOKS = 5; // at the clock, with the loop on time, before service begins
@@ -225,8 +228,8 @@
      * has told what it knows, the first of them.
      */
     private void begin(Promise<Gateway> listening) {
-        loop.tell(started());
-        when(() -> loop.behind() == 0, CALM_MOST, CALM_LOOKS, () -> {
+        loop.enqueue(started());
+        when(() -> loop.lag() == 0, CALM_MOST, CALM_LOOKS, () -> {
             listed(file.known());
             discovery.follow();
             long since = time.clock().monotonicMs();
@@ -250,7 +253,7 @@
 
     /** Also that the module knows of all ends, after which it may have sent further ones. */
     private boolean firstProbesEnded() {
-        return probesOut == 0 && loop.isDrained();
+        return probesOut == 0 && loop.isQueueEmpty();
     }
 
     /** What the module is told; where the fleet keeps sessions, each op brings how far its reads must reach. */
@@ -317,7 +320,7 @@
                 servers.closeIdle(e.listing().server());
             }
         }
-        loop.tell(new Event.EndpointUpdate(list.whole(), false, endpoints));
+        loop.enqueue(new Event.EndpointUpdate(list.whole(), false, endpoints));
     }
 
     /** The listing with its start as service time, the same each time that the same start is listed. */
@@ -338,17 +341,17 @@
         Map<ServerId, Long> startedAt = new HashMap<>();
         starts.replaceAll((id, start) -> new Start(start.wall(), time.start(start.wall())));
         starts.forEach((id, start) -> startedAt.put(id, start.serviceTime()));
-        loop.tell(new Event.ClockOffsetChanged(startedAt));
+        loop.enqueue(new Event.ClockOffsetChanged(startedAt));
         if (past != null) {
             past.clockOffsetChanged();
         }
     }
 
     @Override
-    public void send(Action.StartAttempt a) {
+    public void startAttempt(Action.StartAttempt a) {
         ClientConnections.AcceptedRequest t = clients.taken(a.request());
         if (t == null) { // its client has gone while the module was deciding
-            loop.tell(
+            loop.enqueue(
                     new Event.AttemptEnded(a.request(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
             answered(a.request());
             return;
@@ -384,12 +387,12 @@
             clients.acked(request, o.row());
         }
         boolean settled = o.row() != null || clients.taken(request) == null; // its answer may still wait for copies
-        loop.tell(
+        loop.enqueue(
                 new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
     }
 
     @Override
-    public void cancel(Action.CancelAttempt a) {
+    public void cancelAttempt(Action.CancelAttempt a) {
         servers.cancel(a.request());
     }
 
@@ -412,29 +415,29 @@
     }
 
     @Override
-    public void probe(Action.CheckHealth a) {
+    public void checkHealth(Action.CheckHealth a) {
         probesOut++;
         servers.probe(a.server(), o -> {
             probesOut--;
             probesEnded++;
-            loop.tell(new Event.HealthCheckEnded(a.server(), o.outcome(), o.report()));
+            loop.enqueue(new Event.HealthCheckEnded(a.server(), o.outcome(), o.report()));
         });
     }
 
     @Override
-    public void closeIdle(Action.CloseIdleConnections a) {
+    public void closeIdleConnections(Action.CloseIdleConnections a) {
         servers.closeIdle(a.server());
     }
 
     @Override
-    public void tell(Action.SendGossip a) {
+    public void sendGossip(Action.SendGossip a) {
         if (peers != null) {
             peers.tell(a);
         }
     }
 
     @Override
-    public void watchEndpoints() {
+    public void watchEndpoints(Action.WatchEndpoints watch) {
         discovery.follow();
     }
 
@@ -460,9 +463,9 @@
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
         long answersIn = Math.max(1, shutdown.answersBy() - (time.clock().monotonicMs() - began));
         clients.answerAllBy(time.now() + answersIn * 10);
-        loop.tell(new Event.ShutdownBegun());
+        loop.enqueue(new Event.ShutdownBegun());
         // Guards against ops from before the word to leave whose own timeouts are later than the end.
-        vertx.setTimer(answersIn, x -> loop.tell(new Event.ShutdownDeadline()));
+        vertx.setTimer(answersIn, x -> loop.enqueue(new Event.ShutdownDeadline()));
         if (fleet != null) {
             fleet.leaves();
         }
@@ -476,7 +479,7 @@
                 case ENDS -> clients.endIdle();
                 case FINISHES -> {
                     clients.stopReading();
-                    loop.tell(new Event.ShutdownDeadline());
+                    loop.enqueue(new Event.ShutdownDeadline());
                 }
                 case OVER -> {
                     vertx.cancelTimer(timer);
@@ -528,6 +531,6 @@
     }
 
     public void runOnLoop(Runnable what) {
-        loop.run(what);
+        loop.execute(what);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -15,6 +15,7 @@
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
+import ploverdale.net.eventloop.RouterEventLoop;
 
 /**
  * Owns the one datagram socket to the other instances: tells the module what came and from whom, and sends what the
@@ -124,7 +125,7 @@
             return; // all that it says is dated
         }
         heard = true;
-        loop.tell(new Event.GossipReceived(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
+        loop.enqueue(new Event.GossipReceived(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
     }
 
     /** Whether any other instance has spoken. */
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -19,6 +19,7 @@
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.replication.IdempotencyRecord;
@@ -163,10 +164,10 @@
             if (keeping.submits() && type.repeats() != Idempotence.IDEMPOTENT) {
                 claims(i);
             } else {
-                loop.tell(a);
+                loop.enqueue(a);
             }
         } else {
-            loop.tell(a);
+            loop.enqueue(a);
         }
     }
 
@@ -187,7 +188,7 @@
 
     private void arrived(RequestArrived a, long tokenAge) {
         if (clients.taken(a.request()) != null) {
-            loop.tell(new RequestArrived(
+            loop.enqueue(new RequestArrived(
                     a.request(),
                     a.type(),
                     a.tenant(),
@@ -210,7 +211,7 @@
                     if (d.end() == End.GRANTED) {
                         i.claim = d.claim();
                         if (clients.taken(request) != null) {
-                            loop.tell(i.asked);
+                            loop.enqueue(i.asked);
                         } else {
                             inHand.remove(request);
                             neverRan(i); // its client has left, and nothing was sent
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -22,6 +22,7 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.eventloop.NioSockets;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
--- a/gateway/src/main/java/ploverdale/net/AcceptRetry.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/AcceptRetry.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.eventloop;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/eventloop/LoopActionHandler.java
@@ -0,0 +1,99 @@
+package ploverdale.net.eventloop;
+
+import io.vertx.core.Vertx;
+import java.util.function.Consumer;
+import ploverdale.clock.Clock;
+import ploverdale.log.Log;
+import ploverdale.model.Action;
+import ploverdale.model.ActionHandler;
+import ploverdale.model.Event;
+import ploverdale.model.OutboundActionHandler;
+
+/**
+ * Carries out the actions that concern the event loop itself, timers and log lines, and hands all others on. Used on the event
+ * loop only.
+ */
+final class LoopActionHandler implements ActionHandler {
+    private static final long TENTHS_PER_MS = 10;
+
+    private final Vertx vertx;
+    private final Log log;
+    private final Clock clock;
+    private final OutboundActionHandler outbound;
+    private final Consumer<Event> events;
+
+    /**
+     * @param outbound carries out what reaches outside the gateway
+     * @param events takes the event of each timer that has fired
+     */
+    LoopActionHandler(Vertx vertx, Log log, Clock clock, OutboundActionHandler outbound, Consumer<Event> events) {
+        this.vertx = vertx;
+        this.log = log;
+        this.clock = clock;
+        this.outbound = outbound;
+        this.events = events;
+    }
+
+    /**
+     * {@inheritDoc}
+     *
+     * <p>Vert.x timers count by another clock than the router. One that fires early is set again, since the router sets each
+     * timer once.
+     */
+    @Override
+    public void setTimer(Action.SetTimer timer) {
+        long delayMs = Math.max(1, (timer.at() - clock.now() + TENTHS_PER_MS - 1) / TENTHS_PER_MS);
+        vertx.setTimer(delayMs, id -> {
+            if (clock.now() < timer.at()) {
+                setTimer(timer);
+            } else {
+                events.accept(new Event.TimerFired(timer.mark()));
+            }
+        });
+    }
+
+    @Override
+    public void writeLogLine(Action.LogLine line) {
+        log.line(line.text());
+    }
+
+    @Override
+    public void startAttempt(Action.StartAttempt attempt) {
+        outbound.startAttempt(attempt);
+    }
+
+    @Override
+    public void cancelAttempt(Action.CancelAttempt cancellation) {
+        outbound.cancelAttempt(cancellation);
+    }
+
+    @Override
+    public void rejectRequest(Action.RejectRequest rejection) {
+        outbound.rejectRequest(rejection);
+    }
+
+    @Override
+    public void failRequest(Action.FailRequest failure) {
+        outbound.failRequest(failure);
+    }
+
+    @Override
+    public void checkHealth(Action.CheckHealth check) {
+        outbound.checkHealth(check);
+    }
+
+    @Override
+    public void closeIdleConnections(Action.CloseIdleConnections close) {
+        outbound.closeIdleConnections(close);
+    }
+
+    @Override
+    public void watchEndpoints(Action.WatchEndpoints watch) {
+        outbound.watchEndpoints(watch);
+    }
+
+    @Override
+    public void sendGossip(Action.SendGossip gossip) {
+        outbound.sendGossip(gossip);
+    }
+}
--- a/gateway/src/main/java/ploverdale/net/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.eventloop;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
@@ -14,31 +14,39 @@
 import ploverdale.clock.Clock;
 
 /**
- * Owns how the event loop waits: as Java's selector does, but asleep up to its next timer. That selector waits for whole
- * milliseconds and the loop rounds them to the nearest, so that it polls without a pause for the last half of one before
- * each timer: some hundred calls a second that do nothing, and far more where a clock stands while others run. Here a wait is
- * rounded up; a timer fires a part of a millisecond later. Must never keep the loop from a task or from bytes that came.
+ * The NIO transport with another way to wait for timers. Netty's NIO selector waits for whole milliseconds and rounds them to
+ * the nearest, so it polls without blocking for up to half a millisecond before each timer: some hundred useless system calls a
+ * second, and far more where a clock is slow. Here each wait is rounded up; a timer fires up to a millisecond later. Tasks and
+ * bytes that arrive end a wait as before.
  *
- * <p>The loop reads its sockets and runs its timers behind that. When the process is paused in between, by a signal or for
- * want of processor time, or while it waits (the wait then ends as timed out, with nothing to read), timers that came due
- * during the pause would run before the bytes that came during it: an answer that is there would be given up as missing, a
- * connection with a request in it closed as idle. So a turn that took longer than it should reads once more.
+ * <p>The event loop reads its sockets and then runs its timers. When the process is paused in between, or while it waits (the
+ * wait then ends as timed out, with nothing to read), timers that came due during the pause would run before the bytes that
+ * arrived during it are read: an answer that is there would count as missing, a connection with a request in it would be closed
+ * as idle. So a turn of the loop that took too long reads once more.
  */
-final class SleepingTransport implements io.vertx.core.transport.Transport, Transport {
-    private static final long MS = 1_000_000; // in nanoseconds
-    private static final long LATE =
-            5 * MS; // longer than a wait and the reading behind it usually take beyond the wait
-    private static final int READS_AGAIN_MOST = 2; // in a turn, so that a flood keeps no timer from running
+public final class SleepingTransport implements io.vertx.core.transport.Transport, Transport {
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    /** Longer than a wait and the reading after it usually take beyond the requested wait. */
+    private static final long LATE_NANOS = 5 * NANOS_PER_MS;
+
+    /** In one turn of the loop, so that a flood of input cannot keep timers from running. */
+    private static final int MAX_EXTRA_READS = 2;
 
     private final AcceptRetry acceptRetry = new AcceptRetry();
     private final Transport nio;
 
-    SleepingTransport() {
+    /** Uses the NIO transport of Vert.x. */
+    public SleepingTransport() {
         this(io.vertx.core.transport.Transport.NIO.implementation());
     }
 
-    /** Makes its channels with this one. */
-    SleepingTransport(Transport nio) {
+    /**
+     * Uses another NIO transport.
+     *
+     * @param nio creates the channels and the selector
+     */
+    public SleepingTransport(Transport nio) {
         this.nio = nio;
     }
 
@@ -65,7 +73,7 @@
     @Override
     public IoHandlerFactory ioHandlerFactory() {
         IoHandlerFactory inner = nio.ioHandlerFactory();
-        return executor -> new Sleeping(inner.newHandler(executor));
+        return executor -> new SleepingIoHandler(inner.newHandler(executor));
     }
 
     @Override
@@ -93,22 +101,24 @@
         };
     }
 
-    /** The wait for a timer that is due in so many nanoseconds. */
-    static long wholeMs(long nanos) {
-        return nanos <= 0 || nanos > Long.MAX_VALUE - MS ? nanos : (nanos + MS - 1) / MS * MS;
+    /** The wait for a timer that is due in that many nanoseconds: rounded up to whole milliseconds, unchanged where there is none. */
+    static long roundUpToMs(long nanos) {
+        return nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MS
+                ? nanos
+                : (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS * NANOS_PER_MS;
     }
 
-    /** Hands the selector its waits rounded up, reads once more after a pause, and leaves all else as it is. */
-    record Sleeping(IoHandler inner) implements IoHandler {
+    /** Rounds the waits of another handler up and has it read once more after a pause. */
+    record SleepingIoHandler(IoHandler inner) implements IoHandler {
         @Override
         public int run(IoHandlerContext loop) {
-            long began = Clock.system().nanos();
-            long longest = loop.canBlock() ? wholeMs(loop.delayNanos(began)) : 0;
-            int handled = inner.run(new Rounded(loop, true));
-            for (int i = 0; i < READS_AGAIN_MOST && Clock.system().nanos() - began - longest > LATE; i++) {
-                began = Clock.system().nanos();
-                longest = 0;
-                handled += inner.run(new Rounded(loop, false));
+            long startedAt = Clock.system().nanos();
+            long maxWait = loop.canBlock() ? roundUpToMs(loop.delayNanos(startedAt)) : 0;
+            int handled = inner.run(new RoundedUpContext(loop, true));
+            for (int i = 0; i < MAX_EXTRA_READS && Clock.system().nanos() - startedAt - maxWait > LATE_NANOS; i++) {
+                startedAt = Clock.system().nanos();
+                maxWait = 0;
+                handled += inner.run(new RoundedUpContext(loop, false));
             }
             return handled;
         }
@@ -144,15 +154,16 @@
         }
     }
 
-    private record Rounded(IoHandlerContext loop, boolean mayBlock) implements IoHandlerContext {
+    /** The context of a turn of the loop, with its wait rounded up and, for an extra read, without one. */
+    private record RoundedUpContext(IoHandlerContext loop, boolean mayBlock) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
-            return mayBlock && loop.canBlock(); // asked anew each time: another thread may add a task meanwhile
+            return mayBlock && loop.canBlock(); // not cached: another thread may add a task at any time
         }
 
         @Override
         public long delayNanos(long now) {
-            return wholeMs(loop.delayNanos(now));
+            return roundUpToMs(loop.delayNanos(now));
         }
 
         @Override
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -20,11 +20,12 @@
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
+import ploverdale.model.OutboundActionHandler;
 import ploverdale.net.ClientConnections;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
-import ploverdale.net.RouterEventLoop;
 import ploverdale.net.ServerClock;
+import ploverdale.net.eventloop.RouterEventLoop;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
 @Timeout(120)
@@ -58,30 +59,30 @@
     }
 
     /** Takes every action of the router and carries none out, as if its answers were lost. */
-    private static final class LosesActions implements RouterEventLoop.ActionHandler {
+    private static final class LosesActions implements OutboundActionHandler {
         @Override
-        public void send(Action.StartAttempt send) {}
+        public void startAttempt(Action.StartAttempt attempt) {}
 
         @Override
-        public void cancel(Action.CancelAttempt cancel) {}
+        public void cancelAttempt(Action.CancelAttempt cancellation) {}
 
         @Override
-        public void rejectRequest(Action.RejectRequest reply) {}
+        public void rejectRequest(Action.RejectRequest rejection) {}
 
         @Override
-        public void failRequest(Action.FailRequest reply) {}
+        public void failRequest(Action.FailRequest failure) {}
 
         @Override
-        public void probe(Action.CheckHealth probe) {}
+        public void checkHealth(Action.CheckHealth check) {}
 
         @Override
-        public void closeIdle(Action.CloseIdleConnections close) {}
+        public void closeIdleConnections(Action.CloseIdleConnections close) {}
 
         @Override
-        public void watchEndpoints() {}
+        public void watchEndpoints(Action.WatchEndpoints watch) {}
 
         @Override
-        public void tell(Action.SendGossip tell) {}
+        public void sendGossip(Action.SendGossip gossip) {}
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/net/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.eventloop;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,23 +16,24 @@
 class SleepingTransportTest {
     @Test
     void aWaitForATimerIsRoundedUpSoThatNothingIsPolledBeforeIt() {
-        assertThat(SleepingTransport.wholeMs(400_000)).isEqualTo(1_000_000); // the selector would make this 0, a poll
-        assertThat(SleepingTransport.wholeMs(1)).isEqualTo(1_000_000);
-        assertThat(SleepingTransport.wholeMs(9_400_000)).isEqualTo(10_000_000); // and this 9, and a poll
-        assertThat(SleepingTransport.wholeMs(9_000_000)).isEqualTo(9_000_000);
+        assertThat(SleepingTransport.roundUpToMs(400_000))
+                .isEqualTo(1_000_000); // the selector would make this 0, a poll
+        assertThat(SleepingTransport.roundUpToMs(1)).isEqualTo(1_000_000);
+        assertThat(SleepingTransport.roundUpToMs(9_400_000)).isEqualTo(10_000_000); // and this 9, and a poll
+        assertThat(SleepingTransport.roundUpToMs(9_000_000)).isEqualTo(9_000_000);
     }
 
     @Test
     void whatIsDueAndWhatNeverIsStayAsTheyAre() {
-        assertThat(SleepingTransport.wholeMs(0)).isZero();
-        assertThat(SleepingTransport.wholeMs(-5)).isEqualTo(-5);
-        assertThat(SleepingTransport.wholeMs(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
+        assertThat(SleepingTransport.roundUpToMs(0)).isZero();
+        assertThat(SleepingTransport.roundUpToMs(-5)).isEqualTo(-5);
+        assertThat(SleepingTransport.roundUpToMs(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
     void aTurnThatWasPausedReadsOnceMoreBeforeAnyTimerRuns() {
         Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10))))
+        assertThat(new SleepingTransport.SleepingIoHandler(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10))))
                 .isEqualTo(2);
         assertThat(turns.mayBlock).containsExactly(true, false);
     }
@@ -40,7 +41,7 @@
     @Test
     void aTurnThatOnlyWaitedForItsTimerDoesNot() {
         Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.Sleeping(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30))))
+        assertThat(new SleepingTransport.SleepingIoHandler(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30))))
                 .isEqualTo(1);
         assertThat(turns.mayBlock).containsExactly(true);
     }
