--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -24,6 +24,7 @@
 import ploverdale.net.ConfigurationFile;
 import ploverdale.net.FleetConfigurationFile;
 import ploverdale.net.Gateway;
+import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.settings.InvalidSettingsException;
@@ -125,15 +126,16 @@
             CompletableFuture<Gateway> started = new CompletableFuture<>();
             // From the first moment on: unhandled, a SIGHUP ends the program. One that comes during the start is acted
             // on behind it.
-            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.renew(path())))
+            if (Signal.handle(new Signal("HUP"), x -> started.thenAccept(g -> g.reloadConfiguration(path())))
                     == SignalHandler.SIG_IGN) {
                 log.line(
                         "SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
             }
-            Vertx vertx = Gateway.vertx();
+            Vertx vertx = SingleLoopVertx.create();
             Gateway gateway;
             try {
-                gateway = await(Gateway.start(vertx, log, file, fleet));
+                gateway = await(
+                        Gateway.builder(vertx, log, file).quotaSettings(fleet).start());
             } catch (IOException e) {
                 throw new IOException("cannot listen at " + file.listen() + ": " + e.getMessage());
             }
@@ -143,7 +145,7 @@
                     .addShutdownHook(new Thread(
                             () -> {
                                 long signalNanos = Clock.system().nanos();
-                                gateway.runOnLoop(() -> gateway.endPlanned(signalNanos, ended));
+                                gateway.runOnLoop(() -> gateway.shutdownGracefully(signalNanos, ended));
                                 try {
                                     ended.await();
                                 } catch (InterruptedException e) {
@@ -192,7 +194,7 @@
     public static final class Rehearse extends WithFile {
         @Override
         public int run() throws IOException, InterruptedException {
-            Vertx vertx = Gateway.vertx();
+            Vertx vertx = SingleLoopVertx.create();
             String told = await(Rehearsal.play(vertx, new Log(System.err), file()));
             System.out.println(told);
             return 0;
@@ -204,7 +206,7 @@
         @Override
         public int run() throws IOException, InterruptedException {
             ConfigurationFile file = file();
-            DevServers toy = await(DevServers.start(Gateway.vertx(), file, false));
+            DevServers toy = await(DevServers.start(SingleLoopVertx.create(), file, false));
             System.out.println(toy.entries().size() + " toy servers and discovery at " + toy.discovery() + " are up");
             new CountDownLatch(1).await();
             return 0;
@@ -218,7 +220,7 @@
 
         @Override
         public int run() throws IOException, InterruptedException {
-            Vertx vertx = Gateway.vertx();
+            Vertx vertx = SingleLoopVertx.create();
             String answer = await(DevClient.connect(vertx, file().listen()).compose(c -> c.ask(query)));
             System.out.println(answer);
             return 0;
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -28,19 +28,20 @@
                 .compose(toy -> {
                     ConfigurationFile.ServerList known =
                             new ConfigurationFile.ServerList(0, true, toy.entries(), java.util.List.of());
-                    return Gateway.start(
-                            vertx,
-                            log,
-                            new ConfigurationFile(
-                                    file.name(),
-                                    here,
-                                    toy.discovery(),
-                                    file.seed(),
-                                    file.sockets(),
-                                    file.settings(),
-                                    known,
-                                    null,
-                                    java.util.List.of()));
+                    return Gateway.builder(
+                                    vertx,
+                                    log,
+                                    new ConfigurationFile(
+                                            file.name(),
+                                            here,
+                                            toy.discovery(),
+                                            file.seed(),
+                                            file.sockets(),
+                                            file.settings(),
+                                            known,
+                                            null,
+                                            java.util.List.of()))
+                            .start();
                 })
                 .compose(g -> DevClient.connect(vertx, new InetSocketAddress(here.getAddress(), g.port())))
                 .compose(c -> c.ask("")
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -33,7 +33,7 @@
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.settings.GatewaySettings;
-import ploverdale.shutdown.Traffic;
+import ploverdale.shutdown.RequestRate;
 
 /**
  * Owns the clients' connections and the ops taken from them: reads queries, tells the module of each op, and
@@ -116,7 +116,7 @@
     private final ConnectionLimits<Session> limits;
     private final ServerClock time;
     private final long unreadMs;
-    private final Traffic traffic = new Traffic(TRAFFIC_FADES_MS);
+    private final RequestRate traffic = new RequestRate(TRAFFIC_FADES_MS);
     private final Map<RequestId, AcceptedRequest> taken = new HashMap<>();
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final List<Session> early = new ArrayList<>(); // asked before the module was told what it needs
@@ -751,7 +751,7 @@
                 return;
             }
             limits.asks(this);
-            traffic.request(nowMs());
+            traffic.onRequest(nowMs());
             asked.accept(nowMs());
             PendingResponse slot = new PendingResponse();
             slot.request = request;
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -0,0 +1,89 @@
+package ploverdale.net;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import ploverdale.model.Endpoint;
+import ploverdale.model.Event;
+import ploverdale.model.ServerId;
+import ploverdale.net.ConfigurationFile.Entry;
+import ploverdale.net.ConfigurationFile.ServerList;
+import ploverdale.net.eventloop.RouterEventLoop;
+
+/**
+ * Turns endpoint lists into events for the router and addresses for the server connections. Converts the start of each server
+ * from the wall clock to service time, once for each start. Used on the event loop only.
+ */
+final class EndpointUpdates {
+    private final RouterEventLoop loop;
+    private final ServerConnections servers;
+    private final ServerClock serverClock;
+    private final Map<ServerId, StartTime> startTimes = new HashMap<>();
+
+    /** When a server last started: in milliseconds of the wall clock, as listed, and as service time. */
+    private record StartTime(long wall, long serviceTime) {}
+
+    EndpointUpdates(RouterEventLoop loop, ServerConnections servers, ServerClock serverClock) {
+        this.loop = loop;
+        this.servers = servers;
+        this.serverClock = serverClock;
+    }
+
+    /** Takes a complete list, or the changes of one. */
+    void onList(ServerList list) {
+        if (list.whole()) {
+            startTimes.keySet().retainAll(serverIds(list));
+        }
+        List<Endpoint> endpoints = list.entries().stream()
+                .map(entry -> withStartTime(entry.listing()))
+                .toList();
+        for (Entry entry : list.entries()) {
+            updateConnections(entry);
+        }
+        loop.enqueue(new Event.EndpointUpdate(list.whole(), false, endpoints));
+    }
+
+    private static Set<ServerId> serverIds(ServerList list) {
+        return list.entries().stream().map(entry -> entry.listing().server()).collect(Collectors.toSet());
+    }
+
+    private void updateConnections(Entry entry) {
+        Endpoint endpoint = entry.listing();
+        if (entry.address() != null) {
+            servers.reachedAt(endpoint.server(), entry.address());
+        }
+        if (endpoint.stage() == Endpoint.EndpointState.GONE) {
+            servers.closeIdle(endpoint.server());
+        }
+    }
+
+    /** The endpoint with its start as service time, the same each time that the same start is listed. */
+    private Endpoint withStartTime(Endpoint endpoint) {
+        StartTime startTime = startTimes.get(endpoint.server());
+        if (startTime == null || startTime.wall() != endpoint.startedAt()) {
+            startTime = new StartTime(endpoint.startedAt(), serverClock.start(endpoint.startedAt()));
+        }
+        if (endpoint.stage() == Endpoint.EndpointState.GONE) {
+            startTimes.remove(endpoint.server());
+        } else {
+            startTimes.put(endpoint.server(), startTime);
+        }
+        return new Endpoint(
+                endpoint.server(),
+                endpoint.group(),
+                endpoint.zone(),
+                endpoint.stage(),
+                endpoint.primary(),
+                startTime.serviceTime());
+    }
+
+    /** Converts all starts anew, since the offset between wall clock and service time has changed. */
+    void onClockOffsetChanged() {
+        startTimes.replaceAll((server, start) -> new StartTime(start.wall(), serverClock.start(start.wall())));
+        Map<ServerId, Long> startedAt = new HashMap<>();
+        startTimes.forEach((server, start) -> startedAt.put(server, start.serviceTime()));
+        loop.enqueue(new Event.ClockOffsetChanged(startedAt));
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -0,0 +1,151 @@
+package ploverdale.net;
+
+import ploverdale.model.Action;
+import ploverdale.model.Event;
+import ploverdale.model.OutboundActionHandler;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
+import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.postgres.MessageWriter;
+
+/**
+ * Carries out the router's actions on clients, servers, discovery and peers, and queues their outcomes as events. Never decides
+ * anything about a request or a server. Used on the event loop only.
+ */
+final class GatewayActions implements OutboundActionHandler {
+    private final RouterEventLoop loop;
+    private final ClientConnections clients;
+    private final ServerConnections servers;
+    private final Discovery discovery;
+    private final PeerChannel peers;
+    private final RequestHistory history;
+    private final ServerClock serverClock;
+    private int healthChecksInFlight;
+    private int healthChecksEnded;
+
+    GatewayActions(
+            RouterEventLoop loop,
+            ClientConnections clients,
+            ServerConnections servers,
+            Discovery discovery,
+            PeerChannel peers,
+            RequestHistory history,
+            ServerClock serverClock) {
+        this.loop = loop;
+        this.clients = clients;
+        this.servers = servers;
+        this.discovery = discovery;
+        this.peers = peers;
+        this.history = history;
+        this.serverClock = serverClock;
+    }
+
+    /** Health checks whose end is not known yet. */
+    int healthChecksInFlight() {
+        return healthChecksInFlight;
+    }
+
+    /** Health checks that have ended since the start, whatever their outcome. */
+    int healthChecksEnded() {
+        return healthChecksEnded;
+    }
+
+    @Override
+    public void startAttempt(Action.StartAttempt attempt) {
+        RequestId request = attempt.request();
+        ClientConnections.AcceptedRequest accepted = clients.taken(request);
+        if (accepted == null) {
+            endWithoutClient(attempt);
+            return;
+        }
+        int number = accepted.nextSend();
+        int clockChanges = serverClock.changes();
+        history.onAttempt(request);
+        // The process may have been paused since the router read the clock; the time limit counts from then.
+        long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
+        servers.send(
+                request,
+                attempt.server(),
+                timeLeft,
+                () -> mayBeWritten(attempt, accepted, clockChanges),
+                waitMs -> MessageWriter.request(accepted.ask(), waitMs),
+                end -> onAttemptEnded(request, number, attempt.server(), end));
+    }
+
+    /** The client has left while the router was deciding. */
+    private void endWithoutClient(Action.StartAttempt attempt) {
+        Event.Outcome outcome = Event.Outcome.NEVER_SENT;
+        loop.enqueue(new Event.AttemptEnded(attempt.request(), 0, attempt.server(), outcome, 0, true, null, null));
+        history.onFinished(attempt.request());
+    }
+
+    /**
+     * Whether the attempt may still be written. It may have waited for its connection: by now its client may have left, the
+     * position it relies on may be too old or void, or its server may be draining.
+     */
+    private boolean mayBeWritten(
+            Action.StartAttempt attempt, ClientConnections.AcceptedRequest accepted, int clockChanges) {
+        if (!clients.waits(accepted) || !loop.mayReceive(attempt.server())) {
+            return false;
+        }
+        if (attempt.writeBy() == Long.MAX_VALUE) {
+            return true;
+        }
+        return serverClock.changes() == clockChanges && serverClock.now() <= attempt.writeBy();
+    }
+
+    private void onAttemptEnded(RequestId request, int number, ServerId server, ServerConnections.AttemptEnd end) {
+        boolean hasRow = end.row() != null;
+        history.onAttemptEnded(request, end.outcome(), hasRow);
+        if (hasRow) {
+            history.onSuccess(request, end.row(), end.note(), server);
+        }
+        boolean settled = hasRow || clients.taken(request) == null; // its answer may still wait to be replicated
+        loop.enqueue(new Event.AttemptEnded(
+                request, number, server, end.outcome(), end.took(), settled, end.note(), end.report()));
+    }
+
+    @Override
+    public void cancelAttempt(Action.CancelAttempt cancellation) {
+        servers.cancel(cancellation.request());
+    }
+
+    @Override
+    public void rejectRequest(Action.RejectRequest rejection) {
+        clients.busyReplied(rejection.request(), rejection.retryAfter());
+        history.onFinished(rejection.request());
+    }
+
+    @Override
+    public void failRequest(Action.FailRequest failure) {
+        clients.errored(failure.request());
+        history.onFinished(failure.request());
+    }
+
+    @Override
+    public void checkHealth(Action.CheckHealth check) {
+        healthChecksInFlight++;
+        servers.probe(check.server(), end -> onHealthCheckEnded(check.server(), end));
+    }
+
+    private void onHealthCheckEnded(ServerId server, ServerConnections.AttemptEnd end) {
+        healthChecksInFlight--;
+        healthChecksEnded++;
+        loop.enqueue(new Event.HealthCheckEnded(server, end.outcome(), end.report()));
+    }
+
+    @Override
+    public void closeIdleConnections(Action.CloseIdleConnections close) {
+        servers.closeIdle(close.server());
+    }
+
+    @Override
+    public void watchEndpoints(Action.WatchEndpoints watch) {
+        discovery.follow();
+    }
+
+    @Override
+    public void sendGossip(Action.SendGossip gossip) {
+        peers.sendGossip(gossip);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
@@ -0,0 +1,60 @@
+package ploverdale.net;
+
+import io.vertx.core.Context;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.util.Optional;
+import ploverdale.clock.Clock;
+import ploverdale.log.Log;
+import ploverdale.quota.QuotaSettings;
+
+/** Collects what a gateway is started with and starts it. Not thread-safe. */
+public final class GatewayBuilder {
+    private final Vertx vertx;
+    private final Log log;
+    private final ConfigurationFile configuration;
+    private Optional<QuotaSettings> quotaSettings = Optional.empty();
+    private Clock clock = Clock.system();
+    private Context context;
+    private boolean warmUp = true;
+
+    GatewayBuilder(Vertx vertx, Log log, ConfigurationFile configuration) {
+        this.vertx = vertx;
+        this.log = log;
+        this.configuration = configuration;
+    }
+
+    /** The limits that belong to all gateways; empty by default, which switches quota, membership and replication off. */
+    public GatewayBuilder quotaSettings(Optional<QuotaSettings> quotaSettings) {
+        this.quotaSettings = quotaSettings;
+        return this;
+    }
+
+    /** The clock that the gateway reads; by default the system's. */
+    public GatewayBuilder clock(Clock clock) {
+        this.clock = clock;
+        return this;
+    }
+
+    /** The context of the event loop to run on; by default the current one, or a new one of the Vert.x instance. */
+    public GatewayBuilder context(Context context) {
+        this.context = context;
+        return this;
+    }
+
+    /** Starts without the warm-up, where this process has done it before. */
+    public GatewayBuilder withoutWarmUp() {
+        warmUp = false;
+        return this;
+    }
+
+    /** Starts the gateway; the future completes when it listens, and fails when it cannot. May be called on any thread. */
+    public Future<Gateway> start() {
+        Context runsOn = context == null ? vertx.getOrCreateContext() : context;
+        GatewayOptions options = new GatewayOptions(vertx, runsOn, log, configuration, quotaSettings, clock);
+        if (!warmUp) {
+            return Gateway.start(options);
+        }
+        return StartupWarmUp.run(vertx, log, configuration, clock).compose(ignored -> Gateway.start(options));
+    }
+}
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -42,8 +42,6 @@
     private final Vertx vertx;
     private final Context context;
     private final Log log;
-    private final OutboundActionHandler outbound;
-    private final ActionHandler actionHandler;
     private final Router router;
     private final Clock clock;
     private final LoopLag loopLag;
@@ -52,24 +50,33 @@
     private boolean lagBeforeFirst; // the loop was late before the first event in the queue was read
     private long firstQueuedAt;
     private long decidedAt;
+    private OutboundActionHandler outbound;
+    private ActionHandler actionHandler;
 
     /**
-     * @param outbound carries out what reaches outside the gateway
+     * A loop that still needs {@link #carryOutWith}.
+     *
      * @param quota what the router may spend of the limits that belong to all gateways, or null where there are none
      */
-    public RouterEventLoop(
-            Vertx vertx, Context context, Log log, OutboundActionHandler outbound, Quota quota, Clock clock) {
+    public RouterEventLoop(Vertx vertx, Context context, Log log, Quota quota, Clock clock) {
         this.vertx = vertx;
         this.context = context;
         this.log = log;
-        this.outbound = outbound;
         this.clock = clock;
         loopLag = new LoopLag(clock);
         router = new Router(quota);
-        actionHandler = new LoopActionHandler(vertx, log, clock, outbound, this::enqueue);
         vertx.setPeriodic(LoopLag.TICK_MS, id -> onTick());
     }
 
+    /**
+     * Sets who carries out what reaches outside the gateway. To be called once, in the turn of the event loop in which this loop
+     * was created: its parts need the loop, and the loop hands no event to the router before its next turn.
+     */
+    public void carryOutWith(OutboundActionHandler outbound) {
+        this.outbound = outbound;
+        actionHandler = new LoopActionHandler(vertx, log, clock, outbound, this::enqueue);
+    }
+
     private void onTick() {
         loopLag.onTick();
         reportPause(loopLag.previousTick(), loopLag.lastTick());
--- a/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
@@ -24,7 +24,7 @@
  * arrived during it are read: an answer that is there would count as missing, a connection with a request in it would be closed
  * as idle. So a turn of the loop that took too long reads once more.
  */
-public final class SleepingTransport implements io.vertx.core.transport.Transport, Transport {
+final class SleepingTransport implements io.vertx.core.transport.Transport, Transport {
     private static final long NANOS_PER_MS = 1_000_000;
 
     /** Longer than a wait and the reading after it usually take beyond the requested wait. */
@@ -37,7 +37,7 @@
     private final Transport nio;
 
     /** Uses the NIO transport of Vert.x. */
-    public SleepingTransport() {
+    SleepingTransport() {
         this(io.vertx.core.transport.Transport.NIO.implementation());
     }
 
@@ -46,7 +46,7 @@
      *
      * @param nio creates the channels and the selector
      */
-    public SleepingTransport(Transport nio) {
+    SleepingTransport(Transport nio) {
         this.nio = nio;
     }
 
--- a/gateway/src/main/java/ploverdale/shutdown/package-info.java
+++ b/gateway/src/main/java/ploverdale/shutdown/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns the course of a planned restart: until when a gateway that leaves serves on, when it ends connections, and when it
- * is over. Must never do I/O or look at a clock, and never let the end come before an op in hand has its answer, but for
- * the time at which the platform ends it anyway.
+ * Owns the course of a graceful shutdown: until when a gateway that shuts down keeps serving, when it closes connections, and
+ * when it is finished. Does no input or output and reads no clock; callers pass the time. Never finishes before each accepted
+ * request has its answer, unless the platform is about to kill the process anyway. Not thread-safe; used on the event loop.
  */
 package ploverdale.shutdown;
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -366,7 +366,7 @@
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 CountDownLatch ended = new CountDownLatch(1);
-                net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+                net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
                 net.logged("planned restart: 1 connections");
                 client.ask(net.request("order"));
                 Arrival first = recorder.await(1).get(0);
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -147,7 +147,7 @@
             Got g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             long began = System.nanoTime();
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 1 connections");
             clock.step(step);
             Thread.sleep(300);
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -38,7 +38,7 @@
     private void reload(Net net, int discoveryPort) throws IOException {
         Path file = directory.resolve("gateway.json");
         Files.writeString(file, configuration(discoveryPort, net));
-        net.gateway.renew(file);
+        net.gateway.reloadConfiguration(file);
     }
 
     private static long msSince(long began) {
@@ -108,9 +108,9 @@
                 SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r2"), 0)) {
             assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor())
                     .isZero();
-            Thread first =
-                    new Thread(() -> net.gateway.renew(file)); // as the JVM does: each signal on a thread of its own
-            Thread second = new Thread(() -> net.gateway.renew(file));
+            Thread first = new Thread(
+                    () -> net.gateway.reloadConfiguration(file)); // as the JVM does: each signal on a thread of its own
+            Thread second = new Thread(() -> net.gateway.reloadConfiguration(file));
             try (RandomAccessFile slow = new RandomAccessFile(file.toFile(), "rw")) {
                 first.start();
                 awaitReading(first);
@@ -159,11 +159,11 @@
             String whole = configuration(elsewhere.port(), net);
             for (int length = 0; length < whole.length(); length++) {
                 Files.writeString(file, whole.substring(0, length));
-                net.gateway.renew(file);
+                net.gateway.reloadConfiguration(file);
             }
             Files.delete(file);
-            net.gateway.renew(file); // between the removal and the new file of a deployment
-            net.gateway.renew(directory);
+            net.gateway.reloadConfiguration(file); // between the removal and the new file of a deployment
+            net.gateway.reloadConfiguration(directory);
             assertThat(net.log()).doesNotContain("new configuration: ").contains("new configuration not taken");
             assertThat(elsewhere.calls).hasValue(0);
         }
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -115,7 +115,7 @@
             if (end == End.FEWER_DESCRIPTORS) {
                 net.renew(FEW_DESCRIPTORS);
             } else if (end == End.GRACEFUL_SHUTDOWN) {
-                net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+                net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
                 assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isTrue();
--- a/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
@@ -69,7 +69,7 @@
             }
             net.logged("discovery lost"); // the watch that was open has been given up
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 1 connections");
             discovery.list(6, net.list(6, false, "r1:DRAINING"));
             discovery.state = FaultyDiscovery.State.WORKS;
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -175,7 +175,7 @@
             net.servers.get("p").writes = true;
             List<Client> idle = clients(net, 20);
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 20 connections");
             net.pauseBeforeTimers(() -> {});
             for (Client c : idle) {
@@ -235,7 +235,7 @@
             net.started();
             Client c = net.client();
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 1 connections");
             c.write(begun(200)); // its own time for being whole, 2.2 s, is later than the end
             assertThat(c.answer()).as(net::log).isEqualTo("57P03 closed");
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -54,6 +54,7 @@
 import ploverdale.model.ZoneId;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
+import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
@@ -281,7 +282,7 @@
 
         /** A gateway among servers, the first of them the primary; not yet started. */
         Net(String... ids) throws IOException {
-            this(Gateway.vertx(), ids);
+            this(SingleLoopVertx.create(), ids);
         }
 
         /** The same, with an event loop of the test's. */
@@ -344,7 +345,9 @@
                     pauseAt(line);
                 }
             };
-            return Gateway.start(vertx, new Log(log, clock), read, clock)
+            return Gateway.builder(vertx, new Log(log, clock), read)
+                    .clock(clock)
+                    .start()
                     .toCompletionStage()
                     .toCompletableFuture();
         }
@@ -425,7 +428,7 @@
             try {
                 Path file = Files.createTempFile("gateway", ".json");
                 Files.writeString(file, settings.apply(configuration(registry, sockets, 30_000)));
-                gateway.renew(file);
+                gateway.reloadConfiguration(file);
                 Files.delete(file);
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -23,9 +23,9 @@
 import ploverdale.model.OutboundActionHandler;
 import ploverdale.net.ClientConnections;
 import ploverdale.net.ConfigurationFile;
-import ploverdale.net.Gateway;
 import ploverdale.net.ServerClock;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.eventloop.SingleLoopVertx;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
 @Timeout(120)
@@ -87,7 +87,7 @@
 
     @Test
     void aRequestThatNobodyAnswersFailsRightAfterItsTime() throws Exception {
-        Vertx vertx = Gateway.vertx();
+        Vertx vertx = SingleLoopVertx.create();
         try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
             ConfigurationFile settings =
@@ -98,8 +98,8 @@
             CompletableFuture<NetServer> listening = new CompletableFuture<>();
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
-                RouterEventLoop loop =
-                        new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
+                RouterEventLoop loop = new RouterEventLoop(vertx, context, log, null, Clock.system());
+                loop.carryOutWith(new LosesActions());
                 ServerClock time = new ServerClock(log, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -486,7 +486,7 @@
             Client held = net.client().ask(net.request("order"));
             Got g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 2 connections, 1 ops in hand");
             Client later = net.client();
             for (int i = 0; i < 10; i++) { // how long a read takes is known by the time that little of it is left
@@ -514,7 +514,7 @@
             Client patient = net.client().ask(net.request("order", 9000));
             net.servers.get("p").next(); // never answered
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(net.log())
                     .contains("0 ops unanswered")
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -70,7 +70,7 @@
             askAll(net, clients, 2);
             CountDownLatch ended = new CountDownLatch(1);
             long sigterm = System.nanoTime();
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 12 connections");
             hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
             askAll(net, clients, 3); // clients go on on open connections
@@ -102,7 +102,7 @@
             hang(net, false);
             CountDownLatch ended = new CountDownLatch(1);
             long sigterm = System.nanoTime();
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
                 answer = client.ask(net.request(CLASSES.get(answered % CLASSES.size()), deadlineMs))
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -27,7 +27,7 @@
     private static void ends(Net net, long signalledMsAgo) throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(signalledMsAgo);
-        net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
+        net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
         assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
     }
 
@@ -63,7 +63,7 @@
             Client client = net.client();
             CountDownLatch ended = new CountDownLatch(1);
             long signalNanos = System.nanoTime();
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
             net.logged("planned restart");
             net.pauseWhileReading();
             client.ask(net.request("order", 300));
@@ -82,7 +82,7 @@
             CountDownLatch ended = new CountDownLatch(1);
             CountDownLatch endsIdle = net.pauseAtLog("planned restart: idle connections end");
             long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ANSWERS_BY_MS + 100);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(signalNanos, ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
             assertThat(endsIdle.await(Net.PATIENCE_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -32,7 +32,7 @@
 import ploverdale.FaultyTransport.Call;
 import ploverdale.FaultyTransport.Errno;
 import ploverdale.FaultyTransport.Fault;
-import ploverdale.net.Gateway;
+import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.postgres.MessageWriter;
 
 /** A real gateway whose system calls fail as Linux documents, between stand-ins on loopback. */
@@ -59,7 +59,7 @@
     }
 
     private Net net(String... servers) throws IOException {
-        return new Net(Gateway.vertx(system), servers);
+        return new Net(SingleLoopVertx.create(system), servers);
     }
 
     private static long since(long began) {
@@ -360,7 +360,7 @@
             Client idle = net.client();
             Fault fault = system.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             assertThat(idle.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
             assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -102,7 +102,7 @@
             client.ask(net.request("order")).write(order.getBuffer(0, 20));
             net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             assertThat(client.answer()).as(net::log).startsWith("58000");
             assertThat(client.answer()).as(net::log).isEqualTo("57P03 closed");
         }
@@ -141,7 +141,7 @@
         try (Net net = new Net("p").started()) {
             Client other = net.client();
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.endPlanned(ended));
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 1 connections");
             Client silent = new Client(net.gateway.port());
             assertThat(silent.answer()).as(net::log).isEqualTo("57P03 closed");
--- a/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import ploverdale.log.Log;
+import ploverdale.net.eventloop.SingleLoopVertx;
 
 /** The socket to other instances. */
 class GossipTransportTest {
@@ -19,7 +20,7 @@
 
     @Test
     void aWordBeforeItListensLeavesItAbleToHear() throws Exception {
-        Vertx vertx = Gateway.vertx();
+        Vertx vertx = SingleLoopVertx.create();
         try {
             DatagramSocket other = vertx.createDatagramSocket();
             other.listen(0, HERE).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -27,6 +27,7 @@
 import ploverdale.FaultyTransport.Errno;
 import ploverdale.FaultyTransport.Fault;
 import ploverdale.log.Log;
+import ploverdale.net.eventloop.SingleLoopVertx;
 
 /** The socket to other instances, whose system calls fail. */
 @Timeout(60)
@@ -35,7 +36,7 @@
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
     private final FaultyTransport system = new FaultyTransport();
-    private final Vertx vertx = Gateway.vertx(system);
+    private final Vertx vertx = SingleLoopVertx.create(system);
     private final BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
     private DatagramSocket other;
--- a/gateway/src/test/java/ploverdale/shutdown/ShortDeadlinesTest.java
+++ b/gateway/src/test/java/ploverdale/shutdown/ShortDeadlinesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.shutdown.GracefulShutdown.Step;
+import ploverdale.shutdown.GracefulShutdown.Phase;
 
 /**
  * The phases of a graceful shutdown where deadlines are short: the process is killed 0.7 s and the longest deadline after
@@ -19,31 +19,31 @@
     void servesHalfASecondWithTimeForEachRequest(long killedAfterMs) {
         GracefulShutdown shutdown = new GracefulShutdown(killedAfterMs, 100);
         for (long ms = 0; ms < CLIENTS_ARRIVE_MS; ms += 10) {
-            shutdown.asked(ms);
-            assertThat(shutdown.at(ms, 20, 2)).as("after %d ms", ms).isEqualTo(Step.SERVES);
+            shutdown.onRequest(ms);
+            assertThat(shutdown.phaseAt(ms, 20, 2)).as("after %d ms", ms).isEqualTo(Phase.SERVING);
         }
-        assertThat(shutdown.answersBy()).isGreaterThanOrEqualTo(CLIENTS_ARRIVE_MS);
+        assertThat(shutdown.answerByMs()).isGreaterThanOrEqualTo(CLIENTS_ARRIVE_MS);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {750, 900, 1000, 1100})
     void hasAnsweredAPauseAheadOfTheKill(long killedAfterMs) {
-        assertThat(new GracefulShutdown(killedAfterMs, 100).answersBy()).isLessThan(killedAfterMs - PAUSE_MS);
+        assertThat(new GracefulShutdown(killedAfterMs, 100).answerByMs()).isLessThan(killedAfterMs - PAUSE_MS);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {750, 900, 1000, 1100, 3700})
     void exitsAPauseAheadOfTheKillHoweverManyClientsThereAre(long killedAfterMs) {
         GracefulShutdown shutdown = new GracefulShutdown(killedAfterMs, 100);
-        assertThat(shutdown.at(killedAfterMs - PAUSE_MS - 30, 20, 0)).isEqualTo(Step.OVER);
+        assertThat(shutdown.phaseAt(killedAfterMs - PAUSE_MS - 30, 20, 0)).isEqualTo(Phase.FINISHED);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {750, 900, 1000, 1100, 3700})
     void answersWhatHasBeenReadBeforeItExits(long killedAfterMs) {
         GracefulShutdown shutdown = new GracefulShutdown(killedAfterMs, 100);
-        assertThat(shutdown.at(killedAfterMs - 100, 20, 1)).isEqualTo(Step.FINISHES);
-        assertThat(shutdown.at(killedAfterMs - 99, 20, 0)).isEqualTo(Step.OVER);
-        assertThat(shutdown.at(killedAfterMs - 20, 20, 1)).isEqualTo(Step.OVER);
+        assertThat(shutdown.phaseAt(killedAfterMs - 100, 20, 1)).isEqualTo(Phase.ANSWERING);
+        assertThat(shutdown.phaseAt(killedAfterMs - 99, 20, 0)).isEqualTo(Phase.FINISHED);
+        assertThat(shutdown.phaseAt(killedAfterMs - 20, 20, 1)).isEqualTo(Phase.FINISHED);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
+++ b/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
@@ -10,11 +10,12 @@
 import ploverdale.log.Log;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
+import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.tools.stand.GatewayConfiguration;
 
 /** One real gateway in this process, on an event loop of its own. */
 final class GatewayUnderTest {
-    private final Vertx vertx = Gateway.vertx();
+    private final Vertx vertx = SingleLoopVertx.create();
     private final ConfigurationFile file;
     private int port;
     private long readyAfterMs;
@@ -30,12 +31,11 @@
     Future<GatewayUnderTest> start() {
         long began = System.nanoTime();
         Log nowhere = new Log(new PrintStream(OutputStream.nullOutputStream()));
-        return Gateway.unpractised(vertx, vertx.getOrCreateContext(), nowhere, file)
-                .map(g -> {
-                    port = g.port();
-                    readyAfterMs = (System.nanoTime() - began) / 1_000_000;
-                    return this;
-                });
+        return Gateway.builder(vertx, nowhere, file).withoutWarmUp().start().map(g -> {
+            port = g.port();
+            readyAfterMs = (System.nanoTime() - began) / 1_000_000;
+            return this;
+        });
     }
 
     long readyAfterMs() {
