--- /dev/null
+++ b/gateway/src/main/java/ploverdale/cli/BenchLinkCommand.java
@@ -0,0 +1,19 @@
+package ploverdale.cli;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Optional;
+import ploverdale.benchlink.BenchLink;
+import ploverdale.net.FleetConfigurationFile;
+
+/** Runs the decisions on the simulator's wire, on standard input and output, until the input ends. */
+public final class BenchLinkCommand extends QuotaCommand {
+    @Override
+    public int run() throws IOException {
+        Optional<Path> quotaPath = quotaPath();
+        BenchLink link = new BenchLink(
+                System.in, System.out, quotaPath.isEmpty() ? null : FleetConfigurationFile.read(quotaPath.get()));
+        link.run();
+        return 0;
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/cli/HelpCommand.java
@@ -0,0 +1,10 @@
+package ploverdale.cli;
+
+/** Prints the usage. */
+public final class HelpCommand implements Command {
+    @Override
+    public int run() {
+        System.out.println(Usage.TEXT);
+        return 0;
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/cli/ServeCommand.java
@@ -0,0 +1,77 @@
+package ploverdale.cli;
+
+import io.vertx.core.Vertx;
+import java.io.IOException;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CountDownLatch;
+import ploverdale.clock.Clock;
+import ploverdale.log.Log;
+import ploverdale.net.ConfigurationFile;
+import ploverdale.net.Gateway;
+import ploverdale.net.eventloop.SingleLoopVertx;
+import ploverdale.quota.QuotaSettings;
+import sun.misc.Signal;
+import sun.misc.SignalHandler;
+
+/** Runs one gateway until SIGTERM, which begins a graceful shutdown; at SIGHUP it reads its configuration again. */
+public final class ServeCommand extends QuotaCommand {
+    @Override
+    public int run() throws IOException, InterruptedException {
+        Log log = new Log(System.err);
+        log.takeOver();
+        ConfigurationFile configuration = readConfiguration();
+        Optional<QuotaSettings> quotaSettings = readQuotaSettings(configuration);
+        CompletableFuture<Gateway> started = new CompletableFuture<>();
+        reloadOnHangUp(started, log);
+        Vertx vertx = SingleLoopVertx.create();
+        Gateway gateway = start(vertx, log, configuration, quotaSettings);
+        started.complete(gateway);
+        shutDownOnTermination(gateway);
+        new CountDownLatch(1).await(); // the shutdown hook ends the process
+        return 0;
+    }
+
+    /**
+     * Handles SIGHUP from now on: unhandled, it would end the process. One that arrives during the start is acted on after it.
+     */
+    private void reloadOnHangUp(CompletableFuture<Gateway> started, Log log) {
+        SignalHandler reload =
+                signal -> started.thenAccept(gateway -> gateway.reloadConfiguration(configurationPath()));
+        SignalHandler previous = Signal.handle(new Signal("HUP"), reload);
+        if (previous == SignalHandler.SIG_IGN) {
+            log.line(
+                    "SIGHUP is ignored by what started this program, as nohup does: new configurations will not be read");
+        }
+    }
+
+    private static Gateway start(
+            Vertx vertx, Log log, ConfigurationFile configuration, Optional<QuotaSettings> quotaSettings)
+            throws IOException, InterruptedException {
+        try {
+            return Futures.await(Gateway.builder(vertx, log, configuration)
+                    .quotaSettings(quotaSettings)
+                    .start());
+        } catch (IOException failure) {
+            throw new IOException("cannot listen at " + configuration.listen() + ": " + failure.getMessage());
+        }
+    }
+
+    private static void shutDownOnTermination(Gateway gateway) {
+        Thread hook = new Thread(() -> shutDown(gateway), "planned-restart");
+        Runtime.getRuntime().addShutdownHook(hook);
+    }
+
+    private static void shutDown(Gateway gateway) {
+        long signalNanos = Clock.system().nanos();
+        CountDownLatch finished = new CountDownLatch(1);
+        gateway.runOnLoop(() -> gateway.shutdownGracefully(signalNanos, finished));
+        try {
+            finished.await();
+        } catch (InterruptedException interrupted) {
+            Thread.currentThread().interrupt();
+        }
+        // A graceful shutdown is a success; the exit code of the signal would say otherwise.
+        Runtime.getRuntime().halt(0);
+    }
+}
--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -1,6 +1,7 @@
 package ploverdale;
 
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.belongToAnyOf;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
@@ -133,7 +134,7 @@
                 .layer("routing")
                 .definedBy("ploverdale.routing..")
                 .layer("main")
-                .definedBy(belongToAnyOf(Main.class))
+                .definedBy(belongToAnyOf(Main.class).or(resideInAPackage("ploverdale.cli..")))
                 .layer("net")
                 .definedBy("ploverdale.net..")
                 .layer("simulator")
