--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -20,11 +20,12 @@
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
+import ploverdale.model.OutboundActionHandler;
 import ploverdale.net.ClientConnections;
 import ploverdale.net.ConfigurationFile;
-import ploverdale.net.Gateway;
-import ploverdale.net.RouterEventLoop;
 import ploverdale.net.ServerClock;
+import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.eventloop.SingleLoopVertx;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
 @Timeout(120)
@@ -58,35 +59,35 @@
     }
 
     /** Takes every action of the router and carries none out, as if its answers were lost. */
-    private static final class LosesActions implements RouterEventLoop.ActionHandler {
+    private static final class LosesActions implements OutboundActionHandler {
         @Override
-        public void send(Action.StartAttempt send) {}
+        public void startAttempt(Action.StartAttempt attempt) {}
 
         @Override
-        public void cancel(Action.CancelAttempt cancel) {}
+        public void cancelAttempt(Action.CancelAttempt cancellation) {}
 
         @Override
-        public void rejectRequest(Action.RejectRequest reply) {}
+        public void rejectRequest(Action.RejectRequest rejection) {}
 
         @Override
-        public void failRequest(Action.FailRequest reply) {}
+        public void failRequest(Action.FailRequest failure) {}
 
         @Override
-        public void probe(Action.CheckHealth probe) {}
+        public void checkHealth(Action.CheckHealth check) {}
 
         @Override
-        public void closeIdle(Action.CloseIdleConnections close) {}
+        public void closeIdleConnections(Action.CloseIdleConnections close) {}
 
         @Override
-        public void watchEndpoints() {}
+        public void watchEndpoints(Action.WatchEndpoints watch) {}
 
         @Override
-        public void tell(Action.SendGossip tell) {}
+        public void sendGossip(Action.SendGossip gossip) {}
     }
 
     @Test
     void aRequestThatNobodyAnswersFailsRightAfterItsTime() throws Exception {
-        Vertx vertx = Gateway.vertx();
+        Vertx vertx = SingleLoopVertx.create();
         try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
             ConfigurationFile settings =
@@ -97,8 +98,8 @@
             CompletableFuture<NetServer> listening = new CompletableFuture<>();
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
-                RouterEventLoop loop =
-                        new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
+                RouterEventLoop loop = new RouterEventLoop(vertx, context, log, null, Clock.system());
+                loop.carryOutWith(new LosesActions());
                 ServerClock time = new ServerClock(log, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
