--- /dev/null
+++ b/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
@@ -0,0 +1,234 @@
+package ploverdale.gossip;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static ploverdale.gossip.ServerObservationTest.NOW;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.zip.CRC32C;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
+
+/** The bytes of each kind of datagram, and of a whole recorded exchange. Gateways of different versions read each other. */
+class GossipWireFormatTest {
+    private static final long MS = 10;
+    private static final long NEVER = LoadReport.UNKNOWN_TIME;
+
+    private static Map<Integer, ServerObservation> observations(boolean positionsOnly) {
+        Map<Integer, ServerObservation> all = new LinkedHashMap<>();
+        ServerId primary = new ServerId("primary-1");
+        ServerId replica = new ServerId("replica-2");
+        all.put(
+                positionsOnly ? Datagram.shortNumber(primary) : Datagram.number(primary),
+                new ServerObservation(
+                        Role.PRIMARY,
+                        NOW - 120 * MS,
+                        NOW - 75 * MS,
+                        NOW - 40 * MS,
+                        NOW - 30 * MS,
+                        NOW - 9000 * MS,
+                        NOW - 20_000 * MS,
+                        NEVER));
+        all.put(
+                positionsOnly ? Datagram.shortNumber(replica) : Datagram.number(replica),
+                new ServerObservation(
+                        Role.REPLICA, NOW - 5000 * MS, NEVER, NEVER, NEVER, NOW - 15 * MS, NEVER, NOW - 333 * MS));
+        return all;
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "ASKS, false, b1010014019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff00225ddc7859",
+        "TELLS, false, b1010114019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff002241f5655d",
+        "LEAVES, false, b1010214019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff0022658e4251",
+        "PLACES_UP, true, b1010304019b76daa8009f8f804bc5cb7fff872ab6f1",
+        "PLACES_ON, true, b1010404019b76daa8009f8f804bc5cb7fff52d67ae9",
+        "PLACES, true, b1010504019b76daa8009f8f804bc5cb7fffa0da7717",
+    })
+    void eachKindHasItsBytes(Kind kind, boolean positionsOnly, String expected) {
+        byte[] bytes = new Datagram(kind, NOW, observations(positionsOnly)).bytes();
+        assertThat(HexFormat.of().formatHex(bytes)).isEqualTo(expected);
+        assertThat(Datagram.read(bytes).datagram().kind()).isEqualTo(kind);
+        assertThat(Datagram.read(bytes).datagram().sentAt()).isEqualTo(NOW);
+        assertThat(Datagram.read(bytes).datagram().words().values().stream().map(GossipWireFormatTest::fields))
+                .containsExactlyElementsOf(decoded(kind, positionsOnly));
+    }
+
+    private static List<List<Object>> decoded(Kind kind, boolean positionsOnly) {
+        if (!positionsOnly) {
+            return List.of(
+                    List.of(1, 120L, 75L, 40L, 30L, 9000L, 20_000L, -1L),
+                    List.of(2, 5000L, -1L, -1L, -1L, 20L, -1L, 340L));
+        }
+        return kind == Kind.PLACES_UP
+                ? List.of(List.of(1, 60L, 75L, 60L, 60L, -1L, -1L, -1L), List.of(2, 60L, -1L, -1L, 60L, -1L, -1L, -1L))
+                : List.of(
+                        List.of(1, 75L, 75L, 75L, 75L, -1L, -1L, -1L), List.of(2, 310L, -1L, -1L, 310L, -1L, -1L, -1L));
+    }
+
+    /** The parts of an observation, times as ages in milliseconds; -1 where nothing is known. */
+    private static List<Object> fields(ServerObservation observation) {
+        return List.of(
+                observation.role().ordinal(),
+                ageMs(observation.roleAt()),
+                ageMs(observation.position()),
+                ageMs(observation.positionAt()),
+                ageMs(observation.aliveAt()),
+                ageMs(observation.silentAt()),
+                ageMs(observation.coldSince()),
+                ageMs(observation.drainAt()));
+    }
+
+    private static long ageMs(long time) {
+        return time == NEVER ? -1 : Math.floorDiv(NOW - time, MS);
+    }
+
+    @Test
+    void aRedatedDatagramHasItsBytes() {
+        byte[] bytes = new Datagram(Kind.TELLS, NOW, observations(false)).bytes();
+        assertThat(HexFormat.of().formatHex(Datagram.redated(bytes, -777 * MS)))
+                .isEqualTo(
+                        "b1010114019b76daa4f7ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff0022f95342a5");
+    }
+
+    /** Twenty instances for twenty seconds: lost and late datagrams, role changes, an instance that leaves. */
+    @Test
+    void aRecordedExchangeIsTheSameByteForByte() {
+        Exchange exchange = new Exchange(20);
+        for (int step = 0; step < 1000; step++) {
+            exchange.step(step);
+        }
+        assertThat(exchange.sent).isEqualTo(7526);
+        assertThat(Long.toHexString(exchange.checksum.getValue())).isEqualTo("b82dd758");
+    }
+
+    /** Instances on a network that loses a tenth of all datagrams; its random draws are its own. */
+    private static final class Exchange {
+        private record Delivery(int from, int to, byte[] bytes) {}
+
+        private final List<GossipProtocol> instances = new ArrayList<>();
+        private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
+        private final List<ServerId> servers = new ArrayList<>();
+        private final CRC32C checksum = new CRC32C();
+        private final SplittableRandom random = new SplittableRandom(43);
+        private List<Delivery> underway = new ArrayList<>();
+        private int sent;
+
+        private Exchange(int size) {
+            for (int i = 0; i < 30; i++) {
+                servers.add(new ServerId("server-" + i));
+            }
+            for (int i = 0; i < size; i++) {
+                Map<ServerId, ServerObservation> own = new HashMap<>();
+                known.add(own);
+                GossipProtocol protocol = new GossipProtocol(
+                        i,
+                        size,
+                        900,
+                        500 * MS,
+                        new SplittableRandom(i),
+                        id -> own.getOrDefault(id, ServerObservation.NONE));
+                servers.forEach(protocol::listed);
+                protocol.starts(NOW);
+                instances.add(protocol);
+            }
+        }
+
+        private void step(int step) {
+            long now = NOW + step * 20 * MS;
+            List<Delivery> arriving = underway;
+            underway = new ArrayList<>();
+            for (Delivery delivery : arriving) {
+                if (random.nextInt(10) != 0) {
+                    deliver(now, delivery);
+                }
+            }
+            for (int i = 0; i < instances.size(); i++) {
+                observe(now, i);
+                checksum.update(instances.get(i).wantsToTell(now) ? 1 : 0);
+                send(i, instances.get(i).due(now));
+            }
+            disturb(step, now);
+        }
+
+        private void deliver(long now, Delivery delivery) {
+            GossipProtocol to = instances.get(delivery.to());
+            GossipProtocol.ReceivedGossip received = to.hears(now, delivery.from(), delivery.bytes());
+            Map<ServerId, ServerObservation> own = known.get(delivery.to());
+            received.words().forEach((id, observation) -> {
+                own.merge(id, observation, ServerObservation::join);
+                checksum.update(fields(observation).hashCode());
+                if (random.nextInt(50) == 0) {
+                    to.proved(now, id, random.nextBoolean());
+                }
+            });
+            if (received.line() != null) {
+                checksum.update(received.line().hashCode());
+            }
+            send(delivery.to(), received.letters());
+        }
+
+        private void observe(long now, int instance) {
+            if (random.nextInt(5) != 0) {
+                return;
+            }
+            ServerId id = servers.get(random.nextInt(servers.size()));
+            Role role = random.nextInt(10) == 0 ? Role.PRIMARY : Role.REPLICA;
+            boolean silent = random.nextInt(10) == 0;
+            ServerObservation observation = new ServerObservation(
+                    role,
+                    now,
+                    now - random.nextInt(100) * MS,
+                    now,
+                    silent ? NEVER : now,
+                    silent ? now : NEVER,
+                    random.nextInt(20) == 0 ? now : NEVER,
+                    random.nextInt(20) == 0 ? now : NEVER);
+            known.get(instance).merge(id, observation, ServerObservation::join);
+            instances.get(instance).request();
+            instances.get(instance).learnt(now, id);
+            instances.get(instance).placed(now, id);
+        }
+
+        private void disturb(int step, long now) {
+            if (step % 97 == 0) {
+                byte[] late = new Datagram(Kind.TELLS, now - 3000 * MS, observations(false)).bytes();
+                underway.add(new Delivery(1, 2, late));
+                byte[] ahead = new Datagram(Kind.TELLS, now + 100 * MS, observations(false)).bytes();
+                underway.add(new Delivery(3, 2, ahead));
+                underway.add(new Delivery(4, 2, new byte[random.nextInt(20)]));
+            }
+            if (step == 400) {
+                send(5, instances.get(5).leaves(now));
+            }
+            if (step == 450) {
+                instances.forEach(protocol -> protocol.forget(servers.get(0)));
+            }
+            if (step == 500) {
+                instances.get(6).forgetPositions();
+                send(6, List.of(new OutboundPacket(8, new Datagram(Kind.ASKS, now, Map.of()).bytes())));
+            }
+        }
+
+        private void send(int from, List<OutboundPacket> packets) {
+            for (OutboundPacket packet : packets) {
+                sent++;
+                checksum.update(from);
+                checksum.update(packet.peer());
+                checksum.update(packet.bytes());
+                underway.add(new Delivery(from, packet.peer(), packet.bytes()));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
@@ -0,0 +1,254 @@
+package ploverdale.membership;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.zip.CRC32C;
+import org.junit.jupiter.api.Test;
+
+/** The bytes of each kind of message, and of a whole recorded exchange. Gateways of different versions read each other. */
+class MembershipWireFormatTest {
+    private static final long MS = 10;
+    private static final long STARTED_MS = 1_700_000_000_000L;
+    private static final int ALLOCATION = 0x0BADCAFE;
+    private static final int MEMBERS = 3;
+
+    private long now = 1000 * MS;
+
+    private Node node(int number) {
+        return new Node(number, MEMBERS, STARTED_MS + number, now);
+    }
+
+    /** One member with its queue. */
+    private static final class Node {
+        private final int number;
+        private final Membership membership;
+        private final PacketQueue queue;
+
+        private Node(int number, int members, long startedMs, long now) {
+            this.number = number;
+            membership = new Membership(number, members, startedMs, new SplittableRandom(number));
+            queue = new PacketQueue(100_000, now);
+        }
+
+        private List<PacketQueue.OutboundPacket> tick(long now) {
+            membership.due(now, queue);
+            return flush(now);
+        }
+
+        private List<PacketQueue.OutboundPacket> receive(long now, int from, byte[] bytes) {
+            Packet packet = Packet.read(bytes);
+            if (membership.hears(now, from, packet.incarnation())) {
+                packet.parts().forEach(part -> membership.part(now, from, part, queue));
+            } else {
+                membership.corrects(from, queue);
+            }
+            return flush(now);
+        }
+
+        private List<PacketQueue.OutboundPacket> flush(long now) {
+            return queue.letters(now, membership.incarnation(), ALLOCATION);
+        }
+    }
+
+    private static List<String> hex(List<PacketQueue.OutboundPacket> packets) {
+        return packets.stream()
+                .map(packet -> packet.to() + ":" + HexFormat.of().formatHex(packet.bytes()))
+                .toList();
+    }
+
+    private static byte[] bytes(String hex) {
+        return HexFormat.of().parseHex(hex.substring(hex.indexOf(':') + 1));
+    }
+
+    private static final String PING = "2:b201c5e7f2b400000badcafe01040000000104090000c5e7f2b400000124ef9c7b";
+    private static final String ACK =
+            "0:b201c5e7f2b401000badcafe02040000000104120000c5e7f2b40000010002c5e7f2b4010001812cd78c";
+    private static final String PING_REQUEST = "1:b201c5e7f2b400000badcafe030600000001000229235417";
+    private static final String RELAYED_PING =
+            "2:b201c5e7f2b400800badcafe01040000000104120000c5e7f2b40000010001c5e7f2b4008001c794ff44";
+    private static final String RELAYED_ACK =
+            "0:b201c5e7f2b400800badcafe020400000001041b0000c5e7f2b40000010002c5e7f2b40100010001c5e7f2b4008001be44fa17";
+    private static final String SUSPECT =
+            "2:b201c5e7f2b400000badcafe010400000003041b0002c5e7f2b40100010001c5e7f2b40080020000c5e7f2b40000016db97c97";
+    private static final String DEAD =
+            "2:b201c5e7f2b400000badcafe01040000000804120002c5e7f2b40100040001c5e7f2b40080047994808d";
+    private static final String LEAVING = "0:b201c5e7f2b401000badcafe01040000000104090002c5e7f2b4010003873e7484";
+    private static final String CORRECTION = "1:b201c5e7f2b400000badcafe04090001c5e7f315a800012eb3ba50";
+    private static final String REFUTATION =
+            "0:b201c5e7f315a8800badcafe01040000000104120000c5e7f2b40000010001c5e7f315a88001d0cdcdce";
+
+    /** A packet of a member, by which others know it as alive. */
+    private byte[] firstPacketOf(int number) {
+        return node(number).tick(now).get(0).bytes();
+    }
+
+    @Test
+    void aPingCarriesItsNumberAndUpdates() {
+        assertThat(hex(node(0).tick(now))).containsExactly(PING);
+    }
+
+    @Test
+    void anAckCarriesTheNumberOfThePing() {
+        assertThat(hex(node(2).receive(now, 0, bytes(PING)))).containsExactly(ACK);
+    }
+
+    @Test
+    void aPingRequestCarriesTheNumberOfThePingAndItsTarget() {
+        Node origin = node(0);
+        origin.tick(now);
+        origin.receive(now, 1, firstPacketOf(1));
+        assertThat(hex(origin.tick(now + 160 * MS))).containsExactly(PING_REQUEST);
+    }
+
+    @Test
+    void aPingRequestIsRelayedAsAPingAndItsAckUnderTheNumberOfTheOrigin() {
+        Node relay = node(1);
+        assertThat(hex(relay.receive(now, 0, bytes(PING_REQUEST)))).containsExactly(RELAYED_PING);
+        Node target = node(2);
+        List<PacketQueue.OutboundPacket> ack = target.receive(now, 1, bytes(RELAYED_PING));
+        assertThat(hex(relay.receive(now, 2, ack.get(0).bytes()))).containsExactly(RELAYED_ACK);
+    }
+
+    @Test
+    void updatesCarryMemberIncarnationAndState() {
+        Node observer = node(0);
+        observer.receive(now, 1, firstPacketOf(1));
+        observer.receive(now, 2, firstPacketOf(2));
+        List<String> sent = new ArrayList<>();
+        for (long at = now; at < now + 4000 * MS; at += 20 * MS) {
+            sent.addAll(hex(observer.tick(at)));
+        }
+        assertThat(sent).contains(SUSPECT, DEAD);
+        Node leaving = node(2);
+        leaving.membership.leaves(now);
+        assertThat(hex(leaving.tick(now))).containsExactly(LEAVING);
+    }
+
+    @Test
+    void anEarlierStartIsCorrectedAndRefutes() {
+        Node later = new Node(1, MEMBERS, STARTED_MS + 50_000, now);
+        Node observer = node(0);
+        observer.receive(now, 1, later.tick(now).get(0).bytes());
+        observer.flush(now);
+        assertThat(hex(observer.receive(now, 1, firstPacketOf(1)))).containsExactly(CORRECTION);
+        Node earlier = node(1);
+        earlier.receive(now, 0, bytes(CORRECTION));
+        assertThat(hex(earlier.tick(now))).containsExactly(REFUTATION);
+    }
+
+    @Test
+    void partsOfUnknownKindAndLongerPartsAreReadAsFarAsKnown() {
+        byte[] ping = new byte[] {0, 0, 0, 9, 1, 2, 3};
+        Packet packet = new Packet(
+                STARTED_MS << 7,
+                ALLOCATION,
+                List.of(
+                        new Packet.Part(99, new byte[] {1, 2}),
+                        new Packet.Part(1, ping),
+                        new Packet.Part(1, new byte[3]),
+                        new Packet.Part(2, new byte[3]),
+                        new Packet.Part(3, new byte[1]),
+                        new Packet.Part(4, new byte[8])));
+        assertThat(hex(node(2).receive(now, 0, packet.bytes())))
+                .containsExactly(
+                        "0:b201c5e7f2b401000badcafe02040000000904120000c5e7f2b40000010002c5e7f2b4010001e97f38e4");
+    }
+
+    /** Sixteen members for a minute: lost packets, crashes, restarts, one that leaves. Every byte and change counts. */
+    @Test
+    void aRecordedExchangeIsTheSameByteForByte() {
+        Exchange exchange = new Exchange(16);
+        for (int step = 0; step < 3000; step++) {
+            exchange.step(step);
+        }
+        assertThat(exchange.sent).isEqualTo(7012);
+        assertThat(exchange.changes).isEqualTo(576);
+        assertThat(Long.toHexString(exchange.checksum.getValue())).isEqualTo("39976e6b");
+    }
+
+    /** Members on a network that loses a tenth of all packets; its random draws are its own. */
+    private static final class Exchange {
+        private record Delivery(int from, int to, byte[] bytes) {}
+
+        private final Node[] nodes;
+        private final CRC32C checksum = new CRC32C();
+        private final SplittableRandom random = new SplittableRandom(42);
+        private List<Delivery> underway = new ArrayList<>();
+        private int sent;
+        private int changes;
+
+        private Exchange(int members) {
+            nodes = new Node[members];
+            for (int i = 0; i < members; i++) {
+                start(i, STARTED_MS, 0);
+            }
+        }
+
+        private void start(int number, long startedMs, long now) {
+            nodes[number] = new Node(number, nodes.length, startedMs, now);
+        }
+
+        private void step(int step) {
+            long now = 1000 * MS + step * 20 * MS;
+            disturb(step, now);
+            List<Delivery> arriving = underway;
+            underway = new ArrayList<>();
+            for (Delivery delivery : arriving) {
+                Node to = nodes[delivery.to()];
+                if (to != null && random.nextInt(10) != 0) {
+                    send(to.number, to.receive(now, delivery.from(), delivery.bytes()));
+                }
+            }
+            for (Node node : nodes) {
+                if (node != null) {
+                    send(node.number, node.tick(now));
+                    record(node);
+                }
+            }
+        }
+
+        private void disturb(int step, long now) {
+            if (step == 300) {
+                nodes[3] = null;
+                nodes[4] = null;
+            }
+            if (step == 900) {
+                start(3, STARTED_MS - 5000, now); // by a clock that has stepped back
+            }
+            if (step == 1200) {
+                nodes[7].membership.leaves(now);
+            }
+            if (step == 1300) {
+                nodes[7] = null;
+            }
+            if (step == 2000) {
+                start(4, STARTED_MS + 40_000, now);
+            }
+        }
+
+        private void send(int from, List<PacketQueue.OutboundPacket> packets) {
+            for (PacketQueue.OutboundPacket packet : packets) {
+                sent++;
+                checksum.update(from);
+                checksum.update(packet.to());
+                checksum.update(packet.bytes());
+                underway.add(new Delivery(from, packet.to(), packet.bytes()));
+            }
+        }
+
+        private void record(Node node) {
+            for (Membership.Change change : node.membership.changes()) {
+                changes++;
+                checksum.update(node.number);
+                checksum.update(change.member());
+                checksum.update(change.was().ordinal());
+                checksum.update(change.is().ordinal());
+                checksum.update(Long.hashCode(change.incarnation()));
+            }
+        }
+    }
+}
