--- a/gateway/src/main/java/ploverdale/membership/PacketQueue.java
+++ b/gateway/src/main/java/ploverdale/membership/PacketQueue.java
@@ -7,76 +7,104 @@
 import ploverdale.membership.Packet.Part;
 
 /**
- * Puts the parts for each other gateway into as few parcels as hold them, within a budget of bytes that time fills. What
- * does not fit waits for its next turn or is dropped by whoever made it: parts say by themselves whether they are urgent.
+ * Collects the parts for each other gateway and packs them into as few packets as possible, within a bandwidth that a token
+ * bucket limits. A packet that exceeds the budget is dropped, not queued: each protocol sends again what still matters.
+ *
+ * <p>Not thread-safe: belongs to the event loop. Times in tenths of a millisecond, of a monotonic clock.
  */
 public final class PacketQueue {
-    /** A parcel's bytes for another gateway. */
+    /**
+     * The bytes of a packet for another gateway.
+     *
+     * @param to the number of that gateway
+     */
     public record OutboundPacket(int to, byte[] bytes) {}
 
-    private static final double SAVED_SECONDS = 2;
-    private static final double SECOND = 10_000; // times are tenths of a millisecond
+    private static final double BURST_SECONDS = 2;
+    private static final double SECOND = 10_000;
 
     private final double bytesPerSecond;
-    private final Map<Integer, List<Part>> waiting = new LinkedHashMap<>();
-    private double purse;
-    private long purseAt;
-    private long spent;
-    private long dropped;
+    private final double burstBytes;
+    private final Map<Integer, List<Part>> pending = new LinkedHashMap<>();
+    private double budgetBytes;
+    private long refilledAt;
+    private long bytesSent;
+    private long packetsDropped;
 
-    /** @param bytesPerSecond that may go out, on the average of some seconds */
+    /** @param bytesPerSecond of payload that may be sent, averaged over {@value #BURST_SECONDS} seconds */
     public PacketQueue(double bytesPerSecond, long now) {
         this.bytesPerSecond = bytesPerSecond;
-        purse = bytesPerSecond * SAVED_SECONDS;
-        purseAt = now;
+        burstBytes = bytesPerSecond * BURST_SECONDS;
+        budgetBytes = burstBytes;
+        refilledAt = now;
     }
 
-    /** One more part for this gateway, behind those that wait. */
+    /** Appends a part for a gateway. */
     public void add(int to, Part part) {
-        waiting.computeIfAbsent(to, x -> new ArrayList<>()).add(part);
+        pending.computeIfAbsent(to, key -> new ArrayList<>()).add(part);
     }
 
-    /** What is left now of the bytes that may be saved up, as a share; for what can wait. */
-    public double left(long now) {
-        return Math.min(
-                1, (purse + Math.max(0, now - purseAt) / SECOND * bytesPerSecond) / (bytesPerSecond * SAVED_SECONDS));
+    /** The unused fraction of the largest burst, from 0 to 1, for senders that can wait. */
+    public double budgetFraction(long now) {
+        return Math.min(1, refilled(now) / burstBytes);
     }
 
-    /** What can go now; parts over the budget are dropped, since each is told again when it still matters. */
-    public List<OutboundPacket> letters(long now, long incarnation, int division) {
-        purse = Math.min(bytesPerSecond * SAVED_SECONDS, purse + Math.max(0, now - purseAt) / SECOND * bytesPerSecond);
-        purseAt = Math.max(purseAt, now);
-        List<OutboundPacket> letters = new ArrayList<>();
-        waiting.forEach((to, parts) -> {
-            int from = 0;
-            while (from < parts.size()) {
-                int next = from;
-                int length = 0;
-                while (next < parts.size() && length + parts.get(next).length() <= Packet.ROOM) {
-                    length += parts.get(next++).length();
-                }
-                byte[] bytes = new Packet(incarnation, division, List.copyOf(parts.subList(from, next))).bytes();
-                from = next;
-                if (bytes.length <= purse) {
-                    purse -= bytes.length;
-                    spent += bytes.length;
-                    letters.add(new OutboundPacket(to, bytes));
-                } else {
-                    dropped++;
+    private double refilled(long now) {
+        return budgetBytes + Math.max(0, now - refilledAt) / SECOND * bytesPerSecond;
+    }
+
+    /** Empties the queue and returns the packets that fit the budget, by gateway in the order of their first part. */
+    public List<OutboundPacket> drain(long now, long incarnation, int allocationId) {
+        budgetBytes = Math.min(burstBytes, refilled(now));
+        refilledAt = Math.max(refilledAt, now);
+        List<OutboundPacket> packets = new ArrayList<>();
+        pending.forEach((to, parts) -> {
+            for (List<Part> group : groupByPacket(parts)) {
+                byte[] bytes = PacketCodec.encode(new Packet(incarnation, allocationId, group));
+                if (tryConsume(bytes.length)) {
+                    packets.add(new OutboundPacket(to, bytes));
                 }
             }
         });
-        waiting.clear();
-        return letters;
+        pending.clear();
+        return packets;
+    }
+
+    /** Splits parts, in their order, into lists that fit a packet each. */
+    private static List<List<Part>> groupByPacket(List<Part> parts) {
+        List<List<Part>> groups = new ArrayList<>();
+        List<Part> group = new ArrayList<>();
+        int groupBytes = 0;
+        for (Part part : parts) {
+            if (groupBytes + part.encodedLength() > PacketCodec.MAX_PARTS_BYTES) {
+                groups.add(group);
+                group = new ArrayList<>();
+                groupBytes = 0;
+            }
+            group.add(part);
+            groupBytes += part.encodedLength();
+        }
+        groups.add(group);
+        return groups;
+    }
+
+    private boolean tryConsume(int bytes) {
+        if (bytes > budgetBytes) {
+            packetsDropped++;
+            return false;
+        }
+        budgetBytes -= bytes;
+        bytesSent += bytes;
+        return true;
     }
 
     /** Bytes sent since the start. */
-    public long spent() {
-        return spent;
+    public long bytesSent() {
+        return bytesSent;
     }
 
-    /** Parcels dropped for want of budget since the start. */
-    public long dropped() {
-        return dropped;
+    /** Packets dropped for want of budget since the start. */
+    public long packetsDropped() {
+        return packetsDropped;
     }
 }
--- a/gateway/src/main/java/ploverdale/membership/package-info.java
+++ b/gateway/src/main/java/ploverdale/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns what one gateway knows of the others as processes: who is alive, suspected, leaving, gone and come again under the
- * same name, and the datagrams that carry this and what stands on it. It tells facts and never acts: it must never choose a
- * server, give or take a part of a budget, do I/O, or look at a clock that it was not handed.
+ * Group membership by the SWIM protocol, and the packets that carry it and the protocols that build on it. Owns which
+ * gateways are alive, suspected, leaving or dead, and their incarnations. Must never choose a server, grant quota, do I/O, or
+ * read a clock that it was not handed. All classes belong to the event loop and are not thread-safe.
  */
 package ploverdale.membership;
--- a/gateway/src/main/java/ploverdale/quota/Budgets.java
+++ b/gateway/src/main/java/ploverdale/quota/Budgets.java
@@ -188,7 +188,7 @@
         return mode;
     }
 
-    /** Which start of its name this gateway speaks as from now on, see {@code Membership.start}. */
+    /** Which start of its name this gateway speaks as from now on, see {@code Incarnation.startOf}. */
     public void speaksAs(long start) {
         this.start = start;
     }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -2,13 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
 import ploverdale.gossip.Datagram;
+import ploverdale.membership.Incarnation;
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
+import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Started;
 import ploverdale.model.Quota;
@@ -51,7 +52,7 @@
         membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
         budgets = new Budgets(
                 told.me(),
-                Membership.start(membership.incarnation()),
+                Incarnation.startOf(membership.incarnation()),
                 division,
                 quotaSettings.leaseDurations(),
                 random.split(),
@@ -63,7 +64,7 @@
                 : new Replicas(
                         told.me(),
                         told.gateways(),
-                        Membership.start(membership.incarnation()),
+                        Incarnation.startOf(membership.incarnation()),
                         quotaSettings.keeping(),
                         random.split(),
                         wall);
@@ -87,19 +88,19 @@
     /** Looks round: what is to be told by now. */
     public List<PacketQueue.OutboundPacket> due() {
         long now = clock.getAsLong();
-        membership.due(now, packing);
-        for (Membership.Change c : membership.changes()) {
-            lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", "
-                    + membership.present() + " of " + membership.size() + " present");
+        membership.onTick(now, packing);
+        for (Membership.Change c : membership.drainChanges()) {
+            lines.add("fleet: n" + c.member() + " " + c.current().logName() + ", " + membership.presentCount() + " of "
+                    + membership.size() + " present");
         }
-        budgets.speaksAs(Membership.start(membership.incarnation()));
+        budgets.speaksAs(Incarnation.startOf(membership.incarnation()));
         budgets.due(now, membership::isPresent, packing);
         String line = budgets.line();
         if (line != null && divides()) {
             lines.add(line);
         }
         if (replicas != null) {
-            replicas.speaksAs(Membership.start(membership.incarnation()));
+            replicas.speaksAs(Incarnation.startOf(membership.incarnation()));
             replicas.due(now, membership::isPresent, packing);
         }
         return letters(now);
@@ -109,7 +110,7 @@
         if (replicas != null) {
             lines.addAll(replicas.lines());
         }
-        return packing.letters(now, membership.incarnation(), id);
+        return packing.drain(now, membership.incarnation(), id);
     }
 
     /** Has something asked or told by what is kept; tells what is to be sent for it. */
@@ -121,31 +122,31 @@
 
     /** Reads a datagram and tells what is to be answered; null where it is none of the fleet's. */
     public List<PacketQueue.OutboundPacket> hears(int from, byte[] bytes) {
-        if (!Packet.isOne(bytes)) {
+        if (!PacketCodec.hasMagic(bytes)) {
             return null;
         }
-        Packet p = Packet.read(bytes);
+        Packet p = PacketCodec.decode(bytes);
         long now = clock.getAsLong();
         if (p == null) {
             lines.add("parcels of the fleet not read: of n" + from + ", " + bytes.length + " bytes");
             return List.of();
         }
-        if (!membership.hears(now, from, p.incarnation())) {
-            membership.corrects(from, packing);
+        if (!membership.acceptPacket(now, from, p.incarnation())) {
+            membership.correctStaleSender(from, packing);
             return letters(now);
         }
-        boolean same = p.division() == id;
+        boolean same = p.allocationId() == id;
         for (Packet.Part part : p.parts()) {
-            membership.part(now, from, part, packing);
+            membership.onPart(now, from, part, packing);
             if (same) {
-                budgets.part(now, from, Membership.start(p.incarnation()), part, packing);
+                budgets.part(now, from, Incarnation.startOf(p.incarnation()), part, packing);
                 if (replicas != null) {
-                    replicas.part(now, from, Membership.start(p.incarnation()), part, packing);
+                    replicas.part(now, from, Incarnation.startOf(p.incarnation()), part, packing);
                 }
             }
         }
         if (!same) {
-            lines.add("another division: n" + from + " goes by " + Integer.toHexString(p.division()));
+            lines.add("another division: n" + from + " goes by " + Integer.toHexString(p.allocationId()));
         }
         return letters(now);
     }
@@ -159,7 +160,7 @@
 
     /** This gateway leaves. */
     public void leaves() {
-        membership.leaves(clock.getAsLong());
+        membership.leave(clock.getAsLong());
     }
 
     /** A line of all figures. */
@@ -175,8 +176,8 @@
             refused += f.refused();
         }
         return "budgets: holds " + sums[0] + " parts, " + sums[1] + " borrowed, " + sums[2] + " lent, " + sums[3]
-                + " asked for, " + sums[4] + " in use, " + refused + " refused since the start, " + packing.spent()
-                + " bytes sent, " + packing.dropped() + " parcels dropped, " + membership.present() + " of "
+                + " asked for, " + sums[4] + " in use, " + refused + " refused since the start, " + packing.bytesSent()
+                + " bytes sent, " + packing.packetsDropped() + " parcels dropped, " + membership.presentCount() + " of "
                 + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.figures());
     }
 
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -176,7 +176,7 @@
     }
 
     private void goesOn(long now, long wall, PacketQueue to) {
-        while (with >= 0 && out.size() < STEPS_OUT && !todo.isEmpty() && to.left(now) > PURSE_KEPT) {
+        while (with >= 0 && out.size() < STEPS_OUT && !todo.isEmpty() && to.budgetFraction(now) > PURSE_KEPT) {
             int number = ++numbers;
             Step s = new Step(todo.pollLast(), now); // depth first, so that little is to do at any time
             out.put(number, s);
--- a/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
@@ -35,22 +35,22 @@
         }
 
         private List<PacketQueue.OutboundPacket> tick(long now) {
-            membership.due(now, queue);
+            membership.onTick(now, queue);
             return flush(now);
         }
 
         private List<PacketQueue.OutboundPacket> receive(long now, int from, byte[] bytes) {
-            Packet packet = Packet.read(bytes);
-            if (membership.hears(now, from, packet.incarnation())) {
-                packet.parts().forEach(part -> membership.part(now, from, part, queue));
+            Packet packet = PacketCodec.decode(bytes);
+            if (membership.acceptPacket(now, from, packet.incarnation())) {
+                packet.parts().forEach(part -> membership.onPart(now, from, part, queue));
             } else {
-                membership.corrects(from, queue);
+                membership.correctStaleSender(from, queue);
             }
             return flush(now);
         }
 
         private List<PacketQueue.OutboundPacket> flush(long now) {
-            return queue.letters(now, membership.incarnation(), ALLOCATION);
+            return queue.drain(now, membership.incarnation(), ALLOCATION);
         }
     }
 
@@ -124,7 +124,7 @@
         }
         assertThat(sent).contains(SUSPECT, DEAD);
         Node leaving = node(2);
-        leaving.membership.leaves(now);
+        leaving.membership.leave(now);
         assertThat(hex(leaving.tick(now))).containsExactly(LEAVING);
     }
 
@@ -153,7 +153,7 @@
                         new Packet.Part(2, new byte[3]),
                         new Packet.Part(3, new byte[1]),
                         new Packet.Part(4, new byte[8])));
-        assertThat(hex(node(2).receive(now, 0, packet.bytes())))
+        assertThat(hex(node(2).receive(now, 0, PacketCodec.encode(packet))))
                 .containsExactly(
                         "0:b201c5e7f2b401000badcafe02040000000904120000c5e7f2b40000010002c5e7f2b4010001e97f38e4");
     }
@@ -220,7 +220,7 @@
                 start(3, STARTED_MS - 5000, now); // by a clock that has stepped back
             }
             if (step == 1200) {
-                nodes[7].membership.leaves(now);
+                nodes[7].membership.leave(now);
             }
             if (step == 1300) {
                 nodes[7] = null;
@@ -241,12 +241,12 @@
         }
 
         private void record(Node node) {
-            for (Membership.Change change : node.membership.changes()) {
+            for (Membership.Change change : node.membership.drainChanges()) {
                 changes++;
                 checksum.update(node.number);
                 checksum.update(change.member());
-                checksum.update(change.was().ordinal());
-                checksum.update(change.is().ordinal());
+                checksum.update(change.previous().ordinal());
+                checksum.update(change.current().ordinal());
                 checksum.update(Long.hashCode(change.incarnation()));
             }
         }
--- a/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
+++ b/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
@@ -7,7 +7,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.membership.Membership.MemberState;
 
 /** A process that is started again under its name while its wall clock is behind that of its earlier start. */
 class RestartedMemberTest {
@@ -27,8 +26,8 @@
 
     /** Both do what is due and get each other's packets, as on the wire. */
     private void exchange() {
-        peer.due(now, fromPeer);
-        returner.due(now, fromReturner);
+        peer.onTick(now, fromPeer);
+        returner.onTick(now, fromReturner);
         carry(peer, fromPeer, 0, returner, fromReturner);
         carry(returner, fromReturner, 1, peer, fromPeer);
         carry(peer, fromPeer, 0, returner, fromReturner);
@@ -36,13 +35,13 @@
     }
 
     private void carry(Membership sender, PacketQueue from, int number, Membership receiver, PacketQueue answers) {
-        for (PacketQueue.OutboundPacket letter : from.letters(now, sender.incarnation(), 1)) {
-            Packet p = Packet.read(letter.bytes());
-            if (!receiver.hears(now, number, p.incarnation())) {
-                receiver.corrects(number, answers);
+        for (PacketQueue.OutboundPacket letter : from.drain(now, sender.incarnation(), 1)) {
+            Packet p = PacketCodec.decode(letter.bytes());
+            if (!receiver.acceptPacket(now, number, p.incarnation())) {
+                receiver.correctStaleSender(number, answers);
                 continue;
             }
-            p.parts().forEach(part -> receiver.part(now, number, part, answers));
+            p.parts().forEach(part -> receiver.onPart(now, number, part, answers));
         }
     }
 
@@ -62,12 +61,12 @@
     void itIsTakenInWithinAPeriodAndSpeaksAsAnotherStartThanTheOneBefore(long behindMs) {
         exchangeFor(3 * SECOND);
         long before = returner.incarnation();
-        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
+        assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
         restarts(STARTED_MS - behindMs);
         exchangeFor(SECOND);
-        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
+        assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
         assertThat(returner.incarnation()).isGreaterThan(before);
-        assertThat(Membership.start(returner.incarnation())).isGreaterThan(Membership.start(before));
+        assertThat(Incarnation.startOf(returner.incarnation())).isGreaterThan(Incarnation.startOf(before));
         assertThat(peer.incarnation(1)).isEqualTo(returner.incarnation());
     }
 
@@ -75,12 +74,12 @@
     @ValueSource(longs = {5_000, 3_600_000})
     void itIsTakenInAgainAfterItLeft(long behindMs) {
         exchangeFor(3 * SECOND);
-        returner.leaves(now);
+        returner.leave(now);
         exchangeFor(20 * SECOND);
-        assertThat(peer.standing(1)).isEqualTo(MemberState.LEAVING);
+        assertThat(peer.state(1)).isEqualTo(MemberState.LEAVING);
         restarts(STARTED_MS - behindMs);
         exchangeFor(5 * SECOND);
-        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
+        assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
@@ -89,11 +88,11 @@
         restarts(STARTED_MS + 60_000);
         exchangeFor(3 * SECOND);
         long incarnation = returner.incarnation();
-        assertThat(peer.hears(now, 1, STARTED_MS << 7)).isFalse();
-        peer.corrects(1, fromPeer);
+        assertThat(peer.acceptPacket(now, 1, STARTED_MS << 7)).isFalse();
+        peer.correctStaleSender(1, fromPeer);
         exchangeFor(SECOND);
         assertThat(returner.incarnation()).isEqualTo(incarnation);
-        assertThat(peer.standing(1)).isEqualTo(MemberState.ALIVE);
+        assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
@@ -102,6 +101,6 @@
         restarts(STARTED_MS + 1);
         exchangeFor(SECOND);
         assertThat(returner.incarnation()).isEqualTo((STARTED_MS + 1) << 7);
-        assertThat(List.of(peer.standing(1), returner.standing(0))).containsOnly(MemberState.ALIVE);
+        assertThat(List.of(peer.state(1), returner.state(0))).containsOnly(MemberState.ALIVE);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -3,8 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import ploverdale.membership.Incarnation;
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
+import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 import ploverdale.quota.Budget;
 import ploverdale.quota.Budgets;
@@ -83,7 +85,7 @@
         }
 
         public long bytes() {
-            return bytes + (packing == null ? 0 : packing.spent());
+            return bytes + (packing == null ? 0 : packing.bytesSent());
         }
 
         /** Starts it, with nothing but its name; the clock by which it names its start may have stepped. */
@@ -92,7 +94,7 @@
             membership = new Membership(number, world.division.gateways(), startedMs, random.split());
             budgets = new Budgets(
                     number,
-                    Membership.start(membership.incarnation()),
+                    Incarnation.startOf(membership.incarnation()),
                     world.division,
                     world.leaseDurations,
                     random.split(),
@@ -134,16 +136,15 @@
                 held.add(() -> look(p));
                 return;
             }
-            membership.due(local(), packing);
-            budgets.speaksAs(Membership.start(membership.incarnation()));
+            membership.onTick(local(), packing);
+            budgets.speaksAs(Incarnation.startOf(membership.incarnation()));
             budgets.due(local(), membership::isPresent, packing);
             sends();
             at(now() + (long) (LOOK / rate), () -> look(p));
         }
 
         private void sends() {
-            for (PacketQueue.OutboundPacket l :
-                    packing.letters(local(), membership.incarnation(), world.division.id())) {
+            for (PacketQueue.OutboundPacket l : packing.drain(local(), membership.incarnation(), world.division.id())) {
                 network.send(number, l.to(), l.bytes());
             }
         }
@@ -158,12 +159,12 @@
                 }
                 return;
             }
-            Packet p = Packet.read(bytes);
-            if (p != null && membership.hears(local(), from, p.incarnation())) {
+            Packet p = PacketCodec.decode(bytes);
+            if (p != null && membership.acceptPacket(local(), from, p.incarnation())) {
                 for (Packet.Part part : p.parts()) {
-                    membership.part(local(), from, part, packing);
-                    if (p.division() == world.division.id()) {
-                        budgets.part(local(), from, Membership.start(p.incarnation()), part, packing);
+                    membership.onPart(local(), from, part, packing);
+                    if (p.allocationId() == world.division.id()) {
+                        budgets.part(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
                     }
                 }
                 sends();
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -8,8 +8,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import ploverdale.membership.Incarnation;
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
+import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 import ploverdale.replication.IdempotencyRecord;
 import ploverdale.replication.Replicas;
@@ -82,7 +84,7 @@
         }
 
         public long bytes() {
-            return bytes + (packing == null ? 0 : packing.spent());
+            return bytes + (packing == null ? 0 : packing.bytesSent());
         }
 
         /** Starts it with nothing but its name. */
@@ -92,7 +94,7 @@
             replicas = new Replicas(
                     number,
                     world.gateways,
-                    Membership.start(membership.incarnation()),
+                    Incarnation.startOf(membership.incarnation()),
                     world.keeping,
                     random.split(),
                     this::wall);
@@ -132,15 +134,15 @@
                 held.add(() -> look(p));
                 return;
             }
-            membership.due(local(), packing);
-            replicas.speaksAs(Membership.start(membership.incarnation()));
+            membership.onTick(local(), packing);
+            replicas.speaksAs(Incarnation.startOf(membership.incarnation()));
             replicas.due(local(), membership::isPresent, packing);
             sends();
             at(now() + (long) (LOOK / rate), () -> look(p));
         }
 
         private void sends() {
-            for (PacketQueue.OutboundPacket l : packing.letters(local(), membership.incarnation(), 1)) {
+            for (PacketQueue.OutboundPacket l : packing.drain(local(), membership.incarnation(), 1)) {
                 network.send(number, l.to(), l.bytes());
             }
             for (Done d : replicas.done()) {
@@ -161,11 +163,11 @@
                 }
                 return;
             }
-            Packet p = Packet.read(bytes);
-            if (p != null && membership.hears(local(), from, p.incarnation())) {
+            Packet p = PacketCodec.decode(bytes);
+            if (p != null && membership.acceptPacket(local(), from, p.incarnation())) {
                 for (Packet.Part part : p.parts()) {
-                    membership.part(local(), from, part, packing);
-                    replicas.part(local(), from, Membership.start(p.incarnation()), part, packing);
+                    membership.onPart(local(), from, part, packing);
+                    replicas.part(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
                 }
                 sends();
             }
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import ploverdale.membership.Packet;
+import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
@@ -87,7 +88,7 @@
             int n = choice.endsWith("submit") ? 0 : Integer.parseInt(choice.substring(choice.indexOf(' ') + 1));
             if (choice.startsWith("deliver")) {
                 Message m = onTheWay.remove(n);
-                for (Packet.Part p : Packet.read(m.bytes).parts()) {
+                for (Packet.Part p : PacketCodec.decode(m.bytes).parts()) {
                     gateways[m.to].part(0, m.from, m.start, p, packing[m.to]);
                 }
                 sends(m.to);
@@ -110,7 +111,7 @@
         }
 
         private void sends(int i) {
-            for (PacketQueue.OutboundPacket l : packing[i].letters(0, start[i], 1)) {
+            for (PacketQueue.OutboundPacket l : packing[i].drain(0, start[i], 1)) {
                 onTheWay.add(new Message(i, start[i], l.to(), l.bytes()));
             }
             onTheWay.sort(Comparator.comparingInt((Message m) -> m.from * GATEWAYS + m.to)
--- a/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import ploverdale.membership.Packet;
+import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 import ploverdale.quota.Budget;
 import ploverdale.quota.Budgets;
@@ -84,7 +85,7 @@
         }
 
         private void sends() {
-            for (PacketQueue.OutboundPacket l : packing.letters(local(), start, 1)) {
+            for (PacketQueue.OutboundPacket l : packing.drain(local(), start, 1)) {
                 onTheWay.add(new Message(number, start, l.to(), l.bytes()));
             }
         }
@@ -97,7 +98,7 @@
                 held.add(m);
                 return;
             }
-            for (Packet.Part p : Packet.read(m.bytes).parts()) {
+            for (Packet.Part p : PacketCodec.decode(m.bytes).parts()) {
                 budgets.part(local(), m.from, m.start, p, packing);
             }
             sends();
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ploverdale.membership.Membership.MemberState;
+import ploverdale.membership.MemberState;
 import ploverdale.quota.Budget;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaAllocation;
@@ -223,19 +223,19 @@
         FleetModel m = started(new Settings(d, LEASING, 0.05, 0.05, 0.05, 30 * MS, 2000), 8);
         m.until(30 * SECOND); // each is asked by somebody twice a second; all hear of all a little later
         for (Instance i : m.instances()) {
-            assertThat(i.membership().present()).isGreaterThan(290);
+            assertThat(i.membership().presentCount()).isGreaterThan(290);
         }
         m.instance(17).kill();
         m.until(37 * SECOND); // a round of asking, a few who look for themselves, and the news of it
         long know = m.instances().stream()
-                .filter(i -> i.alive() && i.membership().standing(17) == MemberState.GONE)
+                .filter(i -> i.alive() && i.membership().state(17) == MemberState.DEAD)
                 .count();
         assertThat(know).isGreaterThan(295);
         m.until(60 * SECOND);
         for (int x = 0; x < 300; x++) {
             int of = x;
             long wrong = m.instances().stream()
-                    .filter(i -> i.alive() && i.membership().standing(of) == MemberState.GONE)
+                    .filter(i -> i.alive() && i.membership().state(of) == MemberState.DEAD)
                     .count();
             assertThat(of == 17 || wrong < 3)
                     .as("n%d is taken for dead by %d", of, wrong)
@@ -251,15 +251,15 @@
             m.cut(i / 6, i % 6, i / 6 < 3 != i % 6 < 3);
         }
         m.until(20 * SECOND);
-        assertThat(m.instance(0).membership().standing(5)).isEqualTo(MemberState.GONE);
-        assertThat(m.instance(5).membership().standing(0)).isEqualTo(MemberState.GONE);
+        assertThat(m.instance(0).membership().state(5)).isEqualTo(MemberState.DEAD);
+        assertThat(m.instance(5).membership().state(0)).isEqualTo(MemberState.DEAD);
         for (int i = 0; i < 36; i++) {
             m.cut(i / 6, i % 6, false);
         }
         m.until(30 * SECOND);
-        m.instances().forEach(i -> assertThat(i.membership().present()).isEqualTo(6));
-        m.instances().forEach(i -> i.membership().changes());
+        m.instances().forEach(i -> assertThat(i.membership().presentCount()).isEqualTo(6));
+        m.instances().forEach(i -> i.membership().drainChanges());
         m.until(60 * SECOND);
-        m.instances().forEach(i -> assertThat(i.membership().changes()).isEmpty());
+        m.instances().forEach(i -> assertThat(i.membership().drainChanges()).isEmpty());
     }
 }
