--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -30,6 +30,8 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.server.ConnectFailure;
+import ploverdale.net.server.ServerConnectionPool;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.shutdown.GracefulShutdown;
 
@@ -55,7 +57,7 @@
     private ConfigurationFile file;
     private final RouterEventLoop loop;
     private final ClientConnections clients;
-    private final ServerConnections servers;
+    private final ServerConnectionPool servers;
     private final Discovery discovery;
     private final GossipTransport peers; // null where instances do not talk
     private final MembershipTransport fleet; // null but where a fleet file switches it on
@@ -94,7 +96,7 @@
                         time);
         loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
         clients = new ClientConnections(vertx, log, loop, file.settings(), limits, time);
-        servers = new ServerConnections(vertx, log, file.settings(), limits, this::makeRoom, time);
+        servers = new ServerConnectionPool(vertx, log, file.settings(), limits, this::makeRoom, time);
         peers = file.peerListen() == null ? null : new GossipTransport(vertx, log, loop, file.peers());
         if (peers != null) {
             peers.datedBy(time);
@@ -211,7 +213,7 @@
                 .listen(file.listen().getPort(), file.listen().getAddress().getHostAddress())
                 .recover(e -> {
                     boolean addressAtFault = e instanceof BindException; // taken, not this machine's, or not allowed
-                    if (triesLeft <= 1 || addressAtFault || ConnectionFailure.of(e) != ConnectionFailure.LOCAL) {
+                    if (triesLeft <= 1 || addressAtFault || ConnectFailure.of(e) != ConnectFailure.LOCAL) {
                         return Future.failedFuture(e);
                     }
                     log.often("cannot listen yet", String.valueOf(e.getMessage()));
@@ -374,7 +376,7 @@
                 outcome -> sendEnded(a.request(), number, a.server(), outcome));
     }
 
-    private void sendEnded(RequestId request, int number, ServerId server, ServerConnections.AttemptEnd o) {
+    private void sendEnded(RequestId request, int number, ServerId server, ServerConnectionPool.AttemptEnd o) {
         if (past != null) {
             past.sendEnded(request, o.outcome(), o.row() != null);
         }
--- a/gateway/src/main/java/ploverdale/net/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/net/ServerClock.java
@@ -39,7 +39,7 @@
     }
 
     /** Service time. */
-    long now() {
+    public long now() {
         return clock.now();
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** A position as service time; untold while it cannot be dated. */
-    long position(long wallPosition) {
+    public long position(long wallPosition) {
         return wallPosition == LoadReport.UNKNOWN_TIME || !offset.isKnown()
                 ? LoadReport.UNKNOWN_TIME
                 : offset.toServiceTime(wallPosition);
@@ -97,12 +97,12 @@
     }
 
     /** Whether a position is of the future, and so corrupt. */
-    boolean isAhead(long wallPosition) {
+    public boolean isAhead(long wallPosition) {
         return offset.isAhead(wallPosition, clock.now());
     }
 
     /** A server told a position; see {@link WallClockOffset#heard}. To be called before that position is dated. */
-    void heard(ServerId server, long wallPosition, long writtenAt, boolean present) {
+    public void heard(ServerId server, long wallPosition, long writtenAt, boolean present) {
         if (!offset.heard(server, wallPosition, writtenAt, clock.now(), present)) {
             return;
         }
--- a/gateway/src/main/java/ploverdale/net/ConnectionFailure.java
+++ b/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.server;
 
 import io.netty.channel.ChannelException;
 import java.net.BindException;
@@ -15,7 +15,7 @@
  * behind the text, keeps the original exception as the cause, and throws a {@link ChannelException} where no socket could be
  * made or set up. A text that is not known here, for instance a translated one, counts as {@link #CONNECT_INTERRUPTED}.
  */
-enum ConnectionFailure {
+public enum ConnectFailure {
     /** This machine lacked descriptors, ports, buffers, memory or the permission; says nothing about the server. */
     LOCAL(Outcome.NEVER_SENT, true),
     /** No route from here at this moment: the network's fault, perhaps for longer. */
@@ -40,23 +40,23 @@
     private final Outcome outcome;
     private final boolean transientFailure;
 
-    ConnectionFailure(Outcome outcome, boolean transientFailure) {
+    ConnectFailure(Outcome outcome, boolean transientFailure) {
         this.outcome = outcome;
         this.transientFailure = transientFailure;
     }
 
     /** The outcome of an attempt of which not everything was written. */
-    Outcome outcome() {
+    public Outcome outcome() {
         return outcome;
     }
 
     /** Whether the same call may well succeed a few milliseconds later. */
-    boolean isTransient() {
+    public boolean isTransient() {
         return transientFailure;
     }
 
     /** Classifies what a failed connect, or a failed write, was completed with. */
-    static ConnectionFailure of(Throwable failure) {
+    public static ConnectFailure of(Throwable failure) {
         String text = String.valueOf(failure.getMessage());
         if (failure instanceof ChannelException
                 || failure instanceof BindException
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.server;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -22,6 +22,8 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.NioSockets;
+import ploverdale.net.ServerClock;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
@@ -33,7 +35,7 @@
  * tells how it ended with how far it had come. Must never choose a server, repeat anything, write what no send
  * or probe asked for, or let a late answer reach another op: giving up closes the connection.
  */
-public final class ServerConnections {
+public final class ServerConnectionPool {
     /** How far a send had come. What is not written whole has not run; after that it may have. */
     public enum Reach {
         NO_CONNECTION,
@@ -83,7 +85,7 @@
     private final Set<Connection> idle = new LinkedHashSet<>(); // longest first
     private final IdleConnectionLossRate losses = new IdleConnectionLossRate();
 
-    ServerConnections(
+    public ServerConnectionPool(
             Vertx vertx,
             Log log,
             GatewaySettings settings,
@@ -553,7 +555,7 @@
             socket.write(x.text.bytes(leftMs)).onComplete(r -> {
                 x.reach = r.succeeded() ? Reach.WRITTEN : Reach.NOT_WRITTEN;
                 if (r.failed()) {
-                    lost("not written whole", ConnectionFailure.of(r.cause()).outcome());
+                    lost("not written whole", ConnectFailure.of(r.cause()).outcome());
                 }
             });
         }
@@ -631,8 +633,8 @@
          * moment is tried again first.
          */
         private void connect(Throwable e) {
-            ConnectionFailure failure = ConnectionFailure.of(e);
-            opener.lacksLocally = failure == ConnectionFailure.LOCAL;
+            ConnectFailure failure = ConnectFailure.of(e);
+            opener.lacksLocally = failure == ConnectFailure.LOCAL;
             if (!closed
                     && failure.isTransient()
                     && !opener.over
