--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -30,6 +30,7 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.server.AttemptResult;
 import ploverdale.net.server.ConnectFailure;
 import ploverdale.net.server.ServerConnectionPool;
 import ploverdale.quota.QuotaSettings;
@@ -313,10 +314,10 @@
                 list.entries().stream().map(e -> dated(e.listing())).toList();
         for (ConfigurationFile.Entry e : list.entries()) {
             if (e.address() != null) {
-                servers.reachedAt(e.listing().server(), e.address());
+                servers.setAddress(e.listing().server(), e.address());
             }
             if (e.listing().stage() == Endpoint.EndpointState.GONE) {
-                servers.closeIdle(e.listing().server());
+                servers.closeIdleConnections(e.listing().server());
             }
         }
         loop.tell(new Event.EndpointUpdate(list.whole(), false, endpoints));
@@ -365,7 +366,7 @@
         // An attempt may have waited for its connection: its client may have gone, a position may have aged, or its
         // server may
         // drain by now, with the grace for that long over.
-        servers.send(
+        servers.startAttempt(
                 a.request(),
                 a.server(),
                 left,
@@ -376,23 +377,23 @@
                 outcome -> sendEnded(a.request(), number, a.server(), outcome));
     }
 
-    private void sendEnded(RequestId request, int number, ServerId server, ServerConnectionPool.AttemptEnd o) {
+    private void sendEnded(RequestId request, int number, ServerId server, AttemptResult o) {
         if (past != null) {
             past.sendEnded(request, o.outcome(), o.row() != null);
         }
         if (o.row() != null && past != null) {
-            past.acked(request, o.row(), o.note(), server);
+            past.acked(request, o.row(), o.answerReport(), server);
         } else if (o.row() != null) {
             clients.acked(request, o.row());
         }
         boolean settled = o.row() != null || clients.taken(request) == null; // its answer may still wait for copies
-        loop.tell(
-                new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
+        loop.tell(new Event.AttemptEnded(
+                request, number, server, o.outcome(), o.duration(), settled, o.answerReport(), o.loadReport()));
     }
 
     @Override
     public void cancel(Action.CancelAttempt a) {
-        servers.cancel(a.request());
+        servers.cancelAttempt(a.request());
     }
 
     @Override
@@ -416,16 +417,16 @@
     @Override
     public void probe(Action.CheckHealth a) {
         probesOut++;
-        servers.probe(a.server(), o -> {
+        servers.startHealthCheck(a.server(), o -> {
             probesOut--;
             probesEnded++;
-            loop.tell(new Event.HealthCheckEnded(a.server(), o.outcome(), o.report()));
+            loop.tell(new Event.HealthCheckEnded(a.server(), o.outcome(), o.loadReport()));
         });
     }
 
     @Override
     public void closeIdle(Action.CloseIdleConnections a) {
-        servers.closeIdle(a.server());
+        servers.closeIdleConnections(a.server());
     }
 
     @Override
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/server/AttemptListener.java
@@ -0,0 +1,9 @@
+package ploverdale.net.server;
+
+/** Receives the result of an attempt or a health check, exactly once, on the event loop; possibly before the call that started it returns. */
+@FunctionalInterface
+public interface AttemptListener {
+
+    /** The attempt has ended; its connection is free for other attempts, or closed. */
+    void onAttemptEnded(AttemptResult result);
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/server/AttemptResult.java
@@ -0,0 +1,17 @@
+package ploverdale.net.server;
+
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.LoadReport;
+import ploverdale.net.postgres.ResultRow;
+
+/**
+ * How an attempt or a health check ended.
+ *
+ * @param outcome never null
+ * @param row the answer to a request that succeeded, else null
+ * @param answerReport role and position that the answer carried, or null
+ * @param loadReport the server's load report that came with the answer, or null
+ * @param duration from the start of the attempt, in tenths of a millisecond, rounded up
+ */
+public record AttemptResult(
+        Outcome outcome, ResultRow row, LoadReport answerReport, LoadReport loadReport, long duration) {}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
@@ -0,0 +1,42 @@
+package ploverdale.net.server;
+
+/**
+ * Estimates how often a reused connection turns out to be lost, as a function of how long it was idle before: an exponentially
+ * weighted moving average for each power of two of the idle time. Firewalls and proxies forget connections after an idle time of their
+ * own without telling either end; the estimate finds that time, so that the pool stops reusing such connections. Opens and closes
+ * nothing itself. Used on the event loop only.
+ */
+final class IdleConnectionLossRate {
+    private static final long FIRST_BUCKET_IDLE = 500; // 50 ms in tenths; after shorter idle times nothing is forgotten
+    private static final int BUCKETS = 24; // the last one begins after 58 hours
+    private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
+    private static final double MAX_LOSS_RATE = 0.3; // more than occasional resets cause
+    private static final double DECAY_TIME = 100_000; // 10 s in tenths; afterwards such connections are tried again
+
+    private final double[] lossRates = new double[BUCKETS];
+    private final long[] updatedAt = new long[BUCKETS];
+
+    /** Whether connections that were idle for this long are lost too often to be reused. */
+    boolean isTooHigh(long idleTime, long now) {
+        int bucket = bucket(idleTime);
+        return bucket > 0 && decayed(bucket, now) > MAX_LOSS_RATE;
+    }
+
+    /** Records whether a connection that was reused after this idle time was lost before it answered. */
+    void record(long idleTime, boolean lost, long now) {
+        int bucket = bucket(idleTime);
+        double rate = decayed(bucket, now);
+        double sample = lost ? 1 : 0;
+        lossRates[bucket] = rate + NEWEST_SAMPLE_WEIGHT * (sample - rate);
+        updatedAt[bucket] = now;
+    }
+
+    private double decayed(int bucket, long now) {
+        return lossRates[bucket] * Math.exp(-(now - updatedAt[bucket]) / DECAY_TIME);
+    }
+
+    private static int bucket(long idleTime) {
+        int bucket = Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, idleTime / FIRST_BUCKET_IDLE));
+        return Math.min(bucket, BUCKETS - 1);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/server/PoolContext.java
@@ -0,0 +1,26 @@
+package ploverdale.net.server;
+
+import io.vertx.core.Vertx;
+import ploverdale.log.Log;
+import ploverdale.net.ServerClock;
+import ploverdale.settings.GatewaySettings;
+
+/** What the parts of a {@link ServerConnectionPool} share; nothing in it is null. Used on the event loop only. */
+record PoolContext(Vertx vertx, Log log, GatewaySettings settings, ServerClock clock) {
+    private static final int TENTHS_PER_MS = 10;
+
+    /** Service time, in tenths of a millisecond. */
+    long now() {
+        return clock.now();
+    }
+
+    /** Converts tenths of a millisecond to the milliseconds of a timer, rounded up so that it never fires early. */
+    static long toMsRoundedUp(long tenths) {
+        return (tenths + TENTHS_PER_MS - 1) / TENTHS_PER_MS;
+    }
+
+    /** Converts tenths of a millisecond to milliseconds, rounded towards zero. */
+    static long toMsRoundedDown(long tenths) {
+        return tenths / TENTHS_PER_MS;
+    }
+}
