--- a/gateway/src/main/java/ploverdale/net/ClientListener.java
+++ b/gateway/src/main/java/ploverdale/net/ClientListener.java
@@ -7,6 +7,7 @@
 import java.net.BindException;
 import java.net.InetSocketAddress;
 import ploverdale.log.Log;
+import ploverdale.net.server.ConnectFailure;
 
 /** Opens the socket on which clients connect. Used on the event loop only. */
 final class ClientListener {
@@ -42,7 +43,7 @@
     private Future<NetServer> retry(InetSocketAddress address, int attemptsLeft, Throwable failure) {
         // The address is in use, not this machine's, or not allowed: a retry would not help.
         boolean addressAtFault = failure instanceof BindException;
-        if (attemptsLeft <= 1 || addressAtFault || ConnectionFailure.of(failure) != ConnectionFailure.LOCAL) {
+        if (attemptsLeft <= 1 || addressAtFault || ConnectFailure.of(failure) != ConnectFailure.LOCAL) {
             return Future.failedFuture(failure);
         }
         log.often("cannot listen yet", String.valueOf(failure.getMessage()));
--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -11,6 +11,7 @@
 import ploverdale.net.ConfigurationFile.Entry;
 import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.server.ServerConnectionPool;
 
 /**
  * Turns endpoint lists into events for the router and addresses for the server connections. Converts the start of each server
@@ -18,14 +19,14 @@
  */
 final class EndpointUpdates {
     private final RouterEventLoop loop;
-    private final ServerConnections servers;
+    private final ServerConnectionPool servers;
     private final ServerClock serverClock;
     private final Map<ServerId, StartTime> startTimes = new HashMap<>();
 
     /** When a server last started: in milliseconds of the wall clock, as listed, and as service time. */
     private record StartTime(long wall, long serviceTime) {}
 
-    EndpointUpdates(RouterEventLoop loop, ServerConnections servers, ServerClock serverClock) {
+    EndpointUpdates(RouterEventLoop loop, ServerConnectionPool servers, ServerClock serverClock) {
         this.loop = loop;
         this.servers = servers;
         this.serverClock = serverClock;
@@ -52,10 +53,10 @@
     private void updateConnections(Entry entry) {
         Endpoint endpoint = entry.listing();
         if (entry.address() != null) {
-            servers.reachedAt(endpoint.server(), entry.address());
+            servers.setAddress(endpoint.server(), entry.address());
         }
         if (endpoint.stage() == Endpoint.EndpointState.GONE) {
-            servers.closeIdle(endpoint.server());
+            servers.closeIdleConnections(endpoint.server());
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -15,6 +15,7 @@
 import ploverdale.model.Quota;
 import ploverdale.model.RequestClass;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.server.ServerConnectionPool;
 import ploverdale.net.shutdown.GracefulShutdownRunner;
 import ploverdale.settings.GatewaySettings;
 
@@ -32,7 +33,7 @@
     private final RouterEventLoop loop;
     private final ConnectionLimits<ClientConnections.Session> limits;
     private final ClientConnections clients;
-    private final ServerConnections servers;
+    private final ServerConnectionPool servers;
     private final EndpointUpdates endpoints;
     private final Discovery discovery;
     private final PeerChannel peers;
@@ -56,7 +57,7 @@
         Quota quota = membership.isPresent() ? membership.get().shared() : null;
         loop = new RouterEventLoop(vertx, options.context(), log, quota, clock);
         clients = new ClientConnections(vertx, log, loop, settings, limits, serverClock);
-        servers = new ServerConnections(vertx, log, settings, limits, this::makeRoomForServer, serverClock);
+        servers = new ServerConnectionPool(vertx, log, settings, limits, this::makeRoomForServer, serverClock);
         peers = PeerChannel.create(options, loop, serverClock, membership);
         history = RequestHistory.create(options, loop, clients, serverClock, membership);
         endpoints = new EndpointUpdates(loop, servers, serverClock);
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -7,6 +7,8 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.server.AttemptResult;
+import ploverdale.net.server.ServerConnectionPool;
 
 /**
  * Carries out the router's actions on clients, servers, discovery and peers, and queues their outcomes as events. Never decides
@@ -15,7 +17,7 @@
 final class GatewayActions implements OutboundActionHandler {
     private final RouterEventLoop loop;
     private final ClientConnections clients;
-    private final ServerConnections servers;
+    private final ServerConnectionPool servers;
     private final Discovery discovery;
     private final PeerChannel peers;
     private final RequestHistory history;
@@ -26,7 +28,7 @@
     GatewayActions(
             RouterEventLoop loop,
             ClientConnections clients,
-            ServerConnections servers,
+            ServerConnectionPool servers,
             Discovery discovery,
             PeerChannel peers,
             RequestHistory history,
@@ -63,7 +65,7 @@
         history.onAttempt(request);
         // The process may have been paused since the router read the clock; the time limit counts from then.
         long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
-        servers.send(
+        servers.startAttempt(
                 request,
                 attempt.server(),
                 timeLeft,
@@ -94,20 +96,20 @@
         return serverClock.changes() == clockChanges && serverClock.now() <= attempt.writeBy();
     }
 
-    private void onAttemptEnded(RequestId request, int number, ServerId server, ServerConnections.AttemptEnd end) {
+    private void onAttemptEnded(RequestId request, int number, ServerId server, AttemptResult end) {
         boolean hasRow = end.row() != null;
         history.onAttemptEnded(request, end.outcome(), hasRow);
         if (hasRow) {
-            history.onSuccess(request, end.row(), end.note(), server);
+            history.onSuccess(request, end.row(), end.answerReport(), server);
         }
         boolean settled = hasRow || clients.taken(request) == null; // its answer may still wait to be replicated
         loop.enqueue(new Event.AttemptEnded(
-                request, number, server, end.outcome(), end.took(), settled, end.note(), end.report()));
+                request, number, server, end.outcome(), end.duration(), settled, end.answerReport(), end.loadReport()));
     }
 
     @Override
     public void cancelAttempt(Action.CancelAttempt cancellation) {
-        servers.cancel(cancellation.request());
+        servers.cancelAttempt(cancellation.request());
     }
 
     @Override
@@ -125,18 +127,18 @@
     @Override
     public void checkHealth(Action.CheckHealth check) {
         healthChecksInFlight++;
-        servers.probe(check.server(), end -> onHealthCheckEnded(check.server(), end));
+        servers.startHealthCheck(check.server(), end -> onHealthCheckEnded(check.server(), end));
     }
 
-    private void onHealthCheckEnded(ServerId server, ServerConnections.AttemptEnd end) {
+    private void onHealthCheckEnded(ServerId server, AttemptResult end) {
         healthChecksInFlight--;
         healthChecksEnded++;
-        loop.enqueue(new Event.HealthCheckEnded(server, end.outcome(), end.report()));
+        loop.enqueue(new Event.HealthCheckEnded(server, end.outcome(), end.loadReport()));
     }
 
     @Override
     public void closeIdleConnections(Action.CloseIdleConnections close) {
-        servers.closeIdle(close.server());
+        servers.closeIdleConnections(close.server());
     }
 
     @Override
