--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -10,9 +10,6 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.NioSockets;
 import ploverdale.net.postgres.MessageWriter;
-import ploverdale.net.postgres.ServerMessage;
-import ploverdale.net.postgres.ServerMessageHandler;
-import ploverdale.net.postgres.ServerMessageReader;
 
 /**
  * One connection to a database server, which carries one attempt at a time; {@link ConnectionState} has its states. It closes itself
@@ -20,9 +17,8 @@
  * {@link #abandonAttempt}; the pool closes it while it carries none. Closing is idempotent; closing for any reason of its own completes
  * the attempt. Used on the event loop only.
  */
-final class ServerConnection implements ServerMessageHandler {
+final class ServerConnection implements ServerProtocol.Listener {
     private static final long NEVER_IDLE = -1;
-    private static final String OUT_OF_ORDER = "an answer out of order";
 
     private final PoolContext context;
     private final ServerConnectionPool pool;
@@ -30,12 +26,11 @@
     private final PooledServer server;
     private final InetSocketAddress address;
     private final Attempt opener;
-    private final ServerMessageReader reader = new ServerMessageReader();
+    private final ServerProtocol protocol = new ServerProtocol(this);
     private ConnectionState state = ConnectionState.CONNECTING;
     private long connectTimer;
     private NetSocket socket; // null while connecting
     private Attempt attempt; // null unless it awaits an answer
-    private ServerResponse response = new ServerResponse();
     private long writtenAt;
     private long idleSince = NEVER_IDLE;
     private long idleTimeBeforeAttempt = NEVER_IDLE;
@@ -98,7 +93,7 @@
 
     /** Whether the server rejected the last attempt, perhaps since it has too many connections. */
     boolean wasRejected() {
-        return response.isRejection();
+        return protocol.response().isRejection();
     }
 
     /**
@@ -171,7 +166,7 @@
         }
         state = ConnectionState.AWAITING_ANSWER;
         attempt = next;
-        response = new ServerResponse();
+        protocol.startResponse();
         turnPassedSinceAnswer = false;
         writtenAt = context.now();
         idleTimeBeforeAttempt = idleSince == NEVER_IDLE ? NEVER_IDLE : writtenAt - idleSince;
@@ -202,24 +197,12 @@
     }
 
     private void decode(Buffer bytes) {
-        reader.feed(bytes);
-        ServerMessage message = nextMessage();
-        while (message != null) {
-            message.dispatchTo(this);
-            message = nextMessage();
-        }
-        if (state == ConnectionState.ANSWERED) {
-            onAnswerDecoded();
+        protocol.decode(bytes);
+        if (state != ConnectionState.ANSWERED) {
+            return;
         }
-    }
-
-    private ServerMessage nextMessage() {
-        return state == ConnectionState.CLOSED ? null : reader.next();
-    }
-
-    private void onAnswerDecoded() {
         state = ConnectionState.READY;
-        if (reader.held() > 0) {
+        if (protocol.hasUndecodedBytes()) {
             onOutOfOrder("noise behind an answer");
         } else {
             pool.release(this);
@@ -227,92 +210,34 @@
     }
 
     @Override
-    public void onIgnorable(ServerMessage.Ignorable message) {
-        countAsynchronousMessage();
-    }
-
-    @Override
-    public void onParameterStatus(ServerMessage.ParameterStatus message) {
-        if (countAsynchronousMessage() && !response.accept(message)) {
-            onOutOfOrder(ServerResponse.MAX_PARAMETERS + " values told before an answer");
-        }
-    }
-
-    private boolean countAsynchronousMessage() {
-        boolean accepted = response.acceptAsynchronousMessage();
-        if (!accepted) {
-            onOutOfOrder(ServerResponse.MAX_ASYNCHRONOUS_MESSAGES + " values and notices beside an answer");
-        }
-        return accepted;
-    }
-
-    @Override
-    public void onMalformed(ServerMessage.Malformed message) {
-        onOutOfOrder(message.what());
-    }
-
-    @Override
-    public void onAuthenticationOk(ServerMessage.AuthenticationOk message) {
-        if (state != ConnectionState.HANDSHAKE) {
-            onAnswerPart(false);
-        }
+    public ConnectionState state() {
+        return state;
     }
 
     @Override
-    public void onRowDescription(ServerMessage.RowDescription message) {
-        onAnswerPart(attempt != null && response.accept(message));
-    }
-
-    @Override
-    public void onDataRow(ServerMessage.DataRow message) {
-        onAnswerPart(attempt != null && response.accept(message));
+    public void onHandshakeCompleted() {
+        context.vertx().cancelTimer(connectTimer);
+        state = ConnectionState.ANSWERED;
     }
 
     @Override
-    public void onCommandComplete(ServerMessage.CommandComplete message) {
-        onAnswerPart(attempt != null && response.accept(message));
+    public void onHandshakeRefused(String sqlState) {
+        onLost("refused with " + sqlState, Outcome.CONNECT_FAILED);
     }
 
     @Override
-    public void onErrorResponse(ServerMessage.ErrorResponse message) {
-        if (state == ConnectionState.HANDSHAKE) {
-            onLost("refused with " + message.code(), Outcome.CONNECT_FAILED);
-        } else {
-            onAnswerPart(attempt != null && response.accept(message));
-        }
-    }
-
-    /** Part of an answer has come; one that was not accepted, or that no attempt waits for, must not reach the next attempt. */
-    private void onAnswerPart(boolean accepted) {
-        if (accepted) {
-            return;
-        }
-        if (state == ConnectionState.HANDSHAKE) {
-            onOutOfOrder("an answer before any query");
-        } else {
-            onOutOfOrder(attempt == null ? "an answer without a query" : OUT_OF_ORDER);
-        }
-    }
-
-    @Override
-    public void onReadyForQuery(ServerMessage.ReadyForQuery message) {
-        if (state == ConnectionState.HANDSHAKE) {
-            context.vertx().cancelTimer(connectTimer);
-            state = ConnectionState.ANSWERED;
-        } else if (attempt != null && response.isEnded()) {
-            state = ConnectionState.ANSWERED;
-            completeAttempt();
-            if (!message.idle()) {
-                close();
-            }
-        } else {
-            onAnswerPart(false);
+    public void onAnswerCompleted(boolean idle) {
+        state = ConnectionState.ANSWERED;
+        completeAttempt();
+        if (!idle) {
+            close();
         }
     }
 
     /** The answer is complete: the attempt ends with it. */
     private void completeAttempt() {
         Attempt answered = attempt;
+        ServerResponse response = protocol.response();
         attempt = null;
         if (wasReused()) {
             pool.idleConnections().onReuseSucceeded(idleTimeBeforeAttempt);
@@ -338,8 +263,9 @@
 
     // -- Closing
 
-    /** The server lives and may have run the statement, but nothing that it sends on this connection can be trusted. */
-    private void onOutOfOrder(String reason) {
+    /** The attempt fails, since the server lives and may have run the statement; nothing of the answer is used. */
+    @Override
+    public void onOutOfOrder(String reason) {
         context.log().often("server out of order", server.id().text() + ": " + reason);
         if (attempt == null) {
             onLost(reason, Outcome.CONNECT_INTERRUPTED);
@@ -364,6 +290,7 @@
         }
         DeliveryState delivery = established ? interrupted.deliveryState() : DeliveryState.NO_CONNECTION;
         context.log().often("connection lost", server.id().text() + " " + reason + ", " + delivery);
+        ServerResponse response = protocol.response();
         if (response.isConclusive()) {
             completeAttempt();
             return;
