--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -4,86 +4,123 @@
 import io.vertx.core.Vertx;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.util.List;
 import java.util.concurrent.TimeUnit;
 import ploverdale.log.Log;
+import ploverdale.model.RequestClass;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
 
 /**
- * Owns a rehearsal: a gateway between toy servers and a toy client in one process, at free loopback ports. It shows
- * that the program serves on this machine, and runs what a gateway runs while the build records which classes
- * that needs. Must never be part of a gateway in service.
+ * Runs a gateway between stand-in servers and a stand-in client in one process, on free loopback ports. It shows that the
+ * program serves on this machine, and runs what a gateway runs while the build records which classes that needs. Never part of
+ * a gateway in service. Runs on the event loop.
  */
 public final class Rehearsal {
-    private static final int OPS = 60;
-    private static final int AGAIN_MOST = 100;
-    private static final long AGAIN_MS = 50; // as a client that is told to come back
+    private static final int REQUESTS = 60;
+    private static final int MAX_RETRIES = 100;
+    private static final long RETRY_AFTER_MS = 50;
+    private static final int DISTINCT_KEYS = 7;
+    private static final int VALUE_GROWTH_BYTES = 500; // from one request to the next, to cover large values, too
+    private static final String REJECTED = "53300"; // the SQLSTATE of a rejection
+    private static final InetSocketAddress ANY_LOOPBACK_PORT =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-    private Rehearsal() {}
+    private final Vertx vertx;
+    private final ConfigurationFile configuration;
+    private final DevClient client;
+    private int succeeded;
 
-    /** Plays it; the future holds how many ops were acked, of how many. */
-    public static Future<String> play(Vertx vertx, Log log, ConfigurationFile file) {
-        InetSocketAddress here = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return DevServers.start(vertx, file, true)
-                .compose(toy -> {
-                    ConfigurationFile.ServerList known =
-                            new ConfigurationFile.ServerList(0, true, toy.entries(), java.util.List.of());
-                    return Gateway.builder(
-                                    vertx,
-                                    log,
-                                    new ConfigurationFile(
-                                            file.name(),
-                                            here,
-                                            toy.discovery(),
-                                            file.seed(),
-                                            file.sockets(),
-                                            file.settings(),
-                                            known,
-                                            null,
-                                            java.util.List.of()))
-                            .start();
-                })
-                .compose(g -> DevClient.connect(vertx, new InetSocketAddress(here.getAddress(), g.port())))
-                .compose(c -> c.ask("")
-                        .compose(x -> c.ask("SELECT nothing"))
-                        .compose(x -> requests(vertx, c, file, 0, 0, 0))
-                        .compose(acked -> c.close().map(acked)))
-                .compose(acked -> acked == OPS
-                        ? Future.succeededFuture(acked + " of " + OPS + " ops acked")
-                        : Future.failedFuture("only " + acked + " of " + OPS + " ops acked"));
+    private Rehearsal(Vertx vertx, ConfigurationFile configuration, DevClient client) {
+        this.vertx = vertx;
+        this.configuration = configuration;
+        this.client = client;
     }
 
-    private static Future<Integer> requests(
-            Vertx vertx, DevClient c, ConfigurationFile file, int i, int acked, int again) {
-        if (i == OPS) {
-            return Future.succeededFuture(acked);
+    /**
+     * Runs it. May be called on any thread.
+     *
+     * @return how many requests succeeded, as a sentence; fails unless all did
+     */
+    public static Future<String> play(Vertx vertx, Log log, ConfigurationFile configuration) {
+        return DevServers.start(vertx, configuration, true)
+                .compose(servers -> startGateway(vertx, log, configuration, servers))
+                .compose(gateway -> connect(vertx, gateway))
+                .compose(client -> new Rehearsal(vertx, configuration, client).run())
+                .compose(Rehearsal::result);
+    }
+
+    private static Future<Gateway> startGateway(
+            Vertx vertx, Log log, ConfigurationFile configuration, DevServers servers) {
+        ConfigurationFile.ServerList known = new ConfigurationFile.ServerList(0, true, servers.entries(), List.of());
+        ConfigurationFile rehearsed = new ConfigurationFile(
+                configuration.name(),
+                ANY_LOOPBACK_PORT,
+                servers.discovery(),
+                configuration.seed(),
+                configuration.sockets(),
+                configuration.settings(),
+                known,
+                null,
+                List.of());
+        return Gateway.builder(vertx, log, rehearsed).start();
+    }
+
+    private static Future<DevClient> connect(Vertx vertx, Gateway gateway) {
+        InetSocketAddress address = new InetSocketAddress(ANY_LOOPBACK_PORT.getAddress(), gateway.port());
+        return DevClient.connect(vertx, address);
+    }
+
+    private static Future<String> result(int succeeded) {
+        String counts = succeeded + " of " + REQUESTS + " ops acked";
+        return succeeded == REQUESTS ? Future.succeededFuture(counts) : Future.failedFuture("only " + counts);
+    }
+
+    /** An empty query and one without a comment, then all requests; the future holds how many succeeded. */
+    private Future<Integer> run() {
+        return client.ask("")
+                .compose(ignored -> client.ask("SELECT nothing"))
+                .compose(ignored -> sendFrom(0, 0))
+                .compose(ignored -> client.close())
+                .map(ignored -> succeeded);
+    }
+
+    private Future<Void> sendFrom(int index, int retries) {
+        if (index == REQUESTS) {
+            return Future.succeededFuture();
         }
-        String type = file.settings()
-                .requestClasses()
-                .get(i % file.settings().requestClasses().size());
-        boolean write = file.settings()
-                        .started()
-                        .requestClasses()
-                        .get(i % file.settings().requestClasses().size())
-                        .needs()
-                == ploverdale.model.RequestClass.Consistency.WRITE;
-        String tenant = file.settings().tenants().isEmpty()
-                ? ""
-                : ",t=" + file.settings().tenants().get(0);
-        long group = file.known().entries().get(0).listing().group().number();
-        String comment = " /* id=" + Integer.toHexString(0x1000 + 16 * i + again) + ",c=" + type + tenant
-                + ",d=1000,cluster=" + group + " */";
-        return c.ask(
-                        write
-                                ? "INSERT INTO state (uid, val) VALUES ('k" + i % 7 + "', '\\x"
-                                        + "ab".repeat(1 + i * 500) + "') RETURNING val" + comment
-                                : "SELECT val FROM state WHERE uid = 'k" + i % 7 + "'" + comment)
-                .compose(answer -> {
-                    boolean busy = answer.contains("53300") && again < AGAIN_MOST; // as at the very start
-                    return busy
-                            ? vertx.timer(AGAIN_MS, TimeUnit.MILLISECONDS)
-                                    .compose(x -> requests(vertx, c, file, i, acked, again + 1))
-                            : requests(vertx, c, file, i + 1, acked + (answer.startsWith("row ") ? 1 : 0), 0);
-                });
+        return client.ask(query(index, retries)).compose(answer -> {
+            if (answer.contains(REJECTED) && retries < MAX_RETRIES) { // ordinary right after the start
+                return vertx.timer(RETRY_AFTER_MS, TimeUnit.MILLISECONDS)
+                        .compose(ignored -> sendFrom(index, retries + 1));
+            }
+            if (answer.startsWith("row ")) {
+                succeeded++;
+            }
+            return sendFrom(index + 1, 0);
+        });
+    }
+
+    private String query(int index, int retries) {
+        int classIndex = index % configuration.settings().requestClasses().size();
+        RequestClass requestClass =
+                configuration.settings().started().requestClasses().get(classIndex);
+        String key = "k" + index % DISTINCT_KEYS;
+        if (requestClass.needs() == RequestClass.Consistency.WRITE) {
+            String value = "ab".repeat(1 + index * VALUE_GROWTH_BYTES);
+            return "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x" + value + "') RETURNING val"
+                    + comment(index, retries, classIndex);
+        }
+        return "SELECT val FROM state WHERE uid = '" + key + "'" + comment(index, retries, classIndex);
+    }
+
+    /** The comment that the gateway reads: the request's id, class, tenant, timeout and group. */
+    private String comment(int index, int retries, int classIndex) {
+        String id = Integer.toHexString(0x1000 + 16 * index + retries);
+        String className = configuration.settings().requestClasses().get(classIndex);
+        List<String> tenants = configuration.settings().tenants();
+        String tenant = tenants.isEmpty() ? "" : ",t=" + tenants.get(0);
+        long group = configuration.known().entries().get(0).listing().group().number();
+        return " /* id=" + id + ",c=" + className + tenant + ",d=1000,cluster=" + group + " */";
     }
 }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -63,7 +63,7 @@
         SplittableRandom random = new SplittableRandom(configuration.seed());
         discovery = new Discovery(vertx, log, settings, configuration.discovery(), random, endpoints::onList, clock);
         GatewayActions actions = new GatewayActions(loop, clients, servers, discovery, peers, history, serverClock);
-        loop.carryOutWith(actions);
+        loop.setActionHandler(actions);
         serverClock.whenChanged(this::onClockOffsetChanged);
         startup = new GatewayStartup(options, loop, clients, peers, actions);
         reload = new ConfigurationReload(log, loop, limits, discovery, configuration);
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -54,7 +54,7 @@
     private ActionHandler actionHandler;
 
     /**
-     * A loop that still needs {@link #carryOutWith}.
+     * A loop that still needs {@link #setActionHandler}.
      *
      * @param quota what the router may spend of the limits that belong to all gateways, or null where there are none
      */
@@ -72,7 +72,7 @@
      * Sets who carries out what reaches outside the gateway. To be called once, in the turn of the event loop in which this loop
      * was created: its parts need the loop, and the loop hands no event to the router before its next turn.
      */
-    public void carryOutWith(OutboundActionHandler outbound) {
+    public void setActionHandler(OutboundActionHandler outbound) {
         this.outbound = outbound;
         actionHandler = new LoopActionHandler(vertx, log, clock, outbound, this::enqueue);
     }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -99,7 +99,7 @@
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
                 RouterEventLoop loop = new RouterEventLoop(vertx, context, log, null, Clock.system());
-                loop.carryOutWith(new LosesActions());
+                loop.setActionHandler(new LosesActions());
                 ServerClock time = new ServerClock(log, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
@@ -0,0 +1,66 @@
+package ploverdale.net.eventloop;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+import ploverdale.clock.Clock;
+
+/** How late the event loop is, by a timer of 10 ms; times are tenths of a millisecond. */
+class LoopLagTest {
+    private final ManualClock clock = new ManualClock();
+    private final LoopLag lag = new LoopLag(clock);
+
+    private void tickAt(long time) {
+        clock.now = time;
+        lag.onTick();
+    }
+
+    @Test
+    void aLoopWhoseTimerFiresOnTimeHasNoLag() {
+        tickAt(100);
+        tickAt(200);
+        clock.now = 299;
+        assertThat(lag.lag()).isZero();
+        assertThat(lag.lastInterval()).isEqualTo(100);
+    }
+
+    @Test
+    void threeIntervalsSinceTheTickBeforeTheLastAreTolerated() {
+        tickAt(100);
+        tickAt(200);
+        clock.now = 400;
+        assertThat(lag.lag()).isZero();
+        clock.now = 401;
+        assertThat(lag.lag()).isEqualTo(1);
+    }
+
+    @Test
+    void theLagOfAPauseLastsThroughTheFirstTickAfterIt() {
+        tickAt(100);
+        tickAt(5100);
+        assertThat(lag.lag()).isEqualTo(4700);
+        assertThat(lag.lastInterval()).isEqualTo(5000);
+        tickAt(5200);
+        assertThat(lag.lag()).isZero();
+    }
+
+    /** A clock that stands where the test puts it. */
+    private static final class ManualClock implements Clock {
+        private long now;
+
+        @Override
+        public long now() {
+            return now;
+        }
+
+        @Override
+        public long wallMs() {
+            return now / 10;
+        }
+
+        @Override
+        public long nanos() {
+            return now * 100_000;
+        }
+    }
+}
