--- a/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -7,7 +7,6 @@
 import java.util.Arrays;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeAll;
-import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,7 +16,6 @@
 
 /** A class archive that was cut short under its final name. The commands of {@code build} leave none such. */
 @Timeout(180)
-@Tag("known-red") // listed in KNOWN-RED.txt with its cause
 class CutClassArchiveTest {
     @TempDir
     static Path root;
