--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -21,12 +21,12 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
+import ploverdale.replication.ClaimState;
 import ploverdale.replication.IdempotencyRecord;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
-import ploverdale.replication.WriteOutcome;
 import ploverdale.settings.GatewaySettings;
 
 /**
@@ -273,7 +273,7 @@
                             now,
                             Replicas.key(false, i.asked.request().text()),
                             i.claim,
-                            WriteOutcome.NEVER_RAN,
+                            ClaimState.NEVER_RAN,
                             new byte[0],
                             0,
                             false,
@@ -319,7 +319,7 @@
                             now,
                             Replicas.key(false, request.text()),
                             i.claim,
-                            WriteOutcome.SUCCEEDED,
+                            ClaimState.SUCCEEDED,
                             MessageWriter.resultRow(row).getBytes(),
                             left,
                             i.waits,
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -1,345 +1,258 @@
 package ploverdale.replication;
 
-import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Deque;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import ploverdale.membership.Packet.Part;
-import ploverdale.membership.PacketQueue;
+import ploverdale.replication.ReplicationMessage.DigestRequest;
+import ploverdale.replication.ReplicationMessage.DigestResponse;
+import ploverdale.replication.ReplicationMessage.EntriesRequest;
+import ploverdale.replication.ReplicationMessage.EntriesResponse;
+import ploverdale.replication.ReplicationMessage.KeyedEntry;
 
 /**
- * Makes copies equal: walks with one other gateway at a time over the ranges of keys that both keep, compares digests, goes
- * into those that differ, and takes the facts of the ranges where they still do. After a start it walks with all others;
- * then with one now and then. Each step is small, asked for by the one that lacks the facts, and asked again when lost; a walk
- * whose other end started anew begins again. Digests are salted by walk, so that two that match by accident do not the next
- * time. Times in tenths of a millisecond, of a clock that never steps.
+ * Pulls the entries that this gateway lacks from its peers (pull anti-entropy, Demers et al., 1987), in rounds with one peer
+ * at a time. A round descends the tree of {@link KeySpaceNode}s that differ and fetches the entries of the leaves. After a
+ * start there is a round with each peer, then one every second with the next peer in turn. Requests are repeated until
+ * answered; a round with a peer that restarted meanwhile begins anew.
+ *
+ * <pre>
+ * state        event                                       next state   action
+ * IDLE         tick, a round is due and a peer alive       CONTACTING   choose a peer, draw a salt, begin at the root
+ * CONTACTING   response of the peer                        EXCHANGING   remember its incarnation, handle the response
+ * EXCHANGING   response of the same incarnation            EXCHANGING   handle the response, send further requests
+ * EXCHANGING   response of another incarnation             CONTACTING   draw a salt, begin at the root again
+ * EXCHANGING   no node left and none in flight             IDLE         mark the peer as synchronized
+ * any but IDLE tick, the peer is dead or silent for 3 s    IDLE         drop what is left of the round
+ * </pre>
+ *
+ * <p>Times in tenths of a millisecond, of a monotonic clock unless they are said to be Unix times. Not thread-safe, used on
+ * the thread of {@link Replicas}.
  */
 final class AntiEntropy {
-    static final int COMPARES = 38;
-    static final int DIFFERS = 39;
-    static final int FETCHES = 40;
-    static final int ENTRIES = 41;
+    /** Where a round stands. */
+    private enum State {
+        /** No round. */
+        IDLE,
+        /** Requests were sent; the peer's incarnation is not known yet. */
+        CONTACTING,
+        /** The peer has answered. */
+        EXCHANGING
+    }
 
     private static final long MS = 10;
-    private static final long EVERY = 1000 * MS; // a walk, once all were walked with
-    private static final long ASK_AGAIN = 150 * MS;
-    private static final long GIVES_UP = 3000 * MS; // with one that answers nothing; others are waiting
-    private static final int FANOUT = 16;
-    private static final int LEAF = 3; // level at which a node is one range of keys
-    private static final int COMPARE_HEAD = 19;
-    private static final int STEPS_OUT = 4;
-    private static final int LARGE =
-            20_000; // facts; with more the walk begins at the sixteenths, whose digests are quick
-    private static final long ENDING = 1000 * MS; // facts that end within this are left out: they end a little apart
-    private static final int PART_MOST = 220;
-    private static final double PURSE_KEPT = 0.5; // of the budget of bytes, for words that ops wait for
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long ROUND_INTERVAL = 1000 * MS;
+    private static final long RETRY_AFTER = 150 * MS;
+    private static final long PEER_TIMEOUT = 3000 * MS; // other peers are waiting for their round
+    private static final int MAX_IN_FLIGHT = 4;
+    /** Entries from which on a round begins below the root, whose digests would take long to compute at once. */
+    private static final int LARGE_STORE = 20_000;
+    /** Entries that expire within this are left out, since gateways remove them at slightly different times. */
+    private static final long EXPIRY_MARGIN = 1000 * MS;
+    /** Share of the budget of bytes that is left to messages that requests of clients wait for. */
+    private static final double RESERVED_BUDGET = 0.5;
 
-    /** A node of the tree of ranges: level 0 is all; a leaf is taken from after this key. */
-    private record Node(int level, int index, Long after) {}
+    private static final int NO_PEER = -1;
 
-    private static final class Step {
-        private final Node node;
-        private long at;
+    /**
+     * A node that is still to be compared, or a leaf whose entries are still to be fetched.
+     *
+     * @param afterKey of a leaf, the last key fetched, or null
+     */
+    private record Task(KeySpaceNode node, Long afterKey) {}
 
-        private Step(Node node, long at) {
-            this.node = node;
-            this.at = at;
-        }
-    }
+    /** A request in flight, by its task and when it was sent last. */
+    private record InFlight(Task task, long sentAt) {}
 
-    private final int me;
     private final EntryStore store;
-    private final ReplicaPlacement keepers;
+    private final KeySpaceDigests digests;
+    private final SynchronizedPeers peers;
     private final RandomGenerator random;
-    private final long[]
-            blanks; // by gateway: what it could not vouch for when last walked with; NEVER walked: no end to it
-    private final List<Integer> first = new ArrayList<>(); // to walk with since the start
-    private final Deque<Node> todo = new ArrayDeque<>();
-    private final Map<Integer, Step> out = new LinkedHashMap<>();
-    private int with = -1;
-    private long itsStart;
-    private long blank;
-    private long salt;
-    private long heardAt;
-    private long nextAt;
-    private int turn;
-    private int numbers;
-    private long taken;
-    private String line;
+    private final Consumer<String> log;
 
-    AntiEntropy(int me, int gateways, EntryStore store, ReplicaPlacement keepers, RandomGenerator random) {
-        this.me = me;
+    private State state = State.IDLE;
+    private int peer = NO_PEER;
+    private long peerIncarnation;
+    private long peerMissingUntil;
+    private int salt;
+    private long lastResponseAt;
+    private long nextRoundAt;
+    private final Deque<Task> tasks = new ArrayDeque<>();
+    private final Map<Integer, InFlight> inFlight = new LinkedHashMap<>(); // by number, oldest first
+    private int lastNumber;
+    private long received;
+
+    /**
+     * @param random chooses peers and salts
+     * @param log takes lines for the log
+     */
+    AntiEntropy(
+            EntryStore store,
+            KeySpaceDigests digests,
+            SynchronizedPeers peers,
+            RandomGenerator random,
+            Consumer<String> log) {
         this.store = store;
-        this.keepers = keepers;
+        this.digests = digests;
+        this.peers = peers;
         this.random = random;
-        blanks = new long[gateways];
-        Arrays.fill(blanks, NEVER);
-        blanks[me] = Long.MIN_VALUE / 2;
-        for (int i = 0; i < gateways; i++) {
-            if (i != me) {
-                first.add(i);
-            }
-        }
+        this.log = log;
     }
 
-    /** Up to when the other could not vouch for what it holds, when walked with last; the end of time: never walked with. */
-    long blankOf(int gateway) {
-        return blanks[gateway];
+    /** The time at which entries must not be expired to take part in a comparison, a Unix time. */
+    static long unexpiredAt(Turn turn) {
+        return turn.unixTime() + EXPIRY_MARGIN;
     }
 
-    /** The same for the worst of all. */
-    long blankOfAll() {
-        return Arrays.stream(blanks).max().orElse(NEVER);
+    /** Entries received since the start that changed this gateway's store. */
+    long received() {
+        return received;
     }
 
-    /** Facts that others' copies brought since the start. */
-    long taken() {
-        return taken;
+    /** Begins, continues or gives up a round. */
+    void onTick(Turn turn, IntPredicate isAlive) {
+        if (state != State.IDLE && (!isAlive.test(peer) || isSilent(turn))) {
+            endRound(turn);
+        }
+        if (state == State.IDLE) {
+            beginRound(turn, isAlive);
+        }
+        if (state == State.IDLE) {
+            return;
+        }
+        retryOverdue(turn);
+        continueRound(turn);
     }
 
-    /** A line for the log, once, or null. */
-    String line() {
-        String l = line;
-        line = null;
-        return l;
+    private boolean isSilent(Turn turn) {
+        return turn.now() - lastResponseAt > PEER_TIMEOUT;
     }
 
-    void due(long now, long wall, IntPredicate present, PacketQueue to) {
-        if (with >= 0 && (!present.test(with) || now - heardAt > GIVES_UP)) {
-            ends(now);
+    private void beginRound(Turn turn, IntPredicate isAlive) {
+        List<Integer> candidates = peers.unsynchronized(isAlive);
+        if (candidates.isEmpty() && turn.now() >= nextRoundAt) {
+            candidates = peers.nextInTurn(isAlive);
         }
-        if (with < 0) {
-            begins(now, present);
-        }
-        if (with < 0) {
+        if (candidates.isEmpty()) {
             return;
         }
-        for (Map.Entry<Integer, Step> e : out.entrySet()) {
-            if (now - e.getValue().at >= ASK_AGAIN) {
-                e.getValue().at = now;
-                asks(wall, e.getKey(), e.getValue().node, to);
-            }
-        }
-        goesOn(now, wall, to);
+        peer = candidates.get(random.nextInt(candidates.size()));
+        lastResponseAt = turn.now();
+        beginAtRoot();
     }
 
-    /** With one that was not walked with since the start, if any is there; else with any, now and then. */
-    private void begins(long now, IntPredicate present) {
-        List<Integer> may = new ArrayList<>();
-        for (int i : first) {
-            if (present.test(i)) {
-                may.add(i);
-            }
-        }
-        for (int i = 0; may.isEmpty() && now >= nextAt && i < blanks.length; i++) {
-            int other = (i + turn) % blanks.length;
-            if (other != me && present.test(other)) {
-                may.add(other);
-                turn = other + 1;
-            }
+    private void beginAtRoot() {
+        state = State.CONTACTING;
+        peerMissingUntil = EntryStore.NOTHING_MISSING;
+        salt = random.nextInt();
+        tasks.clear();
+        inFlight.clear();
+        if (store.size() < LARGE_STORE) {
+            tasks.add(new Task(KeySpaceNode.ROOT, null));
+            return;
         }
-        if (!may.isEmpty()) {
-            with = may.get(random.nextInt(may.size()));
-            heardAt = now;
-            begins();
+        for (int child = 0; child < KeySpaceNode.CHILDREN; child++) {
+            tasks.add(new Task(KeySpaceNode.ROOT.child(child), null));
         }
     }
 
-    private void begins() {
-        itsStart = 0;
-        blank = Long.MIN_VALUE / 2;
-        salt = random.nextInt();
-        todo.clear();
-        out.clear();
-        if (store.size() < LARGE) {
-            todo.add(new Node(0, 0, null));
-        } else {
-            for (int i = 0; i < FANOUT; i++) {
-                todo.add(new Node(1, i, null));
+    private void endRound(Turn turn) {
+        state = State.IDLE;
+        peer = NO_PEER;
+        tasks.clear();
+        inFlight.clear();
+        nextRoundAt = turn.now() + ROUND_INTERVAL;
+    }
+
+    private void retryOverdue(Turn turn) {
+        for (Map.Entry<Integer, InFlight> entry : inFlight.entrySet()) {
+            InFlight request = entry.getValue();
+            if (turn.now() - request.sentAt >= RETRY_AFTER) {
+                entry.setValue(new InFlight(request.task, turn.now()));
+                send(turn, entry.getKey(), request.task);
             }
         }
     }
 
-    /** The walk is over, or is tried again later. */
-    private void ends(long now) {
-        with = -1;
-        todo.clear();
-        out.clear();
-        nextAt = now + EVERY;
+    /** Sends further requests within the bounds, or completes the round. */
+    private void continueRound(Turn turn) {
+        while (inFlight.size() < MAX_IN_FLIGHT && !tasks.isEmpty() && turn.budgetLeft() > RESERVED_BUDGET) {
+            int number = ++lastNumber;
+            Task task = tasks.pollLast(); // depth first, so that few tasks are open at any time
+            inFlight.put(number, new InFlight(task, turn.now()));
+            send(turn, number, task);
+        }
+        if (inFlight.isEmpty() && tasks.isEmpty()) {
+            completeRound(turn);
+        }
     }
 
-    private void goesOn(long now, long wall, PacketQueue to) {
-        while (with >= 0 && out.size() < STEPS_OUT && !todo.isEmpty() && to.left(now) > PURSE_KEPT) {
-            int number = ++numbers;
-            Step s = new Step(todo.pollLast(), now); // depth first, so that little is to do at any time
-            out.put(number, s);
-            asks(wall, number, s.node, to);
-        }
-        if (with >= 0 && out.isEmpty() && todo.isEmpty()) {
-            blanks[with] = blank;
-            if (first.remove((Integer) with) && first.isEmpty()) {
-                line = "replicas: caught up with all others, " + store.size() + " facts held, " + taken
-                        + " of them from others";
-            }
-            ends(now);
+    private void completeRound(Turn turn) {
+        if (peers.markSynchronized(peer, peerMissingUntil)) {
+            log.accept("replicas: caught up with all others, " + store.size() + " facts held, " + received
+                    + " of them from others");
         }
+        endRound(turn);
     }
 
-    private void asks(long wall, int number, Node n, PacketQueue to) {
-        if (n.level == LEAF) {
-            to.add(
-                    with,
-                    new Part(
-                            FETCHES,
-                            ByteBuffer.allocate(15)
-                                    .putInt(number)
-                                    .putShort((short) n.index)
-                                    .put((byte) (n.after == null ? 0 : 1))
-                                    .putLong(n.after == null ? 0 : n.after)
-                                    .array()));
-        } else {
-            ByteBuffer b = ByteBuffer.allocate(COMPARE_HEAD + 8 * FANOUT)
-                    .putInt(number)
-                    .put((byte) n.level)
-                    .putShort((short) n.index)
-                    .putInt((int) salt)
-                    .putLong(wall + ENDING);
-            for (long d : digests(n.level, n.index, with, (int) salt, wall + ENDING)) {
-                b.putLong(d);
-            }
-            to.add(with, new Part(COMPARES, b.array()));
+    private void send(Turn turn, int number, Task task) {
+        KeySpaceNode node = task.node;
+        if (node.isLeaf()) {
+            turn.send(peer, new EntriesRequest(number, node.index(), task.afterKey));
+            return;
         }
+        long unexpiredAt = unexpiredAt(turn);
+        long[] own = digests.ofChildren(node, peer, salt, unexpiredAt);
+        turn.send(peer, new DigestRequest(number, node, salt, unexpiredAt, own));
     }
 
-    /** Digests of a node's children, of what the other and this gateway both keep. */
-    private long[] digests(int level, int index, int other, int itsSalt, long until) {
-        int span = EntryStore.BUCKETS >> 4 * (level + 1);
-        long[] all = new long[FANOUT];
-        for (int c = 0; c < FANOUT; c++) {
-            int from = (index * FANOUT + c) * span;
-            all[c] = store.digest(from, from + span, keepers, me, other, VersionedEntry.mix(itsSalt), until);
+    /** Descends into the children that differ. */
+    void onDigestResponse(Turn turn, int from, long incarnation, DigestResponse response) {
+        Task task = takeAnswered(turn, from, incarnation, response.number());
+        if (task == null || task.node.isLeaf()) {
+            return;
         }
-        return all;
+        peerMissingUntil = Math.max(peerMissingUntil, response.missingUntil());
+        response.differing().stream().forEach(child -> tasks.add(new Task(task.node.child(child), null)));
+        continueRound(turn);
     }
 
-    /** A part that has come; the start that an answer was for has been looked at. */
-    void part(
-            long now,
-            long wall,
-            int from,
-            long start,
-            int kind,
-            ByteBuffer b,
-            long askersStart,
-            long ownBlank,
-            PacketQueue to) {
-        switch (kind) {
-            case COMPARES -> {
-                if (b.remaining() >= COMPARE_HEAD + 8 * FANOUT) {
-                    int number = b.getInt();
-                    int level = b.get();
-                    int index = b.getShort() & 0xFFFF;
-                    int itsSalt = b.getInt();
-                    long until = b.getLong(); // the asker's, so that both look at the same facts
-                    if (level >= 0 && level < LEAF && index < 1 << 4 * level) {
-                        int differ = 0;
-                        long[] own = digests(level, index, from, itsSalt, until);
-                        for (int c = 0; c < FANOUT; c++) {
-                            differ |= own[c] != b.getLong() ? 1 << c : 0;
-                        }
-                        to.add(
-                                from,
-                                new Part(
-                                        DIFFERS,
-                                        ByteBuffer.allocate(22)
-                                                .putLong(askersStart)
-                                                .putInt(number)
-                                                .putShort((short) differ)
-                                                .putLong(ownBlank)
-                                                .array()));
-                    }
-                }
-            }
-            case FETCHES -> {
-                if (b.remaining() >= 15) {
-                    tells(wall, from, askersStart, b.getInt(), b.getShort() & 0xFFFF, b.get() != 0, b.getLong(), to);
-                }
-            }
-            case DIFFERS -> {
-                Step s = b.remaining() >= 14 ? answered(now, from, start, b.getInt()) : null;
-                if (s != null && s.node.level < LEAF) {
-                    int differ = b.getShort() & 0xFFFF;
-                    blank = Math.max(blank, b.getLong());
-                    for (int c = 0; c < FANOUT; c++) {
-                        if ((differ >> c & 1) != 0) {
-                            todo.add(new Node(s.node.level + 1, s.node.index * FANOUT + c, null));
-                        }
-                    }
-                    goesOn(now, wall, to);
-                }
-            }
-            case ENTRIES -> {
-                Step s = b.remaining() >= 5 ? answered(now, from, start, b.getInt()) : null;
-                if (s != null && s.node.level == LEAF) {
-                    boolean more = b.get() != 0;
-                    Long last = null;
-                    while (b.remaining() > 8) {
-                        long key = b.getLong();
-                        VersionedEntry fact = VersionedEntry.read(b);
-                        if (fact == null) {
-                            break; // of a later version, perhaps; what follows cannot be told apart
-                        }
-                        last = key;
-                        taken += store.join(wall, key, fact) ? 1 : 0;
-                    }
-                    if (more && last != null) {
-                        todo.add(new Node(LEAF, s.node.index, last));
-                    }
-                    goesOn(now, wall, to);
-                }
+    /** Merges the entries received. */
+    void onEntriesResponse(Turn turn, int from, long incarnation, EntriesResponse response) {
+        Task task = takeAnswered(turn, from, incarnation, response.number());
+        if (task == null || !task.node.isLeaf()) {
+            return;
+        }
+        List<KeyedEntry> entries = response.entries();
+        for (KeyedEntry keyed : entries) {
+            if (store.merge(turn.unixTime(), keyed.key(), keyed.entry())) {
+                received++;
             }
-            default -> {}
         }
+        if (response.more() && !entries.isEmpty()) {
+            long lastKey = entries.get(entries.size() - 1).key();
+            tasks.add(new Task(task.node, lastKey));
+        }
+        continueRound(turn);
     }
 
-    /** The step that an answer is for; null where it is none of this walk, whose other end may have started anew. */
-    private Step answered(long now, int from, long start, int number) {
-        if (from != with) {
+    /** The task that a response belongs to; null where it belongs to none of this round. */
+    private Task takeAnswered(Turn turn, int from, long incarnation, int number) {
+        if (state == State.IDLE || from != peer) {
             return null;
         }
-        if (itsStart != 0 && start != itsStart) {
-            begins();
+        if (state == State.EXCHANGING && incarnation != peerIncarnation) {
+            beginAtRoot();
             return null;
         }
-        itsStart = start;
-        heardAt = now;
-        return out.remove(number);
-    }
-
-    private void tells(
-            long wall, int to, long askersStart, int number, int bucket, boolean after, long key, PacketQueue out) {
-        if (bucket >= EntryStore.BUCKETS) {
-            return;
-        }
-        ByteBuffer b = ByteBuffer.allocate(PART_MOST + VersionedEntry.MOST + 8);
-        b.putLong(askersStart).putInt(number).put((byte) 0);
-        boolean[] more = {false};
-        store.each(bucket, after ? key : null, keepers, me, to, wall + ENDING, (k, fact) -> {
-            if (more[0] || b.position() > 13 && b.position() + 8 + fact.length() > PART_MOST) {
-                more[0] = true;
-            } else {
-                b.putLong(k);
-                fact.write(b);
-            }
-        });
-        b.put(12, (byte) (more[0] ? 1 : 0));
-        out.add(to, new Part(ENTRIES, Arrays.copyOf(b.array(), b.position())));
+        state = State.EXCHANGING;
+        peerIncarnation = incarnation;
+        lastResponseAt = turn.now();
+        InFlight answered = inFlight.remove(number);
+        return answered == null ? null : answered.task;
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
@@ -0,0 +1,66 @@
+package ploverdale.replication;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import ploverdale.replication.EntryStore.SharedEntries;
+import ploverdale.replication.ReplicationMessage.DigestRequest;
+import ploverdale.replication.ReplicationMessage.DigestResponse;
+import ploverdale.replication.ReplicationMessage.EntriesRequest;
+import ploverdale.replication.ReplicationMessage.EntriesResponse;
+import ploverdale.replication.ReplicationMessage.KeyedEntry;
+
+/**
+ * Answers the requests of peers whose {@link AntiEntropy} compares its entries with those of this gateway. Without state of
+ * its own, since a request holds all that its response depends on. Not thread-safe, used on the thread of {@link Replicas}.
+ */
+final class AntiEntropyResponder {
+    private static final int MAX_RESPONSE_BYTES = 220; // several responses may follow, each within one packet
+    private static final int RESPONSE_HEAD_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
+
+    private final int self;
+    private final EntryStore store;
+    private final KeySpaceDigests digests;
+
+    AntiEntropyResponder(int self, EntryStore store, KeySpaceDigests digests) {
+        this.self = self;
+        this.store = store;
+        this.digests = digests;
+    }
+
+    /** @param missingUntil up to when entries may be missing here, see {@link CompletenessBound#ofAll} */
+    DigestResponse answer(int peer, long peerIncarnation, DigestRequest request, long missingUntil) {
+        // The requester's time decides which entries count, so that both sides leave out the same expired ones.
+        long[] own = digests.ofChildren(request.node(), peer, request.salt(), request.unexpiredAt());
+        BitSet differing = new BitSet(KeySpaceNode.CHILDREN);
+        for (int child = 0; child < own.length; child++) {
+            differing.set(child, own[child] != request.digests()[child]);
+        }
+        return new DigestResponse(peerIncarnation, request.number(), differing, missingUntil);
+    }
+
+    /** @param unexpiredAt time at which entries must not be expired to be included */
+    EntriesResponse answer(int peer, long peerIncarnation, EntriesRequest request, long unexpiredAt) {
+        Page page = new Page();
+        SharedEntries selection = new SharedEntries(self, peer, unexpiredAt);
+        store.forEach(request.range(), request.afterKey(), selection, page::add);
+        return new EntriesResponse(peerIncarnation, request.number(), page.isFull, page.entries);
+    }
+
+    /** The entries of one response: at least one, and as many as fit. */
+    private static final class Page {
+        private final List<KeyedEntry> entries = new ArrayList<>();
+        private int bytes = RESPONSE_HEAD_BYTES;
+        private boolean isFull;
+
+        private void add(long key, VersionedEntry entry) {
+            int added = Long.BYTES + entry.encodedLength();
+            if (isFull || !entries.isEmpty() && bytes + added > MAX_RESPONSE_BYTES) {
+                isFull = true;
+                return;
+            }
+            entries.add(new KeyedEntry(key, entry));
+            bytes += added;
+        }
+    }
+}
--- a/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
@@ -3,73 +3,72 @@
 import java.util.function.LongSupplier;
 
 /**
- * Up to when facts may be missing here: those of before this process started that anti-entropy has not brought back,
- * and those that were evicted. A fact later than the bound would be here if it was ever copied here; of an earlier
- * one, its absence proves nothing. All times are Unix times in tenths of a millisecond. Not thread-safe, used on the
+ * The time up to which entries may be missing at this gateway: those of before its start that anti-entropy has not brought
+ * back, and those that were evicted. An entry later than the bound would be here if it had ever been replicated here; of an
+ * earlier one, absence proves nothing. Times are Unix times in tenths of a millisecond. Not thread-safe, used on the
  * thread of {@link Replicas}.
  */
 final class CompletenessBound {
-    private static final long NOTHING_MISSING = Long.MIN_VALUE / 2;
-
-    private final ReplicationSettings keeping;
-    private final LongSupplier wall;
+    private final ReplicationSettings settings;
+    private final LongSupplier unixClock;
     private final ReplicaPlacement placement;
     private final EntryStore store;
-    private final AntiEntropy catchUp;
+    private final SynchronizedPeers peers;
     private long startedAt;
 
-    /** @param startedAt what was copied to this gateway's name before it is lost */
+    /** @param startedAt until when what was replicated to this gateway counts as lost */
     CompletenessBound(
-            ReplicationSettings keeping,
-            LongSupplier wall,
+            ReplicationSettings settings,
+            LongSupplier unixClock,
             ReplicaPlacement placement,
             EntryStore store,
-            AntiEntropy catchUp,
+            SynchronizedPeers peers,
             long startedAt) {
-        this.keeping = keeping;
-        this.wall = wall;
+        this.settings = settings;
+        this.unixClock = unixClock;
         this.placement = placement;
         this.store = store;
-        this.catchUp = catchUp;
+        this.peers = peers;
         this.startedAt = startedAt;
     }
 
-    /** The Unix clock was off: what was copied to this gateway until this time cannot be vouched for. */
-    void startsAnew(long startedAt) {
+    /** The Unix clock was wrong: what was replicated to this gateway until this time counts as lost. */
+    void restartAt(long startedAt) {
         this.startedAt = startedAt;
     }
 
     private boolean hasOtherReplicas() {
-        return placement.copies() > 1;
+        return placement.replicationFactor() > 1;
     }
 
-    /** The bound for keys with these replicas, see {@link ReplicaPlacement#of}. */
-    long of(long replicas) {
-        long missed = hasOtherReplicas() ? NOTHING_MISSING : startedAt;
-        for (int place = 0; place < placement.copies(); place++) {
-            missed = Math.max(missed, catchUp.blankOf(ReplicaPlacement.one(replicas, place)));
+    /** The bound for keys with these replicas. */
+    long of(ReplicaSet replicas) {
+        long missed = hasOtherReplicas() ? EntryStore.NOTHING_MISSING : startedAt;
+        for (int place = 0; place < replicas.size(); place++) {
+            missed = Math.max(missed, peers.missingUntil(replicas.gateway(place)));
         }
-        return Math.max(store.blank(), Math.min(startedAt, missed));
+        return Math.max(store.missingUntil(), Math.min(startedAt, missed));
     }
 
-    /** The bound for any key, as told to a gateway that takes copies from here. */
+    /** The bound for any key. */
     long ofAll() {
-        long missed = hasOtherReplicas() ? Math.min(startedAt, catchUp.blankOfAll()) : startedAt;
-        return Math.max(store.blank(), missed);
+        long missed = hasOtherReplicas() ? Math.min(startedAt, peers.missingUntilOfAll()) : startedAt;
+        return Math.max(store.missingUntil(), missed);
     }
 
     /**
-     * The position that reads of a session must reach as far as this gateway knows: what is held, or the bound where
-     * a later one is not.
+     * The position that reads of a session must reach as far as this gateway knows: the one in its store, or the bound
+     * where that is later.
      */
-    long requiredPosition(long key, long replicas) {
-        long oldest = wall.getAsLong() - keeping.sessionsFor() - keeping.clocksApart();
-        long least = Math.max(of(replicas), oldest);
-        return store.of(key) instanceof Position held ? Math.max(held.at(), least) : least;
+    long requiredPosition(long key) {
+        long oldestRetained = unixClock.getAsLong() - settings.sessionRetention() - settings.clocksApart();
+        long least = Math.max(of(placement.of(key)), oldestRetained);
+        Position position = store.position(key);
+        return position == null ? least : Math.max(position.timestamp(), least);
     }
 
-    /** Whether each write that may still be submitted again is later than the bound. */
-    boolean coversSubmissions(long replicas) {
-        return of(replicas) + keeping.submitsFor() + keeping.clocksApart() < wall.getAsLong();
+    /** Whether all writes that may still be submitted again arrived after the bound. */
+    boolean coversSubmissions(ReplicaSet replicas) {
+        return of(replicas) + settings.resubmissionWindow() + settings.clocksApart() < unixClock.getAsLong();
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/EntryStore.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryStore.java
@@ -1,173 +1,159 @@
 package ploverdale.replication;
 
-import java.util.Arrays;
-import java.util.function.LongUnaryOperator;
-
 /**
- * Facts by key, in an order of keys that is cut into {@value #BUCKETS} equal ranges, so that ranges can be compared by
- * digests. Bounded: over the most, the oldest fact of the newcomer's range goes. Facts go too when their time is over. What
- * may have gone before its time is told by {@link #blank}.
+ * The entries that this gateway holds, by key. The order of keys is cut into {@value #RANGES} equal ranges, which {@link
+ * AntiEntropy} compares by digests. Bounded: over the maximum, the oldest entry of the new key's range is evicted. Expired
+ * entries are removed in the background, some ranges at a time. Times are Unix times in tenths of a millisecond. Not
+ * thread-safe, used on the thread of {@link Replicas}.
  */
 final class EntryStore {
-    static final int BUCKETS = 4096;
-    private static final int SHIFT = 52;
-    private static final int SWEEP = 16; // ranges a look; all in some seconds
-
-    private final long[][] keys = new long[BUCKETS][];
-    private final long[][] keepers = new long[BUCKETS][];
-    private final VersionedEntry[][] facts = new VersionedEntry[BUCKETS][];
-    private final int[] sizes = new int[BUCKETS];
-    private final int most;
-    private final LongUnaryOperator keepersOf;
-    private final Forgetting forgetting;
+    static final int RANGES = 4096;
+    /** Of {@link #missingUntil}: nothing was evicted. */
+    static final long NOTHING_MISSING = Long.MIN_VALUE / 2;
+
+    private static final int RANGE_SHIFT = 52; // the highest 12 bits of a key number its range
+    private static final int RANGES_PER_SWEEP = 16; // all within some seconds
+
+    private final ReplicationSettings settings;
+    private final ReplicaPlacement placement;
+    private final EntryRange[] ranges = new EntryRange[RANGES];
     private int size;
-    private int sweep;
-    private long blank = Long.MIN_VALUE / 2;
+    private int lastSwept;
+    private long missingUntil = NOTHING_MISSING;
     private long evicted;
 
-    /** When a fact is of no use any more. */
-    interface Forgetting {
-        boolean isOver(VersionedEntry fact, long wall);
+    /** Takes one entry of a range. */
+    interface Visitor {
+        void visit(long key, VersionedEntry entry);
     }
 
-    /** Takes one fact of a range. */
-    interface Each {
-        void fact(long key, VersionedEntry fact);
-    }
+    /** Selects the entries that two gateways both replicate and that are not expired at a time. */
+    record SharedEntries(int gateway, int peer, long unexpiredAt) {}
 
-    EntryStore(int most, LongUnaryOperator keepersOf, Forgetting forgetting) {
-        this.most = most;
-        this.keepersOf = keepersOf;
-        this.forgetting = forgetting;
+    EntryStore(ReplicationSettings settings, ReplicaPlacement placement) {
+        this.settings = settings;
+        this.placement = placement;
+        for (int range = 0; range < RANGES; range++) {
+            ranges[range] = new EntryRange();
+        }
     }
 
-    static int bucket(long key) {
-        return (int) (key >>> SHIFT);
+    private static int rangeOf(long key) {
+        return (int) (key >>> RANGE_SHIFT);
     }
 
     int size() {
         return size;
     }
 
-    /** The latest moment of a fact that went before its time. */
-    long blank() {
-        return blank;
+    /** The latest timestamp of an evicted entry: of what is no later, absence here proves nothing. */
+    long missingUntil() {
+        return missingUntil;
     }
 
-    /** Facts that went before their time. */
+    /** Entries evicted since the start. */
     long evicted() {
         return evicted;
     }
 
-    private int find(int b, long key) {
-        return keys[b] == null ? -1 : Arrays.binarySearch(keys[b], 0, sizes[b], key);
+    /** The entry of a key, or null. */
+    VersionedEntry get(long key) {
+        EntryRange range = ranges[rangeOf(key)];
+        int index = range.indexOf(key);
+        return index < 0 ? null : range.entry(index);
     }
 
-    VersionedEntry of(long key) {
-        int b = bucket(key);
-        int i = find(b, key);
-        return i < 0 ? null : facts[b][i];
+    /** The position of a session, or null. */
+    Position position(long key) {
+        return get(key) instanceof Position position ? position : null;
     }
 
-    /** Joins a fact with what is held; false where that changes nothing. */
-    boolean join(long wall, long key, VersionedEntry fact) {
-        if (forgetting.isOver(fact, wall)) {
-            return false; // a late copy does not revive what all have forgotten
+    /** What is known of a write, or null. */
+    WriteOutcome writeOutcome(long key) {
+        return get(key) instanceof WriteOutcome outcome ? outcome : null;
+    }
+
+    /** Merges an entry into that of its key; false where that changes nothing. */
+    boolean merge(long unixTime, long key, VersionedEntry entry) {
+        if (entry.isExpired(settings, unixTime)) {
+            return false; // a late copy must not revive what other replicas have removed
         }
-        int b = bucket(key);
-        int i = find(b, key);
-        if (i >= 0) {
-            VersionedEntry both = facts[b][i].join(fact);
-            boolean changed = !both.equals(facts[b][i]);
-            facts[b][i] = both;
+        EntryRange range = ranges[rangeOf(key)];
+        int index = range.indexOf(key);
+        if (index >= 0) {
+            VersionedEntry merged = range.entry(index).merge(entry);
+            boolean changed = !merged.equals(range.entry(index));
+            range.replace(index, merged);
             return changed;
         }
-        if (size >= most) {
-            evict(b);
-            i = find(b, key);
+        if (size >= settings.maxEntries()) {
+            evictOldest(rangeOf(key));
         }
-        insert(b, -1 - i, key, fact);
+        range.insert(key, placement.of(key).packed(), entry);
+        size++;
         return true;
     }
 
-    private void insert(int b, int at, long key, VersionedEntry fact) {
-        int n = sizes[b];
-        if (keys[b] == null || n == keys[b].length) {
-            int room = n == 0 ? 4 : n + n / 2 + 1;
-            keys[b] = keys[b] == null ? new long[room] : Arrays.copyOf(keys[b], room);
-            keepers[b] = keepers[b] == null ? new long[room] : Arrays.copyOf(keepers[b], room);
-            facts[b] = facts[b] == null ? new VersionedEntry[room] : Arrays.copyOf(facts[b], room);
+    /** Evicts the oldest entry of a range, or of the next one that is not empty. */
+    private void evictOldest(int first) {
+        int number = first;
+        while (ranges[number].size() == 0) {
+            number = (number + 1) % RANGES;
         }
-        System.arraycopy(keys[b], at, keys[b], at + 1, n - at);
-        System.arraycopy(keepers[b], at, keepers[b], at + 1, n - at);
-        System.arraycopy(facts[b], at, facts[b], at + 1, n - at);
-        keys[b][at] = key;
-        keepers[b][at] = keepersOf.applyAsLong(key);
-        facts[b][at] = fact;
-        sizes[b]++;
-        size++;
-    }
-
-    private void remove(int b, int at) {
-        int n = --sizes[b];
+        EntryRange range = ranges[number];
+        int oldest = range.indexOfOldest();
+        missingUntil = Math.max(missingUntil, range.entry(oldest).timestamp());
+        evicted++;
+        range.remove(oldest);
         size--;
-        System.arraycopy(keys[b], at + 1, keys[b], at, n - at);
-        System.arraycopy(keepers[b], at + 1, keepers[b], at, n - at);
-        System.arraycopy(facts[b], at + 1, facts[b], at, n - at);
-        facts[b][n] = null;
     }
 
-    /** The oldest of that range, or of the next one that has any, makes way. */
-    private void evict(int bucket) {
-        int b = bucket;
-        while (sizes[b] == 0) {
-            b = (b + 1) % BUCKETS;
-        }
-        int oldest = 0;
-        for (int i = 1; i < sizes[b]; i++) {
-            oldest = facts[b][i].at() < facts[b][oldest].at() ? i : oldest;
+    /** Removes expired entries of the next few ranges. */
+    void sweep(long unixTime) {
+        for (int swept = 0; swept < RANGES_PER_SWEEP; swept++) {
+            lastSwept = (lastSwept + 1) % RANGES;
+            removeExpired(ranges[lastSwept], unixTime);
         }
-        blank = Math.max(blank, facts[b][oldest].at());
-        evicted++;
-        remove(b, oldest);
     }
 
-    /** Lets go what is over, some ranges at a time. */
-    void sweep(long wall) {
-        for (int n = 0; n < SWEEP; n++) {
-            int b = sweep = (sweep + 1) % BUCKETS;
-            for (int i = sizes[b] - 1; i >= 0; i--) {
-                if (forgetting.isOver(facts[b][i], wall)) {
-                    remove(b, i);
-                }
+    private void removeExpired(EntryRange range, long unixTime) {
+        for (int index = range.size() - 1; index >= 0; index--) {
+            if (range.entry(index).isExpired(settings, unixTime)) {
+                range.remove(index);
+                size--;
             }
         }
     }
 
-    /** Stands for all facts of these ranges that such gateways keep and that last beyond a moment. */
-    long digest(int fromBucket, int toBucket, ReplicaPlacement all, int one, int other, long salt, long until) {
-        long sum = 0;
-        for (int b = fromBucket; b < toBucket; b++) {
-            for (int i = 0; i < sizes[b]; i++) {
-                if (all.has(keepers[b][i], one)
-                        && all.has(keepers[b][i], other)
-                        && !forgetting.isOver(facts[b][i], until)) {
-                    sum += VersionedEntry.mix(keys[b][i] ^ salt ^ facts[b][i].hash());
+    private boolean isSelected(EntryRange range, int index, SharedEntries selection) {
+        ReplicaSet replicas = placement.unpack(range.packedReplicas(index));
+        return replicas.contains(selection.gateway)
+                && replicas.contains(selection.peer)
+                && !range.entry(index).isExpired(settings, selection.unexpiredAt);
+    }
+
+    /** A digest of the selected entries of ranges from one up to another, exclusive; independent of their order. */
+    long digest(int fromRange, int toRange, SharedEntries selection, long salt) {
+        long digest = 0;
+        for (int number = fromRange; number < toRange; number++) {
+            EntryRange range = ranges[number];
+            for (int index = 0; index < range.size(); index++) {
+                if (isSelected(range, index, selection)) {
+                    digest += Hashing.mix(
+                            range.key(index) ^ salt ^ range.entry(index).hash());
                 }
             }
         }
-        return sum;
-    }
-
-    /** The same facts of one range, those after a key, in order; a null key: all. */
-    void each(int bucket, Long after, ReplicaPlacement all, int one, int other, long until, Each each) {
-        for (int i = 0; i < sizes[bucket]; i++) {
-            boolean next = after == null || keys[bucket][i] > after;
-            if (next
-                    && all.has(keepers[bucket][i], one)
-                    && all.has(keepers[bucket][i], other)
-                    && !forgetting.isOver(facts[bucket][i], until)) {
-                each.fact(keys[bucket][i], facts[bucket][i]);
+        return digest;
+    }
+
+    /** Visits the selected entries of a range after a key, in the order of keys; of a null key, all. */
+    void forEach(int number, Long afterKey, SharedEntries selection, Visitor visitor) {
+        EntryRange range = ranges[number];
+        for (int index = 0; index < range.size(); index++) {
+            boolean follows = afterKey == null || range.key(index) > afterKey;
+            if (follows && isSelected(range, index, selection)) {
+                visitor.visit(range.key(index), range.entry(index));
             }
         }
     }
--- a/gateway/src/main/java/ploverdale/replication/IdempotencyRecord.java
+++ b/gateway/src/main/java/ploverdale/replication/IdempotencyRecord.java
@@ -1,17 +1,28 @@
 package ploverdale.replication;
 
+import java.util.Comparator;
+
 /**
- * One try of one gateway to be the one that sends a write.
+ * Identifies one gateway's claim to execute a write. A gateway may claim a write more than once, each time under another
+ * number. What is known of each claim is in {@link WriteOutcome}.
  *
- * @param gateway its number
- * @param start which start of its name
- * @param number counted by it
+ * @param gateway the gateway's number
+ * @param incarnation of that gateway's process
+ * @param number unique within the incarnation
  */
-public record IdempotencyRecord(int gateway, long start, int number) implements Comparable<IdempotencyRecord> {
+public record IdempotencyRecord(int gateway, long incarnation, int number) implements Comparable<IdempotencyRecord> {
+    private static final Comparator<IdempotencyRecord> ORDER = Comparator.comparingInt(IdempotencyRecord::gateway)
+            .thenComparingLong(IdempotencyRecord::incarnation)
+            .thenComparingInt(IdempotencyRecord::number);
+
+    @Override
+    public int compareTo(IdempotencyRecord other) {
+        return ORDER.compare(this, other);
+    }
+
+    /** As it stands in the log line of an alarm, whose spelling is fixed. */
     @Override
-    public int compareTo(IdempotencyRecord o) {
-        return gateway != o.gateway
-                ? Integer.compare(gateway, o.gateway)
-                : start != o.start ? Long.compare(start, o.start) : Integer.compare(number, o.number);
+    public String toString() {
+        return "IdempotencyRecord[gateway=" + gateway + ", start=" + incarnation + ", number=" + number + "]";
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
@@ -0,0 +1,31 @@
+package ploverdale.replication;
+
+import ploverdale.replication.EntryStore.SharedEntries;
+
+/**
+ * Digests of parts of the key space, over the entries that this gateway and a peer both replicate. They are salted by
+ * round, so that two different sets of entries whose digests are equal by accident differ in the next round. Not
+ * thread-safe, used on the thread of {@link Replicas}.
+ */
+final class KeySpaceDigests {
+    private final int self;
+    private final EntryStore store;
+
+    KeySpaceDigests(int self, EntryStore store) {
+        this.self = self;
+        this.store = store;
+    }
+
+    /** A digest of each child of an inner node. */
+    long[] ofChildren(KeySpaceNode node, int peer, int salt, long unexpiredAt) {
+        SharedEntries selection = new SharedEntries(self, peer, unexpiredAt);
+        long mixedSalt = Hashing.mix(salt);
+        long[] digests = new long[KeySpaceNode.CHILDREN];
+        for (int index = 0; index < digests.length; index++) {
+            KeySpaceNode child = node.child(index);
+            int firstRange = child.firstRange();
+            digests[index] = store.digest(firstRange, firstRange + child.rangeCount(), selection, mixedSalt);
+        }
+        return digests;
+    }
+}
--- a/gateway/src/main/java/ploverdale/replication/Position.java
+++ b/gateway/src/main/java/ploverdale/replication/Position.java
@@ -3,37 +3,47 @@
 import java.nio.ByteBuffer;
 
 /**
- * How far a session's reads must reach. Of two copies the later position stands: to err on that side costs a read at the
- * primary, on the other a read older than an acked write.
+ * How far a session's reads must reach. Of two replicas' positions the later one wins: one too late costs a read at the
+ * primary, one too early a read that is older than the session's last write.
  *
- * @param at the log position of the session's last write
- * @param server a number of the server that acked it, by which a takeover since then is seen
+ * @param timestamp log position of the session's last write, a Unix time in tenths of a millisecond
+ * @param server number of the server that executed it, by which a takeover since then shows
  */
-public record Position(long at, int server) implements VersionedEntry {
-    static final byte KIND = 1;
-    private static final int LENGTH = 11;
+record Position(long timestamp, int server) implements VersionedEntry {
+    /** The server's number where none is known. */
+    static final int NO_SERVER = -1;
 
     @Override
-    public VersionedEntry join(VersionedEntry other) {
-        return other instanceof Position p && (p.at > at || p.at == at && p.server > server) ? p : this;
+    public VersionedEntry merge(VersionedEntry other) {
+        return other instanceof Position position && position.isLaterThan(this) ? position : this;
+    }
+
+    private boolean isLaterThan(Position other) {
+        return timestamp > other.timestamp || timestamp == other.timestamp && server > other.server;
     }
 
     @Override
     public long hash() {
-        return VersionedEntry.mix(at * 31 + server);
+        return Hashing.mix(timestamp * 31 + server);
+    }
+
+    @Override
+    public long retention(ReplicationSettings settings) {
+        return settings.sessionRetention();
     }
 
     @Override
-    public void write(ByteBuffer to) {
-        to.put(KIND).putLong(at).putShort((short) server);
+    public boolean permitsClaim(IdempotencyRecord claim) {
+        return false;
     }
 
     @Override
-    public int length() {
-        return LENGTH;
+    public void writeTo(ByteBuffer buffer) {
+        EntryCodec.write(this, buffer);
     }
 
-    static Position readContent(ByteBuffer from) {
-        return from.remaining() < LENGTH - 1 ? null : new Position(from.getLong(), from.getShort() & 0xFFFF);
+    @Override
+    public int encodedLength() {
+        return EntryCodec.encodedLength(this);
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -1,313 +1,272 @@
 package ploverdale.replication;
 
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.LongSupplier;
-import ploverdale.membership.PacketQueue;
-import ploverdale.replication.QuorumRequest.Kind;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationMessage.ClaimResponse;
+import ploverdale.replication.ReplicationMessage.PositionResponse;
+import ploverdale.replication.ReplicationMessage.Response;
+import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Sends this gateway's requests to the replicas of their keys, repeats them until answered, and ends each once a
- * majority of answers decides it or its time is over. Where this gateway is itself a replica, it answers at once and
- * without a message.
+ * Coordinates this gateway's quorum operations: sends each to the replicas of its key, repeats it until answered, and ends
+ * it once a majority of answers decides it or its time is over. Where this gateway is itself a replica, it answers at once
+ * and without a message.
  *
- * <p>{@code now} is in tenths of a millisecond of a monotonic clock; positions and times of facts are Unix times in
- * the same unit. Not thread-safe, used on the thread of {@link Replicas}.
+ * <p>Positions and timestamps of entries are Unix times, all else is of a monotonic clock; both in tenths of a millisecond.
+ * Not thread-safe, used on the thread of {@link Replicas}.
  */
 final class QuorumCoordinator {
     private static final long MS = 10;
-    private static final long COPY_TIMEOUT = 1000 * MS; // where nobody waits; anti-entropy brings it to the others
-    private static final int MAX_PENDING = 20_000; // one more is unknown at once
-    private static final byte[] NO_ANSWER = {};
+    /** Of a write that nobody waits for; replicas that lack it then receive it by anti-entropy. */
+    private static final long UNAWAITED_WRITE_TIMEOUT = 1000 * MS;
+    /** One operation more ends as unknown at once, which bounds memory. */
+    private static final int MAX_PENDING = 20_000;
+    /** Ticket of an operation whose end is not reported. */
+    private static final long NO_TICKET = 0;
 
-    private final int me;
-    private final ReplicationSettings keeping;
-    private final LongSupplier wall;
+    private final int self;
+    private final ReplicationSettings settings;
     private final ReplicaPlacement placement;
     private final EntryStore store;
-    private final CompletenessBound bound;
-    private final ReplicaHolder holder;
-    private final Map<Integer, QuorumRequest> pending = new LinkedHashMap<>(); // by number, oldest first
-    private final List<QuorumRequest> abandonedClaims = new ArrayList<>();
+    private final ReplicaHolder localReplica;
+    private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by number, oldest first
+    private final List<QuorumClaim> toBeWithdrawn = new ArrayList<>();
     private final List<Done> done = new ArrayList<>();
     private int lastNumber;
     private long lastTicket;
-    private long asked;
-    private long unknown;
+    private long requested;
+    private long unknownReads;
 
-    /**
-     * @param wall Unix time in tenths of a millisecond
-     * @param holder this gateway as a replica
-     */
+    /** @param localReplica this gateway as a replica */
     QuorumCoordinator(
-            int me,
-            ReplicationSettings keeping,
-            LongSupplier wall,
+            int self,
+            ReplicationSettings settings,
             ReplicaPlacement placement,
             EntryStore store,
-            CompletenessBound bound,
-            ReplicaHolder holder) {
-        this.me = me;
-        this.keeping = keeping;
-        this.wall = wall;
+            ReplicaHolder localReplica) {
+        this.self = self;
+        this.settings = settings;
         this.placement = placement;
         this.store = store;
-        this.bound = bound;
-        this.holder = holder;
+        this.localReplica = localReplica;
     }
 
-    /** Positions and claims asked for since the start. */
-    long asked() {
-        return asked;
+    /** Reads and claims since the start. */
+    long requested() {
+        return requested;
     }
 
-    /** Positions that no majority told in time. */
-    long unknown() {
-        return unknown;
+    /** Reads since the start that no quorum answered in time. */
+    long unknownReads() {
+        return unknownReads;
     }
 
     /** What has ended since the last call. */
     List<Done> takeDone() {
-        List<Done> all = List.copyOf(done);
+        List<Done> taken = List.copyOf(done);
         done.clear();
-        return all;
+        return taken;
     }
 
-    /** Copies a fact to the replicas of its key; the ticket, or 0 where nobody waits. */
-    long copy(long now, long key, VersionedEntry fact, long within, boolean waits, PacketQueue to) {
-        long deadline = now + (waits ? within : COPY_TIMEOUT);
-        QuorumRequest request = new QuorumRequest(++lastTicket, Kind.COPY, key, placement, deadline, waits);
-        request.fact = fact;
-        holder.join(key, fact); // also where this gateway is no replica of it: the key may be asked for here again
-        begin(now, request, to);
-        return waits ? request.ticket : 0;
+    /**
+     * Replicates an entry and does not wait for it beyond a timeout.
+     *
+     * @param timeout of a write that is awaited
+     * @return the ticket, or 0 where its end is not awaited
+     */
+    long write(Turn turn, long key, VersionedEntry entry, long timeout, boolean awaited) {
+        long deadline = turn.now() + (awaited ? timeout : UNAWAITED_WRITE_TIMEOUT);
+        long ticket = ++lastTicket;
+        // Also where this gateway is no replica of the key: a client is likely to come back here.
+        localReplica.merge(key, entry);
+        begin(turn, new QuorumWrite(ticket, key, placement.of(key), deadline, awaited, entry));
+        return awaited ? ticket : NO_TICKET;
     }
 
-    /** Copies what is proven of a claim that was granted to this gateway. */
-    long copyOutcome(
-            long now,
+    /** Replicates what is proven of a claim that was granted to this gateway; parameters as for {@link #write}. */
+    long writeOutcome(
+            Turn turn,
             long key,
             IdempotencyRecord claim,
-            int proof,
-            byte[] answer,
-            long within,
-            boolean waits,
-            PacketQueue to) {
-        WriteOutcome held = holder.outcomeOf(key);
-        long at = held != null ? held.at() : wall.getAsLong();
-        return copy(now, key, WriteOutcome.of(at, claim, proof, answer), within, waits, to);
+            ClaimState proof,
+            byte[] response,
+            long timeout,
+            boolean awaited) {
+        WriteOutcome known = localReplica.outcomeOf(key);
+        long timestamp = known == null ? turn.unixTime() : known.timestamp();
+        return write(turn, key, WriteOutcome.of(timestamp, claim, proof, response), timeout, awaited);
     }
 
-    /** Asks for the position that a session's reads must reach; its ticket. */
-    long askPosition(long now, long key, PacketQueue to) {
-        QuorumRequest request =
-                new QuorumRequest(++lastTicket, Kind.ASK, key, placement, now + keeping.askWithin(), true);
-        asked++;
-        if (store.of(key) instanceof Position held) {
-            request.position = held.at();
-            request.server = held.server();
-        }
-        begin(now, request, to);
-        return request.ticket;
+    /** Reads the position that reads of a session must reach; its ticket. */
+    long readPosition(Turn turn, long key) {
+        long ticket = ++lastTicket;
+        requested++;
+        long deadline = turn.now() + settings.askWithin();
+        begin(turn, new QuorumRead(ticket, key, placement.of(key), deadline, store.position(key)));
+        return ticket;
     }
 
     /**
-     * Claims to send a write; its ticket.
+     * Claims to execute a write; its ticket.
      *
-     * @param start which start of its name this gateway speaks as
-     * @param first whether its client has marked it as a first submission
-     * @param arrivedAt when it came here, Unix time
+     * @param incarnation of this gateway
+     * @param firstSubmission whether its client has marked it as a first submission
+     * @param arrivedAt when the write arrived here, a Unix time
      */
-    long claim(long now, long key, long start, boolean first, long arrivedAt, PacketQueue to) {
-        QuorumRequest request =
-                new QuorumRequest(++lastTicket, Kind.CLAIM, key, placement, now + keeping.askWithin(), true);
-        request.claim = new IdempotencyRecord(me, start, ++lastNumber);
-        request.first = first && keeping.retriesMarked();
-        request.fact = WriteOutcome.of(arrivedAt, request.claim, WriteOutcome.MADE, NO_ANSWER);
-        asked++;
-        begin(now, request, to);
-        return request.ticket;
+    long claim(Turn turn, long key, long incarnation, boolean firstSubmission, long arrivedAt) {
+        long ticket = ++lastTicket;
+        requested++;
+        IdempotencyRecord claim = new IdempotencyRecord(self, incarnation, ++lastNumber);
+        boolean isKnownFirst = firstSubmission && settings.retriesMarked();
+        long deadline = turn.now() + settings.askWithin();
+        begin(turn, new QuorumClaim(ticket, key, placement.of(key), deadline, claim, isKnownFirst, arrivedAt));
+        return ticket;
     }
 
-    private void begin(long now, QuorumRequest request, PacketQueue to) {
+    private void begin(Turn turn, QuorumOperation operation) {
         int number = ++lastNumber;
         if (pending.size() >= MAX_PENDING) {
-            end(request, End.UNKNOWN);
+            complete(operation, End.UNKNOWN);
             return;
         }
-        pending.put(number, request);
-        request.sent(now);
-        int ownPlace = request.placeOf(me);
-        if (ownPlace >= 0) {
-            answerLocally(request, ownPlace);
+        pending.put(number, operation);
+        operation.scheduleFirstRetry(turn.now());
+        int ownPlace = operation.replicas().placeOf(self);
+        if (ownPlace != ReplicaSet.NO_PLACE) {
+            operation.answerLocally(localReplica, ownPlace);
+            completeIfDecided(operation);
         }
-        send(number, request, to);
-        if (request.isAnsweredByAll()) {
+        send(turn, number, operation);
+        if (operation.isAnsweredByAll()) {
             pending.remove(number);
         }
     }
 
-    private void answerLocally(QuorumRequest request, int place) {
-        long key = request.key;
-        switch (request.kind) {
-            case COPY -> onCopied(request, place);
-            case ASK -> {
-                long position = bound.requiredPosition(key, request.replicas());
-                onPosition(request, place, position, holder.serverOf(key));
-            }
-            case CLAIM -> {
-                boolean granted = holder.grant(key, request.claim, request.first, (WriteOutcome) request.fact);
-                onClaimAnswer(request, place, granted, holder.outcomeOf(key));
-            }
-            default -> throw new IllegalStateException(request.kind.name());
-        }
-    }
-
     /** To all other replicas that have not answered yet. */
-    private void send(int number, QuorumRequest request, PacketQueue to) {
-        for (int place = 0; place < placement.copies(); place++) {
-            int gateway = request.gateway(place);
-            if (gateway != me && !request.isAnsweredBy(place)) {
-                to.add(gateway, ReplicaMessages.request(number, request));
+    private void send(Turn turn, int number, QuorumOperation operation) {
+        ReplicaSet replicas = operation.replicas();
+        for (int place = 0; place < replicas.size(); place++) {
+            int gateway = replicas.gateway(place);
+            if (gateway != self && !operation.isAnsweredBy(place)) {
+                turn.send(gateway, operation.request(number));
             }
         }
     }
 
-    /** Handles a replica's answer from its number on; ignores one that is late, doubled or of another kind. */
-    void onAnswer(int from, int kind, ByteBuffer content) {
-        int number = content.getInt();
-        QuorumRequest request = pending.get(number);
-        int place = request == null ? -1 : request.placeOf(from);
-        if (place < 0 || kind != request.kind.answerKind) {
+    /** A replica has merged an entry. */
+    void onWriteResponse(int from, WriteResponse response) {
+        QuorumWrite write = awaiting(QuorumWrite.class, from, response);
+        if (write == null) {
             return;
         }
-        switch (request.kind) {
-            case COPY -> onCopied(request, place);
-            case ASK -> {
-                if (content.remaining() >= ReplicaMessages.POSITION_BYTES) {
-                    onPosition(request, place, content.getLong(), content.getShort());
-                }
-            }
-            case CLAIM -> {
-                if (content.remaining() >= ReplicaMessages.GRANT_BYTES) {
-                    boolean granted = content.get() != 0;
-                    onClaimAnswer(
-                            request,
-                            place,
-                            granted,
-                            VersionedEntry.read(content) instanceof WriteOutcome known ? known : null);
-                }
-            }
-            default -> throw new IllegalStateException(request.kind.name());
-        }
-        if (request.isAnsweredByAll() || request.ended && request.kind == Kind.ASK) {
-            pending.remove(number);
-        }
+        write.markAnswered(write.replicas().placeOf(from));
+        afterAnswer(response.number(), write);
     }
 
-    private void onCopied(QuorumRequest request, int place) {
-        request.markAnswered(place);
-        if (request.isAnsweredByMajority()) {
-            end(request, End.COPIED);
+    /** A replica requires a position. */
+    void onPositionResponse(int from, PositionResponse response) {
+        QuorumRead read = awaiting(QuorumRead.class, from, response);
+        if (read == null) {
+            return;
         }
+        read.onAnswer(read.replicas().placeOf(from), response.position(), response.server());
+        afterAnswer(response.number(), read);
     }
 
-    private void onPosition(QuorumRequest request, int place, long position, int server) {
-        if (request.isAnsweredBy(place)) {
+    /** A replica has granted or refused a claim. */
+    void onClaimResponse(int from, ClaimResponse response) {
+        QuorumClaim claim = awaiting(QuorumClaim.class, from, response);
+        if (claim == null) {
             return;
         }
-        request.markAnswered(place);
-        if (position > request.position) {
-            request.position = position;
-            request.server = server;
+        claim.onAnswer(claim.replicas().placeOf(from), response.granted());
+        if (response.known() != null) {
+            localReplica.merge(claim.key(), response.known());
         }
-        if (request.isAnsweredByMajority()) {
-            end(request, End.KNOWN);
+        afterAnswer(response.number(), claim);
+        if (claim.isToBeWithdrawn()) {
+            toBeWithdrawn.add(claim);
         }
     }
 
-    /**
-     * A claim is granted by a majority or not at all; where it is not, those who granted it are to be told that its
-     * write is never sent.
-     *
-     * @param known what the replica holds of the write, or null
-     */
-    private void onClaimAnswer(QuorumRequest request, int place, boolean granted, WriteOutcome known) {
-        if (request.isAnsweredBy(place)) {
-            return;
-        }
-        request.markAnswered(place);
-        if (granted) {
-            request.countGrant();
-        }
-        if (known != null) {
-            holder.join(request.key, known);
+    /** The operation that a response belongs to; null where it is late, a duplicate or of another type. */
+    private <T extends QuorumOperation> T awaiting(Class<T> type, int from, Response response) {
+        QuorumOperation operation = pending.get(response.number());
+        if (!type.isInstance(operation)) {
+            return null;
         }
-        WriteOutcome joined = holder.outcomeOf(request.key);
-        if (request.isGrantedByMajority()) {
-            end(request, End.GRANTED);
-        } else if (joined != null && joined.acked()) {
-            end(request, End.RAN);
-        } else if (!request.mayBeGrantedByMajority()) {
-            end(request, End.IN_DOUBT);
+        int place = operation.replicas().placeOf(from);
+        boolean isExpected = place != ReplicaSet.NO_PLACE && !operation.isAnsweredBy(place);
+        return isExpected ? type.cast(operation) : null;
+    }
+
+    private void afterAnswer(int number, QuorumOperation operation) {
+        completeIfDecided(operation);
+        if (operation.isFinished()) {
+            pending.remove(number);
         }
-        boolean lost = request.ended && !request.isGrantedByMajority();
-        if (lost && request.isGrantedByAny() && request.isAnsweredByAll()) {
-            abandonedClaims.add(request);
+    }
+
+    private void completeIfDecided(QuorumOperation operation) {
+        End end = operation.decide(localReplica.outcomeOf(operation.key()));
+        if (end != null) {
+            complete(operation, end);
         }
     }
 
-    private void end(QuorumRequest request, End end) {
-        if (request.ended) {
+    private void complete(QuorumOperation operation, End end) {
+        if (operation.isCompleted()) {
             return;
         }
-        request.ended = true;
-        if (end == End.UNKNOWN && request.kind == Kind.ASK) {
-            unknown++;
+        operation.complete();
+        if (end == End.UNKNOWN && operation instanceof QuorumRead) {
+            unknownReads++;
         }
-        if (request.waits) {
-            WriteOutcome held = holder.outcomeOf(request.key);
-            byte[] answer = held == null ? NO_ANSWER : held.answer();
-            done.add(new Done(request.ticket, end, request.position, request.server, request.claim, answer));
+        if (operation.isAwaited()) {
+            WriteOutcome known = localReplica.outcomeOf(operation.key());
+            done.add(operation.done(end, known == null ? WriteOutcome.NO_RESPONSE : known.response()));
         }
     }
 
-    /** Ends requests whose time is over, repeats others, and reports claims that are given up. */
-    void onTick(long now, PacketQueue to) {
-        pending.entrySet().removeIf(entry -> {
-            QuorumRequest request = entry.getValue();
-            if (request.isExpired(now)) {
-                expire(request);
-                return true;
-            }
-            if (request.isRetryDue(now)) {
-                request.retried(now);
-                send(entry.getKey(), request, to);
+    /** Ends operations whose time is over, repeats others, and withdraws claims that have failed. */
+    void onTick(Turn turn) {
+        pending.values().removeIf(operation -> expire(operation, turn.now()));
+        retryOverdue(turn);
+        for (QuorumClaim failed : toBeWithdrawn) {
+            byte[] noResponse = WriteOutcome.NO_RESPONSE;
+            writeOutcome(turn, failed.key(), failed.claim(), ClaimState.NEVER_RAN, noResponse, 0, false);
+        }
+        toBeWithdrawn.clear();
+    }
+
+    private void retryOverdue(Turn turn) {
+        pending.forEach((number, operation) -> {
+            if (operation.isRetryDue(turn.now())) {
+                operation.scheduleNextRetry(turn.now());
+                send(turn, number, operation);
             }
-            return false;
         });
-        for (QuorumRequest request : abandonedClaims) {
-            copyOutcome(now, request.key, request.claim, WriteOutcome.NEVER_RAN, NO_ANSWER, 0, false, to);
-        }
-        abandonedClaims.clear();
     }
 
-    private void expire(QuorumRequest request) {
-        boolean isClaim = request.kind == Kind.CLAIM;
-        end(request, isClaim ? End.IN_DOUBT : End.UNKNOWN);
-        if (isClaim && !request.isGrantedByMajority()) {
-            abandonedClaims.add(request); // a replica may have granted it whose answer was lost
+    /** Ends an operation whose time is over; false where it is not. */
+    private boolean expire(QuorumOperation operation, long now) {
+        if (!operation.isExpired(now)) {
+            return false;
+        }
+        complete(operation, operation.timeoutEnd());
+        if (operation instanceof QuorumClaim claim && claim.isToBeWithdrawnOnTimeout()) {
+            toBeWithdrawn.add(claim);
         }
+        return true;
     }
 
-    /** Appends all that tells two states apart, for an explorer. */
-    void describe(StringBuilder to) {
-        pending.values().forEach(request -> request.describe(to));
-        to.append(' ').append(lastNumber).append(' ').append(abandonedClaims.size());
+    /** Appends all that tells two states apart, for a model checker. */
+    void describe(StringBuilder text) {
+        pending.values().forEach(operation -> operation.describe(text));
+        text.append(' ').append(lastNumber).append(' ').append(toBeWithdrawn.size());
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
@@ -0,0 +1,140 @@
+package ploverdale.replication;
+
+import java.util.BitSet;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
+
+/**
+ * One request to all replicas of a key, and which of them have answered. It is repeated with exponential backoff to those
+ * that have not. Times in tenths of a millisecond of a monotonic clock. Not thread-safe, used on the thread of {@link
+ * Replicas}.
+ */
+abstract sealed class QuorumOperation permits QuorumWrite, QuorumRead, QuorumClaim {
+    private static final long MS = 10;
+    private static final long FIRST_RETRY_AFTER = 15 * MS;
+    private static final int BACKOFF_FACTOR = 2;
+
+    private final long ticket;
+    private final long key;
+    private final ReplicaSet replicas;
+    private final long deadline;
+    private final boolean awaited;
+    private final BitSet answered = new BitSet(ReplicaSet.MAX_SIZE); // by place among the replicas
+    private boolean completed;
+    private long retryAt;
+    private long retryAfter = FIRST_RETRY_AFTER;
+
+    /** @param awaited whether its end is reported */
+    QuorumOperation(long ticket, long key, ReplicaSet replicas, long deadline, boolean awaited) {
+        this.ticket = ticket;
+        this.key = key;
+        this.replicas = replicas;
+        this.deadline = deadline;
+        this.awaited = awaited;
+    }
+
+    /** The message to each replica. */
+    abstract ReplicationMessage request(int number);
+
+    /** Has this gateway answer as the replica of a place. */
+    abstract void answerLocally(ReplicaHolder replica, int place);
+
+    /**
+     * How it ends by the answers so far; null where they do not decide it yet.
+     *
+     * @param known what this gateway knows of the write of that key, or null
+     */
+    abstract End decide(WriteOutcome known);
+
+    /** How it ends where no quorum has answered in time. */
+    abstract End timeoutEnd();
+
+    /**
+     * How its end is reported.
+     *
+     * @param response of the write of that key, see {@link WriteOutcome#response}
+     */
+    Done done(End end, byte[] response) {
+        return new Done(ticket, end, EntryStore.NOTHING_MISSING, Position.NO_SERVER, null, response);
+    }
+
+    final long ticket() {
+        return ticket;
+    }
+
+    final long key() {
+        return key;
+    }
+
+    final ReplicaSet replicas() {
+        return replicas;
+    }
+
+    /** Whether its end is reported. */
+    final boolean isAwaited() {
+        return awaited;
+    }
+
+    /** Whether it has ended; replicas may still be answering. */
+    final boolean isCompleted() {
+        return completed;
+    }
+
+    final void complete() {
+        completed = true;
+    }
+
+    final boolean isAnsweredBy(int place) {
+        return answered.get(place);
+    }
+
+    final void markAnswered(int place) {
+        answered.set(place);
+    }
+
+    final int answers() {
+        return answered.cardinality();
+    }
+
+    final boolean isAnsweredByMajority() {
+        return answers() >= replicas.majority();
+    }
+
+    final boolean isAnsweredByAll() {
+        return answers() == replicas.size();
+    }
+
+    /** Whether no further answer is of use. */
+    boolean isFinished() {
+        return isAnsweredByAll();
+    }
+
+    final boolean isExpired(long now) {
+        return now >= deadline;
+    }
+
+    /** It was sent for the first time. */
+    final void scheduleFirstRetry(long now) {
+        retryAt = now + retryAfter;
+    }
+
+    /** Whether it is to be sent again to the replicas that have not answered. */
+    boolean isRetryDue(long now) {
+        return isBackoffOver(now) && !completed;
+    }
+
+    final boolean isBackoffOver(long now) {
+        return now >= retryAt;
+    }
+
+    /** It was sent again. */
+    final void scheduleNextRetry(long now) {
+        retryAfter *= BACKOFF_FACTOR;
+        retryAt = now + retryAfter;
+    }
+
+    /** Appends all that tells two states apart, for a model checker. */
+    void describe(StringBuilder text) {
+        text.append(' ').append(getClass().getSimpleName()).append(answered).append(completed);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/replication/QuorumRead.java
@@ -0,0 +1,57 @@
+package ploverdale.replication;
+
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationMessage.PositionRequest;
+
+/** Reads the position that reads of a session must reach: the latest one that a majority of replicas requires. */
+final class QuorumRead extends QuorumOperation {
+    private long position;
+    private int server;
+
+    /** @param known the position in this gateway's store, or null */
+    QuorumRead(long ticket, long key, ReplicaSet replicas, long deadline, Position known) {
+        super(ticket, key, replicas, deadline, true);
+        position = known == null ? EntryStore.NOTHING_MISSING : known.timestamp();
+        server = known == null ? Position.NO_SERVER : known.server();
+    }
+
+    @Override
+    ReplicationMessage request(int number) {
+        return new PositionRequest(number, key());
+    }
+
+    @Override
+    void answerLocally(ReplicaHolder replica, int place) {
+        onAnswer(place, replica.requiredPosition(key()), replica.serverOf(key()));
+    }
+
+    /** A replica requires that position, of a server or {@link Position#NO_SERVER}. */
+    void onAnswer(int place, long answeredPosition, int answeredServer) {
+        markAnswered(place);
+        if (answeredPosition > position) {
+            position = answeredPosition;
+            server = answeredServer;
+        }
+    }
+
+    @Override
+    End decide(WriteOutcome known) {
+        return isAnsweredByMajority() ? End.KNOWN : null;
+    }
+
+    @Override
+    End timeoutEnd() {
+        return End.UNKNOWN;
+    }
+
+    @Override
+    Done done(End end, byte[] response) {
+        return new Done(ticket(), end, position, server, null, response);
+    }
+
+    @Override
+    boolean isFinished() {
+        return super.isFinished() || isCompleted();
+    }
+}
--- a/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
@@ -1,16 +1,20 @@
 package ploverdale.replication;
 
-import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import ploverdale.membership.PacketQueue;
+import ploverdale.replication.ReplicationMessage.ClaimRequest;
+import ploverdale.replication.ReplicationMessage.ClaimResponse;
+import ploverdale.replication.ReplicationMessage.PositionRequest;
+import ploverdale.replication.ReplicationMessage.PositionResponse;
+import ploverdale.replication.ReplicationMessage.WriteRequest;
+import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * This gateway as a replica of keys: takes copies of facts, tells positions and grants claims, from what is held here
- * and the bound up to which facts may be missing. Not thread-safe, used on the thread of {@link Replicas}.
+ * This gateway as a replica of keys: merges entries, answers reads of positions and grants claims, from its store and the
+ * bound up to which entries may be missing there. Not thread-safe, used on the thread of {@link Replicas}.
  */
 final class ReplicaHolder {
-    private final LongSupplier wall;
+    private final LongSupplier unixClock;
     private final ReplicaPlacement placement;
     private final EntryStore store;
     private final CompletenessBound bound;
@@ -18,16 +22,16 @@
     private long alarms;
 
     /**
-     * @param wall Unix time in tenths of a millisecond
+     * @param unixClock in tenths of a millisecond
      * @param log takes lines for the log
      */
     ReplicaHolder(
-            LongSupplier wall,
+            LongSupplier unixClock,
             ReplicaPlacement placement,
             EntryStore store,
             CompletenessBound bound,
             Consumer<String> log) {
-        this.wall = wall;
+        this.unixClock = unixClock;
         this.placement = placement;
         this.store = store;
         this.bound = bound;
@@ -39,76 +43,74 @@
         return alarms;
     }
 
-    /** What is held of a write; null where nothing is. */
+    /** What is known here of a write; null where nothing is. */
     WriteOutcome outcomeOf(long key) {
-        return store.of(key) instanceof WriteOutcome held ? held : null;
+        return store.writeOutcome(key);
     }
 
-    /** The server of the position that is held of a session, or -1. */
+    /** The server of a session's position, or {@link Position#NO_SERVER}. */
     int serverOf(long key) {
-        return store.of(key) instanceof Position held ? held.server() : ReplicaMessages.NO_SERVER;
+        Position position = store.position(key);
+        return position == null ? Position.NO_SERVER : position.server();
     }
 
-    /** Joins a fact with what is held of its key. */
-    void join(long key, VersionedEntry fact) {
-        boolean contradictedBefore = contradicts(outcomeOf(key));
-        store.join(wall.getAsLong(), key, fact);
-        WriteOutcome joined = outcomeOf(key);
-        if (!contradictedBefore && contradicts(joined)) {
+    /** The position that reads of a session must reach as far as this replica knows. */
+    long requiredPosition(long key) {
+        return bound.requiredPosition(key);
+    }
+
+    /** Merges an entry into that of its key, and reports proofs that contradict each other. */
+    void merge(long key, VersionedEntry entry) {
+        boolean contradictedBefore = isContradictory(outcomeOf(key));
+        store.merge(unixClock.getAsLong(), key, entry);
+        WriteOutcome merged = outcomeOf(key);
+        if (!contradictedBefore && isContradictory(merged)) {
             alarms++;
             log.accept(
-                    "replicas alarm: two proofs contradict one another, key " + Long.toHexString(key) + ", " + joined);
+                    "replicas alarm: two proofs contradict one another, key " + Long.toHexString(key) + ", " + merged);
         }
     }
 
-    private static boolean contradicts(WriteOutcome outcome) {
-        return outcome != null && outcome.alarm();
+    private static boolean isContradictory(WriteOutcome outcome) {
+        return outcome != null && outcome.isContradictory();
     }
 
     /**
-     * Grants a claim where this gateway would know of any other that might have been sent, and knows of none.
+     * Grants a claim where this replica would know of any other that might have been used, and knows of none.
      *
-     * @param first whether it is known to be of a first submission
-     * @param asked the fact that holds the claim, of the moment the write arrived
+     * @param firstSubmission whether the write is known to be submitted for the first time
+     * @param requested has that claim and the time at which the write arrived
      */
-    boolean grant(long key, IdempotencyRecord claim, boolean first, WriteOutcome asked) {
+    boolean grant(long key, IdempotencyRecord claim, boolean firstSubmission, WriteOutcome requested) {
         // An earlier submission may have been known here; of a first one, a later submission that overtook it, as where
-        // its
-        // gateway was paused meanwhile. What is held proves nothing of that: it may be of a claim that was refused.
-        long replicas = placement.of(key);
-        boolean mayKnowAll = first && asked.at() > bound.of(replicas) || bound.coversSubmissions(replicas);
-        VersionedEntry held = store.of(key);
-        // Others' copies may have brought this claim here before: only grants made here count for its majority.
-        boolean free = held == null || held instanceof WriteOutcome f && f.isFreeBut(claim) && f.hasRoom(claim);
-        if (!mayKnowAll || !free) {
+        // its gateway was paused meanwhile. What is in the store proves nothing of that: it may be of a refused claim.
+        ReplicaSet replicas = placement.of(key);
+        boolean arrivedAfterBound = firstSubmission && requested.timestamp() > bound.of(replicas);
+        boolean mayKnowAll = arrivedAfterBound || bound.coversSubmissions(replicas);
+        // Other replicas may have brought this claim here before: only grants made here count for its majority.
+        VersionedEntry known = store.get(key);
+        boolean isFree = known == null || known.permitsClaim(claim);
+        if (!mayKnowAll || !isFree) {
             return false;
         }
-        join(key, asked);
-        return store.of(key) instanceof WriteOutcome;
+        merge(key, requested);
+        return outcomeOf(key) != null;
     }
 
-    /**
-     * Handles another gateway's request, whose head is complete; ignores facts of a kind that this version does not
-     * know.
-     */
-    void onRequest(int from, long itsStart, int kind, ByteBuffer content, PacketQueue to) {
-        int number = content.getInt();
-        long key = content.getLong();
-        if (kind == ReplicaMessages.POSITION_REQUEST) {
-            long position = bound.requiredPosition(key, placement.of(key));
-            to.add(from, ReplicaMessages.positionAnswer(itsStart, number, position, serverOf(key)));
-            return;
-        }
-        boolean isClaim = kind == ReplicaMessages.CLAIM_REQUEST;
-        boolean first = isClaim && content.remaining() > 0 && content.get() != 0;
-        VersionedEntry fact = VersionedEntry.read(content);
-        if (fact != null && !isClaim) {
-            join(key, fact);
-            to.add(from, ReplicaMessages.copyAnswer(itsStart, number));
-        } else if (fact instanceof WriteOutcome asked && asked.claims().size() == 1) {
-            IdempotencyRecord claim = asked.claims().keySet().iterator().next();
-            boolean granted = grant(key, claim, first, asked);
-            to.add(from, ReplicaMessages.claimAnswer(itsStart, number, granted, outcomeOf(key)));
-        }
+    WriteResponse answer(long requesterIncarnation, WriteRequest request) {
+        merge(request.key(), request.entry());
+        return new WriteResponse(requesterIncarnation, request.number());
+    }
+
+    PositionResponse answer(long requesterIncarnation, PositionRequest request) {
+        long key = request.key();
+        return new PositionResponse(requesterIncarnation, request.number(), requiredPosition(key), serverOf(key));
+    }
+
+    ClaimResponse answer(long requesterIncarnation, ClaimRequest request) {
+        WriteOutcome requested = request.outcome();
+        IdempotencyRecord claim = requested.claims().keySet().iterator().next();
+        boolean granted = grant(request.key(), claim, request.firstSubmission(), requested);
+        return new ClaimResponse(requesterIncarnation, request.number(), granted, outcomeOf(request.key()));
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/ReplicaPlacement.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaPlacement.java
@@ -1,65 +1,53 @@
 package ploverdale.replication;
 
 /**
- * Which gateways keep a key: those with the highest of a number drawn from key and gateway, the same at every gateway and
- * whoever is alive. So a key's keepers change with the number of gateways only, and two majorities of them always meet, also
- * where a split makes two halves each take the other for dead.
+ * Chooses the replicas of a key by rendezvous hashing (Thaler and Ravishankar, 1998): the gateways with the highest
+ * hashes of key and gateway. Each gateway computes the same set, whoever is alive; so the set of a key changes only with
+ * the configured number of gateways, and two quorums always intersect, also where each half of a partitioned fleet takes
+ * the other for dead. Immutable.
  */
 final class ReplicaPlacement {
-    private static final int BITS = 10; // of a gateway's number in a word for all keepers of a key
-    static final int GATEWAYS_MOST = 1 << BITS;
-    static final int COPIES_MOST = 5;
+    private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L; // spreads gateways' numbers over 64 bits
+    private static final int NO_GATEWAY = -1;
 
     private final int gateways;
-    private final int copies;
+    private final int replicationFactor;
 
-    ReplicaPlacement(int gateways, int copies) {
+    /** @param replicationFactor replicas of each key; of fewer gateways, all */
+    ReplicaPlacement(int gateways, int replicationFactor) {
         this.gateways = gateways;
-        this.copies = Math.min(gateways, copies);
+        this.replicationFactor = Math.min(gateways, replicationFactor);
     }
 
-    int copies() {
-        return copies;
+    /** Replicas of each key. */
+    int replicationFactor() {
+        return replicationFactor;
     }
 
-    int majority() {
-        return copies / 2 + 1;
-    }
-
-    /** The keepers of a key, as one word; see {@link #one}. */
-    long of(long key) {
-        long word = 0;
-        for (int place = 0; place < copies; place++) {
-            int best = -1;
-            long most = 0;
-            for (int g = 0; g < gateways; g++) {
-                long rank = VersionedEntry.mix(key + (g + 1) * 0x9E3779B97F4A7C15L);
-                if (!holds(word, place, g) && (best < 0 || rank > most)) {
-                    best = g;
-                    most = rank;
-                }
-            }
-            word |= (long) best << BITS * place;
+    /** The replicas of a key. */
+    ReplicaSet of(long key) {
+        ReplicaSet chosen = ReplicaSet.EMPTY;
+        while (chosen.size() < replicationFactor) {
+            chosen = chosen.plus(highestRanked(key, chosen));
         }
-        return word;
+        return chosen;
     }
 
-    private static boolean holds(long word, int places, int gateway) {
-        for (int p = 0; p < places; p++) {
-            if (one(word, p) == gateway) {
-                return true;
+    private int highestRanked(long key, ReplicaSet excluded) {
+        int best = NO_GATEWAY;
+        long bestRank = 0;
+        for (int gateway = 0; gateway < gateways; gateway++) {
+            long rank = Hashing.mix(key + (gateway + 1) * GOLDEN_RATIO);
+            if (!excluded.contains(gateway) && (best == NO_GATEWAY || rank > bestRank)) {
+                best = gateway;
+                bestRank = rank;
             }
         }
-        return false;
-    }
-
-    /** One of the keepers that a word holds. */
-    static int one(long word, int place) {
-        return (int) (word >>> BITS * place) & GATEWAYS_MOST - 1;
+        return best;
     }
 
-    /** Whether a gateway is among them. */
-    boolean has(long word, int gateway) {
-        return holds(word, copies, gateway);
+    /** The set that a packed one stands for, see {@link ReplicaSet#packed}. */
+    ReplicaSet unpack(long packed) {
+        return new ReplicaSet(packed, replicationFactor);
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -1,9 +1,5 @@
 package ploverdale.replication;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntPredicate;
@@ -13,18 +9,19 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * Facts replicated among the gateways of a fleet, as one gateway holds and asks for them. A fact is copied to the
- * replicas of its key; who needs one asks them all, and a majority of answers decides ({@link QuorumCoordinator}). A
- * replica answers a session's position with the latest copy that it holds, and no less than the time up to which
- * copies may be missing there ({@link CompletenessBound}). So a replica that started with nothing never turns an
- * unknown past into none, and the loss of all of them breaks no promise: some reads go to the primary until other
- * servers are past their start. Messages may be lost, doubled, late or reordered.
+ * One gateway's part of the replicated state: session positions and write outcomes, each on a few gateways of the fleet. An
+ * entry is written to the replicas of its key, a read or a claim asks all of them, and a majority decides ({@link
+ * QuorumCoordinator}; quorums after Gifford, 1979, placement and eventual repair as in Dynamo, 2007). Replicas that missed
+ * a write receive it by anti-entropy ({@link AntiEntropy}). A replica answers with what it holds, and no less than the
+ * time up to which it may lack entries ({@link CompletenessBound}). So one that started empty never takes what it does not
+ * know for absent, and the loss of all replicas costs only reads that go to the primary for a while. Messages may be
+ * lost, duplicated, late or reordered.
  *
- * <p>{@code now} is in tenths of a millisecond of a monotonic clock; positions and times of facts are Unix times in
- * the same unit. Not thread-safe: one thread, that of the event loop, calls it.
+ * <p>{@code now} is in tenths of a millisecond of a monotonic clock; positions and timestamps of entries are Unix times in
+ * the same unit. Not thread-safe: used on the event loop only.
  */
 public final class Replicas {
-    /** How a request to the replicas ended. */
+    /** How an operation on the replicas ended. */
     public enum End {
         /** A session's reads must reach the position given. */
         KNOWN,
@@ -32,134 +29,149 @@
         UNKNOWN,
         /** A majority of replicas has a copy. */
         COPIED,
-        /** The write is this gateway's to send, under the claim given. */
+        /** The claim given was granted: this gateway may execute the write. */
         GRANTED,
-        /** It ran before; the answer may be known. */
+        /** The write was executed before; its response may be known. */
         RAN,
-        /** Another claim may still run, or may have. */
+        /** The write may have been executed, or may still be, under another claim. */
         IN_DOUBT
     }
 
-    /** The end of the request that a ticket stands for. */
+    /**
+     * The end of an operation.
+     *
+     * @param ticket as returned when it began
+     * @param position of a session, where it is known
+     * @param server that executed the session's last write, or -1
+     * @param claim that was granted or refused, or null
+     * @param answer the response of the write, or empty
+     */
     public record Done(long ticket, End end, long position, int server, IdempotencyRecord claim, byte[] answer) {}
 
-    public static final int COPIES = ReplicaMessages.COPY_REQUEST;
-    public static final int COPIED = ReplicaMessages.COPY_ANSWER;
-    public static final int ASKS = ReplicaMessages.POSITION_REQUEST;
-    public static final int TELLS = ReplicaMessages.POSITION_ANSWER;
-    public static final int CLAIMS = ReplicaMessages.CLAIM_REQUEST;
-    public static final int CLAIMED = ReplicaMessages.CLAIM_ANSWER;
-
     private static final long MS = 10;
 
-    private final int me;
-    private final ReplicationSettings keeping;
-    private final LongSupplier wall;
+    private final int self;
+    private final ReplicationSettings settings;
+    private final LongSupplier unixClock;
     private final ReplicaPlacement placement;
     private final EntryStore store;
-    private final AntiEntropy catchUp;
+    private final AntiEntropy antiEntropy;
+    private final AntiEntropyResponder antiEntropyResponder;
     private final CompletenessBound bound;
-    private final ReplicaHolder holder;
+    private final ReplicaHolder localReplica;
     private final QuorumCoordinator coordinator;
     private final List<String> lines = new ArrayList<>();
-    private long start;
+    private long incarnation;
 
     /**
-     * @param me this gateway's number
-     * @param start which start of its name this is
-     * @param random chooses whom to compare with, and salts of digests
-     * @param wall Unix time, in tenths of a millisecond
+     * @param self this gateway's number
+     * @param gateways number of gateways of the fleet, alive or not
+     * @param incarnation of this gateway's process
+     * @param random chooses peers of anti-entropy, and salts of digests
+     * @param unixClock in tenths of a millisecond
      */
     public Replicas(
-            int me, int gateways, long start, ReplicationSettings keeping, RandomGenerator random, LongSupplier wall) {
-        this.me = me;
-        this.start = start;
-        this.keeping = keeping;
-        this.wall = wall;
-        long startedAt = wall.getAsLong() + keeping.clocksApart();
-        placement = new ReplicaPlacement(gateways, keeping.copies());
-        store = new EntryStore(keeping.most(), placement::of, this::isOver);
-        catchUp = new AntiEntropy(me, gateways, store, placement, random);
-        bound = new CompletenessBound(keeping, wall, placement, store, catchUp, startedAt);
-        holder = new ReplicaHolder(wall, placement, store, bound, lines::add);
-        coordinator = new QuorumCoordinator(me, keeping, wall, placement, store, bound, holder);
+            int self,
+            int gateways,
+            long incarnation,
+            ReplicationSettings settings,
+            RandomGenerator random,
+            LongSupplier unixClock) {
+        this.self = self;
+        this.incarnation = incarnation;
+        this.settings = settings;
+        this.unixClock = unixClock;
+        placement = new ReplicaPlacement(gateways, settings.copies());
+        store = new EntryStore(settings, placement);
+        SynchronizedPeers peers = new SynchronizedPeers(self, gateways);
+        KeySpaceDigests digests = new KeySpaceDigests(self, store);
+        antiEntropy = new AntiEntropy(store, digests, peers, random, lines::add);
+        antiEntropyResponder = new AntiEntropyResponder(self, store, digests);
+        long startedAt = unixClock.getAsLong() + settings.clocksApart();
+        bound = new CompletenessBound(settings, unixClock, placement, store, peers, startedAt);
+        localReplica = new ReplicaHolder(unixClock, placement, store, bound, lines::add);
+        coordinator = new QuorumCoordinator(self, settings, placement, store, localReplica);
         lines.add(settingsLine(gateways));
     }
 
-    private boolean isOver(VersionedEntry fact, long at) {
-        long lasts =
-                fact instanceof WriteOutcome ? keeping.submitsFor() + keeping.clocksApart() : keeping.sessionsFor();
-        return fact.at() + lasts < at;
-    }
-
     private String settingsLine(int gateways) {
-        String sessions = keeping.sessions() ? "sessions for " + keeping.sessionsFor() / MS + " ms" : "no sessions";
-        String submits = keeping.submits() ? "submits for " + keeping.submitsFor() / MS + " ms" : "no submits";
-        return "replicas: " + placement.copies() + " copies among " + gateways + " gateways, " + sessions + ", "
-                + submits + (gateways > 1 ? ", catching up" : "");
+        String sessions =
+                settings.sessions() ? "sessions for " + settings.sessionRetention() / MS + " ms" : "no sessions";
+        String submits =
+                settings.submits() ? "submits for " + settings.resubmissionWindow() / MS + " ms" : "no submits";
+        return "replicas: " + placement.replicationFactor() + " copies among " + gateways + " gateways, " + sessions
+                + ", " + submits + (gateways > 1 ? ", catching up" : "");
     }
 
-    /** The key of a session or of a write's id: 64 bits of a hash, which clients cannot make collide. */
+    /**
+     * The key of a session or of a write.
+     *
+     * @param session whether it is a session's
+     * @param text the session's name, or the write's idempotency key
+     */
     public static long key(boolean session, String text) {
-        try {
-            MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            digest.update((byte) (session ? 's' : 'w'));
-            byte[] hash = digest.digest(text.getBytes(StandardCharsets.UTF_8));
-            return ByteBuffer.wrap(hash).getLong();
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each Java has it
-        }
+        return Hashing.key(session, text);
     }
 
-    /** The Unix clock was off: what came until now cannot be vouched for. */
+    /** The Unix clock was wrong: what was replicated here until now counts as lost. */
     public void startsAnew() {
-        bound.startsAnew(wall.getAsLong() + keeping.clocksApart());
+        bound.restartAt(unixClock.getAsLong() + settings.clocksApart());
+    }
+
+    /** The incarnation of this gateway from now on. */
+    public void speaksAs(long incarnation) {
+        this.incarnation = incarnation;
     }
 
-    /** Which start of its name this gateway speaks as from now on. */
-    public void speaksAs(long start) {
-        this.start = start;
+    private Turn turn(long now, PacketQueue queue) {
+        return new Turn(now, unixClock.getAsLong(), queue);
     }
 
     /**
-     * A session's write was acknowledged at that position by a server of that number. Where somebody waits, the
-     * ticket ends as copied or unknown; else it is 0.
+     * Replicates the position of a session's last write, which a server of that number executed.
+     *
+     * @param within timeout of an operation that is awaited
+     * @param waits whether its end is awaited
+     * @return a ticket that ends as copied or unknown, or 0 where the end is not awaited
      */
-    public long wrote(long now, long key, long position, int server, long within, boolean waits, PacketQueue to) {
-        // A position wrongly in the future would force the session's reads to the primary until then.
-        long bounded = Math.min(position, wall.getAsLong() + keeping.clocksApart());
-        return coordinator.copy(now, key, new Position(bounded, server & 0xFFFF), within, waits, to);
+    public long wrote(long now, long key, long position, int server, long within, boolean waits, PacketQueue queue) {
+        Turn turn = turn(now, queue);
+        // A position that is wrongly in the future would force the session's reads to the primary until then.
+        long bounded = Math.min(position, turn.unixTime() + settings.clocksApart());
+        return coordinator.write(turn, key, new Position(bounded, server & 0xFFFF), within, waits);
     }
 
     /**
-     * What is proven of a claim that was granted here; where nothing is, the doubt stays. Tickets as for {@link
-     * #wrote}.
+     * Replicates what is proven of a claim that was granted here; where nothing is, the write stays in doubt. The other
+     * parameters and the ticket are as of {@link #wrote}.
+     *
+     * @param answer the response of a write that was executed, else empty
      */
     public long became(
             long now,
             long key,
             IdempotencyRecord claim,
-            int proof,
+            ClaimState proof,
             byte[] answer,
             long within,
             boolean waits,
-            PacketQueue to) {
-        return coordinator.copyOutcome(now, key, claim, proof, answer, within, waits, to);
+            PacketQueue queue) {
+        return coordinator.writeOutcome(turn(now, queue), key, claim, proof, answer, within, waits);
     }
 
-    /** Asks how far a session's reads must reach; the ticket ends as known or unknown. */
-    public long asks(long now, long key, PacketQueue to) {
-        return coordinator.askPosition(now, key, to);
+    /** Reads the position that a session's reads must reach; the ticket ends as known or unknown. */
+    public long asks(long now, long key, PacketQueue queue) {
+        return coordinator.readPosition(turn(now, queue), key);
     }
 
     /**
-     * Claims to send a write under an id; the ticket ends as granted, or as what is known of an earlier claim.
+     * Claims to execute a write; the ticket ends as granted, or as what is known of an earlier claim.
      *
      * @param first whether its client has marked it as a first submission
-     * @param arrivedAt when it came here, Unix time
+     * @param arrivedAt when it arrived here, a Unix time
      */
-    public long claims(long now, long key, boolean first, long arrivedAt, PacketQueue to) {
-        return coordinator.claim(now, key, start, first, arrivedAt, to);
+    public long claims(long now, long key, boolean first, long arrivedAt, PacketQueue queue) {
+        return coordinator.claim(turn(now, queue), key, incarnation, first, arrivedAt);
     }
 
     /** What has ended since the last call. */
@@ -167,34 +179,26 @@
         return coordinator.takeDone();
     }
 
-    /** Handles a message of another gateway. */
-    public void part(long now, int from, long itsStart, Part part, PacketQueue to) {
-        ByteBuffer content = ByteBuffer.wrap(part.content());
-        int kind = part.kind();
-        switch (kind) {
-            case COPIES, ASKS, CLAIMS -> {
-                if (content.remaining() >= ReplicaMessages.REQUEST_HEAD_BYTES) {
-                    holder.onRequest(from, itsStart, kind, content, to);
-                }
-            }
-            case COPIED, TELLS, CLAIMED -> {
-                if (isAnswerToThisStart(content)) {
-                    coordinator.onAnswer(from, kind, content);
-                }
-            }
-            case AntiEntropy.DIFFERS, AntiEntropy.ENTRIES -> {
-                if (isAnswerToThisStart(content)) {
-                    catchUp.part(now, wall.getAsLong(), from, itsStart, kind, content, itsStart, 0, to);
-                }
-            }
-            default -> catchUp.part(now, wall.getAsLong(), from, itsStart, kind, content, itsStart, bound.ofAll(), to);
+    /** Handles a message of another gateway; ignores parts of other kinds. */
+    public void part(long now, int from, long senderIncarnation, Part part, PacketQueue queue) {
+        ReplicationMessage message = ReplicationMessageDecoder.decode(part);
+        if (message == null || isForAnotherIncarnation(message)) {
+            return;
         }
-        collectCatchUpLine();
+        message.accept(new ReplicationMessageDispatcher(
+                turn(now, queue),
+                from,
+                senderIncarnation,
+                localReplica,
+                coordinator,
+                antiEntropy,
+                antiEntropyResponder,
+                bound));
     }
 
-    /** Reads the start of the one who asked, with which each answer begins. */
-    private boolean isAnswerToThisStart(ByteBuffer content) {
-        return content.remaining() >= ReplicaMessages.ANSWER_HEAD_BYTES && content.getLong() == start;
+    private boolean isForAnotherIncarnation(ReplicationMessage message) {
+        return message instanceof ReplicationMessage.Response response
+                && response.requesterIncarnation() != incarnation;
     }
 
     /**
@@ -202,50 +206,43 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, PacketQueue to) {
-        coordinator.onTick(now, to);
-        store.sweep(wall.getAsLong());
-        catchUp.due(now, wall.getAsLong(), present, to);
-        collectCatchUpLine();
-    }
-
-    private void collectCatchUpLine() {
-        String line = catchUp.line();
-        if (line != null) {
-            lines.add(line);
-        }
+    public void due(long now, IntPredicate present, PacketQueue queue) {
+        Turn turn = turn(now, queue);
+        coordinator.onTick(turn);
+        store.sweep(turn.unixTime());
+        antiEntropy.onTick(turn, present);
     }
 
-    /** What is to be logged since the last call; each begins with its kind and a colon. */
+    /** What is to be logged since the last call; each line begins with its kind and a colon. */
     public List<String> lines() {
-        List<String> all = List.copyOf(lines);
+        List<String> taken = List.copyOf(lines);
         lines.clear();
-        return all;
+        return taken;
     }
 
     /** A line of all figures. */
     public String figures() {
         return "replicas: holds " + store.size() + " facts, " + store.evicted() + " forgotten for want of room, "
-                + coordinator.asked() + " asked, " + coordinator.unknown() + " of them unknown, " + catchUp.taken()
-                + " taken from others, " + holder.alarms() + " alarms";
+                + coordinator.requested() + " asked, " + coordinator.unknownReads() + " of them unknown, "
+                + antiEntropy.received() + " taken from others, " + localReplica.alarms() + " alarms";
     }
 
-    /** Facts held here. */
+    /** Entries that this gateway holds. */
     public int size() {
         return store.size();
     }
 
     /**
-     * A digest of all facts that this gateway and another both hold and that last beyond a moment; equal where they
-     * agree.
+     * A digest of all entries that this gateway and another both replicate and that are not expired at a Unix time; equal
+     * where their entries are.
      */
     public long digest(int other, long until) {
-        return store.digest(0, EntryStore.BUCKETS, placement, me, other, 0, until);
+        return store.digest(0, EntryStore.RANGES, new EntryStore.SharedEntries(self, other, until), 0);
     }
 
-    /** All that tells two states apart where one key is all there is, for an explorer. */
+    /** All that tells two states apart where one key is all there is, for a model checker. */
     public String told(long key) {
-        StringBuilder text = new StringBuilder().append(store.of(key));
+        StringBuilder text = new StringBuilder().append(store.get(key));
         text.append(' ').append(bound.of(placement.of(key)));
         coordinator.describe(text);
         return text.toString();
--- a/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
@@ -3,47 +3,50 @@
 import java.util.Set;
 
 /**
- * What is kept, by how many, and how long anybody waits for it. Times in tenths of a millisecond.
+ * What is replicated, how often, and how long requests wait for it. Times in tenths of a millisecond. Immutable.
  *
- * @param copies keepers of each key; of fewer gateways, all
- * @param sessions whether positions of sessions are kept
- * @param sessionsFor for how long; reads of a session not known need data no older than this at the least
- * @param askWithin for how long an op waits for its keepers at most; then its past is unknown
- * @param submitsFor within which a write under an id may be submitted again; 0: ids are not stable, no fates are kept
- * @param retriesMarked whether clients mark what they submit again, so that an unmarked one is the first
- * @param waits names of op types whose acks wait until a majority of keepers has a copy
- * @param waitWithin for how long they wait at most; then the op is errored, since nothing may be promised
- * @param most facts held here at the most
- * @param clocksApart by which the clocks that positions and starts are told by may differ at most
+ * @param copies replicas of each key; of fewer gateways, all
+ * @param sessions whether positions of sessions are replicated
+ * @param sessionRetention how long a session's position is retained; reads of an unknown session require data no older
+ * @param askWithin how long a request waits for a quorum of replicas at most; then what they know counts as unknown
+ * @param resubmissionWindow within which a write may be submitted again under its idempotency key; 0: write outcomes are
+ *     not replicated, since such keys are not stable
+ * @param retriesMarked whether clients mark what they submit again, so that an unmarked write is a first submission
+ * @param waits names of the request classes whose responses wait until a majority of replicas has a copy
+ * @param waitWithin how long such a response waits at most; then the request fails
+ * @param maxEntries entries that this gateway holds at most
+ * @param clocksApart by which the clocks behind positions and start times may differ at most
  */
 public record ReplicationSettings(
         int copies,
         boolean sessions,
-        long sessionsFor,
+        long sessionRetention,
         long askWithin,
-        long submitsFor,
+        long resubmissionWindow,
         boolean retriesMarked,
         Set<String> waits,
         long waitWithin,
-        int most,
+        int maxEntries,
         long clocksApart) {
     public ReplicationSettings {
         waits = Set.copyOf(waits);
-        if (copies < 1 || copies > ReplicaPlacement.COPIES_MOST || sessionsFor <= 0 || most < 1) {
-            throw new IllegalArgumentException(copies + " copies for " + sessionsFor + ", " + most + " at most");
+        if (copies < 1 || copies > ReplicaSet.MAX_SIZE || sessionRetention <= 0 || maxEntries < 1) {
+            throw new IllegalArgumentException(
+                    copies + " copies for " + sessionRetention + ", " + maxEntries + " at most");
         }
     }
 
-    /** How many gateways it can be for. */
+    /** The largest number of gateways that a fleet with replication may have. */
     public static int gatewaysMost() {
-        return ReplicaPlacement.GATEWAYS_MOST;
+        return ReplicaSet.MAX_GATEWAYS;
     }
 
+    /** Whether write outcomes are replicated. */
     public boolean submits() {
-        return submitsFor > 0;
+        return resubmissionWindow > 0;
     }
 
-    /** Whether anything is kept at all. */
+    /** Whether anything is replicated at all. */
     public boolean any() {
         return sessions || submits();
     }
--- a/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
+++ b/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
@@ -3,40 +3,37 @@
 import java.nio.ByteBuffer;
 
 /**
- * One replicated fact. Joining two copies commutes, is associative and idempotent, so that copies that got the same facts in
- * whatever order, and however often, are equal. Times are Unix times in tenths of a millisecond.
+ * One replicated value. {@link #merge} is commutative, associative and idempotent (a join semilattice, as in a state-based
+ * CRDT), so replicas that received the same entries, in any order and any number of times, are equal. Immutable. Times are
+ * Unix times in tenths of a millisecond.
  */
-public sealed interface VersionedEntry permits Position, WriteOutcome {
-    /** Bytes of the longest fact in a message, its kind included. */
-    int MOST = 200;
+sealed interface VersionedEntry permits Position, WriteOutcome {
+    /** When the value came to be; it is retained for a configured time from then on. */
+    long timestamp();
 
-    /** The moment that the fact is of; it is forgotten a stated time later. */
-    long at();
+    /**
+     * The least entry that includes both. Of two entries of different types, which only a collision of hashes could bring
+     * under one key, this one.
+     */
+    VersionedEntry merge(VersionedEntry other);
 
-    /** Both copies' facts together; of two kinds under one key, which only chance could bring, this one. */
-    VersionedEntry join(VersionedEntry other);
-
-    /** Stands for the whole of it in digests. */
+    /** Identifies the whole value in digests; equal entries have equal hashes. */
     long hash();
 
-    /** Its kind and content. */
-    void write(ByteBuffer to);
+    /** For how long such a value is retained after its timestamp, in tenths of a millisecond. */
+    long retention(ReplicationSettings settings);
 
-    /** Bytes that {@link #write} takes. */
-    int length();
+    /** Whether a replica that holds this may grant a claim to execute the write of its key. */
+    boolean permitsClaim(IdempotencyRecord claim);
 
-    /** Reads what {@link #write} wrote; null where it is of a kind or form that is not known here. */
-    static VersionedEntry read(ByteBuffer from) {
-        int kind = from.remaining() > 0 ? from.get() : 0;
-        return kind == Position.KIND
-                ? Position.readContent(from)
-                : kind == WriteOutcome.KIND ? WriteOutcome.readContent(from) : null;
-    }
+    /** Writes the type and the value, see {@link EntryCodec}. */
+    void writeTo(ByteBuffer buffer);
+
+    /** Bytes that {@link #writeTo} writes. */
+    int encodedLength();
 
-    /** Spreads bits, so that sums of such words hardly ever meet by accident. */
-    static long mix(long x) {
-        x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
-        x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
-        return x ^ x >>> 31;
+    /** Whether its retention is over at a time. */
+    default boolean isExpired(ReplicationSettings settings, long unixTime) {
+        return timestamp() + retention(settings) < unixTime;
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -2,103 +2,115 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * What is known of a write under its id: each claim to send it, and what was proven of that claim. A proof wins over a doubt,
- * a doubt over nothing known. Proofs that contradict one another are an alarm, and the one that forbids another send stands.
- * To err on the side of doubt costs an error; on the other side, an effect twice.
+ * The idempotency record of a write: each claim to execute it, and what is proven of that claim. Proofs accumulate; where
+ * two contradict each other, that is an alarm, and the write counts as executed, since an error to the client costs less
+ * than executing it twice. Immutable.
  *
- * @param at when the write was submitted first; a later time from another copy stands, so that nothing is forgotten too soon
- * @param claims by who made them, as bits of {@link #MADE}, {@link #NEVER_RAN} and {@link #SUCCEEDED}
- * @param answer to an acked write, or empty where it was not told or is too long to be kept
+ * @param timestamp when the write was first submitted, a Unix time in tenths of a millisecond; of two replicas' times the
+ *     later one wins, so that no record expires too early
+ * @param claims at most {@value #MAX_CLAIMS}, in their order
+ * @param response to an executed write; empty where it is unknown or longer than {@value #MAX_RESPONSE_BYTES} bytes
  */
-public record WriteOutcome(long at, Map<IdempotencyRecord, Integer> claims, byte[] answer) implements VersionedEntry {
-    /** A claim was made: its write may run from now on. */
-    public static final int MADE = 1;
-    /** Proven: the claim's write never ran and never will. */
-    public static final int NEVER_RAN = 2;
-    /** Proven: the claim's write ran. */
-    public static final int SUCCEEDED = 4;
-
-    static final byte KIND = 2;
-    /** Claims of one id; one more is refused, which errors its op. */
-    public static final int CLAIMS_MOST = 6;
-    /** Bytes of the longest answer that is kept. */
-    public static final int ANSWER_MOST = 96;
-
-    private static final int CLAIM_BYTES = 13;
-    private static final byte[] NONE = {};
-
-    public WriteOutcome {
-        claims = java.util.Collections.unmodifiableSortedMap(fewEnough(new TreeMap<>(claims)));
-        answer = answer.length > ANSWER_MOST ? NONE : answer;
-    }
-
-    /** Over the bound, claims that never ran go first; a doubt or an acked one is never made room for those. */
-    private static TreeMap<IdempotencyRecord, Integer> fewEnough(TreeMap<IdempotencyRecord, Integer> claims) {
-        while (claims.size() > CLAIMS_MOST) {
-            IdempotencyRecord least = claims.entrySet().stream()
-                    .filter(e -> (e.getValue() & NEVER_RAN) != 0)
-                    .map(Map.Entry::getKey)
-                    .findFirst()
-                    .orElse(claims.firstKey());
-            claims.remove(least);
+record WriteOutcome(long timestamp, Map<IdempotencyRecord, ClaimState> claims, byte[] response)
+        implements VersionedEntry {
+    /** Claims of one write; one more is refused, and the request fails. Bounds the entry's bytes. */
+    static final int MAX_CLAIMS = 6;
+    /** Bytes of the longest response that is replicated, so that an entry fits into a packet. */
+    static final int MAX_RESPONSE_BYTES = 96;
+
+    static final byte[] NO_RESPONSE = {};
+
+    private static final long GATEWAY_FACTOR = 0x9E3779B97F4A7C15L;
+
+    WriteOutcome {
+        claims = Collections.unmodifiableSortedMap(bounded(new TreeMap<>(claims)));
+        response = response.length > MAX_RESPONSE_BYTES ? NO_RESPONSE : response;
+    }
+
+    /** Over the bound, claims that never ran are dropped first: unlike the others, they forbid nothing. */
+    private static TreeMap<IdempotencyRecord, ClaimState> bounded(TreeMap<IdempotencyRecord, ClaimState> claims) {
+        while (claims.size() > MAX_CLAIMS) {
+            claims.remove(leastInformative(claims));
         }
         return claims;
     }
 
-    /** One claim and what is known of it. */
-    public static WriteOutcome of(long at, IdempotencyRecord claim, int bits, byte[] answer) {
-        return new WriteOutcome(at, Map.of(claim, bits | MADE), answer);
+    private static IdempotencyRecord leastInformative(TreeMap<IdempotencyRecord, ClaimState> claims) {
+        return claims.entrySet().stream()
+                .filter(entry -> entry.getValue().hasNeverRun())
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse(claims.firstKey());
+    }
+
+    /** One claim and what is known of it beyond that it was made. */
+    static WriteOutcome of(long timestamp, IdempotencyRecord claim, ClaimState state, byte[] response) {
+        return new WriteOutcome(timestamp, Map.of(claim, state.merge(ClaimState.CLAIMED)), response);
     }
 
-    public boolean acked() {
-        return claims.values().stream().anyMatch(b -> (b & SUCCEEDED) != 0);
+    /** Whether the write was executed. */
+    boolean hasSucceeded() {
+        return claims.values().stream().anyMatch(ClaimState::hasSucceeded);
     }
 
-    /** Whether some claim's write may still run, or may have. */
-    public boolean inDoubt() {
-        return claims.values().stream().anyMatch(b -> (b & (NEVER_RAN | SUCCEEDED)) == 0);
+    /** Whether the write may have been executed, or may still be, under some claim. */
+    boolean isInDoubt() {
+        return claims.values().stream().anyMatch(ClaimState::isInDoubt);
     }
 
-    /** Whether nothing was sent, or all that was is proven not to have run: it may be sent again, by another claim. */
-    public boolean free() {
-        return !acked() && !inDoubt();
+    /** Whether no claim was made, or each one is proven not to run: another claim may be granted. */
+    boolean isFree() {
+        return !hasSucceeded() && !isInDoubt();
     }
 
-    /** Whether that is so but for this claim. */
-    boolean isFreeBut(IdempotencyRecord claim) {
+    /** Whether each claim but this one is proven not to run. */
+    boolean isFreeExceptFor(IdempotencyRecord claim) {
         return claims.entrySet().stream()
-                .allMatch(e -> e.getKey().equals(claim) || (e.getValue() & (NEVER_RAN | SUCCEEDED)) == NEVER_RAN);
+                .allMatch(entry ->
+                        entry.getKey().equals(claim) || entry.getValue().isProvenNotToRun());
     }
 
-    /** Whether two proofs contradict one another: ran and never ran, or ran twice. */
-    public boolean alarm() {
-        return claims.values().stream().anyMatch(b -> (b & (NEVER_RAN | SUCCEEDED)) == (NEVER_RAN | SUCCEEDED))
-                || claims.values().stream().filter(b -> (b & SUCCEEDED) != 0).count() > 1;
+    /** Whether proofs contradict each other: executed and never executed, or executed under two claims. */
+    boolean isContradictory() {
+        long successes =
+                claims.values().stream().filter(ClaimState::hasSucceeded).count();
+        return successes > 1 || claims.values().stream().anyMatch(ClaimState::isContradictory);
     }
 
-    /** Whether it can be told of one more claim. */
-    boolean hasRoom(IdempotencyRecord claim) {
-        return claims.containsKey(claim) || claims.size() < CLAIMS_MOST;
+    /** Whether it includes a claim or can include one more. */
+    boolean hasRoomFor(IdempotencyRecord claim) {
+        return claims.containsKey(claim) || claims.size() < MAX_CLAIMS;
     }
 
     @Override
-    public VersionedEntry join(VersionedEntry other) {
-        if (!(other instanceof WriteOutcome f)) {
+    public boolean permitsClaim(IdempotencyRecord claim) {
+        return isFreeExceptFor(claim) && hasRoomFor(claim);
+    }
+
+    @Override
+    public VersionedEntry merge(VersionedEntry other) {
+        if (!(other instanceof WriteOutcome outcome)) {
             return this;
         }
-        Map<IdempotencyRecord, Integer> all = new TreeMap<>(claims);
-        f.claims.forEach((c, bits) -> all.merge(c, bits, (a, b) -> a | b));
-        int order = Arrays.compare(answer, f.answer); // one answer in truth; of two, the same one at each copy
-        return new WriteOutcome(Math.max(at, f.at), all, order >= 0 ? answer : f.answer);
+        Map<IdempotencyRecord, ClaimState> merged = new TreeMap<>(claims);
+        outcome.claims.forEach((claim, state) -> merged.merge(claim, state, ClaimState::merge));
+        // A write has one response; should there be two, each replica has to choose the same one.
+        boolean keepsResponse = Arrays.compare(response, outcome.response) >= 0;
+        return new WriteOutcome(
+                Math.max(timestamp, outcome.timestamp), merged, keepsResponse ? response : outcome.response);
     }
 
     @Override
-    public boolean equals(Object o) {
-        return o instanceof WriteOutcome f && at == f.at && claims.equals(f.claims) && Arrays.equals(answer, f.answer);
+    public boolean equals(Object other) {
+        return other instanceof WriteOutcome outcome
+                && timestamp == outcome.timestamp
+                && claims.equals(outcome.claims)
+                && Arrays.equals(response, outcome.response);
     }
 
     @Override
@@ -106,63 +118,35 @@
         return (int) hash();
     }
 
+    /** As it stands in the log line of an alarm, whose spelling is fixed. */
     @Override
     public String toString() {
-        return "fate of " + at + " " + claims + (answer.length > 0 ? ", answered" : "");
+        return "fate of " + timestamp + " " + claims + (response.length > 0 ? ", answered" : "");
     }
 
     @Override
     public long hash() {
-        long h = at;
-        for (Map.Entry<IdempotencyRecord, Integer> e : claims.entrySet()) {
-            h = VersionedEntry.mix(h
-                            + e.getKey().gateway() * 0x9E3779B97F4A7C15L
-                            + e.getKey().start() * 31
-                            + e.getKey().number())
-                    + e.getValue();
+        long hash = timestamp;
+        for (Map.Entry<IdempotencyRecord, ClaimState> entry : claims.entrySet()) {
+            IdempotencyRecord claim = entry.getKey();
+            long claimHash = claim.gateway() * GATEWAY_FACTOR + claim.incarnation() * 31 + claim.number();
+            hash = Hashing.mix(hash + claimHash) + entry.getValue().bits();
         }
-        return VersionedEntry.mix(h * 31 + Arrays.hashCode(answer));
+        return Hashing.mix(hash * 31 + Arrays.hashCode(response));
     }
 
     @Override
-    public void write(ByteBuffer to) {
-        to.put(KIND).putLong(at).put((byte) Math.min(CLAIMS_MOST, claims.size()));
-        claims.entrySet().stream()
-                .limit(CLAIMS_MOST)
-                .forEach(e -> to.putShort((short) e.getKey().gateway())
-                        .putShort((short) (e.getKey().start() >>> 32))
-                        .putInt((int) e.getKey().start())
-                        .putInt(e.getKey().number())
-                        .put(e.getValue().byteValue()));
-        to.put((byte) answer.length).put(answer);
+    public long retention(ReplicationSettings settings) {
+        return settings.resubmissionWindow() + settings.clocksApart();
     }
 
     @Override
-    public int length() {
-        return 1 + 8 + 1 + CLAIM_BYTES * Math.min(CLAIMS_MOST, claims.size()) + 1 + answer.length;
+    public void writeTo(ByteBuffer buffer) {
+        EntryCodec.write(this, buffer);
     }
 
-    static WriteOutcome readContent(ByteBuffer from) {
-        if (from.remaining() < 9) {
-            return null;
-        }
-        long at = from.getLong();
-        int n = from.get();
-        if (n < 0 || n > CLAIMS_MOST || from.remaining() < n * CLAIM_BYTES + 1) {
-            return null;
-        }
-        Map<IdempotencyRecord, Integer> claims = new TreeMap<>();
-        for (int i = 0; i < n; i++) {
-            int gateway = from.getShort() & 0xFFFF;
-            long start = (from.getShort() & 0xFFFFL) << 32 | from.getInt() & 0xFFFFFFFFL;
-            claims.put(new IdempotencyRecord(gateway, start, from.getInt()), (int) from.get());
-        }
-        int length = from.get();
-        if (length < 0 || length > ANSWER_MOST || length > from.remaining()) {
-            return null;
-        }
-        byte[] answer = new byte[length];
-        from.get(answer);
-        return new WriteOutcome(at, claims, answer);
+    @Override
+    public int encodedLength() {
+        return EntryCodec.encodedLength(this);
     }
 }
--- a/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
@@ -126,9 +126,9 @@
     @Test
     void whatIsProvenOfAClaimIsCopied() {
         IdempotencyRecord claim = claimWrite();
-        gateways[A].became(NOW, WRITE, claim, WriteOutcome.NEVER_RAN, new byte[0], 1000, true, queues[A]);
+        gateways[A].became(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
         List<String> lines = exchange();
-        gateways[A].became(NOW, WRITE, claim, WriteOutcome.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        gateways[A].became(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
         lines.addAll(exchange());
         assertThat(lines)
                 .containsExactly(
@@ -142,8 +142,8 @@
     void contradictingProofsAreLogged() {
         IdempotencyRecord claim = claimWrite();
         gateways[A].lines();
-        gateways[A].became(NOW, WRITE, claim, WriteOutcome.NEVER_RAN, new byte[0], 1000, true, queues[A]);
-        gateways[A].became(NOW, WRITE, claim, WriteOutcome.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        gateways[A].became(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
+        gateways[A].became(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
         assertThat(gateways[A].lines())
                 .containsExactly(
                         "replicas alarm: two proofs contradict one another, key 99aabbccddeeff00, fate of 17000001000000 {IdempotencyRecord[gateway=0, start=11042563100160, number=1]=7}, answered");
@@ -204,7 +204,7 @@
     void messagesThatAreCutShortOrOfAnotherKindChangeNothing() {
         IdempotencyRecord claim = claimWrite();
         gateways[A].wrote(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
-        gateways[A].became(NOW, WRITE, claim, WriteOutcome.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        gateways[A].became(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
         gateways[A].asks(NOW, SESSION, queues[A]);
         gateways[A].claims(NOW, WRITE + 1, true, unixTime, queues[A]);
         gateways[A].due(NOW, gateway -> true, queues[A]);
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -35,7 +35,7 @@
                 Arbitraries.bytes().array(byte[].class).ofMinSize(0).ofMaxSize(3);
         return Combinators.combine(
                         Arbitraries.longs().between(0, 3),
-                        Arbitraries.maps(claims, Arbitraries.of(1, 3, 5, 7))
+                        Arbitraries.maps(claims, Arbitraries.of(1, 3, 5, 7).map(ClaimState::new))
                                 .ofMinSize(1)
                                 .ofMaxSize(2),
                         answers)
@@ -43,14 +43,14 @@
     }
 
     private static void laws(VersionedEntry a, VersionedEntry b, VersionedEntry c) {
-        assertThat(a.join(b)).isEqualTo(b.join(a));
-        assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
-        assertThat(a.join(a)).isEqualTo(a);
-        assertThat(a.join(b).hash()).isEqualTo(b.join(a).hash());
-        ByteBuffer bytes = ByteBuffer.allocate(VersionedEntry.MOST);
-        a.join(b).write(bytes);
-        assertThat(bytes.position()).isEqualTo(a.join(b).length());
-        assertThat(VersionedEntry.read(bytes.flip())).isEqualTo(a.join(b));
+        assertThat(a.merge(b)).isEqualTo(b.merge(a));
+        assertThat(a.merge(b).merge(c)).isEqualTo(a.merge(b.merge(c)));
+        assertThat(a.merge(a)).isEqualTo(a);
+        assertThat(a.merge(b).hash()).isEqualTo(b.merge(a).hash());
+        ByteBuffer bytes = ByteBuffer.allocate(EntryCodec.MAX_BYTES);
+        a.merge(b).writeTo(bytes);
+        assertThat(bytes.position()).isEqualTo(a.merge(b).encodedLength());
+        assertThat(EntryCodec.read(bytes.flip())).isEqualTo(a.merge(b));
     }
 
     @Property
@@ -70,42 +70,44 @@
     @Test
     void aProofWinsOverADoubtAndOfTwoThatDifferTheOneThatForbidsASendStands() {
         IdempotencyRecord one = new IdempotencyRecord(0, 1, 1);
-        WriteOutcome doubt = WriteOutcome.of(5, one, WriteOutcome.MADE, NO_ANSWER);
-        WriteOutcome acked = WriteOutcome.of(5, one, WriteOutcome.SUCCEEDED, new byte[] {1});
-        WriteOutcome never = WriteOutcome.of(5, one, WriteOutcome.NEVER_RAN, NO_ANSWER);
-        assertThat(doubt.inDoubt()).isTrue();
-        assertThat(((WriteOutcome) doubt.join(never)).free()).isTrue();
-        assertThat(((WriteOutcome) doubt.join(acked)).acked()).isTrue();
-        WriteOutcome both = (WriteOutcome) acked.join(never);
-        assertThat(both.alarm()).isTrue();
-        assertThat(both.free()).isFalse();
-        assertThat(both.acked()).isTrue();
+        WriteOutcome doubt = WriteOutcome.of(5, one, ClaimState.CLAIMED, NO_ANSWER);
+        WriteOutcome acked = WriteOutcome.of(5, one, ClaimState.SUCCEEDED, new byte[] {1});
+        WriteOutcome never = WriteOutcome.of(5, one, ClaimState.NEVER_RAN, NO_ANSWER);
+        assertThat(doubt.isInDoubt()).isTrue();
+        assertThat(((WriteOutcome) doubt.merge(never)).isFree()).isTrue();
+        assertThat(((WriteOutcome) doubt.merge(acked)).hasSucceeded()).isTrue();
+        WriteOutcome both = (WriteOutcome) acked.merge(never);
+        assertThat(both.isContradictory()).isTrue();
+        assertThat(both.isFree()).isFalse();
+        assertThat(both.hasSucceeded()).isTrue();
         WriteOutcome twice = (WriteOutcome)
-                acked.join(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), WriteOutcome.SUCCEEDED, NO_ANSWER));
-        assertThat(twice.alarm()).as("it ran twice").isTrue();
+                acked.merge(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
+        assertThat(twice.isContradictory()).as("it ran twice").isTrue();
     }
 
     @Test
     void madeRoomForNeitherADoubtNorAnAckedClaimGoes() {
-        WriteOutcome f = WriteOutcome.of(5, new IdempotencyRecord(0, 1, 0), WriteOutcome.MADE, NO_ANSWER);
+        WriteOutcome f = WriteOutcome.of(5, new IdempotencyRecord(0, 1, 0), ClaimState.CLAIMED, NO_ANSWER);
         for (int n = 1; n < 20; n++) {
-            f = (WriteOutcome) f.join(new WriteOutcome(
-                    5, Map.of(new IdempotencyRecord(1, 1, n), WriteOutcome.MADE | WriteOutcome.NEVER_RAN), NO_ANSWER));
+            f = (WriteOutcome) f.merge(new WriteOutcome(
+                    5,
+                    Map.of(new IdempotencyRecord(1, 1, n), ClaimState.CLAIMED.merge(ClaimState.NEVER_RAN)),
+                    NO_ANSWER));
         }
         assertThat(f.claims())
-                .hasSizeLessThanOrEqualTo(WriteOutcome.CLAIMS_MOST)
+                .hasSizeLessThanOrEqualTo(WriteOutcome.MAX_CLAIMS)
                 .containsKey(new IdempotencyRecord(0, 1, 0));
-        assertThat(f.inDoubt()).isTrue();
-        assertThat(f.length()).isLessThanOrEqualTo(VersionedEntry.MOST);
+        assertThat(f.isInDoubt()).isTrue();
+        assertThat(f.encodedLength()).isLessThanOrEqualTo(EntryCodec.MAX_BYTES);
     }
 
     @Test
     void whatIsOfALaterVersionOrCutShortIsNotRead() {
-        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {9, 1, 2, 3})))
+        assertThat(EntryCodec.read(ByteBuffer.wrap(new byte[] {9, 1, 2, 3}))).isNull();
+        assertThat(EntryCodec.read(ByteBuffer.wrap(new byte[] {EntryCodec.POSITION_TYPE, 1, 2})))
                 .isNull();
-        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {Position.KIND, 1, 2})))
-                .isNull();
-        assertThat(VersionedEntry.read(ByteBuffer.wrap(new byte[] {WriteOutcome.KIND, 0, 0, 0, 0, 0, 0, 0, 0, 5, 1})))
+        assertThat(EntryCodec.read(
+                        ByteBuffer.wrap(new byte[] {EntryCodec.WRITE_OUTCOME_TYPE, 0, 0, 0, 0, 0, 0, 0, 0, 5, 1})))
                 .isNull();
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -11,12 +11,12 @@
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketQueue;
+import ploverdale.replication.ClaimState;
 import ploverdale.replication.IdempotencyRecord;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.Replicas.Done;
 import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
-import ploverdale.replication.WriteOutcome;
 
 /**
  * Instances of membership and replicated state in simulated time, with clients that roam, datagrams that are lost, doubled and
@@ -311,7 +311,7 @@
                     g.local(),
                     key,
                     claim,
-                    ran ? WriteOutcome.SUCCEEDED : WriteOutcome.NEVER_RAN,
+                    ran ? ClaimState.SUCCEEDED : ClaimState.NEVER_RAN,
                     new byte[] {1},
                     0,
                     false,
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -17,11 +17,11 @@
     @CsvSource(
             delimiterString = " -> ",
             value = {
-                "ReplicaPlacement.java -> return copies / 2 + 1; -> return 1;",
-                "CompletenessBound.java -> Math.max(store.blank(), Math.min(startedAt, missed)) -> store.blank()",
-                "ReplicaHolder.java -> !mayKnowAll || !free -> !free",
-                "ReplicaHolder.java -> f.isFreeBut(claim) && f.hasRoom(claim)"
-                        + " -> (f.claims().containsKey(claim) || f.free())"
+                "ReplicaSet.java -> return size / 2 + 1; -> return 1;",
+                "CompletenessBound.java -> Math.max(store.missingUntil(), Math.min(startedAt, missed)) -> store.missingUntil()",
+                "ReplicaHolder.java -> !mayKnowAll || !isFree -> !isFree",
+                "WriteOutcome.java -> isFreeExceptFor(claim) && hasRoomFor(claim)"
+                        + " -> (claims.containsKey(claim) || isFree())"
             })
     void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
         try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replication/" + file, guard, instead)) {
