--- a/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
@@ -50,4 +50,13 @@
     public boolean any() {
         return sessions || submits();
     }
+
+    /** As the check of a fleet's settings prints it, whose spelling is fixed. */
+    @Override
+    public String toString() {
+        return "ReplicationSettings[copies=" + copies + ", sessions=" + sessions + ", sessionsFor=" + sessionRetention
+                + ", askWithin=" + askWithin + ", submitsFor=" + resubmissionWindow + ", retriesMarked="
+                + retriesMarked + ", waits=" + waits + ", waitWithin=" + waitWithin + ", most=" + maxEntries
+                + ", clocksApart=" + clocksApart + "]";
+    }
 }
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationSettingsTest.java
@@ -0,0 +1,19 @@
+package ploverdale.replication;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** What the check of a fleet's settings prints of replication. */
+class ReplicationSettingsTest {
+    @Test
+    void printsItsFieldsInTheSpellingOfTheCheck() {
+        ReplicationSettings settings =
+                new ReplicationSettings(3, true, 200_000, 600, 80_000, true, Set.of("put"), 1000, 400_000, 500);
+        assertThat(settings)
+                .hasToString("ReplicationSettings[copies=3, sessions=true, sessionsFor=200000, askWithin=600,"
+                        + " submitsFor=80000, retriesMarked=true, waits=[put], waitWithin=1000, most=400000,"
+                        + " clocksApart=500]");
+    }
+}
