--- a/gateway/src/main/java/ploverdale/net/server/AttemptListener.java
+++ b/gateway/src/main/java/ploverdale/net/server/AttemptListener.java
@@ -4,6 +4,6 @@
 @FunctionalInterface
 public interface AttemptListener {
 
-    /** The attempt has ended; its connection is free for other attempts, or closed. */
+    /** The attempt has ended and uses its connection no more. */
     void onAttemptEnded(AttemptResult result);
 }
--- a/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
+++ b/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
@@ -7,7 +7,8 @@
 import ploverdale.model.Event.Outcome;
 
 /**
- * Why a connection could not be made, or a request not be written to it, as far as the failed system call tells.
+ * Why a connection could not be made, or a request not be written to it, as far as the failed system call shows. Opens and closes
+ * nothing; may be used on any thread.
  *
  * <p>The JDK maps an errno to an exception class and puts the system's text for it into the message: ECONNREFUSED and ETIMEDOUT
  * become a {@link ConnectException}, EADDRNOTAVAIL a {@link BindException}, EHOSTUNREACH a {@code NoRouteToHostException}; most
@@ -22,7 +23,7 @@
     NO_ROUTE(Outcome.CONNECT_INTERRUPTED, true),
     /** The server refused the connection, or nothing answered. */
     REFUSED(Outcome.CONNECT_FAILED, false),
-    /** Ended on the way; the server, or the network. */
+    /** The connection ended while it was being made; by the server or the network, which is not known. */
     CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
     // EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM, EACCES as the C library words them.
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
@@ -2,8 +2,8 @@
 
 /**
  * Estimates how often a reused connection turns out to be lost, as a function of how long it was idle before: an exponentially
- * weighted moving average for each power of two of the idle time. Firewalls and proxies forget connections after an idle time of their
- * own without telling either end; the estimate finds that time, so that the pool stops reusing such connections. Opens and closes
+ * weighted moving average for each power of two of the idle time. Firewalls and proxies silently drop connections after an idle time of
+ * their own; the estimate finds that time, so that the pool stops reusing such connections. Opens and closes
  * nothing itself. Used on the event loop only.
  */
 final class IdleConnectionLossRate {
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
@@ -6,7 +6,7 @@
 
 /**
  * The idle connections to all servers: picks the one to reuse, and evicts those that are idle for too long, too many, or likely to be
- * lost. May close idle connections only; whoever closes another connection owns it through its attempt. Used on the event loop only.
+ * lost. Closes idle connections only; one that carries an attempt is closed by itself or by that attempt. Used on the event loop only.
  */
 final class IdleConnections {
     /**
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -14,8 +14,8 @@
 /**
  * One connection to a database server, which carries one attempt at a time; {@link ConnectionState} has its states. It closes itself
  * when it is lost, not ready in time, or receives a message out of order. The attempt that it carries closes it by
- * {@link #abandonAttempt}; the pool closes it while it carries none. Closing is idempotent; closing for any reason of its own completes
- * the attempt. Used on the event loop only.
+ * {@link #abandonAttempt}; the pool closes it while it carries none. Closing is idempotent, and when the connection closes itself it
+ * completes the attempt, or has the pool move a health check to a new connection. Used on the event loop only.
  */
 final class ServerConnection implements ServerProtocol.Listener {
     private static final long NEVER_IDLE = -1;
@@ -312,7 +312,7 @@
         close();
     }
 
-    /** Closes the connection; does nothing where it is closed. Leaves the attempt that it carries to the caller. */
+    /** Closes the connection; does nothing where it is closed. The caller completes or moves the attempt that it carries, if any. */
     void close() {
         if (state == ConnectionState.CLOSED) {
             return;
