--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -21,11 +21,11 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
+import ploverdale.replication.ClaimId;
 import ploverdale.replication.ClaimState;
-import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.QuorumResult;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.settings.GatewaySettings;
 
@@ -49,7 +49,7 @@
         private final RequestArrived asked;
         private final boolean waits;
         private final long arrivedAt; // on the servers' wall clock
-        private IdempotencyRecord claim;
+        private ClaimId claim;
         private int out;
         private boolean mayHaveRun;
         private int copies; // not there yet
@@ -71,7 +71,7 @@
     private final Replicas replicas;
     private final Way way;
     private final ServerClock time;
-    private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
+    private final Map<Long, Consumer<QuorumResult>> tickets = new HashMap<>();
     private final Map<RequestId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker =
             new HashMap<>(); // by group, the number of the server of the last acked write
@@ -105,7 +105,7 @@
 
     /** What this gateway vouched for was dated wrongly; from now on it vouches for what comes from here on. */
     void clockOffsetChanged() {
-        replicas.startsAnew();
+        replicas.onClockCorrected();
     }
 
     /** How the module takes session reads: by what comes with each. */
@@ -115,8 +115,8 @@
 
     /** Hands on what has ended. */
     void ended() {
-        for (Done d : replicas.done()) {
-            Consumer<Done> then = tickets.remove(d.ticket());
+        for (QuorumResult d : replicas.takeResults()) {
+            Consumer<QuorumResult> then = tickets.remove(d.ticket());
             if (then != null) {
                 then.accept(d);
             }
@@ -127,7 +127,7 @@
         long ask(long now, PacketQueue to);
     }
 
-    private void asks(Question q, Consumer<Done> then) {
+    private void asks(Question q, Consumer<QuorumResult> then) {
         way.keeps((to, now) -> {
             long ticket = q.ask(now, to);
             if (ticket != 0) {
@@ -144,14 +144,17 @@
                 keeping.waits().contains(settings.requestClasses().get(a.type().index()));
         if (keeping.sessions() && type.needs() == Consistency.SESSION && key != null) {
             long arrived = time.now();
-            asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
+            asks((now, to) -> replicas.readPosition(now, Replicas.key(true, key), to), d -> {
                 int leads = acker.getOrDefault(a.group(), d.server());
-                if (d.end() == End.KNOWN && d.server() >= 0 && d.server() != leads) {
+                if (d.status() == Status.POSITION_KNOWN && d.server() >= 0 && d.server() != leads) {
                     log.often(
                             "a session over a takeover",
                             "its last write was acked by another server than the group's last");
                 }
-                arrived(a, time.tokenAge(time.now(), d.end() == End.KNOWN ? d.position() : time.toWall(arrived)));
+                arrived(
+                        a,
+                        time.tokenAge(
+                                time.now(), d.status() == Status.POSITION_KNOWN ? d.position() : time.toWall(arrived)));
             });
         } else if (type.needs() == Consistency.WRITE) {
             if (!time.isKnown()) {
@@ -204,10 +207,10 @@
     private void claims(InHand i) {
         RequestId request = i.asked.request();
         asks(
-                (now, to) -> replicas.claims(
+                (now, to) -> replicas.claimWrite(
                         now, Replicas.key(false, request.text()), !i.asked.resubmitted(), i.arrivedAt, to),
                 d -> {
-                    if (d.end() == End.GRANTED) {
+                    if (d.status() == Status.GRANTED) {
                         i.claim = d.claim();
                         if (clients.taken(request) != null) {
                             loop.tell(i.asked);
@@ -217,10 +220,10 @@
                         }
                     } else if (clients.taken(request) == null) {
                         inHand.remove(request);
-                    } else if (d.end() == End.RAN) {
+                    } else if (d.status() == Status.ALREADY_EXECUTED) {
                         inHand.remove(request);
-                        if (d.answer().length > 0) {
-                            clients.ranBefore(request, d.answer());
+                        if (d.response().length > 0) {
+                            clients.ranBefore(request, d.response());
                         } else {
                             clients.errored(request);
                         }
@@ -269,7 +272,7 @@
     private void neverRan(InHand i) {
         if (i.claim != null) {
             asks(
-                    (now, to) -> replicas.became(
+                    (now, to) -> replicas.writeOutcome(
                             now,
                             Replicas.key(false, i.asked.request().text()),
                             i.claim,
@@ -309,13 +312,13 @@
                     ? time.toWall(note.position())
                     : time.wallNow();
             asks(
-                    (now, to) -> replicas.wrote(
+                    (now, to) -> replicas.writePosition(
                             now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
                     d -> copied(i, row, d));
         }
         if (i.claim != null) {
             asks(
-                    (now, to) -> replicas.became(
+                    (now, to) -> replicas.writeOutcome(
                             now,
                             Replicas.key(false, request.text()),
                             i.claim,
@@ -328,8 +331,8 @@
         }
     }
 
-    private void copied(InHand i, ResultRow row, Done d) {
-        i.notCopied |= d.end() != End.COPIED;
+    private void copied(InHand i, ResultRow row, QuorumResult d) {
+        i.notCopied |= d.status() != Status.REPLICATED;
         if (--i.copies > 0) {
             return;
         }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -99,15 +99,15 @@
             lines.add(line);
         }
         if (replicas != null) {
-            replicas.speaksAs(Membership.start(membership.incarnation()));
-            replicas.due(now, membership::isPresent, packing);
+            replicas.setIncarnation(Membership.start(membership.incarnation()));
+            replicas.onTick(now, membership::isPresent, packing);
         }
         return letters(now);
     }
 
     private List<PacketQueue.OutboundPacket> letters(long now) {
         if (replicas != null) {
-            lines.addAll(replicas.lines());
+            lines.addAll(replicas.takeLogLines());
         }
         return packing.letters(now, membership.incarnation(), id);
     }
@@ -140,7 +140,7 @@
             if (same) {
                 budgets.part(now, from, Membership.start(p.incarnation()), part, packing);
                 if (replicas != null) {
-                    replicas.part(now, from, Membership.start(p.incarnation()), part, packing);
+                    replicas.onMessage(now, from, Membership.start(p.incarnation()), part, packing);
                 }
             }
         }
@@ -177,7 +177,7 @@
         return "budgets: holds " + sums[0] + " parts, " + sums[1] + " borrowed, " + sums[2] + " lent, " + sums[3]
                 + " asked for, " + sums[4] + " in use, " + refused + " refused since the start, " + packing.spent()
                 + " bytes sent, " + packing.dropped() + " parcels dropped, " + membership.present() + " of "
-                + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.figures());
+                + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.statistics());
     }
 
     // -- What the module may spend
--- a/gateway/src/main/java/ploverdale/replication/IdempotencyRecord.java
+++ b/gateway/src/main/java/ploverdale/replication/ClaimId.java
@@ -10,13 +10,13 @@
  * @param incarnation of that gateway's process
  * @param number unique within the incarnation
  */
-public record IdempotencyRecord(int gateway, long incarnation, int number) implements Comparable<IdempotencyRecord> {
-    private static final Comparator<IdempotencyRecord> ORDER = Comparator.comparingInt(IdempotencyRecord::gateway)
-            .thenComparingLong(IdempotencyRecord::incarnation)
-            .thenComparingInt(IdempotencyRecord::number);
+public record ClaimId(int gateway, long incarnation, int number) implements Comparable<ClaimId> {
+    private static final Comparator<ClaimId> ORDER = Comparator.comparingInt(ClaimId::gateway)
+            .thenComparingLong(ClaimId::incarnation)
+            .thenComparingInt(ClaimId::number);
 
     @Override
-    public int compareTo(IdempotencyRecord other) {
+    public int compareTo(ClaimId other) {
         return ORDER.compare(this, other);
     }
 
--- a/gateway/src/main/java/ploverdale/replication/EntryCodec.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryCodec.java
@@ -41,7 +41,7 @@
         buffer.put((byte) outcome.response().length).put(outcome.response());
     }
 
-    private static void writeClaim(IdempotencyRecord claim, ClaimState state, ByteBuffer buffer) {
+    private static void writeClaim(ClaimId claim, ClaimState state, ByteBuffer buffer) {
         buffer.putShort((short) claim.gateway())
                 .putShort((short) (claim.incarnation() >>> Integer.SIZE))
                 .putInt((int) claim.incarnation())
@@ -84,9 +84,9 @@
         if (!countIsValid || buffer.remaining() < count * CLAIM_BYTES + RESPONSE_LENGTH_BYTES) {
             return null;
         }
-        Map<IdempotencyRecord, ClaimState> claims = new TreeMap<>();
+        Map<ClaimId, ClaimState> claims = new TreeMap<>();
         for (int i = 0; i < count; i++) {
-            IdempotencyRecord claim = readClaim(buffer);
+            ClaimId claim = readClaim(buffer);
             claims.put(claim, new ClaimState(buffer.get()));
         }
         int length = buffer.get();
@@ -98,10 +98,10 @@
         return new WriteOutcome(timestamp, claims, response);
     }
 
-    private static IdempotencyRecord readClaim(ByteBuffer buffer) {
+    private static ClaimId readClaim(ByteBuffer buffer) {
         int gateway = Short.toUnsignedInt(buffer.getShort());
         long highBits = Short.toUnsignedLong(buffer.getShort()) << Integer.SIZE;
         long incarnation = highBits | Integer.toUnsignedLong(buffer.getInt());
-        return new IdempotencyRecord(gateway, incarnation, buffer.getInt());
+        return new ClaimId(gateway, incarnation, buffer.getInt());
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/Position.java
+++ b/gateway/src/main/java/ploverdale/replication/Position.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public boolean permitsClaim(IdempotencyRecord claim) {
+    public boolean permitsClaim(ClaimId claim) {
         return false;
     }
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
@@ -1,7 +1,6 @@
 package ploverdale.replication;
 
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.ReplicationMessage.ClaimRequest;
 
 /**
@@ -9,7 +8,7 @@
  * failed have to be notified that its write is never executed, see {@link #isToBeWithdrawn}.
  */
 final class QuorumClaim extends QuorumOperation {
-    private final IdempotencyRecord claim;
+    private final ClaimId claim;
     private final boolean firstSubmission;
     private final WriteOutcome requested;
     private int grants;
@@ -23,7 +22,7 @@
             long key,
             ReplicaSet replicas,
             long deadline,
-            IdempotencyRecord claim,
+            ClaimId claim,
             boolean firstSubmission,
             long arrivedAt) {
         super(ticket, key, replicas, deadline, true);
@@ -32,7 +31,7 @@
         requested = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
     }
 
-    IdempotencyRecord claim() {
+    ClaimId claim() {
         return claim;
     }
 
@@ -64,19 +63,19 @@
     }
 
     @Override
-    End decide(WriteOutcome known) {
+    Status decide(WriteOutcome known) {
         if (isGranted()) {
-            return End.GRANTED;
+            return Status.GRANTED;
         }
         if (known != null && known.hasSucceeded()) {
-            return End.RAN;
+            return Status.ALREADY_EXECUTED;
         }
-        return mayBeGranted() ? null : End.IN_DOUBT;
+        return mayBeGranted() ? null : Status.IN_DOUBT;
     }
 
     @Override
-    End timeoutEnd() {
-        return End.IN_DOUBT;
+    Status timeoutStatus() {
+        return Status.IN_DOUBT;
     }
 
     /** Whether it has failed, all replicas have answered, and some granted it. */
@@ -90,8 +89,8 @@
     }
 
     @Override
-    Done done(End end, byte[] response) {
-        return new Done(ticket(), end, EntryStore.NOTHING_MISSING, Position.NO_SERVER, claim, response);
+    QuorumResult result(Status status, byte[] response) {
+        return new QuorumResult(ticket(), status, EntryStore.NOTHING_MISSING, Position.NO_SERVER, claim, response);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -4,8 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.ReplicationMessage.ClaimResponse;
 import ploverdale.replication.ReplicationMessage.PositionResponse;
 import ploverdale.replication.ReplicationMessage.Response;
@@ -35,7 +34,7 @@
     private final ReplicaHolder localReplica;
     private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by number, oldest first
     private final List<QuorumClaim> toBeWithdrawn = new ArrayList<>();
-    private final List<Done> done = new ArrayList<>();
+    private final List<QuorumResult> results = new ArrayList<>();
     private int lastNumber;
     private long lastTicket;
     private long requested;
@@ -66,9 +65,9 @@
     }
 
     /** What has ended since the last call. */
-    List<Done> takeDone() {
-        List<Done> taken = List.copyOf(done);
-        done.clear();
+    List<QuorumResult> takeResults() {
+        List<QuorumResult> taken = List.copyOf(results);
+        results.clear();
         return taken;
     }
 
@@ -89,13 +88,7 @@
 
     /** Replicates what is proven of a claim that was granted to this gateway; parameters as for {@link #write}. */
     long writeOutcome(
-            Turn turn,
-            long key,
-            IdempotencyRecord claim,
-            ClaimState proof,
-            byte[] response,
-            long timeout,
-            boolean awaited) {
+            Turn turn, long key, ClaimId claim, ClaimState proof, byte[] response, long timeout, boolean awaited) {
         WriteOutcome known = localReplica.outcomeOf(key);
         long timestamp = known == null ? turn.unixTime() : known.timestamp();
         return write(turn, key, WriteOutcome.of(timestamp, claim, proof, response), timeout, awaited);
@@ -120,7 +113,7 @@
     long claim(Turn turn, long key, long incarnation, boolean firstSubmission, long arrivedAt) {
         long ticket = ++lastTicket;
         requested++;
-        IdempotencyRecord claim = new IdempotencyRecord(self, incarnation, ++lastNumber);
+        ClaimId claim = new ClaimId(self, incarnation, ++lastNumber);
         boolean isKnownFirst = firstSubmission && settings.retriesMarked();
         long deadline = turn.now() + settings.askWithin();
         begin(turn, new QuorumClaim(ticket, key, placement.of(key), deadline, claim, isKnownFirst, arrivedAt));
@@ -130,7 +123,7 @@
     private void begin(Turn turn, QuorumOperation operation) {
         int number = ++lastNumber;
         if (pending.size() >= MAX_PENDING) {
-            complete(operation, End.UNKNOWN);
+            complete(operation, Status.UNKNOWN);
             return;
         }
         pending.put(number, operation);
@@ -212,23 +205,23 @@
     }
 
     private void completeIfDecided(QuorumOperation operation) {
-        End end = operation.decide(localReplica.outcomeOf(operation.key()));
-        if (end != null) {
-            complete(operation, end);
+        Status status = operation.decide(localReplica.outcomeOf(operation.key()));
+        if (status != null) {
+            complete(operation, status);
         }
     }
 
-    private void complete(QuorumOperation operation, End end) {
+    private void complete(QuorumOperation operation, Status status) {
         if (operation.isCompleted()) {
             return;
         }
         operation.complete();
-        if (end == End.UNKNOWN && operation instanceof QuorumRead) {
+        if (status == Status.UNKNOWN && operation instanceof QuorumRead) {
             unknownReads++;
         }
         if (operation.isAwaited()) {
             WriteOutcome known = localReplica.outcomeOf(operation.key());
-            done.add(operation.done(end, known == null ? WriteOutcome.NO_RESPONSE : known.response()));
+            results.add(operation.result(status, known == null ? WriteOutcome.NO_RESPONSE : known.response()));
         }
     }
 
@@ -257,7 +250,7 @@
         if (!operation.isExpired(now)) {
             return false;
         }
-        complete(operation, operation.timeoutEnd());
+        complete(operation, operation.timeoutStatus());
         if (operation instanceof QuorumClaim claim && claim.isToBeWithdrawnOnTimeout()) {
             toBeWithdrawn.add(claim);
         }
--- a/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
@@ -1,8 +1,7 @@
 package ploverdale.replication;
 
 import java.util.BitSet;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
+import ploverdale.replication.QuorumResult.Status;
 
 /**
  * One request to all replicas of a key, and which of them have answered. It is repeated with exponential backoff to those
@@ -44,18 +43,18 @@
      *
      * @param known what this gateway knows of the write of that key, or null
      */
-    abstract End decide(WriteOutcome known);
+    abstract Status decide(WriteOutcome known);
 
     /** How it ends where no quorum has answered in time. */
-    abstract End timeoutEnd();
+    abstract Status timeoutStatus();
 
     /**
      * How its end is reported.
      *
      * @param response of the write of that key, see {@link WriteOutcome#response}
      */
-    Done done(End end, byte[] response) {
-        return new Done(ticket, end, EntryStore.NOTHING_MISSING, Position.NO_SERVER, null, response);
+    QuorumResult result(Status status, byte[] response) {
+        return new QuorumResult(ticket, status, EntryStore.NOTHING_MISSING, Position.NO_SERVER, null, response);
     }
 
     final long ticket() {
--- a/gateway/src/main/java/ploverdale/replication/QuorumRead.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumRead.java
@@ -1,7 +1,6 @@
 package ploverdale.replication;
 
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.ReplicationMessage.PositionRequest;
 
 /** Reads the position that reads of a session must reach: the latest one that a majority of replicas requires. */
@@ -36,18 +35,18 @@
     }
 
     @Override
-    End decide(WriteOutcome known) {
-        return isAnsweredByMajority() ? End.KNOWN : null;
+    Status decide(WriteOutcome known) {
+        return isAnsweredByMajority() ? Status.POSITION_KNOWN : null;
     }
 
     @Override
-    End timeoutEnd() {
-        return End.UNKNOWN;
+    Status timeoutStatus() {
+        return Status.UNKNOWN;
     }
 
     @Override
-    Done done(End end, byte[] response) {
-        return new Done(ticket(), end, position, server, null, response);
+    QuorumResult result(Status status, byte[] response) {
+        return new QuorumResult(ticket(), status, position, server, null, response);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
@@ -1,6 +1,6 @@
 package ploverdale.replication;
 
-import ploverdale.replication.Replicas.End;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.ReplicationMessage.WriteRequest;
 
 /** Replicates an entry. It ends once a majority of replicas has it, and is repeated until all have it or time is over. */
@@ -24,13 +24,13 @@
     }
 
     @Override
-    End decide(WriteOutcome known) {
-        return isAnsweredByMajority() ? End.COPIED : null;
+    Status decide(WriteOutcome known) {
+        return isAnsweredByMajority() ? Status.REPLICATED : null;
     }
 
     @Override
-    End timeoutEnd() {
-        return End.UNKNOWN;
+    Status timeoutStatus() {
+        return Status.UNKNOWN;
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
@@ -81,7 +81,7 @@
      * @param firstSubmission whether the write is known to be submitted for the first time
      * @param requested has that claim and the time at which the write arrived
      */
-    boolean grant(long key, IdempotencyRecord claim, boolean firstSubmission, WriteOutcome requested) {
+    boolean grant(long key, ClaimId claim, boolean firstSubmission, WriteOutcome requested) {
         // An earlier submission may have been known here; of a first one, a later submission that overtook it, as where
         // its gateway was paused meanwhile. What is in the store proves nothing of that: it may be of a refused claim.
         ReplicaSet replicas = placement.of(key);
@@ -109,7 +109,7 @@
 
     ClaimResponse answer(long requesterIncarnation, ClaimRequest request) {
         WriteOutcome requested = request.outcome();
-        IdempotencyRecord claim = requested.claims().keySet().iterator().next();
+        ClaimId claim = requested.claims().keySet().iterator().next();
         boolean granted = grant(request.key(), claim, request.firstSubmission(), requested);
         return new ClaimResponse(requesterIncarnation, request.number(), granted, outcomeOf(request.key()));
     }
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -21,33 +21,6 @@
  * the same unit. Not thread-safe: used on the event loop only.
  */
 public final class Replicas {
-    /** How an operation on the replicas ended. */
-    public enum End {
-        /** A session's reads must reach the position given. */
-        KNOWN,
-        /** No majority of replicas has answered in time. */
-        UNKNOWN,
-        /** A majority of replicas has a copy. */
-        COPIED,
-        /** The claim given was granted: this gateway may execute the write. */
-        GRANTED,
-        /** The write was executed before; its response may be known. */
-        RAN,
-        /** The write may have been executed, or may still be, under another claim. */
-        IN_DOUBT
-    }
-
-    /**
-     * The end of an operation.
-     *
-     * @param ticket as returned when it began
-     * @param position of a session, where it is known
-     * @param server that executed the session's last write, or -1
-     * @param claim that was granted or refused, or null
-     * @param answer the response of the write, or empty
-     */
-    public record Done(long ticket, End end, long position, int server, IdempotencyRecord claim, byte[] answer) {}
-
     private static final long MS = 10;
 
     private final int self;
@@ -60,7 +33,7 @@
     private final CompletenessBound bound;
     private final ReplicaHolder localReplica;
     private final QuorumCoordinator coordinator;
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private long incarnation;
 
     /**
@@ -85,13 +58,13 @@
         store = new EntryStore(settings, placement);
         SynchronizedPeers peers = new SynchronizedPeers(self, gateways);
         KeySpaceDigests digests = new KeySpaceDigests(self, store);
-        antiEntropy = new AntiEntropy(store, digests, peers, random, lines::add);
+        antiEntropy = new AntiEntropy(store, digests, peers, random, logLines::add);
         antiEntropyResponder = new AntiEntropyResponder(self, store, digests);
         long startedAt = unixClock.getAsLong() + settings.clocksApart();
         bound = new CompletenessBound(settings, unixClock, placement, store, peers, startedAt);
-        localReplica = new ReplicaHolder(unixClock, placement, store, bound, lines::add);
+        localReplica = new ReplicaHolder(unixClock, placement, store, bound, logLines::add);
         coordinator = new QuorumCoordinator(self, settings, placement, store, localReplica);
-        lines.add(settingsLine(gateways));
+        logLines.add(settingsLine(gateways));
     }
 
     private String settingsLine(int gateways) {
@@ -114,12 +87,12 @@
     }
 
     /** The Unix clock was wrong: what was replicated here until now counts as lost. */
-    public void startsAnew() {
+    public void onClockCorrected() {
         bound.restartAt(unixClock.getAsLong() + settings.clocksApart());
     }
 
     /** The incarnation of this gateway from now on. */
-    public void speaksAs(long incarnation) {
+    public void setIncarnation(long incarnation) {
         this.incarnation = incarnation;
     }
 
@@ -130,57 +103,58 @@
     /**
      * Replicates the position of a session's last write, which a server of that number executed.
      *
-     * @param within timeout of an operation that is awaited
-     * @param waits whether its end is awaited
+     * @param timeout of an operation that is awaited
+     * @param awaited whether its end is awaited
      * @return a ticket that ends as copied or unknown, or 0 where the end is not awaited
      */
-    public long wrote(long now, long key, long position, int server, long within, boolean waits, PacketQueue queue) {
+    public long writePosition(
+            long now, long key, long position, int server, long timeout, boolean awaited, PacketQueue queue) {
         Turn turn = turn(now, queue);
         // A position that is wrongly in the future would force the session's reads to the primary until then.
         long bounded = Math.min(position, turn.unixTime() + settings.clocksApart());
-        return coordinator.write(turn, key, new Position(bounded, server & 0xFFFF), within, waits);
+        return coordinator.write(turn, key, new Position(bounded, server & 0xFFFF), timeout, awaited);
     }
 
     /**
      * Replicates what is proven of a claim that was granted here; where nothing is, the write stays in doubt. The other
-     * parameters and the ticket are as of {@link #wrote}.
+     * parameters and the ticket are as of {@link #writePosition}.
      *
-     * @param answer the response of a write that was executed, else empty
+     * @param response the response of a write that was executed, else empty
      */
-    public long became(
+    public long writeOutcome(
             long now,
             long key,
-            IdempotencyRecord claim,
+            ClaimId claim,
             ClaimState proof,
-            byte[] answer,
-            long within,
-            boolean waits,
+            byte[] response,
+            long timeout,
+            boolean awaited,
             PacketQueue queue) {
-        return coordinator.writeOutcome(turn(now, queue), key, claim, proof, answer, within, waits);
+        return coordinator.writeOutcome(turn(now, queue), key, claim, proof, response, timeout, awaited);
     }
 
     /** Reads the position that a session's reads must reach; the ticket ends as known or unknown. */
-    public long asks(long now, long key, PacketQueue queue) {
+    public long readPosition(long now, long key, PacketQueue queue) {
         return coordinator.readPosition(turn(now, queue), key);
     }
 
     /**
      * Claims to execute a write; the ticket ends as granted, or as what is known of an earlier claim.
      *
-     * @param first whether its client has marked it as a first submission
+     * @param firstSubmission whether its client has marked it as a first submission
      * @param arrivedAt when it arrived here, a Unix time
      */
-    public long claims(long now, long key, boolean first, long arrivedAt, PacketQueue queue) {
-        return coordinator.claim(turn(now, queue), key, incarnation, first, arrivedAt);
+    public long claimWrite(long now, long key, boolean firstSubmission, long arrivedAt, PacketQueue queue) {
+        return coordinator.claim(turn(now, queue), key, incarnation, firstSubmission, arrivedAt);
     }
 
     /** What has ended since the last call. */
-    public List<Done> done() {
-        return coordinator.takeDone();
+    public List<QuorumResult> takeResults() {
+        return coordinator.takeResults();
     }
 
     /** Handles a message of another gateway; ignores parts of other kinds. */
-    public void part(long now, int from, long senderIncarnation, Part part, PacketQueue queue) {
+    public void onMessage(long now, int from, long senderIncarnation, Part part, PacketQueue queue) {
         ReplicationMessage message = ReplicationMessageDecoder.decode(part);
         if (message == null || isForAnotherIncarnation(message)) {
             return;
@@ -204,24 +178,24 @@
     /**
      * Does the periodic work.
      *
-     * @param present whether a gateway is alive as far as this one knows
+     * @param isAlive whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, PacketQueue queue) {
+    public void onTick(long now, IntPredicate isAlive, PacketQueue queue) {
         Turn turn = turn(now, queue);
         coordinator.onTick(turn);
         store.sweep(turn.unixTime());
-        antiEntropy.onTick(turn, present);
+        antiEntropy.onTick(turn, isAlive);
     }
 
     /** What is to be logged since the last call; each line begins with its kind and a colon. */
-    public List<String> lines() {
-        List<String> taken = List.copyOf(lines);
-        lines.clear();
+    public List<String> takeLogLines() {
+        List<String> taken = List.copyOf(logLines);
+        logLines.clear();
         return taken;
     }
 
     /** A line of all figures. */
-    public String figures() {
+    public String statistics() {
         return "replicas: holds " + store.size() + " facts, " + store.evicted() + " forgotten for want of room, "
                 + coordinator.requested() + " asked, " + coordinator.unknownReads() + " of them unknown, "
                 + antiEntropy.received() + " taken from others, " + localReplica.alarms() + " alarms";
@@ -236,12 +210,12 @@
      * A digest of all entries that this gateway and another both replicate and that are not expired at a Unix time; equal
      * where their entries are.
      */
-    public long digest(int other, long until) {
-        return store.digest(0, EntryStore.RANGES, new EntryStore.SharedEntries(self, other, until), 0);
+    public long digest(int peer, long unexpiredAt) {
+        return store.digest(0, EntryStore.RANGES, new EntryStore.SharedEntries(self, peer, unexpiredAt), 0);
     }
 
     /** All that tells two states apart where one key is all there is, for a model checker. */
-    public String told(long key) {
+    public String describeState(long key) {
         StringBuilder text = new StringBuilder().append(store.get(key));
         text.append(' ').append(bound.of(placement.of(key)));
         coordinator.describe(text);
--- a/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
+++ b/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
@@ -24,7 +24,7 @@
     long retention(ReplicationSettings settings);
 
     /** Whether a replica that holds this may grant a claim to execute the write of its key. */
-    boolean permitsClaim(IdempotencyRecord claim);
+    boolean permitsClaim(ClaimId claim);
 
     /** Writes the type and the value, see {@link EntryCodec}. */
     void writeTo(ByteBuffer buffer);
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -16,8 +16,7 @@
  * @param claims at most {@value #MAX_CLAIMS}, in their order
  * @param response to an executed write; empty where it is unknown or longer than {@value #MAX_RESPONSE_BYTES} bytes
  */
-record WriteOutcome(long timestamp, Map<IdempotencyRecord, ClaimState> claims, byte[] response)
-        implements VersionedEntry {
+record WriteOutcome(long timestamp, Map<ClaimId, ClaimState> claims, byte[] response) implements VersionedEntry {
     /** Claims of one write; one more is refused, and the request fails. Bounds the entry's bytes. */
     static final int MAX_CLAIMS = 6;
     /** Bytes of the longest response that is replicated, so that an entry fits into a packet. */
@@ -33,14 +32,14 @@
     }
 
     /** Over the bound, claims that never ran are dropped first: unlike the others, they forbid nothing. */
-    private static TreeMap<IdempotencyRecord, ClaimState> bounded(TreeMap<IdempotencyRecord, ClaimState> claims) {
+    private static TreeMap<ClaimId, ClaimState> bounded(TreeMap<ClaimId, ClaimState> claims) {
         while (claims.size() > MAX_CLAIMS) {
             claims.remove(leastInformative(claims));
         }
         return claims;
     }
 
-    private static IdempotencyRecord leastInformative(TreeMap<IdempotencyRecord, ClaimState> claims) {
+    private static ClaimId leastInformative(TreeMap<ClaimId, ClaimState> claims) {
         return claims.entrySet().stream()
                 .filter(entry -> entry.getValue().hasNeverRun())
                 .map(Map.Entry::getKey)
@@ -49,7 +48,7 @@
     }
 
     /** One claim and what is known of it beyond that it was made. */
-    static WriteOutcome of(long timestamp, IdempotencyRecord claim, ClaimState state, byte[] response) {
+    static WriteOutcome of(long timestamp, ClaimId claim, ClaimState state, byte[] response) {
         return new WriteOutcome(timestamp, Map.of(claim, state.merge(ClaimState.CLAIMED)), response);
     }
 
@@ -69,7 +68,7 @@
     }
 
     /** Whether each claim but this one is proven not to run. */
-    boolean isFreeExceptFor(IdempotencyRecord claim) {
+    boolean isFreeExceptFor(ClaimId claim) {
         return claims.entrySet().stream()
                 .allMatch(entry ->
                         entry.getKey().equals(claim) || entry.getValue().isProvenNotToRun());
@@ -83,12 +82,12 @@
     }
 
     /** Whether it includes a claim or can include one more. */
-    boolean hasRoomFor(IdempotencyRecord claim) {
+    boolean hasRoomFor(ClaimId claim) {
         return claims.containsKey(claim) || claims.size() < MAX_CLAIMS;
     }
 
     @Override
-    public boolean permitsClaim(IdempotencyRecord claim) {
+    public boolean permitsClaim(ClaimId claim) {
         return isFreeExceptFor(claim) && hasRoomFor(claim);
     }
 
@@ -97,7 +96,7 @@
         if (!(other instanceof WriteOutcome outcome)) {
             return this;
         }
-        Map<IdempotencyRecord, ClaimState> merged = new TreeMap<>(claims);
+        Map<ClaimId, ClaimState> merged = new TreeMap<>(claims);
         outcome.claims.forEach((claim, state) -> merged.merge(claim, state, ClaimState::merge));
         // A write has one response; should there be two, each replica has to choose the same one.
         boolean keepsResponse = Arrays.compare(response, outcome.response) >= 0;
@@ -127,8 +126,8 @@
     @Override
     public long hash() {
         long hash = timestamp;
-        for (Map.Entry<IdempotencyRecord, ClaimState> entry : claims.entrySet()) {
-            IdempotencyRecord claim = entry.getKey();
+        for (Map.Entry<ClaimId, ClaimState> entry : claims.entrySet()) {
+            ClaimId claim = entry.getKey();
             long claimHash = claim.gateway() * GATEWAY_FACTOR + claim.incarnation() * 31 + claim.number();
             hash = Hashing.mix(hash + claimHash) + entry.getValue().bits();
         }
--- a/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
@@ -57,7 +57,7 @@
 
     private void deliver(int from, Part part) {
         int to = 1 - from;
-        gateways[to].part(NOW, from, incarnation(from), part, queues[to]);
+        gateways[to].onMessage(NOW, from, incarnation(from), part, queues[to]);
     }
 
     /** Delivers messages until none is left; a line for each: its sender, kind and content. */
@@ -81,15 +81,15 @@
         return "AB".charAt(from) + " " + part.kind() + " " + HexFormat.of().formatHex(part.content());
     }
 
-    private IdempotencyRecord claimWrite() {
-        gateways[A].claims(NOW, WRITE, true, unixTime, queues[A]);
+    private ClaimId claimWrite() {
+        gateways[A].claimWrite(NOW, WRITE, true, unixTime, queues[A]);
         exchange();
-        return gateways[A].done().get(0).claim();
+        return gateways[A].takeResults().get(0).claim();
     }
 
     @Test
     void aPositionIsCopiedToTheOtherReplica() {
-        gateways[A].wrote(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
+        gateways[A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
         assertThat(exchange())
                 .containsExactly(
                         "A 32 0000000111223344556677880100000f761f0552401234", "B 33 00000a0b0c0d0e0000000001");
@@ -97,10 +97,10 @@
 
     @Test
     void aPositionIsReadFromTheOtherReplica() {
-        gateways[B].wrote(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[B]);
+        gateways[B].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[B]);
         exchange();
-        gateways[A].asks(NOW, SESSION, queues[A]);
-        gateways[A].asks(NOW, SESSION + 1, queues[A]);
+        gateways[A].readPosition(NOW, SESSION, queues[A]);
+        gateways[A].readPosition(NOW, SESSION + 1, queues[A]);
         assertThat(exchange())
                 .containsExactly(
                         "A 34 000000011122334455667788",
@@ -111,9 +111,9 @@
 
     @Test
     void aWriteIsClaimedOnceAndRefusedTheSecondTime() {
-        gateways[A].claims(NOW, WRITE, true, unixTime, queues[A]);
+        gateways[A].claimWrite(NOW, WRITE, true, unixTime, queues[A]);
         List<String> lines = exchange();
-        gateways[B].claims(NOW, WRITE, false, unixTime + 1, queues[B]);
+        gateways[B].claimWrite(NOW, WRITE, false, unixTime + 1, queues[B]);
         lines.addAll(exchange());
         assertThat(lines)
                 .containsExactly(
@@ -125,10 +125,10 @@
 
     @Test
     void whatIsProvenOfAClaimIsCopied() {
-        IdempotencyRecord claim = claimWrite();
-        gateways[A].became(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
+        ClaimId claim = claimWrite();
+        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
         List<String> lines = exchange();
-        gateways[A].became(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
         lines.addAll(exchange());
         assertThat(lines)
                 .containsExactly(
@@ -140,28 +140,28 @@
 
     @Test
     void contradictingProofsAreLogged() {
-        IdempotencyRecord claim = claimWrite();
-        gateways[A].lines();
-        gateways[A].became(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
-        gateways[A].became(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
-        assertThat(gateways[A].lines())
+        ClaimId claim = claimWrite();
+        gateways[A].takeLogLines();
+        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
+        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        assertThat(gateways[A].takeLogLines())
                 .containsExactly(
                         "replicas alarm: two proofs contradict one another, key 99aabbccddeeff00, fate of 17000001000000 {IdempotencyRecord[gateway=0, start=11042563100160, number=1]=7}, answered");
-        assertThat(gateways[A].figures())
+        assertThat(gateways[A].statistics())
                 .isEqualTo(
                         "replicas: holds 1 facts, 0 forgotten for want of room, 1 asked, 0 of them unknown, 0 taken from others, 1 alarms");
     }
 
     @Test
     void antiEntropyComparesRangesAndFetchesThoseThatDiffer() {
-        gateways[B].wrote(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[B]);
-        gateways[B].wrote(NOW, SESSION + 1, unixTime + 5, 0x1234, 1000, true, queues[B]);
-        gateways[B].claims(NOW, WRITE, true, unixTime, queues[B]);
+        gateways[B].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[B]);
+        gateways[B].writePosition(NOW, SESSION + 1, unixTime + 5, 0x1234, 1000, true, queues[B]);
+        gateways[B].claimWrite(NOW, WRITE, true, unixTime, queues[B]);
         sentBy(B); // lost
-        gateways[A].wrote(NOW, SESSION + 2, unixTime + 7, 0x4321, 1000, true, queues[A]);
+        gateways[A].writePosition(NOW, SESSION + 2, unixTime + 7, 0x4321, 1000, true, queues[A]);
         sentBy(A); // lost
-        gateways[A].lines();
-        gateways[A].due(NOW, gateway -> true, queues[A]);
+        gateways[A].takeLogLines();
+        gateways[A].onTick(NOW, gateway -> true, queues[A]);
         assertThat(exchange())
                 .containsExactly(
                         "A 38 00000001000000b5dd429d00000f761f057950000000000000000089ff7f98deac5ce100000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
@@ -178,9 +178,9 @@
                         "A 40 000000070112000000000000000000",
                         "B 41 00000a0b0c0d0e00000000060099aabbccddeeff000200000f761f0552400100010a0b0c0d0e01000000030100",
                         "B 41 00000a0b0c0d0e00000000070011223344556677880100000f761f055240123411223344556677890100000f761f0552451234");
-        assertThat(gateways[A].lines())
+        assertThat(gateways[A].takeLogLines())
                 .containsExactly("replicas: caught up with all others, 4 facts held, 3 of them from others");
-        gateways[B].due(NOW, gateway -> true, queues[B]);
+        gateways[B].onTick(NOW, gateway -> true, queues[B]);
         exchange();
         assertThat(gateways[A].digest(B, 0)).isEqualTo(gateways[B].digest(A, 0));
     }
@@ -188,10 +188,10 @@
     @Test
     void aRangeOfMoreEntriesThanFitIsFetchedInSeveralMessages() {
         for (int entry = 0; entry < 12; entry++) {
-            gateways[B].wrote(NOW, SESSION + entry, unixTime + entry, entry, 1000, true, queues[B]);
+            gateways[B].writePosition(NOW, SESSION + entry, unixTime + entry, entry, 1000, true, queues[B]);
         }
         sentBy(B); // lost
-        gateways[A].due(NOW, gateway -> true, queues[A]);
+        gateways[A].onTick(NOW, gateway -> true, queues[A]);
         assertThat(exchange().stream().filter(line -> line.startsWith("A 40") || line.startsWith("B 41")))
                 .containsExactly(
                         "A 40 000000040112000000000000000000",
@@ -202,12 +202,12 @@
 
     @Test
     void messagesThatAreCutShortOrOfAnotherKindChangeNothing() {
-        IdempotencyRecord claim = claimWrite();
-        gateways[A].wrote(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
-        gateways[A].became(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
-        gateways[A].asks(NOW, SESSION, queues[A]);
-        gateways[A].claims(NOW, WRITE + 1, true, unixTime, queues[A]);
-        gateways[A].due(NOW, gateway -> true, queues[A]);
+        ClaimId claim = claimWrite();
+        gateways[A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
+        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        gateways[A].readPosition(NOW, SESSION, queues[A]);
+        gateways[A].claimWrite(NOW, WRITE + 1, true, unixTime, queues[A]);
+        gateways[A].onTick(NOW, gateway -> true, queues[A]);
         long before = gateways[B].digest(A, 0);
         for (Part part : sentBy(A)) {
             for (int length = 0; length < part.content().length; length++) {
@@ -221,9 +221,9 @@
 
     @Test
     void messagesOfALaterVersionThatAreLongerAreReadAsFarAsTheyAreKnown() {
-        gateways[A].wrote(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
-        gateways[A].asks(NOW, SESSION, queues[A]);
-        gateways[A].claims(NOW, WRITE, true, unixTime, queues[A]);
+        gateways[A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
+        gateways[A].readPosition(NOW, SESSION, queues[A]);
+        gateways[A].claimWrite(NOW, WRITE, true, unixTime, queues[A]);
         List<Part> sent = sentBy(A);
         for (Part part : sent) {
             deliver(A, new Part(part.kind(), Arrays.copyOf(part.content(), part.content().length + 4)));
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -26,11 +26,11 @@
 
     @Provide
     Arbitrary<VersionedEntry> fates() {
-        Arbitrary<IdempotencyRecord> claims = Combinators.combine(
+        Arbitrary<ClaimId> claims = Combinators.combine(
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.longs().between(1, 2),
                         Arbitraries.integers().between(1, 2))
-                .as(IdempotencyRecord::new);
+                .as(ClaimId::new);
         Arbitrary<byte[]> answers =
                 Arbitraries.bytes().array(byte[].class).ofMinSize(0).ofMaxSize(3);
         return Combinators.combine(
@@ -69,7 +69,7 @@
 
     @Test
     void aProofWinsOverADoubtAndOfTwoThatDifferTheOneThatForbidsASendStands() {
-        IdempotencyRecord one = new IdempotencyRecord(0, 1, 1);
+        ClaimId one = new ClaimId(0, 1, 1);
         WriteOutcome doubt = WriteOutcome.of(5, one, ClaimState.CLAIMED, NO_ANSWER);
         WriteOutcome acked = WriteOutcome.of(5, one, ClaimState.SUCCEEDED, new byte[] {1});
         WriteOutcome never = WriteOutcome.of(5, one, ClaimState.NEVER_RAN, NO_ANSWER);
@@ -80,23 +80,19 @@
         assertThat(both.isContradictory()).isTrue();
         assertThat(both.isFree()).isFalse();
         assertThat(both.hasSucceeded()).isTrue();
-        WriteOutcome twice = (WriteOutcome)
-                acked.merge(WriteOutcome.of(5, new IdempotencyRecord(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
+        WriteOutcome twice =
+                (WriteOutcome) acked.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
         assertThat(twice.isContradictory()).as("it ran twice").isTrue();
     }
 
     @Test
     void madeRoomForNeitherADoubtNorAnAckedClaimGoes() {
-        WriteOutcome f = WriteOutcome.of(5, new IdempotencyRecord(0, 1, 0), ClaimState.CLAIMED, NO_ANSWER);
+        WriteOutcome f = WriteOutcome.of(5, new ClaimId(0, 1, 0), ClaimState.CLAIMED, NO_ANSWER);
         for (int n = 1; n < 20; n++) {
             f = (WriteOutcome) f.merge(new WriteOutcome(
-                    5,
-                    Map.of(new IdempotencyRecord(1, 1, n), ClaimState.CLAIMED.merge(ClaimState.NEVER_RAN)),
-                    NO_ANSWER));
+                    5, Map.of(new ClaimId(1, 1, n), ClaimState.CLAIMED.merge(ClaimState.NEVER_RAN)), NO_ANSWER));
         }
-        assertThat(f.claims())
-                .hasSizeLessThanOrEqualTo(WriteOutcome.MAX_CLAIMS)
-                .containsKey(new IdempotencyRecord(0, 1, 0));
+        assertThat(f.claims()).hasSizeLessThanOrEqualTo(WriteOutcome.MAX_CLAIMS).containsKey(new ClaimId(0, 1, 0));
         assertThat(f.isInDoubt()).isTrue();
         assertThat(f.encodedLength()).isLessThanOrEqualTo(EntryCodec.MAX_BYTES);
     }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -11,11 +11,11 @@
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketQueue;
+import ploverdale.replication.ClaimId;
 import ploverdale.replication.ClaimState;
-import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.QuorumResult;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
 
 /**
@@ -57,7 +57,7 @@
         private int process;
         private long bytes;
         private final List<Runnable> held = new ArrayList<>();
-        private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
+        private final Map<Long, Consumer<QuorumResult>> tickets = new HashMap<>();
 
         private Instance(int number) {
             this.number = number;
@@ -133,8 +133,8 @@
                 return;
             }
             membership.due(local(), packing);
-            replicas.speaksAs(Membership.start(membership.incarnation()));
-            replicas.due(local(), membership::isPresent, packing);
+            replicas.setIncarnation(Membership.start(membership.incarnation()));
+            replicas.onTick(local(), membership::isPresent, packing);
             sends();
             at(now() + (long) (LOOK / rate), () -> look(p));
         }
@@ -143,8 +143,8 @@
             for (PacketQueue.OutboundPacket l : packing.letters(local(), membership.incarnation(), 1)) {
                 network.send(number, l.to(), l.bytes());
             }
-            for (Done d : replicas.done()) {
-                Consumer<Done> then = tickets.remove(d.ticket());
+            for (QuorumResult d : replicas.takeResults()) {
+                Consumer<QuorumResult> then = tickets.remove(d.ticket());
                 if (then != null) {
                     then.accept(d);
                 }
@@ -165,13 +165,13 @@
             if (p != null && membership.hears(local(), from, p.incarnation())) {
                 for (Packet.Part part : p.parts()) {
                     membership.part(local(), from, part, packing);
-                    replicas.part(local(), from, Membership.start(p.incarnation()), part, packing);
+                    replicas.onMessage(local(), from, Membership.start(p.incarnation()), part, packing);
                 }
                 sends();
             }
         }
 
-        private void asks(long ticket, Consumer<Done> then) {
+        private void asks(long ticket, Consumer<QuorumResult> then) {
             tickets.put(ticket, then);
             sends();
         }
@@ -257,10 +257,10 @@
         Instance g = instances.get(gateway);
         if (g.runs()) {
             long position = ZERO + now();
-            long ticket = g.replicas.wrote(
+            long ticket = g.replicas.writePosition(
                     g.local(), Replicas.key(true, session), position, 1, world.keeping.waitWithin(), true, g.packing);
             g.asks(ticket, d -> {
-                if (d.end() == End.COPIED) {
+                if (d.status() == Status.REPLICATED) {
                     acked++;
                     promised.merge(session, position, Math::max);
                 }
@@ -274,10 +274,10 @@
         if (g.runs()) {
             long must = promised.getOrDefault(session, Long.MIN_VALUE);
             long arrived = ZERO + now();
-            g.asks(g.replicas.asks(g.local(), Replicas.key(true, session), g.packing), d -> {
-                known += d.end() == End.KNOWN ? 1 : 0;
-                unknown += d.end() == End.KNOWN ? 0 : 1;
-                long reach = d.end() == End.KNOWN ? d.position() : arrived;
+            g.asks(g.replicas.readPosition(g.local(), Replicas.key(true, session), g.packing), d -> {
+                known += d.status() == Status.POSITION_KNOWN ? 1 : 0;
+                unknown += d.status() == Status.POSITION_KNOWN ? 0 : 1;
+                long reach = d.status() == Status.POSITION_KNOWN ? d.position() : arrived;
                 if (reach < must) {
                     broken.add("at " + now() / MS + " ms n" + gateway + " reads " + session + " from "
                             + (must - reach) / MS + " ms before its last acked write");
@@ -294,20 +294,20 @@
         }
         long key = Replicas.key(false, id);
         int process = g.process;
-        g.asks(g.replicas.claims(g.local(), key, first, g.wall(), g.packing), d -> {
-            if (d.end() == End.GRANTED) {
+        g.asks(g.replicas.claimWrite(g.local(), key, first, g.wall(), g.packing), d -> {
+            if (d.status() == Status.GRANTED) {
                 if (runs && sent.merge(id, 1, Integer::sum) > 1) {
                     broken.add("at " + now() / MS + " ms n" + gateway + " sends " + id + " once more though it ran");
                 }
                 at(now() + takes, () -> proves(g, process, key, d.claim(), runs));
             }
-            then.accept(d.end().ordinal());
+            then.accept(d.status().ordinal());
         });
     }
 
-    private void proves(Instance g, int process, long key, IdempotencyRecord claim, boolean ran) {
+    private void proves(Instance g, int process, long key, ClaimId claim, boolean ran) {
         if (g.runs() && g.process == process) {
-            g.replicas.became(
+            g.replicas.writeOutcome(
                     g.local(),
                     key,
                     claim,
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
@@ -11,9 +11,9 @@
 import java.util.SplittableRandom;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketQueue;
+import ploverdale.replication.QuorumResult;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
 
 /**
@@ -88,7 +88,7 @@
             if (choice.startsWith("deliver")) {
                 Message m = onTheWay.remove(n);
                 for (Packet.Part p : Packet.read(m.bytes).parts()) {
-                    gateways[m.to].part(0, m.from, m.start, p, packing[m.to]);
+                    gateways[m.to].onMessage(0, m.from, m.start, p, packing[m.to]);
                 }
                 sends(m.to);
             } else if (choice.startsWith("lose")) {
@@ -99,12 +99,12 @@
                 starts(n, startsAsIf);
             } else {
                 wall++;
-                gateways[submits].claims(0, KEY, submits == 0, wall, packing[submits]);
+                gateways[submits].claimWrite(0, KEY, submits == 0, wall, packing[submits]);
                 sends(submits++);
             }
             for (Replicas g : gateways) {
-                for (Done d : g.done()) {
-                    granted += d.end() == End.GRANTED ? 1 : 0;
+                for (QuorumResult d : g.takeResults()) {
+                    granted += d.status() == Status.GRANTED ? 1 : 0;
                 }
             }
         }
@@ -124,7 +124,7 @@
                     .append(restarts)
                     .append(granted);
             for (int i = 0; i < GATEWAYS; i++) {
-                b.append(" | ").append(start[i]).append(' ').append(gateways[i].told(KEY));
+                b.append(" | ").append(start[i]).append(' ').append(gateways[i].describeState(KEY));
             }
             onTheWay.forEach(
                     m -> b.append(' ').append(m.from).append('>').append(m.to).append(Arrays.hashCode(m.bytes)));
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -7,8 +7,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import ploverdale.membership.PacketQueue;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
-import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.tools.lab.ReplicaModel.Settings;
 import ploverdale.tools.lab.ReplicaTrial.CaughtUp;
@@ -84,7 +84,10 @@
         m.until(from + 2 * SECOND);
         assertThat(ends)
                 .containsExactly(
-                        End.GRANTED.ordinal(), End.IN_DOUBT.ordinal(), End.GRANTED.ordinal(), End.RAN.ordinal());
+                        Status.GRANTED.ordinal(),
+                        Status.IN_DOUBT.ordinal(),
+                        Status.GRANTED.ordinal(),
+                        Status.ALREADY_EXECUTED.ordinal());
     }
 
     @Test
@@ -106,7 +109,7 @@
         m.submits(1, "w", false, MS, true, e -> ends[1] = e);
         m.until(14 * SECOND);
         assertThat(m.broken()).isEmpty();
-        assertThat(ends).containsExactly(End.GRANTED.ordinal(), End.IN_DOUBT.ordinal());
+        assertThat(ends).containsExactly(Status.GRANTED.ordinal(), Status.IN_DOUBT.ordinal());
     }
 
     @Test
@@ -117,9 +120,9 @@
         long arrived = wall[0]
                 - SECOND; // its client may have submitted it elsewhere since, and the keepers' copies may be gone
         wall[0] += SECOND;
-        one.claims(0, Replicas.key(false, "w"), true, arrived, none);
-        one.claims(0, Replicas.key(false, "v"), true, wall[0], none);
-        assertThat(one.done()).extracting(d -> d.end()).containsExactly(End.IN_DOUBT, End.GRANTED);
+        one.claimWrite(0, Replicas.key(false, "w"), true, arrived, none);
+        one.claimWrite(0, Replicas.key(false, "v"), true, wall[0], none);
+        assertThat(one.takeResults()).extracting(d -> d.status()).containsExactly(Status.IN_DOUBT, Status.GRANTED);
     }
 
     @Test
@@ -139,8 +142,8 @@
         System.gc();
         long before = used();
         for (int i = 0; i < 200_000; i++) {
-            one.wrote(0, Replicas.key(true, "session-" + i), 17_000_000_000_000L, 1, 0, false, none);
-            one.done();
+            one.writePosition(0, Replicas.key(true, "session-" + i), 17_000_000_000_000L, 1, 0, false, none);
+            one.takeResults();
         }
         System.gc();
         long bytes = used() - before;
@@ -161,11 +164,11 @@
         wall[0] += 100 * SECOND;
         for (int i = 0; i < 300; i++) {
             wall[0]++;
-            one.wrote(0, Replicas.key(true, "s" + i), wall[0], 1, 0, false, none);
+            one.writePosition(0, Replicas.key(true, "s" + i), wall[0], 1, 0, false, none);
         }
-        one.asks(0, Replicas.key(true, "s0"), none);
+        one.readPosition(0, Replicas.key(true, "s0"), none);
         assertThat(one.size()).isEqualTo(100);
-        assertThat(one.done().get(0).position())
+        assertThat(one.takeResults().get(0).position())
                 .as("s0 was written then, or before")
                 .isGreaterThanOrEqualTo(wall[0] - 299);
     }
