--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -181,7 +181,7 @@
                             + d.floor(f.settings().started().me(), b) + " as floor");
                 }
                 if (fleet.keeping() != null) {
-                    System.out.println("  kept by " + fleet.keeping().copies() + ": " + fleet.keeping());
+                    System.out.println("  kept by " + fleet.keeping().replicationFactor() + ": " + fleet.keeping());
                 }
             }
             return 0;
--- a/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
@@ -114,19 +114,19 @@
     /** Whether the file fits what the gateway is told; a field that does not is named. */
     public static QuotaSettings fits(QuotaSettings s, GatewaySettings told) {
         if (s.keeping() != null) {
-            for (String name : s.keeping().waits()) {
+            for (String name : s.keeping().synchronousClasses()) {
                 if (!told.requestClasses().contains(name)) {
                     throw new InvalidSettingsException(
                             "fleet file with a field wait_for_copies that names no op type: " + name);
                 }
             }
-            if (s.keeping().sessions() && told.started().copies().tokensCarried()) {
+            if (s.keeping().replicatesSessions() && told.started().copies().tokensCarried()) {
                 throw new InvalidSettingsException(
                         "fleet file with a field sessions where clients bring their sessions' positions");
             }
-            if (told.started().gateways() > ReplicationSettings.gatewaysMost()) {
+            if (told.started().gateways() > ReplicationSettings.maxGateways()) {
                 throw new InvalidSettingsException(
-                        "fleet file with a field copies for over " + ReplicationSettings.gatewaysMost() + " gateways");
+                        "fleet file with a field copies for over " + ReplicationSettings.maxGateways() + " gateways");
             }
         }
         return s;
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -110,7 +110,8 @@
 
     /** How the module takes session reads: by what comes with each. */
     ReplicaGuarantees copies(ReplicaGuarantees told) {
-        return new ReplicaGuarantees(told.checks(), told.checkWait(), told.tokensCarried() || keeping.sessions());
+        return new ReplicaGuarantees(
+                told.checks(), told.checkWait(), told.tokensCarried() || keeping.replicatesSessions());
     }
 
     /** Hands on what has ended. */
@@ -140,9 +141,9 @@
     @Override
     public void arrives(RequestArrived a, String key) {
         RequestClass type = settings.started().requestClasses().get(a.type().index());
-        boolean waits =
-                keeping.waits().contains(settings.requestClasses().get(a.type().index()));
-        if (keeping.sessions() && type.needs() == Consistency.SESSION && key != null) {
+        boolean waits = keeping.synchronousClasses()
+                .contains(settings.requestClasses().get(a.type().index()));
+        if (keeping.replicatesSessions() && type.needs() == Consistency.SESSION && key != null) {
             long arrived = time.now();
             asks((now, to) -> replicas.readPosition(now, Replicas.key(true, key), to), d -> {
                 int leads = acker.getOrDefault(a.group(), d.server());
@@ -163,7 +164,7 @@
             }
             InHand i = new InHand(a, waits, time.wallNow());
             inHand.put(a.request(), i);
-            if (keeping.submits() && type.repeats() != Idempotence.IDEMPOTENT) {
+            if (keeping.replicatesOutcomes() && type.repeats() != Idempotence.IDEMPOTENT) {
                 claims(i);
             } else {
                 loop.tell(a);
@@ -227,7 +228,7 @@
                         } else {
                             clients.errored(request);
                         }
-                    } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
+                    } else if (time.now() + (JOIN_AGAIN_MS + keeping.quorumTimeout() / MS) * MS < i.asked.timeoutAt()) {
                         vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
                     } else {
                         inHand.remove(request);
@@ -293,7 +294,7 @@
             return;
         }
         acker.put(i.asked.group(), Datagram.number(server) & 0xFFFF);
-        if (!time.isKnown() && keeping.sessions() && i.asked.session() != null) {
+        if (!time.isKnown() && keeping.replicatesSessions() && i.asked.session() != null) {
             clients.errored(request); // its position cannot be dated, so that nothing may be promised to the session
             log.often("an acked write while the clock is in doubt", "errored");
             return;
@@ -301,13 +302,13 @@
         if (!i.waits) {
             clients.acked(request, row);
         }
-        long left = Math.max(1, Math.min(keeping.waitWithin(), i.asked.timeoutAt() - time.now()));
+        long left = Math.max(1, Math.min(keeping.synchronousTimeout(), i.asked.timeoutAt() - time.now()));
         String session = i.asked.session() == null ? null : i.asked.session().text();
-        i.copies = (keeping.sessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
+        i.copies = (keeping.replicatesSessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
         if (i.waits && i.copies == 0) {
             clients.acked(request, row);
         }
-        if (keeping.sessions() && session != null) {
+        if (keeping.replicatesSessions() && session != null) {
             long at = note != null && note.position() != LoadReport.UNKNOWN_TIME
                     ? time.toWall(note.position())
                     : time.wallNow();
@@ -338,7 +339,7 @@
         }
         if (i.notCopied) {
             clients.errored(i.asked.request()); // nothing may be promised
-            log.often("an acked write without copies", "errored after " + keeping.waitWithin() / MS + " ms");
+            log.often("an acked write without copies", "errored after " + keeping.synchronousTimeout() / MS + " ms");
         } else {
             clients.acked(i.asked.request(), row);
         }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -67,7 +67,7 @@
                         quotaSettings.keeping(),
                         random.split(),
                         wall);
-        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
+        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().replicationFactor());
         if (divides()) {
             lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways()
                     + " gateways, division " + Integer.toHexString(id)
--- a/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
@@ -61,7 +61,7 @@
      * where that is later.
      */
     long requiredPosition(long key) {
-        long oldestRetained = unixClock.getAsLong() - settings.sessionRetention() - settings.clocksApart();
+        long oldestRetained = unixClock.getAsLong() - settings.sessionRetention() - settings.maxClockDifference();
         long least = Math.max(of(placement.of(key)), oldestRetained);
         Position position = store.position(key);
         return position == null ? least : Math.max(position.timestamp(), least);
@@ -69,6 +69,6 @@
 
     /** Whether all writes that may still be submitted again arrived after the bound. */
     boolean coversSubmissions(ReplicaSet replicas) {
-        return of(replicas) + settings.resubmissionWindow() + settings.clocksApart() < unixClock.getAsLong();
+        return of(replicas) + settings.resubmissionWindow() + settings.maxClockDifference() < unixClock.getAsLong();
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -98,7 +98,7 @@
     long readPosition(Turn turn, long key) {
         long ticket = ++lastTicket;
         requested++;
-        long deadline = turn.now() + settings.askWithin();
+        long deadline = turn.now() + settings.quorumTimeout();
         begin(turn, new QuorumRead(ticket, key, placement.of(key), deadline, store.position(key)));
         return ticket;
     }
@@ -115,7 +115,7 @@
         requested++;
         ClaimId claim = new ClaimId(self, incarnation, ++lastNumber);
         boolean isKnownFirst = firstSubmission && settings.retriesMarked();
-        long deadline = turn.now() + settings.askWithin();
+        long deadline = turn.now() + settings.quorumTimeout();
         begin(turn, new QuorumClaim(ticket, key, placement.of(key), deadline, claim, isKnownFirst, arrivedAt));
         return ticket;
     }
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -54,13 +54,13 @@
         this.incarnation = incarnation;
         this.settings = settings;
         this.unixClock = unixClock;
-        placement = new ReplicaPlacement(gateways, settings.copies());
+        placement = new ReplicaPlacement(gateways, settings.replicationFactor());
         store = new EntryStore(settings, placement);
         SynchronizedPeers peers = new SynchronizedPeers(self, gateways);
         KeySpaceDigests digests = new KeySpaceDigests(self, store);
         antiEntropy = new AntiEntropy(store, digests, peers, random, logLines::add);
         antiEntropyResponder = new AntiEntropyResponder(self, store, digests);
-        long startedAt = unixClock.getAsLong() + settings.clocksApart();
+        long startedAt = unixClock.getAsLong() + settings.maxClockDifference();
         bound = new CompletenessBound(settings, unixClock, placement, store, peers, startedAt);
         localReplica = new ReplicaHolder(unixClock, placement, store, bound, logLines::add);
         coordinator = new QuorumCoordinator(self, settings, placement, store, localReplica);
@@ -68,10 +68,12 @@
     }
 
     private String settingsLine(int gateways) {
-        String sessions =
-                settings.sessions() ? "sessions for " + settings.sessionRetention() / MS + " ms" : "no sessions";
-        String submits =
-                settings.submits() ? "submits for " + settings.resubmissionWindow() / MS + " ms" : "no submits";
+        String sessions = settings.replicatesSessions()
+                ? "sessions for " + settings.sessionRetention() / MS + " ms"
+                : "no sessions";
+        String submits = settings.replicatesOutcomes()
+                ? "submits for " + settings.resubmissionWindow() / MS + " ms"
+                : "no submits";
         return "replicas: " + placement.replicationFactor() + " copies among " + gateways + " gateways, " + sessions
                 + ", " + submits + (gateways > 1 ? ", catching up" : "");
     }
@@ -88,7 +90,7 @@
 
     /** The Unix clock was wrong: what was replicated here until now counts as lost. */
     public void onClockCorrected() {
-        bound.restartAt(unixClock.getAsLong() + settings.clocksApart());
+        bound.restartAt(unixClock.getAsLong() + settings.maxClockDifference());
     }
 
     /** The incarnation of this gateway from now on. */
@@ -111,7 +113,7 @@
             long now, long key, long position, int server, long timeout, boolean awaited, PacketQueue queue) {
         Turn turn = turn(now, queue);
         // A position that is wrongly in the future would force the session's reads to the primary until then.
-        long bounded = Math.min(position, turn.unixTime() + settings.clocksApart());
+        long bounded = Math.min(position, turn.unixTime() + settings.maxClockDifference());
         return coordinator.write(turn, key, new Position(bounded, server & 0xFFFF), timeout, awaited);
     }
 
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -136,7 +136,7 @@
 
     @Override
     public long retention(ReplicationSettings settings) {
-        return settings.resubmissionWindow() + settings.clocksApart();
+        return settings.resubmissionWindow() + settings.maxClockDifference();
     }
 
     @Override
--- a/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
@@ -77,11 +77,11 @@
         ConfigurationFile g = ConfigurationFile.read(Path.of("../example/gateway.json"));
         QuotaSettings all = FleetConfigurationFile.fits(
                 FleetConfigurationFile.read(Path.of("../deploy/replicas.json")), g.settings());
-        assertThat(all.keeping().sessions()).isTrue();
-        assertThat(all.keeping().submits()).isTrue();
+        assertThat(all.keeping().replicatesSessions()).isTrue();
+        assertThat(all.keeping().replicatesOutcomes()).isTrue();
         assertThat(all.division(g.settings().started()).budgets()).isEmpty();
         assertThat(read("{\"tenants\":true}").keeping()).isNull();
-        assertThat(read("{\"sessions\":{}}").keeping().submits()).isFalse();
+        assertThat(read("{\"sessions\":{}}").keeping().replicatesOutcomes()).isFalse();
         QuotaSettings wrong = read("{\"sessions\":{},\"wait_for_copies\":[\"no such op type\"]}");
         assertThatThrownBy(() -> FleetConfigurationFile.fits(wrong, g.settings()))
                 .hasMessageContaining("names no op type: no such op type");
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -62,7 +62,8 @@
         private Instance(int number) {
             this.number = number;
             rate = 1 + world.drift * (2 * random.nextDouble() - 1);
-            wallOff = random.nextLong(world.keeping.clocksApart() / 2 + 1) - world.keeping.clocksApart() / 4;
+            wallOff = random.nextLong(world.keeping.maxClockDifference() / 2 + 1)
+                    - world.keeping.maxClockDifference() / 4;
         }
 
         private long local() {
@@ -258,7 +259,13 @@
         if (g.runs()) {
             long position = ZERO + now();
             long ticket = g.replicas.writePosition(
-                    g.local(), Replicas.key(true, session), position, 1, world.keeping.waitWithin(), true, g.packing);
+                    g.local(),
+                    Replicas.key(true, session),
+                    position,
+                    1,
+                    world.keeping.synchronousTimeout(),
+                    true,
+                    g.packing);
             g.asks(ticket, d -> {
                 if (d.status() == Status.REPLICATED) {
                     acked++;
