--- a/gateway/src/main/java/ploverdale/cli/CheckCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/CheckCommand.java
@@ -35,7 +35,7 @@
                     + allocation.floor(settings.me(), budget) + " as floor");
         }
         if (quotaSettings.keeping() != null) {
-            System.out.println("  kept by " + quotaSettings.keeping().copies() + ": " + quotaSettings.keeping());
+            System.out.println("  kept by " + quotaSettings.keeping().replicationFactor() + ": " + quotaSettings.keeping());
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -22,11 +22,11 @@
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
+import ploverdale.replication.ClaimId;
 import ploverdale.replication.ClaimState;
-import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.QuorumResult;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.settings.GatewaySettings;
 
@@ -50,7 +50,7 @@
         private final RequestArrived asked;
         private final boolean waits;
         private final long arrivedAt; // on the servers' wall clock
-        private IdempotencyRecord claim;
+        private ClaimId claim;
         private int out;
         private boolean mayHaveRun;
         private int copies; // not there yet
@@ -72,7 +72,7 @@
     private final Replicas replicas;
     private final Way way;
     private final ServerClock time;
-    private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
+    private final Map<Long, Consumer<QuorumResult>> tickets = new HashMap<>();
     private final Map<RequestId, InHand> inHand = new HashMap<>();
     private final Map<GroupId, Integer> acker =
             new HashMap<>(); // by group, the number of the server of the last acked write
@@ -106,18 +106,19 @@
 
     /** What this gateway vouched for was dated wrongly; from now on it vouches for what comes from here on. */
     void clockOffsetChanged() {
-        replicas.startsAnew();
+        replicas.onClockCorrected();
     }
 
     /** How the module takes session reads: by what comes with each. */
     ReplicaGuarantees copies(ReplicaGuarantees told) {
-        return new ReplicaGuarantees(told.checks(), told.checkWait(), told.tokensCarried() || keeping.sessions());
+        return new ReplicaGuarantees(
+                told.checks(), told.checkWait(), told.tokensCarried() || keeping.replicatesSessions());
     }
 
     /** Hands on what has ended. */
     void ended() {
-        for (Done d : replicas.done()) {
-            Consumer<Done> then = tickets.remove(d.ticket());
+        for (QuorumResult d : replicas.takeResults()) {
+            Consumer<QuorumResult> then = tickets.remove(d.ticket());
             if (then != null) {
                 then.accept(d);
             }
@@ -128,7 +129,7 @@
         long ask(long now, PacketQueue to);
     }
 
-    private void asks(Question q, Consumer<Done> then) {
+    private void asks(Question q, Consumer<QuorumResult> then) {
         way.keeps((to, now) -> {
             long ticket = q.ask(now, to);
             if (ticket != 0) {
@@ -141,18 +142,21 @@
     @Override
     public void arrives(RequestArrived a, String key) {
         RequestClass type = settings.started().requestClasses().get(a.type().index());
-        boolean waits =
-                keeping.waits().contains(settings.requestClasses().get(a.type().index()));
-        if (keeping.sessions() && type.needs() == Consistency.SESSION && key != null) {
+        boolean waits = keeping.synchronousClasses()
+                .contains(settings.requestClasses().get(a.type().index()));
+        if (keeping.replicatesSessions() && type.needs() == Consistency.SESSION && key != null) {
             long arrived = time.now();
-            asks((now, to) -> replicas.asks(now, Replicas.key(true, key), to), d -> {
+            asks((now, to) -> replicas.readPosition(now, Replicas.key(true, key), to), d -> {
                 int leads = acker.getOrDefault(a.group(), d.server());
-                if (d.end() == End.KNOWN && d.server() >= 0 && d.server() != leads) {
+                if (d.status() == Status.POSITION_KNOWN && d.server() >= 0 && d.server() != leads) {
                     log.often(
                             "a session over a takeover",
                             "its last write was acked by another server than the group's last");
                 }
-                arrived(a, time.tokenAge(time.now(), d.end() == End.KNOWN ? d.position() : time.toWall(arrived)));
+                arrived(
+                        a,
+                        time.tokenAge(
+                                time.now(), d.status() == Status.POSITION_KNOWN ? d.position() : time.toWall(arrived)));
             });
         } else if (type.needs() == Consistency.WRITE) {
             if (!time.isKnown()) {
@@ -161,7 +165,7 @@
             }
             InHand i = new InHand(a, waits, time.wallNow());
             inHand.put(a.request(), i);
-            if (keeping.submits() && type.repeats() != Idempotence.IDEMPOTENT) {
+            if (keeping.replicatesOutcomes() && type.repeats() != Idempotence.IDEMPOTENT) {
                 claims(i);
             } else {
                 loop.enqueue(a);
@@ -205,10 +209,10 @@
     private void claims(InHand i) {
         RequestId request = i.asked.request();
         asks(
-                (now, to) -> replicas.claims(
+                (now, to) -> replicas.claimWrite(
                         now, Replicas.key(false, request.text()), !i.asked.resubmitted(), i.arrivedAt, to),
                 d -> {
-                    if (d.end() == End.GRANTED) {
+                    if (d.status() == Status.GRANTED) {
                         i.claim = d.claim();
                         if (clients.taken(request) != null) {
                             loop.enqueue(i.asked);
@@ -218,14 +222,14 @@
                         }
                     } else if (clients.taken(request) == null) {
                         inHand.remove(request);
-                    } else if (d.end() == End.RAN) {
+                    } else if (d.status() == Status.ALREADY_EXECUTED) {
                         inHand.remove(request);
-                        if (d.answer().length > 0) {
-                            clients.ranBefore(request, d.answer());
+                        if (d.response().length > 0) {
+                            clients.ranBefore(request, d.response());
                         } else {
                             clients.errored(request);
                         }
-                    } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
+                    } else if (time.now() + (JOIN_AGAIN_MS + keeping.quorumTimeout() / MS) * MS < i.asked.timeoutAt()) {
                         vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
                     } else {
                         inHand.remove(request);
@@ -270,7 +274,7 @@
     private void neverRan(InHand i) {
         if (i.claim != null) {
             asks(
-                    (now, to) -> replicas.became(
+                    (now, to) -> replicas.writeOutcome(
                             now,
                             Replicas.key(false, i.asked.request().text()),
                             i.claim,
@@ -291,7 +295,7 @@
             return;
         }
         acker.put(i.asked.group(), Datagram.number(server) & 0xFFFF);
-        if (!time.isKnown() && keeping.sessions() && i.asked.session() != null) {
+        if (!time.isKnown() && keeping.replicatesSessions() && i.asked.session() != null) {
             clients.errored(request); // its position cannot be dated, so that nothing may be promised to the session
             log.often("an acked write while the clock is in doubt", "errored");
             return;
@@ -299,24 +303,24 @@
         if (!i.waits) {
             clients.acked(request, row);
         }
-        long left = Math.max(1, Math.min(keeping.waitWithin(), i.asked.timeoutAt() - time.now()));
+        long left = Math.max(1, Math.min(keeping.synchronousTimeout(), i.asked.timeoutAt() - time.now()));
         String session = i.asked.session() == null ? null : i.asked.session().text();
-        i.copies = (keeping.sessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
+        i.copies = (keeping.replicatesSessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
         if (i.waits && i.copies == 0) {
             clients.acked(request, row);
         }
-        if (keeping.sessions() && session != null) {
+        if (keeping.replicatesSessions() && session != null) {
             long at = note != null && note.position() != LoadReport.UNKNOWN_TIME
                     ? time.toWall(note.position())
                     : time.wallNow();
             asks(
-                    (now, to) -> replicas.wrote(
+                    (now, to) -> replicas.writePosition(
                             now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
                     d -> copied(i, row, d));
         }
         if (i.claim != null) {
             asks(
-                    (now, to) -> replicas.became(
+                    (now, to) -> replicas.writeOutcome(
                             now,
                             Replicas.key(false, request.text()),
                             i.claim,
@@ -329,14 +333,14 @@
         }
     }
 
-    private void copied(InHand i, ResultRow row, Done d) {
-        i.notCopied |= d.end() != End.COPIED;
+    private void copied(InHand i, ResultRow row, QuorumResult d) {
+        i.notCopied |= d.status() != Status.REPLICATED;
         if (--i.copies > 0) {
             return;
         }
         if (i.notCopied) {
             clients.errored(i.asked.request()); // nothing may be promised
-            log.often("an acked write without copies", "errored after " + keeping.waitWithin() / MS + " ms");
+            log.often("an acked write without copies", "errored after " + keeping.synchronousTimeout() / MS + " ms");
         } else {
             clients.acked(i.asked.request(), row);
         }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -68,7 +68,7 @@
                         quotaSettings.keeping(),
                         random.split(),
                         wall);
-        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
+        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().replicationFactor());
         if (divides()) {
             lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways()
                     + " gateways, division " + Integer.toHexString(id)
@@ -100,15 +100,15 @@
             lines.add(line);
         }
         if (replicas != null) {
-            replicas.speaksAs(Incarnation.startOf(membership.incarnation()));
-            replicas.due(now, membership::isPresent, packing);
+            replicas.setIncarnation(Incarnation.startOf(membership.incarnation()));
+            replicas.onTick(now, membership::isPresent, packing);
         }
         return letters(now);
     }
 
     private List<PacketQueue.OutboundPacket> letters(long now) {
         if (replicas != null) {
-            lines.addAll(replicas.lines());
+            lines.addAll(replicas.takeLogLines());
         }
         return packing.drain(now, membership.incarnation(), id);
     }
@@ -141,7 +141,7 @@
             if (same) {
                 budgets.part(now, from, Incarnation.startOf(p.incarnation()), part, packing);
                 if (replicas != null) {
-                    replicas.part(now, from, Incarnation.startOf(p.incarnation()), part, packing);
+                    replicas.onMessage(now, from, Incarnation.startOf(p.incarnation()), part, packing);
                 }
             }
         }
@@ -178,7 +178,7 @@
         return "budgets: holds " + sums[0] + " parts, " + sums[1] + " borrowed, " + sums[2] + " lent, " + sums[3]
                 + " asked for, " + sums[4] + " in use, " + refused + " refused since the start, " + packing.bytesSent()
                 + " bytes sent, " + packing.packetsDropped() + " parcels dropped, " + membership.presentCount() + " of "
-                + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.figures());
+                + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.statistics());
     }
 
     // -- What the module may spend
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -13,11 +13,11 @@
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
+import ploverdale.replication.ClaimId;
 import ploverdale.replication.ClaimState;
-import ploverdale.replication.IdempotencyRecord;
+import ploverdale.replication.QuorumResult;
+import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
-import ploverdale.replication.Replicas.Done;
-import ploverdale.replication.Replicas.End;
 import ploverdale.replication.ReplicationSettings;
 
 /**
@@ -59,12 +59,13 @@
         private int process;
         private long bytes;
         private final List<Runnable> held = new ArrayList<>();
-        private final Map<Long, Consumer<Done>> tickets = new HashMap<>();
+        private final Map<Long, Consumer<QuorumResult>> tickets = new HashMap<>();
 
         private Instance(int number) {
             this.number = number;
             rate = 1 + world.drift * (2 * random.nextDouble() - 1);
-            wallOff = random.nextLong(world.keeping.clocksApart() / 2 + 1) - world.keeping.clocksApart() / 4;
+            wallOff = random.nextLong(world.keeping.maxClockDifference() / 2 + 1)
+                    - world.keeping.maxClockDifference() / 4;
         }
 
         private long local() {
@@ -135,8 +136,8 @@
                 return;
             }
             membership.onTick(local(), packing);
-            replicas.speaksAs(Incarnation.startOf(membership.incarnation()));
-            replicas.due(local(), membership::isPresent, packing);
+            replicas.setIncarnation(Incarnation.startOf(membership.incarnation()));
+            replicas.onTick(local(), membership::isPresent, packing);
             sends();
             at(now() + (long) (LOOK / rate), () -> look(p));
         }
@@ -145,8 +146,8 @@
             for (PacketQueue.OutboundPacket l : packing.drain(local(), membership.incarnation(), 1)) {
                 network.send(number, l.to(), l.bytes());
             }
-            for (Done d : replicas.done()) {
-                Consumer<Done> then = tickets.remove(d.ticket());
+            for (QuorumResult d : replicas.takeResults()) {
+                Consumer<QuorumResult> then = tickets.remove(d.ticket());
                 if (then != null) {
                     then.accept(d);
                 }
@@ -167,13 +168,13 @@
             if (p != null && membership.acceptPacket(local(), from, p.incarnation())) {
                 for (Packet.Part part : p.parts()) {
                     membership.onPart(local(), from, part, packing);
-                    replicas.part(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
+                    replicas.onMessage(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
                 }
                 sends();
             }
         }
 
-        private void asks(long ticket, Consumer<Done> then) {
+        private void asks(long ticket, Consumer<QuorumResult> then) {
             tickets.put(ticket, then);
             sends();
         }
@@ -259,10 +260,16 @@
         Instance g = instances.get(gateway);
         if (g.runs()) {
             long position = ZERO + now();
-            long ticket = g.replicas.wrote(
-                    g.local(), Replicas.key(true, session), position, 1, world.keeping.waitWithin(), true, g.packing);
+            long ticket = g.replicas.writePosition(
+                    g.local(),
+                    Replicas.key(true, session),
+                    position,
+                    1,
+                    world.keeping.synchronousTimeout(),
+                    true,
+                    g.packing);
             g.asks(ticket, d -> {
-                if (d.end() == End.COPIED) {
+                if (d.status() == Status.REPLICATED) {
                     acked++;
                     promised.merge(session, position, Math::max);
                 }
@@ -276,10 +283,10 @@
         if (g.runs()) {
             long must = promised.getOrDefault(session, Long.MIN_VALUE);
             long arrived = ZERO + now();
-            g.asks(g.replicas.asks(g.local(), Replicas.key(true, session), g.packing), d -> {
-                known += d.end() == End.KNOWN ? 1 : 0;
-                unknown += d.end() == End.KNOWN ? 0 : 1;
-                long reach = d.end() == End.KNOWN ? d.position() : arrived;
+            g.asks(g.replicas.readPosition(g.local(), Replicas.key(true, session), g.packing), d -> {
+                known += d.status() == Status.POSITION_KNOWN ? 1 : 0;
+                unknown += d.status() == Status.POSITION_KNOWN ? 0 : 1;
+                long reach = d.status() == Status.POSITION_KNOWN ? d.position() : arrived;
                 if (reach < must) {
                     broken.add("at " + now() / MS + " ms n" + gateway + " reads " + session + " from "
                             + (must - reach) / MS + " ms before its last acked write");
@@ -296,20 +303,20 @@
         }
         long key = Replicas.key(false, id);
         int process = g.process;
-        g.asks(g.replicas.claims(g.local(), key, first, g.wall(), g.packing), d -> {
-            if (d.end() == End.GRANTED) {
+        g.asks(g.replicas.claimWrite(g.local(), key, first, g.wall(), g.packing), d -> {
+            if (d.status() == Status.GRANTED) {
                 if (runs && sent.merge(id, 1, Integer::sum) > 1) {
                     broken.add("at " + now() / MS + " ms n" + gateway + " sends " + id + " once more though it ran");
                 }
                 at(now() + takes, () -> proves(g, process, key, d.claim(), runs));
             }
-            then.accept(d.end().ordinal());
+            then.accept(d.status().ordinal());
         });
     }
 
-    private void proves(Instance g, int process, long key, IdempotencyRecord claim, boolean ran) {
+    private void proves(Instance g, int process, long key, ClaimId claim, boolean ran) {
         if (g.runs() && g.process == process) {
-            g.replicas.became(
+            g.replicas.writeOutcome(
                     g.local(),
                     key,
                     claim,
