--- /dev/null
+++ b/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
@@ -0,0 +1,198 @@
+package ploverdale.gossip;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Function;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.GossipProtocol.OutboundPacket;
+import ploverdale.model.LoadReport;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.ServerId;
+
+/**
+ * Distributes log positions where each gateway alone observes too few. They change too fast for epidemic dissemination, so
+ * they go up and down a tree of two levels: every gateway reports the positions that it has observed to one collector, which
+ * broadcasts all of them, a few bytes a server, to some relays, and each relay to its group. The collector follows from the
+ * clock alone, without an election; one that is dead costs the time until the next takes over. Times in tenths of a
+ * millisecond.
+ */
+final class PositionExchange {
+    private static final long MS = 10;
+
+    /** How long a gateway stays the collector. */
+    private static final long COLLECTOR_TERM = 2000 * MS;
+    /** Between two broadcasts: half of the tightest staleness bound in use. */
+    static final long BROADCAST_INTERVAL = 250 * MS;
+    /** Between two reports to the collector. */
+    private static final long REPORT_INTERVAL = 20 * MS;
+    /** A report holds no older observation. */
+    static final long REPORT_MAX_AGE = 60 * MS;
+    /** A broadcast holds no older observation. */
+    static final long BROADCAST_MAX_AGE = BROADCAST_INTERVAL + REPORT_MAX_AGE;
+    /** What has been broadcast so lately is not reported: others report it, too. */
+    private static final long RECENT_BROADCAST = 150 * MS;
+    /** With at most so many peers the collector sends to each without relays. */
+    private static final int MAX_DIRECT_PEERS = 9;
+    /** Servers in a report; they fit one datagram. */
+    private static final int MAX_PENDING = 55;
+    /** Fibonacci hashing: spreads successive terms over the gateways. */
+    private static final long TERM_MULTIPLIER = 0x9E3779B97F4A7C15L;
+
+    private static final int TERM_HASH_SHIFT = 33;
+
+    private record PositionRecord(long position, Role role, long recordedAt) {}
+
+    private final int self;
+    private final int size;
+    private final Map<ServerId, PositionRecord> positions = new LinkedHashMap<>();
+    private final Set<ServerId> pending = new LinkedHashSet<>(); // observed here and not reported yet
+    private long lastReportAt = LoadReport.UNKNOWN_TIME;
+    private long lastBroadcastAt = LoadReport.UNKNOWN_TIME;
+
+    /**
+     * @param self the number of this gateway
+     * @param size the number of gateways
+     */
+    PositionExchange(int self, int size) {
+        this.self = self;
+        this.size = size;
+    }
+
+    /** Whose term it is. */
+    int collector(long now) {
+        long term = now / COLLECTOR_TERM;
+        return (int) ((term * TERM_MULTIPLIER >>> TERM_HASH_SHIFT) % size);
+    }
+
+    /** Whether it is this gateway's term. */
+    boolean isCollector(long now) {
+        return collector(now) == self;
+    }
+
+    /** A response to this gateway held a server's position. */
+    void recordOwn(long now, ServerId id, ServerObservation observation) {
+        PositionRecord known = positions.get(id);
+        boolean isKnownToOthers = known != null && now - known.recordedAt <= RECENT_BROADCAST;
+        if (pending.size() < MAX_PENDING && (!isKnownToOthers || isCollector(now))) {
+            pending.add(id);
+        }
+        if (isCollector(now)) {
+            recordReported(id, observation, now);
+        }
+    }
+
+    /** A peer has reported a server's position. */
+    void recordReported(ServerId id, ServerObservation observation, long at) {
+        if (observation.position() == LoadReport.UNKNOWN_TIME || observation.role() == Role.UNKNOWN) {
+            return;
+        }
+        PositionRecord known = positions.get(id);
+        long position = known == null ? observation.position() : Math.max(known.position, observation.position());
+        positions.put(id, new PositionRecord(position, observation.role(), at));
+    }
+
+    /** Drops all positions, of all servers. */
+    void forgetAll() {
+        positions.clear();
+        pending.clear();
+    }
+
+    /** Drops a server that is no longer listed. */
+    void forget(ServerId id) {
+        positions.remove(id);
+        pending.remove(id);
+    }
+
+    /**
+     * What is to be sent by now.
+     *
+     * @param own this gateway's knowledge of a server
+     */
+    List<OutboundPacket> onTick(long now, Function<ServerId, ServerObservation> own) {
+        if (isCollector(now)) {
+            pending.clear();
+            return now - lastBroadcastAt < BROADCAST_INTERVAL ? List.of() : broadcast(now);
+        }
+        if (pending.isEmpty() || now - lastReportAt < REPORT_INTERVAL) {
+            return List.of();
+        }
+        return report(now, own);
+    }
+
+    private List<OutboundPacket> report(long now, Function<ServerId, ServerObservation> own) {
+        Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
+        for (ServerId id : pending) {
+            ServerObservation observation = own.apply(id);
+            if (now - observation.positionAt() <= REPORT_MAX_AGE && observation.role() != Role.UNKNOWN) {
+                observations.put(ServerHash.shortOf(id), observation);
+            }
+        }
+        pending.clear();
+        lastReportAt = now;
+        if (observations.isEmpty()) {
+            return List.of();
+        }
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.POSITION_REPORT, now, observations));
+        return List.of(new OutboundPacket(collector(now), bytes));
+    }
+
+    private List<OutboundPacket> broadcast(long now) {
+        Map<Integer, ServerObservation> observations = recentPositions(now);
+        if (observations.isEmpty()) {
+            return List.of();
+        }
+        lastBroadcastAt = now;
+        boolean isDirect = size - 1 <= MAX_DIRECT_PEERS;
+        Kind kind = isDirect ? Kind.POSITIONS : Kind.POSITIONS_TO_RELAY;
+        byte[] bytes = DatagramCodec.encode(new Datagram(kind, now, observations));
+        List<OutboundPacket> packets = new ArrayList<>();
+        for (int rank = 0; rank < size - 1; rank += isDirect ? 1 : groupSize()) {
+            packets.add(new OutboundPacket(receiverOf(rank, self, now), bytes));
+        }
+        return packets;
+    }
+
+    private Map<Integer, ServerObservation> recentPositions(long now) {
+        Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
+        positions.forEach((id, known) -> {
+            boolean isRecent = now - known.recordedAt <= BROADCAST_MAX_AGE - REPORT_MAX_AGE;
+            if (isRecent && observations.size() < DatagramCodec.MAX_POSITIONS) {
+                observations.put(ServerHash.shortOf(id), ServerObservation.ofPosition(known.role, known.position, now));
+            }
+        });
+        return observations;
+    }
+
+    /** The gateway at a rank in the order of a broadcast. It rotates, so that a dead relay cuts off others each time. */
+    private int receiverOf(int rank, int collector, long sentAt) {
+        return (collector + 1 + (rank + rotation(sentAt)) % (size - 1)) % size;
+    }
+
+    private int rotation(long sentAt) {
+        return (int) (sentAt / BROADCAST_INTERVAL % (size - 1));
+    }
+
+    /** Gateways that one relay reaches, itself included: as many as there are relays. */
+    private int groupSize() {
+        return (int) Math.ceil(Math.sqrt(size - 1));
+    }
+
+    /** Passes a broadcast of the collector on to this gateway's group; nothing where it is no relay of this broadcast. */
+    List<OutboundPacket> relay(int collector, Datagram broadcast) {
+        long sentAt = broadcast.sentAt();
+        int ownRank = Math.floorMod(Math.floorMod(self - collector - 1, size) - rotation(sentAt), size - 1);
+        if (ownRank % groupSize() != 0) {
+            return List.of();
+        }
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.POSITIONS, sentAt, broadcast.observations()));
+        List<OutboundPacket> packets = new ArrayList<>();
+        for (int rank = ownRank + 1; rank < Math.min(ownRank + groupSize(), size - 1); rank++) {
+            packets.add(new OutboundPacket(receiverOf(rank, collector, sentAt), bytes));
+        }
+        return packets;
+    }
+}
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -4,17 +4,19 @@
 import ploverdale.model.LoadReport.Role;
 
 /**
- * What is known of one server, each part with the time at which its source learnt it, in tenths of a millisecond of this
- * instance's clock; {@link LoadReport#UNKNOWN_TIME} where nothing is known.
+ * What is known of one server. Each field has the time at which its source observed it, in tenths of a millisecond of this
+ * gateway's clock; {@link LoadReport#UNKNOWN_TIME} where nothing is known.
  *
- * <p>Words make a join-semilattice: {@link #join} takes of each part the newest, so words may come in any order, twice, or
- * not at all, and what comes out is the same picture or an older one, never a fresher one.
+ * <p>Observations are a join-semilattice (a state-based CRDT): {@link #join} takes the newest of each field, so observations
+ * may arrive in any order, repeatedly, or not at all, and the result is the same or an older one, never a fresher one.
  *
- * @param role the part the server had in its group, told at roleAt
- * @param position a log position the server had applied at least, told at positionAt
- * @param aliveAt when it last answered anyone
- * @param silentAt when somebody last found that it does not answer
- * @param coldSince when it last began cold
+ * @param role in its replication group
+ * @param roleAt when the role was observed
+ * @param position the wall-clock time of a log position that the server had applied at least
+ * @param positionAt when the position was observed
+ * @param aliveAt when the server last responded to anyone
+ * @param silentAt when a gateway last found that it does not respond
+ * @param coldSince when its last slow start began
  * @param drainAt when it was listed as draining
  */
 public record ServerObservation(
@@ -38,37 +40,61 @@
             LoadReport.UNKNOWN_TIME,
             LoadReport.UNKNOWN_TIME);
 
-    /** Both words in one. */
-    public ServerObservation join(ServerObservation o) {
-        boolean role = o.roleAt > roleAt || o.roleAt == roleAt && o.role.ordinal() > this.role.ordinal();
+    private static final long MS = 10;
+    /** Older observations of role, position and liveness are outdated. */
+    private static final long MAX_AGE = 30_000 * MS;
+    /** Slow starts that begin closer together are one: each gateway sees the beginning at its own time. */
+    private static final long SAME_SLOW_START = 2000 * MS;
+
+    /** A position with a role, of a server that has responded then; the position may be unknown. */
+    static ServerObservation ofPosition(Role role, long position, long observedAt) {
         return new ServerObservation(
-                role ? o.role : this.role,
-                Math.max(roleAt, o.roleAt),
-                Math.max(position, o.position),
-                Math.max(positionAt, o.positionAt),
-                Math.max(aliveAt, o.aliveAt),
-                Math.max(silentAt, o.silentAt),
-                Math.max(coldSince, o.coldSince),
-                Math.max(drainAt, o.drainAt));
+                role,
+                observedAt,
+                position,
+                position == LoadReport.UNKNOWN_TIME ? LoadReport.UNKNOWN_TIME : observedAt,
+                observedAt,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME);
     }
 
-    /** The same without what was learnt before a time, since it proves nothing any more; a drain and a cold start stay. */
-    public ServerObservation since(long time) {
-        boolean role = roleAt >= time;
-        boolean placed = positionAt >= time;
+    /** The newest of each field of both. */
+    public ServerObservation join(ServerObservation other) {
+        boolean takesRole = other.roleAt > roleAt || other.roleAt == roleAt && other.role.ordinal() > role.ordinal();
         return new ServerObservation(
-                role ? this.role : Role.UNKNOWN,
-                role ? roleAt : LoadReport.UNKNOWN_TIME,
-                placed ? position : LoadReport.UNKNOWN_TIME,
-                placed ? positionAt : LoadReport.UNKNOWN_TIME,
+                takesRole ? other.role : role,
+                Math.max(roleAt, other.roleAt),
+                Math.max(position, other.position),
+                Math.max(positionAt, other.positionAt),
+                Math.max(aliveAt, other.aliveAt),
+                Math.max(silentAt, other.silentAt),
+                Math.max(coldSince, other.coldSince),
+                Math.max(drainAt, other.drainAt));
+    }
+
+    /** The same without what is too old to act on; draining and slow start stay. */
+    ServerObservation withoutOutdated(long now) {
+        return since(now - MAX_AGE);
+    }
+
+    /** The same without what was observed before a time; draining and slow start stay. */
+    ServerObservation since(long time) {
+        boolean hasRole = roleAt >= time;
+        boolean hasPosition = positionAt >= time;
+        return new ServerObservation(
+                hasRole ? role : Role.UNKNOWN,
+                hasRole ? roleAt : LoadReport.UNKNOWN_TIME,
+                hasPosition ? position : LoadReport.UNKNOWN_TIME,
+                hasPosition ? positionAt : LoadReport.UNKNOWN_TIME,
                 aliveAt >= time ? aliveAt : LoadReport.UNKNOWN_TIME,
                 silentAt >= time ? silentAt : LoadReport.UNKNOWN_TIME,
                 coldSince,
                 drainAt);
     }
 
-    /** The same with nothing learnt after a time; for words of a clock that runs ahead. */
-    public ServerObservation notAfter(long time) {
+    /** The same with no field observed after a time; for a sender whose clock is ahead. */
+    ServerObservation notAfter(long time) {
         return new ServerObservation(
                 role,
                 Math.min(roleAt, time),
@@ -80,41 +106,53 @@
                 Math.min(drainAt, time));
     }
 
-    /** The same with a role that is not believed left out. */
-    public ServerObservation withoutRole() {
+    /** The same with the role unknown. */
+    ServerObservation withoutRole() {
         return new ServerObservation(
                 Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
-    /** The same with no position. */
-    public ServerObservation withoutPosition() {
+    /** The same with the position unknown. */
+    ServerObservation withoutPosition() {
         return new ServerObservation(
                 role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince, drainAt);
     }
 
-    /** The same, its role told earlier by so much. */
-    public ServerObservation withRoleOlder(long by) {
+    /** The same with its role observed earlier by so much. */
+    ServerObservation withRoleOlder(long by) {
         return by == 0 || roleAt == LoadReport.UNKNOWN_TIME
                 ? this
                 : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
-    /** Whether somebody found it silent and nobody has heard of it since. */
+    /** Whether a gateway found that the server does not respond, and none has had a response since. */
     public boolean silent() {
         return silentAt != LoadReport.UNKNOWN_TIME && silentAt > aliveAt;
     }
 
-    /**
-     * Whether this says something that others act on and that the older word did not: who leads, that a server went
-     * silent or answers again, drains or began cold.
-     */
-    public boolean isNewsAfter(ServerObservation older) {
-        boolean leads = role == Role.PRIMARY;
-        return role != Role.UNKNOWN && leads != (older.role == Role.PRIMARY) && roleAt > older.roleAt
-                || silent() != older.silent() && Math.max(silentAt, aliveAt) > Math.max(older.silentAt, older.aliveAt)
-                || drainAt > older.drainAt && older.drainAt == LoadReport.UNKNOWN_TIME
-                || coldSince > older.coldSince + SAME_START;
+    /** Whether this has a role, and a later one than the other. */
+    boolean isRoleNewerThan(ServerObservation other) {
+        return role != Role.UNKNOWN && roleAt > other.roleAt;
     }
 
-    private static final long SAME_START = 20_000; // tenths of a ms; each instance sees a start at its own time
+    /** Whether this holds a change that other gateways act on: of the primary, of liveness, a drain or a slow start. */
+    boolean isSignificantChangeFrom(ServerObservation older) {
+        return changesPrimary(older) || changesLiveness(older) || beginsDraining(older) || beginsSlowStart(older);
+    }
+
+    private boolean changesPrimary(ServerObservation older) {
+        return isRoleNewerThan(older) && (role == Role.PRIMARY) != (older.role == Role.PRIMARY);
+    }
+
+    private boolean changesLiveness(ServerObservation older) {
+        return silent() != older.silent() && Math.max(silentAt, aliveAt) > Math.max(older.silentAt, older.aliveAt);
+    }
+
+    private boolean beginsDraining(ServerObservation older) {
+        return drainAt > older.drainAt && older.drainAt == LoadReport.UNKNOWN_TIME;
+    }
+
+    private boolean beginsSlowStart(ServerObservation older) {
+        return coldSince > older.coldSince + SAME_SLOW_START;
+    }
 }
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
@@ -0,0 +1,53 @@
+package ploverdale.gossip;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import ploverdale.gossip.Datagram.Kind;
+import ploverdale.model.ServerId;
+
+/** Builds the datagrams that hold all that this gateway knows, for a peer that starts or those that stay behind. */
+final class SnapshotBuilder {
+    /** Servers in a snapshot; bounds the burst that one request causes. */
+    private static final int MAX_SERVERS = 60;
+
+    private final ServerDirectory servers;
+    private final Function<ServerId, ServerObservation> own;
+
+    /** @param own this gateway's knowledge of a server */
+    SnapshotBuilder(ServerDirectory servers, Function<ServerId, ServerObservation> own) {
+        this.servers = servers;
+        this.own = own;
+    }
+
+    /** The encoded datagrams; none where nothing is known. */
+    List<byte[]> build(long now, Kind kind) {
+        List<byte[]> datagrams = new ArrayList<>();
+        Map<Integer, ServerObservation> chunk = new LinkedHashMap<>();
+        for (Map.Entry<Integer, ServerObservation> entry : collect(now).entrySet()) {
+            chunk.put(entry.getKey(), entry.getValue());
+            if (chunk.size() == DatagramCodec.MAX_OBSERVATIONS) {
+                datagrams.add(DatagramCodec.encode(new Datagram(kind, now, chunk)));
+                chunk.clear();
+            }
+        }
+        if (!chunk.isEmpty()) {
+            datagrams.add(DatagramCodec.encode(new Datagram(kind, now, chunk)));
+        }
+        return datagrams;
+    }
+
+    private Map<Integer, ServerObservation> collect(long now) {
+        Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
+        for (KnownServer server : servers.all()) {
+            ServerObservation observation = own.apply(server.id()).withoutOutdated(now);
+            boolean isSent = !observation.equals(ServerObservation.NONE) && servers.isUnambiguous(server);
+            if (isSent && observations.size() < MAX_SERVERS) {
+                observations.put(ServerHash.of(server.id()), observation);
+            }
+        }
+        return observations;
+    }
+}
--- a/gateway/src/main/java/ploverdale/net/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiPredicate;
-import ploverdale.gossip.Datagram;
+import ploverdale.gossip.DatagramCodec;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
@@ -124,7 +124,8 @@
             return; // all that it says is dated
         }
         heard = true;
-        loop.tell(new Event.GossipReceived(from, time == null ? bytes : Datagram.redated(bytes, -time.offset())));
+        loop.tell(new Event.GossipReceived(
+                from, time == null ? bytes : DatagramCodec.shiftSentAt(bytes, -time.offset())));
     }
 
     /** Whether any other instance has spoken. */
@@ -144,7 +145,7 @@
 
     void tell(Action.SendGossip a) {
         if (time == null || time.isKnown()) {
-            send(a.peer(), time == null ? a.bytes() : Datagram.redated(a.bytes(), time.offset()));
+            send(a.peer(), time == null ? a.bytes() : DatagramCodec.shiftSentAt(a.bytes(), time.offset()));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
-import ploverdale.gossip.Datagram;
+import ploverdale.gossip.ServerHash;
 import ploverdale.log.Log;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Outcome;
@@ -289,7 +289,7 @@
             clients.acked(request, row);
             return;
         }
-        acker.put(i.asked.group(), Datagram.number(server) & 0xFFFF);
+        acker.put(i.asked.group(), ServerHash.of(server) & 0xFFFF);
         if (!time.isKnown() && keeping.sessions() && i.asked.session() != null) {
             clients.errored(request); // its position cannot be dated, so that nothing may be promised to the session
             log.often("an acked write while the clock is in doubt", "errored");
@@ -310,7 +310,7 @@
                     : time.wallNow();
             asks(
                     (now, to) -> replicas.wrote(
-                            now, Replicas.key(true, session), at, Datagram.number(server), left, i.waits, to),
+                            now, Replicas.key(true, session), at, ServerHash.of(server), left, i.waits, to),
                     d -> copied(i, row, d));
         }
         if (i.claim != null) {
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
-import ploverdale.gossip.Datagram;
+import ploverdale.gossip.ServerHash;
 import ploverdale.membership.Incarnation;
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
@@ -184,11 +184,11 @@
     // -- What the module may spend
 
     private int sends(ServerId server) {
-        return quotaSettings.sends(tenants, Datagram.number(server));
+        return quotaSettings.sends(tenants, ServerHash.of(server));
     }
 
     private int cold(ServerId server, boolean cold) {
-        return cold ? quotaSettings.cold(tenants, Datagram.number(server)) : -1;
+        return cold ? quotaSettings.cold(tenants, ServerHash.of(server)) : -1;
     }
 
     private boolean spends(int budget) {
--- a/gateway/src/test/java/ploverdale/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/GossipInRouterTest.java
@@ -7,6 +7,8 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.Datagram;
 import ploverdale.gossip.Datagram.Kind;
+import ploverdale.gossip.DatagramCodec;
+import ploverdale.gossip.ServerHash;
 import ploverdale.gossip.ServerObservation;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
@@ -39,7 +41,8 @@
     private void told(int from, String server, ServerObservation w) {
         host.tell(new Event.GossipReceived(
                 from,
-                new Datagram(Kind.TELLS, host.nowMs * 10, Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
+                DatagramCodec.encode(new Datagram(
+                        Kind.OBSERVATIONS, host.nowMs * 10, Map.of(ServerHash.of(new ServerId(server)), w)))));
     }
 
     private List<Action.SendGossip> tells() {
@@ -79,13 +82,12 @@
         many.probed("r1", Role.REPLICA, many.nowMs);
         many.tell(new Event.GossipReceived(
                 1,
-                new Datagram(
-                                Kind.TELLS,
-                                many.nowMs * 10,
-                                Map.of(
-                                        Datagram.number(new ServerId("p")),
-                                        word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1)))
-                        .bytes()));
+                DatagramCodec.encode(new Datagram(
+                        Kind.OBSERVATIONS,
+                        many.nowMs * 10,
+                        Map.of(
+                                ServerHash.of(new ServerId("p")),
+                                word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1))))));
         many.nowMs += 1200; // r1 is too old by now
         many.probed("r1", Role.REPLICA, many.nowMs - 1200);
         RequestId request = many.ask(FakeHost.VIEW);
@@ -97,13 +99,10 @@
     private Event.GossipReceived heardByOthers(FakeHost h, String server, Role role) {
         return new Event.GossipReceived(
                 1,
-                new Datagram(
-                                Kind.TELLS,
-                                h.nowMs * 10,
-                                Map.of(
-                                        Datagram.number(new ServerId(server)),
-                                        word(role, h.nowMs, h.nowMs, h.nowMs, -1)))
-                        .bytes());
+                DatagramCodec.encode(new Datagram(
+                        Kind.OBSERVATIONS,
+                        h.nowMs * 10,
+                        Map.of(ServerHash.of(new ServerId(server)), word(role, h.nowMs, h.nowMs, h.nowMs, -1)))));
     }
 
     @Test
@@ -267,15 +266,16 @@
         host.pass(20);
         assertThat(tells())
                 .hasSize(2)
-                .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
+                .allMatch(t -> DatagramCodec.decode(t.bytes()).datagram().kind() == Kind.SNAPSHOT_REQUEST);
         host.levelled("p", "r1");
         host.acts.clear();
-        host.tell(new Event.GossipReceived(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
+        host.tell(new Event.GossipReceived(
+                2, DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, host.nowMs * 10, Map.of()))));
         assertThat(tells()).hasSize(1);
         Map<Integer, ServerObservation> words =
-                Datagram.read(tells().get(0).bytes()).datagram().words();
-        assertThat(words.get(Datagram.number(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
-        assertThat(words.get(Datagram.number(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
+                DatagramCodec.decode(tells().get(0).bytes()).datagram().observations();
+        assertThat(words.get(ServerHash.of(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
+        assertThat(words.get(ServerHash.of(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
     }
 
     @Test
@@ -290,16 +290,16 @@
         host.unanswered("r1");
         host.pass(100);
         assertThat(tells())
-                .anyMatch(t -> Datagram.read(t.bytes())
+                .anyMatch(t -> DatagramCodec.decode(t.bytes())
                         .datagram()
-                        .words()
-                        .getOrDefault(Datagram.number(new ServerId("r1")), ServerObservation.NONE)
+                        .observations()
+                        .getOrDefault(ServerHash.of(new ServerId("r1")), ServerObservation.NONE)
                         .silent());
         host.acts.clear();
         host.tell(new Event.ShutdownBegun());
         assertThat(tells())
                 .hasSize(2)
-                .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
+                .allMatch(t -> DatagramCodec.decode(t.bytes()).datagram().kind() == Kind.LEAVE);
     }
 
     @Test
@@ -319,7 +319,8 @@
         quiet.list(true, "p", "r1");
         quiet.levelled("p", "r1");
         int before = quiet.acts.size();
-        quiet.tell(new Event.GossipReceived(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
+        quiet.tell(new Event.GossipReceived(
+                1, DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, quiet.nowMs * 10, Map.of()))));
         quiet.tell(new Event.ShutdownBegun());
         assertThat(quiet.acts).hasSize(before);
         quiet.pass(1000);
--- a/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -12,7 +12,6 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.Datagram.Kind;
-import ploverdale.gossip.Datagram.Refusal;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
@@ -39,56 +38,58 @@
     @Test
     void aFullOneFits() {
         Map<Integer, ServerObservation> words = new LinkedHashMap<>();
-        for (int i = 0; i < Datagram.ENTRIES_MOST; i++) {
-            words.put(Datagram.number(new ServerId("s-" + i)), PRIMARY);
+        for (int i = 0; i < DatagramCodec.MAX_OBSERVATIONS; i++) {
+            words.put(ServerHash.of(new ServerId("s-" + i)), PRIMARY);
         }
-        byte[] b = new Datagram(Kind.TELLS, NOW, words).bytes();
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, words));
         assertThat(b.length).isLessThanOrEqualTo(256).isGreaterThan(220);
-        assertThat(Datagram.read(b).datagram()).isEqualTo(new Datagram(Kind.TELLS, NOW, words));
+        assertThat(DatagramCodec.decode(b).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, words));
     }
 
     @Property(seed = "11")
     void noiseIsRefusedAndNeverThrows(@ForAll byte[] noise) {
-        assertThat(Datagram.read(noise).datagram()).isNull();
+        assertThat(DatagramCodec.decode(noise).datagram()).isNull();
         if (noise.length > 0) {
             noise[0] = (byte) 0xB1;
         }
         if (noise.length >= 14) {
-            Datagram.Read read = Datagram.read(checked(noise)); // forged well, but for what it says
-            assertThat(read.datagram() == null).isNotEqualTo(read.refusal() == null);
+            DatagramCodec.DecodeResult read = DatagramCodec.decode(checked(noise)); // forged well, but for what it says
+            assertThat(read.datagram() == null).isNotEqualTo(read.rejection() == null);
         }
     }
 
     @Test
     void truncatedForgedAndForeignOnesAreTold() {
-        byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         for (int n = 0; n < b.length; n++) {
-            assertThat(Datagram.read(Arrays.copyOf(b, n)).refusal()).isIn(Refusal.TOO_SHORT, Refusal.CHECKSUM);
+            assertThat(DatagramCodec.decode(Arrays.copyOf(b, n)).rejection())
+                    .isIn(RejectionReason.TOO_SHORT, RejectionReason.WRONG_CHECKSUM);
         }
-        assertThat(Datagram.read(new byte[257]).refusal()).isEqualTo(Refusal.TOO_LONG);
+        assertThat(DatagramCodec.decode(new byte[257]).rejection()).isEqualTo(RejectionReason.TOO_LONG);
         byte[] forged = b.clone();
         forged[15] ^= 1;
-        assertThat(Datagram.read(forged).refusal()).isEqualTo(Refusal.CHECKSUM);
+        assertThat(DatagramCodec.decode(forged).rejection()).isEqualTo(RejectionReason.WRONG_CHECKSUM);
         byte[] foreign = b.clone();
         foreign[0] = 'x';
-        assertThat(Datagram.read(foreign).refusal()).isEqualTo(Refusal.NOT_OURS);
+        assertThat(DatagramCodec.decode(foreign).rejection()).isEqualTo(RejectionReason.WRONG_MAGIC);
         byte[] nothing = b.clone();
         nothing[1] = 0;
-        assertThat(Datagram.read(checked(nothing)).refusal()).isEqualTo(Refusal.VERSION);
+        assertThat(DatagramCodec.decode(checked(nothing)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
         byte[] short1 = b.clone();
         short1[3] = 5;
-        assertThat(Datagram.read(checked(short1)).refusal()).isEqualTo(Refusal.MISSHAPEN);
+        assertThat(DatagramCodec.decode(checked(short1)).rejection()).isEqualTo(RejectionReason.MALFORMED);
         byte[] badRole = b.clone();
         badRole[14] = 3;
-        assertThat(Datagram.read(checked(badRole)).refusal()).isEqualTo(Refusal.MISSHAPEN);
+        assertThat(DatagramCodec.decode(checked(badRole)).rejection()).isEqualTo(RejectionReason.MALFORMED);
     }
 
     @Test
     void anOlderVersionsEntryIsReadAsFarAsItGoes() {
-        byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] older = Arrays.copyOf(b, 10 + 7 + 4); // number, role and its age only
         older[3] = 7;
-        ServerObservation w = Datagram.read(checked(older)).datagram().words().get(7);
+        ServerObservation w =
+                DatagramCodec.decode(checked(older)).datagram().observations().get(7);
         assertThat(w)
                 .isEqualTo(new ServerObservation(
                         Role.PRIMARY,
@@ -103,10 +104,11 @@
 
     @Test
     void aNewerVersionsEntryIsReadAsFarAsItIsKnown() {
-        byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] newer = Arrays.copyOf(b, b.length + 3);
         newer[1] = 2;
         newer[3] += 3;
-        assertThat(Datagram.read(checked(newer)).datagram().words()).isEqualTo(Map.of(7, PRIMARY));
+        assertThat(DatagramCodec.decode(checked(newer)).datagram().observations())
+                .isEqualTo(Map.of(7, PRIMARY));
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -95,7 +95,7 @@
     }
 
     private static byte[] told(long sentAt, ServerId id, ServerObservation w) {
-        return new Datagram(Datagram.Kind.TELLS, sentAt, Map.of(Datagram.number(id), w)).bytes();
+        return DatagramCodec.encode(new Datagram(Datagram.Kind.OBSERVATIONS, sentAt, Map.of(ServerHash.of(id), w)));
     }
 
     @Test
@@ -201,7 +201,11 @@
         assertThat(t.known.get(0).get(P).role()).isEqualTo(Role.PRIMARY); // what it knew stays
         t.learns(NOW, 0, R, role(Role.PRIMARY, NOW));
         assertThat(t.all.get(0).due(NOW + MS)).isEmpty();
-        t.hear(NOW + 2500 * MS, 0, 1, new Datagram(Datagram.Kind.ASKS, NOW + 2500 * MS, Map.of()).bytes());
+        t.hear(
+                NOW + 2500 * MS,
+                0,
+                1,
+                DatagramCodec.encode(new Datagram(Datagram.Kind.SNAPSHOT_REQUEST, NOW + 2500 * MS, Map.of())));
         assertThat(t.all.get(0).due(NOW + 2500 * MS))
                 .extracting(OutboundPacket::peer)
                 .containsExactly(1);
@@ -211,7 +215,7 @@
     void answersToManyThatStartAtOnceAreBounded() {
         Tier t = new Tier(300);
         t.known.get(0).put(P, role(Role.PRIMARY, NOW));
-        byte[] asks = new Datagram(Datagram.Kind.ASKS, NOW, Map.of()).bytes();
+        byte[] asks = DatagramCodec.encode(new Datagram(Datagram.Kind.SNAPSHOT_REQUEST, NOW, Map.of()));
         int answers = 0;
         for (int i = 1; i < 300; i++) {
             answers += t.hear(NOW, 0, i, asks).letters().size();
--- a/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
@@ -30,7 +30,7 @@
         ServerId primary = new ServerId("primary-1");
         ServerId replica = new ServerId("replica-2");
         all.put(
-                positionsOnly ? Datagram.shortNumber(primary) : Datagram.number(primary),
+                positionsOnly ? ServerHash.shortOf(primary) : ServerHash.of(primary),
                 new ServerObservation(
                         Role.PRIMARY,
                         NOW - 120 * MS,
@@ -41,7 +41,7 @@
                         NOW - 20_000 * MS,
                         NEVER));
         all.put(
-                positionsOnly ? Datagram.shortNumber(replica) : Datagram.number(replica),
+                positionsOnly ? ServerHash.shortOf(replica) : ServerHash.of(replica),
                 new ServerObservation(
                         Role.REPLICA, NOW - 5000 * MS, NEVER, NEVER, NEVER, NOW - 15 * MS, NEVER, NOW - 333 * MS));
         return all;
@@ -49,19 +49,20 @@
 
     @ParameterizedTest
     @CsvSource({
-        "ASKS, false, b1010014019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff00225ddc7859",
-        "TELLS, false, b1010114019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff002241f5655d",
-        "LEAVES, false, b1010214019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff0022658e4251",
-        "PLACES_UP, true, b1010304019b76daa8009f8f804bc5cb7fff872ab6f1",
-        "PLACES_ON, true, b1010404019b76daa8009f8f804bc5cb7fff52d67ae9",
-        "PLACES, true, b1010504019b76daa8009f8f804bc5cb7fffa0da7717",
+        "SNAPSHOT_REQUEST, false, b1010014019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff00225ddc7859",
+        "OBSERVATIONS, false, b1010114019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff002241f5655d",
+        "LEAVE, false, b1010214019b76daa800ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff0022658e4251",
+        "POSITION_REPORT, true, b1010304019b76daa8009f8f804bc5cb7fff872ab6f1",
+        "POSITIONS_TO_RELAY, true, b1010404019b76daa8009f8f804bc5cb7fff52d67ae9",
+        "POSITIONS, true, b1010504019b76daa8009f8f804bc5cb7fffa0da7717",
     })
     void eachKindHasItsBytes(Kind kind, boolean positionsOnly, String expected) {
-        byte[] bytes = new Datagram(kind, NOW, observations(positionsOnly)).bytes();
+        byte[] bytes = DatagramCodec.encode(new Datagram(kind, NOW, observations(positionsOnly)));
         assertThat(HexFormat.of().formatHex(bytes)).isEqualTo(expected);
-        assertThat(Datagram.read(bytes).datagram().kind()).isEqualTo(kind);
-        assertThat(Datagram.read(bytes).datagram().sentAt()).isEqualTo(NOW);
-        assertThat(Datagram.read(bytes).datagram().words().values().stream().map(GossipWireFormatTest::fields))
+        assertThat(DatagramCodec.decode(bytes).datagram().kind()).isEqualTo(kind);
+        assertThat(DatagramCodec.decode(bytes).datagram().sentAt()).isEqualTo(NOW);
+        assertThat(DatagramCodec.decode(bytes).datagram().observations().values().stream()
+                        .map(GossipWireFormatTest::fields))
                 .containsExactlyElementsOf(decoded(kind, positionsOnly));
     }
 
@@ -71,7 +72,7 @@
                     List.of(1, 120L, 75L, 40L, 30L, 9000L, 20_000L, -1L),
                     List.of(2, 5000L, -1L, -1L, -1L, 20L, -1L, 340L));
         }
-        return kind == Kind.PLACES_UP
+        return kind == Kind.POSITION_REPORT
                 ? List.of(List.of(1, 60L, 75L, 60L, 60L, -1L, -1L, -1L), List.of(2, 60L, -1L, -1L, 60L, -1L, -1L, -1L))
                 : List.of(
                         List.of(1, 75L, 75L, 75L, 75L, -1L, -1L, -1L), List.of(2, 310L, -1L, -1L, 310L, -1L, -1L, -1L));
@@ -96,8 +97,8 @@
 
     @Test
     void aRedatedDatagramHasItsBytes() {
-        byte[] bytes = new Datagram(Kind.TELLS, NOW, observations(false)).bytes();
-        assertThat(HexFormat.of().formatHex(Datagram.redated(bytes, -777 * MS)))
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations(false)));
+        assertThat(HexFormat.of().formatHex(DatagramCodec.shiftSentAt(bytes, -777 * MS)))
                 .isEqualTo(
                         "b1010114019b76daa4f7ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff0022f95342a5");
     }
@@ -203,9 +204,11 @@
 
         private void disturb(int step, long now) {
             if (step % 97 == 0) {
-                byte[] late = new Datagram(Kind.TELLS, now - 3000 * MS, observations(false)).bytes();
+                byte[] late =
+                        DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, now - 3000 * MS, observations(false)));
                 underway.add(new Delivery(1, 2, late));
-                byte[] ahead = new Datagram(Kind.TELLS, now + 100 * MS, observations(false)).bytes();
+                byte[] ahead =
+                        DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, now + 100 * MS, observations(false)));
                 underway.add(new Delivery(3, 2, ahead));
                 underway.add(new Delivery(4, 2, new byte[random.nextInt(20)]));
             }
@@ -217,7 +220,10 @@
             }
             if (step == 500) {
                 instances.get(6).forgetPositions();
-                send(6, List.of(new OutboundPacket(8, new Datagram(Kind.ASKS, now, Map.of()).bytes())));
+                send(
+                        6,
+                        List.of(new OutboundPacket(
+                                8, DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, now, Map.of())))));
             }
         }
 
--- a/gateway/src/test/java/ploverdale/gossip/PeerSelectorTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
@@ -19,7 +19,7 @@
 import ploverdale.model.ServerId;
 
 /** Positions that few hear get round to all. */
-class PeerSelectorTest {
+class PositionExchangeTest {
     private static final ServerId R = new ServerId("r");
     private static final long MS = 10;
 
@@ -120,9 +120,9 @@
     @Test
     void aCollectorThatIsDeadCostsItsTurnOnly() {
         tier(20, 1);
-        Set<Integer> dead = new HashSet<>(Set.of(new PeerSelector(0, 20).collector(NOW)));
+        Set<Integer> dead = new HashSet<>(Set.of(new PositionExchange(0, 20).collector(NOW)));
         long next = NOW;
-        while (dead.contains(new PeerSelector(0, 20).collector(next))) {
+        while (dead.contains(new PositionExchange(0, 20).collector(next))) {
             next += 100 * MS;
         }
         int talker = dead.contains(3) ? 4 : 3;
@@ -138,7 +138,7 @@
     void turnsGoToAllInTime() {
         Set<Integer> had = new HashSet<>();
         for (int turn = 0; turn < 400; turn++) {
-            had.add(new PeerSelector(0, 20).collector(NOW + turn * 2000 * MS));
+            had.add(new PositionExchange(0, 20).collector(NOW + turn * 2000 * MS));
         }
         assertThat(had).hasSize(20);
     }
--- a/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
@@ -17,7 +17,7 @@
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long NOW = 1_700_000_000L * SECOND;
-    private static final int SERVER = Datagram.number(new ServerId("r1"));
+    private static final int SERVER = ServerHash.of(new ServerId("r1"));
 
     private static ServerObservation placed(long position, long at) {
         return new ServerObservation(
@@ -35,15 +35,15 @@
     @ValueSource(longs = {5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
     void aPositionIsTheSameForTheReaderHoweverFarTheSendersServiceTimeIsOff(long senderAhead) {
         long position = NOW - 700 * MS;
-        byte[] sent = new Datagram(
-                        Kind.TELLS,
-                        NOW + senderAhead,
-                        Map.of(SERVER, placed(position + senderAhead, NOW + senderAhead)))
-                .bytes();
-        Datagram read = Datagram.read(Datagram.redated(sent, -senderAhead)).datagram();
+        byte[] sent = DatagramCodec.encode(new Datagram(
+                Kind.OBSERVATIONS,
+                NOW + senderAhead,
+                Map.of(SERVER, placed(position + senderAhead, NOW + senderAhead))));
+        Datagram read = DatagramCodec.decode(DatagramCodec.shiftSentAt(sent, -senderAhead))
+                .datagram();
         assertThat(read.sentAt()).isEqualTo(NOW);
-        assertThat(read.words().get(SERVER).position()).isEqualTo(position);
-        assertThat(read.words().get(SERVER).positionAt()).isEqualTo(NOW);
+        assertThat(read.observations().get(SERVER).position()).isEqualTo(position);
+        assertThat(read.observations().get(SERVER).positionAt()).isEqualTo(NOW);
     }
 
     /**
@@ -54,8 +54,8 @@
     @ValueSource(longs = {400 * MS, -400 * MS, -1900 * MS, 5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
     void aSenderWhoseClockIsOffUnnoticedMakesNoPositionFresher(long senderAhead) {
         long position = NOW - 3 * SECOND;
-        byte[] sent = new Datagram(Kind.TELLS, NOW + senderAhead, Map.of(SERVER, placed(position, NOW + senderAhead)))
-                .bytes();
+        byte[] sent = DatagramCodec.encode(new Datagram(
+                Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER, placed(position, NOW + senderAhead))));
         GossipProtocol gossip =
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.listed(new ServerId("r1"));
@@ -66,9 +66,9 @@
 
     @Test
     void whatIsNoSoundDatagramIsLeftForTheReaderToRefuse() {
-        byte[] corrupt = new Datagram(Kind.ASKS, NOW, Map.of()).bytes();
+        byte[] corrupt = DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, NOW, Map.of()));
         corrupt[5] ^= 1;
-        assertThat(Datagram.redated(corrupt, SECOND)).isSameAs(corrupt);
+        assertThat(DatagramCodec.shiftSentAt(corrupt, SECOND)).isSameAs(corrupt);
     }
 
     @Test
@@ -81,12 +81,14 @@
         ServerObservation drained = // news, which is told on
                 new ServerObservation(
                         Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
-        gossip.hears(NOW, 1, new Datagram(Kind.TELLS, NOW, Map.of(SERVER, drained)).bytes());
+        gossip.hears(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, drained))));
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND))
                 .isNotEmpty()
-                .allSatisfy(letter -> assertThat(
-                                Datagram.read(letter.bytes()).datagram().words().values())
+                .allSatisfy(letter -> assertThat(DatagramCodec.decode(letter.bytes())
+                                .datagram()
+                                .observations()
+                                .values())
                         .allSatisfy(w -> assertThat(w.position()).isEqualTo(LoadReport.UNKNOWN_TIME)));
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -68,8 +68,11 @@
 
     @Property(seed = "9")
     void aWordLosesOnItsWayButNeverGains(@ForAll("words") ServerObservation word) {
-        Datagram sent = new Datagram(Datagram.Kind.TELLS, NOW + 7, java.util.Map.of(5, word));
-        ServerObservation came = Datagram.read(sent.bytes()).datagram().words().get(5);
+        Datagram sent = new Datagram(Datagram.Kind.OBSERVATIONS, NOW + 7, java.util.Map.of(5, word));
+        ServerObservation came = DatagramCodec.decode(DatagramCodec.encode(sent))
+                .datagram()
+                .observations()
+                .get(5);
         assertOlder(came, word);
         assertThat(came.role()).isEqualTo(word.role());
         if (word.position() != LoadReport.UNKNOWN_TIME) {
