--- a/gateway/src/main/java/ploverdale/gossip/KnownServer.java
+++ b/gateway/src/main/java/ploverdale/gossip/KnownServer.java
@@ -11,10 +11,12 @@
     private ServerObservation disseminated = ServerObservation.NONE;
     private int rolePeer = NO_PEER;
 
+    /** Nothing is known of the server yet. */
     KnownServer(ServerId id) {
         this.id = id;
     }
 
+    /** The id by which the endpoint list names it. */
     ServerId id() {
         return id;
     }
--- a/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
@@ -22,6 +22,7 @@
     private final double[] trust;
     private final long[] updatedAt;
 
+    /** Trusts all peers fully, as many as there are gateways. */
     PeerTrust(int size) {
         trust = new double[size];
         updatedAt = new long[size];
--- a/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
+++ b/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
@@ -46,6 +46,7 @@
         this.budget = budget;
     }
 
+    /** Whether no rumor has rounds left. */
     boolean isEmpty() {
         return rumors.isEmpty();
     }
--- a/gateway/src/main/java/ploverdale/gossip/SendBudget.java
+++ b/gateway/src/main/java/ploverdale/gossip/SendBudget.java
@@ -46,6 +46,7 @@
         bytes -= sent;
     }
 
+    /** Whether a snapshot may be sent now. */
     boolean allowsSnapshot() {
         return snapshots >= 1;
     }
--- a/gateway/src/main/java/ploverdale/gossip/ServerDirectory.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerDirectory.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import ploverdale.model.ServerId;
 
-/** The listed servers, by id and by hash. Servers whose hashes collide cannot be told apart in datagrams and are left out. */
+/** The listed servers, by id and by hash. Servers whose hashes collide cannot be distinguished in datagrams and are left out. */
 final class ServerDirectory {
     private static final KnownServer AMBIGUOUS = new KnownServer(null);
 
--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -71,6 +71,7 @@
     private boolean started;
     private long nextProbeAt;
 
+    /** Probes from the first tick on; the random numbers are drawn in a fixed order, so that a run can be repeated. */
     FailureDetector(int self, MemberTable members, UpdateDisseminator disseminator, RandomGenerator random) {
         this.self = self;
         this.members = members;
--- a/gateway/src/main/java/ploverdale/membership/MemberTable.java
+++ b/gateway/src/main/java/ploverdale/membership/MemberTable.java
@@ -40,10 +40,12 @@
         members[self].remainingTransmissions = maxTransmissions;
     }
 
+    /** The number of configured members. */
     int size() {
         return members.length;
     }
 
+    /** What is believed of a member. */
     MemberState state(int member) {
         return members[member].state;
     }
@@ -63,6 +65,7 @@
         return state(member) == MemberState.ALIVE || state(member) == MemberState.SUSPECT;
     }
 
+    /** The number of members that are present, this gateway included. */
     int presentCount() {
         int count = 0;
         for (int i = 0; i < members.length; i++) {
@@ -116,6 +119,7 @@
         }
     }
 
+    /** How often the state of the member is still to be sent. */
     int remainingTransmissions(int member) {
         return members[member].remainingTransmissions;
     }
--- a/gateway/src/main/java/ploverdale/membership/UpdateDisseminator.java
+++ b/gateway/src/main/java/ploverdale/membership/UpdateDisseminator.java
@@ -13,6 +13,7 @@
 final class UpdateDisseminator {
     private final MemberTable members;
 
+    /** Disseminates the states of this table. */
     UpdateDisseminator(MemberTable members) {
         this.members = members;
     }
--- a/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -16,7 +16,7 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** What fits a datagram, and what is not read. */
+/** What fits a datagram, and which datagrams are rejected. */
 class DatagramTest {
     private static final ServerObservation PRIMARY = new ServerObservation(
             Role.PRIMARY,
@@ -36,61 +36,61 @@
     }
 
     @Test
-    void aFullOneFits() {
-        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
+    void aFullDatagramFits() {
+        Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         for (int i = 0; i < DatagramCodec.MAX_OBSERVATIONS; i++) {
-            words.put(ServerHash.of(new ServerId("s-" + i)), PRIMARY);
+            observations.put(ServerHash.of(new ServerId("s-" + i)), PRIMARY);
         }
-        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, words));
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations));
         assertThat(b.length).isLessThanOrEqualTo(256).isGreaterThan(220);
-        assertThat(DatagramCodec.decode(b).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, words));
+        assertThat(DatagramCodec.decode(b).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, observations));
     }
 
     @Property(seed = "11")
-    void noiseIsRefusedAndNeverThrows(@ForAll byte[] noise) {
+    void noiseIsRejectedAndNeverThrows(@ForAll byte[] noise) {
         assertThat(DatagramCodec.decode(noise).datagram()).isNull();
         if (noise.length > 0) {
             noise[0] = (byte) 0xB1;
         }
         if (noise.length >= 14) {
-            DatagramCodec.DecodeResult read = DatagramCodec.decode(checked(noise)); // forged well, but for what it says
+            DatagramCodec.DecodeResult read = DatagramCodec.decode(checked(noise)); // with a sound checksum
             assertThat(read.datagram() == null).isNotEqualTo(read.rejection() == null);
         }
     }
 
     @Test
-    void truncatedForgedAndForeignOnesAreTold() {
+    void truncatedDamagedAndForeignDatagramsAreRejectedWithTheReason() {
         byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         for (int n = 0; n < b.length; n++) {
             assertThat(DatagramCodec.decode(Arrays.copyOf(b, n)).rejection())
                     .isIn(RejectionReason.TOO_SHORT, RejectionReason.WRONG_CHECKSUM);
         }
         assertThat(DatagramCodec.decode(new byte[257]).rejection()).isEqualTo(RejectionReason.TOO_LONG);
-        byte[] forged = b.clone();
-        forged[15] ^= 1;
-        assertThat(DatagramCodec.decode(forged).rejection()).isEqualTo(RejectionReason.WRONG_CHECKSUM);
+        byte[] damaged = b.clone();
+        damaged[15] ^= 1;
+        assertThat(DatagramCodec.decode(damaged).rejection()).isEqualTo(RejectionReason.WRONG_CHECKSUM);
         byte[] foreign = b.clone();
         foreign[0] = 'x';
         assertThat(DatagramCodec.decode(foreign).rejection()).isEqualTo(RejectionReason.WRONG_MAGIC);
-        byte[] nothing = b.clone();
-        nothing[1] = 0;
-        assertThat(DatagramCodec.decode(checked(nothing)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
-        byte[] short1 = b.clone();
-        short1[3] = 5;
-        assertThat(DatagramCodec.decode(checked(short1)).rejection()).isEqualTo(RejectionReason.MALFORMED);
+        byte[] versionZero = b.clone();
+        versionZero[1] = 0;
+        assertThat(DatagramCodec.decode(checked(versionZero)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
+        byte[] shortEntry = b.clone();
+        shortEntry[3] = 5;
+        assertThat(DatagramCodec.decode(checked(shortEntry)).rejection()).isEqualTo(RejectionReason.MALFORMED);
         byte[] badRole = b.clone();
         badRole[14] = 3;
         assertThat(DatagramCodec.decode(checked(badRole)).rejection()).isEqualTo(RejectionReason.MALFORMED);
     }
 
     @Test
-    void anOlderVersionsEntryIsReadAsFarAsItGoes() {
+    void fieldsThatAnOlderVersionsEntryLacksAreUnknown() {
         byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] older = Arrays.copyOf(b, 10 + 7 + 4); // number, role and its age only
         older[3] = 7;
-        ServerObservation w =
+        ServerObservation observation =
                 DatagramCodec.decode(checked(older)).datagram().observations().get(7);
-        assertThat(w)
+        assertThat(observation)
                 .isEqualTo(new ServerObservation(
                         Role.PRIMARY,
                         NOW - 5000,
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aNewerVersionsEntryIsReadAsFarAsItIsKnown() {
+    void unknownFieldsOfANewerVersionsEntryAreIgnored() {
         byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] newer = Arrays.copyOf(b, b.length + 3);
         newer[1] = 2;
--- a/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
@@ -18,35 +18,35 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** Positions that few hear get round to all. */
+/** Positions that few gateways observe reach all. */
 class PositionExchangeTest {
     private static final ServerId R = new ServerId("r");
     private static final long MS = 10;
 
-    private record Way(int from, OutboundPacket letter) {}
+    private record Delivery(int from, OutboundPacket packet) {}
 
     private final Map<Integer, Map<ServerId, ServerObservation>> known = new HashMap<>();
     private final List<GossipProtocol> all = new ArrayList<>();
-    private int letters;
+    private int packets;
     private int bytes;
 
-    private void tier(int instances, double requestsPerSecond) {
+    private void startGateways(int instances, double requestsPerSecond) {
         for (int i = 0; i < instances; i++) {
             Map<ServerId, ServerObservation> mine = new HashMap<>();
             known.put(i, mine);
-            GossipProtocol h = new GossipProtocol(
+            GossipProtocol protocol = new GossipProtocol(
                     i,
                     instances,
                     requestsPerSecond,
                     500 * MS,
                     new SplittableRandom(i),
                     id -> mine.getOrDefault(id, ServerObservation.NONE));
-            h.listed(R);
-            all.add(h);
+            protocol.listed(R);
+            all.add(protocol);
         }
     }
 
-    private static ServerObservation place(long now, long position) {
+    private static ServerObservation observation(long now, long position) {
         return new ServerObservation(
                 Role.REPLICA,
                 now,
@@ -58,31 +58,36 @@
                 LoadReport.UNKNOWN_TIME);
     }
 
-    private void pass(long from, long until, Set<Integer> dead) {
+    private void run(long from, long until, Set<Integer> dead) {
         for (long now = from; now < until; now += 20 * MS) {
-            Deque<Way> ways = new ArrayDeque<>();
+            Deque<Delivery> underway = new ArrayDeque<>();
             for (int i = 0; i < all.size(); i++) {
                 int me = i;
                 if (!dead.contains(i)) {
-                    all.get(i).due(now).forEach(l -> ways.add(new Way(me, l)));
+                    all.get(i).due(now).forEach(l -> underway.add(new Delivery(me, l)));
                 }
             }
-            while (!ways.isEmpty()) {
-                Way w = ways.poll();
-                letters++;
-                bytes += w.letter().bytes().length;
-                if (!dead.contains(w.letter().peer())) {
-                    GossipProtocol.ReceivedGossip h = all.get(w.letter().peer())
-                            .hears(now, w.from(), w.letter().bytes());
-                    h.words().forEach((id, x) -> known.get(w.letter().peer()).merge(id, x, ServerObservation::join));
-                    h.letters().forEach(l -> ways.add(new Way(w.letter().peer(), l)));
+            while (!underway.isEmpty()) {
+                Delivery delivery = underway.poll();
+                packets++;
+                bytes += delivery.packet().bytes().length;
+                if (!dead.contains(delivery.packet().peer())) {
+                    GossipProtocol.ReceivedGossip received = all.get(
+                                    delivery.packet().peer())
+                            .hears(now, delivery.from(), delivery.packet().bytes());
+                    received.words()
+                            .forEach((id, x) ->
+                                    known.get(delivery.packet().peer()).merge(id, x, ServerObservation::join));
+                    received.letters()
+                            .forEach(l ->
+                                    underway.add(new Delivery(delivery.packet().peer(), l)));
                 }
             }
         }
     }
 
-    private void hears(int instance, long now) {
-        known.get(instance).merge(R, place(now, now - 3 * MS), ServerObservation::join);
+    private void observe(int instance, long now) {
+        known.get(instance).merge(R, observation(now, now - 3 * MS), ServerObservation::join);
         all.get(instance).placed(now, R);
     }
 
@@ -93,20 +98,20 @@
     }
 
     @Test
-    void whatOneHearsAllKnowSoonForAFewBytesEach() {
-        tier(260, 1);
-        hears(7, NOW);
-        pass(NOW, NOW + 300 * MS, Set.of());
+    void aPositionReachesAllGatewaysSoonForAFewBytesEach() {
+        startGateways(260, 1);
+        observe(7, NOW);
+        run(NOW, NOW + 300 * MS, Set.of());
         assertThat(knowing(NOW - 4 * MS)).isEqualTo(260);
-        assertThat(letters).isLessThan(2 * 260 + 10);
+        assertThat(packets).isLessThan(2 * 260 + 10);
         assertThat(bytes / 260).isLessThan(2 * 20);
     }
 
     @Test
-    void noWordOnItsWayIsFresherThanAtItsSource() {
-        tier(260, 1);
-        hears(7, NOW);
-        pass(NOW, NOW + 1000 * MS, Set.of());
+    void noRelayedPositionIsFresherThanAtItsSource() {
+        startGateways(260, 1);
+        observe(7, NOW);
+        run(NOW, NOW + 1000 * MS, Set.of());
         known.forEach((i, m) -> {
             if (i != 7) {
                 assertThat(m.getOrDefault(R, ServerObservation.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
@@ -118,36 +123,36 @@
     }
 
     @Test
-    void aCollectorThatIsDeadCostsItsTurnOnly() {
-        tier(20, 1);
+    void aDeadCollectorCostsItsTermOnly() {
+        startGateways(20, 1);
         Set<Integer> dead = new HashSet<>(Set.of(new PositionExchange(0, 20).collector(NOW)));
         long next = NOW;
         while (dead.contains(new PositionExchange(0, 20).collector(next))) {
             next += 100 * MS;
         }
-        int talker = dead.contains(3) ? 4 : 3;
+        int observer = dead.contains(3) ? 4 : 3;
         for (long now = NOW; now < next + 500 * MS; now += 100 * MS) {
-            hears(talker, now);
-            pass(now, now + 100 * MS, dead);
+            observe(observer, now);
+            run(now, now + 100 * MS, dead);
         }
         assertThat(knowing(next)).isGreaterThanOrEqualTo(19);
         assertThat(next - NOW).isLessThanOrEqualTo(6000 * MS);
     }
 
     @Test
-    void turnsGoToAllInTime() {
-        Set<Integer> had = new HashSet<>();
-        for (int turn = 0; turn < 400; turn++) {
-            had.add(new PositionExchange(0, 20).collector(NOW + turn * 2000 * MS));
+    void eachGatewayBecomesTheCollectorInTime() {
+        Set<Integer> collectors = new HashSet<>();
+        for (int term = 0; term < 400; term++) {
+            collectors.add(new PositionExchange(0, 20).collector(NOW + term * 2000 * MS));
         }
-        assertThat(had).hasSize(20);
+        assertThat(collectors).hasSize(20);
     }
 
     @Test
-    void whereEachHearsEnoughByItselfNothingIsSent() {
-        tier(3, 900);
-        hears(1, NOW);
-        pass(NOW, NOW + 3000 * MS, Set.of());
-        assertThat(letters).isZero();
+    void nothingIsSentWhereEachGatewayObservesEnoughItself() {
+        startGateways(3, 900);
+        observe(1, NOW);
+        run(NOW, NOW + 3000 * MS, Set.of());
+        assertThat(packets).isZero();
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Map;
 import java.util.Random;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
@@ -17,7 +18,7 @@
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
 
-/** Words in any order, lost and doubled, give the same picture or an older one, never a fresher. */
+/** Observations in any order, lost and duplicated, join to the same or an older one, never a fresher one. */
 class ServerObservationTest {
     static final long NOW = 17_672_256_000_000L; // tenths of a ms, Unix
 
@@ -30,14 +31,14 @@
     }
 
     @Provide
-    static Arbitrary<ServerObservation> words() {
+    static Arbitrary<ServerObservation> observations() {
         Arbitrary<ServerObservation> known = Combinators.combine(
                         Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(), time(), time(), time())
-                .as((role, roleAt, placedAt, alive, silent, cold, drain) -> new ServerObservation(
+                .as((role, roleAt, positionAt, alive, silent, cold, drain) -> new ServerObservation(
                         roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
                         roleAt,
-                        placedAt == LoadReport.UNKNOWN_TIME ? placedAt : placedAt - 500,
-                        placedAt,
+                        positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
+                        positionAt,
                         alive,
                         silent,
                         cold,
@@ -45,39 +46,40 @@
         return known;
     }
 
-    private static ServerObservation all(List<ServerObservation> words) {
-        return words.stream().reduce(ServerObservation.NONE, ServerObservation::join);
+    private static ServerObservation all(List<ServerObservation> observations) {
+        return observations.stream().reduce(ServerObservation.NONE, ServerObservation::join);
     }
 
     @Property(seed = "7")
     void orderAndRepetitionChangeNothing(
-            @ForAll @Size(max = 8) List<@From("words") ServerObservation> words, @ForAll Random random) {
-        List<ServerObservation> other = new ArrayList<>(words);
-        other.addAll(words.subList(0, words.size() / 2));
+            @ForAll @Size(max = 8) List<@From("observations") ServerObservation> observations, @ForAll Random random) {
+        List<ServerObservation> other = new ArrayList<>(observations);
+        other.addAll(observations.subList(0, observations.size() / 2));
         Collections.shuffle(other, random);
-        assertThat(all(other)).isEqualTo(all(words));
-        assertThat(all(words).join(all(words))).isEqualTo(all(words));
+        assertThat(all(other)).isEqualTo(all(observations));
+        assertThat(all(observations).join(all(observations))).isEqualTo(all(observations));
     }
 
     @Property(seed = "8")
-    void lossMakesOlderNeverFresher(@ForAll @Size(min = 1, max = 8) List<@From("words") ServerObservation> words) {
-        ServerObservation part = all(words.subList(0, words.size() - 1));
-        assertOlder(part, all(words));
-        assertThat(part.join(all(words))).isEqualTo(all(words));
+    void lossMakesOlderNeverFresher(
+            @ForAll @Size(min = 1, max = 8) List<@From("observations") ServerObservation> observations) {
+        ServerObservation part = all(observations.subList(0, observations.size() - 1));
+        assertOlder(part, all(observations));
+        assertThat(part.join(all(observations))).isEqualTo(all(observations));
     }
 
     @Property(seed = "9")
-    void aWordLosesOnItsWayButNeverGains(@ForAll("words") ServerObservation word) {
-        Datagram sent = new Datagram(Datagram.Kind.OBSERVATIONS, NOW + 7, java.util.Map.of(5, word));
-        ServerObservation came = DatagramCodec.decode(DatagramCodec.encode(sent))
+    void aDecodedObservationIsNeverNewerThanTheEncodedOne(@ForAll("observations") ServerObservation observation) {
+        Datagram sent = new Datagram(Datagram.Kind.OBSERVATIONS, NOW + 7, Map.of(5, observation));
+        ServerObservation decoded = DatagramCodec.decode(DatagramCodec.encode(sent))
                 .datagram()
                 .observations()
                 .get(5);
-        assertOlder(came, word);
-        assertThat(came.role()).isEqualTo(word.role());
-        if (word.position() != LoadReport.UNKNOWN_TIME) {
-            assertThat(word.position() - came.position()).isBetween(0L, 9L);
-            assertThat(word.roleAt() - came.roleAt()).isBetween(0L, 120L);
+        assertOlder(decoded, observation);
+        assertThat(decoded.role()).isEqualTo(observation.role());
+        if (observation.position() != LoadReport.UNKNOWN_TIME) {
+            assertThat(observation.position() - decoded.position()).isBetween(0L, 9L);
+            assertThat(observation.roleAt() - decoded.roleAt()).isBetween(0L, 120L);
         }
     }
 
@@ -92,8 +94,8 @@
     }
 
     @Property(seed = "10")
-    void whatIsTooOldIsForgottenButADrainAndAColdStart(@ForAll("words") ServerObservation word) {
-        ServerObservation later = word.since(NOW + 1);
+    void outdatedFieldsAreDroppedButDrainingAndSlowStart(@ForAll("observations") ServerObservation observation) {
+        ServerObservation later = observation.since(NOW + 1);
         assertThat(later.withRoleOlder(0))
                 .isEqualTo(new ServerObservation(
                         Role.UNKNOWN,
@@ -102,8 +104,8 @@
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
-                        word.coldSince(),
-                        word.drainAt()));
-        assertThat(word.since(NOW - 200_000)).isEqualTo(word);
+                        observation.coldSince(),
+                        observation.drainAt()));
+        assertThat(observation.since(NOW - 200_000)).isEqualTo(observation);
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/RedatedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
@@ -13,13 +13,13 @@
 import ploverdale.model.ServerId;
 
 /** Datagrams between gateways whose service times differ. Times in tenths of a millisecond. */
-class RedatedDatagramTest {
+class ShiftedDatagramTest {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long NOW = 1_700_000_000L * SECOND;
     private static final int SERVER = ServerHash.of(new ServerId("r1"));
 
-    private static ServerObservation placed(long position, long at) {
+    private static ServerObservation observation(long position, long at) {
         return new ServerObservation(
                 Role.REPLICA,
                 at,
@@ -33,12 +33,12 @@
 
     @ParameterizedTest
     @ValueSource(longs = {5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
-    void aPositionIsTheSameForTheReaderHoweverFarTheSendersServiceTimeIsOff(long senderAhead) {
+    void aPositionIsTheSameForTheReceiverHoweverFarTheSendersClockIsOff(long senderAhead) {
         long position = NOW - 700 * MS;
         byte[] sent = DatagramCodec.encode(new Datagram(
                 Kind.OBSERVATIONS,
                 NOW + senderAhead,
-                Map.of(SERVER, placed(position + senderAhead, NOW + senderAhead))));
+                Map.of(SERVER, observation(position + senderAhead, NOW + senderAhead))));
         Datagram read = DatagramCodec.decode(DatagramCodec.shiftSentAt(sent, -senderAhead))
                 .datagram();
         assertThat(read.sentAt()).isEqualTo(NOW);
@@ -55,40 +55,42 @@
     void aSenderWhoseClockIsOffUnnoticedMakesNoPositionFresher(long senderAhead) {
         long position = NOW - 3 * SECOND;
         byte[] sent = DatagramCodec.encode(new Datagram(
-                Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER, placed(position, NOW + senderAhead))));
+                Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER, observation(position, NOW + senderAhead))));
         GossipProtocol gossip =
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.listed(new ServerId("r1"));
         gossip.starts(NOW);
-        Map<ServerId, ServerObservation> words = gossip.hears(NOW, 1, sent).words();
-        assertThat(words.values()).allSatisfy(w -> assertThat(w.position()).isLessThanOrEqualTo(position));
+        Map<ServerId, ServerObservation> accepted = gossip.hears(NOW, 1, sent).words();
+        assertThat(accepted.values())
+                .allSatisfy(observation -> assertThat(observation.position()).isLessThanOrEqualTo(position));
     }
 
     @Test
-    void whatIsNoSoundDatagramIsLeftForTheReaderToRefuse() {
+    void aDamagedDatagramIsReturnedUnchanged() {
         byte[] corrupt = DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, NOW, Map.of()));
         corrupt[5] ^= 1;
         assertThat(DatagramCodec.shiftSentAt(corrupt, SECOND)).isSameAs(corrupt);
     }
 
     @Test
-    void positionsThatCannotBeDatedAreNotTold() {
+    void forgottenPositionsAreNotSent() {
         ServerId server = new ServerId("r1");
         GossipProtocol gossip =
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.listed(server);
         gossip.starts(NOW);
-        ServerObservation drained = // news, which is told on
+        ServerObservation drained = // a change, which is passed on
                 new ServerObservation(
                         Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
         gossip.hears(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, drained))));
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND))
                 .isNotEmpty()
-                .allSatisfy(letter -> assertThat(DatagramCodec.decode(letter.bytes())
+                .allSatisfy(packet -> assertThat(DatagramCodec.decode(packet.bytes())
                                 .datagram()
                                 .observations()
                                 .values())
-                        .allSatisfy(w -> assertThat(w.position()).isEqualTo(LoadReport.UNKNOWN_TIME)));
+                        .allSatisfy(observation ->
+                                assertThat(observation.position()).isEqualTo(LoadReport.UNKNOWN_TIME)));
     }
 }
--- a/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
+++ b/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
@@ -16,32 +16,32 @@
 
     private long now = SECOND;
     private final Membership peer = member(0, STARTED_MS);
-    private final PacketQueue fromPeer = new PacketQueue(100_000, now);
-    private Membership returner = member(1, STARTED_MS);
-    private PacketQueue fromReturner = new PacketQueue(100_000, now);
+    private final PacketQueue peerQueue = new PacketQueue(100_000, now);
+    private Membership restarted = member(1, STARTED_MS);
+    private PacketQueue restartedQueue = new PacketQueue(100_000, now);
 
     private static Membership member(int me, long startedMs) {
         return new Membership(me, 2, startedMs, new SplittableRandom(me));
     }
 
-    /** Both do what is due and get each other's packets, as on the wire. */
+    /** Both tick and receive each other's packets. */
     private void exchange() {
-        peer.onTick(now, fromPeer);
-        returner.onTick(now, fromReturner);
-        carry(peer, fromPeer, 0, returner, fromReturner);
-        carry(returner, fromReturner, 1, peer, fromPeer);
-        carry(peer, fromPeer, 0, returner, fromReturner);
+        peer.onTick(now, peerQueue);
+        restarted.onTick(now, restartedQueue);
+        deliver(peer, peerQueue, 0, restarted, restartedQueue);
+        deliver(restarted, restartedQueue, 1, peer, peerQueue);
+        deliver(peer, peerQueue, 0, restarted, restartedQueue);
         now += 20 * MS;
     }
 
-    private void carry(Membership sender, PacketQueue from, int number, Membership receiver, PacketQueue answers) {
-        for (PacketQueue.OutboundPacket letter : from.drain(now, sender.incarnation(), 1)) {
-            Packet p = PacketCodec.decode(letter.bytes());
-            if (!receiver.acceptPacket(now, number, p.incarnation())) {
+    private void deliver(Membership sender, PacketQueue from, int number, Membership receiver, PacketQueue answers) {
+        for (PacketQueue.OutboundPacket packet : from.drain(now, sender.incarnation(), 1)) {
+            Packet decoded = PacketCodec.decode(packet.bytes());
+            if (!receiver.acceptPacket(now, number, decoded.incarnation())) {
                 receiver.correctStaleSender(number, answers);
                 continue;
             }
-            p.parts().forEach(part -> receiver.onPart(now, number, part, answers));
+            decoded.parts().forEach(part -> receiver.onPart(now, number, part, answers));
         }
     }
 
@@ -51,33 +51,33 @@
         }
     }
 
-    private void restarts(long startedMs) {
-        returner = member(1, startedMs);
-        fromReturner = new PacketQueue(100_000, now);
+    private void restart(long startedMs) {
+        restarted = member(1, startedMs);
+        restartedQueue = new PacketQueue(100_000, now);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5_000, 3_600_000})
-    void itIsTakenInWithinAPeriodAndSpeaksAsAnotherStartThanTheOneBefore(long behindMs) {
+    void aRestartedMemberIsAliveWithinAPeriodUnderANewStart(long behindMs) {
         exchangeFor(3 * SECOND);
-        long before = returner.incarnation();
+        long before = restarted.incarnation();
         assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
-        restarts(STARTED_MS - behindMs);
+        restart(STARTED_MS - behindMs);
         exchangeFor(SECOND);
         assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
-        assertThat(returner.incarnation()).isGreaterThan(before);
-        assertThat(Incarnation.startOf(returner.incarnation())).isGreaterThan(Incarnation.startOf(before));
-        assertThat(peer.incarnation(1)).isEqualTo(returner.incarnation());
+        assertThat(restarted.incarnation()).isGreaterThan(before);
+        assertThat(Incarnation.startOf(restarted.incarnation())).isGreaterThan(Incarnation.startOf(before));
+        assertThat(peer.incarnation(1)).isEqualTo(restarted.incarnation());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5_000, 3_600_000})
-    void itIsTakenInAgainAfterItLeft(long behindMs) {
+    void aMemberThatLeftIsAliveAgainAfterARestart(long behindMs) {
         exchangeFor(3 * SECOND);
-        returner.leave(now);
+        restarted.leave(now);
         exchangeFor(20 * SECOND);
         assertThat(peer.state(1)).isEqualTo(MemberState.LEAVING);
-        restarts(STARTED_MS - behindMs);
+        restart(STARTED_MS - behindMs);
         exchangeFor(5 * SECOND);
         assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
     }
@@ -85,22 +85,22 @@
     @Test
     void aDelayedPacketOfAnEarlierStartChangesNothing() {
         exchangeFor(3 * SECOND);
-        restarts(STARTED_MS + 60_000);
+        restart(STARTED_MS + 60_000);
         exchangeFor(3 * SECOND);
-        long incarnation = returner.incarnation();
+        long incarnation = restarted.incarnation();
         assertThat(peer.acceptPacket(now, 1, STARTED_MS << 7)).isFalse();
-        peer.correctStaleSender(1, fromPeer);
+        peer.correctStaleSender(1, peerQueue);
         exchangeFor(SECOND);
-        assertThat(returner.incarnation()).isEqualTo(incarnation);
+        assertThat(restarted.incarnation()).isEqualTo(incarnation);
         assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
-    void aStartedProcessThatIsAheadOfItsPastNeedsNoCorrection() {
+    void aRestartWithALaterClockNeedsNoCorrection() {
         exchangeFor(3 * SECOND);
-        restarts(STARTED_MS + 1);
+        restart(STARTED_MS + 1);
         exchangeFor(SECOND);
-        assertThat(returner.incarnation()).isEqualTo((STARTED_MS + 1) << 7);
-        assertThat(List.of(peer.state(1), returner.state(0))).containsOnly(MemberState.ALIVE);
+        assertThat(restarted.incarnation()).isEqualTo((STARTED_MS + 1) << 7);
+        assertThat(List.of(peer.state(1), restarted.state(0))).containsOnly(MemberState.ALIVE);
     }
 }
