--- a/gateway/src/main/java/ploverdale/membership/Membership.java
+++ b/gateway/src/main/java/ploverdale/membership/Membership.java
@@ -27,7 +27,6 @@
 
     private final int self;
     private final MemberTable members;
-    private final UpdateDisseminator disseminator;
     private final FailureDetector failureDetector;
     private final MessageHandler messageHandler = new MessageHandler();
     private long incarnation;
@@ -44,8 +43,7 @@
         this.self = self;
         incarnation = Incarnation.first(startedMs);
         members = new MemberTable(self, size, incarnation, (int) Math.ceil(TRANSMISSION_FACTOR * logOfSize(size)));
-        disseminator = new UpdateDisseminator(members);
-        failureDetector = new FailureDetector(self, members, disseminator, random);
+        failureDetector = new FailureDetector(self, members, new UpdateDisseminator(members), random);
     }
 
     /** The binary logarithm of the number of members, at least 1: the scale of SWIM's timeouts and retransmissions. */
