--- a/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -12,12 +12,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import ploverdale.gossip.Datagram.Kind;
-import ploverdale.gossip.Datagram.Refusal;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** What fits a datagram, and what is not read. */
+/** What fits a datagram, and which datagrams are rejected. */
 class DatagramTest {
     private static final ServerObservation PRIMARY = new ServerObservation(
             Role.PRIMARY,
@@ -37,59 +36,61 @@
     }
 
     @Test
-    void aFullOneFits() {
-        Map<Integer, ServerObservation> words = new LinkedHashMap<>();
-        for (int i = 0; i < Datagram.ENTRIES_MOST; i++) {
-            words.put(Datagram.number(new ServerId("s-" + i)), PRIMARY);
+    void aFullDatagramFits() {
+        Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
+        for (int i = 0; i < DatagramCodec.MAX_OBSERVATIONS; i++) {
+            observations.put(ServerHash.of(new ServerId("s-" + i)), PRIMARY);
         }
-        byte[] b = new Datagram(Kind.TELLS, NOW, words).bytes();
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations));
         assertThat(b.length).isLessThanOrEqualTo(256).isGreaterThan(220);
-        assertThat(Datagram.read(b).datagram()).isEqualTo(new Datagram(Kind.TELLS, NOW, words));
+        assertThat(DatagramCodec.decode(b).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, observations));
     }
 
     @Property(seed = "11")
-    void noiseIsRefusedAndNeverThrows(@ForAll byte[] noise) {
-        assertThat(Datagram.read(noise).datagram()).isNull();
+    void noiseIsRejectedAndNeverThrows(@ForAll byte[] noise) {
+        assertThat(DatagramCodec.decode(noise).datagram()).isNull();
         if (noise.length > 0) {
             noise[0] = (byte) 0xB1;
         }
         if (noise.length >= 14) {
-            Datagram.Read read = Datagram.read(checked(noise)); // forged well, but for what it says
-            assertThat(read.datagram() == null).isNotEqualTo(read.refusal() == null);
+            DatagramCodec.DecodeResult read = DatagramCodec.decode(checked(noise)); // with a sound checksum
+            assertThat(read.datagram() == null).isNotEqualTo(read.rejection() == null);
         }
     }
 
     @Test
-    void truncatedForgedAndForeignOnesAreTold() {
-        byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
+    void truncatedDamagedAndForeignDatagramsAreRejectedWithTheReason() {
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         for (int n = 0; n < b.length; n++) {
-            assertThat(Datagram.read(Arrays.copyOf(b, n)).refusal()).isIn(Refusal.TOO_SHORT, Refusal.CHECKSUM);
+            assertThat(DatagramCodec.decode(Arrays.copyOf(b, n)).rejection())
+                    .isIn(RejectionReason.TOO_SHORT, RejectionReason.WRONG_CHECKSUM);
         }
-        assertThat(Datagram.read(new byte[257]).refusal()).isEqualTo(Refusal.TOO_LONG);
-        byte[] forged = b.clone();
-        forged[15] ^= 1;
-        assertThat(Datagram.read(forged).refusal()).isEqualTo(Refusal.CHECKSUM);
+        assertThat(DatagramCodec.decode(new byte[257]).rejection()).isEqualTo(RejectionReason.TOO_LONG);
+        byte[] damaged = b.clone();
+        damaged[15] ^= 1;
+        assertThat(DatagramCodec.decode(damaged).rejection()).isEqualTo(RejectionReason.WRONG_CHECKSUM);
         byte[] foreign = b.clone();
         foreign[0] = 'x';
-        assertThat(Datagram.read(foreign).refusal()).isEqualTo(Refusal.NOT_OURS);
-        byte[] nothing = b.clone();
-        nothing[1] = 0;
-        assertThat(Datagram.read(checked(nothing)).refusal()).isEqualTo(Refusal.VERSION);
-        byte[] short1 = b.clone();
-        short1[3] = 5;
-        assertThat(Datagram.read(checked(short1)).refusal()).isEqualTo(Refusal.MISSHAPEN);
+        assertThat(DatagramCodec.decode(foreign).rejection()).isEqualTo(RejectionReason.WRONG_MAGIC);
+        byte[] versionZero = b.clone();
+        versionZero[1] = 0;
+        assertThat(DatagramCodec.decode(checked(versionZero)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
+        byte[] shortEntry = b.clone();
+        shortEntry[3] = 5;
+        assertThat(DatagramCodec.decode(checked(shortEntry)).rejection()).isEqualTo(RejectionReason.MALFORMED);
         byte[] badRole = b.clone();
         badRole[14] = 3;
-        assertThat(Datagram.read(checked(badRole)).refusal()).isEqualTo(Refusal.MISSHAPEN);
+        assertThat(DatagramCodec.decode(checked(badRole)).rejection()).isEqualTo(RejectionReason.MALFORMED);
     }
 
     @Test
-    void anOlderVersionsEntryIsReadAsFarAsItGoes() {
-        byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
+    void fieldsThatAnOlderVersionsEntryLacksAreUnknown() {
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] older = Arrays.copyOf(b, 10 + 7 + 4); // number, role and its age only
         older[3] = 7;
-        ServerObservation w = Datagram.read(checked(older)).datagram().words().get(7);
-        assertThat(w)
+        ServerObservation observation =
+                DatagramCodec.decode(checked(older)).datagram().observations().get(7);
+        assertThat(observation)
                 .isEqualTo(new ServerObservation(
                         Role.PRIMARY,
                         NOW - 5000,
@@ -102,11 +103,12 @@
     }
 
     @Test
-    void aNewerVersionsEntryIsReadAsFarAsItIsKnown() {
-        byte[] b = new Datagram(Kind.TELLS, NOW, Map.of(7, PRIMARY)).bytes();
+    void unknownFieldsOfANewerVersionsEntryAreIgnored() {
+        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] newer = Arrays.copyOf(b, b.length + 3);
         newer[1] = 2;
         newer[3] += 3;
-        assertThat(Datagram.read(checked(newer)).datagram().words()).isEqualTo(Map.of(7, PRIMARY));
+        assertThat(DatagramCodec.decode(checked(newer)).datagram().observations())
+                .isEqualTo(Map.of(7, PRIMARY));
     }
 }
