--- /dev/null
+++ b/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
@@ -0,0 +1,136 @@
+package ploverdale.quota;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.HexFormat;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import ploverdale.membership.Packet;
+import ploverdale.membership.Packet.Part;
+import ploverdale.membership.PacketQueue;
+
+/** The bytes that gateways of different versions exchange: one example of each message kind, and the allocation's id. */
+class QuotaWireFormatTest {
+    private static final long EPOCH = 0x0123456789ABCDEFL;
+
+    private static Part leaseRequest(int partition, int round) {
+        return QuotaMessages.leaseRequest(partition, round);
+    }
+
+    private static Part leasePromise(int partition, int round, long epoch) {
+        return QuotaMessages.leasePromise(partition, round, epoch);
+    }
+
+    private static Part unitRequest(int request, int extendedLoan, int[] units) {
+        return QuotaMessages.unitRequest(request, extendedLoan, units);
+    }
+
+    private static Part unitGrant(long epoch, int request, int loan, int[] units) {
+        return QuotaMessages.unitGrant(epoch, request, loan, units);
+    }
+
+    private static Part unitReturn(int loan, int[] units) {
+        return QuotaMessages.unitReturn(loan, units);
+    }
+
+    private static String hex(Part part) {
+        return HexFormat.of().formatHex(part.content());
+    }
+
+    private static int[] manyUnits(int limits, int first) {
+        int[] units = new int[limits];
+        for (int limit = 0; limit < limits; limit++) {
+            units[limit] = first + limit;
+        }
+        return units;
+    }
+
+    @Test
+    void leaseRequest() {
+        Part part = leaseRequest(513, 70_000);
+        assertThat(part.kind()).isEqualTo(16);
+        assertThat(hex(part)).isEqualTo("020100011170");
+    }
+
+    @Test
+    void leasePromise() {
+        Part part = leasePromise(65_535, 7, EPOCH);
+        assertThat(part.kind()).isEqualTo(17);
+        assertThat(hex(part)).isEqualTo("ffff000000070123456789abcdef");
+    }
+
+    @Test
+    void unitRequestLeavesOutLimitsOfWhichNoneIsWanted() {
+        Part part = unitRequest(9, 0, new int[] {0, 5, -3, 65_535});
+        assertThat(part.kind()).isEqualTo(18);
+        assertThat(hex(part)).isEqualTo("0000000900000000000100050003ffff");
+        Part extension = unitRequest(10, 258, new int[] {1});
+        assertThat(hex(extension)).isEqualTo("0000000a0000010200000001");
+    }
+
+    @Test
+    void unitGrantLeavesOutLimitsOfWhichNoneIsGranted() {
+        Part part = unitGrant(EPOCH, 9, 258, new int[] {0, 0, 300});
+        assertThat(part.kind()).isEqualTo(19);
+        assertThat(hex(part)).isEqualTo("0123456789abcdef00000009000001020002012c");
+    }
+
+    @Test
+    void unitReturnListsAlsoLimitsOfWhichNoneIsKept() {
+        Part part = unitReturn(258, new int[] {0, 4});
+        assertThat(part.kind()).isEqualTo(20);
+        assertThat(hex(part)).isEqualTo("000001020000000000010004");
+    }
+
+    @Test
+    void atMostFortyLimitsAreListed() {
+        assertThat(hex(unitRequest(1, 0, manyUnits(64, 0))))
+                .hasSize(2 * (8 + 40 * 4))
+                .startsWith("000000010000000000010001")
+                .endsWith("00280028");
+        assertThat(hex(unitReturn(1, manyUnits(64, 0))))
+                .hasSize(2 * (4 + 40 * 4))
+                .startsWith("0000000100000000")
+                .endsWith("00270027");
+    }
+
+    /** What gateway 1 of 3 answers to gateway 0, long after its start; kind and content of each part, in hex. */
+    private static List<String> answersTo(int kind, String content) {
+        QuotaAllocation allocation =
+                new QuotaAllocation(List.of(new Budget("server 0", Budget.Kind.IN_USE, 24, 3_300)), 3, 0.5);
+        Budgets gateway =
+                new Budgets(1, 5, allocation, new LeaseDurations(3_000, 2_000, 0.05), new SplittableRandom(1), 0);
+        PacketQueue queue = new PacketQueue(1e9, 0);
+        long now = 100_000;
+        gateway.part(now, 0, EPOCH, new Part(kind, HexFormat.of().parseHex(content)), queue);
+        return queue.letters(now, 1, allocation.id()).stream()
+                .flatMap(packet -> Packet.read(packet.bytes()).parts().stream())
+                .map(part -> part.kind() + " " + hex(part))
+                .toList();
+    }
+
+    @Test
+    void aMessageLongerThanExpectedIsReadAndAShorterOneIgnored() {
+        assertThat(answersTo(16, "000000000007")).containsExactly("17 0000000000070123456789abcdef");
+        assertThat(answersTo(16, "000000000007ff")).containsExactly("17 0000000000070123456789abcdef");
+        assertThat(answersTo(16, "0000000000")).isEmpty();
+        for (int kind = 17; kind <= 21; kind++) {
+            assertThat(answersTo(kind, "")).isEmpty();
+            assertThat(answersTo(kind, "000000")).isEmpty();
+        }
+    }
+
+    @Test
+    void allocationsAreToldApartByAnIdThatStaysTheSameOverVersions() {
+        QuotaAllocation allocation = new QuotaAllocation(
+                List.of(
+                        new Budget("tenant 0", Budget.Kind.RATE, 60, 10_000),
+                        new Budget("server 0", Budget.Kind.IN_USE, 24, 3_300)),
+                7,
+                0.5);
+        assertThat(Integer.toHexString(allocation.id())).isEqualTo("7148486f");
+        assertThat(Integer.toHexString(new QuotaAllocation(List.of(), 3, 0.25).id()))
+                .isEqualTo("73b51de");
+    }
+}
