--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -171,17 +171,17 @@
                     ? null
                     : FleetConfigurationFile.fits(FleetConfigurationFile.read(fleetFile()), f.settings());
             if (fleet != null) {
-                QuotaAllocation d = fleet.division(f.settings().started());
+                QuotaAllocation d = fleet.allocation(f.settings().started());
                 System.out.println("fleet of " + d.gateways() + ", division " + Integer.toHexString(d.id()) + ", floor "
-                        + fleet.floorShare() + " of each right");
-                for (int b = 0; b < d.budgets().size(); b++) {
-                    System.out.println("  " + d.budgets().get(b).name() + ": "
-                            + d.budgets().get(b).whole() + " in all, "
-                            + d.right(f.settings().started().me(), b) + " here by right, of them "
-                            + d.floor(f.settings().started().me(), b) + " as floor");
+                        + fleet.guaranteedShare() + " of each right");
+                for (int b = 0; b < d.limits().size(); b++) {
+                    System.out.println("  " + d.limits().get(b).name() + ": "
+                            + d.limits().get(b).capacity() + " in all, "
+                            + d.entitlement(f.settings().started().me(), b) + " here by right, of them "
+                            + d.guaranteedUnits(f.settings().started().me(), b) + " as floor");
                 }
-                if (fleet.keeping() != null) {
-                    System.out.println("  kept by " + fleet.keeping().copies() + ": " + fleet.keeping());
+                if (fleet.replication() != null) {
+                    System.out.println("  kept by " + fleet.replication().copies() + ": " + fleet.replication());
                 }
             }
             return 0;
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -113,7 +113,7 @@
                 JsonFields f = JsonFields.of(name, body);
                 Reader reader = new Reader(f);
                 Started told = reader.started();
-                if (quotaSettings != null && quotaSettings.keeping() != null) {
+                if (quotaSettings != null && quotaSettings.replication() != null) {
                     throw new InvalidSettingsException(
                             "fleet file with a field sessions or submits, which are kept on sockets only");
                 }
@@ -154,14 +154,14 @@
 
     private void lookRound(JsonGenerator g, String gateway, Host host) throws IOException {
         if (host.shared() != null) {
-            write(g, gateway, host.shared(), host.shared().due());
-            new Writer(g, gateway).write(new Action.SetTimer(now + QuotaNode.LOOK, SHARED_MARK));
+            write(g, gateway, host.shared(), host.shared().onTick());
+            new Writer(g, gateway).write(new Action.SetTimer(now + QuotaNode.TICK_INTERVAL, SHARED_MARK));
         }
     }
 
     private boolean sharedHears(JsonGenerator g, String gateway, Host host, JsonFields f) throws IOException {
         List<PacketQueue.OutboundPacket> answers =
-                host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
+                host.shared().onDatagram((int) f.whole("from"), Reader.bytes(f.text("body")));
         write(g, gateway, host.shared(), answers == null ? List.of() : answers);
         return answers != null;
     }
@@ -172,7 +172,7 @@
         for (PacketQueue.OutboundPacket l : letters) {
             new Writer(g, gateway).write(new Action.SendGossip(l.to(), l.bytes()));
         }
-        for (String line : shared.lines()) {
+        for (String line : shared.drainLogLines()) {
             new Writer(g, gateway).write(new Action.LogLine(line));
         }
     }
--- a/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
@@ -113,14 +113,14 @@
 
     /** Whether the file fits what the gateway is told; a field that does not is named. */
     public static QuotaSettings fits(QuotaSettings s, GatewaySettings told) {
-        if (s.keeping() != null) {
-            for (String name : s.keeping().waits()) {
+        if (s.replication() != null) {
+            for (String name : s.replication().waits()) {
                 if (!told.requestClasses().contains(name)) {
                     throw new InvalidSettingsException(
                             "fleet file with a field wait_for_copies that names no op type: " + name);
                 }
             }
-            if (s.keeping().sessions() && told.started().copies().tokensCarried()) {
+            if (s.replication().sessions() && told.started().copies().tokensCarried()) {
                 throw new InvalidSettingsException(
                         "fleet file with a field sessions where clients bring their sessions' positions");
             }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -110,7 +110,7 @@
                         loop,
                         clients,
                         file.settings(),
-                        quotaSettings.get().keeping(),
+                        quotaSettings.get().replication(),
                         fleet.shared().replicas(),
                         fleet::keeps,
                         time);
--- a/gateway/src/main/java/ploverdale/net/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -31,8 +31,8 @@
         this.out = out;
         shared = new QuotaNode(
                 quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
-        vertx.setPeriodic(QuotaNode.LOOK / 10, x -> sends(shared.due()));
-        vertx.setPeriodic(LINE_MS, x -> log.line(shared.figures()));
+        vertx.setPeriodic(QuotaNode.TICK_INTERVAL / 10, x -> sends(shared.onTick()));
+        vertx.setPeriodic(LINE_MS, x -> log.line(shared.statisticsLine()));
         lines();
     }
 
@@ -54,12 +54,12 @@
 
     /** Has something asked or told by what is kept, and sends what that brings. */
     void keeps(ObjLongConsumer<PacketQueue> what) {
-        shared.keeps(what).forEach(l -> out.send(l.to(), l.bytes()));
+        shared.runAndDrain(what).forEach(l -> out.send(l.to(), l.bytes()));
         lines();
     }
 
     private void lines() {
-        for (String line : shared.lines()) {
+        for (String line : shared.drainLogLines()) {
             int colon = line.indexOf(": ");
             if (line.startsWith("budgets") || line.startsWith("replicas")) {
                 log.line(line);
@@ -71,7 +71,7 @@
 
     /** Whether this datagram is the fleet's; it has been read if it is. */
     boolean hears(int from, byte[] bytes) {
-        List<PacketQueue.OutboundPacket> answers = shared.hears(from, bytes);
+        List<PacketQueue.OutboundPacket> answers = shared.onDatagram(from, bytes);
         if (answers != null) {
             sends(answers);
         }
@@ -80,6 +80,6 @@
 
     /** This gateway leaves. */
     void leaves() {
-        shared.leaves();
+        shared.leave();
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -26,7 +26,7 @@
         }
     }
 
-    private final Budget budget;
+    private final SharedLimit budget;
     private final List<Held> held = new ArrayList<>();
     private double saved; // of a rate
     private long at;
@@ -36,7 +36,7 @@
     private long spent;
     private long refused;
 
-    HeldUnits(Budget budget, long now) {
+    HeldUnits(SharedLimit budget, long now) {
         this.budget = budget;
         at = now;
         wantedAt = now;
@@ -84,7 +84,7 @@
                 next = h.until <= now && (next == null || h.until < next.until) ? h : next;
             }
             long to = next == null ? now : Math.max(at, next.until);
-            double most = parts() * budget.holds() / SECOND;
+            double most = parts() * budget.maxHoldTime() / SECOND;
             saved = Math.min(most, saved + parts() * Math.max(0, to - at) / SECOND);
             at = Math.max(at, to);
             if (next == null) {
@@ -114,8 +114,8 @@
     /** Spends a part; false where there is none. */
     boolean spend(long now) {
         passes(now);
-        boolean is = budget.kind() == Budget.Kind.RATE ? saved >= 1 : inUse < parts();
-        if (budget.kind() == Budget.Kind.RATE) {
+        boolean is = budget.kind() == SharedLimit.Kind.RATE ? saved >= 1 : inUse < parts();
+        if (budget.kind() == SharedLimit.Kind.RATE) {
             saved -= is ? 1 : 0;
             fade(now);
             wanted += SECOND / FADES_IN;
@@ -160,8 +160,8 @@
     /** When to ask again, from now: at the next part of a rate; for one in use, after a share of its longest time. */
     long retryAfter(long now) {
         passes(now);
-        long whole = budget.holds();
-        if (budget.kind() == Budget.Kind.IN_USE || parts() == 0) {
+        long whole = budget.maxHoldTime();
+        if (budget.kind() == SharedLimit.Kind.CONCURRENCY || parts() == 0) {
             return whole / 4;
         }
         return Math.min(whole, (long) Math.ceil((1 - saved) * SECOND / parts()));
--- a/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
@@ -16,7 +16,7 @@
 
     LeaseAcceptor(int partitions, LeaseDurations leaseDurations, long now) {
         this.leaseDurations = leaseDurations;
-        abstainsUntil = now + leaseDurations.overFor(leaseDurations.leaseHolder());
+        abstainsUntil = now + leaseDurations.grantorTerm(leaseDurations.partitionLease());
         to = new int[partitions];
         Arrays.fill(to, -1);
         start = new long[partitions];
@@ -31,7 +31,7 @@
         }
         to[partition] = who;
         start[partition] = whoseStart;
-        until[partition] = now + leaseDurations.overFor(leaseDurations.leaseHolder());
+        until[partition] = now + leaseDurations.grantorTerm(leaseDurations.partitionLease());
         return true;
     }
 
--- a/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
@@ -13,7 +13,7 @@
  * time that a promise lasts. What is free of a held partition is entered in the held units of each budget, until the
  * lease's end.
  *
- * <p>Times in tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link Budgets}.
+ * <p>Times in tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
 final class LeaseHolder {
     private static final int RENEWALS =
@@ -31,7 +31,7 @@
 
     /**
      * @param longestUse how long a unit may stay in use once it was taken
-     * @param held by budget, shared with {@link Budgets}
+     * @param held by budget, shared with {@link QuotaProtocol}
      * @param acceptor this gateway's own, which answers without a message
      * @param nextNumber numbers of requests, never the same twice
      */
@@ -60,7 +60,7 @@
     }
 
     private boolean hasOtherAcceptors() {
-        return division.keepers() > 1;
+        return division.acceptorCount() > 1;
     }
 
     /** In the order of their numbers; this gateway's own is always among them. */
@@ -90,7 +90,7 @@
     }
 
     private int free(long now, LeasePartition partition, int budget) {
-        return Math.max(0, division.partition(partition.number, budget) - partition.out(now, budget));
+        return Math.max(0, division.leasedUnits(partition.number, budget) - partition.out(now, budget));
     }
 
     /**
@@ -107,7 +107,7 @@
         for (LeasePartition partition : partitions.values()) {
             if (hasOtherAcceptors()
                     && isWanted(partition.number, present)
-                    && now - partition.askedAt() >= leaseDurations.leaseHolder() / RENEWALS) {
+                    && now - partition.askedAt() >= leaseDurations.partitionLease() / RENEWALS) {
                 renew(now, start, partition, out);
             }
         }
@@ -118,7 +118,7 @@
         for (int gateway = 0; gateway < division.gateways(); gateway++) {
             if (!partitions.containsKey(gateway)
                     && isWanted(gateway, present)
-                    && now - startedAt > leaseDurations.overFor(leaseDurations.leaseHolder())) {
+                    && now - startedAt > leaseDurations.grantorTerm(leaseDurations.partitionLease())) {
                 partitions.put(gateway, new LeasePartition(gateway, leaseDurations, longestUse));
             }
         }
@@ -158,10 +158,10 @@
 
     private void renew(long now, long start, LeasePartition partition, PacketQueue out) {
         int round = partition.asks(now, nextNumber.getAsInt());
-        for (int place = 0; place < division.keepers(); place++) {
+        for (int place = 0; place < division.acceptorCount(); place++) {
             int gateway = division.acceptor(partition.number, place);
             if (gateway != me) {
-                out.add(gateway, QuotaMessages.leaseRequest(partition.number, round));
+                out.add(gateway, QuotaMessageCodec.leaseRequest(partition.number, round));
             } else if (acceptor.asked(now, partition.number, me, start)) {
                 partition.promised(now, round, place, division.majority());
             }
@@ -175,7 +175,7 @@
             return;
         }
         int place = Math.floorMod(from - number, division.gateways());
-        if (place < division.keepers()) {
+        if (place < division.acceptorCount()) {
             partition.promised(now, round, place, division.majority());
         }
     }
--- a/gateway/src/main/java/ploverdale/quota/LeasePartition.java
+++ b/gateway/src/main/java/ploverdale/quota/LeasePartition.java
@@ -50,7 +50,7 @@
     }
 
     private long rest() {
-        return leaseDurations.overFor(leaseDurations.loan()) + leaseDurations.overFor(longestUse);
+        return leaseDurations.grantorTerm(leaseDurations.subLease()) + leaseDurations.grantorTerm(longestUse);
     }
 
     /** Begins another round of asking the keepers; its number goes with the question. */
@@ -71,11 +71,11 @@
             return; // an answer to an earlier question counts for nothing
         }
         promises |= 1L << acceptor;
-        if (Long.bitCount(promises) >= majority && roundAt + leaseDurations.leaseHolder() > now) {
+        if (Long.bitCount(promises) >= majority && roundAt + leaseDurations.partitionLease() > now) {
             if (now >= promisedUntil) {
                 servesFrom = now + rest(); // another may have been steward in between
             }
-            promisedUntil = Math.max(promisedUntil, roundAt + leaseDurations.leaseHolder());
+            promisedUntil = Math.max(promisedUntil, roundAt + leaseDurations.partitionLease());
         }
     }
 
@@ -146,7 +146,7 @@
         StringBuilder b = new StringBuilder(
                 "e" + number + " " + Math.max(0, promisedUntil == Long.MAX_VALUE ? -1 : promisedUntil - now) + " "
                         + Math.max(0, servesFrom - now) + " " + round + " " + promises + " "
-                        + Math.max(0, roundAt + leaseDurations.leaseHolder() - now));
+                        + Math.max(0, roundAt + leaseDurations.partitionLease() - now));
         for (SubLease l : loans) {
             if (now < l.endsAt) {
                 b.append(" l")
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessages.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
@@ -8,7 +8,7 @@
  * Encoding of the messages by which gateways lease partitions and lend units. Numbers are big-endian; a list of units
  * is pairs of a budget's index and a count, 16 bits each. Stateless.
  */
-final class QuotaMessages {
+final class QuotaMessageCodec {
     /** Asks an acceptor for the lease of a partition: partition, round. */
     static final int LEASE_REQUEST = 16;
     /** An acceptor promises it: partition, round, start of the one who asked. */
@@ -32,7 +32,7 @@
     private static final int MAX_ENTRIES = 40; // budgets in a list of units; others are left out
     private static final int ENTRY_BYTES = 4;
 
-    private QuotaMessages() {}
+    private QuotaMessageCodec() {}
 
     static Part leaseRequest(int partition, int round) {
         ByteBuffer content = ByteBuffer.allocate(LEASE_REQUEST_BYTES);
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -22,15 +22,15 @@
  * letters. Times in tenths of a millisecond, of a clock that never steps.
  */
 public final class QuotaNode implements Quota {
-    /** How often {@link #due} is to be asked, in tenths of a millisecond; short beside any lease. */
-    public static final long LOOK = 200;
+    /** How often {@link #onTick} is to be asked, in tenths of a millisecond; short beside any lease. */
+    public static final long TICK_INTERVAL = 200;
 
     private final QuotaSettings quotaSettings;
     private final LongSupplier clock;
     private final int tenants;
     private final QuotaAllocation division;
     private final Membership membership;
-    private final Budgets budgets;
+    private final QuotaProtocol budgets;
     private final PacketQueue packing;
     private final Replicas replicas; // null where nothing is kept
     private final int id; // by which parcels of gateways that divide or keep otherwise are told apart
@@ -45,11 +45,11 @@
         this.quotaSettings = quotaSettings;
         this.clock = clock;
         tenants = quotaSettings.tenantBudgets(told);
-        division = quotaSettings.division(told);
+        division = quotaSettings.allocation(told);
         SplittableRandom random = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
         long now = clock.getAsLong();
         membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
-        budgets = new Budgets(
+        budgets = new QuotaProtocol(
                 told.me(),
                 Membership.start(membership.incarnation()),
                 division,
@@ -58,25 +58,25 @@
                 now);
         packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
         staticQuota = new StaticQuota(told.tenants(), told.gateways());
-        replicas = quotaSettings.keeping() == null
+        replicas = quotaSettings.replication() == null
                 ? null
                 : new Replicas(
                         told.me(),
                         told.gateways(),
                         Membership.start(membership.incarnation()),
-                        quotaSettings.keeping(),
+                        quotaSettings.replication(),
                         random.split(),
                         wall);
-        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().copies());
+        id = division.id() + (replicas == null ? 0 : quotaSettings.replication().copies());
         if (divides()) {
-            lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways()
+            lines.add("budgets: " + division.limits().size() + " divided among " + told.gateways()
                     + " gateways, division " + Integer.toHexString(id)
                     + ", on its floor until others have promised more");
         }
     }
 
     private boolean divides() {
-        return !division.budgets().isEmpty();
+        return !division.limits().isEmpty();
     }
 
     /** What is kept for the fleet, or null. */
@@ -85,15 +85,15 @@
     }
 
     /** Looks round: what is to be told by now. */
-    public List<PacketQueue.OutboundPacket> due() {
+    public List<PacketQueue.OutboundPacket> onTick() {
         long now = clock.getAsLong();
         membership.due(now, packing);
         for (Membership.Change c : membership.changes()) {
             lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", "
                     + membership.present() + " of " + membership.size() + " present");
         }
-        budgets.speaksAs(Membership.start(membership.incarnation()));
-        budgets.due(now, membership::isPresent, packing);
+        budgets.setEpoch(Membership.start(membership.incarnation()));
+        budgets.onTick(now, membership::isPresent, packing);
         String line = budgets.line();
         if (line != null && divides()) {
             lines.add(line);
@@ -113,14 +113,14 @@
     }
 
     /** Has something asked or told by what is kept; tells what is to be sent for it. */
-    public List<PacketQueue.OutboundPacket> keeps(ObjLongConsumer<PacketQueue> what) {
+    public List<PacketQueue.OutboundPacket> runAndDrain(ObjLongConsumer<PacketQueue> what) {
         long now = clock.getAsLong();
         what.accept(packing, now);
         return letters(now);
     }
 
     /** Reads a datagram and tells what is to be answered; null where it is none of the fleet's. */
-    public List<PacketQueue.OutboundPacket> hears(int from, byte[] bytes) {
+    public List<PacketQueue.OutboundPacket> onDatagram(int from, byte[] bytes) {
         if (!Packet.isOne(bytes)) {
             return null;
         }
@@ -138,7 +138,7 @@
         for (Packet.Part part : p.parts()) {
             membership.part(now, from, part, packing);
             if (same) {
-                budgets.part(now, from, Membership.start(p.incarnation()), part, packing);
+                budgets.onMessage(now, from, Membership.start(p.incarnation()), part, packing);
                 if (replicas != null) {
                     replicas.part(now, from, Membership.start(p.incarnation()), part, packing);
                 }
@@ -151,22 +151,22 @@
     }
 
     /** What is to be logged since the last call; each begins with its kind and a colon. */
-    public List<String> lines() {
+    public List<String> drainLogLines() {
         List<String> all = List.copyOf(lines);
         lines.clear();
         return all;
     }
 
     /** This gateway leaves. */
-    public void leaves() {
+    public void leave() {
         membership.leaves(clock.getAsLong());
     }
 
     /** A line of all figures. */
-    public String figures() {
+    public String statisticsLine() {
         int[] sums = new int[5];
         long refused = 0;
-        for (Budgets.Figures f : budgets.figures(clock.getAsLong())) {
+        for (QuotaProtocol.Figures f : budgets.figures(clock.getAsLong())) {
             sums[0] += f.held();
             sums[1] += f.borrowed();
             sums[2] += f.lent();
@@ -191,7 +191,7 @@
     }
 
     private boolean spends(int budget) {
-        return budget < 0 || budgets.spend(clock.getAsLong(), budget);
+        return budget < 0 || budgets.tryAcquire(clock.getAsLong(), budget);
     }
 
     @Override
@@ -210,7 +210,7 @@
         long now = clock.getAsLong();
         int at = sends(server);
         int whileCold = cold(server, cold);
-        return (at < 0 || budgets.has(now, at)) && (whileCold < 0 || budgets.has(now, whileCold));
+        return (at < 0 || budgets.canUse(now, at)) && (whileCold < 0 || budgets.canUse(now, whileCold));
     }
 
     @Override
@@ -233,7 +233,7 @@
 
     private void ended(int budget) {
         if (budget >= 0) {
-            budgets.ended(budget);
+            budgets.release(budget);
         }
     }
 
@@ -242,7 +242,7 @@
     public boolean hasRetry(int reserved) {
         return quotaSettings.secondSends() == 0
                 ? staticQuota.hasRetry(reserved)
-                : budgets.has(clock.getAsLong(), quotaSettings.again(tenants));
+                : budgets.canUse(clock.getAsLong(), quotaSettings.again(tenants));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/quota/Budgets.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -18,11 +18,11 @@
  * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe: one thread, that of the event loop,
  * calls it.
  */
-public final class Budgets {
+public final class QuotaProtocol {
     /** Whether this gateway may use no more than its guaranteed units, or its own lease partition too. */
     public enum Mode {
-        FLOOR,
-        STEWARD
+        GUARANTEED_ONLY,
+        FULL_ENTITLEMENT
     }
 
     /** Figures of one budget here, for a line of the log. */
@@ -37,11 +37,11 @@
             long spent,
             long refused) {}
 
-    public static final int STEWARDS = QuotaMessages.LEASE_REQUEST;
-    public static final int PROMISES = QuotaMessages.LEASE_PROMISE;
-    public static final int WANTS = QuotaMessages.UNIT_REQUEST;
-    public static final int LENDS = QuotaMessages.UNIT_GRANT;
-    public static final int BACK = QuotaMessages.UNIT_RETURN;
+    public static final int STEWARDS = QuotaMessageCodec.LEASE_REQUEST;
+    public static final int PROMISES = QuotaMessageCodec.LEASE_PROMISE;
+    public static final int WANTS = QuotaMessageCodec.UNIT_REQUEST;
+    public static final int LENDS = QuotaMessageCodec.UNIT_GRANT;
+    public static final int BACK = QuotaMessageCodec.UNIT_RETURN;
 
     private static final String GUARANTEED = "floor";
 
@@ -58,7 +58,7 @@
     private final long startedAt;
     private long start;
     private int lastNumber;
-    private Mode mode = Mode.FLOOR;
+    private Mode mode = Mode.GUARANTEED_ONLY;
     private String line;
 
     /**
@@ -66,7 +66,7 @@
      * @param start which start of its name this is, by which acceptors and lenders tell it from earlier ones
      * @param random chooses lenders
      */
-    public Budgets(
+    public QuotaProtocol(
             int me,
             long start,
             QuotaAllocation division,
@@ -77,25 +77,25 @@
         this.start = start;
         this.division = division;
         this.leaseDurations = leaseDurations;
-        budgets = division.budgets().size();
+        budgets = division.limits().size();
         longestUse = longestUse(division);
         startedAt = now;
         held = new HeldUnits[budgets];
         for (int budget = 0; budget < budgets; budget++) {
-            held[budget] = new HeldUnits(division.budgets().get(budget), now);
+            held[budget] = new HeldUnits(division.limits().get(budget), now);
         }
         acceptor = new LeaseAcceptor(division.gateways(), leaseDurations, now);
         leaseHolder = new LeaseHolder(me, division, leaseDurations, longestUse, held, acceptor, this::nextNumber, now);
-        UnitDemand demand = new UnitDemand(held);
+        UnitLedger demand = new UnitLedger(held);
         lender = new UnitLender(division, leaseHolder, demand);
         borrower = new UnitBorrower(me, division, leaseDurations, random, held, demand, this::nextNumber);
-        holdGuaranteedUnits(now, Budget.Kind.RATE);
+        holdGuaranteedUnits(now, SharedLimit.Kind.RATE);
     }
 
     private static long longestUse(QuotaAllocation division) {
-        return division.budgets().stream()
-                .filter(budget -> budget.kind() == Budget.Kind.IN_USE)
-                .mapToLong(Budget::holds)
+        return division.limits().stream()
+                .filter(budget -> budget.kind() == SharedLimit.Kind.CONCURRENCY)
+                .mapToLong(SharedLimit::maxHoldTime)
                 .max()
                 .orElse(0);
     }
@@ -104,10 +104,10 @@
         return ++lastNumber;
     }
 
-    private void holdGuaranteedUnits(long now, Budget.Kind kind) {
+    private void holdGuaranteedUnits(long now, SharedLimit.Kind kind) {
         for (int budget = 0; budget < budgets; budget++) {
-            if (division.budgets().get(budget).kind() == kind) {
-                held[budget].holds(now, GUARANTEED, division.floor(me, budget), Long.MAX_VALUE);
+            if (division.limits().get(budget).kind() == kind) {
+                held[budget].holds(now, GUARANTEED, division.guaranteedUnits(me, budget), Long.MAX_VALUE);
             }
         }
     }
@@ -116,20 +116,20 @@
         return division;
     }
 
-    /** Takes a unit of a budget; false where none is free now. For one in use, {@link #ended} follows. */
-    public boolean spend(long now, int budget) {
+    /** Takes a unit of a budget; false where none is free now. For one in use, {@link #release} follows. */
+    public boolean tryAcquire(long now, int budget) {
         updateHeldUnits(now);
         return held[budget].spend(now);
     }
 
     /** Whether a unit in use could be taken now; counts as demand where it could not. */
-    public boolean has(long now, int budget) {
+    public boolean canUse(long now, int budget) {
         updateHeldUnits(now);
         return held[budget].has(now);
     }
 
     /** A unit in use is released. */
-    public void ended(int budget) {
+    public void release(int budget) {
         held[budget].ended();
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** Units that this gateway holds now, those in use included. */
-    public int parts(long now, int budget) {
+    public int heldUnits(long now, int budget) {
         updateHeldUnits(now);
         return held[budget].parts(now);
     }
@@ -149,8 +149,8 @@
      * the same name has taken has ended. Loans end by themselves.
      */
     private void updateHeldUnits(long now) {
-        if (now - startedAt >= leaseDurations.overFor(longestUse)) {
-            holdGuaranteedUnits(now, Budget.Kind.IN_USE);
+        if (now - startedAt >= leaseDurations.grantorTerm(longestUse)) {
+            holdGuaranteedUnits(now, SharedLimit.Kind.CONCURRENCY);
         }
         leaseHolder.updateHeldUnits(now);
     }
@@ -160,7 +160,7 @@
      *
      * @param present whether a gateway is alive as far as this one knows
      */
-    public void due(long now, IntPredicate present, PacketQueue out) {
+    public void onTick(long now, IntPredicate present, PacketQueue out) {
         updateHeldUnits(now);
         leaseHolder.onTick(now, start, present, out);
         borrower.onTick(now, present, out);
@@ -168,11 +168,12 @@
     }
 
     private void updateMode(long now) {
-        Mode current = leaseHolder.servesOwnPartition(now) ? Mode.STEWARD : Mode.FLOOR;
+        Mode current = leaseHolder.servesOwnPartition(now) ? Mode.FULL_ENTITLEMENT : Mode.GUARANTEED_ONLY;
         if (current != mode) {
             mode = current;
             int others = leaseHolder.takenOver();
-            line = "budgets: " + (current == Mode.STEWARD ? "has its whole share of " : "falls to its floor of ")
+            line = "budgets: "
+                    + (current == Mode.FULL_ENTITLEMENT ? "has its whole share of " : "falls to its floor of ")
                     + budgets + " budgets" + (others > 0 ? ", and stands in for " + others : "");
         }
     }
@@ -189,12 +190,12 @@
     }
 
     /** Which start of its name this gateway speaks as from now on, see {@code Membership.start}. */
-    public void speaksAs(long start) {
+    public void setEpoch(long start) {
         this.start = start;
     }
 
     /** Handles a message of another gateway of the same division; ignores kinds that are not of this class. */
-    public void part(long now, int from, long itsStart, Part part, PacketQueue out) {
+    public void onMessage(long now, int from, long itsStart, Part part, PacketQueue out) {
         updateHeldUnits(now);
         ByteBuffer content = ByteBuffer.wrap(part.content());
         switch (part.kind()) {
@@ -209,20 +210,20 @@
     }
 
     private void onLeaseRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
-        if (content.remaining() < QuotaMessages.LEASE_REQUEST_BYTES) {
+        if (content.remaining() < QuotaMessageCodec.LEASE_REQUEST_BYTES) {
             return;
         }
         int partition = content.getShort() & 0xFFFF;
         int round = content.getInt();
         if (partition < division.gateways()
-                && division.keeps(me, partition)
+                && division.isAcceptor(me, partition)
                 && acceptor.asked(now, partition, from, itsStart)) {
-            out.add(from, QuotaMessages.leasePromise(partition, round, itsStart));
+            out.add(from, QuotaMessageCodec.leasePromise(partition, round, itsStart));
         }
     }
 
     private void onLeasePromise(long now, int from, ByteBuffer content) {
-        if (content.remaining() < QuotaMessages.LEASE_PROMISE_BYTES) {
+        if (content.remaining() < QuotaMessageCodec.LEASE_PROMISE_BYTES) {
             return;
         }
         int partition = content.getShort() & 0xFFFF;
@@ -233,12 +234,12 @@
     }
 
     private void onUnitRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
-        if (content.remaining() < QuotaMessages.UNIT_REQUEST_HEAD_BYTES) {
+        if (content.remaining() < QuotaMessageCodec.UNIT_REQUEST_HEAD_BYTES) {
             return;
         }
         int request = content.getInt();
         int extendedLoan = content.getInt();
-        int[] wanted = QuotaMessages.readUnits(content, budgets);
+        int[] wanted = QuotaMessageCodec.readUnits(content, budgets);
         if (extendedLoan == 0) {
             lender.lend(now, from, itsStart, request, wanted, out);
         } else {
@@ -247,17 +248,17 @@
     }
 
     private void onUnitGrant(long now, int from, ByteBuffer content) {
-        if (content.remaining() < QuotaMessages.UNIT_GRANT_HEAD_BYTES || content.getLong() != start) {
+        if (content.remaining() < QuotaMessageCodec.UNIT_GRANT_HEAD_BYTES || content.getLong() != start) {
             return; // too short, or for an earlier start of this gateway
         }
         int request = content.getInt();
         int loan = content.getInt();
-        borrower.onGrant(now, from, request, loan, QuotaMessages.readUnits(content, budgets));
+        borrower.onGrant(now, from, request, loan, QuotaMessageCodec.readUnits(content, budgets));
     }
 
     private void onUnitReturn(long now, int from, long itsStart, ByteBuffer content) {
-        int loan = content.remaining() >= QuotaMessages.UNIT_RETURN_HEAD_BYTES ? content.getInt() : 0;
-        lender.onReturn(now, from, itsStart, loan, QuotaMessages.readUnits(content, budgets));
+        int loan = content.remaining() >= QuotaMessageCodec.UNIT_RETURN_HEAD_BYTES ? content.getInt() : 0;
+        lender.onReturn(now, from, itsStart, loan, QuotaMessageCodec.readUnits(content, budgets));
     }
 
     /** What of each budget is here now. */
@@ -267,9 +268,9 @@
         for (int budget = 0; budget < budgets; budget++) {
             HeldUnits units = held[budget];
             all.add(new Figures(
-                    division.budgets().get(budget).name(),
+                    division.limits().get(budget).name(),
                     units.parts(now),
-                    division.floor(me, budget),
+                    division.guaranteedUnits(me, budget),
                     leaseHolder.lent(now, budget),
                     borrower.borrowed(now, budget),
                     units.inUse(),
--- a/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import ploverdale.model.Event.Started;
-import ploverdale.quota.Budget.Kind;
+import ploverdale.quota.SharedLimit.Kind;
 import ploverdale.replication.ReplicationSettings;
 
 /**
@@ -16,8 +16,8 @@
  * @param serverSlots over which servers are spread
  * @param secondSends a second, all that follow an op's first; 0: not a budget
  * @param probes a second; 0: not a budget
- * @param floorShare of each gateway's right that it owns outright
- * @param keeping what else gateways hold together, see {@code ploverdale.replication}; null: nothing
+ * @param guaranteedShare of each gateway's right that it owns outright
+ * @param replication what else gateways hold together, see {@code ploverdale.replication}; null: nothing
  */
 public record QuotaSettings(
         boolean tenants,
@@ -26,40 +26,40 @@
         int serverSlots,
         int secondSends,
         int probes,
-        double floorShare,
+        double guaranteedShare,
         LeaseDurations leaseDurations,
         double bytesPerSecond,
-        ReplicationSettings keeping) {
+        ReplicationSettings replication) {
     private static final long SECOND = 10_000; // times are tenths of a millisecond
 
     /** Whether there is anything for the fleet to hold together. */
     public boolean any() {
-        return tenants || sendsAtServer + coldSends + secondSends + probes > 0 || keeping != null;
+        return tenants || sendsAtServer + coldSends + secondSends + probes > 0 || replication != null;
     }
 
     /** How the budgets are divided among the gateways that are told of; their order is that of the numbers below. */
-    public QuotaAllocation division(Started told) {
-        List<Budget> all = new ArrayList<>();
+    public QuotaAllocation allocation(Started told) {
+        List<SharedLimit> all = new ArrayList<>();
         for (int t = 0; t < tenantBudgets(told); t++) {
             int whole = (int)
                     Math.min(QuotaAllocation.WHOLE_MOST, told.tenants().get(t).requestsPerSecond());
-            all.add(new Budget("tenant " + t, Kind.RATE, whole, SECOND));
+            all.add(new SharedLimit("tenant " + t, Kind.RATE, whole, SECOND));
         }
         long longest =
                 told.requestClasses().stream().mapToLong(o -> o.timeout()).max().orElse(SECOND);
         for (int s = 0; sendsAtServer > 0 && s < serverSlots; s++) {
-            all.add(new Budget("server " + s, Kind.IN_USE, sendsAtServer, longest));
+            all.add(new SharedLimit("server " + s, Kind.CONCURRENCY, sendsAtServer, longest));
         }
         for (int s = 0; coldSends > 0 && s < serverSlots; s++) {
-            all.add(new Budget("cold server " + s, Kind.IN_USE, coldSends, longest));
+            all.add(new SharedLimit("cold server " + s, Kind.CONCURRENCY, coldSends, longest));
         }
         if (secondSends > 0) {
-            all.add(new Budget("second sends", Kind.RATE, secondSends, SECOND));
+            all.add(new SharedLimit("second sends", Kind.RATE, secondSends, SECOND));
         }
         if (probes > 0) {
-            all.add(new Budget("probes", Kind.RATE, probes, SECOND));
+            all.add(new SharedLimit("probes", Kind.RATE, probes, SECOND));
         }
-        return new QuotaAllocation(all, told.gateways(), floorShare);
+        return new QuotaAllocation(all, told.gateways(), guaranteedShare);
     }
 
     /** How many of the budgets, the first ones, are tenants'. */
--- a/gateway/src/main/java/ploverdale/quota/TokenBucket.java
+++ b/gateway/src/main/java/ploverdale/quota/RequestFundedBucket.java
@@ -6,7 +6,7 @@
  * Further sends and probes as each gateway earns them with its ops, where they are no budget of the fleet: a storm is several
  * an op, and probes on the timer cost more than they bring where there is nothing to ask.
  */
-final class TokenBucket {
+final class RequestFundedBucket {
     private static final double SENDS_PER_OP = 0.25;
     private static final double PROBES_PER_OP = 0.2;
     private static final double SAVED_MOST = 40; // what one server holds when it dies
--- a/gateway/src/main/java/ploverdale/quota/StaticQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -16,7 +16,7 @@
     private final double[] rate;
     private final double[] left;
     private final long[] at;
-    private final TokenBucket tokenBucket = new TokenBucket();
+    private final RequestFundedBucket tokenBucket = new RequestFundedBucket();
 
     public StaticQuota(List<Tenant> tenants, int gateways) {
         rate = tenants.stream()
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -16,7 +16,7 @@
  * that it ends here before it does at the lender.
  *
  * <p>Counts are units by budget, times tenths of a millisecond of a monotonic clock. Not thread-safe, called on the
- * thread of {@link Budgets}.
+ * thread of {@link QuotaProtocol}.
  */
 final class UnitBorrower {
     private static final long MS = 10;
@@ -54,7 +54,7 @@
     private final LeaseDurations leaseDurations;
     private final RandomGenerator random;
     private final HeldUnits[] held;
-    private final UnitDemand demand;
+    private final UnitLedger demand;
     private final IntSupplier nextNumber;
     private final int budgets;
     private final Map<Integer, BorrowedUnits> loans = new LinkedHashMap<>(); // by a number of this gateway's own
@@ -64,7 +64,7 @@
 
     /**
      * @param random chooses whom to ask
-     * @param held by budget, shared with {@link Budgets}
+     * @param held by budget, shared with {@link QuotaProtocol}
      * @param nextNumber numbers of requests and loans, never the same twice
      */
     UnitBorrower(
@@ -73,7 +73,7 @@
             LeaseDurations leaseDurations,
             RandomGenerator random,
             HeldUnits[] held,
-            UnitDemand demand,
+            UnitLedger demand,
             IntSupplier nextNumber) {
         this.me = me;
         this.division = division;
@@ -92,7 +92,7 @@
      * @param present whether a gateway is alive as far as this one knows
      */
     void onTick(long now, IntPredicate present, PacketQueue out) {
-        questions.values().removeIf(question -> now - question.at > leaseDurations.loan());
+        questions.values().removeIf(question -> now - question.at > leaseDurations.subLease());
         loans.values().removeIf(loan -> now >= loan.until);
         loans.forEach((own, loan) -> {
             returnIdleUnits(now, loan, out);
@@ -117,7 +117,7 @@
         for (int lender : chooseLenders(present)) {
             int number = nextNumber.getAsInt();
             questions.put(number, new Question(lender, now, 0));
-            out.add(lender, QuotaMessages.unitRequest(number, 0, missing));
+            out.add(lender, QuotaMessageCodec.unitRequest(number, 0, missing));
         }
     }
 
@@ -158,7 +158,7 @@
         if (question == null || question.lender != from || number == 0) {
             return;
         }
-        long until = question.at + leaseDurations.loan(); // from before the lender's own count begins
+        long until = question.at + leaseDurations.subLease(); // from before the lender's own count begins
         if (until <= now) {
             return;
         }
@@ -208,19 +208,19 @@
             loan.units[budget] = kept[budget];
             held[budget].holds(now, loan, kept[budget], loan.until); // before the message that says so
         }
-        out.add(loan.lender, QuotaMessages.unitReturn(loan.number, kept));
+        out.add(loan.lender, QuotaMessageCodec.unitReturn(loan.number, kept));
     }
 
     /** Asks for more time from half of the loan's time on; again where no answer has come for an eighth of it. */
     private void extendIfDue(long now, int own, BorrowedUnits loan, PacketQueue out) {
         boolean any = Arrays.stream(loan.units).anyMatch(count -> count > 0);
-        if (any && loan.extension == 0 && loan.until - now < leaseDurations.loan() / 2) {
+        if (any && loan.extension == 0 && loan.until - now < leaseDurations.subLease() / 2) {
             loan.extension = nextNumber.getAsInt();
             questions.put(loan.extension, new Question(loan.lender, now, own));
-            out.add(loan.lender, QuotaMessages.unitRequest(loan.extension, loan.number, loan.units));
+            out.add(loan.lender, QuotaMessageCodec.unitRequest(loan.extension, loan.number, loan.units));
         } else if (loan.extension != 0) {
             Question pending = questions.get(loan.extension);
-            if (pending == null || now - pending.at > leaseDurations.loan() / 8) {
+            if (pending == null || now - pending.at > leaseDurations.subLease() / 8) {
                 loan.extension = 0;
             }
         }
--- a/gateway/src/main/java/ploverdale/quota/UnitDemand.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLedger.java
@@ -3,15 +3,15 @@
 /**
  * Compares what this gateway holds of each budget with what it needs: the recent demand and some headroom above it.
  * Counts are units, times tenths of a millisecond of a monotonic clock. Has no state beside the held units that it
- * reads; not thread-safe, called on the thread of {@link Budgets}.
+ * reads; not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
-final class UnitDemand {
+final class UnitLedger {
     private static final double HEADROOM = 0.25; // as a share of the demand, since requests arrive at random
 
     private final HeldUnits[] held;
 
-    /** @param held by budget, shared with {@link Budgets} */
-    UnitDemand(HeldUnits[] held) {
+    /** @param held by budget, shared with {@link QuotaProtocol} */
+    UnitLedger(HeldUnits[] held) {
         this.held = held;
     }
 
--- a/gateway/src/main/java/ploverdale/quota/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -8,20 +8,20 @@
  * units itself.
  *
  * <p>Counts are units by budget, times tenths of a millisecond of a monotonic clock. Not thread-safe, called on the
- * thread of {@link Budgets}.
+ * thread of {@link QuotaProtocol}.
  */
 final class UnitLender {
     private final QuotaAllocation division;
     private final LeaseHolder leaseHolder;
-    private final UnitDemand demand;
+    private final UnitLedger demand;
     private final int budgets;
     private int lastLoan;
 
-    UnitLender(QuotaAllocation division, LeaseHolder leaseHolder, UnitDemand demand) {
+    UnitLender(QuotaAllocation division, LeaseHolder leaseHolder, UnitLedger demand) {
         this.division = division;
         this.leaseHolder = leaseHolder;
         this.demand = demand;
-        budgets = division.budgets().size();
+        budgets = division.limits().size();
     }
 
     /**
@@ -35,7 +35,7 @@
             int[] lent = new int[budgets];
             boolean any = false;
             for (int budget = 0; budget < budgets && partition.serves(now); budget++) {
-                int free = division.partition(partition.number, budget) - partition.out(now, budget);
+                int free = division.leasedUnits(partition.number, budget) - partition.out(now, budget);
                 int spare = Math.min(free, demand.spare(now, budget));
                 lent[budget] = Math.max(0, Math.min(wanted[budget], (spare + 1) / 2));
                 wanted[budget] -= lent[budget];
@@ -45,7 +45,7 @@
                 int loan = ++lastLoan;
                 partition.lend(now, borrower, borrowersStart, loan, lent);
                 leaseHolder.updateHeldUnits(now);
-                out.add(borrower, QuotaMessages.unitGrant(borrowersStart, request, loan, lent));
+                out.add(borrower, QuotaMessageCodec.unitGrant(borrowersStart, request, loan, lent));
                 return;
             }
         }
@@ -67,7 +67,7 @@
                 kept[budget] = Math.max(0, stillWanted - Math.min(missing, (lent + 1) / 2));
             }
             partition.extend(now, found, kept);
-            out.add(borrower, QuotaMessages.unitGrant(borrowersStart, request, loan, kept));
+            out.add(borrower, QuotaMessageCodec.unitGrant(borrowersStart, request, loan, kept));
         }
     }
 
--- a/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
@@ -29,19 +29,19 @@
     void theExampleIsReadAndRightsAddUpToTheWhole() {
         QuotaSettings f = FleetConfigurationFile.read(Path.of("../deploy/fleet.json"));
         ConfigurationFile g = ConfigurationFile.read(Path.of("../example/gateway.json"));
-        QuotaAllocation d = f.division(g.settings().started());
-        assertThat(d.budgets()).hasSize(2 + 64 + 64 + 1 + 1);
+        QuotaAllocation d = f.allocation(g.settings().started());
+        assertThat(d.limits()).hasSize(2 + 64 + 64 + 1 + 1);
         for (int n : new int[] {1, 2, 7, 64, 300}) {
-            QuotaAllocation of = new QuotaAllocation(d.budgets(), n, 0.5);
-            for (int b = 0; b < d.budgets().size(); b++) {
+            QuotaAllocation of = new QuotaAllocation(d.limits(), n, 0.5);
+            for (int b = 0; b < d.limits().size(); b++) {
                 int sum = 0;
                 for (int i = 0; i < n; i++) {
-                    sum += of.right(i, b);
-                    assertThat(of.floor(i, b)).isBetween(0, of.right(i, b) / 2);
-                    assertThat(new QuotaAllocation(d.budgets(), n + 1, 0.5).right(i, b))
-                            .isLessThanOrEqualTo(of.right(i, b) + 1);
+                    sum += of.entitlement(i, b);
+                    assertThat(of.guaranteedUnits(i, b)).isBetween(0, of.entitlement(i, b) / 2);
+                    assertThat(new QuotaAllocation(d.limits(), n + 1, 0.5).entitlement(i, b))
+                            .isLessThanOrEqualTo(of.entitlement(i, b) + 1);
                 }
-                assertThat(sum).isEqualTo(d.budgets().get(b).whole());
+                assertThat(sum).isEqualTo(d.limits().get(b).capacity());
             }
         }
     }
@@ -77,11 +77,11 @@
         ConfigurationFile g = ConfigurationFile.read(Path.of("../example/gateway.json"));
         QuotaSettings all = FleetConfigurationFile.fits(
                 FleetConfigurationFile.read(Path.of("../deploy/replicas.json")), g.settings());
-        assertThat(all.keeping().sessions()).isTrue();
-        assertThat(all.keeping().submits()).isTrue();
-        assertThat(all.division(g.settings().started()).budgets()).isEmpty();
-        assertThat(read("{\"tenants\":true}").keeping()).isNull();
-        assertThat(read("{\"sessions\":{}}").keeping().submits()).isFalse();
+        assertThat(all.replication().sessions()).isTrue();
+        assertThat(all.replication().submits()).isTrue();
+        assertThat(all.allocation(g.settings().started()).limits()).isEmpty();
+        assertThat(read("{\"tenants\":true}").replication()).isNull();
+        assertThat(read("{\"sessions\":{}}").replication().submits()).isFalse();
         QuotaSettings wrong = read("{\"sessions\":{},\"wait_for_copies\":[\"no such op type\"]}");
         assertThatThrownBy(() -> FleetConfigurationFile.fits(wrong, g.settings()))
                 .hasMessageContaining("names no op type: no such op type");
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -53,7 +53,7 @@
                 () -> now,
                 () -> now);
         now += 20 * SECOND;
-        s.due();
+        s.onTick();
         now += 2 * SECOND; // parts that come bring none that are saved up
         return s;
     }
--- a/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
@@ -15,23 +15,23 @@
     private static final long EPOCH = 0x0123456789ABCDEFL;
 
     private static Part leaseRequest(int partition, int round) {
-        return QuotaMessages.leaseRequest(partition, round);
+        return QuotaMessageCodec.leaseRequest(partition, round);
     }
 
     private static Part leasePromise(int partition, int round, long epoch) {
-        return QuotaMessages.leasePromise(partition, round, epoch);
+        return QuotaMessageCodec.leasePromise(partition, round, epoch);
     }
 
     private static Part unitRequest(int request, int extendedLoan, int[] units) {
-        return QuotaMessages.unitRequest(request, extendedLoan, units);
+        return QuotaMessageCodec.unitRequest(request, extendedLoan, units);
     }
 
     private static Part unitGrant(long epoch, int request, int loan, int[] units) {
-        return QuotaMessages.unitGrant(epoch, request, loan, units);
+        return QuotaMessageCodec.unitGrant(epoch, request, loan, units);
     }
 
     private static Part unitReturn(int loan, int[] units) {
-        return QuotaMessages.unitReturn(loan, units);
+        return QuotaMessageCodec.unitReturn(loan, units);
     }
 
     private static String hex(Part part) {
@@ -97,13 +97,13 @@
 
     /** What gateway 1 of 3 answers to gateway 0, long after its start; kind and content of each part, in hex. */
     private static List<String> answersTo(int kind, String content) {
-        QuotaAllocation allocation =
-                new QuotaAllocation(List.of(new Budget("server 0", Budget.Kind.IN_USE, 24, 3_300)), 3, 0.5);
-        Budgets gateway =
-                new Budgets(1, 5, allocation, new LeaseDurations(3_000, 2_000, 0.05), new SplittableRandom(1), 0);
+        QuotaAllocation allocation = new QuotaAllocation(
+                List.of(new SharedLimit("server 0", SharedLimit.Kind.CONCURRENCY, 24, 3_300)), 3, 0.5);
+        QuotaProtocol gateway =
+                new QuotaProtocol(1, 5, allocation, new LeaseDurations(3_000, 2_000, 0.05), new SplittableRandom(1), 0);
         PacketQueue queue = new PacketQueue(1e9, 0);
         long now = 100_000;
-        gateway.part(now, 0, EPOCH, new Part(kind, HexFormat.of().parseHex(content)), queue);
+        gateway.onMessage(now, 0, EPOCH, new Part(kind, HexFormat.of().parseHex(content)), queue);
         return queue.letters(now, 1, allocation.id()).stream()
                 .flatMap(packet -> Packet.read(packet.bytes()).parts().stream())
                 .map(part -> part.kind() + " " + hex(part))
@@ -125,8 +125,8 @@
     void allocationsAreToldApartByAnIdThatStaysTheSameOverVersions() {
         QuotaAllocation allocation = new QuotaAllocation(
                 List.of(
-                        new Budget("tenant 0", Budget.Kind.RATE, 60, 10_000),
-                        new Budget("server 0", Budget.Kind.IN_USE, 24, 3_300)),
+                        new SharedLimit("tenant 0", SharedLimit.Kind.RATE, 60, 10_000),
+                        new SharedLimit("server 0", SharedLimit.Kind.CONCURRENCY, 24, 3_300)),
                 7,
                 0.5);
         assertThat(Integer.toHexString(allocation.id())).isEqualTo("7148486f");
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -6,10 +6,10 @@
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketQueue;
-import ploverdale.quota.Budget;
-import ploverdale.quota.Budgets;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaProtocol;
+import ploverdale.quota.SharedLimit;
 
 /**
  * Instances of membership and budgets in simulated time, with clocks of their own that run fast or slow, datagrams that are
@@ -43,7 +43,7 @@
         private final double rate;
         private final long zero;
         private Membership membership;
-        private Budgets budgets;
+        private QuotaProtocol budgets;
         private PacketQueue packing;
         private boolean stopped;
         private int process; // counts its starts
@@ -69,7 +69,7 @@
             return budgets != null && !stopped;
         }
 
-        public Budgets budgets() {
+        public QuotaProtocol budgets() {
             return budgets;
         }
 
@@ -79,7 +79,7 @@
 
         /** Parts that it may spend now. */
         public int parts(int budget) {
-            return runs() ? budgets.parts(local(), budget) : 0;
+            return runs() ? budgets.heldUnits(local(), budget) : 0;
         }
 
         public long bytes() {
@@ -90,7 +90,7 @@
         public void start(long stepMs) {
             long startedMs = STEPS_MS + now() / MS + stepMs;
             membership = new Membership(number, world.division.gateways(), startedMs, random.split());
-            budgets = new Budgets(
+            budgets = new QuotaProtocol(
                     number,
                     Membership.start(membership.incarnation()),
                     world.division,
@@ -135,8 +135,8 @@
                 return;
             }
             membership.due(local(), packing);
-            budgets.speaksAs(Membership.start(membership.incarnation()));
-            budgets.due(local(), membership::isPresent, packing);
+            budgets.setEpoch(Membership.start(membership.incarnation()));
+            budgets.onTick(local(), membership::isPresent, packing);
             sends();
             at(now() + (long) (LOOK / rate), () -> look(p));
         }
@@ -163,7 +163,7 @@
                 for (Packet.Part part : p.parts()) {
                     membership.part(local(), from, part, packing);
                     if (p.division() == world.division.id()) {
-                        budgets.part(local(), from, Membership.start(p.incarnation()), part, packing);
+                        budgets.onMessage(local(), from, Membership.start(p.incarnation()), part, packing);
                     }
                 }
                 sends();
@@ -172,19 +172,19 @@
 
         /** Wants to spend a part; true where it could. What is in use stays so for that long by its own clock. */
         public boolean spend(int budget, long uses) {
-            if (!runs() || !budgets.spend(local(), budget)) {
+            if (!runs() || !budgets.tryAcquire(local(), budget)) {
                 return false;
             }
             Spending s = spending.get(budget);
             s.spends(now(), "n" + number);
-            if (world.division.budgets().get(budget).kind() == Budget.Kind.IN_USE) {
+            if (world.division.limits().get(budget).kind() == SharedLimit.Kind.CONCURRENCY) {
                 int p = process;
                 at(now() + (long) (uses / rate), () -> {
                     s.ended();
                     if (p == process && budgets != null) {
                         Runnable gives = () -> {
                             if (p == process && budgets != null) {
-                                budgets.ended(budget);
+                                budgets.release(budget);
                             }
                         };
                         if (stopped) {
@@ -219,7 +219,7 @@
         for (int i = 0; i < n; i++) {
             instances.add(new Instance(i));
         }
-        world.division.budgets().forEach(b -> spending.add(new Spending(b, 0)));
+        world.division.limits().forEach(b -> spending.add(new Spending(b, 0)));
     }
 
     public long now() {
--- a/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketQueue;
-import ploverdale.quota.Budget;
-import ploverdale.quota.Budgets;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaProtocol;
+import ploverdale.quota.SharedLimit;
 
 /**
  * A world small enough to try all that can happen in it: three gateways, four parts, time in steps, and faults that are
@@ -54,7 +54,7 @@
     private final class Gateway {
         private final int number;
         private final double rate;
-        private Budgets budgets;
+        private QuotaProtocol budgets;
         private PacketQueue packing;
         private long start;
         private int stoppedFor;
@@ -75,7 +75,7 @@
 
         private void starts() {
             start += startsAlike ? 0 : 1;
-            budgets = new Budgets(number, start, division, leaseDurations, new SplittableRandom(number), local());
+            budgets = new QuotaProtocol(number, start, division, leaseDurations, new SplittableRandom(number), local());
             packing = new PacketQueue(1e9, local());
         }
 
@@ -98,7 +98,7 @@
                 return;
             }
             for (Packet.Part p : Packet.read(m.bytes).parts()) {
-                budgets.part(local(), m.from, m.start, p, packing);
+                budgets.onMessage(local(), m.from, m.start, p, packing);
             }
             sends();
         }
@@ -126,7 +126,8 @@
         this.startsAlike = startsAlike;
         this.leaseDurations = leaseDurations;
         this.drift = drift;
-        division = new QuotaAllocation(List.of(new Budget("server", Budget.Kind.IN_USE, WHOLE, told)), GATEWAYS, 0);
+        division = new QuotaAllocation(
+                List.of(new SharedLimit("server", SharedLimit.Kind.CONCURRENCY, WHOLE, told)), GATEWAYS, 0);
         for (int i = 0; i < GATEWAYS; i++) {
             gateways.add(new Gateway(i));
         }
@@ -165,7 +166,7 @@
         }
         int parts = 0;
         for (Gateway g : w.gateways) {
-            parts += g.budgets.parts(g.local(), 0);
+            parts += g.budgets.heldUnits(g.local(), 0);
         }
         return parts == WHOLE ? null : parts + " of " + WHOLE + " parts left";
     }
@@ -191,7 +192,7 @@
                 g.starts();
             } else if (g.stoppedFor > 0 && --g.stoppedFor == 0) {
                 for (; g.owes > 0; g.owes--) {
-                    g.budgets.ended(0);
+                    g.budgets.release(0);
                 }
                 List<Message> all = List.copyOf(g.held);
                 g.held.clear();
@@ -203,13 +204,13 @@
         late.clear();
         for (Gateway g : gateways) {
             if (g.runs()) {
-                g.budgets.due(g.local(), i -> gateways.get(i).budgets != null, g.packing);
+                g.budgets.onTick(g.local(), i -> gateways.get(i).budgets != null, g.packing);
                 g.sends();
             }
         }
         carry(faults);
         for (Gateway g : gateways) {
-            while (g.runs() && (wants >> g.number & 1) == 1 && g.budgets.spend(g.local(), 0)) {
+            while (g.runs() && (wants >> g.number & 1) == 1 && g.budgets.tryAcquire(g.local(), 0)) {
                 uses.add(new Use(g.number, g.start, step * STEP + (long) (USE / g.rate)));
             }
         }
@@ -224,7 +225,7 @@
                 if (g.stoppedFor > 0) {
                     g.owes++;
                 } else {
-                    g.budgets.ended(0);
+                    g.budgets.release(0);
                 }
             }
             return over;
--- a/tools/src/main/java/ploverdale/tools/lab/Spending.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Spending.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Locale;
-import ploverdale.quota.Budget;
+import ploverdale.quota.SharedLimit;
 
 /**
  * What all gateways together spend of one budget, counted where it is spent, and whether that is more than the whole: at any
@@ -16,7 +16,7 @@
             50_000; // kept for this long; every window that ends now and begins in it is looked at
     private static final double SECOND = 10_000;
 
-    private final Budget budget;
+    private final SharedLimit budget;
     private final double slack;
     private final Deque<Long> spent = new ArrayDeque<>();
     private final List<String> over = new ArrayList<>();
@@ -26,7 +26,7 @@
     private long all;
 
     /** @param slack parts by which arrival may be crowded on the way; 0 where the count is at the source */
-    public Spending(Budget budget, double slack) {
+    public Spending(SharedLimit budget, double slack) {
         this.budget = budget;
         this.slack = slack;
     }
@@ -34,9 +34,9 @@
     /** A part is spent, or taken into use. */
     public void spends(long now, String who) {
         all++;
-        if (budget.kind() == Budget.Kind.IN_USE) {
+        if (budget.kind() == SharedLimit.Kind.CONCURRENCY) {
             mostInUse = Math.max(mostInUse, ++inUse);
-            if (inUse > budget.whole()) {
+            if (inUse > budget.capacity()) {
                 over.add(String.format(
                         Locale.ROOT,
                         "%.1f ms: %s takes %s to %d of %d in use",
@@ -44,7 +44,7 @@
                         who,
                         budget.name(),
                         inUse,
-                        budget.whole()));
+                        budget.capacity()));
             }
             return;
         }
@@ -54,7 +54,7 @@
         }
         int n = spent.size();
         for (long first : spent) {
-            double may = budget.whole() * ((now - first) + budget.holds()) / SECOND + slack;
+            double may = budget.capacity() * ((now - first) + budget.maxHoldTime()) / SECOND + slack;
             worst = Math.max(worst, n / may);
             if (n > may + 1e-6) {
                 over.add(String.format(
@@ -93,6 +93,8 @@
 
     /** The most there was, as a share of what may be. */
     public double worst() {
-        return budget.kind() == Budget.Kind.IN_USE ? mostInUse / (double) Math.max(1, budget.whole()) : worst;
+        return budget.kind() == SharedLimit.Kind.CONCURRENCY
+                ? mostInUse / (double) Math.max(1, budget.capacity())
+                : worst;
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/Trial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Trial.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
-import ploverdale.quota.Budget;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.SharedLimit;
 import ploverdale.tools.lab.FleetModel.Settings;
 
 /**
@@ -74,13 +74,15 @@
         int over = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
             QuotaAllocation d = new QuotaAllocation(
-                    List.of(new Budget("tenant", Budget.Kind.RATE, PARTS * gateways, SECOND)), gateways, FLOOR);
+                    List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, PARTS * gateways, SECOND)),
+                    gateways,
+                    FLOOR);
             LeaseDurations leaseDurations = new LeaseDurations(loanMs * MS * 3 / 2, loanMs * MS, 0.05);
             FleetModel m = new FleetModel(new Settings(d, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
             m.instances().forEach(i -> i.start(0));
-            m.until(2 * leaseDurations.overFor(leaseDurations.leaseHolder())
-                    + 2 * leaseDurations.overFor(leaseDurations.loan()));
+            m.until(2 * leaseDurations.grantorTerm(leaseDurations.partitionLease())
+                    + 2 * leaseDurations.grantorTerm(leaseDurations.subLease()));
             long calmFrom = m.now();
             long bytesFrom = bytes(m);
             double sum = 0;
@@ -90,15 +92,15 @@
                 m.until(m.now() + LOOK);
                 sum += m.parts(0);
             }
-            idle += 1 - sum / looks / d.budgets().get(0).whole();
+            idle += 1 - sum / looks / d.limits().get(0).capacity();
             bytes += (bytes(m) - bytesFrom) / 5.0 / gateways;
             long shiftFrom = m.now();
             int othersFloors = 0;
             for (int i = 1; i < gateways; i++) {
-                othersFloors += d.floor(i, 0);
+                othersFloors += d.guaranteedUnits(i, 0);
             }
             double enough = SHIFTED
-                    * Math.min(WANTS, d.budgets().get(0).whole() - othersFloors - USES * PARTS * (gateways - 1) / 2);
+                    * Math.min(WANTS, d.limits().get(0).capacity() - othersFloors - USES * PARTS * (gateways - 1) / 2);
             while (m.instance(0).parts(0) < enough && m.now() < shiftFrom + WITHIN) {
                 asks(m, random, 1, USES * PARTS);
                 wants(m, random);
@@ -109,7 +111,9 @@
             long diedAt = m.now();
             m.instance(dead).kill();
             // Two gateways have no keepers: what is the dead one's stays idle until it is back.
-            int all = d.keepers() == 1 ? d.right(0, 0) : d.budgets().get(0).whole() - d.floor(dead, 0);
+            int all = d.acceptorCount() == 1
+                    ? d.entitlement(0, 0)
+                    : d.limits().get(0).capacity() - d.guaranteedUnits(dead, 0);
             while (m.parts(0) < all && m.now() < diedAt + WITHIN) {
                 m.until(m.now() + LOOK);
             }
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -8,9 +8,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import ploverdale.membership.Membership.MemberState;
-import ploverdale.quota.Budget;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.SharedLimit;
 import ploverdale.tools.lab.FleetModel.Instance;
 import ploverdale.tools.lab.FleetModel.Settings;
 
@@ -26,8 +26,8 @@
     private static QuotaAllocation division(int gateways) {
         return new QuotaAllocation(
                 List.of(
-                        new Budget("tenant", Budget.Kind.RATE, 60, SECOND),
-                        new Budget("server", Budget.Kind.IN_USE, 24, USE)),
+                        new SharedLimit("tenant", SharedLimit.Kind.RATE, 60, SECOND),
+                        new SharedLimit("server", SharedLimit.Kind.CONCURRENCY, 24, USE)),
                 gateways,
                 0.5);
     }
@@ -206,7 +206,7 @@
         m.until(6 * SECOND + 1600 * MS);
         for (int t = 8; t < 20; t++) {
             m.until(t * SECOND);
-            assertThat(m.instance(0).parts(0)).isEqualTo(division(5).floor(0, 0));
+            assertThat(m.instance(0).parts(0)).isEqualTo(division(5).guaranteedUnits(0, 0));
         }
         m.until(30 * SECOND);
         for (int i = 1; i < 5; i++) {
@@ -219,7 +219,8 @@
 
     @Test
     void threeHundredKnowTheDeadSoonAndNobodyElseIsTakenForDead() {
-        QuotaAllocation d = new QuotaAllocation(List.of(new Budget("tenant", Budget.Kind.RATE, 900, SECOND)), 300, 0.5);
+        QuotaAllocation d =
+                new QuotaAllocation(List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, 900, SECOND)), 300, 0.5);
         FleetModel m = started(new Settings(d, LEASING, 0.05, 0.05, 0.05, 30 * MS, 2000), 8);
         m.until(30 * SECOND); // each is asked by somebody twice a second; all hear of all a little later
         for (Instance i : m.instances()) {
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -157,7 +157,7 @@
         try (MutationCheck none = MutationCheck.of(
                 sound,
                 "quota/LeaseDurations.java",
-                "(long) Math.ceil(lease * (1 + clocksApart) / (1 - clocksApart)) + 1",
+                "(long) Math.ceil(lease * (1 + clockDrift) / (1 - clockDrift)) + 1",
                 "lease / 20")) {
             BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
             FleetResult s = Fleet.play(day, new Workload(none.launch(sound), all, 5500, out));
