--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -16,6 +16,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Action;
@@ -125,7 +126,7 @@
                                 1 + now / 10,
                                 () -> this.now,
                                 () -> this.now); // 0 would be no start at all
-                Host host = new Host(new Router(shared), reader, shared);
+                Host host = new Host(new Router(shared == null ? null : shared.quota()), reader, shared);
                 hosts.put(f.text("gateway"), host);
                 tell(g, now, f.text("gateway"), host, told);
                 lookRound(g, f.text("gateway"), host);
@@ -160,10 +161,10 @@
     }
 
     private boolean sharedHears(JsonGenerator g, String gateway, Host host, JsonFields f) throws IOException {
-        List<PacketQueue.OutboundPacket> answers =
+        Optional<List<PacketQueue.OutboundPacket>> answers =
                 host.shared().onDatagram((int) f.whole("from"), Reader.bytes(f.text("body")));
-        write(g, gateway, host.shared(), answers == null ? List.of() : answers);
-        return answers != null;
+        write(g, gateway, host.shared(), answers.orElse(List.of()));
+        return answers.isPresent();
     }
 
     private static void write(
--- a/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.quota.SharedLimitSettings;
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.InvalidSettingsException;
@@ -57,12 +58,13 @@
         JsonFields f = JsonFields.of("fleet file", ConfigurationFile.json(text, "fleet file"));
         f.only(FIELDS);
         QuotaSettings s = new QuotaSettings(
-                f.mark("tenants"),
-                parts(f, "sends_at_server"),
-                parts(f, "cold_sends_at_server"),
-                (int) within(f, "server_slots", 64, 1, 512),
-                parts(f, "second_sends_per_second"),
-                parts(f, "probes_per_second"),
+                new SharedLimitSettings(
+                        f.mark("tenants"),
+                        parts(f, "sends_at_server"),
+                        parts(f, "cold_sends_at_server"),
+                        (int) within(f, "server_slots", 64, 1, 512),
+                        parts(f, "second_sends_per_second"),
+                        parts(f, "probes_per_second")),
                 within(f, "floor_share", 0.5, 0, 0.5),
                 new LeaseDurations(
                         (long) within(f, "steward_ms", 3000, 200, 60_000) * MS,
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -92,7 +92,8 @@
                         file.settings().started(),
                         (to, bytes) -> peers().send(to, bytes),
                         time);
-        loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
+        loop = new RouterEventLoop(
+                vertx, context, log, this, fleet == null ? null : fleet.shared().quota(), clock);
         clients = new ClientConnections(vertx, log, loop, file.settings(), limits, time);
         servers = new ServerConnections(vertx, log, file.settings(), limits, this::makeRoom, time);
         peers = file.peerListen() == null ? null : new GossipTransport(vertx, log, loop, file.peers());
--- a/gateway/src/main/java/ploverdale/net/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -2,6 +2,7 @@
 
 import io.vertx.core.Vertx;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.ObjLongConsumer;
 import ploverdale.log.Log;
 import ploverdale.membership.PacketQueue;
@@ -71,11 +72,9 @@
 
     /** Whether this datagram is the fleet's; it has been read if it is. */
     boolean hears(int from, byte[] bytes) {
-        List<PacketQueue.OutboundPacket> answers = shared.onDatagram(from, bytes);
-        if (answers != null) {
-            sends(answers);
-        }
-        return answers != null;
+        Optional<List<PacketQueue.OutboundPacket>> answers = shared.onDatagram(from, bytes);
+        answers.ifPresent(this::sends);
+        return answers.isPresent();
     }
 
     /** This gateway leaves. */
--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -1,190 +1,190 @@
 package ploverdale.quota;
 
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
 
 /**
- * What one gateway may spend of one budget: the parts that it holds, each until its time, and what of them is spent or in
- * use. The clock is looked at before each spending; what has lapsed meanwhile counts as lapsed at its own time. Times in
- * tenths of a millisecond.
+ * The units of one shared limit that this gateway holds, each until its lease expires, and what of them is spent or in use.
+ * A rate is a token bucket whose fill rate and size follow the units that are held. Expired units are dropped before
+ * each access, each at its own time, so a process that was suspended cannot use them.
+ *
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
 final class HeldUnits {
     private static final double SECOND = 10_000;
-    private static final double FADES_IN = 1000 * 10; // of what was wanted lately
-
-    /** Parts held until a time. */
-    private static final class Held {
-        private final Object of;
-        private int parts;
-        private long until;
-
-        private Held(Object of, int parts, long until) {
-            this.of = of;
-            this.parts = parts;
-            this.until = until;
+    private static final int RETRIES_PER_HOLD_TIME = 4; // until a unit in use may be released, on a rejection
+
+    /** Units of one source. */
+    private static final class Holding {
+        private final UnitSource source;
+        private int units;
+        private long expiresAt;
+
+        private Holding(UnitSource source, int units, long expiresAt) {
+            this.source = source;
+            this.units = units;
+            this.expiresAt = expiresAt;
         }
     }
 
-    private final SharedLimit budget;
-    private final List<Held> held = new ArrayList<>();
-    private double saved; // of a rate
-    private long at;
+    private final SharedLimit limit;
+    private final DemandEstimate demand;
+    private final List<Holding> holdings = new ArrayList<>();
+    private double tokens; // of a rate: units that have accumulated and are not spent
+    private long updatedAt;
     private int inUse;
-    private double wanted; // a second, or at once
-    private long wantedAt;
-    private long spent;
-    private long refused;
-
-    HeldUnits(SharedLimit budget, long now) {
-        this.budget = budget;
-        at = now;
-        wantedAt = now;
-    }
-
-    /** From now on so many parts are held of that, until then; 0 parts: none any more. */
-    void holds(long now, Object of, int parts, long until) {
-        passes(now);
-        int before = parts();
-        Held h = null;
-        for (Held x : held) {
-            h = x.of.equals(of) ? x : h;
+    private long rejected;
+
+    HeldUnits(SharedLimit limit, long now) {
+        this.limit = limit;
+        demand = new DemandEstimate(now);
+        updatedAt = now;
+    }
+
+    /** The name of the limit. */
+    String name() {
+        return limit.name();
+    }
+
+    /** From now on so many units are held of that source, until then; with 0 units, or a time that has passed, none. */
+    void set(long now, UnitSource source, int units, long expiresAt) {
+        advanceTo(now);
+        int before = total();
+        Holding holding = find(source);
+        if (units == 0 || expiresAt <= now) {
+            holdings.remove(holding);
+        } else if (holding == null) {
+            holdings.add(new Holding(source, units, expiresAt));
+        } else {
+            holding.units = units;
+            holding.expiresAt = expiresAt;
         }
-        if (h == null && parts > 0 && until > now) {
-            held.add(new Held(of, parts, until));
-        } else if (h != null && (parts == 0 || until <= now)) {
-            held.remove(h);
-        } else if (h != null) {
-            h.parts = parts;
-            h.until = until;
+        dropTokensOfLostUnits(before, total());
+    }
+
+    private Holding find(UnitSource source) {
+        for (Holding holding : holdings) {
+            if (holding.source == source) {
+                return holding;
+            }
         }
-        loses(before, parts());
+        return null;
     }
 
-    private int parts() {
-        int n = 0;
-        for (Held h : held) {
-            n += h.parts;
+    private int total() {
+        int units = 0;
+        for (Holding holding : holdings) {
+            units += holding.units;
         }
-        return n;
+        return units;
     }
 
-    /** What was saved for parts that go, goes with them; parts that come bring nothing saved. */
-    private void loses(int before, int after) {
+    /** Tokens go with the units that earned them; new units bring none: their former holder may have spent them. */
+    private void dropTokensOfLostUnits(int before, int after) {
         if (after < before) {
-            saved = before == 0 ? 0 : saved * after / before;
+            tokens = tokens * after / before;
         }
     }
 
-    /** Time passes, and what lapses on the way does so at its own time. */
-    private void passes(long now) {
-        while (true) {
-            Held next = null;
-            for (Held h : held) {
-                next = h.until <= now && (next == null || h.until < next.until) ? h : next;
-            }
-            long to = next == null ? now : Math.max(at, next.until);
-            double most = parts() * budget.maxHoldTime() / SECOND;
-            saved = Math.min(most, saved + parts() * Math.max(0, to - at) / SECOND);
-            at = Math.max(at, to);
-            if (next == null) {
-                return;
-            }
-            int before = parts();
-            long lapsed = next.until;
-            for (Iterator<Held> i = held.iterator(); i.hasNext(); ) {
-                if (i.next().until <= lapsed) {
-                    i.remove();
-                }
+    private void advanceTo(long now) {
+        for (Holding expired = firstExpired(now); expired != null; expired = firstExpired(now)) {
+            long expiry = expired.expiresAt;
+            accumulateUntil(Math.max(updatedAt, expiry));
+            int before = total();
+            holdings.removeIf(holding -> holding.expiresAt <= expiry);
+            dropTokensOfLostUnits(before, total());
+        }
+        accumulateUntil(now);
+    }
+
+    private Holding firstExpired(long now) {
+        Holding first = null;
+        for (Holding holding : holdings) {
+            if (holding.expiresAt <= now && (first == null || holding.expiresAt < first.expiresAt)) {
+                first = holding;
             }
-            loses(before, parts());
         }
+        return first;
     }
 
-    /** Parts that may be spent from now on, those in use included. */
-    int parts(long now) {
-        passes(now);
-        return parts();
+    private void accumulateUntil(long time) {
+        double burst = total() * limit.maxHoldTime() / SECOND;
+        tokens = Math.min(burst, tokens + total() * Math.max(0, time - updatedAt) / SECOND);
+        updatedAt = Math.max(updatedAt, time);
     }
 
+    /** Units that are held now, those in use included. */
+    int units(long now) {
+        advanceTo(now);
+        return total();
+    }
+
+    /** Units that were acquired and not released yet; 0 for a rate. */
     int inUse() {
         return inUse;
     }
 
-    /** Spends a part; false where there is none. */
-    boolean spend(long now) {
-        passes(now);
-        boolean is = budget.kind() == SharedLimit.Kind.RATE ? saved >= 1 : inUse < parts();
-        if (budget.kind() == SharedLimit.Kind.RATE) {
-            saved -= is ? 1 : 0;
-            fade(now);
-            wanted += SECOND / FADES_IN;
-        } else {
-            fade(now);
-            wanted = Math.max(wanted, inUse + 1);
-            inUse += is ? 1 : 0;
-        }
-        spent += is ? 1 : 0;
-        refused += is ? 0 : 1;
-        return is;
-    }
-
-    /** Whether one more can be taken into use; it is wanted where not. */
-    boolean has(long now) {
-        passes(now);
-        boolean is = inUse < parts();
-        if (!is) {
-            fade(now);
-            wanted = Math.max(wanted, inUse + 1);
-            refused++;
+    /** Acquires a unit; false where none is free. It counts as demand in both cases. */
+    boolean tryAcquire(long now) {
+        advanceTo(now);
+        boolean acquired = limit.kind() == SharedLimit.Kind.RATE ? tryTakeToken(now) : tryUse(now);
+        if (!acquired) {
+            rejected++;
         }
-        return is;
+        return acquired;
     }
 
-    /** A part in use is so no more. */
-    void ended() {
-        inUse--;
+    private boolean tryTakeToken(long now) {
+        demand.addOne(now);
+        if (tokens < 1) {
+            return false;
+        }
+        tokens -= 1;
+        return true;
     }
 
-    private void fade(long now) {
-        wanted *= Math.exp(-Math.max(0, now - wantedAt) / FADES_IN);
-        wantedAt = Math.max(wantedAt, now);
+    private boolean tryUse(long now) {
+        demand.raiseTo(now, inUse + 1);
+        if (inUse >= total()) {
+            return false;
+        }
+        inUse++;
+        return true;
     }
 
-    /** Parts that lately would have been spent; more than are held where some were refused. */
-    int wanted(long now) {
-        fade(now);
-        return (int) Math.ceil(wanted - 0.05);
+    /** Whether one more unit could be used; counts as demand, and as a rejection, where not. */
+    boolean canUse(long now) {
+        advanceTo(now);
+        if (inUse < total()) {
+            return true;
+        }
+        demand.raiseTo(now, inUse + 1);
+        rejected++;
+        return false;
     }
 
-    /** When to ask again, from now: at the next part of a rate; for one in use, after a share of its longest time. */
-    long retryAfter(long now) {
-        passes(now);
-        long whole = budget.maxHoldTime();
-        if (budget.kind() == SharedLimit.Kind.CONCURRENCY || parts() == 0) {
-            return whole / 4;
-        }
-        return Math.min(whole, (long) Math.ceil((1 - saved) * SECOND / parts()));
+    /** Releases a unit in use. */
+    void release() {
+        inUse--;
     }
 
-    long spent() {
-        return spent;
+    /** Units that were lately wanted; more than are held where some were rejected. */
+    int demand(long now) {
+        return demand.units(now);
     }
 
-    long refused() {
-        return refused;
+    /** After how long to retry: at the next token of a rate; for concurrency, after a share of the longest use. */
+    long retryAfter(long now) {
+        advanceTo(now);
+        int units = total();
+        if (limit.kind() == SharedLimit.Kind.CONCURRENCY || units == 0) {
+            return limit.maxHoldTime() / RETRIES_PER_HOLD_TIME;
+        }
+        return Math.min(limit.maxHoldTime(), (long) Math.ceil((1 - tokens) * SECOND / units));
     }
 
-    /** All that tells two states apart, for an explorer. */
-    String told(long now) {
-        passes(now);
-        StringBuilder b = new StringBuilder().append(inUse).append(' ').append(Math.round(saved * 100));
-        held.forEach(h -> b.append(' ')
-                .append(h.of instanceof LeasePartition e ? "e" + e.number : h.of instanceof String t ? t : "b")
-                .append('=')
-                .append(h.parts)
-                .append('@')
-                .append(h.until == Long.MAX_VALUE ? -1 : h.until - now));
-        return b.toString();
+    /** How often no unit was free, since the start. */
+    long rejected() {
+        return rejected;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
@@ -1,46 +1,37 @@
 package ploverdale.quota;
 
-import java.util.Arrays;
-
 /**
- * The promises of one gateway as a keeper of estates: while one is made, no other gateway is promised the same estate, nor
- * a later start of the same one. A gateway that has just started may have forgotten promises and makes none until each of
- * them is over.
+ * The leases that this gateway has granted as an acceptor. As an acceptor of Paxos (PaxosLease, without a stored state), it
+ * grants a partition to one holder at a time; a majority of acceptors that grant is a lease. A later epoch of the same gateway
+ * is another holder. Grants are kept in memory only, so an acceptor that has just started abstains until every lease that it
+ * may have granted before has expired.
+ *
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
 final class LeaseAcceptor {
-    private final LeaseDurations leaseDurations;
+    /** The latest grant of a partition's lease. */
+    private record Grant(Peer holder, long expiresAt) {}
+
+    private final LeaseDurations durations;
     private final long abstainsUntil;
-    private final int[] to;
-    private final long[] start;
-    private final long[] until;
+    private final Grant[] grants; // by partition; null where none was granted yet
 
-    LeaseAcceptor(int partitions, LeaseDurations leaseDurations, long now) {
-        this.leaseDurations = leaseDurations;
-        abstainsUntil = now + leaseDurations.grantorTerm(leaseDurations.partitionLease());
-        to = new int[partitions];
-        Arrays.fill(to, -1);
-        start = new long[partitions];
-        until = new long[partitions];
+    LeaseAcceptor(int partitions, LeaseDurations durations, long now) {
+        this.durations = durations;
+        abstainsUntil = now + durations.partitionGrantorTerm();
+        grants = new Grant[partitions];
     }
 
-    /** Somebody asks to be or to stay the steward of an estate; whether it is promised. */
-    boolean asked(long now, int partition, int who, long whoseStart) {
-        boolean same = to[partition] == who && start[partition] == whoseStart;
-        if (now < abstainsUntil || !same && now < until[partition]) {
+    /** Grants or renews the lease of a partition; false where it is refused. */
+    boolean tryGrant(long now, int partition, Peer holder) {
+        if (now < abstainsUntil || isGrantedToOther(now, grants[partition], holder)) {
             return false;
         }
-        to[partition] = who;
-        start[partition] = whoseStart;
-        until[partition] = now + leaseDurations.grantorTerm(leaseDurations.partitionLease());
+        grants[partition] = new Grant(holder, now + durations.partitionGrantorTerm());
         return true;
     }
 
-    /** All that tells two keepers apart, for an explorer of states. */
-    String told(long now) {
-        StringBuilder b = new StringBuilder().append(Math.max(0, abstainsUntil - now));
-        for (int e = 0; e < to.length; e++) {
-            b.append(until[e] > now ? " " + to[e] + ":" + start[e] + ":" + (until[e] - now) : " -");
-        }
-        return b.toString();
+    private static boolean isGrantedToOther(long now, Grant grant, Peer holder) {
+        return grant != null && !grant.holder.equals(holder) && now < grant.expiresAt;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
@@ -8,59 +8,57 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * The lease partitions that this gateway holds or asks for: its own, and those of absent gateways whose successor it
- * is. A partition is held while a majority of its acceptors promises so; the lease is renewed several times in the
- * time that a promise lasts. What is free of a held partition is entered in the held units of each budget, until the
- * lease's end.
+ * The partitions that this gateway holds or asks for: its own, and those of absent gateways whose successor it is
+ * ({@link RendezvousHash}). A lease is renewed several times in its term. Free units of a partition that serves are entered
+ * in the unit ledger until the lease expires.
  *
- * <p>Times in tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
 final class LeaseHolder {
-    private static final int RENEWALS =
-            4; // in the time that a promise lasts, so that lost messages do not end the lease
-
-    private final int me;
-    private final QuotaAllocation division;
-    private final LeaseDurations leaseDurations;
-    private final long longestUse;
-    private final HeldUnits[] held;
-    private final LeaseAcceptor acceptor;
-    private final IntSupplier nextNumber;
+    private static final int ROUNDS_PER_TERM = 4; // so that lost messages do not end the lease
+
+    private final int self;
+    private final QuotaAllocation allocation;
+    private final LeaseDurations durations;
+    private final UnitLedger ledger;
+    private final LeaseAcceptor localAcceptor;
+    private final IntSupplier requestNumbers;
     private final long startedAt;
     private final Map<Integer, LeasePartition> partitions = new TreeMap<>();
 
     /**
-     * @param longestUse how long a unit may stay in use once it was taken
-     * @param held by budget, shared with {@link QuotaProtocol}
-     * @param acceptor this gateway's own, which answers without a message
-     * @param nextNumber numbers of requests, never the same twice
+     * @param self number of this gateway
+     * @param localAcceptor this gateway's own, which is asked without a message
+     * @param requestNumbers never yields the same number twice
      */
     LeaseHolder(
-            int me,
-            QuotaAllocation division,
-            LeaseDurations leaseDurations,
-            long longestUse,
-            HeldUnits[] held,
-            LeaseAcceptor acceptor,
-            IntSupplier nextNumber,
+            int self,
+            QuotaAllocation allocation,
+            LeaseDurations durations,
+            UnitLedger ledger,
+            LeaseAcceptor localAcceptor,
+            IntSupplier requestNumbers,
             long now) {
-        this.me = me;
-        this.division = division;
-        this.leaseDurations = leaseDurations;
-        this.longestUse = longestUse;
-        this.held = held;
-        this.acceptor = acceptor;
-        this.nextNumber = nextNumber;
+        this.self = self;
+        this.allocation = allocation;
+        this.durations = durations;
+        this.ledger = ledger;
+        this.localAcceptor = localAcceptor;
+        this.requestNumbers = requestNumbers;
         startedAt = now;
-        LeasePartition own = new LeasePartition(me, leaseDurations, longestUse);
-        partitions.put(me, own);
+        LeasePartition own = newPartition(self);
+        partitions.put(self, own);
         if (!hasOtherAcceptors()) {
-            own.owned(now);
+            own.holdForever(now);
         }
     }
 
+    private LeasePartition newPartition(int gateway) {
+        return new LeasePartition(gateway, durations, allocation.longestUse());
+    }
+
     private boolean hasOtherAcceptors() {
-        return division.acceptorCount() > 1;
+        return allocation.acceptorCount() > 1;
     }
 
     /** In the order of their numbers; this gateway's own is always among them. */
@@ -68,124 +66,113 @@
         return partitions.values();
     }
 
-    /** Whether the units of this gateway's own partition may be used and lent. */
-    boolean servesOwnPartition(long now) {
-        return partitions.get(me).serves(now);
+    /** Whether the units of this gateway's own partition may be used and sub-leased. */
+    boolean isServingOwnPartition(long now) {
+        return partitions.get(self).isServing(now);
     }
 
-    /** Partitions of other gateways that are held here or asked for. */
-    int takenOver() {
+    /** How many partitions of other gateways are held here or asked for. */
+    int takenOverPartitions() {
         return partitions.size() - 1;
     }
 
-    /** Enters what is free of each partition, and until when, in the held units. */
-    void updateHeldUnits(long now) {
+    /** Enters the free units of each partition, and until when they may be used, in the ledger. */
+    void updateLedger(long now) {
         for (LeasePartition partition : partitions.values()) {
-            boolean serves = partition.serves(now);
-            long until = serves ? partition.promisedUntil() : now;
-            for (int budget = 0; budget < held.length; budget++) {
-                held[budget].holds(now, partition, serves ? free(now, partition, budget) : 0, until);
+            boolean serving = partition.isServing(now);
+            long until = serving ? partition.expiresAt() : now;
+            for (int limit = 0; limit < ledger.size(); limit++) {
+                int units = serving ? freeUnits(now, partition, limit) : 0;
+                ledger.of(limit).set(now, partition, units, until);
             }
         }
     }
 
-    private int free(long now, LeasePartition partition, int budget) {
-        return Math.max(0, division.leasedUnits(partition.number, budget) - partition.out(now, budget));
+    /** Units of a partition that are neither sub-leased nor possibly in use for a former sub-lease. */
+    int freeUnits(long now, LeasePartition partition, int limit) {
+        int leased = allocation.leasedUnits(partition.number(), limit);
+        return Math.max(0, leased - partition.outstandingUnits(now, limit));
     }
 
     /**
      * Takes over, drops and renews leases as they are due.
      *
-     * @param start which start of its name this gateway speaks as
-     * @param present whether a gateway is alive as far as this one knows
+     * @param epoch this gateway's own
+     * @param alive whether a gateway is alive as far as this one knows; a hint: safety does not depend on it
      */
-    void onTick(long now, long start, IntPredicate present, PacketQueue out) {
+    void onTick(long now, long epoch, IntPredicate alive, PacketQueue out) {
         if (hasOtherAcceptors()) {
-            takeOver(now, present);
+            takeOver(now, alive);
         }
-        partitions.values().removeIf(partition -> dropIfUnwanted(now, partition, present));
+        partitions.values().removeIf(partition -> clearIfUnwanted(now, partition, alive));
         for (LeasePartition partition : partitions.values()) {
             if (hasOtherAcceptors()
-                    && isWanted(partition.number, present)
-                    && now - partition.askedAt() >= leaseDurations.partitionLease() / RENEWALS) {
-                renew(now, start, partition, out);
+                    && isWanted(partition.number(), alive)
+                    && partition.isRoundOlderThan(now, durations.partitionLease() / ROUNDS_PER_TERM)) {
+                requestLease(now, epoch, partition, out);
             }
         }
     }
 
-    /** Not before any lease has ended that an earlier start of this gateway may have had. */
-    private void takeOver(long now, IntPredicate present) {
-        for (int gateway = 0; gateway < division.gateways(); gateway++) {
+    /** Not before any lease has expired that an earlier process of this gateway may have had. */
+    private void takeOver(long now, IntPredicate alive) {
+        for (int gateway = 0; gateway < allocation.gateways(); gateway++) {
             if (!partitions.containsKey(gateway)
-                    && isWanted(gateway, present)
-                    && now - startedAt > leaseDurations.grantorTerm(leaseDurations.partitionLease())) {
-                partitions.put(gateway, new LeasePartition(gateway, leaseDurations, longestUse));
+                    && isWanted(gateway, alive)
+                    && now - startedAt > durations.partitionGrantorTerm()) {
+                partitions.put(gateway, newPartition(gateway));
             }
         }
     }
 
-    /**
-     * Clears what is held of a partition that is neither wanted nor leased any more; true where it is to be
-     * forgotten.
-     */
-    private boolean dropIfUnwanted(long now, LeasePartition partition, IntPredicate present) {
-        boolean dropped = !isWanted(partition.number, present) && !partition.isMine(now);
-        if (dropped) {
-            for (HeldUnits units : held) {
-                units.holds(now, partition, 0, now);
-            }
+    /** Clears the units of a partition that is neither wanted nor leased; true where it can be forgotten. */
+    private boolean clearIfUnwanted(long now, LeasePartition partition, IntPredicate alive) {
+        boolean unwanted =
+                !isWanted(partition.number(), alive) && partition.state(now) == LeasePartition.State.UNLEASED;
+        if (unwanted) {
+            ledger.remove(now, partition);
         }
-        return dropped;
+        return unwanted;
     }
 
-    private boolean isWanted(int partition, IntPredicate present) {
-        return partition == me || !present.test(partition) && successor(partition, present) == me;
+    private boolean isWanted(int partition, IntPredicate alive) {
+        return partition == self || !alive.test(partition) && isSuccessor(partition, alive);
     }
 
-    /** The present gateway that comes first in a pseudo-random order of its own for each partition. */
-    private int successor(int partition, IntPredicate present) {
-        int best = -1;
-        long least = Long.MAX_VALUE;
-        for (int gateway = 0; gateway < division.gateways(); gateway++) {
-            long rank = (partition * 0x9E3779B97F4A7C15L ^ gateway * 0xC2B2AE3D27D4EB4FL) * 0x165667B19E3779F9L >>> 1;
-            if (gateway != partition && (gateway == me || present.test(gateway)) && rank < least) {
-                least = rank;
-                best = gateway;
-            }
-        }
-        return best;
+    private boolean isSuccessor(int partition, IntPredicate alive) {
+        IntPredicate eligible = gateway -> gateway == self || alive.test(gateway);
+        return RendezvousHash.successor(partition, allocation.gateways(), eligible)
+                        .orElse(partition)
+                == self;
     }
 
-    private void renew(long now, long start, LeasePartition partition, PacketQueue out) {
-        int round = partition.asks(now, nextNumber.getAsInt());
-        for (int place = 0; place < division.acceptorCount(); place++) {
-            int gateway = division.acceptor(partition.number, place);
-            if (gateway != me) {
-                out.add(gateway, QuotaMessageCodec.leaseRequest(partition.number, round));
-            } else if (acceptor.asked(now, partition.number, me, start)) {
-                partition.promised(now, round, place, division.majority());
+    private void requestLease(long now, long epoch, LeasePartition partition, PacketQueue out) {
+        int round = requestNumbers.getAsInt();
+        partition.startRound(now, round);
+        QuotaMessage.LeaseRequest request = new QuotaMessage.LeaseRequest(partition.number(), round);
+        for (int place = 0; place < allocation.acceptorCount(); place++) {
+            int acceptor = allocation.acceptor(partition.number(), place);
+            if (acceptor != self) {
+                out.add(acceptor, QuotaMessageCodec.encode(request));
+            } else if (localAcceptor.tryGrant(now, partition.number(), new Peer(self, epoch))) {
+                partition.onGrant(now, round, place, allocation.majority());
             }
         }
     }
 
-    /** An acceptor has promised a partition to this gateway, in answer to that round. */
-    void onPromise(long now, int from, int number, int round) {
-        LeasePartition partition = partitions.get(number);
-        if (partition == null) {
-            return;
-        }
-        int place = Math.floorMod(from - number, division.gateways());
-        if (place < division.acceptorCount()) {
-            partition.promised(now, round, place, division.majority());
+    /** An acceptor has granted a lease to this process. */
+    void onLeaseGrant(long now, int acceptor, QuotaMessage.LeaseGrant grant) {
+        LeasePartition partition = partitions.get(grant.partition());
+        if (partition != null && allocation.isAcceptor(acceptor, grant.partition())) {
+            int place = allocation.acceptorPlace(acceptor, grant.partition());
+            partition.onGrant(now, grant.round(), place, allocation.majority());
         }
     }
 
-    /** Units of a budget that are lent, or may still be in use for a loan that has ended. */
-    int lent(long now, int budget) {
-        int units = 0;
-        for (LeasePartition partition : partitions.values()) {
-            units += partition.out(now, budget);
-        }
-        return units;
+    /** Units of a limit, of all partitions, that are sub-leased or may be in use for a former sub-lease. */
+    int outstandingUnits(long now, int limit) {
+        return partitions.values().stream()
+                .mapToInt(partition -> partition.outstandingUnits(now, limit))
+                .sum();
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/LeasePartition.java
+++ b/gateway/src/main/java/ploverdale/quota/LeasePartition.java
@@ -2,163 +2,145 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * One estate as its steward has it: until when it is promised, and what of it is lent to whom until when. Parts are free
- * when they are neither lent nor may still be in use by one to whom they were lent; none is free before all that an earlier
- * steward may have lent is over. Times in tenths of a millisecond.
+ * The lease of one partition as the gateway that holds it, or asks for it, knows it, and the sub-leases of its units. Units
+ * are free when they are neither sub-leased nor possibly still in use by a former borrower.
+ *
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
-final class LeasePartition {
-    /** Parts that are out. */
-    static final class SubLease {
-        final int to;
-        final long itsStart;
-        final int number;
-        final int[] parts;
-        long endsAt;
-
-        private SubLease(int to, long itsStart, int number, int[] parts, long endsAt) {
-            this.to = to;
-            this.itsStart = itsStart;
-            this.number = number;
-            this.parts = parts;
-            this.endsAt = endsAt;
-        }
-    }
-
-    final int number;
-    private final LeaseDurations leaseDurations;
+final class LeasePartition implements UnitSource {
+    /**
+     * State of the lease.
+     *
+     * <table>
+     * <caption>Transitions</caption>
+     * <tr><th>from</th><th>on</th><th>to</th></tr>
+     * <tr><td>UNLEASED</td><td>a majority of the acceptors grants a round</td><td>QUARANTINED</td></tr>
+     * <tr><td>QUARANTINED</td><td>all that an earlier holder may have sub-leased or used has ended</td><td>SERVING</td></tr>
+     * <tr><td>QUARANTINED, SERVING</td><td>a majority grants a later round: renewed</td><td>the same</td></tr>
+     * <tr><td>QUARANTINED, SERVING</td><td>the lease expires</td><td>UNLEASED</td></tr>
+     * </table>
+     */
+    enum State {
+        /** Not held here. */
+        UNLEASED,
+        /** Held here, but units may still be in use on behalf of an earlier holder. */
+        QUARANTINED,
+        /** Held here; free units may be used and sub-leased. */
+        SERVING
+    }
+
+    private final int number;
+    private final LeaseDurations durations;
     private final long longestUse;
-    private final List<SubLease> loans = new ArrayList<>();
-    private long promisedUntil = Long.MIN_VALUE;
+    private final List<SubLease> subLeases = new ArrayList<>();
+    private long expiresAt = Long.MIN_VALUE;
     private long servesFrom = Long.MIN_VALUE;
     private int round;
-    private long roundAt = Long.MIN_VALUE / 2;
-    private long promises; // of this round, a bit a keeper
-
-    /** @param longestUse for how long a part may stay in use once it was taken */
-    LeasePartition(int number, LeaseDurations leaseDurations, long longestUse) {
+    private long roundStartedAt = Long.MIN_VALUE / 2; // long ago, without overflow in a difference
+    private long acceptorsOfRound; // those that have granted this round, a bit for each place
+
+    /**
+     * @param number of the gateway that the partition belongs to
+     * @param longestUse for how long a unit may stay in use once it was acquired
+     */
+    LeasePartition(int number, LeaseDurations durations, long longestUse) {
         this.number = number;
-        this.leaseDurations = leaseDurations;
+        this.durations = durations;
         this.longestUse = longestUse;
     }
 
-    /** It is its steward's for good, where there are no keepers to ask; what an earlier start lent is over after a time. */
-    void owned(long now) {
-        promisedUntil = Long.MAX_VALUE;
-        servesFrom = now + rest();
+    /** Number of the gateway that the partition belongs to. */
+    int number() {
+        return number;
     }
 
-    private long rest() {
-        return leaseDurations.grantorTerm(leaseDurations.subLease()) + leaseDurations.grantorTerm(longestUse);
+    /** Holds the partition for good, where there are no other acceptors; still after a quarantine. */
+    void holdForever(long now) {
+        expiresAt = Long.MAX_VALUE;
+        servesFrom = now + quarantine();
     }
 
-    /** Begins another round of asking the keepers; its number goes with the question. */
-    int asks(long now, int nextRound) {
-        round = nextRound;
-        roundAt = now;
-        promises = 0;
-        return round;
+    private long quarantine() {
+        return durations.quarantine(longestUse);
     }
 
-    long askedAt() {
-        return roundAt;
-    }
-
-    /** A keeper has promised in that round; counts from when the round was begun. */
-    void promised(long now, int ofRound, int acceptor, int majority) {
-        if (ofRound != round) {
-            return; // an answer to an earlier question counts for nothing
-        }
-        promises |= 1L << acceptor;
-        if (Long.bitCount(promises) >= majority && roundAt + leaseDurations.partitionLease() > now) {
-            if (now >= promisedUntil) {
-                servesFrom = now + rest(); // another may have been steward in between
-            }
-            promisedUntil = Math.max(promisedUntil, roundAt + leaseDurations.partitionLease());
-        }
+    /** Starts a round of requests to the acceptors; grants of earlier rounds are ignored from now on. */
+    void startRound(long now, int newRound) {
+        round = newRound;
+        roundStartedAt = now;
+        acceptorsOfRound = 0;
     }
 
-    /** Whether this gateway is its steward. */
-    boolean isMine(long now) {
-        return now < promisedUntil;
+    /** Whether the latest round was started at least so long ago. */
+    boolean isRoundOlderThan(long now, long age) {
+        return now - roundStartedAt >= age;
     }
 
-    /** Whether its parts may be used and lent here. */
-    boolean serves(long now) {
-        return now < promisedUntil && now >= servesFrom;
+    /**
+     * An acceptor has granted a round. With a majority the lease is valid for its term from the start of the round.
+     *
+     * @param place of the acceptor among those of the partition
+     */
+    void onGrant(long now, int grantedRound, int place, int majority) {
+        if (grantedRound != round) {
+            return;
+        }
+        acceptorsOfRound |= 1L << place;
+        long newExpiry = roundStartedAt + durations.partitionLease();
+        if (Long.bitCount(acceptorsOfRound) < majority || newExpiry <= now) {
+            return;
+        }
+        if (state(now) == State.UNLEASED) {
+            servesFrom = now + quarantine(); // another gateway may have held it in between
+        }
+        expiresAt = Math.max(expiresAt, newExpiry);
     }
 
-    /** Until when it is promised. */
-    long promisedUntil() {
-        return promisedUntil;
+    /** The state of the lease now; it expires by itself. */
+    State state(long now) {
+        if (now >= expiresAt) {
+            return State.UNLEASED;
+        }
+        return now < servesFrom ? State.QUARANTINED : State.SERVING;
     }
 
-    /** Of one budget, parts that are lent or may still be in use for a loan that has ended. */
-    int out(long now, int budget) {
-        int n = 0;
-        for (SubLease l : loans) {
-            n += now < l.endsAt ? l.parts[budget] : 0;
-        }
-        return n;
+    /** Whether units of the partition may be used and sub-leased here. */
+    boolean isServing(long now) {
+        return state(now) == State.SERVING;
     }
 
-    /** Lends parts that are free; the loan lasts from now. */
-    SubLease lend(long now, int to, long itsStart, int loanNumber, int[] parts) {
-        loans.removeIf(l -> now >= l.endsAt);
-        SubLease l = new SubLease(to, itsStart, loanNumber, parts, now + rest());
-        loans.add(l);
-        return l;
+    /** When the lease expires unless it is renewed; in the past where it is not held. */
+    long expiresAt() {
+        return expiresAt;
     }
 
-    /** The loan of that number to that gateway, if it is out. */
-    SubLease loan(long now, int to, long itsStart, int loanNumber) {
-        for (SubLease l : loans) {
-            if (l.to == to && l.itsStart == itsStart && l.number == loanNumber && now < l.endsAt) {
-                return l;
-            }
+    /** Units of a limit that are sub-leased, or may still be in use for a sub-lease that has expired. */
+    int outstandingUnits(long now, int limit) {
+        int units = 0;
+        for (SubLease subLease : subLeases) {
+            units += subLease.isOutstanding(now) ? subLease.units(limit) : 0;
         }
-        return null;
+        return units;
     }
 
-    /** It lasts from now again, with fewer parts perhaps; those it loses stay out until their old end. */
-    void extend(long now, SubLease l, int[] keeps) {
-        int[] loses = new int[keeps.length];
-        boolean any = false;
-        for (int b = 0; b < keeps.length; b++) {
-            loses[b] = l.parts[b] - keeps[b];
-            any |= loses[b] > 0;
-            l.parts[b] = keeps[b];
-        }
-        if (any) {
-            loans.add(new SubLease(l.to, l.itsStart, 0, loses, l.endsAt));
-        }
-        l.endsAt = now + rest();
+    /** Sub-leases units that are free; {@code units} is by limit. */
+    void grantSubLease(long now, Peer borrower, int subLeaseNumber, int[] units) {
+        subLeases.removeIf(subLease -> !subLease.isOutstanding(now));
+        subLeases.add(new SubLease(borrower, subLeaseNumber, units, now + quarantine()));
     }
 
-    /** The borrower says that it spends no more than this of a loan, and that nothing above it is in use. */
-    void back(SubLease l, int budget, int keeps) {
-        l.parts[budget] = Math.min(l.parts[budget], keeps);
+    /** The borrower's sub-lease of that number, if it is outstanding. */
+    Optional<SubLease> findSubLease(long now, Peer borrower, int subLeaseNumber) {
+        return subLeases.stream()
+                .filter(subLease -> subLease.is(borrower, subLeaseNumber) && subLease.isOutstanding(now))
+                .findFirst();
     }
 
-    /** All that tells two states apart, for an explorer. */
-    String told(long now) {
-        StringBuilder b = new StringBuilder(
-                "e" + number + " " + Math.max(0, promisedUntil == Long.MAX_VALUE ? -1 : promisedUntil - now) + " "
-                        + Math.max(0, servesFrom - now) + " " + round + " " + promises + " "
-                        + Math.max(0, roundAt + leaseDurations.partitionLease() - now));
-        for (SubLease l : loans) {
-            if (now < l.endsAt) {
-                b.append(" l")
-                        .append(l.to)
-                        .append('.')
-                        .append(l.itsStart)
-                        .append('.')
-                        .append(l.number)
-                        .append(java.util.Arrays.toString(l.parts))
-                        .append(l.endsAt - now);
-            }
-        }
-        return b.toString();
+    /** Renews a sub-lease from now on, with fewer units perhaps; {@code keptUnits} is by limit. */
+    void renewSubLease(long now, SubLease subLease, int[] keptUnits) {
+        subLease.renew(keptUnits, now + quarantine()).ifPresent(subLeases::add);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
@@ -1,93 +1,128 @@
 package ploverdale.quota;
 
 import java.nio.ByteBuffer;
-import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
 import ploverdale.membership.Packet.Part;
+import ploverdale.quota.QuotaMessage.LeaseGrant;
+import ploverdale.quota.QuotaMessage.LeaseRequest;
+import ploverdale.quota.QuotaMessage.UnitGrant;
+import ploverdale.quota.QuotaMessage.UnitRequest;
+import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Encoding of the messages by which gateways lease partitions and lend units. Numbers are big-endian; a list of units
- * is pairs of a budget's index and a count, 16 bits each. Stateless.
+ * Encodes and decodes {@link QuotaMessage}s as parts of a packet. Numbers are big-endian. Messages about units end with a
+ * list of pairs: index of a limit, count of units, 16 bits each. What is longer than expected is read, so that later versions
+ * can append fields. Stateless.
  */
 final class QuotaMessageCodec {
-    /** Asks an acceptor for the lease of a partition: partition, round. */
-    static final int LEASE_REQUEST = 16;
-    /** An acceptor promises it: partition, round, start of the one who asked. */
-    static final int LEASE_PROMISE = 17;
-    /** Asks a lease holder for units: request, loan to extend or 0, units. */
-    static final int UNIT_REQUEST = 18;
-    /** A lease holder lends units: start of the borrower, request, loan, units. */
-    static final int UNIT_GRANT = 19;
-    /** A borrower returns units: loan, units that it keeps. */
-    static final int UNIT_RETURN = 20;
-
-    static final int LEASE_REQUEST_BYTES = 6;
-    static final int LEASE_PROMISE_BYTES = 14;
-    static final int UNIT_REQUEST_HEAD_BYTES = 8;
-    static final int UNIT_GRANT_HEAD_BYTES = 16;
-    static final int UNIT_RETURN_HEAD_BYTES = 4;
-
-    /** In a list of units: the message does not name that budget. */
-    static final int NOT_LISTED = -1;
-
-    private static final int MAX_ENTRIES = 40; // budgets in a list of units; others are left out
-    private static final int ENTRY_BYTES = 4;
+    /** Number of a message kind in a packet, and the bytes that it has at least. */
+    private enum Kind {
+        /** partition (2), round (4) */
+        LEASE_REQUEST(16, 6),
+        /** partition (2), round (4), epoch of the holder (8) */
+        LEASE_GRANT(17, 14),
+        /** request (4), sub-lease or 0 (4), units */
+        UNIT_REQUEST(18, 8),
+        /** epoch of the borrower (8), request (4), sub-lease (4), units */
+        UNIT_GRANT(19, 16),
+        /** sub-lease (4), units that are kept */
+        UNIT_RETURN(20, 4);
+
+        private final int number;
+        private final int minBytes;
+
+        Kind(int number, int minBytes) {
+            this.number = number;
+            this.minBytes = minBytes;
+        }
+
+        private static Optional<Kind> of(Part part) {
+            for (Kind kind : values()) {
+                if (kind.number == part.kind() && part.content().length >= kind.minBytes) {
+                    return Optional.of(kind);
+                }
+            }
+            return Optional.empty();
+        }
+    }
+
+    private static final int MAX_LISTED_LIMITS = 40; // so that a message fits into a packet; others are left out
+    private static final int LISTED_LIMIT_BYTES = 4;
 
     private QuotaMessageCodec() {}
 
-    static Part leaseRequest(int partition, int round) {
-        ByteBuffer content = ByteBuffer.allocate(LEASE_REQUEST_BYTES);
-        content.putShort((short) partition).putInt(round);
-        return new Part(LEASE_REQUEST, content.array());
+    static Part encode(LeaseRequest message) {
+        ByteBuffer content = ByteBuffer.allocate(Kind.LEASE_REQUEST.minBytes);
+        content.putShort((short) message.partition()).putInt(message.round());
+        return new Part(Kind.LEASE_REQUEST.number, content.array());
     }
 
-    static Part leasePromise(int partition, int round, long askersStart) {
-        ByteBuffer content = ByteBuffer.allocate(LEASE_PROMISE_BYTES);
-        content.putShort((short) partition).putInt(round).putLong(askersStart);
-        return new Part(LEASE_PROMISE, content.array());
+    static Part encode(LeaseGrant message) {
+        ByteBuffer content = ByteBuffer.allocate(Kind.LEASE_GRANT.minBytes);
+        content.putShort((short) message.partition()).putInt(message.round()).putLong(message.holderEpoch());
+        return new Part(Kind.LEASE_GRANT.number, content.array());
     }
 
-    /** @param extendedLoan the lender's number of the loan to extend; 0 for a new one */
-    static Part unitRequest(int request, int extendedLoan, int[] units) {
-        return withUnits(UNIT_REQUEST, new int[] {request, extendedLoan}, units, 1);
+    static Part encode(UnitRequest message) {
+        ByteBuffer content = allocate(Kind.UNIT_REQUEST, message.units());
+        content.putInt(message.request()).putInt(message.subLease());
+        return withUnits(Kind.UNIT_REQUEST, content, message.units());
     }
 
-    static Part unitGrant(long borrowersStart, int request, int loan, int[] units) {
-        int[] head = {(int) (borrowersStart >>> 32), (int) borrowersStart, request, loan};
-        return withUnits(UNIT_GRANT, head, units, 1);
+    static Part encode(UnitGrant message) {
+        ByteBuffer content = allocate(Kind.UNIT_GRANT, message.units());
+        content.putLong(message.borrowerEpoch()).putInt(message.request()).putInt(message.subLease());
+        return withUnits(Kind.UNIT_GRANT, content, message.units());
     }
 
-    static Part unitReturn(int loan, int[] keptUnits) {
-        return withUnits(UNIT_RETURN, new int[] {loan}, keptUnits, 0);
+    static Part encode(UnitReturn message) {
+        ByteBuffer content = allocate(Kind.UNIT_RETURN, message.keptUnits());
+        content.putInt(message.subLease());
+        return withUnits(Kind.UNIT_RETURN, content, message.keptUnits());
     }
 
-    /** @param least counts below it are left out of the list */
-    private static Part withUnits(int kind, int[] head, int[] units, int least) {
-        int listed = (int) Arrays.stream(units).filter(count -> count >= least).count();
-        int left = Math.min(listed, MAX_ENTRIES);
-        ByteBuffer content = ByteBuffer.allocate(Integer.BYTES * head.length + ENTRY_BYTES * left);
-        for (int number : head) {
-            content.putInt(number);
-        }
-        for (int budget = 0; budget < units.length && left > 0; budget++) {
-            if (units[budget] >= least) {
-                content.putShort((short) budget).putShort((short) units[budget]);
-                left--;
-            }
-        }
-        return new Part(kind, content.array());
+    private static ByteBuffer allocate(Kind kind, UnitCounts units) {
+        int listed = Math.min(units.byLimit().size(), MAX_LISTED_LIMITS);
+        return ByteBuffer.allocate(kind.minBytes + LISTED_LIMIT_BYTES * listed);
     }
 
-    /** The rest of a message as units by budget, {@link #NOT_LISTED} for those that it does not name. */
-    static int[] readUnits(ByteBuffer content, int budgets) {
-        int[] units = new int[budgets];
-        Arrays.fill(units, NOT_LISTED);
-        while (content.remaining() >= ENTRY_BYTES) {
-            int budget = content.getShort() & 0xFFFF;
-            int count = content.getShort() & 0xFFFF;
-            if (budget < budgets) {
-                units[budget] = count;
-            }
+    private static Part withUnits(Kind kind, ByteBuffer content, UnitCounts units) {
+        units.byLimit().entrySet().stream()
+                .limit(MAX_LISTED_LIMITS)
+                .forEach(entry -> content.putShort(entry.getKey().shortValue())
+                        .putShort(entry.getValue().shortValue()));
+        return new Part(kind.number, content.array());
+    }
+
+    /** The message of a part; empty where the part is of another kind or too short. */
+    static Optional<QuotaMessage> decode(Part part) {
+        ByteBuffer content = ByteBuffer.wrap(part.content());
+        return Kind.of(part).map(kind -> decode(kind, content));
+    }
+
+    private static QuotaMessage decode(Kind kind, ByteBuffer content) {
+        return switch (kind) {
+            case LEASE_REQUEST -> new LeaseRequest(readUnsignedShort(content), content.getInt());
+            case LEASE_GRANT -> new LeaseGrant(readUnsignedShort(content), content.getInt(), content.getLong());
+            case UNIT_REQUEST -> new UnitRequest(content.getInt(), content.getInt(), readUnits(content));
+            case UNIT_GRANT -> new UnitGrant(content.getLong(), content.getInt(), content.getInt(), readUnits(content));
+            case UNIT_RETURN -> new UnitReturn(content.getInt(), readUnits(content));
+        };
+    }
+
+    private static int readUnsignedShort(ByteBuffer content) {
+        return Short.toUnsignedInt(content.getShort());
+    }
+
+    private static UnitCounts readUnits(ByteBuffer content) {
+        Map<Integer, Integer> byLimit = new HashMap<>();
+        while (content.remaining() >= LISTED_LIMIT_BYTES) {
+            int limit = readUnsignedShort(content);
+            int count = readUnsignedShort(content);
+            byLimit.put(limit, count);
         }
-        return units;
+        return UnitCounts.of(byLimit);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -2,263 +2,181 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
-import ploverdale.gossip.Datagram;
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketQueue;
+import ploverdale.membership.PacketQueue.OutboundPacket;
 import ploverdale.model.Event.Started;
 import ploverdale.model.Quota;
-import ploverdale.model.ServerId;
-import ploverdale.model.TenantId;
 import ploverdale.replication.Replicas;
 
 /**
- * All that one gateway has of its fleet: who is there, the budgets, the letters between them, and what of the budgets the
- * module may spend. The same on sockets and on the simulator's wire; whoever owns it looks round in time and carries the
- * letters. Times in tenths of a millisecond, of a clock that never steps.
+ * What one gateway runs to coordinate with the others: membership, the quota protocol, and replication where it is switched
+ * on, all over the same packets. It does no I/O: its owner calls {@link #onTick} every {@link #TICK_INTERVAL}, hands in the
+ * datagrams that it receives, and sends the packets that the methods return.
+ *
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of the event loop.
  */
-public final class QuotaNode implements Quota {
-    /** How often {@link #onTick} is to be asked, in tenths of a millisecond; short beside any lease. */
+public final class QuotaNode {
+    /** How often {@link #onTick} is to be called, in tenths of a millisecond; short beside the term of any lease. */
     public static final long TICK_INTERVAL = 200;
 
-    private final QuotaSettings quotaSettings;
+    private static final long RANDOM_STREAM = 0x5DEECE66DL; // keeps the draws apart from the router's of the same seed
+
     private final LongSupplier clock;
-    private final int tenants;
-    private final QuotaAllocation division;
+    private final QuotaAllocation allocation;
     private final Membership membership;
-    private final QuotaProtocol budgets;
-    private final PacketQueue packing;
-    private final Replicas replicas; // null where nothing is kept
-    private final int id; // by which parcels of gateways that divide or keep otherwise are told apart
-    private final StaticQuota staticQuota; // what is no budget of the fleet
-    private final List<String> lines = new ArrayList<>();
+    private final QuotaProtocol protocol;
+    private final PacketQueue queue;
+    private final Quota quota;
+    private final Optional<Replicas> replicas;
+    private final int id; // gateways with another allocation or replication factor are told apart by it
+    private final List<String> logLines = new ArrayList<>();
 
     /**
-     * @param startedMs Unix ms, by which later starts of a name are told from earlier ones
-     * @param wall Unix time, in tenths of a millisecond
+     * @param startedMs Unix time in ms, by which later starts of a gateway are told from earlier ones
+     * @param clock monotonic, in tenths of a millisecond
+     * @param wallClock Unix time, in tenths of a millisecond
      */
-    public QuotaNode(QuotaSettings quotaSettings, Started told, long startedMs, LongSupplier clock, LongSupplier wall) {
-        this.quotaSettings = quotaSettings;
+    public QuotaNode(
+            QuotaSettings settings, Started configuration, long startedMs, LongSupplier clock, LongSupplier wallClock) {
         this.clock = clock;
-        tenants = quotaSettings.tenantBudgets(told);
-        division = quotaSettings.allocation(told);
-        SplittableRandom random = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
+        allocation = settings.allocation(configuration);
+        int self = configuration.me();
+        int gateways = configuration.gateways();
+        SplittableRandom random = new SplittableRandom(configuration.seed() ^ RANDOM_STREAM);
         long now = clock.getAsLong();
-        membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
-        budgets = new QuotaProtocol(
-                told.me(),
-                Membership.start(membership.incarnation()),
-                division,
-                quotaSettings.leaseDurations(),
-                random.split(),
-                now);
-        packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
-        staticQuota = new StaticQuota(told.tenants(), told.gateways());
-        replicas = quotaSettings.replication() == null
-                ? null
-                : new Replicas(
-                        told.me(),
-                        told.gateways(),
-                        Membership.start(membership.incarnation()),
-                        quotaSettings.replication(),
-                        random.split(),
-                        wall);
-        id = division.id() + (replicas == null ? 0 : quotaSettings.replication().copies());
-        if (divides()) {
-            lines.add("budgets: " + division.limits().size() + " divided among " + told.gateways()
-                    + " gateways, division " + Integer.toHexString(id)
-                    + ", on its floor until others have promised more");
+        membership = new Membership(self, gateways, startedMs, random.split());
+        protocol = new QuotaProtocol(self, epoch(), allocation, settings.leaseDurations(), random.split(), now);
+        queue = new PacketQueue(settings.bytesPerSecond(), now);
+        quota = new SharedQuota(
+                new SharedLimitTable(settings.limits(), configuration),
+                protocol,
+                new StaticQuota(configuration.tenants(), gateways),
+                clock);
+        replicas = Optional.ofNullable(settings.replication())
+                .map(replication -> new Replicas(self, gateways, epoch(), replication, random.split(), wallClock));
+        id = allocation.id()
+                + (settings.replication() == null ? 0 : settings.replication().copies());
+        if (sharesLimits()) {
+            logLines.add(QuotaLogLines.started(allocation, id));
         }
     }
 
-    private boolean divides() {
-        return !division.limits().isEmpty();
+    private boolean sharesLimits() {
+        return !allocation.limits().isEmpty();
+    }
+
+    private long epoch() {
+        return Membership.start(membership.incarnation());
     }
 
-    /** What is kept for the fleet, or null. */
+    /** The quota that the router acquires units of. */
+    public Quota quota() {
+        return quota;
+    }
+
+    /** The replicas of this gateway; null where replication is off. */
     public Replicas replicas() {
-        return replicas;
+        return replicas.orElse(null);
     }
 
-    /** Looks round: what is to be told by now. */
-    public List<PacketQueue.OutboundPacket> onTick() {
+    /** Does the periodic work; returns the packets to send. */
+    public List<OutboundPacket> onTick() {
         long now = clock.getAsLong();
-        membership.due(now, packing);
-        for (Membership.Change c : membership.changes()) {
-            lines.add("fleet: n" + c.member() + " " + c.is().name().toLowerCase(Locale.ROOT) + ", "
-                    + membership.present() + " of " + membership.size() + " present");
-        }
-        budgets.setEpoch(Membership.start(membership.incarnation()));
-        budgets.onTick(now, membership::isPresent, packing);
-        String line = budgets.line();
-        if (line != null && divides()) {
-            lines.add(line);
+        membership.due(now, queue);
+        for (Membership.Change change : membership.changes()) {
+            logLines.add(QuotaLogLines.memberChanged(change, membership));
         }
-        if (replicas != null) {
-            replicas.speaksAs(Membership.start(membership.incarnation()));
-            replicas.due(now, membership::isPresent, packing);
-        }
-        return letters(now);
+        protocol.setEpoch(epoch());
+        protocol.onTick(now, membership::isPresent, queue);
+        protocol.pollModeChange()
+                .filter(change -> sharesLimits())
+                .map(change ->
+                        QuotaLogLines.modeChanged(change, allocation.limits().size()))
+                .ifPresent(logLines::add);
+        replicas.ifPresent(present -> {
+            present.speaksAs(epoch());
+            present.due(now, membership::isPresent, queue);
+        });
+        return drainPackets(now);
     }
 
-    private List<PacketQueue.OutboundPacket> letters(long now) {
-        if (replicas != null) {
-            lines.addAll(replicas.lines());
-        }
-        return packing.letters(now, membership.incarnation(), id);
+    private List<OutboundPacket> drainPackets(long now) {
+        replicas.ifPresent(present -> logLines.addAll(present.lines()));
+        return queue.letters(now, membership.incarnation(), id);
     }
 
-    /** Has something asked or told by what is kept; tells what is to be sent for it. */
-    public List<PacketQueue.OutboundPacket> runAndDrain(ObjLongConsumer<PacketQueue> what) {
+    /**
+     * Runs an action of the replicas; returns the packets to send for it.
+     *
+     * @param action is handed the queue for its messages, and the time
+     */
+    public List<OutboundPacket> runAndDrain(ObjLongConsumer<PacketQueue> action) {
         long now = clock.getAsLong();
-        what.accept(packing, now);
-        return letters(now);
+        action.accept(queue, now);
+        return drainPackets(now);
     }
 
-    /** Reads a datagram and tells what is to be answered; null where it is none of the fleet's. */
-    public List<PacketQueue.OutboundPacket> onDatagram(int from, byte[] bytes) {
+    /**
+     * Handles a datagram of another gateway.
+     *
+     * @return the packets to answer with; empty where the datagram is not of this protocol and has not been handled
+     */
+    public Optional<List<OutboundPacket>> onDatagram(int sender, byte[] bytes) {
         if (!Packet.isOne(bytes)) {
-            return null;
+            return Optional.empty();
         }
-        Packet p = Packet.read(bytes);
-        long now = clock.getAsLong();
-        if (p == null) {
-            lines.add("parcels of the fleet not read: of n" + from + ", " + bytes.length + " bytes");
-            return List.of();
+        Packet packet = Packet.read(bytes);
+        if (packet == null) {
+            logLines.add(QuotaLogLines.unreadablePacket(sender, bytes.length));
+            return Optional.of(List.of());
         }
-        if (!membership.hears(now, from, p.incarnation())) {
-            membership.corrects(from, packing);
-            return letters(now);
+        long now = clock.getAsLong();
+        if (membership.hears(now, sender, packet.incarnation())) {
+            onPacket(now, sender, packet);
+        } else {
+            membership.corrects(sender, queue);
         }
-        boolean same = p.division() == id;
-        for (Packet.Part part : p.parts()) {
-            membership.part(now, from, part, packing);
-            if (same) {
-                budgets.onMessage(now, from, Membership.start(p.incarnation()), part, packing);
-                if (replicas != null) {
-                    replicas.part(now, from, Membership.start(p.incarnation()), part, packing);
-                }
+        return Optional.of(drainPackets(now));
+    }
+
+    /** Membership is common to all gateways; quota and replication only to those with the same settings. */
+    private void onPacket(long now, int sender, Packet packet) {
+        boolean sameId = packet.division() == id;
+        long senderEpoch = Membership.start(packet.incarnation());
+        for (Packet.Part part : packet.parts()) {
+            membership.part(now, sender, part, queue);
+            if (sameId) {
+                protocol.onMessage(now, sender, senderEpoch, part, queue);
+                replicas.ifPresent(present -> present.part(now, sender, senderEpoch, part, queue));
             }
         }
-        if (!same) {
-            lines.add("another division: n" + from + " goes by " + Integer.toHexString(p.division()));
+        if (!sameId) {
+            logLines.add(QuotaLogLines.otherAllocation(sender, packet.division()));
         }
-        return letters(now);
     }
 
-    /** What is to be logged since the last call; each begins with its kind and a colon. */
+    /** What is to be logged since the last call; each line begins with its kind and a colon. */
     public List<String> drainLogLines() {
-        List<String> all = List.copyOf(lines);
-        lines.clear();
-        return all;
+        List<String> drained = List.copyOf(logLines);
+        logLines.clear();
+        return drained;
     }
 
-    /** This gateway leaves. */
+    /** Announces that this gateway shuts down. */
     public void leave() {
         membership.leaves(clock.getAsLong());
     }
 
-    /** A line of all figures. */
+    /** A log line of the current statistics. */
     public String statisticsLine() {
-        int[] sums = new int[5];
-        long refused = 0;
-        for (QuotaProtocol.Figures f : budgets.figures(clock.getAsLong())) {
-            sums[0] += f.held();
-            sums[1] += f.borrowed();
-            sums[2] += f.lent();
-            sums[3] += f.wanted();
-            sums[4] += f.inUse();
-            refused += f.refused();
-        }
-        return "budgets: holds " + sums[0] + " parts, " + sums[1] + " borrowed, " + sums[2] + " lent, " + sums[3]
-                + " asked for, " + sums[4] + " in use, " + refused + " refused since the start, " + packing.spent()
-                + " bytes sent, " + packing.dropped() + " parcels dropped, " + membership.present() + " of "
-                + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.figures());
-    }
-
-    // -- What the module may spend
-
-    private int sends(ServerId server) {
-        return quotaSettings.sends(tenants, Datagram.number(server));
-    }
-
-    private int cold(ServerId server, boolean cold) {
-        return cold ? quotaSettings.cold(tenants, Datagram.number(server)) : -1;
-    }
-
-    private boolean spends(int budget) {
-        return budget < 0 || budgets.tryAcquire(clock.getAsLong(), budget);
-    }
-
-    @Override
-    public boolean tryAcquireRequest(long now, TenantId tenant) {
-        boolean its = staticQuota.tryAcquireRequest(now, tenant);
-        return tenants == 0 ? its : tenant.index() >= tenants || spends(tenant.index());
-    }
-
-    @Override
-    public boolean limitsAttempts() {
-        return quotaSettings.sendsAtServer() > 0;
-    }
-
-    @Override
-    public boolean hasAttempt(ServerId server, boolean cold) {
-        long now = clock.getAsLong();
-        int at = sends(server);
-        int whileCold = cold(server, cold);
-        return (at < 0 || budgets.canUse(now, at)) && (whileCold < 0 || budgets.canUse(now, whileCold));
-    }
-
-    @Override
-    public boolean tryAcquireAttempt(ServerId server, boolean cold) {
-        if (!spends(sends(server))) {
-            return false;
-        }
-        boolean may = spends(cold(server, cold));
-        if (!may) {
-            ended(sends(server)); // nothing goes out after all
-        }
-        return may;
-    }
-
-    @Override
-    public void releaseAttempt(ServerId server, boolean cold) {
-        ended(sends(server));
-        ended(cold(server, cold));
-    }
-
-    private void ended(int budget) {
-        if (budget >= 0) {
-            budgets.release(budget);
-        }
-    }
-
-    /** Where the fleet pays for further sends, units that others have reserved here are not counted. */
-    @Override
-    public boolean hasRetry(int reserved) {
-        return quotaSettings.secondSends() == 0
-                ? staticQuota.hasRetry(reserved)
-                : budgets.canUse(clock.getAsLong(), quotaSettings.again(tenants));
-    }
-
-    @Override
-    public boolean tryAcquireRetry() {
-        return quotaSettings.secondSends() == 0 ? staticQuota.tryAcquireRetry() : spends(quotaSettings.again(tenants));
-    }
-
-    @Override
-    public boolean tryAcquireHealthCheck(HealthCheckReason why) {
-        return quotaSettings.probes() == 0
-                ? staticQuota.tryAcquireHealthCheck(why)
-                : spends(quotaSettings.probing(tenants));
-    }
-
-    @Override
-    public long retryAfter(long now, TenantId tenant) {
-        return tenant.index() >= tenants ? 0 : budgets.retryAfter(clock.getAsLong(), tenant.index());
+        List<LimitStatistics> limits = protocol.statistics(clock.getAsLong());
+        String ofReplicas = replicas.map(present -> "; " + present.figures()).orElse("");
+        return QuotaLogLines.statistics(limits, queue, membership) + ofReplicas;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -1,295 +1,246 @@
 package ploverdale.quota;
 
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
 import ploverdale.membership.Packet.Part;
 import ploverdale.membership.PacketQueue;
 
 /**
- * The fleet's quota as one gateway has it. Of each budget it owns guaranteed units outright. The rest of its
- * entitlement is its lease partition, which it holds while a majority of the partition's acceptors promises so
- * ({@link LeaseHolder}); when it is gone, another takes the partition over, once all that may have been lent or used
- * of it has ended. Who needs more than it holds borrows of lease holders ({@link UnitBorrower}, {@link UnitLender}).
- * Messages may be lost, doubled, late or reordered.
+ * The distributed quota protocol at one gateway: leases (Gray and Cheriton, 1989) over units of rate and concurrency limits.
+ * Of each limit a gateway owns guaranteed units outright. The rest of its entitlement is its lease partition, which it holds
+ * while a majority of the partition's acceptors grants so ({@link LeaseHolder}, {@link LeaseAcceptor}); while it is absent,
+ * another gateway takes the partition over, once all that may have been sub-leased or used of it has ended. A gateway that
+ * needs more than it holds borrows units of lease holders ({@link UnitBorrower}, {@link UnitLender}).
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe: one thread, that of the event loop,
- * calls it.
+ * <p>Invariant: the units that all gateways may use never exceed the capacity, whatever happens to messages and processes, as
+ * long as clocks drift no more than {@link LeaseDurations#clockDrift}.
+ *
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe: one thread, that of the event loop, calls it.
  */
 public final class QuotaProtocol {
-    /** Whether this gateway may use no more than its guaranteed units, or its own lease partition too. */
+    /**
+     * Which part of its entitlement this gateway may use.
+     *
+     * <table>
+     * <caption>Transitions</caption>
+     * <tr><th>from</th><th>on</th><th>to</th></tr>
+     * <tr><td>GUARANTEED_ONLY</td><td>its own lease partition is {@link LeasePartition.State#SERVING}</td>
+     *     <td>FULL_ENTITLEMENT</td></tr>
+     * <tr><td>FULL_ENTITLEMENT</td><td>the lease of its own partition has expired</td><td>GUARANTEED_ONLY</td></tr>
+     * </table>
+     */
     public enum Mode {
+        /** Only its guaranteed units, and those that it borrows. */
         GUARANTEED_ONLY,
+        /** Its own lease partition, too. */
         FULL_ENTITLEMENT
     }
 
-    /** Figures of one budget here, for a line of the log. */
-    public record Figures(
-            String name,
-            int held,
-            int floor,
-            int lent,
-            int borrowed,
-            int inUse,
-            int wanted,
-            long spent,
-            long refused) {}
-
-    public static final int STEWARDS = QuotaMessageCodec.LEASE_REQUEST;
-    public static final int PROMISES = QuotaMessageCodec.LEASE_PROMISE;
-    public static final int WANTS = QuotaMessageCodec.UNIT_REQUEST;
-    public static final int LENDS = QuotaMessageCodec.UNIT_GRANT;
-    public static final int BACK = QuotaMessageCodec.UNIT_RETURN;
-
-    private static final String GUARANTEED = "floor";
+    /**
+     * The mode has changed.
+     *
+     * @param takenOverPartitions of other gateways that this one holds or asks for
+     */
+    public record ModeChange(Mode mode, int takenOverPartitions) {}
 
-    private final int me;
-    private final QuotaAllocation division;
-    private final LeaseDurations leaseDurations;
-    private final int budgets;
-    private final long longestUse;
-    private final HeldUnits[] held;
+    private final int self;
+    private final QuotaAllocation allocation;
+    private final UnitLedger ledger;
     private final LeaseAcceptor acceptor;
     private final LeaseHolder leaseHolder;
     private final UnitLender lender;
     private final UnitBorrower borrower;
-    private final long startedAt;
-    private long start;
-    private int lastNumber;
+    private final QuotaMessageHandler messageHandler = new MessageHandler();
+    private final long earlierUseEndsAt; // when all that an earlier process of this gateway acquired is out of use
+    private long epoch;
+    private int lastRequestNumber;
     private Mode mode = Mode.GUARANTEED_ONLY;
-    private String line;
+    private Optional<ModeChange> modeChange = Optional.empty();
 
     /**
-     * @param me this gateway's number
-     * @param start which start of its name this is, by which acceptors and lenders tell it from earlier ones
+     * @param self number of this gateway
+     * @param epoch which start of this gateway it is, by which acceptors and lenders tell it from earlier ones
      * @param random chooses lenders
      */
     public QuotaProtocol(
-            int me,
-            long start,
-            QuotaAllocation division,
-            LeaseDurations leaseDurations,
+            int self,
+            long epoch,
+            QuotaAllocation allocation,
+            LeaseDurations durations,
             RandomGenerator random,
             long now) {
-        this.me = me;
-        this.start = start;
-        this.division = division;
-        this.leaseDurations = leaseDurations;
-        budgets = division.limits().size();
-        longestUse = longestUse(division);
-        startedAt = now;
-        held = new HeldUnits[budgets];
-        for (int budget = 0; budget < budgets; budget++) {
-            held[budget] = new HeldUnits(division.limits().get(budget), now);
-        }
-        acceptor = new LeaseAcceptor(division.gateways(), leaseDurations, now);
-        leaseHolder = new LeaseHolder(me, division, leaseDurations, longestUse, held, acceptor, this::nextNumber, now);
-        UnitLedger demand = new UnitLedger(held);
-        lender = new UnitLender(division, leaseHolder, demand);
-        borrower = new UnitBorrower(me, division, leaseDurations, random, held, demand, this::nextNumber);
+        this.self = self;
+        this.epoch = epoch;
+        this.allocation = allocation;
+        earlierUseEndsAt = now + durations.grantorTerm(allocation.longestUse());
+        ledger = new UnitLedger(allocation.limits(), now);
+        acceptor = new LeaseAcceptor(allocation.gateways(), durations, now);
+        leaseHolder = new LeaseHolder(self, allocation, durations, ledger, acceptor, this::nextRequestNumber, now);
+        lender = new UnitLender(leaseHolder, ledger);
+        borrower = new UnitBorrower(self, allocation, durations, random, ledger, this::nextRequestNumber);
         holdGuaranteedUnits(now, SharedLimit.Kind.RATE);
     }
 
-    private static long longestUse(QuotaAllocation division) {
-        return division.limits().stream()
-                .filter(budget -> budget.kind() == SharedLimit.Kind.CONCURRENCY)
-                .mapToLong(SharedLimit::maxHoldTime)
-                .max()
-                .orElse(0);
-    }
-
-    private int nextNumber() {
-        return ++lastNumber;
+    private int nextRequestNumber() {
+        return ++lastRequestNumber;
     }
 
     private void holdGuaranteedUnits(long now, SharedLimit.Kind kind) {
-        for (int budget = 0; budget < budgets; budget++) {
-            if (division.limits().get(budget).kind() == kind) {
-                held[budget].holds(now, GUARANTEED, division.guaranteedUnits(me, budget), Long.MAX_VALUE);
+        for (int limit = 0; limit < ledger.size(); limit++) {
+            if (allocation.limits().get(limit).kind() == kind) {
+                int units = allocation.guaranteedUnits(self, limit);
+                ledger.of(limit).set(now, UnitSource.Guaranteed.INSTANCE, units, Long.MAX_VALUE);
             }
         }
     }
 
-    public QuotaAllocation division() {
-        return division;
+    /**
+     * Brings the held units up to date. Guaranteed units of concurrency are held only once all that an earlier process of
+     * this gateway has acquired is out of use. Borrowed units expire by themselves.
+     */
+    private void updateLedger(long now) {
+        if (now >= earlierUseEndsAt) {
+            holdGuaranteedUnits(now, SharedLimit.Kind.CONCURRENCY);
+        }
+        leaseHolder.updateLedger(now);
     }
 
-    /** Takes a unit of a budget; false where none is free now. For one in use, {@link #release} follows. */
-    public boolean tryAcquire(long now, int budget) {
-        updateHeldUnits(now);
-        return held[budget].spend(now);
+    /**
+     * Acquires a unit of a limit; false where none is free now.
+     *
+     * @param limit its index; a unit of concurrency has to be given back by {@link #release}
+     */
+    public boolean tryAcquire(long now, int limit) {
+        updateLedger(now);
+        return ledger.of(limit).tryAcquire(now);
     }
 
-    /** Whether a unit in use could be taken now; counts as demand where it could not. */
-    public boolean canUse(long now, int budget) {
-        updateHeldUnits(now);
-        return held[budget].has(now);
+    /** Whether a unit of concurrency could be acquired now; counts as demand where it could not. */
+    public boolean canUse(long now, int limit) {
+        updateLedger(now);
+        return ledger.of(limit).canUse(now);
     }
 
-    /** A unit in use is released. */
-    public void release(int budget) {
-        held[budget].ended();
+    /** Releases a unit of concurrency. */
+    public void release(int limit) {
+        ledger.of(limit).release();
     }
 
     /** After how long a rejected client should retry. */
-    public long retryAfter(long now, int budget) {
-        return held[budget].retryAfter(now);
-    }
-
-    /** Units that this gateway holds now, those in use included. */
-    public int heldUnits(long now, int budget) {
-        updateHeldUnits(now);
-        return held[budget].parts(now);
+    public long retryAfter(long now, int limit) {
+        return ledger.of(limit).retryAfter(now);
     }
 
-    /**
-     * Brings the held units up to date. Guaranteed units in use are held only once all that an earlier start under
-     * the same name has taken has ended. Loans end by themselves.
-     */
-    private void updateHeldUnits(long now) {
-        if (now - startedAt >= leaseDurations.grantorTerm(longestUse)) {
-            holdGuaranteedUnits(now, SharedLimit.Kind.CONCURRENCY);
-        }
-        leaseHolder.updateHeldUnits(now);
+    /** Units that this gateway may use now, those in use included. */
+    public int heldUnits(long now, int limit) {
+        updateLedger(now);
+        return ledger.of(limit).units(now);
     }
 
     /**
-     * Does the periodic work.
+     * Does the periodic work: leases, sub-leases and the mode.
      *
-     * @param present whether a gateway is alive as far as this one knows
+     * @param alive whether a gateway is alive as far as this one knows; a hint that safety does not depend on
+     * @param out takes the messages
      */
-    public void onTick(long now, IntPredicate present, PacketQueue out) {
-        updateHeldUnits(now);
-        leaseHolder.onTick(now, start, present, out);
-        borrower.onTick(now, present, out);
+    public void onTick(long now, IntPredicate alive, PacketQueue out) {
+        updateLedger(now);
+        leaseHolder.onTick(now, epoch, alive, out);
+        borrower.onTick(now, alive, out);
         updateMode(now);
     }
 
     private void updateMode(long now) {
-        Mode current = leaseHolder.servesOwnPartition(now) ? Mode.FULL_ENTITLEMENT : Mode.GUARANTEED_ONLY;
+        Mode current = leaseHolder.isServingOwnPartition(now) ? Mode.FULL_ENTITLEMENT : Mode.GUARANTEED_ONLY;
         if (current != mode) {
             mode = current;
-            int others = leaseHolder.takenOver();
-            line = "budgets: "
-                    + (current == Mode.FULL_ENTITLEMENT ? "has its whole share of " : "falls to its floor of ")
-                    + budgets + " budgets" + (others > 0 ? ", and stands in for " + others : "");
+            modeChange = Optional.of(new ModeChange(current, leaseHolder.takenOverPartitions()));
         }
     }
 
-    /** A line for the log, once, or null. */
-    public String line() {
-        String last = line;
-        line = null;
-        return last;
-    }
-
-    public Mode mode() {
-        return mode;
+    /** The latest change of the mode since the last call. */
+    public Optional<ModeChange> pollModeChange() {
+        Optional<ModeChange> latest = modeChange;
+        modeChange = Optional.empty();
+        return latest;
     }
 
-    /** Which start of its name this gateway speaks as from now on, see {@code Membership.start}. */
-    public void setEpoch(long start) {
-        this.start = start;
+    /** Sets the epoch of this gateway; it changes where an earlier process is found to have used a later one. */
+    public void setEpoch(long epoch) {
+        this.epoch = epoch;
     }
 
-    /** Handles a message of another gateway of the same division; ignores kinds that are not of this class. */
-    public void onMessage(long now, int from, long itsStart, Part part, PacketQueue out) {
-        updateHeldUnits(now);
-        ByteBuffer content = ByteBuffer.wrap(part.content());
-        switch (part.kind()) {
-            case STEWARDS -> onLeaseRequest(now, from, itsStart, content, out);
-            case PROMISES -> onLeasePromise(now, from, content);
-            case WANTS -> onUnitRequest(now, from, itsStart, content, out);
-            case LENDS -> onUnitGrant(now, from, content);
-            case BACK -> onUnitReturn(now, from, itsStart, content);
-            default -> {}
+    /**
+     * Handles a message of another gateway with the same allocation; ignores what is not a quota message.
+     *
+     * @param senderEpoch which start of the sender it is of
+     * @param out takes the answers
+     */
+    public void onMessage(long now, int sender, long senderEpoch, Part message, PacketQueue out) {
+        updateLedger(now);
+        MessageContext context = new MessageContext(now, new Peer(sender, senderEpoch), out);
+        QuotaMessageCodec.decode(message).ifPresent(decoded -> decoded.dispatchTo(messageHandler, context));
+        updateLedger(now);
+    }
+
+    /** Hands each message to the role that it is for. Answers to an earlier process of this gateway are dropped. */
+    private final class MessageHandler implements QuotaMessageHandler {
+        @Override
+        public void onLeaseRequest(MessageContext context, QuotaMessage.LeaseRequest message) {
+            int partition = message.partition();
+            if (partition >= allocation.gateways() || !allocation.isAcceptor(self, partition)) {
+                return;
+            }
+            if (acceptor.tryGrant(context.now(), partition, context.sender())) {
+                long holderEpoch = context.sender().epoch();
+                context.reply(
+                        QuotaMessageCodec.encode(new QuotaMessage.LeaseGrant(partition, message.round(), holderEpoch)));
+            }
         }
-        updateHeldUnits(now);
-    }
 
-    private void onLeaseRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
-        if (content.remaining() < QuotaMessageCodec.LEASE_REQUEST_BYTES) {
-            return;
-        }
-        int partition = content.getShort() & 0xFFFF;
-        int round = content.getInt();
-        if (partition < division.gateways()
-                && division.isAcceptor(me, partition)
-                && acceptor.asked(now, partition, from, itsStart)) {
-            out.add(from, QuotaMessageCodec.leasePromise(partition, round, itsStart));
+        @Override
+        public void onLeaseGrant(MessageContext context, QuotaMessage.LeaseGrant message) {
+            if (message.holderEpoch() == epoch) {
+                leaseHolder.onLeaseGrant(context.now(), context.sender().gateway(), message);
+            }
         }
-    }
 
-    private void onLeasePromise(long now, int from, ByteBuffer content) {
-        if (content.remaining() < QuotaMessageCodec.LEASE_PROMISE_BYTES) {
-            return;
-        }
-        int partition = content.getShort() & 0xFFFF;
-        int round = content.getInt();
-        if (content.getLong() == start) { // else it is for an earlier start of this gateway
-            leaseHolder.onPromise(now, from, partition, round);
+        @Override
+        public void onUnitRequest(MessageContext context, QuotaMessage.UnitRequest message) {
+            lender.onRequest(context, message);
         }
-    }
 
-    private void onUnitRequest(long now, int from, long itsStart, ByteBuffer content, PacketQueue out) {
-        if (content.remaining() < QuotaMessageCodec.UNIT_REQUEST_HEAD_BYTES) {
-            return;
-        }
-        int request = content.getInt();
-        int extendedLoan = content.getInt();
-        int[] wanted = QuotaMessageCodec.readUnits(content, budgets);
-        if (extendedLoan == 0) {
-            lender.lend(now, from, itsStart, request, wanted, out);
-        } else {
-            lender.extend(now, from, itsStart, request, extendedLoan, wanted, out);
+        @Override
+        public void onUnitGrant(MessageContext context, QuotaMessage.UnitGrant message) {
+            if (message.borrowerEpoch() == epoch) {
+                borrower.onGrant(context.now(), context.sender().gateway(), message);
+            }
         }
-    }
 
-    private void onUnitGrant(long now, int from, ByteBuffer content) {
-        if (content.remaining() < QuotaMessageCodec.UNIT_GRANT_HEAD_BYTES || content.getLong() != start) {
-            return; // too short, or for an earlier start of this gateway
+        @Override
+        public void onUnitReturn(MessageContext context, QuotaMessage.UnitReturn message) {
+            lender.onReturn(context, message);
         }
-        int request = content.getInt();
-        int loan = content.getInt();
-        borrower.onGrant(now, from, request, loan, QuotaMessageCodec.readUnits(content, budgets));
     }
 
-    private void onUnitReturn(long now, int from, long itsStart, ByteBuffer content) {
-        int loan = content.remaining() >= QuotaMessageCodec.UNIT_RETURN_HEAD_BYTES ? content.getInt() : 0;
-        lender.onReturn(now, from, itsStart, loan, QuotaMessageCodec.readUnits(content, budgets));
-    }
-
-    /** What of each budget is here now. */
-    public List<Figures> figures(long now) {
-        updateHeldUnits(now);
-        List<Figures> all = new ArrayList<>();
-        for (int budget = 0; budget < budgets; budget++) {
-            HeldUnits units = held[budget];
-            all.add(new Figures(
-                    division.limits().get(budget).name(),
-                    units.parts(now),
-                    division.guaranteedUnits(me, budget),
-                    leaseHolder.lent(now, budget),
-                    borrower.borrowed(now, budget),
+    /** What this gateway has of each limit now, in the order of the limits. */
+    public List<LimitStatistics> statistics(long now) {
+        updateLedger(now);
+        List<LimitStatistics> all = new ArrayList<>();
+        for (int limit = 0; limit < ledger.size(); limit++) {
+            HeldUnits units = ledger.of(limit);
+            all.add(new LimitStatistics(
+                    units.name(),
+                    units.units(now),
+                    borrower.borrowedUnits(now, limit),
+                    leaseHolder.outstandingUnits(now, limit),
+                    units.demand(now),
                     units.inUse(),
-                    units.wanted(now),
-                    units.spent(),
-                    units.refused()));
+                    units.rejected()));
         }
         return all;
     }
-
-    /** All that tells two states apart, for an explorer. */
-    String told(long now) {
-        updateHeldUnits(now);
-        StringBuilder text = new StringBuilder().append(acceptor.told(now));
-        leaseHolder.partitions().forEach(partition -> text.append(" | ").append(partition.told(now)));
-        for (HeldUnits units : held) {
-            text.append(" | ").append(units.told(now));
-        }
-        borrower.describe(now, text);
-        return text.toString();
-    }
 }
--- a/gateway/src/main/java/ploverdale/quota/RequestFundedBucket.java
+++ b/gateway/src/main/java/ploverdale/quota/RequestFundedBucket.java
@@ -1,39 +1,47 @@
 package ploverdale.quota;
 
-import ploverdale.model.Quota.HealthCheckReason;
-
 /**
- * Further sends and probes as each gateway earns them with its ops, where they are no budget of the fleet: a storm is several
- * an op, and probes on the timer cost more than they bring where there is nothing to ask.
+ * A token bucket that requests fill, in place of time: what is spent of it stays a share of the load (the retry budget of
+ * Finagle, the retry throttling of gRPC's proposal A6). Not thread-safe.
  */
 final class RequestFundedBucket {
-    private static final double SENDS_PER_OP = 0.25;
-    private static final double PROBES_PER_OP = 0.2;
-    private static final double SAVED_MOST = 40; // what one server holds when it dies
+    private static final double MAX_TOKENS = 40; // about the requests in flight at one server, all lost when it fails
+
+    private final double tokensPerRequest;
+    private double tokens;
 
-    private double sends = SAVED_MOST;
-    private double probes;
+    /** @param tokens in the bucket at the start, up to {@value #MAX_TOKENS} */
+    RequestFundedBucket(double tokensPerRequest, double tokens) {
+        this.tokensPerRequest = tokensPerRequest;
+        this.tokens = tokens;
+    }
+
+    /** A bucket that is full at the start. */
+    static RequestFundedBucket full(double tokensPerRequest) {
+        return new RequestFundedBucket(tokensPerRequest, MAX_TOKENS);
+    }
 
-    /** An op has come. */
-    void request() {
-        sends = Math.min(SAVED_MOST, sends + SENDS_PER_OP);
-        probes = Math.min(SAVED_MOST, probes + PROBES_PER_OP);
+    /** A request has arrived. */
+    void onRequest() {
+        tokens = Math.min(MAX_TOKENS, tokens + tokensPerRequest);
     }
 
-    /** Whether a further send is left, beside so many others that are reserved. */
-    boolean hasRetry(int reserved) {
-        return sends >= 1 + reserved;
+    /** Whether a token is left beside so many others that are reserved. */
+    boolean hasToken(int reserved) {
+        return tokens >= 1 + reserved;
     }
 
-    /** Spends a further send; false where none is left. */
-    boolean tryAcquireRetry() {
-        return sends >= 1 && sends-- >= 1;
+    /** Takes a token; false where none is left. */
+    boolean tryTake() {
+        if (!hasToken(0)) {
+            return false;
+        }
+        tokens -= 1;
+        return true;
     }
 
-    /** Whether a probe may go: one on the timer only where one is left; one for an op in need counts; others are rare. */
-    boolean tryAcquireHealthCheck(HealthCheckReason why) {
-        boolean may = why != HealthCheckReason.PERIODIC || probes >= 1;
-        probes = why == HealthCheckReason.SUSPICION || !may ? probes : Math.max(0, probes - 1);
-        return may;
+    /** Takes a token, or what is left of one: for what may not be rejected but counts. */
+    void takeUpToOne() {
+        tokens = Math.max(0, tokens - 1);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/SharedLimit.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimit.java
@@ -1,30 +1,40 @@
 package ploverdale.quota;
 
 /**
- * A whole number of parts of something that a fleet may spend.
+ * A limit that all gateways share, in whole units: a request rate, or a number of units in use at the same time.
  *
- * @param name as it is told in the file
- * @param kind whether parts are spent anew each second or given back
- * @param capacity parts of the fleet; for a rate, one spent a second each
- * @param maxHoldTime for a rate, for how long it may save up; for what is in use, for how long at most a part stays so once it was
- *     taken (tenths of a millisecond)
+ * @param name as operators see it; unique among the limits of an allocation
+ * @param capacity units of all gateways together; of a rate, units a second
+ * @param maxHoldTime for a rate, for how long unspent units accumulate (the burst); for concurrency, for how long at most a
+ *     unit stays in use once it was acquired; in tenths of a millisecond
  */
 public record SharedLimit(String name, Kind kind, int capacity, long maxHoldTime) {
-    /** How parts are spent. */
+    /** The largest capacity: messages carry counts of units in 16 bits. */
+    public static final int MAX_CAPACITY = 65_535;
+
+    /** How units are consumed. */
     public enum Kind {
-        RATE,
-        CONCURRENCY
-    }
+        /** A unit is spent for good; each unit that is held yields a new one every second. */
+        RATE("RATE"),
+        /** A unit is in use until it is released. */
+        CONCURRENCY("IN_USE");
 
-    /** The spelling that goes into {@link QuotaAllocation#id}; the same in all versions that interoperate. */
-    String fingerprint() {
-        String kindOnWire = kind == Kind.RATE ? "RATE" : "IN_USE";
-        return "Budget[name=" + name + ", kind=" + kindOnWire + ", whole=" + capacity + ", holds=" + maxHoldTime + "]";
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
     }
 
     public SharedLimit {
-        if (capacity < 0 || capacity > QuotaAllocation.WHOLE_MOST || maxHoldTime <= 0) {
+        if (capacity < 0 || capacity > MAX_CAPACITY || maxHoldTime <= 0) {
             throw new IllegalArgumentException("budget " + name + " of " + capacity + " parts held for " + maxHoldTime);
         }
     }
+
+    /** The spelling that goes into {@link QuotaAllocation#id}; the same in all versions that interoperate. */
+    String fingerprint() {
+        return "Budget[name=" + name + ", kind=" + kind.wireName + ", whole=" + capacity + ", holds=" + maxHoldTime
+                + "]";
+    }
 }
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
@@ -0,0 +1,118 @@
+package ploverdale.quota;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalInt;
+import ploverdale.model.Event.Started;
+import ploverdale.model.Tenant;
+import ploverdale.model.TenantId;
+import ploverdale.quota.SharedLimit.Kind;
+
+/**
+ * The shared limits of a configuration in the order of their indexes, which all gateways have in common: tenants, servers,
+ * servers in slow start, retries, health checks. Each lookup gives the index of a limit, or nothing where it is not shared.
+ * Immutable.
+ */
+final class SharedLimitTable {
+    private static final long SECOND = 10_000; // in tenths of a millisecond
+
+    private final SharedLimitSettings settings;
+    private final int tenants;
+    private final List<SharedLimit> limits = new ArrayList<>();
+    private final OptionalInt firstServer;
+    private final OptionalInt firstSlowStartServer;
+    private final OptionalInt retries;
+    private final OptionalInt healthChecks;
+
+    SharedLimitTable(SharedLimitSettings settings, Started configuration) {
+        this.settings = settings;
+        tenants = settings.tenants() ? configuration.tenants().size() : 0;
+        for (int tenant = 0; tenant < tenants; tenant++) {
+            limits.add(tenantLimit(tenant, configuration.tenants().get(tenant)));
+        }
+        long longestUse = longestTimeout(configuration);
+        firstServer = addServers("server ", settings.attemptsPerServer(), longestUse);
+        firstSlowStartServer = addServers("cold server ", settings.slowStartAttemptsPerServer(), longestUse);
+        retries = addRate("second sends", settings.retriesPerSecond());
+        healthChecks = addRate("probes", settings.healthChecksPerSecond());
+    }
+
+    private static SharedLimit tenantLimit(int number, Tenant tenant) {
+        int capacity = (int) Math.min(SharedLimit.MAX_CAPACITY, tenant.requestsPerSecond());
+        return new SharedLimit("tenant " + number, Kind.RATE, capacity, SECOND);
+    }
+
+    /** An attempt is given up at its request's timeout, so none is in flight for longer than the longest of them. */
+    private static long longestTimeout(Started configuration) {
+        return configuration.requestClasses().stream()
+                .mapToLong(requestClass -> requestClass.timeout())
+                .max()
+                .orElse(SECOND);
+    }
+
+    private OptionalInt addServers(String namePrefix, int capacity, long longestUse) {
+        if (capacity == 0) {
+            return OptionalInt.empty();
+        }
+        int first = limits.size();
+        for (int slot = 0; slot < settings.serverSlots(); slot++) {
+            limits.add(new SharedLimit(namePrefix + slot, Kind.CONCURRENCY, capacity, longestUse));
+        }
+        return OptionalInt.of(first);
+    }
+
+    private OptionalInt addRate(String name, int capacity) {
+        if (capacity == 0) {
+            return OptionalInt.empty();
+        }
+        limits.add(new SharedLimit(name, Kind.RATE, capacity, SECOND));
+        return OptionalInt.of(limits.size() - 1);
+    }
+
+    /** All shared limits by index. */
+    List<SharedLimit> limits() {
+        return List.copyOf(limits);
+    }
+
+    /** Whether any tenant's request rate is shared. */
+    boolean sharesTenants() {
+        return tenants > 0;
+    }
+
+    /** The request rate of a tenant. */
+    OptionalInt tenant(TenantId tenant) {
+        return tenant.index() < tenants ? OptionalInt.of(tenant.index()) : OptionalInt.empty();
+    }
+
+    /** Whether attempts in flight at a server are shared. */
+    boolean sharesAttempts() {
+        return firstServer.isPresent();
+    }
+
+    /** Attempts in flight at the server of this number. */
+    OptionalInt attempts(int server) {
+        return slot(firstServer, server);
+    }
+
+    /** Attempts in flight at the server of this number while it is in slow start. */
+    OptionalInt slowStartAttempts(int server) {
+        return slot(firstSlowStartServer, server);
+    }
+
+    private OptionalInt slot(OptionalInt first, int server) {
+        if (first.isEmpty()) {
+            return first;
+        }
+        return OptionalInt.of(first.getAsInt() + Math.floorMod(server, settings.serverSlots()));
+    }
+
+    /** The rate of retries. */
+    OptionalInt retries() {
+        return retries;
+    }
+
+    /** The rate of health checks. */
+    OptionalInt healthChecks() {
+        return healthChecks;
+    }
+}
--- a/gateway/src/main/java/ploverdale/quota/StaticQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -7,35 +7,31 @@
 import ploverdale.model.TenantId;
 
 /**
- * Parts where gateways agree on nothing: of each tenant's agreed traffic the share that falls on one gateway if all get as
- * much, with a second of it saved up at most. Sends at servers are limited by each gateway's own finding alone.
+ * The quota where gateways do not coordinate: of each tenant's rate an equal share for each gateway, and retries and health
+ * checks as a share of the requests. Attempts at servers are not limited here, but by the router's own finding.
+ *
+ * <p>Not thread-safe, called on the thread of the event loop.
  */
 public final class StaticQuota implements Quota {
-    private static final double SECOND = 10_000; // times are tenths of a millisecond
+    private static final double RETRIES_PER_REQUEST = 0.25; // a retry storm is several attempts for each request
+    private static final double HEALTH_CHECKS_PER_REQUEST = 0.2; // without requests there is nothing to find out
 
-    private final double[] rate;
-    private final double[] left;
-    private final long[] at;
-    private final RequestFundedBucket tokenBucket = new RequestFundedBucket();
+    private final List<TokenBucket> tenants;
+    private final RequestFundedBucket retries = RequestFundedBucket.full(RETRIES_PER_REQUEST);
+    private final RequestFundedBucket healthChecks = new RequestFundedBucket(HEALTH_CHECKS_PER_REQUEST, 0);
 
+    /** @param gateways how many share each tenant's rate */
     public StaticQuota(List<Tenant> tenants, int gateways) {
-        rate = tenants.stream()
-                .mapToDouble(t -> t.requestsPerSecond() / gateways)
-                .toArray();
-        left = rate.clone();
-        at = new long[rate.length];
+        this.tenants = tenants.stream()
+                .map(tenant -> new TokenBucket(tenant.requestsPerSecond() / gateways))
+                .toList();
     }
 
     @Override
     public boolean tryAcquireRequest(long now, TenantId tenant) {
-        tokenBucket.request();
-        int t = tenant.index();
-        if (t >= rate.length) {
-            return true;
-        }
-        left[t] = Math.min(rate[t], left[t] + rate[t] * (now - at[t]) / SECOND);
-        at[t] = now;
-        return left[t] >= 1 && left[t]-- >= 1;
+        retries.onRequest();
+        healthChecks.onRequest();
+        return tenant.index() >= tenants.size() || tenants.get(tenant.index()).tryTake(now);
     }
 
     @Override
@@ -44,31 +40,39 @@
     }
 
     @Override
-    public boolean hasAttempt(ServerId server, boolean cold) {
+    public boolean hasAttempt(ServerId server, boolean inSlowStart) {
         return true;
     }
 
     @Override
-    public boolean tryAcquireAttempt(ServerId server, boolean cold) {
+    public boolean tryAcquireAttempt(ServerId server, boolean inSlowStart) {
         return true;
     }
 
     @Override
-    public void releaseAttempt(ServerId server, boolean cold) {}
+    public void releaseAttempt(ServerId server, boolean inSlowStart) {}
 
     @Override
     public boolean hasRetry(int reserved) {
-        return tokenBucket.hasRetry(reserved);
+        return retries.hasToken(reserved);
     }
 
     @Override
     public boolean tryAcquireRetry() {
-        return tokenBucket.tryAcquireRetry();
+        return retries.tryTake();
     }
 
+    /** Periodic checks need a token; one that a request waits for takes what is left; those on suspicion are rare. */
     @Override
-    public boolean tryAcquireHealthCheck(HealthCheckReason why) {
-        return tokenBucket.tryAcquireHealthCheck(why);
+    public boolean tryAcquireHealthCheck(HealthCheckReason reason) {
+        return switch (reason) {
+            case PERIODIC -> healthChecks.tryTake();
+            case ON_DEMAND -> {
+                healthChecks.takeUpToOne();
+                yield true;
+            }
+            case SUSPICION -> true;
+        };
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -1,249 +1,243 @@
 package ploverdale.quota;
 
 import java.util.ArrayList;
-import java.util.Arrays;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.function.IntPredicate;
 import java.util.function.IntSupplier;
 import java.util.random.RandomGenerator;
 import ploverdale.membership.PacketQueue;
+import ploverdale.quota.QuotaMessage.UnitGrant;
+import ploverdale.quota.QuotaMessage.UnitRequest;
+import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Borrows units of lease holders where this gateway needs more than it holds. A loan that is needed is extended at
- * half of its time; of one that is not, half is returned at a time. A loan counts from before it was asked for, so
- * that it ends here before it does at the lender.
+ * Borrows units of lease holders where this gateway needs more than it holds. A sub-lease that is needed is renewed from half
+ * of its term on; of one that is not, half of the idle units are returned at a time. A sub-lease is valid from the time at
+ * which it was requested, so that it expires here before it does at the lender ({@link LeaseDurations}).
  *
- * <p>Counts are units by budget, times tenths of a millisecond of a monotonic clock. Not thread-safe, called on the
- * thread of {@link QuotaProtocol}.
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
 final class UnitBorrower {
     private static final long MS = 10;
     private static final long REQUEST_INTERVAL = 50 * MS; // while more is needed than is held
-    private static final int LENDERS_AT_ONCE = 2;
-    private static final long IDLE_BEFORE_RETURN = 1000 * MS;
-
-    /** One loan, as this gateway has it. */
-    private static final class BorrowedUnits {
-        private final int lender;
-        private final int number; // the lender's
-        private final int[] units;
-        private long until;
-        private int extension; // number of the request that asks for more time; 0: none is pending
-        private long idleSince;
-
-        private BorrowedUnits(int lender, int number, int[] units, long until, long now) {
-            this.lender = lender;
-            this.number = number;
-            this.units = units;
-            this.until = until;
-            idleSince = now;
-        }
-    }
+    private static final int MAX_LENDERS_ASKED = 2; // in one interval
+    private static final long MAX_IDLE_TIME = 1000 * MS; // before idle units are returned
+    private static final int RENEWAL_TIMEOUTS_PER_TERM = 8;
 
     /**
-     * A request for units that is not answered yet.
+     * A request for units that was not answered yet.
      *
-     * @param extended this gateway's own number of the loan to extend; 0 for a new one
+     * @param renewed this gateway's own key of the sub-lease to renew; empty for a new one
      */
-    private record Question(int lender, long at, int extended) {}
+    private record PendingRequest(int lender, long sentAt, OptionalInt renewed) {}
 
-    private final int me;
-    private final QuotaAllocation division;
-    private final LeaseDurations leaseDurations;
+    private final int self;
+    private final QuotaAllocation allocation;
+    private final LeaseDurations durations;
     private final RandomGenerator random;
-    private final HeldUnits[] held;
-    private final UnitLedger demand;
-    private final IntSupplier nextNumber;
-    private final int budgets;
-    private final Map<Integer, BorrowedUnits> loans = new LinkedHashMap<>(); // by a number of this gateway's own
-    private final Map<Integer, Question> questions = new LinkedHashMap<>();
-    private final long[] lentAt; // by gateway: when it lent units last; 0 for never, or where it had none
+    private final UnitLedger ledger;
+    private final IntSupplier requestNumbers;
+    private final Map<Integer, BorrowedUnits> subLeases = new LinkedHashMap<>(); // by a key of this gateway's own
+    private final Map<Integer, PendingRequest> pendingRequests = new LinkedHashMap<>(); // by number of the request
+    private final Map<Integer, Long> lastGrantAt = new HashMap<>(); // of lenders whose last new grant had units
     private long requestedAt;
 
     /**
-     * @param random chooses whom to ask
-     * @param held by budget, shared with {@link QuotaProtocol}
-     * @param nextNumber numbers of requests and loans, never the same twice
+     * @param self number of this gateway
+     * @param random chooses lenders
+     * @param requestNumbers never yields the same number twice; also numbers the sub-leases' keys
      */
     UnitBorrower(
-            int me,
-            QuotaAllocation division,
-            LeaseDurations leaseDurations,
+            int self,
+            QuotaAllocation allocation,
+            LeaseDurations durations,
             RandomGenerator random,
-            HeldUnits[] held,
-            UnitLedger demand,
-            IntSupplier nextNumber) {
-        this.me = me;
-        this.division = division;
-        this.leaseDurations = leaseDurations;
+            UnitLedger ledger,
+            IntSupplier requestNumbers) {
+        this.self = self;
+        this.allocation = allocation;
+        this.durations = durations;
         this.random = random;
-        this.held = held;
-        this.demand = demand;
-        this.nextNumber = nextNumber;
-        budgets = held.length;
-        lentAt = new long[division.gateways()];
+        this.ledger = ledger;
+        this.requestNumbers = requestNumbers;
     }
 
     /**
-     * Extends and returns loans and asks for new ones, as they are due.
+     * Renews and returns sub-leases and requests new ones, as they are due.
      *
-     * @param present whether a gateway is alive as far as this one knows
+     * @param alive whether a gateway is alive as far as this one knows
      */
-    void onTick(long now, IntPredicate present, PacketQueue out) {
-        questions.values().removeIf(question -> now - question.at > leaseDurations.subLease());
-        loans.values().removeIf(loan -> now >= loan.until);
-        loans.forEach((own, loan) -> {
-            returnIdleUnits(now, loan, out);
-            extendIfDue(now, own, loan, out);
+    void onTick(long now, IntPredicate alive, PacketQueue out) {
+        pendingRequests.values().removeIf(request -> now - request.sentAt > durations.subLease());
+        subLeases.values().removeIf(subLease -> subLease.isExpired(now));
+        subLeases.forEach((key, subLease) -> {
+            returnIdleUnits(now, subLease, out);
+            renewIfDue(now, key, subLease, out);
         });
         if (now - requestedAt >= REQUEST_INTERVAL) {
             requestedAt = now;
-            requestMissingUnits(now, present, out);
+            requestMissingUnits(now, alive, out);
         }
     }
 
-    private void requestMissingUnits(long now, IntPredicate present, PacketQueue out) {
-        int[] missing = new int[budgets];
+    private void requestMissingUnits(long now, IntPredicate alive, PacketQueue out) {
+        int[] missing = new int[ledger.size()];
         boolean any = false;
-        for (int budget = 0; budget < budgets; budget++) {
-            missing[budget] = demand.missing(now, budget);
-            any |= missing[budget] > 0;
+        for (int limit = 0; limit < missing.length; limit++) {
+            missing[limit] = ledger.missing(now, limit);
+            any |= missing[limit] > 0;
         }
-        if (!any || recentRequests(now) >= LENDERS_AT_ONCE) {
+        if (!any || recentRequests(now) >= MAX_LENDERS_ASKED) {
             return;
         }
-        for (int lender : chooseLenders(present)) {
-            int number = nextNumber.getAsInt();
-            questions.put(number, new Question(lender, now, 0));
-            out.add(lender, QuotaMessageCodec.unitRequest(number, 0, missing));
+        for (int lender : chooseLenders(alive)) {
+            int number = requestNumbers.getAsInt();
+            pendingRequests.put(number, new PendingRequest(lender, now, OptionalInt.empty()));
+            UnitRequest request = new UnitRequest(number, QuotaMessage.NEW_SUB_LEASE, UnitCounts.positive(missing));
+            out.add(lender, QuotaMessageCodec.encode(request));
         }
     }
 
     private long recentRequests(long now) {
-        return questions.values().stream()
-                .filter(question -> question.extended == 0 && now - question.at < REQUEST_INTERVAL)
+        return pendingRequests.values().stream()
+                .filter(request -> request.renewed.isEmpty() && now - request.sentAt < REQUEST_INTERVAL)
                 .count();
     }
 
-    /** The one who lent last, if any is present, and others at random. */
-    private List<Integer> chooseLenders(IntPredicate present) {
-        int latest = -1;
+    /** The gateway that granted units last, if any is alive, and others at random. */
+    private List<Integer> chooseLenders(IntPredicate alive) {
         List<Integer> others = new ArrayList<>();
-        for (int gateway = 0; gateway < division.gateways(); gateway++) {
-            if (gateway != me && present.test(gateway)) {
-                boolean later = lentAt[gateway] > 0 && (latest < 0 || lentAt[gateway] > lentAt[latest]);
-                latest = later ? gateway : latest;
+        for (int gateway = 0; gateway < allocation.gateways(); gateway++) {
+            if (gateway != self && alive.test(gateway)) {
                 others.add(gateway);
             }
         }
         List<Integer> chosen = new ArrayList<>();
-        if (latest >= 0) {
-            chosen.add(latest);
-            others.remove((Integer) latest);
-        }
-        while (chosen.size() < LENDERS_AT_ONCE && !others.isEmpty()) {
+        latestLender(others).ifPresent(lender -> {
+            chosen.add(lender);
+            others.remove(lender);
+        });
+        while (chosen.size() < MAX_LENDERS_ASKED && !others.isEmpty()) {
             chosen.add(others.remove(random.nextInt(others.size())));
         }
         return chosen;
     }
 
-    /**
-     * A lease holder has lent units or extended a loan. Answers that come twice, too late, or to an earlier start of
-     * this gateway are ignored.
-     */
-    void onGrant(long now, int from, int request, int number, int[] listed) {
-        Question question = questions.remove(request);
-        if (question == null || question.lender != from || number == 0) {
+    private Optional<Integer> latestLender(List<Integer> gateways) {
+        Integer latest = null;
+        for (Integer gateway : gateways) {
+            Long grantedAt = lastGrantAt.get(gateway);
+            if (grantedAt != null && (latest == null || grantedAt > lastGrantAt.get(latest))) {
+                latest = gateway;
+            }
+        }
+        return Optional.ofNullable(latest);
+    }
+
+    /** A lease holder has granted or renewed a sub-lease. Duplicate and late answers are ignored. */
+    void onGrant(long now, int lender, UnitGrant grant) {
+        PendingRequest request = pendingRequests.remove(grant.request());
+        if (request == null || request.lender != lender || grant.subLease() == QuotaMessage.NEW_SUB_LEASE) {
             return;
         }
-        long until = question.at + leaseDurations.subLease(); // from before the lender's own count begins
-        if (until <= now) {
+        long expiresAt = request.sentAt + durations.subLease();
+        if (expiresAt <= now) {
             return;
         }
-        int[] units = Arrays.stream(listed).map(count -> Math.max(0, count)).toArray();
-        BorrowedUnits loan;
-        if (question.extended == 0) {
-            loan = new BorrowedUnits(from, number, units, until, now);
-            loans.put(nextNumber.getAsInt(), loan);
-            lentAt[from] = Arrays.stream(units).sum() > 0 ? now : 0;
-        } else {
-            loan = loans.get(question.extended);
-            if (loan == null || loan.number != number) {
-                return;
-            }
-            extend(loan, units, until);
+        int[] units = new int[ledger.size()];
+        for (int limit = 0; limit < units.length; limit++) {
+            units[limit] = grant.units().get(limit);
         }
-        for (int budget = 0; budget < budgets; budget++) {
-            held[budget].holds(now, loan, loan.units[budget], loan.until);
+        if (request.renewed.isEmpty()) {
+            addSubLease(now, new BorrowedUnits(lender, grant.subLease(), units, expiresAt, now));
+            return;
+        }
+        BorrowedUnits subLease = subLeases.get(request.renewed.getAsInt());
+        if (subLease != null && subLease.number() == grant.subLease()) {
+            subLease.renew(units, expiresAt);
+            updateLedger(now, subLease);
         }
     }
 
-    private void extend(BorrowedUnits loan, int[] units, long until) {
-        for (int budget = 0; budget < budgets; budget++) {
-            loan.units[budget] = Math.min(loan.units[budget], units[budget]);
+    private void addSubLease(long now, BorrowedUnits subLease) {
+        subLeases.put(requestNumbers.getAsInt(), subLease);
+        if (subLease.hasUnits()) {
+            lastGrantAt.put(subLease.lender(), now);
+        } else {
+            lastGrantAt.remove(subLease.lender());
         }
-        loan.until = until;
-        loan.extension = 0;
+        updateLedger(now, subLease);
     }
 
-    /** Of each budget of which units were spare for a while, half of those goes back to the lender. */
-    private void returnIdleUnits(long now, BorrowedUnits loan, PacketQueue out) {
-        int[] kept = new int[budgets];
-        boolean idle = false;
-        boolean returns = false;
-        for (int budget = 0; budget < budgets; budget++) {
-            int spare = Math.min(loan.units[budget], demand.spare(now, budget));
-            idle |= spare > 0;
-            int returned = spare > 0 && now - loan.idleSince > IDLE_BEFORE_RETURN ? (spare + 1) / 2 : 0;
-            kept[budget] = loan.units[budget] - returned;
-            returns |= returned > 0;
-        }
-        loan.idleSince = idle && !returns ? loan.idleSince : now;
-        if (!returns) {
-            return;
-        }
-        for (int budget = 0; budget < budgets; budget++) {
-            loan.units[budget] = kept[budget];
-            held[budget].holds(now, loan, kept[budget], loan.until); // before the message that says so
+    private void updateLedger(long now, BorrowedUnits subLease) {
+        for (int limit = 0; limit < ledger.size(); limit++) {
+            ledger.of(limit).set(now, subLease, subLease.units(limit), subLease.expiresAt());
         }
-        out.add(loan.lender, QuotaMessageCodec.unitReturn(loan.number, kept));
     }
 
-    /** Asks for more time from half of the loan's time on; again where no answer has come for an eighth of it. */
-    private void extendIfDue(long now, int own, BorrowedUnits loan, PacketQueue out) {
-        boolean any = Arrays.stream(loan.units).anyMatch(count -> count > 0);
-        if (any && loan.extension == 0 && loan.until - now < leaseDurations.subLease() / 2) {
-            loan.extension = nextNumber.getAsInt();
-            questions.put(loan.extension, new Question(loan.lender, now, own));
-            out.add(loan.lender, QuotaMessageCodec.unitRequest(loan.extension, loan.number, loan.units));
-        } else if (loan.extension != 0) {
-            Question pending = questions.get(loan.extension);
-            if (pending == null || now - pending.at > leaseDurations.subLease() / 8) {
-                loan.extension = 0;
+    /** Returns half of the units of each limit of which some were idle for a while. */
+    private void returnIdleUnits(long now, BorrowedUnits subLease, PacketQueue out) {
+        boolean returnable = subLease.isIdleLongerThan(now, MAX_IDLE_TIME);
+        int[] kept = subLease.allUnits();
+        boolean anyIdle = false;
+        boolean anyReturned = false;
+        for (int limit = 0; limit < kept.length; limit++) {
+            int idle = Math.min(kept[limit], ledger.spare(now, limit));
+            anyIdle |= idle > 0;
+            if (idle > 0 && returnable) {
+                kept[limit] -= (idle + 1) / 2;
+                anyReturned = true;
             }
         }
+        if (!anyIdle || anyReturned) {
+            subLease.restartIdleTime(now);
+        }
+        if (anyReturned) {
+            returnUnits(now, subLease, kept, out);
+        }
     }
 
-    /** Units of a budget in loans that have not ended. */
-    int borrowed(long now, int budget) {
-        int units = 0;
-        for (BorrowedUnits loan : loans.values()) {
-            units += now < loan.until ? loan.units[budget] : 0;
+    private void returnUnits(long now, BorrowedUnits subLease, int[] kept, PacketQueue out) {
+        for (int limit = 0; limit < kept.length; limit++) {
+            subLease.reduceTo(limit, kept[limit]);
         }
-        return units;
+        updateLedger(now, subLease); // before the message that says so: they must not be acquired here any more
+        UnitReturn message = new UnitReturn(subLease.number(), UnitCounts.all(kept));
+        out.add(subLease.lender(), QuotaMessageCodec.encode(message));
     }
 
-    /** Appends all that tells two states apart, for an explorer. */
-    void describe(long now, StringBuilder to) {
-        for (BorrowedUnits loan : loans.values()) {
-            to.append(" | b").append(loan.lender).append(Arrays.toString(loan.units));
-            to.append(loan.until - now).append(loan.extension != 0);
+    /** Requests to renew from half of the term on, and again where no answer has come for a while. */
+    private void renewIfDue(long now, int key, BorrowedUnits subLease, PacketQueue out) {
+        OptionalInt pending = subLease.pendingRenewal();
+        if (pending.isPresent() && isOverdue(now, pending.getAsInt())) {
+            subLease.abandonRenewal();
         }
-        for (Question question : questions.values()) {
-            to.append(" | q").append(question.lender).append(' ').append(now - question.at);
-            to.append(question.extended != 0);
+        boolean due = subLease.expiresAt() - now < durations.subLease() / 2;
+        if (pending.isPresent() || !due || !subLease.hasUnits()) {
+            return;
         }
+        int number = requestNumbers.getAsInt();
+        subLease.startRenewal(number);
+        pendingRequests.put(number, new PendingRequest(subLease.lender(), now, OptionalInt.of(key)));
+        UnitRequest request = new UnitRequest(number, subLease.number(), UnitCounts.positive(subLease.allUnits()));
+        out.add(subLease.lender(), QuotaMessageCodec.encode(request));
+    }
+
+    private boolean isOverdue(long now, int request) {
+        PendingRequest pending = pendingRequests.get(request);
+        return pending == null || now - pending.sentAt > durations.subLease() / RENEWAL_TIMEOUTS_PER_TERM;
+    }
+
+    /** Units of a limit in sub-leases that have not expired. */
+    int borrowedUnits(long now, int limit) {
+        return subLeases.values().stream()
+                .filter(subLease -> !subLease.isExpired(now))
+                .mapToInt(subLease -> subLease.units(limit))
+                .sum();
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -1,88 +1,106 @@
 package ploverdale.quota;
 
-import ploverdale.membership.PacketQueue;
+import java.util.Arrays;
+import java.util.Optional;
+import ploverdale.quota.QuotaMessage.UnitGrant;
+import ploverdale.quota.QuotaMessage.UnitRequest;
+import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Lends units of the partitions that this gateway holds. A borrower gets at most half of what can be spared of each
- * budget, so that demand moves units without oscillation; a loan is extended as far as this gateway does not lack the
- * units itself.
+ * Sub-leases units of the partitions that this gateway holds. A borrower gets at most half of what can be spared of each
+ * limit, so that units follow the demand without oscillation; a sub-lease is renewed as far as this gateway does not lack
+ * the units itself.
  *
- * <p>Counts are units by budget, times tenths of a millisecond of a monotonic clock. Not thread-safe, called on the
- * thread of {@link QuotaProtocol}.
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
  */
 final class UnitLender {
-    private final QuotaAllocation division;
     private final LeaseHolder leaseHolder;
-    private final UnitLedger demand;
-    private final int budgets;
-    private int lastLoan;
+    private final UnitLedger ledger;
+    private int lastSubLease = QuotaMessage.NEW_SUB_LEASE;
 
-    UnitLender(QuotaAllocation division, LeaseHolder leaseHolder, UnitLedger demand) {
-        this.division = division;
+    UnitLender(LeaseHolder leaseHolder, UnitLedger ledger) {
         this.leaseHolder = leaseHolder;
-        this.demand = demand;
-        budgets = division.limits().size();
+        this.ledger = ledger;
     }
 
-    /**
-     * Lends units of the first partition that has any of those wanted; another request may get those of another one.
-     * Sends nothing where there are none.
-     *
-     * @param wanted units by budget; lowered by what is lent
-     */
-    void lend(long now, int borrower, long borrowersStart, int request, int[] wanted, PacketQueue out) {
+    /** Grants or renews a sub-lease. Sends nothing where there are no units, or no such sub-lease. */
+    void onRequest(MessageContext context, UnitRequest request) {
+        if (request.isRenewal()) {
+            renew(context, request);
+        } else {
+            grant(context, request);
+        }
+    }
+
+    /** Grants units of the first partition that has any of those requested; a later request may get those of another. */
+    private void grant(MessageContext context, UnitRequest request) {
         for (LeasePartition partition : leaseHolder.partitions()) {
-            int[] lent = new int[budgets];
-            boolean any = false;
-            for (int budget = 0; budget < budgets && partition.serves(now); budget++) {
-                int free = division.leasedUnits(partition.number, budget) - partition.out(now, budget);
-                int spare = Math.min(free, demand.spare(now, budget));
-                lent[budget] = Math.max(0, Math.min(wanted[budget], (spare + 1) / 2));
-                wanted[budget] -= lent[budget];
-                any |= lent[budget] > 0;
-            }
-            if (any) {
-                int loan = ++lastLoan;
-                partition.lend(now, borrower, borrowersStart, loan, lent);
-                leaseHolder.updateHeldUnits(now);
-                out.add(borrower, QuotaMessageCodec.unitGrant(borrowersStart, request, loan, lent));
+            int[] granted = grantableUnits(context.now(), partition, request.units());
+            if (Arrays.stream(granted).anyMatch(units -> units > 0)) {
+                lastSubLease++;
+                partition.grantSubLease(context.now(), context.sender(), lastSubLease, granted);
+                leaseHolder.updateLedger(context.now());
+                reply(context, request, lastSubLease, granted);
                 return;
             }
         }
     }
 
-    /** Extends a loan; of each budget that this gateway lacks units of, it takes back up to half of those lent. */
-    void extend(long now, int borrower, long borrowersStart, int request, int loan, int[] wanted, PacketQueue out) {
+    private int[] grantableUnits(long now, LeasePartition partition, UnitCounts requested) {
+        int[] granted = new int[ledger.size()];
+        if (!partition.isServing(now)) {
+            return granted;
+        }
+        for (int limit = 0; limit < granted.length; limit++) {
+            int spare = Math.min(leaseHolder.freeUnits(now, partition, limit), ledger.spare(now, limit));
+            granted[limit] = Math.max(0, Math.min(requested.get(limit), (spare + 1) / 2));
+        }
+        return granted;
+    }
+
+    private void renew(MessageContext context, UnitRequest request) {
+        long now = context.now();
         for (LeasePartition partition : leaseHolder.partitions()) {
-            LeasePartition.SubLease found =
-                    partition.serves(now) ? partition.loan(now, borrower, borrowersStart, loan) : null;
-            if (found == null) {
+            if (!partition.isServing(now)) {
                 continue;
             }
-            int[] kept = new int[budgets];
-            for (int budget = 0; budget < budgets; budget++) {
-                int lent = found.parts[budget];
-                int missing = Math.max(0, -demand.spare(now, budget));
-                int stillWanted = Math.min(lent, Math.max(0, wanted[budget]));
-                kept[budget] = Math.max(0, stillWanted - Math.min(missing, (lent + 1) / 2));
+            Optional<SubLease> subLease = partition.findSubLease(now, context.sender(), request.subLease());
+            if (subLease.isPresent()) {
+                int[] kept = keptUnits(now, subLease.get(), request.units());
+                partition.renewSubLease(now, subLease.get(), kept);
+                reply(context, request, request.subLease(), kept);
             }
-            partition.extend(now, found, kept);
-            out.add(borrower, QuotaMessageCodec.unitGrant(borrowersStart, request, loan, kept));
         }
     }
 
-    /** A borrower has returned units of a loan: it uses no more than those kept, where the message lists them. */
-    void onReturn(long now, int borrower, long borrowersStart, int loan, int[] kept) {
+    /** What the borrower still wants; of each limit that this gateway lacks units of, less by up to half of those lent. */
+    private int[] keptUnits(long now, SubLease subLease, UnitCounts requested) {
+        int[] kept = new int[ledger.size()];
+        for (int limit = 0; limit < kept.length; limit++) {
+            int lent = subLease.units(limit);
+            int missing = Math.max(0, -ledger.spare(now, limit));
+            int wanted = Math.min(lent, requested.get(limit));
+            kept[limit] = Math.max(0, wanted - Math.min(missing, (lent + 1) / 2));
+        }
+        return kept;
+    }
+
+    private static void reply(MessageContext context, UnitRequest request, int subLease, int[] units) {
+        UnitGrant grant =
+                new UnitGrant(context.sender().epoch(), request.request(), subLease, UnitCounts.positive(units));
+        context.reply(QuotaMessageCodec.encode(grant));
+    }
+
+    /** A borrower uses no more than the kept units of the limits that the message lists; duplicates have no effect. */
+    void onReturn(MessageContext context, UnitReturn message) {
         for (LeasePartition partition : leaseHolder.partitions()) {
-            LeasePartition.SubLease found = partition.loan(now, borrower, borrowersStart, loan);
-            if (found == null) {
-                continue;
-            }
-            for (int budget = 0; budget < budgets; budget++) {
-                if (kept[budget] >= 0) {
-                    partition.back(found, budget, kept[budget]);
-                }
-            }
+            partition
+                    .findSubLease(context.now(), context.sender(), message.subLease())
+                    .ifPresent(subLease -> message.keptUnits().byLimit().forEach((limit, kept) -> {
+                        if (limit < ledger.size()) {
+                            subLease.reduceTo(limit, kept);
+                        }
+                    }));
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -7,6 +7,7 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.model.Capabilities;
 import ploverdale.model.Event;
+import ploverdale.model.Quota;
 import ploverdale.model.Quota.HealthCheckReason;
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestClass;
@@ -23,7 +24,7 @@
 
     private long now = SECOND;
 
-    private QuotaNode settled(QuotaSettings quotaSettings) {
+    private Quota settled(QuotaSettings quotaSettings) {
         RequestClass type = new RequestClass(
                 5000,
                 0,
@@ -55,12 +56,16 @@
         now += 20 * SECOND;
         s.onTick();
         now += 2 * SECOND; // parts that come bring none that are saved up
-        return s;
+        return s.quota();
     }
 
     private static QuotaSettings quotaSettings(boolean tenants, int sends, int cold, int again, int probes) {
         return new QuotaSettings(
-                tenants, sends, cold, 8, again, probes, 0.5, new LeaseDurations(30_000, 20_000, 0.05), 2000, null);
+                new SharedLimitSettings(tenants, sends, cold, 8, again, probes),
+                0.5,
+                new LeaseDurations(30_000, 20_000, 0.05),
+                2000,
+                null);
     }
 
     private static int spent(BooleanSupplier one) {
@@ -73,7 +78,7 @@
 
     @Test
     void furtherSendsAndProbesOfWhateverKindAreSpentOfTheWhole() {
-        QuotaNode s = settled(quotaSettings(false, 0, 0, 10, 4));
+        Quota s = settled(quotaSettings(false, 0, 0, 10, 4));
         assertThat(spent(s::tryAcquireRetry)).isEqualTo(10);
         assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.SUSPICION)))
                 .isEqualTo(4);
@@ -86,7 +91,7 @@
 
     @Test
     void whereTheyAreNoBudgetTheyAreEarnedByOps() {
-        QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
+        Quota s = settled(quotaSettings(true, 0, 0, 0, 0));
         assertThat(s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)).isFalse();
         for (int i = 0; i < 5; i++) {
             s.tryAcquireRequest(now, TENANT);
@@ -98,7 +103,7 @@
 
     @Test
     void aSendAtAColdServerTakesAPartOfBothAndOneThatIsRefusedTakesNone() {
-        QuotaNode s = settled(quotaSettings(false, 3, 1, 0, 0));
+        Quota s = settled(quotaSettings(false, 3, 1, 0, 0));
         assertThat(s.tryAcquireAttempt(SERVER, true)).isTrue();
         assertThat(s.hasAttempt(SERVER, true)).isFalse();
         assertThat(s.tryAcquireAttempt(SERVER, true)).isFalse();
@@ -109,7 +114,7 @@
 
     @Test
     void whoIsBeyondATenantsBudgetIsToldWhenTheNextPartComes() {
-        QuotaNode s = settled(quotaSettings(true, 0, 0, 0, 0));
+        Quota s = settled(quotaSettings(true, 0, 0, 0, 0));
         assertThat(spent(() -> s.tryAcquireRequest(now, TENANT))).isEqualTo(10);
         assertThat(s.retryAfter(now, TENANT)).isBetween(1L, SECOND / 10);
         now += s.retryAfter(now, TENANT);
--- a/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
@@ -15,23 +15,25 @@
     private static final long EPOCH = 0x0123456789ABCDEFL;
 
     private static Part leaseRequest(int partition, int round) {
-        return QuotaMessageCodec.leaseRequest(partition, round);
+        return QuotaMessageCodec.encode(new QuotaMessage.LeaseRequest(partition, round));
     }
 
-    private static Part leasePromise(int partition, int round, long epoch) {
-        return QuotaMessageCodec.leasePromise(partition, round, epoch);
+    private static Part leaseGrant(int partition, int round, long epoch) {
+        return QuotaMessageCodec.encode(new QuotaMessage.LeaseGrant(partition, round, epoch));
     }
 
-    private static Part unitRequest(int request, int extendedLoan, int[] units) {
-        return QuotaMessageCodec.unitRequest(request, extendedLoan, units);
+    private static Part unitRequest(int request, int renewedSubLease, int[] units) {
+        return QuotaMessageCodec.encode(
+                new QuotaMessage.UnitRequest(request, renewedSubLease, UnitCounts.positive(units)));
     }
 
-    private static Part unitGrant(long epoch, int request, int loan, int[] units) {
-        return QuotaMessageCodec.unitGrant(epoch, request, loan, units);
+    private static Part unitGrant(long epoch, int request, int subLease, int[] units) {
+        return QuotaMessageCodec.encode(
+                new QuotaMessage.UnitGrant(epoch, request, subLease, UnitCounts.positive(units)));
     }
 
-    private static Part unitReturn(int loan, int[] units) {
-        return QuotaMessageCodec.unitReturn(loan, units);
+    private static Part unitReturn(int subLease, int[] units) {
+        return QuotaMessageCodec.encode(new QuotaMessage.UnitReturn(subLease, UnitCounts.all(units)));
     }
 
     private static String hex(Part part) {
@@ -54,8 +56,8 @@
     }
 
     @Test
-    void leasePromise() {
-        Part part = leasePromise(65_535, 7, EPOCH);
+    void leaseGrant() {
+        Part part = leaseGrant(65_535, 7, EPOCH);
         assertThat(part.kind()).isEqualTo(17);
         assertThat(hex(part)).isEqualTo("ffff000000070123456789abcdef");
     }
