--- a/gateway/src/main/java/ploverdale/quota/UnitCounts.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitCounts.java
@@ -43,11 +43,6 @@
         return byLimit.getOrDefault(limit, 0);
     }
 
-    /** Whether the limit is listed, with 0 units perhaps. */
-    boolean lists(int limit) {
-        return byLimit.containsKey(limit);
-    }
-
     /** Units by limit in the order of the limits; read-only. */
     SortedMap<Integer, Integer> byLimit() {
         return byLimit;
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -16,7 +16,7 @@
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 
-/** What the module may spend, of a fleet of one, which is its own steward once all that an earlier start used is over. */
+/** What the router may acquire of a gateway that is alone: it holds its lease partition once the quarantine is over. */
 class QuotaNodeTest {
     private static final long SECOND = 10_000;
     private static final ServerId SERVER = new ServerId("s");
@@ -24,8 +24,8 @@
 
     private long now = SECOND;
 
-    private Quota settled(QuotaSettings quotaSettings) {
-        RequestClass type = new RequestClass(
+    private Quota quotaAfterQuarantine(QuotaSettings settings) {
+        RequestClass requestClass = new RequestClass(
                 5000,
                 0,
                 30_000,
@@ -37,12 +37,12 @@
                 false,
                 RequestClass.Consistency.UNBOUNDED,
                 5000);
-        QuotaNode s = new QuotaNode(
-                quotaSettings,
+        QuotaNode node = new QuotaNode(
+                settings,
                 new Event.Started(
                         7,
                         1,
-                        List.of(type),
+                        List.of(requestClass),
                         List.of(new Tenant(10)),
                         0.1,
                         new ServerGuarantees(0.2, 0, 2.5, 0, true, 0),
@@ -54,70 +54,71 @@
                 () -> now,
                 () -> now);
         now += 20 * SECOND;
-        s.onTick();
-        now += 2 * SECOND; // parts that come bring none that are saved up
-        return s.quota();
+        node.onTick();
+        now += 2 * SECOND; // new units bring no tokens
+        return node.quota();
     }
 
-    private static QuotaSettings quotaSettings(boolean tenants, int sends, int cold, int again, int probes) {
+    private static QuotaSettings settings(
+            boolean tenants, int attempts, int slowStartAttempts, int retries, int healthChecks) {
         return new QuotaSettings(
-                new SharedLimitSettings(tenants, sends, cold, 8, again, probes),
+                new SharedLimitSettings(tenants, attempts, slowStartAttempts, 8, retries, healthChecks),
                 0.5,
                 new LeaseDurations(30_000, 20_000, 0.05),
                 2000,
                 null);
     }
 
-    private static int spent(BooleanSupplier one) {
-        int n = 0;
-        while (n < 1000 && one.getAsBoolean()) {
-            n++;
+    private static int acquired(BooleanSupplier acquire) {
+        int count = 0;
+        while (count < 1000 && acquire.getAsBoolean()) {
+            count++;
         }
-        return n;
+        return count;
     }
 
     @Test
-    void furtherSendsAndProbesOfWhateverKindAreSpentOfTheWhole() {
-        Quota s = settled(quotaSettings(false, 0, 0, 10, 4));
-        assertThat(spent(s::tryAcquireRetry)).isEqualTo(10);
-        assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.SUSPICION)))
+    void retriesAndHealthChecksForAnyReasonAreTakenFromTheSharedLimit() {
+        Quota quota = quotaAfterQuarantine(settings(false, 0, 0, 10, 4));
+        assertThat(acquired(quota::tryAcquireRetry)).isEqualTo(10);
+        assertThat(acquired(() -> quota.tryAcquireHealthCheck(HealthCheckReason.SUSPICION)))
                 .isEqualTo(4);
-        assertThat(s.tryAcquireHealthCheck(HealthCheckReason.ON_DEMAND)).isFalse();
+        assertThat(quota.tryAcquireHealthCheck(HealthCheckReason.ON_DEMAND)).isFalse();
         now += SECOND / 2;
-        assertThat(spent(s::tryAcquireRetry)).isEqualTo(5);
-        assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
+        assertThat(acquired(quota::tryAcquireRetry)).isEqualTo(5);
+        assertThat(acquired(() -> quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
                 .isEqualTo(2);
     }
 
     @Test
-    void whereTheyAreNoBudgetTheyAreEarnedByOps() {
-        Quota s = settled(quotaSettings(true, 0, 0, 0, 0));
-        assertThat(s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)).isFalse();
+    void retriesAndHealthChecksThatAreNotSharedAreFundedByRequests() {
+        Quota quota = quotaAfterQuarantine(settings(true, 0, 0, 0, 0));
+        assertThat(quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)).isFalse();
         for (int i = 0; i < 5; i++) {
-            s.tryAcquireRequest(now, TENANT);
+            quota.tryAcquireRequest(now, TENANT);
         }
-        assertThat(spent(() -> s.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
+        assertThat(acquired(() -> quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
                 .isEqualTo(1);
-        assertThat(spent(s::tryAcquireRetry)).isEqualTo(40);
+        assertThat(acquired(quota::tryAcquireRetry)).isEqualTo(40);
     }
 
     @Test
-    void aSendAtAColdServerTakesAPartOfBothAndOneThatIsRefusedTakesNone() {
-        Quota s = settled(quotaSettings(false, 3, 1, 0, 0));
-        assertThat(s.tryAcquireAttempt(SERVER, true)).isTrue();
-        assertThat(s.hasAttempt(SERVER, true)).isFalse();
-        assertThat(s.tryAcquireAttempt(SERVER, true)).isFalse();
-        assertThat(spent(() -> s.tryAcquireAttempt(SERVER, false))).isEqualTo(2);
-        s.releaseAttempt(SERVER, true);
-        assertThat(s.tryAcquireAttempt(SERVER, true)).isTrue();
+    void anAttemptDuringSlowStartTakesAUnitOfBothLimitsAndARejectedOneTakesNone() {
+        Quota quota = quotaAfterQuarantine(settings(false, 3, 1, 0, 0));
+        assertThat(quota.tryAcquireAttempt(SERVER, true)).isTrue();
+        assertThat(quota.hasAttempt(SERVER, true)).isFalse();
+        assertThat(quota.tryAcquireAttempt(SERVER, true)).isFalse();
+        assertThat(acquired(() -> quota.tryAcquireAttempt(SERVER, false))).isEqualTo(2);
+        quota.releaseAttempt(SERVER, true);
+        assertThat(quota.tryAcquireAttempt(SERVER, true)).isTrue();
     }
 
     @Test
-    void whoIsBeyondATenantsBudgetIsToldWhenTheNextPartComes() {
-        Quota s = settled(quotaSettings(true, 0, 0, 0, 0));
-        assertThat(spent(() -> s.tryAcquireRequest(now, TENANT))).isEqualTo(10);
-        assertThat(s.retryAfter(now, TENANT)).isBetween(1L, SECOND / 10);
-        now += s.retryAfter(now, TENANT);
-        assertThat(s.tryAcquireRequest(now, TENANT)).isTrue();
+    void aRejectedTenantIsAskedToRetryWhenTheNextUnitIsDue() {
+        Quota quota = quotaAfterQuarantine(settings(true, 0, 0, 0, 0));
+        assertThat(acquired(() -> quota.tryAcquireRequest(now, TENANT))).isEqualTo(10);
+        assertThat(quota.retryAfter(now, TENANT)).isBetween(1L, SECOND / 10);
+        now += quota.retryAfter(now, TENANT);
+        assertThat(quota.tryAcquireRequest(now, TENANT)).isTrue();
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/quota/QuotaProtocolTest.java
@@ -0,0 +1,155 @@
+package ploverdale.quota;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import ploverdale.membership.Packet;
+import ploverdale.membership.PacketQueue;
+import ploverdale.quota.QuotaProtocol.Mode;
+
+/** Three gateways on a network without faults; faults are tried by the explorer and the fleet model of the tools. */
+class QuotaProtocolTest {
+    private static final int GATEWAYS = 3;
+    private static final int CAPACITY = 24;
+    private static final int ENTITLEMENT = CAPACITY / GATEWAYS;
+    private static final int GUARANTEED = ENTITLEMENT / 2;
+    private static final long LONGEST_USE = 500;
+    private static final long TICK = 100;
+    private static final LeaseDurations DURATIONS = new LeaseDurations(3_000, 2_000, 0.05);
+    private static final long SETTLED = 4 * DURATIONS.partitionGrantorTerm();
+
+    private final QuotaAllocation allocation = new QuotaAllocation(
+            List.of(new SharedLimit("limit", SharedLimit.Kind.CONCURRENCY, CAPACITY, LONGEST_USE)), GATEWAYS, 0.5);
+    private final List<QuotaProtocol> gateways = new ArrayList<>();
+    private final boolean[] absent = new boolean[GATEWAYS];
+    private long now = 10_000;
+
+    QuotaProtocolTest() {
+        for (int gateway = 0; gateway < GATEWAYS; gateway++) {
+            gateways.add(new QuotaProtocol(
+                    gateway, epoch(gateway), allocation, DURATIONS, new SplittableRandom(gateway), now));
+        }
+    }
+
+    private static long epoch(int gateway) {
+        return 100 + gateway;
+    }
+
+    private void run(long duration) {
+        for (long end = now + duration; now < end; now += TICK) {
+            for (int gateway = 0; gateway < GATEWAYS; gateway++) {
+                if (!absent[gateway]) {
+                    PacketQueue out = new PacketQueue(1e9, now);
+                    gateways.get(gateway).onTick(now, other -> !absent[other], out);
+                    deliver(gateway, out);
+                }
+            }
+            assertThat(totalUnits()).isLessThanOrEqualTo(CAPACITY);
+        }
+    }
+
+    private void deliver(int sender, PacketQueue out) {
+        for (PacketQueue.OutboundPacket packet : out.letters(now, 1, allocation.id())) {
+            if (absent[packet.to()]) {
+                continue;
+            }
+            PacketQueue answers = new PacketQueue(1e9, now);
+            for (Packet.Part part : Packet.read(packet.bytes()).parts()) {
+                gateways.get(packet.to()).onMessage(now, sender, epoch(sender), part, answers);
+            }
+            deliver(packet.to(), answers);
+        }
+    }
+
+    private int units(int gateway) {
+        return gateways.get(gateway).heldUnits(now, 0);
+    }
+
+    private int totalUnits() {
+        return IntStream.range(0, GATEWAYS)
+                .filter(gateway -> !absent[gateway])
+                .map(this::units)
+                .sum();
+    }
+
+    private int acquireAll(int gateway) {
+        int acquired = 0;
+        while (gateways.get(gateway).tryAcquire(now, 0)) {
+            acquired++;
+        }
+        return acquired;
+    }
+
+    @Test
+    void startsWithGuaranteedUnitsAndHasItsEntitlementAfterTheQuarantine() {
+        run(DURATIONS.partitionGrantorTerm());
+        assertThat(units(0)).isEqualTo(GUARANTEED);
+        assertThat(gateways.get(0).pollModeChange()).isEmpty();
+        run(SETTLED);
+        assertThat(units(0)).isEqualTo(ENTITLEMENT);
+        assertThat(gateways.get(0).pollModeChange()).contains(new QuotaProtocol.ModeChange(Mode.FULL_ENTITLEMENT, 0));
+        assertThat(gateways.get(0).pollModeChange()).isEmpty();
+    }
+
+    @Test
+    void fallsBackToGuaranteedUnitsWithoutAMajority() {
+        run(SETTLED);
+        gateways.get(0).pollModeChange();
+        absent[1] = true;
+        absent[2] = true;
+        run(DURATIONS.partitionLease() + TICK);
+        assertThat(units(0)).isEqualTo(GUARANTEED);
+        assertThat(gateways.get(0).pollModeChange())
+                .map(QuotaProtocol.ModeChange::mode)
+                .contains(Mode.GUARANTEED_ONLY);
+    }
+
+    @Test
+    void borrowsWhereTheDemandExceedsWhatItHoldsAndReturnsWhatIsIdle() {
+        run(SETTLED);
+        int acquired = 0;
+        for (int second = 0; second < 5; second++) {
+            acquired += acquireAll(0);
+            run(10_000);
+        }
+        assertThat(acquired).isGreaterThan(ENTITLEMENT);
+        assertThat(units(0)).isGreaterThanOrEqualTo(acquired);
+        for (int unit = 0; unit < acquired; unit++) {
+            gateways.get(0).release(0);
+        }
+        run(100_000);
+        for (int gateway = 0; gateway < GATEWAYS; gateway++) {
+            assertThat(units(gateway)).isEqualTo(ENTITLEMENT);
+        }
+    }
+
+    @Test
+    void theSuccessorTakesOverThePartitionOfAnAbsentGatewayAndGivesItBack() {
+        run(SETTLED);
+        absent[2] = true;
+        run(2 * SETTLED);
+        assertThat(totalUnits()).isEqualTo(CAPACITY - GUARANTEED);
+        absent[2] = false;
+        run(2 * SETTLED);
+        for (int gateway = 0; gateway < GATEWAYS; gateway++) {
+            assertThat(units(gateway)).isEqualTo(ENTITLEMENT);
+        }
+    }
+
+    @Test
+    void grantsToAnEarlierProcessAreIgnored() {
+        QuotaProtocol gateway = gateways.get(0);
+        PacketQueue out = new PacketQueue(1e9, now);
+        gateway.onTick(now, other -> true, out);
+        QuotaMessage.LeaseGrant stale = new QuotaMessage.LeaseGrant(0, 1, epoch(0) - 1);
+        for (long end = now + SETTLED; now < end; now += TICK) {
+            gateway.onMessage(now, 1, epoch(1), QuotaMessageCodec.encode(stale), out);
+            gateway.onMessage(now, 2, epoch(2), QuotaMessageCodec.encode(stale), out);
+            assertThat(units(0)).isLessThanOrEqualTo(GUARANTEED);
+        }
+    }
+}
