--- a/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
@@ -1,9 +1,10 @@
 package ploverdale.quota;
 
 /**
- * The leases that this gateway has granted as an acceptor. As an acceptor of Paxos (PaxosLease, without a stored state), it
- * grants a partition to one holder at a time; a majority of acceptors that grant is a lease. A later epoch of the same gateway
- * is another holder. Grants are kept in memory only, so an acceptor that has just started abstains until every lease that it
+ * The leases that this gateway has granted as an acceptor. It grants a partition to one holder at a time; a majority of
+ * acceptors that grant is a lease. These are majority leases without stored state, as in PaxosLease (Trencseni, Gazso and
+ * Reinhardt, 2012), but in a single phase: a round that finds no majority is repeated. A later epoch of the same gateway is
+ * another holder. Since grants are kept in memory only, an acceptor that has just started abstains until every lease that it
  * may have granted before has expired.
  *
  * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
