--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -16,6 +16,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Action;
@@ -113,7 +114,7 @@
                 JsonFields f = JsonFields.of(name, body);
                 Reader reader = new Reader(f);
                 Started told = reader.started();
-                if (quotaSettings != null && quotaSettings.keeping() != null) {
+                if (quotaSettings != null && quotaSettings.replication() != null) {
                     throw new InvalidSettingsException(
                             "fleet file with a field sessions or submits, which are kept on sockets only");
                 }
@@ -125,7 +126,7 @@
                                 1 + now / 10,
                                 () -> this.now,
                                 () -> this.now); // 0 would be no start at all
-                Host host = new Host(new Router(shared), reader, shared);
+                Host host = new Host(new Router(shared == null ? null : shared.quota()), reader, shared);
                 hosts.put(f.text("gateway"), host);
                 tell(g, now, f.text("gateway"), host, told);
                 lookRound(g, f.text("gateway"), host);
@@ -154,16 +155,16 @@
 
     private void lookRound(JsonGenerator g, String gateway, Host host) throws IOException {
         if (host.shared() != null) {
-            write(g, gateway, host.shared(), host.shared().due());
-            new Writer(g, gateway).write(new Action.SetTimer(now + QuotaNode.LOOK, SHARED_MARK));
+            write(g, gateway, host.shared(), host.shared().onTick());
+            new Writer(g, gateway).write(new Action.SetTimer(now + QuotaNode.TICK_INTERVAL, SHARED_MARK));
         }
     }
 
     private boolean sharedHears(JsonGenerator g, String gateway, Host host, JsonFields f) throws IOException {
-        List<PacketQueue.OutboundPacket> answers =
-                host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
-        write(g, gateway, host.shared(), answers == null ? List.of() : answers);
-        return answers != null;
+        Optional<List<PacketQueue.OutboundPacket>> answers =
+                host.shared().onDatagram((int) f.whole("from"), Reader.bytes(f.text("body")));
+        write(g, gateway, host.shared(), answers.orElse(List.of()));
+        return answers.isPresent();
     }
 
     private static void write(
@@ -172,7 +173,7 @@
         for (PacketQueue.OutboundPacket l : letters) {
             new Writer(g, gateway).write(new Action.SendGossip(l.to(), l.bytes()));
         }
-        for (String line : shared.lines()) {
+        for (String line : shared.drainLogLines()) {
             new Writer(g, gateway).write(new Action.LogLine(line));
         }
     }
--- a/gateway/src/main/java/ploverdale/cli/CheckCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/CheckCommand.java
@@ -25,17 +25,18 @@
     }
 
     private static void printQuota(QuotaSettings quotaSettings, Event.Started settings) {
-        QuotaAllocation allocation = quotaSettings.division(settings);
+        QuotaAllocation allocation = quotaSettings.allocation(settings);
         System.out.println("fleet of " + allocation.gateways() + ", division " + Integer.toHexString(allocation.id())
-                + ", floor " + quotaSettings.floorShare() + " of each right");
-        for (int budget = 0; budget < allocation.budgets().size(); budget++) {
-            System.out.println("  " + allocation.budgets().get(budget).name() + ": "
-                    + allocation.budgets().get(budget).whole() + " in all, "
-                    + allocation.right(settings.me(), budget) + " here by right, of them "
-                    + allocation.floor(settings.me(), budget) + " as floor");
+                + ", floor " + quotaSettings.guaranteedShare() + " of each right");
+        for (int limit = 0; limit < allocation.limits().size(); limit++) {
+            System.out.println("  " + allocation.limits().get(limit).name() + ": "
+                    + allocation.limits().get(limit).capacity() + " in all, "
+                    + allocation.entitlement(settings.me(), limit) + " here by right, of them "
+                    + allocation.guaranteedUnits(settings.me(), limit) + " as floor");
         }
-        if (quotaSettings.keeping() != null) {
-            System.out.println("  kept by " + quotaSettings.keeping().replicationFactor() + ": " + quotaSettings.keeping());
+        if (quotaSettings.replication() != null) {
+            System.out.println("  kept by " + quotaSettings.replication().replicationFactor() + ": "
+                    + quotaSettings.replication());
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.quota.SharedLimitSettings;
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.InvalidSettingsException;
@@ -57,12 +58,13 @@
         JsonFields f = JsonFields.of("fleet file", ConfigurationFile.json(text, "fleet file"));
         f.only(FIELDS);
         QuotaSettings s = new QuotaSettings(
-                f.mark("tenants"),
-                parts(f, "sends_at_server"),
-                parts(f, "cold_sends_at_server"),
-                (int) within(f, "server_slots", 64, 1, 512),
-                parts(f, "second_sends_per_second"),
-                parts(f, "probes_per_second"),
+                new SharedLimitSettings(
+                        f.mark("tenants"),
+                        parts(f, "sends_at_server"),
+                        parts(f, "cold_sends_at_server"),
+                        (int) within(f, "server_slots", 64, 1, 512),
+                        parts(f, "second_sends_per_second"),
+                        parts(f, "probes_per_second")),
                 within(f, "floor_share", 0.5, 0, 0.5),
                 new LeaseDurations(
                         (long) within(f, "steward_ms", 3000, 200, 60_000) * MS,
@@ -113,14 +115,14 @@
 
     /** Whether the file fits what the gateway is told; a field that does not is named. */
     public static QuotaSettings fits(QuotaSettings s, GatewaySettings told) {
-        if (s.keeping() != null) {
-            for (String name : s.keeping().synchronousClasses()) {
+        if (s.replication() != null) {
+            for (String name : s.replication().synchronousClasses()) {
                 if (!told.requestClasses().contains(name)) {
                     throw new InvalidSettingsException(
                             "fleet file with a field wait_for_copies that names no op type: " + name);
                 }
             }
-            if (s.keeping().replicatesSessions() && told.started().copies().tokensCarried()) {
+            if (s.replication().replicatesSessions() && told.started().copies().tokensCarried()) {
                 throw new InvalidSettingsException(
                         "fleet file with a field sessions where clients bring their sessions' positions");
             }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -54,7 +54,7 @@
         vertx.setPeriodic(ServerClock.LOOK_MS, id -> serverClock.look());
         limits = new ConnectionLimits<>(configuration.sockets());
         membership = membership(options, serverClock);
-        Quota quota = membership.isPresent() ? membership.get().shared() : null;
+        Quota quota = membership.isPresent() ? membership.get().shared().quota() : null;
         loop = new RouterEventLoop(vertx, options.context(), log, quota, clock);
         clients = new ClientConnections(vertx, log, loop, settings, limits, serverClock);
         servers = new ServerConnectionPool(vertx, log, settings, limits, this::makeRoomForServer, serverClock);
--- a/gateway/src/main/java/ploverdale/net/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -125,7 +125,8 @@
             return; // all that it says is dated
         }
         heard = true;
-        loop.enqueue(new Event.GossipReceived(from, time == null ? bytes : DatagramCodec.shiftSentAt(bytes, -time.offset())));
+        loop.enqueue(new Event.GossipReceived(
+                from, time == null ? bytes : DatagramCodec.shiftSentAt(bytes, -time.offset())));
     }
 
     /** Whether any other instance has spoken. */
--- a/gateway/src/main/java/ploverdale/net/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -2,6 +2,7 @@
 
 import io.vertx.core.Vertx;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.ObjLongConsumer;
 import ploverdale.log.Log;
 import ploverdale.membership.PacketQueue;
@@ -31,8 +32,8 @@
         this.out = out;
         shared = new QuotaNode(
                 quotaSettings, told, time.clock().wallMs(), () -> time.clock().nanos() / 100_000, time::wallNow);
-        vertx.setPeriodic(QuotaNode.LOOK / 10, x -> sends(shared.due()));
-        vertx.setPeriodic(LINE_MS, x -> log.line(shared.figures()));
+        vertx.setPeriodic(QuotaNode.TICK_INTERVAL / 10, x -> sends(shared.onTick()));
+        vertx.setPeriodic(LINE_MS, x -> log.line(shared.statisticsLine()));
         lines();
     }
 
@@ -54,12 +55,12 @@
 
     /** Has something asked or told by what is kept, and sends what that brings. */
     void keeps(ObjLongConsumer<PacketQueue> what) {
-        shared.keeps(what).forEach(l -> out.send(l.to(), l.bytes()));
+        shared.runAndDrain(what).forEach(l -> out.send(l.to(), l.bytes()));
         lines();
     }
 
     private void lines() {
-        for (String line : shared.lines()) {
+        for (String line : shared.drainLogLines()) {
             int colon = line.indexOf(": ");
             if (line.startsWith("budgets") || line.startsWith("replicas")) {
                 log.line(line);
@@ -71,15 +72,13 @@
 
     /** Whether this datagram is the fleet's; it has been read if it is. */
     boolean hears(int from, byte[] bytes) {
-        List<PacketQueue.OutboundPacket> answers = shared.hears(from, bytes);
-        if (answers != null) {
-            sends(answers);
-        }
-        return answers != null;
+        Optional<List<PacketQueue.OutboundPacket>> answers = shared.onDatagram(from, bytes);
+        answers.ifPresent(this::sends);
+        return answers.isPresent();
     }
 
     /** This gateway leaves. */
     void leaves() {
-        shared.leaves();
+        shared.leave();
     }
 }
--- a/gateway/src/main/java/ploverdale/net/RequestHistory.java
+++ b/gateway/src/main/java/ploverdale/net/RequestHistory.java
@@ -54,7 +54,7 @@
                 loop,
                 clients,
                 options.configuration().settings(),
-                options.quotaSettings().get().keeping(),
+                options.quotaSettings().get().replication(),
                 transport.shared().replicas(),
                 transport::keeps,
                 serverClock);
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -2,264 +2,183 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
-import ploverdale.gossip.ServerHash;
 import ploverdale.membership.Incarnation;
 import ploverdale.membership.Membership;
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
+import ploverdale.membership.PacketQueue.OutboundPacket;
 import ploverdale.model.Event.Started;
 import ploverdale.model.Quota;
-import ploverdale.model.ServerId;
-import ploverdale.model.TenantId;
 import ploverdale.replication.Replicas;
 
 /**
- * All that one gateway has of its fleet: who is there, the budgets, the letters between them, and what of the budgets the
- * module may spend. The same on sockets and on the simulator's wire; whoever owns it looks round in time and carries the
- * letters. Times in tenths of a millisecond, of a clock that never steps.
+ * What one gateway runs to coordinate with the others: membership, the quota protocol, and replication where it is switched
+ * on, all over the same packets. It does no I/O: its owner calls {@link #onTick} every {@link #TICK_INTERVAL}, hands in the
+ * datagrams that it receives, and sends the packets that the methods return.
+ *
+ * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of the event loop.
  */
-public final class QuotaNode implements Quota {
-    /** How often {@link #due} is to be asked, in tenths of a millisecond; short beside any lease. */
-    public static final long LOOK = 200;
+public final class QuotaNode {
+    /** How often {@link #onTick} is to be called, in tenths of a millisecond; short beside the term of any lease. */
+    public static final long TICK_INTERVAL = 200;
+
+    private static final long RANDOM_STREAM = 0x5DEECE66DL; // keeps the draws apart from the router's of the same seed
 
-    private final QuotaSettings quotaSettings;
     private final LongSupplier clock;
-    private final int tenants;
-    private final QuotaAllocation division;
+    private final QuotaAllocation allocation;
     private final Membership membership;
-    private final Budgets budgets;
-    private final PacketQueue packing;
-    private final Replicas replicas; // null where nothing is kept
-    private final int id; // by which parcels of gateways that divide or keep otherwise are told apart
-    private final StaticQuota staticQuota; // what is no budget of the fleet
-    private final List<String> lines = new ArrayList<>();
+    private final QuotaProtocol protocol;
+    private final PacketQueue queue;
+    private final Quota quota;
+    private final Optional<Replicas> replicas;
+    private final int id; // gateways with another allocation or replication factor are told apart by it
+    private final List<String> logLines = new ArrayList<>();
 
     /**
-     * @param startedMs Unix ms, by which later starts of a name are told from earlier ones
-     * @param wall Unix time, in tenths of a millisecond
+     * @param startedMs Unix time in ms, by which later starts of a gateway are told from earlier ones
+     * @param clock monotonic, in tenths of a millisecond
+     * @param wallClock Unix time, in tenths of a millisecond
      */
-    public QuotaNode(QuotaSettings quotaSettings, Started told, long startedMs, LongSupplier clock, LongSupplier wall) {
-        this.quotaSettings = quotaSettings;
+    public QuotaNode(
+            QuotaSettings settings, Started configuration, long startedMs, LongSupplier clock, LongSupplier wallClock) {
         this.clock = clock;
-        tenants = quotaSettings.tenantBudgets(told);
-        division = quotaSettings.division(told);
-        SplittableRandom random = new SplittableRandom(told.seed() ^ 0x5DEECE66DL);
+        allocation = settings.allocation(configuration);
+        int self = configuration.me();
+        int gateways = configuration.gateways();
+        SplittableRandom random = new SplittableRandom(configuration.seed() ^ RANDOM_STREAM);
         long now = clock.getAsLong();
-        membership = new Membership(told.me(), told.gateways(), startedMs, random.split());
-        budgets = new Budgets(
-                told.me(),
-                Incarnation.startOf(membership.incarnation()),
-                division,
-                quotaSettings.leaseDurations(),
-                random.split(),
-                now);
-        packing = new PacketQueue(quotaSettings.bytesPerSecond(), now);
-        staticQuota = new StaticQuota(told.tenants(), told.gateways());
-        replicas = quotaSettings.keeping() == null
-                ? null
-                : new Replicas(
-                        told.me(),
-                        told.gateways(),
-                        Incarnation.startOf(membership.incarnation()),
-                        quotaSettings.keeping(),
-                        random.split(),
-                        wall);
-        id = division.id() + (replicas == null ? 0 : quotaSettings.keeping().replicationFactor());
-        if (divides()) {
-            lines.add("budgets: " + division.budgets().size() + " divided among " + told.gateways()
-                    + " gateways, division " + Integer.toHexString(id)
-                    + ", on its floor until others have promised more");
+        membership = new Membership(self, gateways, startedMs, random.split());
+        protocol = new QuotaProtocol(self, epoch(), allocation, settings.leaseDurations(), random.split(), now);
+        queue = new PacketQueue(settings.bytesPerSecond(), now);
+        quota = new SharedQuota(
+                new SharedLimitTable(settings.limits(), configuration),
+                protocol,
+                new StaticQuota(configuration.tenants(), gateways),
+                clock);
+        replicas = Optional.ofNullable(settings.replication())
+                .map(replication -> new Replicas(self, gateways, epoch(), replication, random.split(), wallClock));
+        id = allocation.id()
+                + (settings.replication() == null ? 0 : settings.replication().replicationFactor());
+        if (sharesLimits()) {
+            logLines.add(QuotaLogLines.started(allocation, id));
         }
     }
 
-    private boolean divides() {
-        return !division.budgets().isEmpty();
+    private boolean sharesLimits() {
+        return !allocation.limits().isEmpty();
+    }
+
+    private long epoch() {
+        return Incarnation.startOf(membership.incarnation());
     }
 
-    /** What is kept for the fleet, or null. */
+    /** The quota that the router acquires units of. */
+    public Quota quota() {
+        return quota;
+    }
+
+    /** The replicas of this gateway; null where replication is off. */
     public Replicas replicas() {
-        return replicas;
+        return replicas.orElse(null);
     }
 
-    /** Looks round: what is to be told by now. */
-    public List<PacketQueue.OutboundPacket> due() {
+    /** Does the periodic work; returns the packets to send. */
+    public List<OutboundPacket> onTick() {
         long now = clock.getAsLong();
-        membership.onTick(now, packing);
-        for (Membership.Change c : membership.drainChanges()) {
-            lines.add("fleet: n" + c.member() + " " + c.current().logName() + ", " + membership.presentCount() + " of "
-                    + membership.size() + " present");
-        }
-        budgets.speaksAs(Incarnation.startOf(membership.incarnation()));
-        budgets.due(now, membership::isPresent, packing);
-        String line = budgets.line();
-        if (line != null && divides()) {
-            lines.add(line);
+        membership.onTick(now, queue);
+        for (Membership.Change change : membership.drainChanges()) {
+            logLines.add(QuotaLogLines.memberChanged(change, membership));
         }
-        if (replicas != null) {
-            replicas.setIncarnation(Incarnation.startOf(membership.incarnation()));
-            replicas.onTick(now, membership::isPresent, packing);
-        }
-        return letters(now);
+        protocol.setEpoch(epoch());
+        protocol.onTick(now, membership::isPresent, queue);
+        protocol.pollModeChange()
+                .filter(change -> sharesLimits())
+                .map(change ->
+                        QuotaLogLines.modeChanged(change, allocation.limits().size()))
+                .ifPresent(logLines::add);
+        replicas.ifPresent(present -> {
+            present.setIncarnation(epoch());
+            present.onTick(now, membership::isPresent, queue);
+        });
+        return drainPackets(now);
     }
 
-    private List<PacketQueue.OutboundPacket> letters(long now) {
-        if (replicas != null) {
-            lines.addAll(replicas.takeLogLines());
-        }
-        return packing.drain(now, membership.incarnation(), id);
+    private List<OutboundPacket> drainPackets(long now) {
+        replicas.ifPresent(present -> logLines.addAll(present.takeLogLines()));
+        return queue.drain(now, membership.incarnation(), id);
     }
 
-    /** Has something asked or told by what is kept; tells what is to be sent for it. */
-    public List<PacketQueue.OutboundPacket> keeps(ObjLongConsumer<PacketQueue> what) {
+    /**
+     * Runs an action of the replicas; returns the packets to send for it.
+     *
+     * @param action is handed the queue for its messages, and the time
+     */
+    public List<OutboundPacket> runAndDrain(ObjLongConsumer<PacketQueue> action) {
         long now = clock.getAsLong();
-        what.accept(packing, now);
-        return letters(now);
+        action.accept(queue, now);
+        return drainPackets(now);
     }
 
-    /** Reads a datagram and tells what is to be answered; null where it is none of the fleet's. */
-    public List<PacketQueue.OutboundPacket> hears(int from, byte[] bytes) {
+    /**
+     * Handles a datagram of another gateway.
+     *
+     * @return the packets to answer with; empty where the datagram is not of this protocol and has not been handled
+     */
+    public Optional<List<OutboundPacket>> onDatagram(int sender, byte[] bytes) {
         if (!PacketCodec.hasMagic(bytes)) {
-            return null;
+            return Optional.empty();
         }
-        Packet p = PacketCodec.decode(bytes);
-        long now = clock.getAsLong();
-        if (p == null) {
-            lines.add("parcels of the fleet not read: of n" + from + ", " + bytes.length + " bytes");
-            return List.of();
+        Packet packet = PacketCodec.decode(bytes);
+        if (packet == null) {
+            logLines.add(QuotaLogLines.unreadablePacket(sender, bytes.length));
+            return Optional.of(List.of());
         }
-        if (!membership.acceptPacket(now, from, p.incarnation())) {
-            membership.correctStaleSender(from, packing);
-            return letters(now);
+        long now = clock.getAsLong();
+        if (membership.acceptPacket(now, sender, packet.incarnation())) {
+            onPacket(now, sender, packet);
+        } else {
+            membership.correctStaleSender(sender, queue);
         }
-        boolean same = p.allocationId() == id;
-        for (Packet.Part part : p.parts()) {
-            membership.onPart(now, from, part, packing);
-            if (same) {
-                budgets.part(now, from, Incarnation.startOf(p.incarnation()), part, packing);
-                if (replicas != null) {
-                    replicas.onMessage(now, from, Incarnation.startOf(p.incarnation()), part, packing);
-                }
+        return Optional.of(drainPackets(now));
+    }
+
+    /** Membership is common to all gateways; quota and replication only to those with the same settings. */
+    private void onPacket(long now, int sender, Packet packet) {
+        boolean sameId = packet.allocationId() == id;
+        long senderEpoch = Incarnation.startOf(packet.incarnation());
+        for (Packet.Part part : packet.parts()) {
+            membership.onPart(now, sender, part, queue);
+            if (sameId) {
+                protocol.onMessage(now, sender, senderEpoch, part, queue);
+                replicas.ifPresent(present -> present.onMessage(now, sender, senderEpoch, part, queue));
             }
         }
-        if (!same) {
-            lines.add("another division: n" + from + " goes by " + Integer.toHexString(p.allocationId()));
+        if (!sameId) {
+            logLines.add(QuotaLogLines.otherAllocation(sender, packet.allocationId()));
         }
-        return letters(now);
     }
 
-    /** What is to be logged since the last call; each begins with its kind and a colon. */
-    public List<String> lines() {
-        List<String> all = List.copyOf(lines);
-        lines.clear();
-        return all;
+    /** What is to be logged since the last call; each line begins with its kind and a colon. */
+    public List<String> drainLogLines() {
+        List<String> drained = List.copyOf(logLines);
+        logLines.clear();
+        return drained;
     }
 
-    /** This gateway leaves. */
-    public void leaves() {
+    /** Announces that this gateway shuts down. */
+    public void leave() {
         membership.leave(clock.getAsLong());
     }
 
-    /** A line of all figures. */
-    public String figures() {
-        int[] sums = new int[5];
-        long refused = 0;
-        for (Budgets.Figures f : budgets.figures(clock.getAsLong())) {
-            sums[0] += f.held();
-            sums[1] += f.borrowed();
-            sums[2] += f.lent();
-            sums[3] += f.wanted();
-            sums[4] += f.inUse();
-            refused += f.refused();
-        }
-        return "budgets: holds " + sums[0] + " parts, " + sums[1] + " borrowed, " + sums[2] + " lent, " + sums[3]
-                + " asked for, " + sums[4] + " in use, " + refused + " refused since the start, " + packing.bytesSent()
-                + " bytes sent, " + packing.packetsDropped() + " parcels dropped, " + membership.presentCount() + " of "
-                + membership.size() + " present" + (replicas == null ? "" : "; " + replicas.statistics());
-    }
-
-    // -- What the module may spend
-
-    private int sends(ServerId server) {
-        return quotaSettings.sends(tenants, ServerHash.of(server));
-    }
-
-    private int cold(ServerId server, boolean cold) {
-        return cold ? quotaSettings.cold(tenants, ServerHash.of(server)) : -1;
-    }
-
-    private boolean spends(int budget) {
-        return budget < 0 || budgets.spend(clock.getAsLong(), budget);
-    }
-
-    @Override
-    public boolean tryAcquireRequest(long now, TenantId tenant) {
-        boolean its = staticQuota.tryAcquireRequest(now, tenant);
-        return tenants == 0 ? its : tenant.index() >= tenants || spends(tenant.index());
-    }
-
-    @Override
-    public boolean limitsAttempts() {
-        return quotaSettings.sendsAtServer() > 0;
-    }
-
-    @Override
-    public boolean hasAttempt(ServerId server, boolean cold) {
-        long now = clock.getAsLong();
-        int at = sends(server);
-        int whileCold = cold(server, cold);
-        return (at < 0 || budgets.has(now, at)) && (whileCold < 0 || budgets.has(now, whileCold));
-    }
-
-    @Override
-    public boolean tryAcquireAttempt(ServerId server, boolean cold) {
-        if (!spends(sends(server))) {
-            return false;
-        }
-        boolean may = spends(cold(server, cold));
-        if (!may) {
-            ended(sends(server)); // nothing goes out after all
-        }
-        return may;
-    }
-
-    @Override
-    public void releaseAttempt(ServerId server, boolean cold) {
-        ended(sends(server));
-        ended(cold(server, cold));
-    }
-
-    private void ended(int budget) {
-        if (budget >= 0) {
-            budgets.ended(budget);
-        }
-    }
-
-    /** Where the fleet pays for further sends, units that others have reserved here are not counted. */
-    @Override
-    public boolean hasRetry(int reserved) {
-        return quotaSettings.secondSends() == 0
-                ? staticQuota.hasRetry(reserved)
-                : budgets.has(clock.getAsLong(), quotaSettings.again(tenants));
-    }
-
-    @Override
-    public boolean tryAcquireRetry() {
-        return quotaSettings.secondSends() == 0 ? staticQuota.tryAcquireRetry() : spends(quotaSettings.again(tenants));
-    }
-
-    @Override
-    public boolean tryAcquireHealthCheck(HealthCheckReason why) {
-        return quotaSettings.probes() == 0
-                ? staticQuota.tryAcquireHealthCheck(why)
-                : spends(quotaSettings.probing(tenants));
-    }
-
-    @Override
-    public long retryAfter(long now, TenantId tenant) {
-        return tenant.index() >= tenants ? 0 : budgets.retryAfter(clock.getAsLong(), tenant.index());
+    /** A log line of the current statistics. */
+    public String statisticsLine() {
+        List<LimitStatistics> limits = protocol.statistics(clock.getAsLong());
+        String ofReplicas = replicas.map(present -> "; " + present.statistics()).orElse("");
+        return QuotaLogLines.statistics(limits, queue, membership) + ofReplicas;
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -8,10 +8,10 @@
 import ploverdale.membership.Packet;
 import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
-import ploverdale.quota.Budget;
-import ploverdale.quota.Budgets;
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaAllocation;
+import ploverdale.quota.QuotaProtocol;
+import ploverdale.quota.SharedLimit;
 
 /**
  * Instances of membership and budgets in simulated time, with clocks of their own that run fast or slow, datagrams that are
@@ -45,7 +45,7 @@
         private final double rate;
         private final long zero;
         private Membership membership;
-        private Budgets budgets;
+        private QuotaProtocol budgets;
         private PacketQueue packing;
         private boolean stopped;
         private int process; // counts its starts
@@ -71,7 +71,7 @@
             return budgets != null && !stopped;
         }
 
-        public Budgets budgets() {
+        public QuotaProtocol budgets() {
             return budgets;
         }
 
@@ -81,7 +81,7 @@
 
         /** Parts that it may spend now. */
         public int parts(int budget) {
-            return runs() ? budgets.parts(local(), budget) : 0;
+            return runs() ? budgets.heldUnits(local(), budget) : 0;
         }
 
         public long bytes() {
@@ -92,7 +92,7 @@
         public void start(long stepMs) {
             long startedMs = STEPS_MS + now() / MS + stepMs;
             membership = new Membership(number, world.division.gateways(), startedMs, random.split());
-            budgets = new Budgets(
+            budgets = new QuotaProtocol(
                     number,
                     Incarnation.startOf(membership.incarnation()),
                     world.division,
@@ -137,8 +137,8 @@
                 return;
             }
             membership.onTick(local(), packing);
-            budgets.speaksAs(Incarnation.startOf(membership.incarnation()));
-            budgets.due(local(), membership::isPresent, packing);
+            budgets.setEpoch(Incarnation.startOf(membership.incarnation()));
+            budgets.onTick(local(), membership::isPresent, packing);
             sends();
             at(now() + (long) (LOOK / rate), () -> look(p));
         }
@@ -164,7 +164,7 @@
                 for (Packet.Part part : p.parts()) {
                     membership.onPart(local(), from, part, packing);
                     if (p.allocationId() == world.division.id()) {
-                        budgets.part(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
+                        budgets.onMessage(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
                     }
                 }
                 sends();
@@ -173,19 +173,19 @@
 
         /** Wants to spend a part; true where it could. What is in use stays so for that long by its own clock. */
         public boolean spend(int budget, long uses) {
-            if (!runs() || !budgets.spend(local(), budget)) {
+            if (!runs() || !budgets.tryAcquire(local(), budget)) {
                 return false;
             }
             Spending s = spending.get(budget);
             s.spends(now(), "n" + number);
-            if (world.division.budgets().get(budget).kind() == Budget.Kind.IN_USE) {
+            if (world.division.limits().get(budget).kind() == SharedLimit.Kind.CONCURRENCY) {
                 int p = process;
                 at(now() + (long) (uses / rate), () -> {
                     s.ended();
                     if (p == process && budgets != null) {
                         Runnable gives = () -> {
                             if (p == process && budgets != null) {
-                                budgets.ended(budget);
+                                budgets.release(budget);
                             }
                         };
                         if (stopped) {
@@ -220,7 +220,7 @@
         for (int i = 0; i < n; i++) {
             instances.add(new Instance(i));
         }
-        world.division.budgets().forEach(b -> spending.add(new Spending(b, 0)));
+        world.division.limits().forEach(b -> spending.add(new Spending(b, 0)));
     }
 
     public long now() {
