--- /dev/null
+++ b/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
@@ -0,0 +1,209 @@
+package ploverdale.net.server;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.NetServer;
+import io.vertx.core.net.NetSocket;
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import ploverdale.clock.Clock;
+import ploverdale.limits.ConnectionLimits;
+import ploverdale.log.Log;
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
+import ploverdale.net.Gateway;
+import ploverdale.net.ServerClock;
+import ploverdale.net.postgres.ClientMessage;
+import ploverdale.net.postgres.ClientMessageReader;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+import ploverdale.settings.GatewaySettings;
+import ploverdale.settings.JsonFields;
+
+/** Each attempt ends exactly once, whatever becomes of its connection. */
+class ServerConnectionPoolTest {
+    private static final long PATIENCE_S = 30;
+    private static final long LATER_RESULTS_MS = 300; // in which a second result of an attempt would come
+    private static final long NO_TIMEOUT = 300_000; // 30 s in tenths
+    private static final ServerId SERVER = new ServerId("s1");
+    private static final RequestId REQUEST = new RequestId("r1");
+    private static final Buffer ROW = MessageWriter.resultRow(new ResultRow(
+            new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+            "value".getBytes(UTF_8),
+            "SELECT 1"));
+
+    private final Vertx vertx = Gateway.vertx();
+    private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
+    private final List<Outcome> outcomes = new CopyOnWriteArrayList<>();
+    private final CompletableFuture<Outcome> firstOutcome = new CompletableFuture<>();
+    private final CompletableFuture<Void> serverSawClose = new CompletableFuture<>();
+    private final ConnectionLimits<Object> limits = new ConnectionLimits<>(256);
+    private ServerConnectionPool pool;
+
+    @AfterEach
+    void close() throws Exception {
+        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    /** Runs it on the event loop, and returns once it has run. */
+    private void onEventLoop(Runnable step) throws Exception {
+        CompletableFuture<Void> done = new CompletableFuture<>();
+        vertx.getOrCreateContext().runOnContext(turn -> {
+            try {
+                step.run();
+                done.complete(null);
+            } catch (RuntimeException | Error failure) { // the test's thread reports it
+                done.completeExceptionally(failure);
+            }
+        });
+        done.get(PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    private void createPool() throws Exception {
+        Log log = new Log(new PrintStream(lines, true, UTF_8));
+        GatewaySettings settings = new GatewaySettings(1, new JsonFields("settings", Map.of()));
+        onEventLoop(() -> pool = new ServerConnectionPool(
+                vertx, log, settings, limits, limits::mayOpen, new ServerClock(log, Clock.system())));
+    }
+
+    /** A server that completes each handshake and has each query answered by this. */
+    private void createPoolWithServer(Consumer<NetSocket> onQuery) throws Exception {
+        createPool();
+        CompletableFuture<NetServer> listening = new CompletableFuture<>();
+        onEventLoop(() -> vertx.createNetServer()
+                .connectHandler(socket -> serve(socket, onQuery))
+                .listen(0, "127.0.0.1")
+                .onSuccess(listening::complete)
+                .onFailure(listening::completeExceptionally));
+        int port = listening.get(PATIENCE_S, TimeUnit.SECONDS).actualPort();
+        onEventLoop(() -> pool.setAddress(SERVER, new InetSocketAddress("127.0.0.1", port)));
+    }
+
+    private void serve(NetSocket socket, Consumer<NetSocket> onQuery) {
+        ClientMessageReader reader = new ClientMessageReader();
+        socket.exceptionHandler(failure -> {});
+        socket.closeHandler(closed -> serverSawClose.complete(null));
+        socket.handler(bytes -> {
+            reader.feed(bytes);
+            for (ClientMessage message = reader.next(); message != null; message = reader.next()) {
+                if (message instanceof ClientMessage.Startup) {
+                    socket.write(MessageWriter.startupResponse());
+                } else {
+                    onQuery.accept(socket);
+                }
+            }
+        });
+    }
+
+    private void startAttempt(long timeLimit, boolean mayWrite) throws Exception {
+        onEventLoop(() -> pool.startAttempt(
+                REQUEST, SERVER, timeLimit, () -> mayWrite, timeoutMs -> MessageWriter.query("SELECT 1"), result -> {
+                    outcomes.add(result.outcome());
+                    firstOutcome.complete(result.outcome());
+                }));
+    }
+
+    private void assertEndsOnceAs(Outcome expected) throws Exception {
+        assertThat(firstOutcome.get(PATIENCE_S, TimeUnit.SECONDS))
+                .as(lines::toString)
+                .isEqualTo(expected);
+        Thread.sleep(LATER_RESULTS_MS);
+        onEventLoop(() -> pool.cancelAttempt(REQUEST));
+        assertThat(outcomes).as(lines::toString).containsExactly(expected);
+    }
+
+    private int openConnections() throws Exception {
+        CompletableFuture<Integer> count = new CompletableFuture<>();
+        onEventLoop(() -> count.complete(limits.servers()));
+        return count.get(PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    @Test
+    void anAnswerEndsTheAttemptAndKeepsTheConnection() throws Exception {
+        createPoolWithServer(socket -> socket.write(ROW));
+        startAttempt(NO_TIMEOUT, true);
+        assertEndsOnceAs(Outcome.SUCCEEDED);
+        assertThat(openConnections()).isEqualTo(1);
+    }
+
+    @Test
+    void cancellingClosesTheConnection() throws Exception {
+        CompletableFuture<Void> queried = new CompletableFuture<>();
+        createPoolWithServer(socket -> queried.complete(null));
+        startAttempt(NO_TIMEOUT, true);
+        queried.get(PATIENCE_S, TimeUnit.SECONDS);
+        onEventLoop(() -> pool.cancelAttempt(REQUEST));
+        assertEndsOnceAs(Outcome.CANCELLED);
+        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        assertThat(openConnections()).isZero();
+    }
+
+    @Test
+    void theDeadlineClosesTheConnection() throws Exception {
+        createPoolWithServer(socket -> {});
+        startAttempt(2000, true);
+        assertEndsOnceAs(Outcome.TIMED_OUT);
+        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        assertThat(openConnections()).isZero();
+    }
+
+    @Test
+    void aConnectionThatIsLostEndsItsAttempt() throws Exception {
+        createPoolWithServer(NetSocket::close);
+        startAttempt(NO_TIMEOUT, true);
+        assertEndsOnceAs(Outcome.CONNECTION_LOST);
+        assertThat(openConnections()).isZero();
+    }
+
+    @Test
+    void anAnswerOutOfOrderEndsTheAttemptAndTheConnection() throws Exception {
+        createPoolWithServer(socket -> socket.write(MessageWriter.readyForQuery()));
+        startAttempt(NO_TIMEOUT, true);
+        assertEndsOnceAs(Outcome.FAILED);
+        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        assertThat(openConnections()).isZero();
+    }
+
+    @Test
+    void anAttemptThatIsNotWantedAnyMoreIsNeverSentAndKeepsTheConnection() throws Exception {
+        createPoolWithServer(socket -> socket.write(ROW));
+        startAttempt(NO_TIMEOUT, false);
+        assertEndsOnceAs(Outcome.NEVER_SENT);
+        assertThat(openConnections()).isEqualTo(1);
+    }
+
+    @Test
+    void anAttemptAtAServerWithoutAddressIsNeverSent() throws Exception {
+        createPool();
+        startAttempt(NO_TIMEOUT, true);
+        assertEndsOnceAs(Outcome.NEVER_SENT);
+        assertThat(openConnections()).isZero();
+    }
+
+    @Test
+    void closingIdleConnectionsTwiceCountsThemOnce() throws Exception {
+        createPoolWithServer(socket -> socket.write(ROW));
+        startAttempt(NO_TIMEOUT, true);
+        assertEndsOnceAs(Outcome.SUCCEEDED);
+        onEventLoop(() -> {
+            pool.closeIdleConnections(SERVER);
+            pool.closeIdleConnections(SERVER);
+        });
+        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        assertThat(openConnections()).isZero();
+    }
+}
