--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -211,8 +211,8 @@
     }
 
     /** Descends into the children that differ. */
-    void onDigestResponse(Turn turn, int from, long incarnation, DigestResponse response) {
-        Task task = takeAnswered(turn, from, incarnation, response.number());
+    void onDigestResponse(Turn turn, Peer sender, DigestResponse response) {
+        Task task = takeAnswered(turn, sender, response.number());
         if (task == null || task.node.isLeaf()) {
             return;
         }
@@ -222,8 +222,8 @@
     }
 
     /** Merges the entries received. */
-    void onEntriesResponse(Turn turn, int from, long incarnation, EntriesResponse response) {
-        Task task = takeAnswered(turn, from, incarnation, response.number());
+    void onEntriesResponse(Turn turn, Peer sender, EntriesResponse response) {
+        Task task = takeAnswered(turn, sender, response.number());
         if (task == null || !task.node.isLeaf()) {
             return;
         }
@@ -241,16 +241,16 @@
     }
 
     /** The task that a response belongs to; null where it belongs to none of this round. */
-    private Task takeAnswered(Turn turn, int from, long incarnation, int number) {
-        if (state == State.IDLE || from != peer) {
+    private Task takeAnswered(Turn turn, Peer sender, int number) {
+        if (state == State.IDLE || sender.gateway() != peer) {
             return null;
         }
-        if (state == State.EXCHANGING && incarnation != peerIncarnation) {
+        if (state == State.EXCHANGING && sender.incarnation() != peerIncarnation) {
             beginAtRoot();
             return null;
         }
         state = State.EXCHANGING;
-        peerIncarnation = incarnation;
+        peerIncarnation = sender.incarnation();
         lastResponseAt = turn.now();
         InFlight answered = inFlight.remove(number);
         return answered == null ? null : answered.task;
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
@@ -22,29 +22,38 @@
     private final EntryStore store;
     private final KeySpaceDigests digests;
 
+    /** @param self this gateway's number */
     AntiEntropyResponder(int self, EntryStore store, KeySpaceDigests digests) {
         this.self = self;
         this.store = store;
         this.digests = digests;
     }
 
-    /** @param missingUntil up to when entries may be missing here, see {@link CompletenessBound#ofAll} */
-    DigestResponse answer(int peer, long peerIncarnation, DigestRequest request, long missingUntil) {
+    /**
+     * The children of a node whose digests differ from those of a peer.
+     *
+     * @param missingUntil up to when entries may be missing here, see {@link CompletenessBound#ofAll}
+     */
+    DigestResponse answer(Peer peer, DigestRequest request, long missingUntil) {
         // The requester's time decides which entries count, so that both sides leave out the same expired ones.
-        long[] own = digests.ofChildren(request.node(), peer, request.salt(), request.unexpiredAt());
+        long[] own = digests.ofChildren(request.node(), peer.gateway(), request.salt(), request.unexpiredAt());
         BitSet differing = new BitSet(KeySpaceNode.CHILDREN);
         for (int child = 0; child < own.length; child++) {
             differing.set(child, own[child] != request.digests()[child]);
         }
-        return new DigestResponse(peerIncarnation, request.number(), differing, missingUntil);
+        return new DigestResponse(peer.incarnation(), request.number(), differing, missingUntil);
     }
 
-    /** @param unexpiredAt time at which entries must not be expired to be included */
-    EntriesResponse answer(int peer, long peerIncarnation, EntriesRequest request, long unexpiredAt) {
+    /**
+     * The next entries of a range that this gateway and a peer both replicate.
+     *
+     * @param unexpiredAt time at which entries must not be expired to be included
+     */
+    EntriesResponse answer(Peer peer, EntriesRequest request, long unexpiredAt) {
         Page page = new Page();
-        SharedEntries selection = new SharedEntries(self, peer, unexpiredAt);
+        SharedEntries selection = new SharedEntries(self, peer.gateway(), unexpiredAt);
         store.forEach(request.range(), request.afterKey(), selection, page::add);
-        return new EntriesResponse(peerIncarnation, request.number(), page.isFull, page.entries);
+        return new EntriesResponse(peer.incarnation(), request.number(), page.isFull, page.entries);
     }
 
     /** The entries of one response: at least one, and as many as fit. */
--- a/gateway/src/main/java/ploverdale/replication/ClaimId.java
+++ b/gateway/src/main/java/ploverdale/replication/ClaimId.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * Identifies one gateway's claim to execute a write. A gateway may claim a write more than once, each time under another
+ * Identifies a gateway's claim to execute a write. A gateway may claim a write more than once, each time under another
  * number. What is known of each claim is in {@link WriteOutcome}.
  *
  * @param gateway the gateway's number
--- a/gateway/src/main/java/ploverdale/replication/ClaimState.java
+++ b/gateway/src/main/java/ploverdale/replication/ClaimState.java
@@ -24,10 +24,12 @@
         return new ClaimState(bits | other.bits);
     }
 
+    /** Whether one proof is that the write was never executed. */
     boolean hasNeverRun() {
         return (bits & NEVER_RAN_BIT) != 0;
     }
 
+    /** Whether one proof is that the write was executed. */
     boolean hasSucceeded() {
         return (bits & SUCCEEDED_BIT) != 0;
     }
--- a/gateway/src/main/java/ploverdale/replication/EntryCodec.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryCodec.java
@@ -26,14 +26,17 @@
 
     private EntryCodec() {}
 
+    /** Writes a position. */
     static void write(Position position, ByteBuffer buffer) {
         buffer.put(POSITION_TYPE).putLong(position.timestamp()).putShort((short) position.server());
     }
 
+    /** Bytes of a position. */
     static int encodedLength(Position position) {
         return TYPE_BYTES + POSITION_VALUE_BYTES;
     }
 
+    /** Writes a write outcome. */
     static void write(WriteOutcome outcome, ByteBuffer buffer) {
         buffer.put(WRITE_OUTCOME_TYPE).putLong(outcome.timestamp());
         buffer.put((byte) outcome.claims().size());
@@ -49,6 +52,7 @@
                 .put((byte) state.bits());
     }
 
+    /** Bytes of a write outcome. */
     static int encodedLength(WriteOutcome outcome) {
         int claims = CLAIM_BYTES * outcome.claims().size();
         return TYPE_BYTES + OUTCOME_HEAD_BYTES + claims + RESPONSE_LENGTH_BYTES + outcome.response().length;
--- a/gateway/src/main/java/ploverdale/replication/EntryRange.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryRange.java
@@ -16,6 +16,7 @@
     private VersionedEntry[] entries = NO_ENTRIES;
     private int size;
 
+    /** Number of entries. */
     int size() {
         return size;
     }
@@ -25,6 +26,7 @@
         return Arrays.binarySearch(keys, 0, size, key);
     }
 
+    /** The key of an entry. */
     long key(int index) {
         return keys[index];
     }
@@ -34,10 +36,12 @@
         return packedReplicas[index];
     }
 
+    /** An entry by its index. */
     VersionedEntry entry(int index) {
         return entries[index];
     }
 
+    /** Replaces the entry of a key that is present. */
     void replace(int index, VersionedEntry entry) {
         entries[index] = entry;
     }
@@ -65,6 +69,7 @@
         entries = Arrays.copyOf(entries, capacity);
     }
 
+    /** Removes a key and its entry. */
     void remove(int index) {
         size--;
         int moved = size - index;
--- a/gateway/src/main/java/ploverdale/replication/EntryStore.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryStore.java
@@ -1,7 +1,7 @@
 package ploverdale.replication;
 
 /**
- * The entries that this gateway holds, by key. The order of keys is cut into {@value #RANGES} equal ranges, which {@link
+ * The entries of this gateway, by key. The order of keys is cut into {@value #RANGES} equal ranges, which {@link
  * AntiEntropy} compares by digests. Bounded: over the maximum, the oldest entry of the new key's range is evicted. Expired
  * entries are removed in the background, some ranges at a time. Times are Unix times in tenths of a millisecond. Not
  * thread-safe, used on the thread of {@link Replicas}.
@@ -30,6 +30,7 @@
     /** Selects the entries that two gateways both replicate and that are not expired at a time. */
     record SharedEntries(int gateway, int peer, long unexpiredAt) {}
 
+    /** An empty store. */
     EntryStore(ReplicationSettings settings, ReplicaPlacement placement) {
         this.settings = settings;
         this.placement = placement;
@@ -42,6 +43,7 @@
         return (int) (key >>> RANGE_SHIFT);
     }
 
+    /** Number of entries. */
     int size() {
         return size;
     }
--- a/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
+++ b/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
@@ -11,6 +11,7 @@
     private final int self;
     private final EntryStore store;
 
+    /** @param self this gateway's number */
     KeySpaceDigests(int self, EntryStore store) {
         this.self = self;
         this.store = store;
--- a/gateway/src/main/java/ploverdale/replication/KeySpaceNode.java
+++ b/gateway/src/main/java/ploverdale/replication/KeySpaceNode.java
@@ -18,10 +18,12 @@
         return level >= 0 && level < LEAF_LEVEL && index < 1 << CHILD_BITS * level;
     }
 
+    /** Whether it is one range. */
     boolean isLeaf() {
         return level == LEAF_LEVEL;
     }
 
+    /** A child by its index, between 0 and {@link #CHILDREN}, exclusive. */
     KeySpaceNode child(int child) {
         return new KeySpaceNode(level + 1, index * CHILDREN + child);
     }
--- a/gateway/src/main/java/ploverdale/replication/ReplicaHolder.java
+++ b/gateway/src/main/java/ploverdale/replication/LocalReplica.java
@@ -13,7 +13,7 @@
  * This gateway as a replica of keys: merges entries, answers reads of positions and grants claims, from its store and the
  * bound up to which entries may be missing there. Not thread-safe, used on the thread of {@link Replicas}.
  */
-final class ReplicaHolder {
+final class LocalReplica {
     private final LongSupplier unixClock;
     private final ReplicaPlacement placement;
     private final EntryStore store;
@@ -25,7 +25,7 @@
      * @param unixClock in tenths of a millisecond
      * @param log takes lines for the log
      */
-    ReplicaHolder(
+    LocalReplica(
             LongSupplier unixClock,
             ReplicaPlacement placement,
             EntryStore store,
@@ -97,20 +97,23 @@
         return outcomeOf(key) != null;
     }
 
-    WriteResponse answer(long requesterIncarnation, WriteRequest request) {
+    /** Merges the entry. */
+    WriteResponse answer(Peer requester, WriteRequest request) {
         merge(request.key(), request.entry());
-        return new WriteResponse(requesterIncarnation, request.number());
+        return new WriteResponse(requester.incarnation(), request.number());
     }
 
-    PositionResponse answer(long requesterIncarnation, PositionRequest request) {
+    /** Reads the required position and the server of the one in the store. */
+    PositionResponse answer(Peer requester, PositionRequest request) {
         long key = request.key();
-        return new PositionResponse(requesterIncarnation, request.number(), requiredPosition(key), serverOf(key));
+        return new PositionResponse(requester.incarnation(), request.number(), requiredPosition(key), serverOf(key));
     }
 
-    ClaimResponse answer(long requesterIncarnation, ClaimRequest request) {
+    /** Grants or refuses the claim, with what is then known of the write. */
+    ClaimResponse answer(Peer requester, ClaimRequest request) {
         WriteOutcome requested = request.outcome();
         ClaimId claim = requested.claims().keySet().iterator().next();
         boolean granted = grant(request.key(), claim, request.firstSubmission(), requested);
-        return new ClaimResponse(requesterIncarnation, request.number(), granted, outcomeOf(request.key()));
+        return new ClaimResponse(requester.incarnation(), request.number(), granted, outcomeOf(request.key()));
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
@@ -14,6 +14,8 @@
     private int grants;
 
     /**
+     * A claim that no replica has answered.
+     *
      * @param firstSubmission whether the write is known to be submitted for the first time
      * @param arrivedAt when the write arrived, a Unix time in tenths of a millisecond
      */
@@ -31,6 +33,7 @@
         requested = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
     }
 
+    /** The claim itself. */
     ClaimId claim() {
         return claim;
     }
@@ -41,7 +44,7 @@
     }
 
     @Override
-    void answerLocally(ReplicaHolder replica, int place) {
+    void answerLocally(LocalReplica replica, int place) {
         onAnswer(place, replica.grant(key(), claim, firstSubmission, requested));
     }
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -24,14 +24,14 @@
     private static final long UNAWAITED_WRITE_TIMEOUT = 1000 * MS;
     /** One operation more ends as unknown at once, which bounds memory. */
     private static final int MAX_PENDING = 20_000;
-    /** Ticket of an operation whose end is not reported. */
+    /** Ticket of an operation whose result is not reported. */
     private static final long NO_TICKET = 0;
 
     private final int self;
     private final ReplicationSettings settings;
     private final ReplicaPlacement placement;
     private final EntryStore store;
-    private final ReplicaHolder localReplica;
+    private final LocalReplica localReplica;
     private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by number, oldest first
     private final List<QuorumClaim> toBeWithdrawn = new ArrayList<>();
     private final List<QuorumResult> results = new ArrayList<>();
@@ -46,7 +46,7 @@
             ReplicationSettings settings,
             ReplicaPlacement placement,
             EntryStore store,
-            ReplicaHolder localReplica) {
+            LocalReplica localReplica) {
         this.self = self;
         this.settings = settings;
         this.placement = placement;
@@ -64,7 +64,7 @@
         return unknownReads;
     }
 
-    /** What has ended since the last call. */
+    /** Results since the last call, in the order in which the operations ended. */
     List<QuorumResult> takeResults() {
         List<QuorumResult> taken = List.copyOf(results);
         results.clear();
@@ -72,10 +72,10 @@
     }
 
     /**
-     * Replicates an entry and does not wait for it beyond a timeout.
+     * Replicates an entry.
      *
      * @param timeout of a write that is awaited
-     * @return the ticket, or 0 where its end is not awaited
+     * @return the ticket, or 0 where its result is not awaited
      */
     long write(Turn turn, long key, VersionedEntry entry, long timeout, boolean awaited) {
         long deadline = turn.now() + (awaited ? timeout : UNAWAITED_WRITE_TIMEOUT);
--- a/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
@@ -23,7 +23,12 @@
     private long retryAt;
     private long retryAfter = FIRST_RETRY_AFTER;
 
-    /** @param awaited whether its end is reported */
+    /**
+     * An operation that no replica has answered.
+     *
+     * @param deadline at which it ends without a quorum
+     * @param awaited whether its result is reported
+     */
     QuorumOperation(long ticket, long key, ReplicaSet replicas, long deadline, boolean awaited) {
         this.ticket = ticket;
         this.key = key;
@@ -36,7 +41,7 @@
     abstract ReplicationMessage request(int number);
 
     /** Has this gateway answer as the replica of a place. */
-    abstract void answerLocally(ReplicaHolder replica, int place);
+    abstract void answerLocally(LocalReplica replica, int place);
 
     /**
      * How it ends by the answers so far; null where they do not decide it yet.
@@ -49,7 +54,7 @@
     abstract Status timeoutStatus();
 
     /**
-     * How its end is reported.
+     * How its result is reported.
      *
      * @param response of the write of that key, see {@link WriteOutcome#response}
      */
@@ -57,19 +62,22 @@
         return new QuorumResult(ticket, status, EntryStore.NOTHING_MISSING, Position.NO_SERVER, null, response);
     }
 
+    /** Identifies it in its {@link QuorumResult}. */
     final long ticket() {
         return ticket;
     }
 
+    /** The key that it is about. */
     final long key() {
         return key;
     }
 
+    /** The replicas of its key. */
     final ReplicaSet replicas() {
         return replicas;
     }
 
-    /** Whether its end is reported. */
+    /** Whether its result is reported. */
     final boolean isAwaited() {
         return awaited;
     }
@@ -79,26 +87,32 @@
         return completed;
     }
 
+    /** It has ended. */
     final void complete() {
         completed = true;
     }
 
+    /** Whether the replica of a place has answered. */
     final boolean isAnsweredBy(int place) {
         return answered.get(place);
     }
 
+    /** The replica of a place has answered. */
     final void markAnswered(int place) {
         answered.set(place);
     }
 
+    /** Replicas that have answered. */
     final int answers() {
         return answered.cardinality();
     }
 
+    /** Whether a quorum has answered. */
     final boolean isAnsweredByMajority() {
         return answers() >= replicas.majority();
     }
 
+    /** Whether all replicas have answered. */
     final boolean isAnsweredByAll() {
         return answers() == replicas.size();
     }
@@ -108,6 +122,7 @@
         return isAnsweredByAll();
     }
 
+    /** Whether its time is over. */
     final boolean isExpired(long now) {
         return now >= deadline;
     }
@@ -122,6 +137,7 @@
         return isBackoffOver(now) && !completed;
     }
 
+    /** Whether the pause after it was last sent is over. */
     final boolean isBackoffOver(long now) {
         return now >= retryAt;
     }
--- a/gateway/src/main/java/ploverdale/replication/QuorumRead.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumRead.java
@@ -21,7 +21,7 @@
     }
 
     @Override
-    void answerLocally(ReplicaHolder replica, int place) {
+    void answerLocally(LocalReplica replica, int place) {
         onAnswer(place, replica.requiredPosition(key()), replica.serverOf(key()));
     }
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
@@ -7,6 +7,7 @@
 final class QuorumWrite extends QuorumOperation {
     private final VersionedEntry entry;
 
+    /** A write that no replica has answered. */
     QuorumWrite(long ticket, long key, ReplicaSet replicas, long deadline, boolean awaited, VersionedEntry entry) {
         super(ticket, key, replicas, deadline, awaited);
         this.entry = entry;
@@ -19,7 +20,7 @@
 
     /** The coordinator has merged the entry before. */
     @Override
-    void answerLocally(ReplicaHolder replica, int place) {
+    void answerLocally(LocalReplica replica, int place) {
         markAnswered(place);
     }
 
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -12,7 +12,7 @@
  * One gateway's part of the replicated state: session positions and write outcomes, each on a few gateways of the fleet. An
  * entry is written to the replicas of its key, a read or a claim asks all of them, and a majority decides ({@link
  * QuorumCoordinator}; quorums after Gifford, 1979, placement and eventual repair as in Dynamo, 2007). Replicas that missed
- * a write receive it by anti-entropy ({@link AntiEntropy}). A replica answers with what it holds, and no less than the
+ * a write receive it by anti-entropy ({@link AntiEntropy}). A replica answers with its own entry, and no less than the
  * time up to which it may lack entries ({@link CompletenessBound}). So one that started empty never takes what it does not
  * know for absent, and the loss of all replicas costs only reads that go to the primary for a while. Messages may be
  * lost, duplicated, late or reordered.
@@ -31,7 +31,7 @@
     private final AntiEntropy antiEntropy;
     private final AntiEntropyResponder antiEntropyResponder;
     private final CompletenessBound bound;
-    private final ReplicaHolder localReplica;
+    private final LocalReplica localReplica;
     private final QuorumCoordinator coordinator;
     private final List<String> logLines = new ArrayList<>();
     private long incarnation;
@@ -62,7 +62,7 @@
         antiEntropyResponder = new AntiEntropyResponder(self, store, digests);
         long startedAt = unixClock.getAsLong() + settings.maxClockDifference();
         bound = new CompletenessBound(settings, unixClock, placement, store, peers, startedAt);
-        localReplica = new ReplicaHolder(unixClock, placement, store, bound, logLines::add);
+        localReplica = new LocalReplica(unixClock, placement, store, bound, logLines::add);
         coordinator = new QuorumCoordinator(self, settings, placement, store, localReplica);
         logLines.add(settingsLine(gateways));
     }
@@ -105,9 +105,9 @@
     /**
      * Replicates the position of a session's last write, which a server of that number executed.
      *
-     * @param timeout of an operation that is awaited
-     * @param awaited whether its end is awaited
-     * @return a ticket that ends as copied or unknown, or 0 where the end is not awaited
+     * @param timeout in tenths of a millisecond; of use only where the result is awaited
+     * @param awaited whether the result is reported
+     * @return a ticket whose result is REPLICATED or UNKNOWN, or 0 where it is not awaited
      */
     public long writePosition(
             long now, long key, long position, int server, long timeout, boolean awaited, PacketQueue queue) {
@@ -135,13 +135,13 @@
         return coordinator.writeOutcome(turn(now, queue), key, claim, proof, response, timeout, awaited);
     }
 
-    /** Reads the position that a session's reads must reach; the ticket ends as known or unknown. */
+    /** Reads the position that a session's reads must reach; the result of its ticket is POSITION_KNOWN or UNKNOWN. */
     public long readPosition(long now, long key, PacketQueue queue) {
         return coordinator.readPosition(turn(now, queue), key);
     }
 
     /**
-     * Claims to execute a write; the ticket ends as granted, or as what is known of an earlier claim.
+     * Claims to execute a write; the result of its ticket is GRANTED, or what is known of an earlier claim.
      *
      * @param firstSubmission whether its client has marked it as a first submission
      * @param arrivedAt when it arrived here, a Unix time
@@ -150,7 +150,7 @@
         return coordinator.claim(turn(now, queue), key, incarnation, firstSubmission, arrivedAt);
     }
 
-    /** What has ended since the last call. */
+    /** Results since the last call, in the order in which the operations ended. */
     public List<QuorumResult> takeResults() {
         return coordinator.takeResults();
     }
@@ -163,8 +163,7 @@
         }
         message.accept(new ReplicationMessageDispatcher(
                 turn(now, queue),
-                from,
-                senderIncarnation,
+                new Peer(from, senderIncarnation),
                 localReplica,
                 coordinator,
                 antiEntropy,
@@ -203,7 +202,7 @@
                 + antiEntropy.received() + " taken from others, " + localReplica.alarms() + " alarms";
     }
 
-    /** Entries that this gateway holds. */
+    /** Entries in this gateway's store. */
     public int size() {
         return store.size();
     }
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
@@ -14,6 +14,7 @@
 
     /** A message that answers a request. */
     sealed interface Response extends ReplicationMessage {
+        /** Incarnation of the gateway that sent the request. */
         long requesterIncarnation();
 
         /** Number of the request that it answers. */
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageDispatcher.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageDispatcher.java
@@ -16,68 +16,69 @@
  * gateway, whose answers it sends back; responses to whoever sent the request.
  *
  * @param turn in which the message is handled
- * @param peer the sender's number
- * @param peerIncarnation of the sender's process
+ * @param peer the sender
  */
 record ReplicationMessageDispatcher(
         Turn turn,
-        int peer,
-        long peerIncarnation,
-        ReplicaHolder localReplica,
+        Peer peer,
+        LocalReplica localReplica,
         QuorumCoordinator coordinator,
         AntiEntropy antiEntropy,
         AntiEntropyResponder antiEntropyResponder,
         CompletenessBound bound)
         implements ReplicationMessageHandler {
 
+    private void reply(ReplicationMessage.Response response) {
+        turn.send(peer.gateway(), response);
+    }
+
     @Override
     public void onWriteRequest(WriteRequest request) {
-        turn.send(peer, localReplica.answer(peerIncarnation, request));
+        reply(localReplica.answer(peer, request));
     }
 
     @Override
     public void onPositionRequest(PositionRequest request) {
-        turn.send(peer, localReplica.answer(peerIncarnation, request));
+        reply(localReplica.answer(peer, request));
     }
 
     @Override
     public void onClaimRequest(ClaimRequest request) {
-        turn.send(peer, localReplica.answer(peerIncarnation, request));
+        reply(localReplica.answer(peer, request));
     }
 
     @Override
     public void onWriteResponse(WriteResponse response) {
-        coordinator.onWriteResponse(peer, response);
+        coordinator.onWriteResponse(peer.gateway(), response);
     }
 
     @Override
     public void onPositionResponse(PositionResponse response) {
-        coordinator.onPositionResponse(peer, response);
+        coordinator.onPositionResponse(peer.gateway(), response);
     }
 
     @Override
     public void onClaimResponse(ClaimResponse response) {
-        coordinator.onClaimResponse(peer, response);
+        coordinator.onClaimResponse(peer.gateway(), response);
     }
 
     @Override
     public void onDigestRequest(DigestRequest request) {
-        turn.send(peer, antiEntropyResponder.answer(peer, peerIncarnation, request, bound.ofAll()));
+        reply(antiEntropyResponder.answer(peer, request, bound.ofAll()));
     }
 
     @Override
     public void onEntriesRequest(EntriesRequest request) {
-        long unexpiredAt = AntiEntropy.unexpiredAt(turn);
-        turn.send(peer, antiEntropyResponder.answer(peer, peerIncarnation, request, unexpiredAt));
+        reply(antiEntropyResponder.answer(peer, request, AntiEntropy.unexpiredAt(turn)));
     }
 
     @Override
     public void onDigestResponse(DigestResponse response) {
-        antiEntropy.onDigestResponse(turn, peer, peerIncarnation, response);
+        antiEntropy.onDigestResponse(turn, peer, response);
     }
 
     @Override
     public void onEntriesResponse(EntriesResponse response) {
-        antiEntropy.onEntriesResponse(turn, peer, peerIncarnation, response);
+        antiEntropy.onEntriesResponse(turn, peer, response);
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/SynchronizedPeers.java
+++ b/gateway/src/main/java/ploverdale/replication/SynchronizedPeers.java
@@ -17,6 +17,11 @@
     private final List<Integer> unsynchronized = new ArrayList<>();
     private int next;
 
+    /**
+     * No round is complete yet.
+     *
+     * @param self this gateway's number
+     */
     SynchronizedPeers(int self, int gateways) {
         this.self = self;
         missingUntil = new long[gateways];
--- a/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
+++ b/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
@@ -23,7 +23,7 @@
     /** For how long such a value is retained after its timestamp, in tenths of a millisecond. */
     long retention(ReplicationSettings settings);
 
-    /** Whether a replica that holds this may grant a claim to execute the write of its key. */
+    /** Whether a replica with this entry may grant a claim to execute the write of its key. */
     boolean permitsClaim(ClaimId claim);
 
     /** Writes the type and the value, see {@link EntryCodec}. */
--- a/gateway/src/main/java/ploverdale/replication/package-info.java
+++ b/gateway/src/main/java/ploverdale/replication/package-info.java
@@ -5,7 +5,7 @@
  * write. What no quorum can answer counts as unknown, never as absent.
  *
  * <p>By file: {@code ReplicaPlacement} (which gateways replicate a key), {@code VersionedEntry} (the replicated values and
- * how they merge), {@code EntryStore} (this gateway's entries), {@code ReplicaHolder} (answers as a replica), {@code
+ * how they merge), {@code EntryStore} (this gateway's entries), {@code LocalReplica} (answers as a replica), {@code
  * QuorumCoordinator} (operations of this gateway), {@code AntiEntropy} (repair), {@code CompletenessBound} (what absence
  * proves), {@code ReplicationMessage} (messages; the encoder and decoder are beside it).
  *
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -19,7 +19,7 @@
             value = {
                 "ReplicaSet.java -> return size / 2 + 1; -> return 1;",
                 "CompletenessBound.java -> Math.max(store.missingUntil(), Math.min(startedAt, missed)) -> store.missingUntil()",
-                "ReplicaHolder.java -> !mayKnowAll || !isFree -> !isFree",
+                "LocalReplica.java -> !mayKnowAll || !isFree -> !isFree",
                 "WriteOutcome.java -> isFreeExceptFor(claim) && hasRoomFor(claim)"
                         + " -> (claims.containsKey(claim) || isFree())"
             })
