--- a/gateway/src/test/java/ploverdale/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,9 +17,9 @@
 class ClockOffsetInRouterTest {
     private static final long HOUR_MS = 3_600_000;
 
-    private final FakeHost host = FakeHost.settled();
+    private final RouterDriver host = RouterDriver.settled();
 
-    private void offsetChanges(FakeHost host, Map<String, Long> startedMs) {
+    private void offsetChanges(RouterDriver host, Map<String, Long> startedMs) {
         Map<ServerId, Long> startedAt = new java.util.HashMap<>();
         startedMs.forEach((id, at) -> startedAt.put(new ServerId(id), at * 10));
         host.tell(new Event.ClockOffsetChanged(startedAt));
@@ -29,26 +29,26 @@
     void positionsToldBeforeCountAsTooStaleUntilTheyAreToldAgain() {
         host.probed("r1", Role.REPLICA, host.nowMs);
         offsetChanges(host, Map.of());
-        RequestId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(RouterDriver.VIEW);
         assertThat(host.sends(read)).doesNotContain("r1", "r2");
         host.nowMs += 200;
         host.probed("r1", Role.REPLICA, host.nowMs - 100);
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
     }
 
     @Test
     void writesAndReadsOfThePrimaryGoOn() {
         offsetChanges(host, Map.of());
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
-        assertThat(host.sends(host.ask(FakeHost.FRESH))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.FRESH))).containsExactly("p");
     }
 
     @Test
     void aSessionsLastWriteThatWasDatedWronglyIsReachedByWhatStandsAtThePresent() {
-        FakeHost h = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
+        RouterDriver h = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
         h.list(true, "p", "r1");
         h.levelled("p", "r1");
-        RequestId write = h.ask(FakeHost.SUBMIT, "s", 0);
+        RequestId write = h.ask(RouterDriver.SUBMIT, "s", 0);
         h.ends(
                 write,
                 0,
@@ -58,9 +58,9 @@
         offsetChanges(h, Map.of());
         h.nowMs += 200;
         h.probed("r1", Role.REPLICA, h.nowMs - 300);
-        assertThat(h.sends(h.ask(FakeHost.SESSION, "s", 0))).containsExactly("p");
+        assertThat(h.sends(h.ask(RouterDriver.SESSION, "s", 0))).containsExactly("p");
         h.probed("r1", Role.REPLICA, h.nowMs);
-        assertThat(h.sends(h.ask(FakeHost.SESSION, "s", 0))).containsExactly("r1");
+        assertThat(h.sends(h.ask(RouterDriver.SESSION, "s", 0))).containsExactly("r1");
     }
 
     @Test
@@ -70,7 +70,7 @@
         host.probed("r1", Role.REPLICA, host.nowMs);
         int at = 0;
         for (int i = 0; i < 20; i++) { // only r1 has a position
-            at += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
+            at += host.sends(host.ask(RouterDriver.VIEW)).contains("r1") ? 1 : 0;
         }
         assertThat(at).isEqualTo(20);
     }
@@ -82,7 +82,7 @@
         host.probed("r1", Role.REPLICA, host.nowMs);
         int at = 0;
         for (int i = 0; i < 20; i++) {
-            at += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
+            at += host.sends(host.ask(RouterDriver.VIEW)).contains("r1") ? 1 : 0;
         }
         assertThat(at).isLessThanOrEqualTo(1);
     }
--- a/gateway/src/test/java/ploverdale/CommonSilenceTest.java
+++ b/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/gateway/src/test/java/ploverdale/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,7 +18,7 @@
 
 /** What the module makes of words of other gateways. */
 class GossipInRouterTest {
-    private final FakeHost host = FakeHost.talking(3);
+    private final RouterDriver host = RouterDriver.talking(3);
 
     private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
         return new ServerObservation(
@@ -55,16 +55,16 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
         told(1, "r1", word(Role.PRIMARY, host.nowMs - 20, host.nowMs - 20, host.nowMs - 20, -1));
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("r1");
         told(2, "p", word(Role.PRIMARY, host.nowMs - 500, -1, -1, -1));
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("r1");
     }
 
     @Test
     void aPrimaryThatOnlyOthersHaveHeardIsAskedBeforeItGetsAWrite() {
         host.list(true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
         told(1, "p", word(Role.PRIMARY, host.nowMs - 100, host.nowMs - 100, host.nowMs - 100, -1));
-        RequestId request = host.ask(FakeHost.SUBMIT);
+        RequestId request = host.ask(RouterDriver.SUBMIT);
         assertThat(host.sends(request)).isEmpty();
         assertThat(host.probes("p")).isPositive();
         host.probed("p", Role.PRIMARY, host.nowMs);
@@ -73,7 +73,7 @@
 
     @Test
     void aReadThatOnlyAPrimaryNamedByOthersCouldTakeWaitsForItsWord() {
-        FakeHost many = FakeHost.talking(300); // each probes few servers at its start, and p is not among them
+        RouterDriver many = RouterDriver.talking(300); // each probes few servers at its start, and p is not among them
         many.list(true, "p", "r1", "r2");
         assertThat(many.probes("p")).isZero();
         many.probed("r1", Role.REPLICA, many.nowMs);
@@ -88,13 +88,13 @@
                         .bytes()));
         many.nowMs += 1200; // r1 is too old by now
         many.probed("r1", Role.REPLICA, many.nowMs - 1200);
-        RequestId request = many.ask(FakeHost.VIEW);
+        RequestId request = many.ask(RouterDriver.VIEW);
         assertThat(many.busyReplies(request)).isZero();
         many.probed("p", Role.PRIMARY, many.nowMs);
         assertThat(many.sends(request)).containsExactly("p");
     }
 
-    private Event.GossipReceived heardByOthers(FakeHost h, String server, Role role) {
+    private Event.GossipReceived heardByOthers(RouterDriver h, String server, Role role) {
         return new Event.GossipReceived(
                 1,
                 new Datagram(
@@ -108,10 +108,10 @@
 
     @Test
     void aSlowServerThatOthersHearIsAskedAndNotTakenForDead() {
-        FakeHost many = FakeHost.talking(300);
+        RouterDriver many = RouterDriver.talking(300);
         many.list(true, "p", "r1", "r2");
         many.levelled("p", "r1", "r2");
-        assertThat(many.sends(many.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(many.sends(many.ask(RouterDriver.SUBMIT))).containsExactly("p");
         long before = many.probes("p");
         for (int i = 0; i < 15; i++) {
             many.pass(100); // in all, fifteen times what an answer usually takes
@@ -137,7 +137,7 @@
         assertThat(host.logged("r1 returns")).isTrue();
         int r1 = 0;
         for (int i = 0; i < 20; i++) {
-            RequestId request = host.ask(FakeHost.HISTORY);
+            RequestId request = host.ask(RouterDriver.HISTORY);
             String to = host.sends(request).get(0);
             r1 += to.equals("r1") ? 1 : 0;
             host.ends(request, 0, to, Outcome.SUCCEEDED, null);
@@ -151,9 +151,9 @@
         host.levelled("p", "r1");
         host.nowMs += 600;
         told(2, "r1", word(Role.REPLICA, host.nowMs - 50, host.nowMs - 50, host.nowMs - 50, -1));
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
         host.nowMs += 455; // half a second after that position
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).doesNotContain("r1");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).doesNotContain("r1");
     }
 
     @Test
@@ -162,7 +162,7 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 50;
         told(1, "p", word(Role.PRIMARY, host.nowMs - 40, -1, -1, host.nowMs - 10));
-        RequestId request = host.ask(FakeHost.SUBMIT);
+        RequestId request = host.ask(RouterDriver.SUBMIT);
         assertThat(host.sends(request)).isEmpty();
         host.probed("p", Role.PRIMARY, host.nowMs);
         assertThat(host.sends(request)).containsExactly("p");
@@ -184,10 +184,10 @@
         told(1, "r1", drains);
         host.list(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r2");
+            assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r2");
         }
         told(2, "r1", word(Role.REPLICA, host.nowMs, host.nowMs, host.nowMs, -1)); // another that does not know of it
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r2");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r2");
     }
 
     @Test
@@ -208,7 +208,7 @@
                         host.nowMs * 10));
         host.pass(10_500);
         host.levelled("p", "r1");
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
     }
 
     @Test
@@ -229,7 +229,7 @@
                         LoadReport.UNKNOWN_TIME));
         int cold = 0;
         for (int i = 0; i < 20; i++) {
-            cold += host.sends(host.ask(FakeHost.VIEW)).contains("r1") ? 1 : 0;
+            cold += host.sends(host.ask(RouterDriver.VIEW)).contains("r1") ? 1 : 0;
         }
         assertThat(cold).isLessThan(8); // of 20, where a warm one takes half
     }
@@ -240,8 +240,8 @@
         host.levelled("p");
         told(1, "ghost", word(Role.REPLICA, host.nowMs, host.nowMs, host.nowMs, -1));
         told(1, "ghost2", word(Role.PRIMARY, host.nowMs, host.nowMs, host.nowMs, -1));
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("p");
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
         assertThat(host.probes("ghost")).isZero();
     }
 
@@ -251,14 +251,14 @@
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
         told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        RequestId request = host.ask(FakeHost.SUBMIT);
+        RequestId request = host.ask(RouterDriver.SUBMIT);
         assertThat(host.sends(request)).startsWith("r1");
         host.ends(request, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, host.nowMs * 10));
         host.nowMs += 1000;
         host.levelled("p", "r1", "r2");
         host.nowMs += 100;
         told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
     }
 
     @Test
@@ -309,13 +309,13 @@
         host.list(true, "p", "r9"); // r1 is gone, r9 in its place
         host.nowMs += 10;
         told(1, "r1", word(Role.PRIMARY, host.nowMs, host.nowMs, host.nowMs, -1));
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("p");
     }
 
     @Test
     void whereWordsAreNotAllowedNoneAreSentOrHeard() {
-        FakeHost quiet = new FakeHost();
+        RouterDriver quiet = new RouterDriver();
         quiet.list(true, "p", "r1");
         quiet.levelled("p", "r1");
         int before = quiet.acts.size();
--- a/gateway/src/test/java/ploverdale/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,7 +14,7 @@
 
     @Test
     void healthChecksThatWereNeverSentEjectNoServer() {
-        FakeHost h = FakeHost.settled();
+        RouterDriver h = RouterDriver.settled();
         for (int i = 0; i < MANY; i++) {
             h.pass(500);
             h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
@@ -24,7 +24,7 @@
 
     @Test
     void healthChecksThatWereSentAndNotAnsweredStillDo() {
-        FakeHost h = FakeHost.settled();
+        RouterDriver h = RouterDriver.settled();
         h.pass(500);
         h.unanswered("r1");
         h.unanswered("r1");
@@ -33,7 +33,7 @@
 
     @Test
     void aHealthCheckThatWasNeverSentLeavesASilentServersBackoffAsItIs() {
-        FakeHost h = FakeHost.settled();
+        RouterDriver h = RouterDriver.settled();
         h.pass(500);
         h.unanswered("r1");
         h.unanswered("r1");
@@ -48,9 +48,9 @@
 
     @Test
     void attemptsThatWereNeverSentEjectNoServer() {
-        FakeHost h = FakeHost.settled();
+        RouterDriver h = RouterDriver.settled();
         for (int i = 0; i < MANY; i++) {
-            RequestId request = h.ask(FakeHost.HISTORY);
+            RequestId request = h.ask(RouterDriver.HISTORY);
             for (int send = 0; send < h.sends(request).size(); send++) {
                 h.ends(request, send, h.sends(request).get(send), Outcome.NEVER_SENT, null);
             }
--- a/gateway/src/test/java/ploverdale/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -19,7 +19,7 @@
 
 /** Stories of single failures, each against the fake host. */
 class RouterTest {
-    private final FakeHost host = FakeHost.settled();
+    private final RouterDriver host = RouterDriver.settled();
 
     private static LoadReport note(Role role, long positionMs) {
         return new LoadReport(role, positionMs * 10);
@@ -27,16 +27,18 @@
 
     @Test
     void levelReplicasTakeBoundedReadsAndThePrimaryTakesWrites() {
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).isSubsetOf("r1", "r2").hasSize(1);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW)))
+                .isSubsetOf("r1", "r2")
+                .hasSize(1);
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
     }
 
     @Test
     void aNewGatewayProbesAtOnceAndHoldsABoundedReadUntilAPositionIsKnown() {
-        FakeHost fresh = new FakeHost();
+        RouterDriver fresh = new RouterDriver();
         fresh.list(true, "r1");
         assertThat(fresh.probes("r1")).isEqualTo(1);
-        RequestId read = fresh.ask(FakeHost.VIEW);
+        RequestId read = fresh.ask(RouterDriver.VIEW);
         assertThat(fresh.sends(read)).isEmpty();
         fresh.probed("r1", Role.REPLICA, fresh.nowMs - 100);
         assertThat(fresh.sends(read)).containsExactly("r1");
@@ -48,7 +50,7 @@
         long before = host.probes("r1") + host.probes("r2");
         host.pass(5000);
         assertThat(host.probes("r1") + host.probes("r2")).isEqualTo(before);
-        RequestId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(RouterDriver.VIEW);
         assertThat(host.probes("p") + host.probes("r1") + host.probes("r2")).isEqualTo(before + 1 + 1);
         assertThat(host.sends(read)).isEmpty();
         host.pass(100);
@@ -58,11 +60,11 @@
 
     @Test
     void whereNobodyAnswersTheFirstProbesAllAreAskedAgainSoonAndAGhostAmongLiveServersIsNot() {
-        FakeHost fresh = new FakeHost();
+        RouterDriver fresh = new RouterDriver();
         fresh.list(true, "p", "r1");
         fresh.unanswered("p");
         fresh.unanswered("r1");
-        RequestId write = fresh.ask(FakeHost.SUBMIT);
+        RequestId write = fresh.ask(RouterDriver.SUBMIT);
         fresh.pass(1000);
         assertThat(fresh.probes("p") + fresh.probes("r1")).isGreaterThan(2);
         fresh.probed("p", Role.PRIMARY, fresh.nowMs);
@@ -77,7 +79,7 @@
     void aServerThatIsListedButNeverHeardGetsNoOp() {
         host.list(false, "ghost");
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(FakeHost.HISTORY)))
+            assertThat(host.sends(host.ask(RouterDriver.HISTORY)))
                     .isSubsetOf("r1", "r2")
                     .hasSize(1);
         }
@@ -90,13 +92,13 @@
             host.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.REJECTED, null));
         }
         assertThat(host.logged("silent")).isFalse();
-        assertThat(host.sends(host.ask(FakeHost.HISTORY))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).containsExactly("r1");
     }
 
     @Test
     void opsThatArriveAsALookRoundFallsDueDoNotPutItOff() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         List<Long> wakes = new ArrayList<>();
         for (int i = 0; i < 600 && host.busyReplies(write) == 0; i++) {
             host.nowMs += 5;
@@ -104,7 +106,7 @@
                     .filter(Action.SetTimer.class::isInstance)
                     .forEach(a -> wakes.add(((Action.SetTimer) a).at()));
             host.acts.removeIf(Action.SetTimer.class::isInstance);
-            host.ask(FakeHost.SUBMIT);
+            host.ask(RouterDriver.SUBMIT);
             if (wakes.removeIf(at -> at <= host.nowMs * 10 - 10)) {
                 host.tell(new Event.TimerFired(0));
             }
@@ -114,10 +116,10 @@
 
     @Test
     void atTheLastMomentOfAPlannedRestartEachOpInHandIsAnsweredOnceByWhatIsProven() {
-        RequestId read = host.ask(FakeHost.VIEW);
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        RequestId read = host.ask(RouterDriver.VIEW);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         host.tell(new Event.AttemptEnded(
-                host.ask(FakeHost.SUBMIT),
+                host.ask(RouterDriver.SUBMIT),
                 0,
                 new ServerId("p"),
                 Outcome.MISDIRECTED,
@@ -125,7 +127,7 @@
                 false,
                 note(Role.REPLICA, host.nowMs),
                 null));
-        RequestId held = host.ask(FakeHost.SUBMIT);
+        RequestId held = host.ask(RouterDriver.SUBMIT);
         assertThat(host.sends(held)).isEmpty();
         host.tell(new Event.ShutdownDeadline());
         assertThat(host.busyReplies(read)).isEqualTo(1); // may be repeated
@@ -144,18 +146,18 @@
         host.probed("r1", Role.REPLICA, host.nowMs);
         host.nowMs += 150;
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("r1");
+            assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
         }
-        assertThat(host.sends(host.ask(FakeHost.HISTORY))).containsExactly("r2");
+        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).containsExactly("r2");
     }
 
     @Test
     void withNoReplicaAdmittedThePrimaryTakesReadsUntilItsGateShutsThenABusyReplyComesAtOnce() {
         host.lagging(1100);
-        assertThat(host.sends(host.ask(FakeHost.VIEW))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("p");
         RequestId refused = null;
         for (int i = 0; i < 30; i++) {
-            refused = host.ask(FakeHost.VIEW);
+            refused = host.ask(RouterDriver.VIEW);
         }
         RequestId last = refused;
         assertThat(host.sends(last)).isEmpty();
@@ -170,48 +172,48 @@
     void whileTheAdmittedReplicasAreFullThePrimaryNearItsUsualTakesTheRead() {
         int atPrimary = 0;
         for (int i = 0; i < 60; i++) {
-            atPrimary += host.sends(host.ask(FakeHost.VIEW)).contains("p") ? 1 : 0;
+            atPrimary += host.sends(host.ask(RouterDriver.VIEW)).contains("p") ? 1 : 0;
         }
         assertThat(atPrimary).isBetween(1, 24);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
     }
 
     @Test
     void writesMayFillThePrimaryBeyondWhatReadsMay() {
         for (int i = 0; i < 40; i++) {
-            assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+            assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
         }
     }
 
     @Test
     void whereReplicasCheckReadsASlightlyLaggingOneGoesFirstButNotAfterItTurnedOneAway() {
-        FakeHost checked = new FakeHost(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
+        RouterDriver checked = new RouterDriver(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
         checked.list(true, "p", "r1");
         checked.levelled("p", "r1");
         checked.nowMs += 560;
-        RequestId read = checked.ask(FakeHost.VIEW);
+        RequestId read = checked.ask(RouterDriver.VIEW);
         checked.nowMs += 50;
         checked.ends(read, 0, "r1", Outcome.MISDIRECTED, note(Role.REPLICA, checked.nowMs - 700));
         assertThat(checked.sends(read)).startsWith("r1");
-        assertThat(checked.sends(checked.ask(FakeHost.VIEW))).containsExactly("p");
+        assertThat(checked.sends(checked.ask(RouterDriver.VIEW))).containsExactly("p");
     }
 
     @Test
     void whereReportsAreOldButReplicasCheckReadsOneReadASecondAsksAReplicaInsteadOfARefusal() {
-        FakeHost checked = new FakeHost(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
+        RouterDriver checked = new RouterDriver(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
         checked.list(true, "r1");
         checked.probed("r1", Role.REPLICA, checked.nowMs - 5200);
-        RequestId guess = checked.ask(FakeHost.VIEW);
+        RequestId guess = checked.ask(RouterDriver.VIEW);
         assertThat(checked.sends(guess)).containsExactly("r1");
-        assertThat(checked.busyReplies(checked.ask(FakeHost.VIEW))).isEqualTo(1);
+        assertThat(checked.busyReplies(checked.ask(RouterDriver.VIEW))).isEqualTo(1);
         checked.nowMs += 50;
         checked.ends(guess, 0, "r1", Outcome.SUCCEEDED, note(Role.REPLICA, checked.nowMs - 10));
-        assertThat(checked.sends(checked.ask(FakeHost.VIEW))).containsExactly("r1");
+        assertThat(checked.sends(checked.ask(RouterDriver.VIEW))).containsExactly("r1");
     }
 
     @Test
     void refusedConnectsInARowAtAServerThatAnswersProbesMakeIdleConnectionsBeGivenUp() {
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         for (int send = 0; send < 2; send++) {
             assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
             host.tell(new Event.AttemptEnded(
@@ -230,7 +232,7 @@
     void resetsByChanceNeitherCutAServersLimitNorLeaveItOut(Outcome outcome) {
         for (int i = 0; i < 60; i++) { // one op in eight at every server, as on a bad network
             for (int j = 0; j < 8; j++) {
-                RequestId read = host.ask(FakeHost.HISTORY);
+                RequestId read = host.ask(RouterDriver.HISTORY);
                 if (j == 0) {
                     host.tell(new Event.AttemptEnded(
                             read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false, null, null));
@@ -243,7 +245,7 @@
         }
         List<RequestId> many = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            many.add(host.ask(FakeHost.HISTORY));
+            many.add(host.ask(RouterDriver.HISTORY));
         }
         assertThat(many).allMatch(request -> host.sends(request).size() == 1);
         assertThat(host.logged("silent")).isFalse();
@@ -252,53 +254,53 @@
 
     @Test
     void aSlowFailedConnectGivesUpNoIdleConnection() {
-        RequestId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(RouterDriver.VIEW);
         String server = host.sends(read).get(0);
         host.tell(
                 new Event.AttemptEnded(read, 0, new ServerId(server), Outcome.CONNECT_FAILED, 2500, false, null, null));
         host.probed(server, Role.REPLICA, host.nowMs);
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.SUCCEEDED, null);
+        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.SUCCEEDED, null);
         assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
 
     @Test
     void whereAnswersGetLostWhileOthersComeInTimeASendIsMadeAgainBeforeItsOpIsWorthless() {
         for (int i = 0; i < 40; i++) {
-            RequestId request = host.ask(FakeHost.SUBMIT);
+            RequestId request = host.ask(RouterDriver.SUBMIT);
             host.ends(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.SUCCEEDED, null);
         }
-        RequestId read = host.ask(FakeHost.FRESH);
+        RequestId read = host.ask(RouterDriver.FRESH);
         assertThat(host.acts)
                 .anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT)))
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT)))
                 .as("and its limit is kept")
                 .containsExactly("p");
     }
 
     @Test
     void aBusyServersReadsThinOutWhereOwnAnswersAreOld() {
-        FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100);
+        RouterDriver small = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100);
         small.list(true, "r1");
         small.tell(new Event.HealthCheckEnded(
                 new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
-        assertThat(small.sends(small.ask(FakeHost.HISTORY))).isEmpty();
+        assertThat(small.sends(small.ask(RouterDriver.HISTORY))).isEmpty();
         small.nowMs += 200;
         small.tell(new Event.HealthCheckEnded(
                 new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
-        assertThat(small.sends(small.ask(FakeHost.HISTORY))).containsExactly("r1");
+        assertThat(small.sends(small.ask(RouterDriver.HISTORY))).containsExactly("r1");
     }
 
     @Test
     void aColdServerGetsPartsOfAnOpFromManySmallGatewaysAndNotAWholeOneFromEach() {
         int cold = 0;
         for (int i = 0; i < 100; i++) {
-            FakeHost small = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100 + i);
+            RouterDriver small = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100 + i);
             small.list(true, "r1", "r2");
             small.levelled("r1", "r2");
-            small.ends(small.ask(FakeHost.HISTORY), 0, "r2", Outcome.SUCCEEDED, null);
+            small.ends(small.ask(RouterDriver.HISTORY), 0, "r2", Outcome.SUCCEEDED, null);
             small.listed("r1", EndpointState.IN, small.nowMs);
             for (int s = 0; s < 4; s++) {
-                RequestId read = small.ask(FakeHost.HISTORY);
+                RequestId read = small.ask(RouterDriver.HISTORY);
                 cold += small.sends(read).contains("r1") ? 1 : 0;
                 small.nowMs += 250;
             }
@@ -308,7 +310,7 @@
 
     @Test
     void whereNobodyElseOfAGroupIsLeftASilentMemberIsAskedWithoutWaitingForItsNextTry() {
-        FakeHost cut = new FakeHost();
+        RouterDriver cut = new RouterDriver();
         cut.list(true, "r1");
         cut.levelled("r1");
         cut.nowMs += 3000;
@@ -317,7 +319,7 @@
         }
         cut.nowMs += 200;
         long before = cut.probes("r1");
-        cut.ask(FakeHost.HISTORY);
+        cut.ask(RouterDriver.HISTORY);
         assertThat(cut.probes("r1")).isEqualTo(before + 1);
     }
 
@@ -330,22 +332,22 @@
         host.ends(new RequestId("none"), 0, "stranger", Outcome.SUCCEEDED, null);
         host.tell(new Event.ClientDisconnected(new RequestId("none")));
         assertThat(host.acts).hasSize(before);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
     }
 
     @Test
     void anEmptyListTakesNoServerAwayWhereRemovalDoesNotBind() {
-        FakeHost loose = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
+        RouterDriver loose = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
         loose.list(true, "p", "r1");
         loose.levelled("p", "r1");
         loose.list(true);
-        assertThat(loose.sends(loose.ask(FakeHost.VIEW))).containsExactly("r1");
-        assertThat(loose.sends(loose.ask(FakeHost.SUBMIT))).containsExactly("p");
+        assertThat(loose.sends(loose.ask(RouterDriver.VIEW))).containsExactly("r1");
+        assertThat(loose.sends(loose.ask(RouterDriver.SUBMIT))).containsExactly("p");
     }
 
     @Test
     void aWriteTurnedAwayMarksThatMemberNotPrimaryAndWaitsForProbes() {
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
         assertThat(host.sends(write)).hasSize(1);
         host.nowMs += 400;
@@ -355,8 +357,8 @@
 
     @Test
     void aPrimaryThatHandsOverIsNotBelievedRightAfterItTurnedAWriteAway() {
-        RequestId read = host.ask(FakeHost.FRESH);
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        RequestId read = host.ask(RouterDriver.FRESH);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
         host.nowMs += 20;
         host.ends(read, 0, "p", Outcome.SUCCEEDED, note(Role.PRIMARY, host.nowMs)); // as it still calls itself
@@ -368,16 +370,16 @@
 
     @Test
     void anOldReportDoesNotBringBackAStalePrimary() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
         host.nowMs += 100;
         host.probed("p", Role.PRIMARY, host.nowMs - 200);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).isEmpty();
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).isEmpty();
     }
 
     @Test
     void aHungServerThatOnlyAnswersProbesIsTriedWithOneOpAtATime() {
         for (int i = 0; i < 30; i++) {
-            host.ask(FakeHost.HISTORY);
+            host.ask(RouterDriver.HISTORY);
         }
         host.pass(900);
         host.levelled("p", "r1", "r2");
@@ -388,39 +390,39 @@
     @Test
     void readsLongerThanTheTightestBoundStayOnTheFirstReplicaByIdAtEveryGateway() {
         for (int i = 0; i < 25; i++) {
-            RequestId scan = host.ask(FakeHost.SCAN);
+            RequestId scan = host.ask(RouterDriver.SCAN);
             host.nowMs += 100;
             host.tell(new Event.AttemptEnded(
                     scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
         }
         host.levelled("p", "r1", "r2");
-        assertThat(host.sends(host.ask(FakeHost.SCAN))).containsExactly("r1");
-        assertThat(host.sends(host.ask(FakeHost.SCAN))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.SCAN))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.SCAN))).containsExactly("r1");
     }
 
     @Test
     void longReadsAreRefusedFirstWhileWorthierOpsFindNoRoom() {
         for (int i = 0; i < 25; i++) {
-            RequestId scan = host.ask(FakeHost.SCAN);
+            RequestId scan = host.ask(RouterDriver.SCAN);
             host.nowMs += 100;
             host.tell(new Event.AttemptEnded(
                     scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
         }
         host.lagging(1100);
         for (int i = 0; i < 60; i++) {
-            host.ask(FakeHost.VIEW);
+            host.ask(RouterDriver.VIEW);
         }
-        assertThat(host.sends(host.ask(FakeHost.SCAN)))
+        assertThat(host.sends(host.ask(RouterDriver.SCAN)))
                 .as("a replica that lags of itself takes one")
                 .containsExactly("r1");
-        RequestId scan = host.ask(FakeHost.SCAN);
+        RequestId scan = host.ask(RouterDriver.SCAN);
         assertThat(host.sends(scan)).isEmpty();
         assertThat(host.busyReplies(scan)).isEqualTo(1);
     }
 
     @Test
     void aNonRetryableWriteThatMayHaveRunGetsAnErrorAndNoSecondSend() {
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         host.ends(write, 0, "p", Outcome.FAILED, null);
         assertThat(host.sends(write)).hasSize(1);
         assertThat(host.errorReplies(write)).isEqualTo(1);
@@ -429,7 +431,7 @@
 
     @Test
     void aWriteProvenNotRunIsSentAgainAMomentLaterToAPrimaryThatWasFull() {
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         host.ends(write, 0, "p", Outcome.REJECTED, null);
         assertThat(host.sends(write)).as("not at once, while it is as full").containsExactly("p");
         assertThat(host.busyReplies(write)).isZero();
@@ -442,7 +444,7 @@
 
     @Test
     void aTokenedWriteIsRepeatedInItsWindowAndErroredAfterIt() {
-        RequestId write = host.ask(FakeHost.WITH_IDEMPOTENCY_KEY);
+        RequestId write = host.ask(RouterDriver.WITH_IDEMPOTENCY_KEY);
         host.ends(write, 0, "p", Outcome.FAILED, null);
         assertThat(host.sends(write)).containsExactly("p", "p");
         host.nowMs += 2000;
@@ -453,8 +455,8 @@
 
     @Test
     void aHeldWriteThatWasNeverSentIsBusyRepliedWithinHalfItsTimeWhenNoPrimaryComes() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
-        RequestId write = host.ask(FakeHost.SUBMIT);
+        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = host.ask(RouterDriver.SUBMIT);
         host.pass(1400);
         assertThat(host.busyReplies(write)).isZero();
         host.pass(100);
@@ -467,22 +469,22 @@
         host.listed("r1", EndpointState.DRAINING, 0);
         host.listed("r2", EndpointState.GONE, 0);
         host.listed("p", EndpointState.DRAINING, 0);
-        assertThat(host.sends(host.ask(FakeHost.HISTORY))).isEmpty();
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT))).isEmpty();
+        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).isEmpty();
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).isEmpty();
     }
 
     @Test
     void whereRemovalDoesNotBindAServerGoneWithoutDrainingIsStillUsed() {
-        FakeHost loose = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
+        RouterDriver loose = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, false, 1);
         loose.list(true, "r1");
         loose.probed("r1", Role.REPLICA, loose.nowMs);
         loose.listed("r1", EndpointState.GONE, 0);
-        assertThat(loose.sends(loose.ask(FakeHost.VIEW))).containsExactly("r1");
+        assertThat(loose.sends(loose.ask(RouterDriver.VIEW))).containsExactly("r1");
     }
 
     @Test
     void aSilentReplicaLosesItsReadsToAnotherAndReturnsByATrial() {
-        RequestId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(RouterDriver.VIEW);
         String first = host.sends(read).get(0);
         String other = first.equals("r1") ? "r2" : "r1";
         host.unanswered(first);
@@ -493,8 +495,8 @@
         host.nowMs += 3000;
         host.probed(first, Role.REPLICA, host.nowMs);
         assertThat(host.logged("returns: answers probes")).isTrue();
-        host.ask(FakeHost.VIEW);
-        host.ask(FakeHost.VIEW);
+        host.ask(RouterDriver.VIEW);
+        host.ask(RouterDriver.VIEW);
         assertThat(host.acts.stream()
                         .filter(a -> a instanceof Action.StartAttempt s
                                 && s.server().text().equals(first))
@@ -505,17 +507,17 @@
     @Test
     void aReturnedPrimaryIsTriedWhileOldWritesAreStillStuckOnIt() {
         for (int i = 0; i < 10; i++) {
-            host.ask(FakeHost.SUBMIT);
+            host.ask(RouterDriver.SUBMIT);
         }
         host.pass(700);
         assertThat(host.logged("server p silent")).isTrue();
-        RequestId held = host.ask(FakeHost.SUBMIT);
+        RequestId held = host.ask(RouterDriver.SUBMIT);
         assertThat(host.sends(held)).isEmpty();
         host.pass(400);
         host.levelled("p", "r1", "r2");
         assertThat(host.sends(held)).containsExactly("p");
-        host.ask(FakeHost.SUBMIT);
-        assertThat(host.sends(host.ask(FakeHost.SUBMIT)))
+        host.ask(RouterDriver.SUBMIT);
+        assertThat(host.sends(host.ask(RouterDriver.SUBMIT)))
                 .as("writes may be two at once")
                 .isEmpty();
     }
@@ -523,7 +525,7 @@
     @Test
     void aServerWithoutTheAnswersItShouldHaveGivenIsSilent() {
         for (int i = 0; i < 8; i++) {
-            host.ask(FakeHost.HISTORY);
+            host.ask(RouterDriver.HISTORY);
         }
         host.pass(600);
         assertThat(host.logged("silent: quiet")).isTrue();
@@ -532,14 +534,14 @@
     @Test
     void aReplicaThatFailsFastIsLeftOut() {
         for (int i = 0; i < 12; i++) {
-            RequestId read = host.ask(FakeHost.HISTORY);
+            RequestId read = host.ask(RouterDriver.HISTORY);
             for (int s = 0; s < host.sends(read).size() && s < 4; s++) {
                 boolean bad = host.sends(read).get(s).equals("r1");
                 host.ends(read, s, host.sends(read).get(s), bad ? Outcome.FAILED : Outcome.SUCCEEDED, null);
             }
         }
         assertThat(host.logged("server r1 silent: fails")).isTrue();
-        assertThat(host.sends(host.ask(FakeHost.HISTORY))).containsExactly("r2");
+        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).containsExactly("r2");
     }
 
     @Test
@@ -547,43 +549,43 @@
         host.listed("r1", EndpointState.IN, host.nowMs);
         int cold = 0;
         for (int i = 0; i < 12; i++) {
-            cold += host.sends(host.ask(FakeHost.HISTORY)).contains("r1") ? 1 : 0;
+            cold += host.sends(host.ask(RouterDriver.HISTORY)).contains("r1") ? 1 : 0;
         }
         assertThat(cold).isLessThanOrEqualTo(4);
     }
 
     @Test
     void sessionReadsFollowTheWritesAcknowledgedHere() {
-        RequestId write = host.ask(FakeHost.SUBMIT, "s", 0);
+        RequestId write = host.ask(RouterDriver.SUBMIT, "s", 0);
         host.nowMs += 100;
         host.ends(write, 0, "p", Outcome.SUCCEEDED, note(Role.PRIMARY, host.nowMs));
-        assertThat(host.sends(host.ask(FakeHost.SESSION, "s", 0))).containsExactly("p");
-        assertThat(host.sends(host.ask(FakeHost.SESSION, "other", 0)))
+        assertThat(host.sends(host.ask(RouterDriver.SESSION, "s", 0))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.SESSION, "other", 0)))
                 .isSubsetOf("r1", "r2")
                 .hasSize(1);
         host.probed("r1", Role.REPLICA, host.nowMs + 1);
-        assertThat(host.sends(host.ask(FakeHost.SESSION, "s", 0))).containsExactly("r1");
+        assertThat(host.sends(host.ask(RouterDriver.SESSION, "s", 0))).containsExactly("r1");
     }
 
     @Test
     void aCarriedTokenSetsTheBoundAndAZeroTokenAdmitsAnyReplica() {
-        FakeHost carried = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, true, true, 1);
+        RouterDriver carried = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, true, true, 1);
         carried.list(true, "p", "r1");
         carried.levelled("p", "r1");
         carried.nowMs += 100;
-        assertThat(carried.sends(carried.ask(FakeHost.SESSION, "s", 50))).containsExactly("p");
-        assertThat(carried.sends(carried.ask(FakeHost.SESSION, "s", 0))).containsExactly("r1");
-        assertThat(carried.sends(carried.ask(FakeHost.SESSION, "s", 200))).containsExactly("r1");
+        assertThat(carried.sends(carried.ask(RouterDriver.SESSION, "s", 50))).containsExactly("p");
+        assertThat(carried.sends(carried.ask(RouterDriver.SESSION, "s", 0))).containsExactly("r1");
+        assertThat(carried.sends(carried.ask(RouterDriver.SESSION, "s", 200))).containsExactly("r1");
     }
 
     @Test
     void aFreshReadGoesToThePrimary() {
-        assertThat(host.sends(host.ask(FakeHost.FRESH))).containsExactly("p");
+        assertThat(host.sends(host.ask(RouterDriver.FRESH))).containsExactly("p");
     }
 
     @Test
     void nothingIsSentForAnOpWhoseClientHasLeft() {
-        RequestId read = host.ask(FakeHost.VIEW);
+        RequestId read = host.ask(RouterDriver.VIEW);
         String server = host.sends(read).get(0);
         host.tell(new Event.ClientDisconnected(read));
         assertThat(host.calledOff(read)).isTrue();
@@ -594,8 +596,8 @@
 
     @Test
     void sameEventsGiveSameActions() {
-        List<FakeHost> twins = List.of(FakeHost.settled(), FakeHost.settled());
-        for (FakeHost twin : twins) {
+        List<RouterDriver> twins = List.of(RouterDriver.settled(), RouterDriver.settled());
+        for (RouterDriver twin : twins) {
             for (int i = 0; i < 20; i++) {
                 twin.ask(i % 6);
             }
@@ -610,9 +612,9 @@
         for (int i = 0; i < 6; i++) {
             host.pass(90);
             for (int j = 0; j < 15; j++) {
-                host.ends(host.ask(FakeHost.FRESH), 0, "p", Outcome.SUCCEEDED, null);
+                host.ends(host.ask(RouterDriver.FRESH), 0, "p", Outcome.SUCCEEDED, null);
             }
-            host.ask(FakeHost.FRESH);
+            host.ask(RouterDriver.FRESH);
             host.pass(150);
             host.levelled("p", "r1", "r2");
         }
@@ -621,10 +623,10 @@
 
     @Test
     void whileRoomIsShortAnOpWithinItsTenantsShareGoesBeforeOneBeyondIt() {
-        host.ends(host.ask(FakeHost.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
+        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
         List<RequestId> asked = new ArrayList<>();
         for (int i = 0; i < 130; i++) {
-            asked.add(host.ask(FakeHost.SUBMIT));
+            asked.add(host.ask(RouterDriver.SUBMIT));
         }
         host.nowMs += 400;
         host.probed("r1", Role.PRIMARY, host.nowMs);
@@ -643,21 +645,21 @@
         host.levelled("p", "r1", "r2");
         int cold = 0;
         for (int i = 0; i < 12; i++) {
-            cold += host.sends(host.ask(FakeHost.HISTORY)).contains("r1") ? 1 : 0;
+            cold += host.sends(host.ask(RouterDriver.HISTORY)).contains("r1") ? 1 : 0;
         }
         assertThat(cold).isLessThanOrEqualTo(1);
     }
 
     @Test
     void aServerHeardLateAtASlowStartIsNotColdWhereTheListSaysThatItStartedLongAgo() {
-        FakeHost fresh = new FakeHost();
+        RouterDriver fresh = new RouterDriver();
         fresh.list(true, "r1");
         fresh.unanswered("r1");
         fresh.unanswered("r1");
         fresh.nowMs += 5000;
         fresh.probed("r1", Role.REPLICA, fresh.nowMs);
         for (int i = 0; i < 12; i++) {
-            RequestId read = fresh.ask(FakeHost.HISTORY);
+            RequestId read = fresh.ask(RouterDriver.HISTORY);
             assertThat(fresh.sends(read)).as("read " + i).containsExactly("r1");
             fresh.ends(read, 0, "r1", Outcome.SUCCEEDED, note(Role.REPLICA, fresh.nowMs));
         }
@@ -665,9 +667,9 @@
 
     @Test
     void aBoundedReadIsToBeWrittenWhileThePositionFitsItsBoundAndOneAtThePrimaryAtAnyTime() {
-        FakeHost h = FakeHost.settled();
+        RouterDriver h = RouterDriver.settled();
         h.pass(100); // r1 and r2 stand where they stood then, but for what a probe told since
-        RequestId read = h.ask(FakeHost.VIEW);
+        RequestId read = h.ask(RouterDriver.VIEW);
         Action.StartAttempt s = h.acts.stream()
                 .filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
                 .map(a -> (Action.StartAttempt) a)
@@ -675,7 +677,7 @@
                 .orElseThrow();
         assertThat(s.server().text()).startsWith("r");
         assertThat(s.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000); // a position is rounded down by a millisecond
-        RequestId write = h.ask(FakeHost.SUBMIT);
+        RequestId write = h.ask(RouterDriver.SUBMIT);
         assertThat(h.acts.stream()
                         .filter(a -> a instanceof Action.StartAttempt x
                                 && x.request().equals(write))
@@ -685,8 +687,8 @@
 
     @Test
     void aWriteIsGivenUpBeforeItsTimeIsUpSoThatItsAnswerComesInTime() {
-        FakeHost h = FakeHost.settled();
-        RequestId write = h.ask(FakeHost.SUBMIT);
+        RouterDriver h = RouterDriver.settled();
+        RequestId write = h.ask(RouterDriver.SUBMIT);
         assertThat(h.acts.stream()
                         .filter(a -> a instanceof Action.StartAttempt x
                                 && x.request().equals(write))
--- a/gateway/src/test/java/ploverdale/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -28,7 +28,6 @@
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
-import ploverdale.routing.Router;
 
 /**
  * A fleet of routers on one simulated clock, sending to the same simulated database servers, some of which restart and come
--- a/gateway/src/test/java/ploverdale/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,9 +7,9 @@
 import org.assertj.core.api.SoftAssertions;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.SlowStartFleet.Deployment;
-import ploverdale.SlowStartFleet.Result;
-import ploverdale.SlowStartFleet.Scenario;
+import ploverdale.routing.SlowStartFleet.Deployment;
+import ploverdale.routing.SlowStartFleet.Result;
+import ploverdale.routing.SlowStartFleet.Scenario;
 
 /**
  * What all routers of a fleet together send a recovering server, against the budget of the slow start rule. Prints a row for
--- a/gateway/src/test/java/ploverdale/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -1,4 +1,4 @@
-package ploverdale;
+package ploverdale.routing;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -44,7 +44,7 @@
 
     private record Due(long at, int order, long sequence, Runnable what) {}
 
-    private final FakeHost host;
+    private final RouterDriver host;
     private final Random random;
     private final int servers;
     private final List<HoldUp> holdUps = new ArrayList<>();
@@ -66,7 +66,7 @@
     VirtualFleet(int servers, long seed) {
         this.servers = servers;
         random = new Random(seed);
-        host = new FakeHost(ReplicaGuarantees.StalenessCheck.NONE, false, true, GATEWAYS);
+        host = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, GATEWAYS);
     }
 
     /** Holds up the servers, and the gateway, too, unless told otherwise. */
@@ -133,7 +133,7 @@
     }
 
     private void arrival() {
-        int type = List.of(FakeHost.VIEW, FakeHost.HISTORY, FakeHost.HISTORY, FakeHost.SUBMIT)
+        int type = List.of(RouterDriver.VIEW, RouterDriver.HISTORY, RouterDriver.HISTORY, RouterDriver.SUBMIT)
                 .get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
         tell(new Event.RequestArrived(
