--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -17,8 +17,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ploverdale.clock.Clock;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.postgres.MessageWriter;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import ploverdale.log.Log;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * Owns a rehearsal: a gateway between toy servers and a toy client in one process, at free loopback ports. It shows
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -28,9 +28,10 @@
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.ConfigurationFile.ServerList;
 import ploverdale.shutdown.GracefulShutdown;
 
 /**
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -31,6 +31,7 @@
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
 import ploverdale.net.postgres.ServerMessageReader;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * Owns the practice before service: a gateway of its own, with a module of its own, between a made-up client, server and
--- a/gateway/src/main/java/ploverdale/net/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.settings;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,9 +15,6 @@
 import ploverdale.model.GroupId;
 import ploverdale.model.ServerId;
 import ploverdale.model.ZoneId;
-import ploverdale.settings.GatewaySettings;
-import ploverdale.settings.InvalidSettingsException;
-import ploverdale.settings.JsonFields;
 
 /**
  * Owns the reading and checking of what a gateway is told at its start (the JSON file that EDGE_CONFIG names) and
--- a/gateway/src/main/java/ploverdale/net/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.settings;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,9 +9,6 @@
 import ploverdale.quota.LeaseDurations;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.replication.ReplicationSettings;
-import ploverdale.settings.GatewaySettings;
-import ploverdale.settings.InvalidSettingsException;
-import ploverdale.settings.JsonFields;
 
 /**
  * Owns the reading and checking of the file that switches the fleet's parts on ({@code serve --fleet FILE}). Without it
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import ploverdale.model.Endpoint.EndpointState;
-import ploverdale.net.ConfigurationFile;
+import ploverdale.settings.ConfigurationFile;
 import ploverdale.settings.InvalidSettingsException;
 
 /** What a gateway is told at its start, and what it says of a file it cannot use. */
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -52,12 +52,12 @@
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
 import ploverdale.routing.Router;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * Stands in for the module's surroundings; the clock moves only when a story says so. Times in milliseconds. Its
--- a/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ploverdale.net.ConfigurationFile;
-import ploverdale.net.FleetConfigurationFile;
 import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.FleetConfigurationFile;
 
 /** The file that switches the fleet's parts on. */
 class FleetConfigurationFileTest {
--- a/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
+++ b/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
@@ -8,8 +8,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import ploverdale.log.Log;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
+import ploverdale.settings.ConfigurationFile;
 import ploverdale.tools.stand.GatewayConfiguration;
 
 /** One real gateway in this process, on an event loop of its own. */
