--- a/gateway/src/main/java/ploverdale/clock/SystemClock.java
+++ b/gateway/src/main/java/ploverdale/clock/SystemClock.java
@@ -2,27 +2,28 @@
 
 import java.time.Instant;
 
-/** The clocks of the operating system. */
+/** The clocks of the operating system. Safe for use by several threads. */
 final class SystemClock implements Clock {
     static final Clock INSTANCE = new SystemClock();
 
-    private static final int READINGS = 10;
-    private static final long CLOSE_NANOS = 20_000; // two readings within this count as one moment
-    private static final long NANOS_PER_TENTH = 100_000;
+    private static final int MAX_READINGS = 10;
+    private static final long SAME_MOMENT_NANOS = 20_000; // two readings within this count as one moment
+    private static final long NANOS_PER_TENTH_MS = 100_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final long unixNanosAtOrigin; // Unix time at monotonic time 0
 
     private SystemClock() {
-        // The thread may be held up between the two readings; the closest pair of a few is taken.
+        // The thread may be paused between the two readings; the closest pair of a few is taken.
         long closest = Long.MAX_VALUE;
         long origin = 0;
-        for (int i = 0; i < READINGS && closest > CLOSE_NANOS; i++) {
+        for (int i = 0; i < MAX_READINGS && closest > SAME_MOMENT_NANOS; i++) {
             long before = System.nanoTime();
             Instant wall = Instant.now();
             long apart = System.nanoTime() - before;
             if (apart < closest) {
                 closest = apart;
-                origin = wall.getEpochSecond() * 1_000_000_000 + wall.getNano() - before;
+                origin = wall.getEpochSecond() * NANOS_PER_SECOND + wall.getNano() - before;
             }
         }
         unixNanosAtOrigin = origin;
@@ -30,7 +31,7 @@
 
     @Override
     public long now() {
-        return Math.floorDiv(unixNanosAtOrigin + System.nanoTime(), NANOS_PER_TENTH);
+        return Math.floorDiv(unixNanosAtOrigin + System.nanoTime(), NANOS_PER_TENTH_MS);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -16,6 +16,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event;
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -20,6 +20,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 import ploverdale.clock.Clock;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
@@ -28,6 +29,7 @@
 import ploverdale.model.RequestClass;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.discovery.Discovery;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.settings.ConfigurationFile;
@@ -81,7 +83,7 @@
         this.vertx = vertx;
         this.log = log;
         this.file = file;
-        time = new ServerClock(log, clock);
+        time = new ServerClock(log::line, clock);
         vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
         limits = new ConnectionLimits<>(file.sockets());
         fleet = quotaSettings.isEmpty() || file.peerListen() == null
--- a/gateway/src/main/java/ploverdale/net/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/GossipTransport.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiPredicate;
+import ploverdale.clock.ServerClock;
 import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
--- a/gateway/src/main/java/ploverdale/net/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/MembershipTransport.java
@@ -3,6 +3,7 @@
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.function.ObjLongConsumer;
+import ploverdale.clock.ServerClock;
 import ploverdale.log.Log;
 import ploverdale.membership.PacketQueue;
 import ploverdale.model.Event.Started;
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
+import ploverdale.clock.ServerClock;
 import ploverdale.gossip.Datagram;
 import ploverdale.log.Log;
 import ploverdale.membership.PacketQueue;
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Outcome;
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -17,13 +17,13 @@
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Registry;
 import ploverdale.clock.Clock;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.net.ClientConnections;
 import ploverdale.net.Gateway;
 import ploverdale.net.RouterEventLoop;
-import ploverdale.net.ServerClock;
 import ploverdale.settings.ConfigurationFile;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
@@ -99,7 +99,7 @@
             context.runOnContext(x -> {
                 RouterEventLoop loop =
                         new RouterEventLoop(vertx, context, log, new LosesActions(), null, Clock.system());
-                ServerClock time = new ServerClock(log, Clock.system());
+                ServerClock time = new ServerClock(log::line, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
                 clients.ready();
--- a/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
+++ b/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
@@ -28,11 +28,11 @@
         long writtenAt = now;
         now += WAY;
         long position = (now - WAY / 2 + trueOffset + off) / MS * MS;
-        return offset.heard(server, position, writtenAt, now, true);
+        return offset.observe(server, position, writtenAt, now, true);
     }
 
     private boolean replica(String server, long lag) {
-        return offset.heard(server, (now + trueOffset - lag) / MS * MS, now - WAY, now, false);
+        return offset.observe(server, (now + trueOffset - lag) / MS * MS, now - WAY, now, false);
     }
 
     @Test
@@ -96,7 +96,7 @@
     @Test
     void anAnswerThatIsReadLateContradictsNothing() {
         long position = now + MS;
-        assertThat(offset.heard("p", position / MS * MS, now, now + 30 * SECOND, true))
+        assertThat(offset.observe("p", position / MS * MS, now, now + 30 * SECOND, true))
                 .isFalse();
         assertThat(offset.isKnown()).isTrue();
     }
@@ -105,7 +105,7 @@
     void aPrimaryWhoseClockStoppedSetsNothing() {
         long stopped = now - 60 * SECOND;
         for (int i = 0; i < 20; i++) {
-            offset.heard("p", stopped, now, now + WAY, true);
+            offset.observe("p", stopped, now, now + WAY, true);
             now += 100 * MS;
         }
         assertThat(offset.isKnown()).isFalse();
@@ -175,7 +175,7 @@
                         primary ? writtenAt + random.nextLong(now - writtenAt + 1) : now - random.nextLong(20 * SECOND);
                 int server = random.nextInt(3) * 2 + (primary ? 1 : 0);
                 long corrupt = random.nextInt(30) == 0 ? random.nextLong(7200 * SECOND) - 3600 * SECOND : 0;
-                its.heard(server, Math.floorDiv(dated + off + corrupt, MS) * MS, writtenAt, now, primary);
+                its.observe(server, Math.floorDiv(dated + off + corrupt, MS) * MS, writtenAt, now, primary);
                 corrected |= its.offset() != 0;
                 if (its.isKnown() && corrected) {
                     assertThat(its.offset())
