--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -27,6 +27,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
+import ploverdale.net.peer.RequestHistoryLookup;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
 import ploverdale.net.postgres.MessageWriter;
@@ -70,11 +71,6 @@
     private static final long UNREAD_LEAST_MS =
             5000; // for a client to read on, or as long as an op may take, before it is closed
 
-    /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
-    interface RequestHistoryLookup {
-        void arrives(Event.RequestArrived request, String key);
-    }
-
     /** An op in hand. */
     public static final class AcceptedRequest {
         private final ClientMessage.RequestQuery ask;
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/ClientRequestsAdapter.java
@@ -0,0 +1,49 @@
+package ploverdale.net;
+
+import ploverdale.model.Event.RequestArrived;
+import ploverdale.model.RequestId;
+import ploverdale.net.peer.ClientRequests;
+import ploverdale.net.postgres.ResultRow;
+
+/** Lets the replication of sessions and writes route and answer the requests of this gateway's clients. */
+final class ClientRequestsAdapter implements ClientRequests {
+    private static final long NO_RETRY_AFTER = 0;
+
+    private final RouterEventLoop loop;
+    private final ClientConnections clients;
+
+    ClientRequestsAdapter(RouterEventLoop loop, ClientConnections clients) {
+        this.loop = loop;
+        this.clients = clients;
+    }
+
+    @Override
+    public void route(RequestArrived request) {
+        loop.tell(request);
+    }
+
+    @Override
+    public boolean isPending(RequestId request) {
+        return clients.taken(request) != null;
+    }
+
+    @Override
+    public void succeeded(RequestId request, ResultRow row) {
+        clients.acked(request, row);
+    }
+
+    @Override
+    public void succeededBefore(RequestId request, byte[] encodedRow) {
+        clients.ranBefore(request, encodedRow);
+    }
+
+    @Override
+    public void failed(RequestId request) {
+        clients.errored(request);
+    }
+
+    @Override
+    public void rejected(RequestId request) {
+        clients.busyReplied(request, NO_RETRY_AFTER);
+    }
+}
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -30,6 +30,10 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.net.discovery.Discovery;
+import ploverdale.net.peer.GossipTransport;
+import ploverdale.net.peer.MembershipTransport;
+import ploverdale.net.peer.ReplicaRequests;
+import ploverdale.net.peer.ReplicationCoordinator;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.settings.ConfigurationFile;
@@ -95,31 +99,31 @@
                         file.settings().started(),
                         (to, bytes) -> peers().send(to, bytes),
                         time);
-        loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.shared(), clock);
+        loop = new RouterEventLoop(vertx, context, log, this, fleet == null ? null : fleet.node(), clock);
         clients = new ClientConnections(vertx, log, loop, file.settings(), limits, time);
         servers = new ServerConnections(vertx, log, file.settings(), limits, this::makeRoom, time);
-        peers = file.peerListen() == null ? null : new GossipTransport(vertx, log, loop, file.peers());
+        peers = file.peerListen() == null ? null : new GossipTransport(vertx, log, loop::tell, file.peers());
         if (peers != null) {
-            peers.datedBy(time);
+            peers.setServerClock(time);
         }
         if (fleet != null) {
-            peers.readFirst(fleet::hears);
+            peers.setFirstReader(fleet::receive);
         }
-        past = fleet == null || fleet.shared().replicas() == null
+        ReplicaRequests replicas =
+                fleet == null ? null : new ReplicaRequests(fleet.node().replicas(), fleet::exchange);
+        past = fleet == null || fleet.node().replicas() == null
                 ? null
                 : new ReplicationCoordinator(
                         vertx,
                         log,
-                        loop,
-                        clients,
+                        new ClientRequestsAdapter(loop, clients),
                         file.settings(),
                         quotaSettings.get().keeping(),
-                        fleet.shared().replicas(),
-                        fleet::keeps,
+                        replicas,
                         time);
         if (past != null) {
             clients.past(past);
-            fleet.whenHeard(past::ended);
+            fleet.whenReceived(replicas::runCallbacks);
         }
         discovery = new Discovery(
                 vertx, log, file.settings(), file.discovery(), new SplittableRandom(file.seed()), this::listed, clock);
@@ -236,7 +240,7 @@
             when(
                     () -> peers == null
                             ? firstProbesEnded()
-                            : peers.heard()
+                            : peers.hasReceived()
                                     ? probesEnded > 0
                                     : firstProbesEnded() && time.clock().monotonicMs() - since > WORDS_WITHIN_MS,
                     (int) (file.settings().connectLimit() / 10 / START_LOOK_MS) + 1,
@@ -269,7 +273,7 @@
                         s.beyondShareValue(),
                         s.guarantees(),
                         s.capabilities(),
-                        past.copies(s.copies()),
+                        past.replicaGuarantees(s.copies()),
                         s.listOnDemand(),
                         s.me());
     }
@@ -359,7 +363,7 @@
         int number = t.nextSend();
         int changes = time.changes();
         if (past != null) {
-            past.sent(a.request());
+            past.attemptStarted(a.request());
         }
         // The process may have been paused since the module read the clock; its limit goes on from there.
         long left = a.timeLimit() - (time.now() - loop.decidedAt());
@@ -379,10 +383,10 @@
 
     private void sendEnded(RequestId request, int number, ServerId server, ServerConnections.AttemptEnd o) {
         if (past != null) {
-            past.sendEnded(request, o.outcome(), o.row() != null);
+            past.attemptEnded(request, o.outcome(), o.row() != null);
         }
         if (o.row() != null && past != null) {
-            past.acked(request, o.row(), o.note(), server);
+            past.succeeded(request, o.row(), o.note(), server);
         } else if (o.row() != null) {
             clients.acked(request, o.row());
         }
@@ -404,7 +408,7 @@
 
     private void answered(RequestId request) {
         if (past != null) {
-            past.over(request);
+            past.answered(request);
         }
     }
 
@@ -432,7 +436,7 @@
     @Override
     public void tell(Action.SendGossip a) {
         if (peers != null) {
-            peers.tell(a);
+            peers.sendGossip(a);
         }
     }
 
@@ -467,7 +471,7 @@
         // Guards against ops from before the word to leave whose own timeouts are later than the end.
         vertx.setTimer(answersIn, x -> loop.tell(new Event.ShutdownDeadline()));
         if (fleet != null) {
-            fleet.leaves();
+            fleet.leave();
         }
         clients.whenAsked(now -> shutdown.asked(now - began));
         vertx.setPeriodic(LOOK_MS, timer -> {
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -0,0 +1,169 @@
+package ploverdale.net.peer;
+
+import io.vertx.core.Vertx;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import ploverdale.clock.ServerClock;
+import ploverdale.gossip.Datagram;
+import ploverdale.log.Log;
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.Event.RequestArrived;
+import ploverdale.model.LoadReport;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.settings.GatewaySettings;
+
+/**
+ * Ties client requests to what the gateways replicate of sessions and writes. A session's read is routed once the position
+ * that it must reach has been looked up ({@link SessionPositionLookup}), a write once it has been claimed ({@link
+ * WriteClaims}), and a write that has succeeded is recorded before or after its client is answered ({@link
+ * WriteRecorder}). A write that is proven never to have run releases its claim. Decides nothing about freshness or proof,
+ * and answers no request twice.
+ *
+ * <p>Used on the event loop only.
+ */
+public final class ReplicationCoordinator implements RequestHistory {
+    private static final long DEPARTED_CLIENTS_CHECK_MS = 1000;
+    private static final long TENTHS_PER_MS = 10;
+
+    private final Vertx vertx;
+    private final ClientRequests requests;
+    private final GatewaySettings gatewaySettings;
+    private final ReplicationSettings settings;
+    private final ReplicaRequests replicas;
+    private final ServerClock clock;
+    private final SessionPositionLookup positions;
+    private final WriteClaims claims;
+    private final WriteRecorder recorder;
+    private final Map<RequestId, PendingWrite> writes = new HashMap<>();
+
+    public ReplicationCoordinator(
+            Vertx vertx,
+            Log log,
+            ClientRequests requests,
+            GatewaySettings gatewaySettings,
+            ReplicationSettings settings,
+            ReplicaRequests replicas,
+            ServerClock clock) {
+        this.vertx = vertx;
+        this.requests = requests;
+        this.gatewaySettings = gatewaySettings;
+        this.settings = settings;
+        this.replicas = replicas;
+        this.clock = clock;
+        positions = new SessionPositionLookup(log, requests, replicas, clock);
+        claims = new WriteClaims(vertx, log, requests, settings, replicas, clock, writes::remove);
+        recorder = new WriteRecorder(log, requests, settings, replicas, clock);
+        vertx.setPeriodic(DEPARTED_CLIENTS_CHECK_MS, x -> releaseWritesOfDepartedClients());
+    }
+
+    /** A client may leave while its write waits here; then no attempt is made, and nobody notifies of the end. */
+    private void releaseWritesOfDepartedClients() {
+        List.copyOf(writes.keySet()).stream()
+                .filter(request -> !requests.isPending(request))
+                .forEach(this::answered);
+    }
+
+    @Override
+    public ReplicaGuarantees replicaGuarantees(ReplicaGuarantees configured) {
+        return new ReplicaGuarantees(
+                configured.checks(), configured.checkWait(), configured.tokensCarried() || settings.sessions());
+    }
+
+    @Override
+    public void arrives(RequestArrived request, String sessionKey) {
+        RequestClass requestClass =
+                gatewaySettings.started().requestClasses().get(request.type().index());
+        if (settings.sessions() && requestClass.needs() == Consistency.SESSION && sessionKey != null) {
+            positions.lookUp(request, sessionKey);
+        } else if (requestClass.needs() != Consistency.WRITE) {
+            requests.route(request);
+        } else if (clock.isKnown()) {
+            admitWrite(request, requestClass);
+        } else {
+            deferWrite(request, sessionKey);
+        }
+    }
+
+    private void admitWrite(RequestArrived request, RequestClass requestClass) {
+        String className = gatewaySettings.requestClasses().get(request.type().index());
+        PendingWrite write = new PendingWrite(request, settings.waits().contains(className), clock.wallNow());
+        writes.put(write.id(), write);
+        if (settings.submits() && requestClass.repeats() != Idempotence.IDEMPOTENT) {
+            claims.claim(write);
+        } else {
+            requests.route(request);
+        }
+    }
+
+    /** While the offset of the servers' clock is unknown, a write's outcome cannot be dated, and so no attempt is made. */
+    private void deferWrite(RequestArrived request, String sessionKey) {
+        if (clock.now() + WriteClaims.RETRY_INTERVAL_MS * TENTHS_PER_MS < request.timeoutAt()) {
+            vertx.setTimer(WriteClaims.RETRY_INTERVAL_MS, x -> {
+                if (requests.isPending(request.request())) {
+                    arrives(request, sessionKey);
+                }
+            });
+        } else if (request.resubmitted()) {
+            requests.failed(request.request()); // an earlier submission may have run
+        } else {
+            requests.rejected(request.request());
+        }
+    }
+
+    @Override
+    public void attemptStarted(RequestId request) {
+        PendingWrite write = writes.get(request);
+        if (write != null) {
+            write.attemptStarted();
+        }
+    }
+
+    @Override
+    public void attemptEnded(RequestId request, Outcome outcome, boolean hasRow) {
+        PendingWrite write = writes.get(request);
+        if (write == null) {
+            return;
+        }
+        write.attemptEnded(outcome);
+        if (!hasRow && !requests.isPending(request)) {
+            answered(request);
+        }
+    }
+
+    @Override
+    public void succeeded(RequestId request, ResultRow row, LoadReport report, ServerId server) {
+        PendingWrite write = writes.remove(request);
+        if (write == null) {
+            requests.succeeded(request, row);
+            return;
+        }
+        positions.writeSucceeded(write.request().group(), Datagram.number(server) & 0xFFFF);
+        recorder.record(write, row, report, server);
+    }
+
+    /** {@inheritDoc} While an attempt is in flight, the write is kept: the end of the attempt may prove what it did. */
+    @Override
+    public void answered(RequestId request) {
+        PendingWrite write = writes.get(request);
+        if (write == null || write.hasAttemptInFlight()) {
+            return;
+        }
+        writes.remove(request);
+        if (!write.mayHaveRun()) {
+            claims.release(write);
+        }
+    }
+
+    @Override
+    public void clockOffsetChanged() {
+        replicas.clockOffsetChanged();
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -0,0 +1,70 @@
+package ploverdale.net.peer;
+
+import java.util.HashMap;
+import java.util.Map;
+import ploverdale.clock.ServerClock;
+import ploverdale.log.Log;
+import ploverdale.model.Event.RequestArrived;
+import ploverdale.model.GroupId;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
+
+/**
+ * Asks the replicas how far a session's reads must reach, and routes the read with that position. Where no majority
+ * answers in time, the read must reach the present of its arrival. Used on the event loop only.
+ */
+final class SessionPositionLookup {
+    private final Log log;
+    private final ClientRequests requests;
+    private final ReplicaRequests replicas;
+    private final ServerClock clock;
+    private final Map<GroupId, Integer> lastWriters =
+            new HashMap<>(); // number of the server of the last write seen here
+
+    SessionPositionLookup(Log log, ClientRequests requests, ReplicaRequests replicas, ServerClock clock) {
+        this.log = log;
+        this.requests = requests;
+        this.replicas = replicas;
+        this.clock = clock;
+    }
+
+    /** Routes the read once its session's position is known, or cannot be. */
+    void lookUp(RequestArrived read, String sessionKey) {
+        long arrivedAt = clock.now();
+        replicas.start(
+                (store, now, packets) -> store.asks(now, Replicas.key(true, sessionKey), packets),
+                done -> onPosition(read, done, arrivedAt));
+    }
+
+    /** A write to the group has succeeded at the server of that number. */
+    void writeSucceeded(GroupId group, int server) {
+        lastWriters.put(group, server);
+    }
+
+    private void onPosition(RequestArrived read, Done done, long arrivedAt) {
+        boolean known = done.end() == End.KNOWN;
+        int lastWriter = lastWriters.getOrDefault(read.group(), done.server());
+        if (known && done.server() >= 0 && done.server() != lastWriter) {
+            log.often("a session over a takeover", "its last write was acked by another server than the group's last");
+        }
+        long position = known ? done.position() : clock.toWall(arrivedAt);
+        long tokenAge = clock.tokenAge(clock.now(), position);
+        if (requests.isPending(read.request())) {
+            requests.route(withTokenAge(read, tokenAge));
+        }
+    }
+
+    private static RequestArrived withTokenAge(RequestArrived read, long tokenAge) {
+        return new RequestArrived(
+                read.request(),
+                read.type(),
+                read.tenant(),
+                read.group(),
+                read.session(),
+                read.timeoutAt(),
+                read.resubmitted(),
+                read.expectedWork(),
+                tokenAge);
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -0,0 +1,120 @@
+package ploverdale.net.peer;
+
+import io.vertx.core.Vertx;
+import java.util.function.Consumer;
+import ploverdale.clock.ServerClock;
+import ploverdale.log.Log;
+import ploverdale.model.RequestId;
+import ploverdale.replication.Replicas;
+import ploverdale.replication.Replicas.Done;
+import ploverdale.replication.Replicas.End;
+import ploverdale.replication.ReplicationSettings;
+import ploverdale.replication.WriteOutcome;
+
+/**
+ * Lets at most one gateway send a write at a time: a write is routed once the replicas have granted a claim to it, and
+ * one that was submitted before gets the answer of the earlier submission. Used on the event loop only.
+ */
+final class WriteClaims {
+    /** Between two looks at an earlier submission whose outcome is not known yet, in milliseconds. */
+    static final long RETRY_INTERVAL_MS = 40;
+
+    private static final long TENTHS_PER_MS = 10;
+
+    private final Vertx vertx;
+    private final Log log;
+    private final ClientRequests requests;
+    private final ReplicationSettings settings;
+    private final ReplicaRequests replicas;
+    private final ServerClock clock;
+    private final Consumer<RequestId> forget;
+
+    /** @param forget is called with each write that ends here: it has an answer, or its client has left */
+    WriteClaims(
+            Vertx vertx,
+            Log log,
+            ClientRequests requests,
+            ReplicationSettings settings,
+            ReplicaRequests replicas,
+            ServerClock clock,
+            Consumer<RequestId> forget) {
+        this.vertx = vertx;
+        this.log = log;
+        this.requests = requests;
+        this.settings = settings;
+        this.replicas = replicas;
+        this.clock = clock;
+        this.forget = forget;
+    }
+
+    /** Routes the write once its claim is granted, or answers it by the outcome of its earlier submission. */
+    void claim(PendingWrite write) {
+        replicas.start(
+                (store, now, packets) -> store.claims(
+                        now, idempotencyKey(write), !write.request().resubmitted(), write.arrivedAt(), packets),
+                done -> onClaim(write, done));
+    }
+
+    private void onClaim(PendingWrite write, Done done) {
+        if (done.end() == End.GRANTED) {
+            onGranted(write, done);
+        } else if (!requests.isPending(write.id())) {
+            forget.accept(write.id());
+        } else if (done.end() == End.RAN) {
+            onRanBefore(write, done.answer());
+        } else if (hasTimeForAnotherClaim(write)) {
+            vertx.setTimer(RETRY_INTERVAL_MS, x -> claim(write));
+        } else {
+            forget.accept(write.id());
+            requests.failed(write.id());
+            log.often("a write submitted before", "errored, since it may have run");
+        }
+    }
+
+    private void onGranted(PendingWrite write, Done done) {
+        write.setClaim(done.claim());
+        if (requests.isPending(write.id())) {
+            requests.route(write.request());
+            return;
+        }
+        forget.accept(write.id());
+        release(write); // its client has left, and no attempt was made
+    }
+
+    private void onRanBefore(PendingWrite write, byte[] encodedRow) {
+        forget.accept(write.id());
+        if (encodedRow.length > 0) {
+            requests.succeededBefore(write.id(), encodedRow);
+        } else {
+            requests.failed(write.id());
+        }
+    }
+
+    private boolean hasTimeForAnotherClaim(PendingWrite write) {
+        long neededMs = RETRY_INTERVAL_MS + settings.askWithin() / TENTHS_PER_MS;
+        return clock.now() + neededMs * TENTHS_PER_MS < write.request().timeoutAt();
+    }
+
+    /** Records that the write never ran, so that a later submission may be sent; nothing where it has no claim. */
+    void release(PendingWrite write) {
+        if (!write.hasClaim()) {
+            return;
+        }
+        replicas.start(
+                (store, now, packets) -> store.became(
+                        now,
+                        idempotencyKey(write),
+                        write.claim(),
+                        WriteOutcome.NEVER_RAN,
+                        new byte[0],
+                        0,
+                        false,
+                        packets),
+                done -> {});
+    }
+
+    /** The key by which the replicas know the outcome of the write. */
+    static long idempotencyKey(PendingWrite write) {
+        return Replicas.key(false, write.id().text());
+    }
+}
--- a/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import ploverdale.log.Log;
+import ploverdale.net.peer.GossipTransport;
 
 /** The socket to other instances. */
 class GossipTransportTest {
@@ -41,7 +42,7 @@
                         List.of(
                                 at,
                                 new InetSocketAddress(HERE, other.localAddress().port())));
-                side.readFirst((from, bytes) -> heard.complete(bytes));
+                side.setFirstReader((from, bytes) -> heard.complete(bytes));
                 side.send(1, new byte[] {1});
                 vertx.setTimer(
                         20, y -> side.listen(at).onSuccess(z -> other.send(Buffer.buffer(new byte[] {7}), port, HERE)));
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -27,6 +27,7 @@
 import ploverdale.FaultyTransport.Errno;
 import ploverdale.FaultyTransport.Fault;
 import ploverdale.log.Log;
+import ploverdale.net.peer.GossipTransport;
 
 /** The socket to other instances, whose system calls fail. */
 @Timeout(60)
@@ -64,7 +65,7 @@
             side = new GossipTransport(
                     vertx, new Log(new PrintStream(lines, true)), null, List.of(at, (InetSocketAddress)
                             other.getLocalSocketAddress()));
-            side.readFirst((from, bytes) -> received.add(bytes));
+            side.setFirstReader((from, bytes) -> received.add(bytes));
             side.listen(at).onComplete(y -> listened.complete(null));
         });
         listened.get(PATIENCE_S, TimeUnit.SECONDS);
