--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -19,6 +19,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.EndpointList;
 
 /**
  * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
@@ -31,7 +32,7 @@
     private final Vertx vertx;
     private final Map<String, String> table = new HashMap<>();
     private final List<String> members = new ArrayList<>();
-    private final List<ConfigurationFile.Entry> entries = new ArrayList<>();
+    private final List<EndpointList.Entry> entries = new ArrayList<>();
     private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
     private long writtenAt = Clock.system().wallMs();
     private InetSocketAddress discovery;
@@ -45,7 +46,7 @@
         DevServers toy = new DevServers(vertx);
         Future<?> all = Future.succeededFuture();
         Set<Long> groups = new HashSet<>();
-        for (ConfigurationFile.Entry e : file.known().entries()) {
+        for (EndpointList.Entry e : file.known().entries()) {
             boolean primary = groups.add(e.listing().group().number());
             all = all.compose(x -> toy.server(e, primary, anyPorts));
         }
@@ -57,14 +58,14 @@
     /** Asks each server once, so that the first probe of a gateway does not wait for this program's classes. */
     private Future<?> warmUp() {
         Future<?> all = Future.succeededFuture();
-        for (ConfigurationFile.Entry e : entries) {
+        for (EndpointList.Entry e : entries) {
             all = all.compose(x -> DevClient.connect(vertx, e.address()))
                     .compose(c -> c.ask("SHOW vitals").compose(x -> c.close()));
         }
         return all;
     }
 
-    public List<ConfigurationFile.Entry> entries() {
+    public List<EndpointList.Entry> entries() {
         return entries;
     }
 
@@ -72,14 +73,14 @@
         return discovery;
     }
 
-    private Future<NetServer> server(ConfigurationFile.Entry e, boolean primary, boolean anyPort) {
+    private Future<NetServer> server(EndpointList.Entry e, boolean primary, boolean anyPort) {
         String host = e.address().getAddress().getHostAddress();
         return vertx.createNetServer()
                 .connectHandler(s -> serve(s, primary))
                 .listen(anyPort ? 0 : e.address().getPort(), host)
                 .onSuccess(s -> {
                     up.add(s);
-                    entries.add(new ConfigurationFile.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
+                    entries.add(new EndpointList.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
                     members.add("{\"id\":\"" + e.listing().server().text() + "\",\"host_port\":\"" + host + ":"
                             + s.actualPort() + "\",\"cell\":"
                             + e.listing().group().number()
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -8,6 +8,7 @@
 import ploverdale.log.Log;
 import ploverdale.net.Gateway;
 import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.EndpointList;
 
 /**
  * Owns a rehearsal: a gateway between toy servers and a toy client in one process, at free loopback ports. It shows
@@ -26,8 +27,7 @@
         InetSocketAddress here = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return DevServers.start(vertx, file, true)
                 .compose(toy -> {
-                    ConfigurationFile.ServerList known =
-                            new ConfigurationFile.ServerList(0, true, toy.entries(), java.util.List.of());
+                    EndpointList known = new EndpointList(0, true, toy.entries(), java.util.List.of());
                     return Gateway.start(
                             vertx,
                             log,
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -37,7 +37,7 @@
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.settings.ConfigurationFile;
-import ploverdale.settings.ConfigurationFile.ServerList;
+import ploverdale.settings.EndpointList;
 import ploverdale.shutdown.GracefulShutdown;
 
 /**
@@ -307,7 +307,7 @@
         return server.actualPort();
     }
 
-    private void listed(ServerList list) {
+    private void listed(EndpointList list) {
         if (list.whole()) {
             starts.keySet()
                     .retainAll(list.entries().stream()
@@ -316,7 +316,7 @@
         }
         List<Endpoint> endpoints =
                 list.entries().stream().map(e -> dated(e.listing())).toList();
-        for (ConfigurationFile.Entry e : list.entries()) {
+        for (EndpointList.Entry e : list.entries()) {
             if (e.address() != null) {
                 servers.reachedAt(e.listing().server(), e.address());
             }
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -32,6 +32,7 @@
 import ploverdale.net.postgres.ServerMessage;
 import ploverdale.net.postgres.ServerMessageReader;
 import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.EndpointList;
 
 /**
  * Owns the practice before service: a gateway of its own, with a module of its own, between a made-up client, server and
@@ -87,9 +88,9 @@
             client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
             return listen(this::serve)
                     .compose(server -> listen(s -> list(s, server)).compose(list -> {
-                        List<ConfigurationFile.Entry> made = new ArrayList<>();
+                        List<EndpointList.Entry> made = new ArrayList<>();
                         for (String name : List.of("a", "b", "c")) {
-                            made.add(new ConfigurationFile.Entry(
+                            made.add(new EndpointList.Entry(
                                     new Endpoint(
                                             new ServerId(name),
                                             new GroupId(0),
@@ -110,7 +111,7 @@
                                         file.seed(),
                                         file.sockets(),
                                         file.settings(),
-                                        new ConfigurationFile.ServerList(0, true, made, List.of()),
+                                        new EndpointList(0, true, made, List.of()),
                                         null,
                                         List.of()),
                                 clock);
--- a/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
@@ -9,11 +9,10 @@
 import java.util.random.RandomGenerator;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
-import ploverdale.settings.ConfigurationFile;
-import ploverdale.settings.ConfigurationFile.ServerList;
+import ploverdale.settings.EndpointList;
+import ploverdale.settings.EndpointListReader;
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.InvalidSettingsException;
-import ploverdale.settings.JsonFields;
 
 /**
  * Follows the endpoint list of the discovery agent: fetches the complete list, then watches it by long polls, one after
@@ -54,7 +53,7 @@
     private final Vertx vertx;
     private final Log log;
     private final GatewaySettings settings;
-    private final Consumer<ServerList> listener;
+    private final Consumer<EndpointList> listener;
     private final DiscoveryClient client;
     private final RandomGenerator random;
     private final Clock clock;
@@ -77,7 +76,7 @@
             GatewaySettings settings,
             InetSocketAddress address,
             RandomGenerator random,
-            Consumer<ServerList> listener,
+            Consumer<EndpointList> listener,
             Clock clock) {
         this.clock = clock;
         this.random = random;
@@ -174,10 +173,9 @@
 
         @Override
         public void onBody(String body) {
-            ServerList list;
+            EndpointList list;
             try {
-                list = ConfigurationFile.serverList(
-                        JsonFields.of("list", ConfigurationFile.json(body, "list")), settings);
+                list = EndpointListReader.parse(body, settings);
             } catch (InvalidSettingsException invalid) {
                 onFailure(invalid.getMessage()); // changes nothing
                 return;
@@ -188,7 +186,7 @@
         }
     }
 
-    private void onAnswer(ServerList list) {
+    private void onAnswer(EndpointList list) {
         if (state == State.LOST) {
             log.line("discovery back after " + (clock.monotonicMs() - lostAtMs) + " ms, revision " + list.revision());
         }
@@ -217,7 +215,7 @@
     }
 
     /** An agent that was restarted counts anew: its updates do not apply to the list that was received before. */
-    private boolean continuesKnownRevision(ServerList list) {
+    private boolean continuesKnownRevision(EndpointList list) {
         return list.whole() || revision >= 0 && list.revision() >= revision;
     }
 
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -11,12 +11,14 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * Owns the reading and checking of the file that switches the fleet's parts on ({@code serve --fleet FILE}). Without it
- * nothing of them exists. Must never be found by itself: no default, environment or missing file stands for it.
+ * Reads and checks the file that switches on what gateways share ({@code serve --fleet FILE}): quota, session positions
+ * and write outcomes. Without the file all of it is off; no default, environment variable or missing file stands for it.
  */
 public final class FleetConfigurationFile {
-    private static final long MS = 10;
-    private static final int WHOLE_MOST = 60_000;
+    private static final String SOURCE = "fleet file";
+    private static final long TENTHS_PER_MS = 10;
+    private static final int MAX_UNITS = 60_000; // of one quota
+    private static final int MAX_COPY_WAIT_MS = 150; // less than a graceful shutdown leaves for answers
     private static final Set<String> FIELDS = Set.of(
             "tenants",
             "sends_at_server",
@@ -37,107 +39,145 @@
             "ask_ms",
             "facts_most",
             "wall_clocks_apart_ms");
-    private static final Set<String> OF_SESSIONS = Set.of("keep_ms");
-    private static final Set<String> OF_SUBMITS = Set.of("window_ms", "retries_marked");
-    private static final int LONGEST_WAIT_MS = 150; // less than what a planned restart spares for answers
+    private static final Set<String> SESSIONS_FIELDS = Set.of("keep_ms");
+    private static final Set<String> SUBMITS_FIELDS = Set.of("window_ms", "retries_marked");
+    private static final List<String> REPLICATION_FIELDS =
+            List.of("copies", "wait_for_copies", "wait_ms", "ask_ms", "facts_most", "wall_clocks_apart_ms");
 
     private FleetConfigurationFile() {}
 
-    /** Reads the file; a mistake is named by its field. */
+    /**
+     * Reads the file.
+     *
+     * @throws InvalidSettingsException if it cannot be read, or a field is unknown or cannot be used
+     */
     public static QuotaSettings read(Path file) {
         String text;
         try {
             text = Files.readString(file);
-        } catch (IOException e) {
-            throw new InvalidSettingsException("fleet file " + file + " cannot be read: " + e.getMessage());
+        } catch (IOException failure) {
+            throw new InvalidSettingsException(SOURCE + " " + file + " cannot be read: " + failure.getMessage());
         }
-        JsonFields f = JsonFields.of("fleet file", ConfigurationFile.json(text, "fleet file"));
-        f.only(FIELDS);
-        QuotaSettings s = new QuotaSettings(
-                f.mark("tenants"),
-                parts(f, "sends_at_server"),
-                parts(f, "cold_sends_at_server"),
-                (int) within(f, "server_slots", 64, 1, 512),
-                parts(f, "second_sends_per_second"),
-                parts(f, "probes_per_second"),
-                within(f, "floor_share", 0.5, 0, 0.5),
-                new LeaseDurations(
-                        (long) within(f, "steward_ms", 3000, 200, 60_000) * MS,
-                        (long) within(f, "loan_ms", 2000, 100, 60_000) * MS,
-                        within(f, "clocks_apart", 0.05, 0.001, 0.5)),
-                within(f, "bytes_per_second", 2000, 200, 1_000_000),
-                keeping(f));
-        if (!s.any()) {
+        JsonFields fields = JsonFields.parse(SOURCE, text);
+        fields.only(FIELDS);
+        QuotaSettings settings = quotaSettings(fields);
+        if (!settings.any()) {
             throw new InvalidSettingsException(
-                    "fleet file with nothing to divide or keep: none of the fields tenants, sends_at_server, "
+                    SOURCE + " with nothing to divide or keep: none of the fields tenants, sends_at_server, "
                             + "cold_sends_at_server, second_sends_per_second, probes_per_second, sessions and submits");
         }
-        return s;
+        return settings;
     }
 
-    /** What is kept together, or null where neither sessions nor submits are. */
-    private static ReplicationSettings keeping(JsonFields f) {
-        if (!f.has("sessions") && !f.has("submits")) {
-            for (String only :
-                    List.of("copies", "wait_for_copies", "wait_ms", "ask_ms", "facts_most", "wall_clocks_apart_ms")) {
-                if (f.has(only)) {
-                    throw new InvalidSettingsException(
-                            "fleet file with a field " + only + " and neither sessions nor submits");
-                }
-            }
+    private static QuotaSettings quotaSettings(JsonFields fields) {
+        return new QuotaSettings(
+                fields.mark("tenants"),
+                units(fields, "sends_at_server"),
+                units(fields, "cold_sends_at_server"),
+                (int) numberWithin(fields, "server_slots", 64, 1, 512),
+                units(fields, "second_sends_per_second"),
+                units(fields, "probes_per_second"),
+                numberWithin(fields, "floor_share", 0.5, 0, 0.5),
+                new LeaseDurations(
+                        tenths(fields, "steward_ms", 3000, 200, 60_000),
+                        tenths(fields, "loan_ms", 2000, 100, 60_000),
+                        numberWithin(fields, "clocks_apart", 0.05, 0.001, 0.5)),
+                numberWithin(fields, "bytes_per_second", 2000, 200, 1_000_000),
+                replicationSettings(fields));
+    }
+
+    /** Null where neither sessions nor writes are replicated. */
+    private static ReplicationSettings replicationSettings(JsonFields fields) {
+        if (!fields.has("sessions") && !fields.has("submits")) {
+            refuseReplicationFields(fields);
             return null;
         }
-        JsonFields sessions = f.object("sessions");
-        sessions.only(OF_SESSIONS);
-        JsonFields submits = f.object("submits");
-        submits.only(OF_SUBMITS);
-        Set<String> waits = new HashSet<>();
-        for (Object name : f.list("wait_for_copies")) {
-            waits.add(String.valueOf(name));
-        }
+        JsonFields sessions = fields.object("sessions");
+        sessions.only(SESSIONS_FIELDS);
+        JsonFields submits = fields.object("submits");
+        submits.only(SUBMITS_FIELDS);
+        Set<String> waitingClasses = classesThatWaitForCopies(fields);
         return new ReplicationSettings(
-                (int) within(f, "copies", 3, 1, 5),
-                f.has("sessions"),
-                (long) within(sessions, "keep_ms", 30_000, 1000, 600_000) * MS,
-                (long) within(f, "ask_ms", 40, 1, 1000) * MS,
-                f.has("submits") ? (long) within(submits, "window_ms", 20_000, 100, 600_000) * MS : 0,
+                (int) numberWithin(fields, "copies", 3, 1, 5),
+                fields.has("sessions"),
+                tenths(sessions, "keep_ms", 30_000, 1000, 600_000),
+                tenths(fields, "ask_ms", 40, 1, 1000),
+                fields.has("submits") ? tenths(submits, "window_ms", 20_000, 100, 600_000) : 0,
                 submits.mark("retries_marked"),
-                waits,
-                (long) within(f, "wait_ms", 100, 1, LONGEST_WAIT_MS) * MS,
-                (int) within(f, "facts_most", 200_000, 100, 1_000_000),
-                (long) within(f, "wall_clocks_apart_ms", 100, 0, 10_000) * MS);
+                waitingClasses,
+                tenths(fields, "wait_ms", 100, 1, MAX_COPY_WAIT_MS),
+                (int) numberWithin(fields, "facts_most", 200_000, 100, 1_000_000),
+                tenths(fields, "wall_clocks_apart_ms", 100, 0, 10_000));
     }
 
-    /** Whether the file fits what the gateway is told; a field that does not is named. */
-    public static QuotaSettings fits(QuotaSettings s, GatewaySettings told) {
-        if (s.keeping() != null) {
-            for (String name : s.keeping().waits()) {
-                if (!told.requestClasses().contains(name)) {
-                    throw new InvalidSettingsException(
-                            "fleet file with a field wait_for_copies that names no op type: " + name);
-                }
-            }
-            if (s.keeping().sessions() && told.started().copies().tokensCarried()) {
-                throw new InvalidSettingsException(
-                        "fleet file with a field sessions where clients bring their sessions' positions");
+    private static void refuseReplicationFields(JsonFields fields) {
+        for (String field : REPLICATION_FIELDS) {
+            if (fields.has(field)) {
+                throw InvalidSettingsException.ofField(
+                        SOURCE + " with a field " + field + " and neither sessions nor submits",
+                        SOURCE,
+                        field,
+                        "a value",
+                        "no such field, or one of sessions and submits");
             }
-            if (told.started().gateways() > ReplicationSettings.gatewaysMost()) {
-                throw new InvalidSettingsException(
-                        "fleet file with a field copies for over " + ReplicationSettings.gatewaysMost() + " gateways");
+        }
+    }
+
+    private static Set<String> classesThatWaitForCopies(JsonFields fields) {
+        Set<String> names = new HashSet<>();
+        for (Object name : fields.list("wait_for_copies")) {
+            names.add(String.valueOf(name));
+        }
+        return names;
+    }
+
+    /**
+     * Checks the file against the gateway's settings.
+     *
+     * @return the same settings
+     * @throws InvalidSettingsException if a field does not go with them
+     */
+    public static QuotaSettings fits(QuotaSettings quotaSettings, GatewaySettings gatewaySettings) {
+        ReplicationSettings replication = quotaSettings.keeping();
+        if (replication == null) {
+            return quotaSettings;
+        }
+        for (String name : replication.waits()) {
+            if (!gatewaySettings.requestClasses().contains(name)) {
+                throw misfit("wait_for_copies", " that names no op type: " + name, name, "names of request classes");
             }
         }
-        return s;
+        if (replication.sessions() && gatewaySettings.started().copies().tokensCarried()) {
+            throw misfit("sessions", " where clients bring their sessions' positions", "a value", "no such field");
+        }
+        int gateways = gatewaySettings.started().gateways();
+        int maxGateways = ReplicationSettings.gatewaysMost();
+        if (gateways > maxGateways) {
+            throw misfit("copies", " for over " + maxGateways + " gateways", gateways, "at most " + maxGateways);
+        }
+        return quotaSettings;
+    }
+
+    private static InvalidSettingsException misfit(String field, String reason, Object found, String wanted) {
+        String message = SOURCE + " with a field " + field + reason;
+        return InvalidSettingsException.ofField(message, SOURCE, field, found, wanted);
+    }
+
+    private static int units(JsonFields fields, String name) {
+        return (int) numberWithin(fields, name, 0, 0, MAX_UNITS);
     }
 
-    private static int parts(JsonFields f, String name) {
-        return (int) within(f, name, 0, 0, WHOLE_MOST);
+    /** Whole milliseconds, as tenths of a millisecond. */
+    private static long tenths(JsonFields fields, String name, double defaultMs, double minMs, double maxMs) {
+        return (long) numberWithin(fields, name, defaultMs, minMs, maxMs) * TENTHS_PER_MS;
     }
 
-    private static double within(JsonFields f, String name, double absent, double least, double most) {
-        double v = f.number(name, absent);
-        if (!(v >= least && v <= most)) {
-            throw new InvalidSettingsException("fleet file with a field " + name + " out of range: " + v);
+    private static double numberWithin(JsonFields fields, String name, double defaultValue, double min, double max) {
+        double value = fields.number(name, defaultValue);
+        boolean within = value >= min && value <= max; // false for NaN
+        if (!within) {
+            throw InvalidSettingsException.outOfRange(SOURCE, name, value, min + " to " + max);
         }
-        return v;
+        return value;
     }
 }
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -12,10 +12,15 @@
 import ploverdale.model.Tenant;
 
 /**
- * What a gateway is told at its start, read for the simulator's wire and for the real gateway alike: what the
- * module is started with, and what is needed to read names, reports and notes. Chooses nothing.
+ * The settings of a deployment, read for the simulator's wire and for a gateway in service alike: what the router is
+ * started with, and what is needed to decode names and load reports. Chooses nothing. Immutable; times are tenths of a
+ * millisecond unless a name says otherwise.
  */
 public final class GatewaySettings {
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1000;
+    private static final double DEFAULT_IDLE_CLOSE_MS = 10_000;
+    private static final int PRIMARY_ROLE = 1; // on the wire
+
     private final Event.Started started;
     private final double positionZeroMs;
     private final boolean positionsInNotes;
@@ -28,41 +33,48 @@
     private final long connectLimit;
     private final long idleLimit;
 
-    public GatewaySettings(long seed, JsonFields all) {
-        JsonFields special = all.object("specifics");
-        positionZeroMs = special.number("positionZeroMs", 0);
-        positionsInNotes = special.mark("positions");
-        reportFields = all.object("report").list("fields").stream()
-                .map(String::valueOf)
-                .toList();
-        String via = all.object("report").text("via", "silent");
-        reportsInAnswers = via.equals("piggyback");
-        reportsInProbes = reportsInAnswers || via.equals("pull");
-        requestClasses = names(all, "profiles");
-        tenants = names(all, "accounts");
-        zones = all.list("zones").stream().map(String::valueOf).toList();
-        connectLimit = JsonFields.up(all.object("policyLimits").number("connectTimeoutMs", 1000));
-        idleLimit = JsonFields.down(all.object("policyLimits").number("idleCloseMs", 10_000));
-        started = started(seed, all, special);
-    }
-
-    /** What the module is started with. */
+    /**
+     * @param seed of all random draws
+     * @throws InvalidSettingsException if a field is missing or cannot be used
+     */
+    public GatewaySettings(long seed, JsonFields fields) {
+        JsonFields specifics = fields.object("specifics");
+        positionZeroMs = specifics.number("positionZeroMs", 0);
+        positionsInNotes = specifics.mark("positions");
+        reportFields = texts(fields.object("report"), "fields");
+        String reportedBy = fields.object("report").text("via", "silent");
+        reportsInAnswers = reportedBy.equals("piggyback");
+        reportsInProbes = reportsInAnswers || reportedBy.equals("pull");
+        requestClasses = names(fields, "profiles");
+        tenants = names(fields, "accounts");
+        zones = texts(fields, "zones");
+        JsonFields limits = fields.object("policyLimits");
+        connectLimit = JsonFields.up(limits.number("connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS));
+        idleLimit = JsonFields.down(limits.number("idleCloseMs", DEFAULT_IDLE_CLOSE_MS));
+        started = started(seed, fields, specifics);
+    }
+
+    /** What the router is started with. */
     public Event.Started started() {
         return started;
     }
 
+    /** The Unix time, in milliseconds, from which positions in reports are counted. */
     public double positionZeroMs() {
         return positionZeroMs;
     }
 
+    /** Whether the note that comes with an answer has a position. */
     public boolean positionsInNotes() {
         return positionsInNotes;
     }
 
+    /** Whether answers carry a load report. */
     public boolean reportsInAnswers() {
         return reportsInAnswers;
     }
 
+    /** Whether health checks are answered with a load report. */
     public boolean reportsInProbes() {
         return reportsInProbes;
     }
@@ -72,120 +84,172 @@
         return reportFields;
     }
 
+    /** Names of the request classes, by index. */
     public List<String> requestClasses() {
         return requestClasses;
     }
 
+    /** Names of the tenants, by index. */
     public List<String> tenants() {
         return tenants;
     }
 
+    /** Names of the zones, by number. */
     public List<String> zones() {
         return zones;
     }
 
-    /** Within which a connection must be made, in tenths of a millisecond. */
+    /** Within which a connection must be made. */
     public long connectLimit() {
         return connectLimit;
     }
 
-    /** After which a server closes an idle connection, in tenths of a millisecond. */
+    /** After which a server closes an idle connection. */
     public long idleLimit() {
         return idleLimit;
     }
 
-    /** A load report, its values named; an absent one is null. Positions are counted from a zero. */
+    /**
+     * A load report from its values, each of which is null where it is absent.
+     *
+     * @param position in seconds since the zero
+     * @param role 1 for a primary, any other number for a replica
+     * @param busy utilization
+     * @param zeroMs the Unix time, in milliseconds, from which positions are counted
+     */
     public static LoadReport report(Double position, Double role, Double busy, double zeroMs) {
         return new LoadReport(
-                role == null ? Role.UNKNOWN : role.intValue() == 1 ? Role.PRIMARY : Role.REPLICA,
+                role(role),
                 position == null ? LoadReport.UNKNOWN_TIME : JsonFields.down(zeroMs + position * 1000),
                 busy == null ? Double.NaN : busy);
     }
 
-    private static List<String> names(JsonFields all, String list) {
+    private static Role role(Double role) {
+        if (role == null) {
+            return Role.UNKNOWN;
+        }
+        return role.intValue() == PRIMARY_ROLE ? Role.PRIMARY : Role.REPLICA;
+    }
+
+    private static List<String> texts(JsonFields fields, String list) {
+        return fields.list(list).stream().map(String::valueOf).toList();
+    }
+
+    private static List<String> names(JsonFields fields, String list) {
         List<String> names = new ArrayList<>();
-        for (Object o : all.list(list)) {
-            names.add(JsonFields.of(list, o).text("name", ""));
+        for (Object element : fields.list(list)) {
+            names.add(JsonFields.of(list, element).text("name", ""));
         }
         return List.copyOf(names);
     }
 
-    private static Event.Started started(long seed, JsonFields all, JsonFields special) {
-        List<Object> needs = special.list("classRead");
-        List<Object> bounds = special.list("oldestDataMs");
-        List<RequestClass> types = new ArrayList<>();
-        for (Object p : all.list("profiles")) {
-            JsonFields f = JsonFields.of("profiles", p);
-            int i = types.size();
-            long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? JsonFields.down(n.doubleValue()) : 0;
-            types.add(new RequestClass(
-                    JsonFields.down(f.number("aimMs")),
-                    f.number("aimStretch", 0),
-                    JsonFields.down(f.number("deadlineMs")),
-                    repeats(f.text("effect", "once")),
-                    scope(f.text("dedupScope", "cell")),
-                    JsonFields.down(f.number("dedupWindowMs", 0)),
-                    f.number("worth", 1),
-                    f.number("lateShare", 0),
-                    f.mark("stream"),
-                    needs(i < needs.size() ? String.valueOf(needs.get(i)) : "mutate"),
-                    bound));
+    private static Event.Started started(long seed, JsonFields fields, JsonFields specifics) {
+        List<RequestClass> classes = requestClasses(fields, specifics);
+        List<Tenant> tenants = tenants(fields);
+        ServerGuarantees guarantees = serverGuarantees(fields.object("contract"));
+        Capabilities capabilities = capabilities(fields.object("policyLimits"));
+        ReplicaGuarantees replicaGuarantees = replicaGuarantees(specifics);
+        return new Event.Started(
+                seed,
+                (int) fields.whole("balancers", 1),
+                classes,
+                tenants,
+                fields.number("overShareWorth", 1),
+                guarantees,
+                capabilities,
+                replicaGuarantees,
+                fields.text("discovery", "").equals("subscribe"),
+                (int) fields.whole("selfIndex", 0));
+    }
+
+    private static List<RequestClass> requestClasses(JsonFields fields, JsonFields specifics) {
+        List<Object> consistencies = specifics.list("classRead");
+        List<Object> stalenessBounds = specifics.list("oldestDataMs");
+        List<RequestClass> classes = new ArrayList<>();
+        for (Object profile : fields.list("profiles")) {
+            int index = classes.size();
+            JsonFields profileFields = JsonFields.of("profiles", profile);
+            long stalenessBound = stalenessBound(stalenessBounds, index);
+            String consistency = index < consistencies.size() ? String.valueOf(consistencies.get(index)) : "mutate";
+            classes.add(requestClass(profileFields, consistency(consistency), stalenessBound));
         }
+        return classes;
+    }
+
+    private static long stalenessBound(List<Object> boundsMs, int index) {
+        boolean bounded = index < boundsMs.size() && boundsMs.get(index) instanceof Number;
+        return bounded ? JsonFields.down(((Number) boundsMs.get(index)).doubleValue()) : 0;
+    }
+
+    private static RequestClass requestClass(
+            JsonFields profile, RequestClass.Consistency consistency, long stalenessBound) {
+        return new RequestClass(
+                JsonFields.down(profile.number("aimMs")),
+                profile.number("aimStretch", 0),
+                JsonFields.down(profile.number("deadlineMs")),
+                idempotence(profile.text("effect", "once")),
+                scope(profile.text("dedupScope", "cell")),
+                JsonFields.down(profile.number("dedupWindowMs", 0)),
+                profile.number("worth", 1),
+                profile.number("lateShare", 0),
+                profile.mark("stream"),
+                consistency,
+                stalenessBound);
+    }
+
+    private static List<Tenant> tenants(JsonFields fields) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Object a : all.list("accounts")) {
-            tenants.add(new Tenant(JsonFields.of("accounts", a).number("quotaPerS", 0)));
+        for (Object account : fields.list("accounts")) {
+            tenants.add(new Tenant(JsonFields.of("accounts", account).number("quotaPerS", 0)));
         }
-        JsonFields rules = all.object("contract");
-        ServerGuarantees guarantees = new ServerGuarantees(
-                rules.number("startCapacity", 0),
-                JsonFields.up(rules.number("coldMs", 0)),
-                rules.number("overloadFactor", 1),
-                JsonFields.up(rules.number("overloadForMs", 0)),
-                !rules.mark("removalNotBinding"),
-                JsonFields.down(rules.number("mustAskInMs", 0)));
-        JsonFields limits = all.object("policyLimits");
-        Capabilities capabilities = new Capabilities(
+        return tenants;
+    }
+
+    private static ServerGuarantees serverGuarantees(JsonFields contract) {
+        return new ServerGuarantees(
+                contract.number("startCapacity", 0),
+                JsonFields.up(contract.number("coldMs", 0)),
+                contract.number("overloadFactor", 1),
+                JsonFields.up(contract.number("overloadForMs", 0)),
+                !contract.mark("removalNotBinding"),
+                JsonFields.down(contract.number("mustAskInMs", 0)));
+    }
+
+    private static Capabilities capabilities(JsonFields limits) {
+        return new Capabilities(
                 (int) limits.whole("sendCap", 1),
                 limits.mark("cancel"),
                 limits.mark("probes"),
                 limits.mark("retryAfter"),
                 JsonFields.down(limits.number("maxRetryAfterMs", 0)),
                 limits.mark("peerMessages"));
-        ReplicaGuarantees copies = new ReplicaGuarantees(
-                checks(special.text("checks", "silent")),
-                JsonFields.down(special.number("waitMs", 0)),
-                special.text("tokens", "").equals("brought"));
-        return new Event.Started(
-                seed,
-                (int) all.whole("balancers", 1),
-                types,
-                tenants,
-                all.number("overShareWorth", 1),
-                guarantees,
-                capabilities,
-                copies,
-                all.text("discovery", "").equals("subscribe"),
-                (int) all.whole("selfIndex", 0));
     }
 
-    private static RequestClass.Idempotence repeats(String word) {
-        return switch (word) {
+    private static ReplicaGuarantees replicaGuarantees(JsonFields specifics) {
+        return new ReplicaGuarantees(
+                stalenessCheck(specifics.text("checks", "silent")),
+                JsonFields.down(specifics.number("waitMs", 0)),
+                specifics.text("tokens", "").equals("brought"));
+    }
+
+    private static RequestClass.Idempotence idempotence(String text) {
+        return switch (text) {
             case "repeatable" -> RequestClass.Idempotence.IDEMPOTENT;
             case "by_key" -> RequestClass.Idempotence.WITH_IDEMPOTENCY_KEY;
             default -> RequestClass.Idempotence.NOT_IDEMPOTENT;
         };
     }
 
-    private static RequestClass.Scope scope(String word) {
-        return switch (word) {
+    private static RequestClass.Scope scope(String text) {
+        return switch (text) {
             case "all" -> RequestClass.Scope.ALL;
             case "zone" -> RequestClass.Scope.ZONE;
             default -> RequestClass.Scope.GROUP;
         };
     }
 
-    private static RequestClass.Consistency needs(String word) {
-        return switch (word) {
+    private static RequestClass.Consistency consistency(String text) {
+        return switch (text) {
             case "strong" -> RequestClass.Consistency.FRESH;
             case "causal" -> RequestClass.Consistency.SESSION;
             case "lag_bound" -> RequestClass.Consistency.BOUNDED;
@@ -194,8 +258,8 @@
         };
     }
 
-    private static ReplicaGuarantees.StalenessCheck checks(String word) {
-        return switch (word) {
+    private static ReplicaGuarantees.StalenessCheck stalenessCheck(String text) {
+        return switch (text) {
             case "bounce" -> ReplicaGuarantees.StalenessCheck.TURNS_AWAY;
             case "await" -> ReplicaGuarantees.StalenessCheck.WAITS;
             default -> ReplicaGuarantees.StalenessCheck.NONE;
--- a/gateway/src/main/java/ploverdale/settings/JsonFields.java
+++ b/gateway/src/main/java/ploverdale/settings/JsonFields.java
@@ -1,50 +1,61 @@
 package ploverdale.settings;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 
-/** The fields of one JSON object, read by name; absent numbers are 0, absent marks false. */
+/**
+ * The fields of one JSON object, read by name. A field that is null counts as absent. A value of another type than asked
+ * for is an {@link InvalidSettingsException} that names owner and field. Immutable.
+ */
 public final class JsonFields {
     private final String owner;
     private final Map<String, Object> values;
 
+    /** @param owner how messages name the object */
     public JsonFields(String owner, Map<String, Object> values) {
         this.owner = owner;
         this.values = values;
     }
 
-    /** Reads the value that the parser stands on: map, list, text, long, double, boolean or null. */
-    public static Object read(JsonParser p) throws IOException {
-        switch (p.currentToken()) {
-            case START_OBJECT: {
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (p.nextToken() != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, read(p));
-                }
-                return map;
-            }
-            case START_ARRAY: {
-                List<Object> list = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(read(p));
-                }
-                return list;
+    /**
+     * The fields of a text that is one JSON object.
+     *
+     * @param owner how messages name the text
+     */
+    public static JsonFields parse(String owner, String text) {
+        try (JsonParser parser = new JsonFactory().createParser(text)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new InvalidSettingsException(owner + " is not a JSON object");
             }
+            return of(owner, read(parser));
+        } catch (JsonProcessingException malformed) {
+            throw new InvalidSettingsException(owner + " is not JSON: " + malformed.getOriginalMessage());
+        } catch (IOException failure) {
+            throw new InvalidSettingsException(owner + " cannot be read: " + failure.getMessage());
+        }
+    }
+
+    /** Reads the value at the parser's current token: a map, list, string, long, double, boolean or null. */
+    public static Object read(JsonParser parser) throws IOException {
+        switch (parser.currentToken()) {
+            case START_OBJECT:
+                return readObject(parser);
+            case START_ARRAY:
+                return readArray(parser);
             case VALUE_STRING:
-                return p.getText();
+                return parser.getText();
             case VALUE_NUMBER_INT:
-                return p.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? p.getDoubleValue()
-                        : (Object) p.getLongValue();
+                return readInteger(parser);
             case VALUE_NUMBER_FLOAT:
-                return p.getDoubleValue();
+                return parser.getDoubleValue();
             case VALUE_TRUE:
                 return true;
             case VALUE_FALSE:
@@ -54,103 +65,145 @@
         }
     }
 
-    /** The object that a named value holds. */
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            fields.put(name, read(parser));
+        }
+        return fields;
+    }
+
+    private static List<Object> readArray(JsonParser parser) throws IOException {
+        List<Object> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            elements.add(read(parser));
+        }
+        return elements;
+    }
+
+    /** A long, or a double where it does not fit one. */
+    private static Object readInteger(JsonParser parser) throws IOException {
+        if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+            return parser.getDoubleValue();
+        }
+        return parser.getLongValue();
+    }
+
+    /**
+     * The fields of a value that has to be an object.
+     *
+     * @param owner how messages name the value
+     */
     public static JsonFields of(String owner, Object value) {
         if (!(value instanceof Map<?, ?> map)) {
             throw new InvalidSettingsException(owner + " is not an object");
         }
         Map<String, Object> copy = new LinkedHashMap<>();
-        map.forEach((k, v) -> copy.put((String) k, v));
+        map.forEach((name, field) -> copy.put((String) name, field));
         return new JsonFields(owner, copy);
     }
 
-    /** Refuses any field that is not among these. */
-    public void only(java.util.Set<String> names) {
+    /** Fails if there is a field that is not among these. */
+    public void only(Set<String> names) {
         for (String name : values.keySet()) {
             if (!names.contains(name)) {
-                throw new InvalidSettingsException(owner + " with an unknown field " + name);
+                throw InvalidSettingsException.unknownField(owner, name);
             }
         }
     }
 
+    /** Whether the field is present and not null. */
     public boolean has(String name) {
         return values.get(name) != null;
     }
 
-    private Object must(String name) {
-        Object v = values.get(name);
-        if (v == null) {
-            throw new InvalidSettingsException(owner + " without field " + name);
+    /** Fails if the field is absent. */
+    public void require(String name) {
+        required(name);
+    }
+
+    private Object required(String name) {
+        Object value = values.get(name);
+        if (value == null) {
+            throw InvalidSettingsException.missingField(owner, name);
         }
-        return v;
+        return value;
     }
 
-    private InvalidSettingsException bad(String name) {
-        return new InvalidSettingsException(owner + " with a field " + name + " of the wrong form");
+    private InvalidSettingsException wrongType(String name, String wanted) {
+        return InvalidSettingsException.wrongType(owner, name, values.get(name), wanted);
     }
 
+    /** A required string. */
     public String text(String name) {
-        if (must(name) instanceof String s) {
-            return s;
+        if (required(name) instanceof String text) {
+            return text;
         }
-        throw bad(name);
+        throw wrongType(name, "a string");
     }
 
-    public String text(String name, String absent) {
-        return has(name) ? text(name) : absent;
+    /** A string, or the default where the field is absent. */
+    public String text(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
+    /** A required whole number; the fraction of another one is cut off. */
     public long whole(String name) {
-        if (must(name) instanceof Number n) {
-            return n.longValue();
+        if (required(name) instanceof Number number) {
+            return number.longValue();
         }
-        throw bad(name);
+        throw wrongType(name, "a number");
     }
 
-    public long whole(String name, long absent) {
-        return has(name) ? whole(name) : absent;
+    /** A whole number, or the default where the field is absent; the fraction of another one is cut off. */
+    public long whole(String name, long defaultValue) {
+        return has(name) ? whole(name) : defaultValue;
     }
 
-    public double number(String name, double absent) {
-        if (!has(name)) {
-            return absent;
-        }
-        if (values.get(name) instanceof Number n) {
-            return n.doubleValue();
+    /** A required number. */
+    public double number(String name) {
+        if (required(name) instanceof Number number) {
+            return number.doubleValue();
         }
-        throw bad(name);
+        throw wrongType(name, "a number");
     }
 
-    public double number(String name) {
-        must(name);
-        return number(name, 0);
+    /** A number, or the default where the field is absent. */
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
+    /** Whether the field is {@code true}; anything else, or an absent field, counts as false. */
     public boolean mark(String name) {
         return Boolean.TRUE.equals(values.get(name));
     }
 
+    /** The fields of a nested object; none where the field is absent. */
     public JsonFields object(String name) {
-        return has(name) ? of(owner + "." + name, values.get(name)) : new JsonFields(owner + "." + name, Map.of());
+        String nestedOwner = owner + "." + name;
+        return has(name) ? of(nestedOwner, values.get(name)) : new JsonFields(nestedOwner, Map.of());
     }
 
+    /** The elements of an array, a copy; none where the field is absent. */
     public List<Object> list(String name) {
         if (!has(name)) {
             return List.of();
         }
-        if (values.get(name) instanceof List<?> l) {
-            return new ArrayList<>(l);
+        if (values.get(name) instanceof List<?> elements) {
+            return new ArrayList<>(elements);
         }
-        throw bad(name);
+        throw wrongType(name, "an array");
     }
 
-    /** Milliseconds to tenths, rounded down. */
-    public static long down(double ms) {
-        return Math.floorDiv(Math.round(ms * 1000), 100);
+    /** Milliseconds to tenths of a millisecond, rounded down. */
+    public static long down(double milliseconds) {
+        return Math.floorDiv(Math.round(milliseconds * 1000), 100);
     }
 
-    /** Milliseconds to tenths, rounded up. */
-    public static long up(double ms) {
-        return -Math.floorDiv(-Math.round(ms * 1000), 100);
+    /** Milliseconds to tenths of a millisecond, rounded up. */
+    public static long up(double milliseconds) {
+        return -Math.floorDiv(-Math.round(milliseconds * 1000), 100);
     }
 }
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.EndpointList;
 import ploverdale.settings.InvalidSettingsException;
 
 /** What a gateway is told at its start, and what it says of a file it cannot use. */
@@ -37,7 +38,7 @@
         ConfigurationFile f = read(GOOD);
         assertThat(f.seed()).isEqualTo(-1);
         assertThat(f.known().entries()).hasSize(2);
-        ConfigurationFile.Entry a = f.known().entries().get(0);
+        EndpointList.Entry a = f.known().entries().get(0);
         assertThat(a.address().getPort()).isEqualTo(7100);
         assertThat(a.listing().zone().number()).isEqualTo(1);
         assertThat(a.listing().startedAt()).isEqualTo(120);
