--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -17,201 +17,159 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ploverdale.membership.PacketQueue;
-import ploverdale.model.Action;
 import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
-import ploverdale.model.Event.Started;
 import ploverdale.model.RequestId;
-import ploverdale.quota.QuotaNode;
 import ploverdale.quota.QuotaSettings;
-import ploverdale.routing.Router;
 import ploverdale.settings.InvalidSettingsException;
 import ploverdale.settings.JsonFields;
 
-/** Speaks the simulator's wire: one Logic for each gateway, nothing shared but the numbered lists. */
+/**
+ * Speaks the simulator's wire: each line of input is a batch of events at one point in simulated time, each line of output
+ * the actions in reply. Simulated gateways share nothing but the endpoint lists, which the wire numbers.
+ *
+ * <p>Used on one thread. Times are tenths of a millisecond.
+ */
 public final class BenchLink {
-    private static final long SHARED_MARK = 1; // of wake-ups for the fleet's parts; the module's is 0
-
-    /** @param shared null but where a fleet file switches it on */
-    private record Host(Router router, Reader reader, QuotaNode shared) {}
+    private static final int BUFFER_SIZE = 1 << 16;
 
     private final BufferedReader in;
     private final OutputStream out;
     private final JsonFactory json = JsonFactory.builder().build();
-    private final Map<Long, List<Endpoint>> ledgers = new HashMap<>();
-    private final Map<String, Host> hosts = new HashMap<>();
-    private final Set<String> stopped = new HashSet<>();
     private final QuotaSettings quotaSettings;
+    private final Map<Long, List<Endpoint>> endpointLists = new HashMap<>();
+    private final Map<String, SimulatedGateway> gateways = new HashMap<>();
+    private final Set<String> stoppedGateways = new HashSet<>();
     private long now;
 
-    /** @param quotaSettings what gateways that may talk divide among themselves; null: nothing */
+    /** @param quotaSettings the quota that gateways share if they may exchange messages; null: none */
     public BenchLink(InputStream in, OutputStream out, QuotaSettings quotaSettings) {
         this.quotaSettings = quotaSettings;
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        this.out = new BufferedOutputStream(out, 1 << 16);
+        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_SIZE);
+        this.out = new BufferedOutputStream(out, BUFFER_SIZE);
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Answers batch after batch until the input ends.
+     *
+     * @throws InvalidSettingsException if a batch cannot be read
+     */
     public void run() throws IOException {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (!line.isBlank()) {
-                reply(line);
+                answer(line);
             }
         }
     }
 
-    private void reply(String line) throws IOException {
-        JsonFields batch = batch(line);
+    private void answer(String line) throws IOException {
+        JsonFields batch = parseBatch(line);
         now = JsonFields.up(batch.number("timeMs"));
-        JsonGenerator g = json.createGenerator(out);
-        g.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-        g.writeStartObject();
-        g.writeArrayFieldStart("out");
+        JsonGenerator reply = json.createGenerator(out);
+        reply.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+        reply.writeStartObject();
+        reply.writeArrayFieldStart("out");
         for (Object item : batch.list("news")) {
-            if (!(item instanceof Map<?, ?> event) || event.size() != 1) {
-                throw new InvalidSettingsException("an event is not an object with a single key");
-            }
-            for (Map.Entry<?, ?> e : event.entrySet()) {
-                event(g, now, (String) e.getKey(), e.getValue());
-            }
+            Map.Entry<?, ?> event = singleEntry(item);
+            handle((String) event.getKey(), event.getValue(), reply);
         }
-        g.writeEndArray();
-        g.writeEndObject();
-        g.close();
+        reply.writeEndArray();
+        reply.writeEndObject();
+        reply.close();
         out.write('\n');
         out.flush();
     }
 
-    private JsonFields batch(String line) throws IOException {
-        try (JsonParser p = json.createParser(line)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
+    private JsonFields parseBatch(String line) throws IOException {
+        try (JsonParser parser = json.createParser(line)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidSettingsException("a line is not a JSON object");
             }
-            JsonFields batch = JsonFields.of("batch", JsonFields.read(p));
-            if (p.nextToken() != null) {
+            JsonFields batch = JsonFields.of("batch", JsonFields.read(parser));
+            if (parser.nextToken() != null) {
                 throw new InvalidSettingsException("a line holds more than one JSON value");
             }
             return batch;
-        } catch (JsonProcessingException e) {
-            throw new InvalidSettingsException("a line is not JSON: " + e.getOriginalMessage());
+        } catch (JsonProcessingException malformed) {
+            throw new InvalidSettingsException("a line is not JSON: " + malformed.getOriginalMessage());
+        }
+    }
+
+    private static Map.Entry<?, ?> singleEntry(Object item) {
+        if (!(item instanceof Map<?, ?> event) || event.size() != 1) {
+            throw new InvalidSettingsException("an event is not an object with a single key");
         }
+        return event.entrySet().iterator().next();
     }
 
-    private void event(JsonGenerator g, long now, String name, Object body) throws IOException {
+    private void handle(String name, Object body, JsonGenerator reply) throws IOException {
         switch (name) {
             case "LEDGER" -> {
-                JsonFields f = JsonFields.of(name, body);
-                ledgers.put(f.whole("sheet"), Reader.endpoints(f));
+                JsonFields fields = JsonFields.of(name, body);
+                endpointLists.put(fields.whole("sheet"), Reader.endpoints(fields));
             }
             case "POWER_OFF" -> {
                 String gateway = JsonFields.of(name, body).text("gateway");
-                hosts.remove(gateway);
-                stopped.add(gateway);
-            }
-            case "BOOT" -> {
-                JsonFields f = JsonFields.of(name, body);
-                Reader reader = new Reader(f);
-                Started told = reader.started();
-                if (quotaSettings != null && quotaSettings.keeping() != null) {
-                    throw new InvalidSettingsException(
-                            "fleet file with a field sessions or submits, which are kept on sockets only");
-                }
-                QuotaNode shared = quotaSettings == null || !told.capabilities().peerMessages() || told.gateways() < 2
-                        ? null
-                        : new QuotaNode(
-                                quotaSettings,
-                                told,
-                                1 + now / 10,
-                                () -> this.now,
-                                () -> this.now); // 0 would be no start at all
-                Host host = new Host(new Router(shared), reader, shared);
-                hosts.put(f.text("gateway"), host);
-                tell(g, now, f.text("gateway"), host, told);
-                lookRound(g, f.text("gateway"), host);
-            }
-            case "ANNOUNCE", "REQ", "STARTED", "RESPONSE", "VANISHED", "ALARM", "PING_RESULT", "DATAGRAM" -> {
-                JsonFields f = JsonFields.of(name, body);
-                String gateway = f.text("gateway");
-                Host host = hosts.get(gateway);
-                if (host != null && host.shared() != null && name.equals("ALARM") && f.whole("tag") == SHARED_MARK) {
-                    lookRound(g, gateway, host);
-                } else if (host != null
-                        && host.shared() != null
-                        && name.equals("DATAGRAM")
-                        && sharedHears(g, gateway, host, f)) {
-                    return;
-                } else if (host != null) {
-                    tell(g, now, gateway, host, event(name, f, host.reader()));
-                } else if (!stopped.contains(gateway)) {
-                    throw new InvalidSettingsException(
-                            name + " with a field gateway that names one never started: " + gateway);
-                }
+                gateways.remove(gateway);
+                stoppedGateways.add(gateway);
             }
-            default -> {}
+            case "BOOT" -> start(JsonFields.of(name, body), reply);
+            case "ANNOUNCE", "REQ", "STARTED", "RESPONSE", "VANISHED", "ALARM", "PING_RESULT", "DATAGRAM" ->
+                deliver(name, JsonFields.of(name, body), reply);
+            default -> {} // of no concern to gateways
         }
     }
 
-    private void lookRound(JsonGenerator g, String gateway, Host host) throws IOException {
-        if (host.shared() != null) {
-            write(g, gateway, host.shared(), host.shared().due());
-            new Writer(g, gateway).write(new Action.SetTimer(now + QuotaNode.LOOK, SHARED_MARK));
-        }
+    private void start(JsonFields fields, JsonGenerator reply) throws IOException {
+        SimulatedGateway gateway = SimulatedGateway.create(fields, quotaSettings, () -> now);
+        String name = fields.text("gateway");
+        gateways.put(name, gateway);
+        gateway.start(now, new Writer(reply, name));
     }
 
-    private boolean sharedHears(JsonGenerator g, String gateway, Host host, JsonFields f) throws IOException {
-        List<PacketQueue.OutboundPacket> answers =
-                host.shared().hears((int) f.whole("from"), Reader.bytes(f.text("body")));
-        write(g, gateway, host.shared(), answers == null ? List.of() : answers);
-        return answers != null;
+    /** Delivers an event to the gateway that it names; one for a gateway that has been stopped is dropped. */
+    private void deliver(String event, JsonFields fields, JsonGenerator reply) throws IOException {
+        String name = fields.text("gateway");
+        SimulatedGateway gateway = gateways.get(name);
+        if (gateway != null) {
+            deliver(event, fields, gateway, new Writer(reply, name));
+        } else if (!stoppedGateways.contains(name)) {
+            String message = event + " with a field gateway that names one never started: " + name;
+            throw InvalidSettingsException.ofField(message, event, "gateway", name, "a gateway that was started");
+        }
     }
 
-    private static void write(
-            JsonGenerator g, String gateway, QuotaNode shared, List<PacketQueue.OutboundPacket> letters)
-            throws IOException {
-        for (PacketQueue.OutboundPacket l : letters) {
-            new Writer(g, gateway).write(new Action.SendGossip(l.to(), l.bytes()));
-        }
-        for (String line : shared.lines()) {
-            new Writer(g, gateway).write(new Action.LogLine(line));
+    private void deliver(String event, JsonFields fields, SimulatedGateway gateway, Writer writer) throws IOException {
+        switch (event) {
+            case "ALARM" -> gateway.onTimer(now, fields.whole("tag"), writer);
+            case "DATAGRAM" ->
+                gateway.onDatagram(now, (int) fields.whole("from"), Reader.datagram(fields.text("body")), writer);
+            default -> gateway.onEvent(now, decode(event, fields, gateway.reader()), writer);
         }
     }
 
-    private Event event(String name, JsonFields f, Reader reader) {
-        return switch (name) {
-            case "ANNOUNCE" -> reader.listTold(f, ledgerOf(f));
-            case "REQ" -> reader.opArrived(f);
-            case "STARTED" -> reader.answerBegun(f);
-            case "RESPONSE" -> reader.sendEnded(f);
-            case "VANISHED" -> new Event.ClientDisconnected(new RequestId(f.text("ref")));
-            case "ALARM" -> new Event.TimerFired(f.whole("tag"));
-            case "PING_RESULT" -> reader.probeEnded(f);
-            default -> new Event.GossipReceived((int) f.whole("from"), Reader.bytes(f.text("body")));
+    private Event decode(String event, JsonFields fields, Reader reader) {
+        return switch (event) {
+            case "ANNOUNCE" -> reader.endpointUpdate(fields, endpointList(fields));
+            case "REQ" -> reader.requestArrived(fields);
+            case "STARTED" -> reader.responseStarted(fields);
+            case "RESPONSE" -> reader.attemptEnded(fields);
+            case "VANISHED" -> new Event.ClientDisconnected(new RequestId(fields.text("ref")));
+            case "PING_RESULT" -> reader.healthCheckEnded(fields);
+            default -> throw new IllegalArgumentException(event);
         };
     }
 
-    private List<Endpoint> ledgerOf(JsonFields f) {
-        if (f.text("how").equals("broken")) {
+    private List<Endpoint> endpointList(JsonFields announcement) {
+        if (announcement.text("how").equals("broken")) {
             return List.of();
         }
-        List<Endpoint> rows = ledgers.get(f.whole("sheet"));
-        if (rows == null) {
-            throw new InvalidSettingsException("ANNOUNCE with a field sheet that names no list");
-        }
-        return rows;
-    }
-
-    private static void tell(JsonGenerator g, long now, String gateway, Host host, Event event) throws IOException {
-        List<Action> actions;
-        try {
-            actions = host.router().on(now, event);
-        } catch (RuntimeException e) {
-            StackTraceElement[] trace = e.getStackTrace();
-            new Writer(g, gateway).broken(e + (trace.length > 0 ? " at " + trace[0] : ""));
-            return;
-        }
-        for (Action action : actions) {
-            new Writer(g, gateway).write(action);
+        long number = announcement.whole("sheet");
+        List<Endpoint> endpoints = endpointLists.get(number);
+        if (endpoints == null) {
+            String message = "ANNOUNCE with a field sheet that names no list";
+            throw InvalidSettingsException.ofField(message, "ANNOUNCE", "sheet", number, "the number of a list");
         }
+        return endpoints;
     }
 }
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Reader.java
@@ -4,6 +4,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import ploverdale.model.Endpoint;
+import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
@@ -19,13 +20,23 @@
 import ploverdale.settings.InvalidSettingsException;
 import ploverdale.settings.JsonFields;
 
-/** Turns one gateway's wire events into those of the module. Holds what the wire needs to be read. */
+/**
+ * Decodes the wire events of one gateway into those of the router, by the settings that the gateway was started with.
+ * Immutable.
+ */
 final class Reader {
+    private static final int ROLE_BITS = 2; // the lowest of a note; the position is above them
+    private static final int ROLE_MASK = (1 << ROLE_BITS) - 1;
+    private static final int PRIMARY_ROLE = 1;
+    private static final int REPLICA_ROLE = 2;
+    private static final long TENTHS_PER_MS = 10;
+
     private final GatewaySettings settings;
-    private final int positionField;
+    private final int positionField; // index of the value in a load report; below 0: not reported
     private final int roleField;
     private final int busyField;
 
+    /** @param boot the event of the gateway's start */
     Reader(JsonFields boot) {
         settings = new GatewaySettings(boot.whole("salt", 0), boot.object("profileData"));
         positionField = settings.reportFields().indexOf("x0");
@@ -33,124 +44,151 @@
         busyField = settings.reportFields().indexOf("busy");
     }
 
+    /** What the router is started with. */
     Event.Started started() {
         return settings.started();
     }
 
-    private static Outcome outcome(String word) {
-        return switch (word) {
-            case "pass" -> Outcome.SUCCEEDED;
-            case "no_room" -> Outcome.REJECTED;
-            case "too_slow" -> Outcome.TIMED_OUT;
-            case "no_route" -> Outcome.CONNECT_FAILED;
-            case "cut" -> Outcome.CONNECTION_LOST;
-            case "undone" -> Outcome.CANCELLED;
-            case "stale_send" -> Outcome.NEVER_SENT;
-            case "none_here" -> Outcome.MISDIRECTED;
-            default -> Outcome.FAILED;
-        };
-    }
-
-    /** A list's entries; the same for all gateways. */
+    /** The endpoints of a list, the same for all gateways. */
     static List<Endpoint> endpoints(JsonFields ledger) {
-        List<Endpoint> rows = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (Object row : ledger.list("rows")) {
-            JsonFields f = JsonFields.of("LEDGER.rows", row);
-            Endpoint.EndpointState stage = switch (f.text("stageState")) {
-                case "LAME" -> Endpoint.EndpointState.DRAINING;
-                case "OUT" -> Endpoint.EndpointState.GONE;
-                default -> Endpoint.EndpointState.IN;
-            };
-            rows.add(new Endpoint(
-                    new ServerId(f.text("server")),
-                    new GroupId((long) f.number("cell", 0)),
-                    new ZoneId((int) f.whole("locality", 0)),
-                    stage,
-                    f.number("writer", 0) == 1,
-                    JsonFields.up(f.number("bornMs", 0))));
+            endpoints.add(endpoint(JsonFields.of("LEDGER.rows", row)));
         }
-        return rows;
+        return endpoints;
     }
 
-    Event listTold(JsonFields f, List<Endpoint> rows) {
-        String how = f.text("how");
-        return new Event.EndpointUpdate(how.equals("whole") || how.equals("stale_copy"), how.equals("broken"), rows);
+    private static Endpoint endpoint(JsonFields row) {
+        EndpointState state = switch (row.text("stageState")) {
+            case "LAME" -> EndpointState.DRAINING;
+            case "OUT" -> EndpointState.GONE;
+            default -> EndpointState.IN;
+        };
+        return new Endpoint(
+                new ServerId(row.text("server")),
+                new GroupId((long) row.number("cell", 0)),
+                new ZoneId((int) row.whole("locality", 0)),
+                state,
+                row.number("writer", 0) == 1,
+                JsonFields.up(row.number("bornMs", 0)));
     }
 
-    Event opArrived(JsonFields f) {
-        int type = (int) f.whole("grade");
-        if (type < 0 || type >= settings.started().requestClasses().size()) {
-            throw new InvalidSettingsException("REQ with a field grade that names no class");
+    /** An endpoint list or an update of one. */
+    Event endpointUpdate(JsonFields fields, List<Endpoint> endpoints) {
+        String kind = fields.text("how");
+        boolean complete = kind.equals("whole") || kind.equals("stale_copy");
+        return new Event.EndpointUpdate(complete, kind.equals("broken"), endpoints);
+    }
+
+    /** A client's request. */
+    Event requestArrived(JsonFields fields) {
+        int requestClass = (int) fields.whole("grade");
+        if (requestClass < 0
+                || requestClass >= settings.started().requestClasses().size()) {
+            String message = "REQ with a field grade that names no class";
+            throw InvalidSettingsException.ofField(message, "REQ", "grade", requestClass, "the index of a class");
         }
         return new Event.RequestArrived(
-                new RequestId(f.text("ref")),
-                new RequestClassId(type),
-                new TenantId((int) f.whole("realm", 0)),
-                new GroupId((long) f.number("setNo", 0)),
-                f.has("connKey") ? new SessionId(f.text("connKey")) : null,
-                JsonFields.down(f.number("dropDeadMs")),
-                f.mark("againByClient"),
-                JsonFields.down(f.number("hintMs", 0)),
-                tokenAge(f.number("tokenAgeMs", 0)));
+                new RequestId(fields.text("ref")),
+                new RequestClassId(requestClass),
+                new TenantId((int) fields.whole("realm", 0)),
+                new GroupId((long) fields.number("setNo", 0)),
+                fields.has("connKey") ? new SessionId(fields.text("connKey")) : null,
+                JsonFields.down(fields.number("dropDeadMs")),
+                fields.mark("againByClient"),
+                JsonFields.down(fields.number("hintMs", 0)),
+                tokenAge(fields.number("tokenAgeMs", 0)));
     }
 
-    /** Rounded towards a younger write, which asks more of a replica; 0 stays the word for no write. */
-    private static long tokenAge(double ms) {
-        return ms > 0 ? Math.max(1, JsonFields.down(ms)) : 0;
+    /** Rounded towards a later write, which requires more of a replica; 0 stands for no write. */
+    private static long tokenAge(double milliseconds) {
+        return milliseconds > 0 ? Math.max(1, JsonFields.down(milliseconds)) : 0;
     }
 
-    Event answerBegun(JsonFields f) {
+    /** A server has begun to answer an attempt. */
+    Event responseStarted(JsonFields fields) {
         return new Event.ResponseStarted(
-                new RequestId(f.text("ref")), (int) f.whole("roundNo"), new ServerId(f.text("server")));
-    }
-
-    Event sendEnded(JsonFields f) {
-        LoadReport note = null;
-        if (f.has("progress")) {
-            long told = f.whole("progress");
-            long position = told >> 2;
-            boolean none = position == 0 && !settings.positionsInNotes();
-            note = new LoadReport(
-                    role((int) (told & 3)),
-                    none ? LoadReport.UNKNOWN_TIME : JsonFields.down(settings.positionZeroMs()) + position * 10);
-        }
+                new RequestId(fields.text("ref")), (int) fields.whole("roundNo"), new ServerId(fields.text("server")));
+    }
+
+    /** An attempt has ended. */
+    Event attemptEnded(JsonFields fields) {
+        LoadReport note = fields.has("progress") ? note(fields.whole("progress")) : null;
         return new Event.AttemptEnded(
-                new RequestId(f.text("ref")),
-                (int) f.whole("roundNo"),
-                new ServerId(f.text("server")),
-                outcome(f.text("verdict")),
-                JsonFields.up(f.number("durationMs")),
-                f.mark("settled"),
+                new RequestId(fields.text("ref")),
+                (int) fields.whole("roundNo"),
+                new ServerId(fields.text("server")),
+                outcome(fields.text("verdict")),
+                JsonFields.up(fields.number("durationMs")),
+                fields.mark("settled"),
                 note,
-                report(f));
+                report(fields));
     }
 
-    Event probeEnded(JsonFields f) {
-        return new Event.HealthCheckEnded(new ServerId(f.text("server")), outcome(f.text("verdict")), report(f));
+    /** A health check has ended. */
+    Event healthCheckEnded(JsonFields fields) {
+        return new Event.HealthCheckEnded(
+                new ServerId(fields.text("server")), outcome(fields.text("verdict")), report(fields));
     }
 
-    static byte[] bytes(String hex) {
+    /** The bytes of a datagram between gateways. */
+    static byte[] datagram(String hexadecimal) {
         try {
-            return HexFormat.of().parseHex(hex);
-        } catch (IllegalArgumentException e) {
-            throw new InvalidSettingsException("DATAGRAM with a field body that is not hexadecimal");
+            return HexFormat.of().parseHex(hexadecimal);
+        } catch (IllegalArgumentException notHexadecimal) {
+            String message = "DATAGRAM with a field body that is not hexadecimal";
+            throw InvalidSettingsException.ofField(message, "DATAGRAM", "body", hexadecimal, "hexadecimal digits");
         }
     }
 
-    private LoadReport report(JsonFields f) {
-        List<Object> row = f.list("healthInfo");
-        if (row.isEmpty()) {
+    private static Outcome outcome(String verdict) {
+        return switch (verdict) {
+            case "pass" -> Outcome.SUCCEEDED;
+            case "no_room" -> Outcome.REJECTED;
+            case "too_slow" -> Outcome.TIMED_OUT;
+            case "no_route" -> Outcome.CONNECT_FAILED;
+            case "cut" -> Outcome.CONNECTION_LOST;
+            case "undone" -> Outcome.CANCELLED;
+            case "stale_send" -> Outcome.NEVER_SENT;
+            case "none_here" -> Outcome.MISDIRECTED;
+            default -> Outcome.FAILED;
+        };
+    }
+
+    /** What a server reports with an answer: its role and its position, in milliseconds since the zero of positions. */
+    private LoadReport note(long encoded) {
+        long positionMs = encoded >> ROLE_BITS;
+        boolean unknown = positionMs == 0 && !settings.positionsInNotes();
+        long zero = JsonFields.down(settings.positionZeroMs());
+        return new LoadReport(
+                role((int) (encoded & ROLE_MASK)),
+                unknown ? LoadReport.UNKNOWN_TIME : zero + positionMs * TENTHS_PER_MS);
+    }
+
+    private static Role role(int encoded) {
+        return switch (encoded) {
+            case PRIMARY_ROLE -> Role.PRIMARY;
+            case REPLICA_ROLE -> Role.REPLICA;
+            default -> Role.UNKNOWN;
+        };
+    }
+
+    /** The load report that comes with an event; null where none does. */
+    private LoadReport report(JsonFields fields) {
+        List<Object> values = fields.list("healthInfo");
+        if (values.isEmpty()) {
             return null;
         }
         return GatewaySettings.report(
-                value(row, positionField), value(row, roleField), value(row, busyField), settings.positionZeroMs());
-    }
-
-    private static Double value(List<Object> row, int field) {
-        return field >= 0 && field < row.size() && row.get(field) instanceof Number n ? n.doubleValue() : null;
+                value(values, positionField),
+                value(values, roleField),
+                value(values, busyField),
+                settings.positionZeroMs());
     }
 
-    private static Role role(int word) {
-        return word == 1 ? Role.PRIMARY : word == 2 ? Role.REPLICA : Role.UNKNOWN;
+    /** Null where the value is absent. */
+    private static Double value(List<Object> values, int index) {
+        boolean present = index >= 0 && index < values.size() && values.get(index) instanceof Number;
+        return present ? (Double) ((Number) values.get(index)).doubleValue() : null;
     }
 }
