--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -64,7 +64,7 @@
 
     private void answer(String line) throws IOException {
         JsonFields batch = parseBatch(line);
-        now = JsonFields.up(batch.number("timeMs"));
+        now = JsonFields.tenthsRoundedUp(batch.number("timeMs"));
         JsonGenerator reply = json.createGenerator(out);
         reply.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
         reply.writeStartObject();
@@ -106,7 +106,7 @@
         switch (name) {
             case "LEDGER" -> {
                 JsonFields fields = JsonFields.of(name, body);
-                endpointLists.put(fields.whole("sheet"), Reader.endpoints(fields));
+                endpointLists.put(fields.integer("sheet"), Reader.endpoints(fields));
             }
             case "POWER_OFF" -> {
                 String gateway = JsonFields.of(name, body).text("gateway");
@@ -141,9 +141,9 @@
 
     private void deliver(String event, JsonFields fields, SimulatedGateway gateway, Writer writer) throws IOException {
         switch (event) {
-            case "ALARM" -> gateway.onTimer(now, fields.whole("tag"), writer);
+            case "ALARM" -> gateway.onTimer(now, fields.integer("tag"), writer);
             case "DATAGRAM" ->
-                gateway.onDatagram(now, (int) fields.whole("from"), Reader.datagram(fields.text("body")), writer);
+                gateway.onDatagram(now, (int) fields.integer("from"), Reader.datagram(fields.text("body")), writer);
             default -> gateway.onEvent(now, decode(event, fields, gateway.reader()), writer);
         }
     }
@@ -164,7 +164,7 @@
         if (announcement.text("how").equals("broken")) {
             return List.of();
         }
-        long number = announcement.whole("sheet");
+        long number = announcement.integer("sheet");
         List<Endpoint> endpoints = endpointLists.get(number);
         if (endpoints == null) {
             String message = "ANNOUNCE with a field sheet that names no list";
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Reader.java
@@ -38,7 +38,7 @@
 
     /** @param boot the event of the gateway's start */
     Reader(JsonFields boot) {
-        settings = new GatewaySettings(boot.whole("salt", 0), boot.object("profileData"));
+        settings = new GatewaySettings(boot.integer("salt", 0), boot.object("profileData"));
         positionField = settings.reportFields().indexOf("x0");
         roleField = settings.reportFields().indexOf("x1");
         busyField = settings.reportFields().indexOf("busy");
@@ -67,10 +67,10 @@
         return new Endpoint(
                 new ServerId(row.text("server")),
                 new GroupId((long) row.number("cell", 0)),
-                new ZoneId((int) row.whole("locality", 0)),
+                new ZoneId((int) row.integer("locality", 0)),
                 state,
                 row.number("writer", 0) == 1,
-                JsonFields.up(row.number("bornMs", 0)));
+                JsonFields.tenthsRoundedUp(row.number("bornMs", 0)));
     }
 
     /** An endpoint list or an update of one. */
@@ -82,7 +82,7 @@
 
     /** A client's request. */
     Event requestArrived(JsonFields fields) {
-        int requestClass = (int) fields.whole("grade");
+        int requestClass = (int) fields.integer("grade");
         if (requestClass < 0
                 || requestClass >= settings.started().requestClasses().size()) {
             String message = "REQ with a field grade that names no class";
@@ -91,36 +91,38 @@
         return new Event.RequestArrived(
                 new RequestId(fields.text("ref")),
                 new RequestClassId(requestClass),
-                new TenantId((int) fields.whole("realm", 0)),
+                new TenantId((int) fields.integer("realm", 0)),
                 new GroupId((long) fields.number("setNo", 0)),
                 fields.has("connKey") ? new SessionId(fields.text("connKey")) : null,
-                JsonFields.down(fields.number("dropDeadMs")),
-                fields.mark("againByClient"),
-                JsonFields.down(fields.number("hintMs", 0)),
+                JsonFields.tenthsRoundedDown(fields.number("dropDeadMs")),
+                fields.flag("againByClient"),
+                JsonFields.tenthsRoundedDown(fields.number("hintMs", 0)),
                 tokenAge(fields.number("tokenAgeMs", 0)));
     }
 
     /** Rounded towards a later write, which requires more of a replica; 0 stands for no write. */
     private static long tokenAge(double milliseconds) {
-        return milliseconds > 0 ? Math.max(1, JsonFields.down(milliseconds)) : 0;
+        return milliseconds > 0 ? Math.max(1, JsonFields.tenthsRoundedDown(milliseconds)) : 0;
     }
 
     /** A server has begun to answer an attempt. */
     Event responseStarted(JsonFields fields) {
         return new Event.ResponseStarted(
-                new RequestId(fields.text("ref")), (int) fields.whole("roundNo"), new ServerId(fields.text("server")));
+                new RequestId(fields.text("ref")),
+                (int) fields.integer("roundNo"),
+                new ServerId(fields.text("server")));
     }
 
     /** An attempt has ended. */
     Event attemptEnded(JsonFields fields) {
-        LoadReport note = fields.has("progress") ? note(fields.whole("progress")) : null;
+        LoadReport note = fields.has("progress") ? note(fields.integer("progress")) : null;
         return new Event.AttemptEnded(
                 new RequestId(fields.text("ref")),
-                (int) fields.whole("roundNo"),
+                (int) fields.integer("roundNo"),
                 new ServerId(fields.text("server")),
                 outcome(fields.text("verdict")),
-                JsonFields.up(fields.number("durationMs")),
-                fields.mark("settled"),
+                JsonFields.tenthsRoundedUp(fields.number("durationMs")),
+                fields.flag("settled"),
                 note,
                 report(fields));
     }
@@ -159,7 +161,7 @@
     private LoadReport note(long encoded) {
         long positionMs = encoded >> ROLE_BITS;
         boolean unknown = positionMs == 0 && !settings.positionsInNotes();
-        long zero = JsonFields.down(settings.positionZeroMs());
+        long zero = JsonFields.tenthsRoundedDown(settings.positionZeroMs());
         return new LoadReport(
                 role((int) (encoded & ROLE_MASK)),
                 unknown ? LoadReport.UNKNOWN_TIME : zero + positionMs * TENTHS_PER_MS);
--- a/gateway/src/main/java/ploverdale/clock/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/clock/ServerClock.java
@@ -12,8 +12,8 @@
  * <p>Not thread-safe: used on the event loop only. Times are tenths of a millisecond unless a name says otherwise.
  */
 public final class ServerClock {
-    /** How often {@link #look} is to be called, in milliseconds. */
-    public static final long LOOK_MS = 200;
+    /** How often {@link #checkForStep} is to be called, in milliseconds. */
+    public static final long STEP_CHECK_INTERVAL_MS = 200;
 
     private static final long MAX_READING_NANOS = 5_000_000; // a longer one was interrupted between the two clocks
     private static final long MIN_STEP_MS = 50; // less is rounding, or gradual adjustment seen late
@@ -118,7 +118,7 @@
      * A server reported a position, see {@link WallClockOffset#observe}. To be called before that position is
      * converted.
      */
-    public void heard(ServerId server, long wallPosition, long writtenAt, boolean present) {
+    public void observePosition(ServerId server, long wallPosition, long writtenAt, boolean present) {
         if (!offset.observe(server, wallPosition, writtenAt, clock.now(), present)) {
             return;
         }
@@ -132,7 +132,7 @@
     }
 
     /** Logs a step of this machine's wall clock since the last call. It changes nothing else: service time goes on. */
-    public void look() {
+    public void checkForStep() {
         long before = clock.nanos();
         long aheadMs = readWallAheadMs();
         if (clock.nanos() - before > MAX_READING_NANOS) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -88,7 +88,7 @@
         this.log = log;
         this.file = file;
         time = new ServerClock(log::line, clock);
-        vertx.setPeriodic(ServerClock.LOOK_MS, x -> time.look());
+        vertx.setPeriodic(ServerClock.STEP_CHECK_INTERVAL_MS, x -> time.checkForStep());
         limits = new ConnectionLimits<>(file.sockets());
         fleet = quotaSettings.isEmpty() || file.peerListen() == null
                 ? null
--- a/gateway/src/main/java/ploverdale/net/ServerConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ServerConnections.java
@@ -290,7 +290,7 @@
                 s,
                 settings.connectLimit(),
                 () -> true,
-                waitMs -> MessageWriter.healthCheck(settings.reportsInProbes()),
+                waitMs -> MessageWriter.healthCheck(settings.reportsInHealthChecks()),
                 ear);
         assign(s, x);
         if (x.on != null && x.on.rest >= LONG_IDLE) {
@@ -606,7 +606,7 @@
                 x.end(Outcome.FAILED, null, note, report);
             } else if (probe) {
                 LoadReport asked =
-                        settings.reportsInProbes() ? report(server.id, text(value.bytes()), writtenAt) : null;
+                        settings.reportsInHealthChecks() ? report(server.id, text(value.bytes()), writtenAt) : null;
                 x.end(Outcome.SUCCEEDED, null, note, asked != null ? asked : report);
             } else {
                 x.end(Outcome.SUCCEEDED, new ResultRow(column, value.bytes(), done.tag()), note, report);
@@ -682,7 +682,7 @@
             double told = number(this.told.get("as_of"));
             long position = Double.isNaN(told) ? LoadReport.UNKNOWN_TIME : (long) Math.floor(told) * 10;
             if (position != LoadReport.UNKNOWN_TIME) {
-                time.heard(server.id, position, writtenAt, role == Role.PRIMARY);
+                time.observePosition(server.id, position, writtenAt, role == Role.PRIMARY);
                 position = time.isAhead(position) ? LoadReport.UNKNOWN_TIME : time.position(position);
             }
             return role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME ? null : new LoadReport(role, position);
@@ -729,7 +729,7 @@
         if (position == null) {
             return told;
         }
-        time.heard(server, told.position(), writtenAt, false); // made some time ago, by a primary too
+        time.observePosition(server, told.position(), writtenAt, false); // made some time ago, by a primary too
         return time.isAhead(told.position())
                 ? null
                 : new LoadReport(told.role(), time.position(told.position()), told.busy());
--- a/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
@@ -75,7 +75,7 @@
     }
 
     private static int sockets(JsonFields limits) {
-        long sockets = limits.whole("sockets");
+        long sockets = limits.integer("sockets");
         if (sockets < MIN_SOCKETS || sockets > MAX_SOCKETS) {
             throw InvalidSettingsException.outOfRange(
                     SOURCE + ".limits", "sockets", sockets, MIN_SOCKETS + " to " + MAX_SOCKETS);
--- a/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
+++ b/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
@@ -37,7 +37,7 @@
                 leftOut.add(invalid.getMessage());
             }
         }
-        return new EndpointList(fields.whole("revision"), fields.mark("complete"), entries, leftOut);
+        return new EndpointList(fields.integer("revision"), fields.flag("complete"), entries, leftOut);
     }
 
     private static EndpointList.Entry entry(JsonFields fields, GatewaySettings settings) {
@@ -60,7 +60,7 @@
                 new ZoneId(zone < 0 ? settings.zones().size() : zone),
                 state,
                 fields.text("rank", "").equals("source"),
-                JsonFields.up(fields.number("up_since_ms", 0)));
+                JsonFields.tenthsRoundedUp(fields.number("up_since_ms", 0)));
         return new EndpointList.Entry(endpoint, address);
     }
 
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -59,7 +59,7 @@
             throw new InvalidSettingsException(SOURCE + " " + file + " cannot be read: " + failure.getMessage());
         }
         JsonFields fields = JsonFields.parse(SOURCE, text);
-        fields.only(FIELDS);
+        fields.allowOnly(FIELDS);
         QuotaSettings settings = quotaSettings(fields);
         if (!settings.any()) {
             throw new InvalidSettingsException(
@@ -71,7 +71,7 @@
 
     private static QuotaSettings quotaSettings(JsonFields fields) {
         return new QuotaSettings(
-                fields.mark("tenants"),
+                fields.flag("tenants"),
                 units(fields, "sends_at_server"),
                 units(fields, "cold_sends_at_server"),
                 (int) numberWithin(fields, "server_slots", 64, 1, 512),
@@ -93,9 +93,9 @@
             return null;
         }
         JsonFields sessions = fields.object("sessions");
-        sessions.only(SESSIONS_FIELDS);
+        sessions.allowOnly(SESSIONS_FIELDS);
         JsonFields submits = fields.object("submits");
-        submits.only(SUBMITS_FIELDS);
+        submits.allowOnly(SUBMITS_FIELDS);
         Set<String> waitingClasses = classesThatWaitForCopies(fields);
         return new ReplicationSettings(
                 (int) numberWithin(fields, "copies", 3, 1, 5),
@@ -103,7 +103,7 @@
                 tenths(sessions, "keep_ms", 30_000, 1000, 600_000),
                 tenths(fields, "ask_ms", 40, 1, 1000),
                 fields.has("submits") ? tenths(submits, "window_ms", 20_000, 100, 600_000) : 0,
-                submits.mark("retries_marked"),
+                submits.flag("retries_marked"),
                 waitingClasses,
                 tenths(fields, "wait_ms", 100, 1, MAX_COPY_WAIT_MS),
                 (int) numberWithin(fields, "facts_most", 200_000, 100, 1_000_000),
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -26,7 +26,7 @@
     private final boolean positionsInNotes;
     private final List<String> reportFields;
     private final boolean reportsInAnswers;
-    private final boolean reportsInProbes;
+    private final boolean reportsInHealthChecks;
     private final List<String> requestClasses;
     private final List<String> tenants;
     private final List<String> zones;
@@ -40,17 +40,17 @@
     public GatewaySettings(long seed, JsonFields fields) {
         JsonFields specifics = fields.object("specifics");
         positionZeroMs = specifics.number("positionZeroMs", 0);
-        positionsInNotes = specifics.mark("positions");
+        positionsInNotes = specifics.flag("positions");
         reportFields = texts(fields.object("report"), "fields");
         String reportedBy = fields.object("report").text("via", "silent");
         reportsInAnswers = reportedBy.equals("piggyback");
-        reportsInProbes = reportsInAnswers || reportedBy.equals("pull");
+        reportsInHealthChecks = reportsInAnswers || reportedBy.equals("pull");
         requestClasses = names(fields, "profiles");
         tenants = names(fields, "accounts");
         zones = texts(fields, "zones");
         JsonFields limits = fields.object("policyLimits");
-        connectLimit = JsonFields.up(limits.number("connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS));
-        idleLimit = JsonFields.down(limits.number("idleCloseMs", DEFAULT_IDLE_CLOSE_MS));
+        connectLimit = JsonFields.tenthsRoundedUp(limits.number("connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS));
+        idleLimit = JsonFields.tenthsRoundedDown(limits.number("idleCloseMs", DEFAULT_IDLE_CLOSE_MS));
         started = started(seed, fields, specifics);
     }
 
@@ -75,8 +75,8 @@
     }
 
     /** Whether health checks are answered with a load report. */
-    public boolean reportsInProbes() {
-        return reportsInProbes;
+    public boolean reportsInHealthChecks() {
+        return reportsInHealthChecks;
     }
 
     /** Names of the values in a report, in the order of the simulator's wire. */
@@ -120,7 +120,7 @@
     public static LoadReport report(Double position, Double role, Double busy, double zeroMs) {
         return new LoadReport(
                 role(role),
-                position == null ? LoadReport.UNKNOWN_TIME : JsonFields.down(zeroMs + position * 1000),
+                position == null ? LoadReport.UNKNOWN_TIME : JsonFields.tenthsRoundedDown(zeroMs + position * 1000),
                 busy == null ? Double.NaN : busy);
     }
 
@@ -151,7 +151,7 @@
         ReplicaGuarantees replicaGuarantees = replicaGuarantees(specifics);
         return new Event.Started(
                 seed,
-                (int) fields.whole("balancers", 1),
+                (int) fields.integer("balancers", 1),
                 classes,
                 tenants,
                 fields.number("overShareWorth", 1),
@@ -159,7 +159,7 @@
                 capabilities,
                 replicaGuarantees,
                 fields.text("discovery", "").equals("subscribe"),
-                (int) fields.whole("selfIndex", 0));
+                (int) fields.integer("selfIndex", 0));
     }
 
     private static List<RequestClass> requestClasses(JsonFields fields, JsonFields specifics) {
@@ -178,21 +178,21 @@
 
     private static long stalenessBound(List<Object> boundsMs, int index) {
         boolean bounded = index < boundsMs.size() && boundsMs.get(index) instanceof Number;
-        return bounded ? JsonFields.down(((Number) boundsMs.get(index)).doubleValue()) : 0;
+        return bounded ? JsonFields.tenthsRoundedDown(((Number) boundsMs.get(index)).doubleValue()) : 0;
     }
 
     private static RequestClass requestClass(
             JsonFields profile, RequestClass.Consistency consistency, long stalenessBound) {
         return new RequestClass(
-                JsonFields.down(profile.number("aimMs")),
+                JsonFields.tenthsRoundedDown(profile.number("aimMs")),
                 profile.number("aimStretch", 0),
-                JsonFields.down(profile.number("deadlineMs")),
+                JsonFields.tenthsRoundedDown(profile.number("deadlineMs")),
                 idempotence(profile.text("effect", "once")),
                 scope(profile.text("dedupScope", "cell")),
-                JsonFields.down(profile.number("dedupWindowMs", 0)),
+                JsonFields.tenthsRoundedDown(profile.number("dedupWindowMs", 0)),
                 profile.number("worth", 1),
                 profile.number("lateShare", 0),
-                profile.mark("stream"),
+                profile.flag("stream"),
                 consistency,
                 stalenessBound);
     }
@@ -208,27 +208,27 @@
     private static ServerGuarantees serverGuarantees(JsonFields contract) {
         return new ServerGuarantees(
                 contract.number("startCapacity", 0),
-                JsonFields.up(contract.number("coldMs", 0)),
+                JsonFields.tenthsRoundedUp(contract.number("coldMs", 0)),
                 contract.number("overloadFactor", 1),
-                JsonFields.up(contract.number("overloadForMs", 0)),
-                !contract.mark("removalNotBinding"),
-                JsonFields.down(contract.number("mustAskInMs", 0)));
+                JsonFields.tenthsRoundedUp(contract.number("overloadForMs", 0)),
+                !contract.flag("removalNotBinding"),
+                JsonFields.tenthsRoundedDown(contract.number("mustAskInMs", 0)));
     }
 
     private static Capabilities capabilities(JsonFields limits) {
         return new Capabilities(
-                (int) limits.whole("sendCap", 1),
-                limits.mark("cancel"),
-                limits.mark("probes"),
-                limits.mark("retryAfter"),
-                JsonFields.down(limits.number("maxRetryAfterMs", 0)),
-                limits.mark("peerMessages"));
+                (int) limits.integer("sendCap", 1),
+                limits.flag("cancel"),
+                limits.flag("probes"),
+                limits.flag("retryAfter"),
+                JsonFields.tenthsRoundedDown(limits.number("maxRetryAfterMs", 0)),
+                limits.flag("peerMessages"));
     }
 
     private static ReplicaGuarantees replicaGuarantees(JsonFields specifics) {
         return new ReplicaGuarantees(
                 stalenessCheck(specifics.text("checks", "silent")),
-                JsonFields.down(specifics.number("waitMs", 0)),
+                JsonFields.tenthsRoundedDown(specifics.number("waitMs", 0)),
                 specifics.text("tokens", "").equals("brought"));
     }
 
--- a/gateway/src/main/java/ploverdale/settings/JsonFields.java
+++ b/gateway/src/main/java/ploverdale/settings/JsonFields.java
@@ -106,7 +106,7 @@
     }
 
     /** Fails if there is a field that is not among these. */
-    public void only(Set<String> names) {
+    public void allowOnly(Set<String> names) {
         for (String name : values.keySet()) {
             if (!names.contains(name)) {
                 throw InvalidSettingsException.unknownField(owner, name);
@@ -150,7 +150,7 @@
     }
 
     /** A required whole number; the fraction of another one is cut off. */
-    public long whole(String name) {
+    public long integer(String name) {
         if (required(name) instanceof Number number) {
             return number.longValue();
         }
@@ -158,8 +158,8 @@
     }
 
     /** A whole number, or the default where the field is absent; the fraction of another one is cut off. */
-    public long whole(String name, long defaultValue) {
-        return has(name) ? whole(name) : defaultValue;
+    public long integer(String name, long defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
     /** A required number. */
@@ -176,7 +176,7 @@
     }
 
     /** Whether the field is {@code true}; anything else, or an absent field, counts as false. */
-    public boolean mark(String name) {
+    public boolean flag(String name) {
         return Boolean.TRUE.equals(values.get(name));
     }
 
@@ -198,12 +198,12 @@
     }
 
     /** Milliseconds to tenths of a millisecond, rounded down. */
-    public static long down(double milliseconds) {
+    public static long tenthsRoundedDown(double milliseconds) {
         return Math.floorDiv(Math.round(milliseconds * 1000), 100);
     }
 
     /** Milliseconds to tenths of a millisecond, rounded up. */
-    public static long up(double milliseconds) {
+    public static long tenthsRoundedUp(double milliseconds) {
         return -Math.floorDiv(-Math.round(milliseconds * 1000), 100);
     }
 }
--- a/gateway/src/test/java/ploverdale/settings/SettingsFaultTest.java
+++ b/gateway/src/test/java/ploverdale/settings/SettingsFaultTest.java
@@ -37,7 +37,7 @@
     @Test
     void anUnknownFieldIsNamed() {
         JsonFields fields = JsonFields.parse("fleet file", "{\"tenant\":true}");
-        InvalidSettingsException fault = fault(() -> fields.only(Set.of("tenants")));
+        InvalidSettingsException fault = fault(() -> fields.allowOnly(Set.of("tenants")));
         assertThat(fault).hasMessage("fleet file with an unknown field tenant");
         assertThat(fault.field()).isEqualTo("tenant");
     }
@@ -46,7 +46,7 @@
     void aValueOfAnotherTypeIsNamedWithTheTypeThatIsWanted() {
         JsonFields limits = JsonFields.parse("configuration", "{\"limits\":{\"sockets\":\"many\"}}")
                 .object("limits");
-        InvalidSettingsException fault = fault(() -> limits.whole("sockets"));
+        InvalidSettingsException fault = fault(() -> limits.integer("sockets"));
         assertThat(fault).hasMessage("configuration.limits with a field sockets of the wrong form");
         assertThat(fault.source()).isEqualTo("configuration.limits");
         assertThat(fault.field()).isEqualTo("sockets");
