--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -47,7 +47,7 @@
         Future<?> all = Future.succeededFuture();
         Set<Long> groups = new HashSet<>();
         for (EndpointList.Entry e : file.known().entries()) {
-            boolean primary = groups.add(e.listing().group().number());
+            boolean primary = groups.add(e.endpoint().group().number());
             all = all.compose(x -> toy.server(e, primary, anyPorts));
         }
         return all.compose(x -> toy.list(file.discovery(), anyPorts))
@@ -80,10 +80,10 @@
                 .listen(anyPort ? 0 : e.address().getPort(), host)
                 .onSuccess(s -> {
                     up.add(s);
-                    entries.add(new EndpointList.Entry(e.listing(), new InetSocketAddress(host, s.actualPort())));
-                    members.add("{\"id\":\"" + e.listing().server().text() + "\",\"host_port\":\"" + host + ":"
+                    entries.add(new EndpointList.Entry(e.endpoint(), new InetSocketAddress(host, s.actualPort())));
+                    members.add("{\"id\":\"" + e.endpoint().server().text() + "\",\"host_port\":\"" + host + ":"
                             + s.actualPort() + "\",\"cell\":"
-                            + e.listing().group().number()
+                            + e.endpoint().group().number()
                             + ",\"phase\":\"SERVING\",\"up_since_ms\":0}");
                 });
     }
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -69,7 +69,7 @@
         String tenant = file.settings().tenants().isEmpty()
                 ? ""
                 : ",t=" + file.settings().tenants().get(0);
-        long group = file.known().entries().get(0).listing().group().number();
+        long group = file.known().entries().get(0).endpoint().group().number();
         String comment = " /* id=" + Integer.toHexString(0x1000 + 16 * i + again) + ",c=" + type + tenant
                 + ",d=1000,cluster=" + group + " */";
         return c.ask(
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -308,23 +308,23 @@
     }
 
     private void listed(EndpointList list) {
-        if (list.whole()) {
+        if (list.complete()) {
             starts.keySet()
                     .retainAll(list.entries().stream()
-                            .map(e -> e.listing().server())
+                            .map(e -> e.endpoint().server())
                             .collect(Collectors.toSet()));
         }
         List<Endpoint> endpoints =
-                list.entries().stream().map(e -> dated(e.listing())).toList();
+                list.entries().stream().map(e -> dated(e.endpoint())).toList();
         for (EndpointList.Entry e : list.entries()) {
             if (e.address() != null) {
-                servers.reachedAt(e.listing().server(), e.address());
+                servers.reachedAt(e.endpoint().server(), e.address());
             }
-            if (e.listing().stage() == Endpoint.EndpointState.GONE) {
-                servers.closeIdle(e.listing().server());
+            if (e.endpoint().stage() == Endpoint.EndpointState.GONE) {
+                servers.closeIdle(e.endpoint().server());
             }
         }
-        loop.tell(new Event.EndpointUpdate(list.whole(), false, endpoints));
+        loop.tell(new Event.EndpointUpdate(list.complete(), false, endpoints));
     }
 
     /** The listing with its start as service time, the same each time that the same start is listed. */
--- a/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
@@ -202,7 +202,7 @@
             schedulePoll(FIRST_BACKOFF_MS);
             return;
         }
-        if (list.whole() || !list.entries().isEmpty()) {
+        if (list.complete() || !list.entries().isEmpty()) {
             listener.accept(list);
         }
         revision = list.revision();
@@ -216,7 +216,7 @@
 
     /** An agent that was restarted counts anew: its updates do not apply to the list that was received before. */
     private boolean continuesKnownRevision(EndpointList list) {
-        return list.whole() || revision >= 0 && list.revision() >= revision;
+        return list.complete() || revision >= 0 && list.revision() >= revision;
     }
 
     private void retryAfterBackoff(String reason) {
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -40,9 +40,9 @@
         assertThat(f.known().entries()).hasSize(2);
         EndpointList.Entry a = f.known().entries().get(0);
         assertThat(a.address().getPort()).isEqualTo(7100);
-        assertThat(a.listing().zone().number()).isEqualTo(1);
-        assertThat(a.listing().startedAt()).isEqualTo(120);
-        assertThat(f.known().entries().get(1).listing().stage()).isEqualTo(EndpointState.GONE);
+        assertThat(a.endpoint().zone().number()).isEqualTo(1);
+        assertThat(a.endpoint().startedAt()).isEqualTo(120);
+        assertThat(f.known().entries().get(1).endpoint().stage()).isEqualTo(EndpointState.GONE);
         assertThat(f.known().leftOut()).hasSize(2);
         assertThat(f.known().leftOut().get(0)).contains("b").contains("db.example");
     }
