--- a/gateway/src/main/java/ploverdale/cli/BenchLinkCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/BenchLinkCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.Optional;
 import ploverdale.benchlink.BenchLink;
-import ploverdale.net.FleetConfigurationFile;
+import ploverdale.settings.FleetConfigurationFile;
 
 /** Runs the decisions on the simulator's wire, on standard input and output, until the input ends. */
 public final class BenchLinkCommand extends QuotaCommand {
--- a/gateway/src/main/java/ploverdale/cli/CheckCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/CheckCommand.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 import ploverdale.model.Event;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.quota.QuotaAllocation;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
 
 /** Reads the configuration as {@link ServeCommand} does, and prints a summary of it. */
 public final class CheckCommand extends QuotaCommand {
--- a/gateway/src/main/java/ploverdale/cli/ConfiguredCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/ConfiguredCommand.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import org.kohsuke.args4j.Option;
-import ploverdale.net.ConfigurationFile;
+import ploverdale.settings.ConfigurationFile;
 import ploverdale.settings.InvalidSettingsException;
 
 /** A command that reads a gateway's configuration, from the file of its option or else of the environment. */
--- a/gateway/src/main/java/ploverdale/cli/DevServersCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/DevServersCommand.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import ploverdale.dev.DevServers;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.eventloop.SingleLoopVertx;
+import ploverdale.settings.ConfigurationFile;
 
 /** Runs stand-in servers and discovery until the process is stopped. */
 public final class DevServersCommand extends ConfiguredCommand {
--- a/gateway/src/main/java/ploverdale/cli/QuotaCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/QuotaCommand.java
@@ -3,9 +3,9 @@
 import java.nio.file.Path;
 import java.util.Optional;
 import org.kohsuke.args4j.Option;
-import ploverdale.net.ConfigurationFile;
-import ploverdale.net.FleetConfigurationFile;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.FleetConfigurationFile;
 
 /**
  * A command that also reads the limits that belong to all gateways, where a file names them. Quota settings are no type of a
--- a/gateway/src/main/java/ploverdale/cli/ServeCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/ServeCommand.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.CountDownLatch;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import ploverdale.log.Log;
 import ploverdale.model.RequestClass;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
+import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.EndpointList;
 
 /**
  * Runs a gateway between stand-in servers and a stand-in client in one process, on free loopback ports. It shows that the
@@ -52,7 +53,7 @@
 
     private static Future<Gateway> startGateway(
             Vertx vertx, Log log, ConfigurationFile configuration, DevServers servers) {
-        ConfigurationFile.ServerList known = new ConfigurationFile.ServerList(0, true, servers.entries(), List.of());
+        EndpointList known = new EndpointList(0, true, servers.entries(), List.of());
         ConfigurationFile rehearsed = new ConfigurationFile(
                 configuration.name(),
                 ANY_LOOPBACK_PORT,
@@ -120,7 +121,7 @@
         String className = configuration.settings().requestClasses().get(classIndex);
         List<String> tenants = configuration.settings().tenants();
         String tenant = tenants.isEmpty() ? "" : ",t=" + tenants.get(0);
-        long group = configuration.known().entries().get(0).listing().group().number();
+        long group = configuration.known().entries().get(0).endpoint().group().number();
         return " /* id=" + id + ",c=" + className + tenant + ",d=1000,cluster=" + group + " */";
     }
 }
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/ClientConnections.java
@@ -16,6 +16,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event;
@@ -28,6 +29,7 @@
 import ploverdale.model.TenantId;
 import ploverdale.net.eventloop.NioSockets;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.peer.RequestHistoryLookup;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
 import ploverdale.net.postgres.MessageWriter;
@@ -71,11 +73,6 @@
     private static final long UNREAD_LEAST_MS =
             5000; // for a client to read on, or as long as an op may take, before it is closed
 
-    /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
-    interface RequestHistoryLookup {
-        void arrives(Event.RequestArrived request, String key);
-    }
-
     /** An op in hand. */
     public static final class AcceptedRequest {
         private final ClientMessage.RequestQuery ask;
--- a/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
@@ -4,7 +4,9 @@
 import java.nio.file.Path;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
+import ploverdale.net.discovery.Discovery;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * Owns the configuration in force and replaces it while the gateway serves. The address of discovery and the limit of
--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -5,13 +5,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import ploverdale.clock.ServerClock;
 import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.ServerId;
-import ploverdale.net.ConfigurationFile.Entry;
-import ploverdale.net.ConfigurationFile.ServerList;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.server.ServerConnectionPool;
+import ploverdale.settings.EndpointList;
+import ploverdale.settings.EndpointList.Entry;
 
 /**
  * Turns endpoint lists into events for the router and addresses for the server connections. Converts the start of each server
@@ -33,25 +34,25 @@
     }
 
     /** Takes a complete list, or the changes of one. */
-    void onList(ServerList list) {
-        if (list.whole()) {
+    void onList(EndpointList list) {
+        if (list.complete()) {
             startTimes.keySet().retainAll(serverIds(list));
         }
         List<Endpoint> endpoints = list.entries().stream()
-                .map(entry -> withStartTime(entry.listing()))
+                .map(entry -> withStartTime(entry.endpoint()))
                 .toList();
         for (Entry entry : list.entries()) {
             updateConnections(entry);
         }
-        loop.enqueue(new Event.EndpointUpdate(list.whole(), false, endpoints));
+        loop.enqueue(new Event.EndpointUpdate(list.complete(), false, endpoints));
     }
 
-    private static Set<ServerId> serverIds(ServerList list) {
-        return list.entries().stream().map(entry -> entry.listing().server()).collect(Collectors.toSet());
+    private static Set<ServerId> serverIds(EndpointList list) {
+        return list.entries().stream().map(entry -> entry.endpoint().server()).collect(Collectors.toSet());
     }
 
     private void updateConnections(Entry entry) {
-        Endpoint endpoint = entry.listing();
+        Endpoint endpoint = entry.endpoint();
         if (entry.address() != null) {
             servers.setAddress(endpoint.server(), entry.address());
         }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -4,19 +4,31 @@
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetServer;
+import java.net.InetSocketAddress;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import ploverdale.clock.Clock;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event;
 import ploverdale.model.Quota;
 import ploverdale.model.RequestClass;
+import ploverdale.net.discovery.Discovery;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.peer.ClientRequests;
+import ploverdale.net.peer.GossipTransport;
+import ploverdale.net.peer.MembershipTransport;
+import ploverdale.net.peer.PeerTransport;
+import ploverdale.net.peer.ReplicaRequests;
+import ploverdale.net.peer.ReplicationCoordinator;
+import ploverdale.net.peer.RequestHistory;
 import ploverdale.net.server.ServerConnectionPool;
 import ploverdale.net.shutdown.GracefulShutdownRunner;
+import ploverdale.settings.ConfigurationFile;
 import ploverdale.settings.GatewaySettings;
 
 /**
@@ -36,7 +48,7 @@
     private final ServerConnectionPool servers;
     private final EndpointUpdates endpoints;
     private final Discovery discovery;
-    private final PeerChannel peers;
+    private final PeerTransport peers;
     private final Optional<MembershipTransport> membership;
     private final RequestHistory history;
     private final GatewayStartup startup;
@@ -50,16 +62,16 @@
         clock = options.clock();
         ConfigurationFile configuration = options.configuration();
         GatewaySettings settings = configuration.settings();
-        ServerClock serverClock = new ServerClock(log, clock);
-        vertx.setPeriodic(ServerClock.LOOK_MS, id -> serverClock.look());
+        ServerClock serverClock = new ServerClock(log::line, clock);
+        vertx.setPeriodic(ServerClock.STEP_CHECK_INTERVAL_MS, id -> serverClock.checkForStep());
         limits = new ConnectionLimits<>(configuration.sockets());
         membership = membership(options, serverClock);
-        Quota quota = membership.isPresent() ? membership.get().shared().quota() : null;
+        Quota quota = membership.isPresent() ? membership.get().node().quota() : null;
         loop = new RouterEventLoop(vertx, options.context(), log, quota, clock);
         clients = new ClientConnections(vertx, log, loop, settings, limits, serverClock);
         servers = new ServerConnectionPool(vertx, log, settings, limits, this::makeRoomForServer, serverClock);
-        peers = PeerChannel.create(options, loop, serverClock, membership);
-        history = RequestHistory.create(options, loop, clients, serverClock, membership);
+        peers = peers(options, serverClock);
+        history = history(options, serverClock);
         endpoints = new EndpointUpdates(loop, servers, serverClock);
         SplittableRandom random = new SplittableRandom(configuration.seed());
         discovery = new Discovery(vertx, log, settings, configuration.discovery(), random, endpoints::onList, clock);
@@ -104,6 +116,37 @@
                 serverClock));
     }
 
+    private PeerTransport peers(GatewayOptions options, ServerClock serverClock) {
+        if (!options.hasPeers()) {
+            return PeerTransport.NONE;
+        }
+        List<InetSocketAddress> addresses = options.configuration().peers();
+        GossipTransport transport = new GossipTransport(vertx, log, loop::enqueue, addresses);
+        transport.setServerClock(serverClock);
+        membership.ifPresent(present -> transport.setFirstReader(present::receive));
+        return transport;
+    }
+
+    private RequestHistory history(GatewayOptions options, ServerClock serverClock) {
+        ClientRequests requests = new ClientRequestsAdapter(loop, clients);
+        if (membership.isEmpty() || membership.get().node().replicas() == null) {
+            return RequestHistory.none(requests);
+        }
+        MembershipTransport transport = membership.get();
+        ReplicaRequests replicas = new ReplicaRequests(transport.node().replicas(), transport::exchange);
+        ReplicationCoordinator coordinator = new ReplicationCoordinator(
+                vertx,
+                log,
+                requests,
+                options.configuration().settings(),
+                options.quotaSettings().orElseThrow().replication(),
+                replicas,
+                serverClock);
+        clients.past(coordinator);
+        transport.whenReceived(replicas::runCallbacks);
+        return coordinator;
+    }
+
     private void sendToPeer(int peer, byte[] datagram) {
         peers.send(peer, datagram);
     }
@@ -131,7 +174,7 @@
 
     private void onClockOffsetChanged() {
         endpoints.onClockOffsetChanged();
-        history.onClockOffsetChanged();
+        history.clockOffsetChanged();
     }
 
     /**
@@ -174,7 +217,7 @@
      */
     public void shutdownGracefully(long signalNanos, CountDownLatch finished) {
         GracefulShutdownRunner.Parts parts = new GracefulShutdownRunner.Parts(vertx, log, loop, clients, clock);
-        Runnable leaveMembership = () -> membership.ifPresent(MembershipTransport::leaves);
+        Runnable leaveMembership = () -> membership.ifPresent(MembershipTransport::leave);
         new GracefulShutdownRunner(parts, leaveMembership, longestTimeoutMs(), signalNanos, finished).begin();
     }
 
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -1,11 +1,15 @@
 package ploverdale.net;
 
+import ploverdale.clock.ServerClock;
 import ploverdale.model.Action;
 import ploverdale.model.Event;
 import ploverdale.model.OutboundActionHandler;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.discovery.Discovery;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.peer.PeerTransport;
+import ploverdale.net.peer.RequestHistory;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.server.AttemptResult;
 import ploverdale.net.server.ServerConnectionPool;
@@ -19,7 +23,7 @@
     private final ClientConnections clients;
     private final ServerConnectionPool servers;
     private final Discovery discovery;
-    private final PeerChannel peers;
+    private final PeerTransport peers;
     private final RequestHistory history;
     private final ServerClock serverClock;
     private int healthChecksInFlight;
@@ -30,7 +34,7 @@
             ClientConnections clients,
             ServerConnectionPool servers,
             Discovery discovery,
-            PeerChannel peers,
+            PeerTransport peers,
             RequestHistory history,
             ServerClock serverClock) {
         this.loop = loop;
@@ -62,7 +66,7 @@
         }
         int number = accepted.nextSend();
         int clockChanges = serverClock.changes();
-        history.onAttempt(request);
+        history.attemptStarted(request);
         // The process may have been paused since the router read the clock; the time limit counts from then.
         long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
         servers.startAttempt(
@@ -78,7 +82,7 @@
     private void endWithoutClient(Action.StartAttempt attempt) {
         Event.Outcome outcome = Event.Outcome.NEVER_SENT;
         loop.enqueue(new Event.AttemptEnded(attempt.request(), 0, attempt.server(), outcome, 0, true, null, null));
-        history.onFinished(attempt.request());
+        history.answered(attempt.request());
     }
 
     /**
@@ -98,9 +102,9 @@
 
     private void onAttemptEnded(RequestId request, int number, ServerId server, AttemptResult end) {
         boolean hasRow = end.row() != null;
-        history.onAttemptEnded(request, end.outcome(), hasRow);
+        history.attemptEnded(request, end.outcome(), hasRow);
         if (hasRow) {
-            history.onSuccess(request, end.row(), end.answerReport(), server);
+            history.succeeded(request, end.row(), end.answerReport(), server);
         }
         boolean settled = hasRow || clients.taken(request) == null; // its answer may still wait to be replicated
         loop.enqueue(new Event.AttemptEnded(
@@ -115,13 +119,13 @@
     @Override
     public void rejectRequest(Action.RejectRequest rejection) {
         clients.busyReplied(rejection.request(), rejection.retryAfter());
-        history.onFinished(rejection.request());
+        history.answered(rejection.request());
     }
 
     @Override
     public void failRequest(Action.FailRequest failure) {
         clients.errored(failure.request());
-        history.onFinished(failure.request());
+        history.answered(failure.request());
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
@@ -7,6 +7,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
 
 /** Collects what a gateway is started with and starts it. Not thread-safe. */
 public final class GatewayBuilder {
--- a/gateway/src/main/java/ploverdale/net/GatewayOptions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayOptions.java
@@ -6,6 +6,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.quota.QuotaSettings;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * What one gateway is started with; see {@link GatewayBuilder}. No component is null.
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -8,6 +8,8 @@
 import ploverdale.clock.Clock;
 import ploverdale.model.Event;
 import ploverdale.net.eventloop.RouterEventLoop;
+import ploverdale.net.peer.PeerTransport;
+import ploverdale.settings.ConfigurationFile;
 
 /**
  * The steps from created parts to service, so that no first health check and no first request is late because this process is:
@@ -35,14 +37,14 @@
     private final Clock clock;
     private final RouterEventLoop loop;
     private final ClientConnections clients;
-    private final PeerChannel peers;
+    private final PeerTransport peers;
     private final GatewayActions actions;
 
     GatewayStartup(
             GatewayOptions options,
             RouterEventLoop loop,
             ClientConnections clients,
-            PeerChannel peers,
+            PeerTransport peers,
             GatewayActions actions) {
         vertx = options.vertx();
         configuration = options.configuration();
@@ -65,7 +67,7 @@
         Promise<NetServer> serving = Promise.promise();
         new ClientListener(vertx, options.log(), clients)
                 .listen(configuration.listen())
-                .compose(listener -> peers.listen().map(listener))
+                .compose(listener -> peers.listen(configuration.peerListen()).map(listener))
                 .onSuccess(listener -> awaitLoop(settings, loadEndpoints, () -> serve(listener, serving)))
                 .onFailure(serving::fail);
         return serving.future();
@@ -87,10 +89,10 @@
     }
 
     private boolean serversAreKnown(long sinceMs) {
-        if (peers.hasReceivedGossip()) {
+        if (peers.hasReceived()) {
             return actions.healthChecksEnded() > 0;
         }
-        boolean gossipMayArrive = peers.isOpenToPeers() && clock.monotonicMs() - sinceMs <= FIRST_GOSSIP_WAIT_MS;
+        boolean gossipMayArrive = peers.isEnabled() && clock.monotonicMs() - sinceMs <= FIRST_GOSSIP_WAIT_MS;
         return firstHealthChecksEnded() && !gossipMayArrive;
     }
 
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -20,6 +20,8 @@
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 import ploverdale.model.ZoneId;
+import ploverdale.settings.ConfigurationFile;
+import ploverdale.settings.EndpointList;
 
 /**
  * The warm-up before service: runs requests through a second gateway between a stand-in client, server and discovery, on free
@@ -116,9 +118,9 @@
         }
 
         private ConfigurationFile warmUpConfiguration(InetSocketAddress server, InetSocketAddress discovery) {
-            List<ConfigurationFile.Entry> entries = new ArrayList<>();
+            List<EndpointList.Entry> entries = new ArrayList<>();
             for (String name : SERVER_NAMES) {
-                entries.add(new ConfigurationFile.Entry(endpoint(name), server));
+                entries.add(new EndpointList.Entry(endpoint(name), server));
             }
             return new ConfigurationFile(
                     "practice",
@@ -127,7 +129,7 @@
                     configuration.seed(),
                     configuration.sockets(),
                     configuration.settings(),
-                    new ConfigurationFile.ServerList(0, true, entries, List.of()),
+                    new EndpointList(0, true, entries, List.of()),
                     null,
                     List.of());
         }
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import ploverdale.clock.ServerClock;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
-import ploverdale.net.ServerClock;
 import ploverdale.settings.GatewaySettings;
 
 /**
@@ -52,7 +52,7 @@
         long position = LoadReport.UNKNOWN_TIME;
         if (!Double.isNaN(positionMs)) {
             long wallPosition = (long) Math.floor(positionMs) * TENTHS_PER_MS;
-            clock.heard(server, wallPosition, writtenAt, role == Role.PRIMARY);
+            clock.observePosition(server, wallPosition, writtenAt, role == Role.PRIMARY);
             position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.position(wallPosition);
         }
         boolean unknown = role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME;
@@ -73,7 +73,7 @@
 
     /** The load report that answers a health check, or null; null, too, where the settings expect none there. */
     LoadReport reportInHealthCheck(ServerId server, byte[] value, long writtenAt) {
-        if (!settings.reportsInProbes() || value == null || value.length > MAX_REPORT_BYTES) {
+        if (!settings.reportsInHealthChecks() || value == null || value.length > MAX_REPORT_BYTES) {
             return null;
         }
         return parse(server, new String(value, UTF_8), writtenAt);
@@ -96,7 +96,7 @@
 
     private LoadReport dated(ServerId server, LoadReport report, long writtenAt) {
         // Not a present position, also of a primary: the report was made some time before it was sent.
-        clock.heard(server, report.position(), writtenAt, false);
+        clock.observePosition(server, report.position(), writtenAt, false);
         if (clock.isAhead(report.position())) {
             return null;
         }
--- a/gateway/src/main/java/ploverdale/net/server/PoolContext.java
+++ b/gateway/src/main/java/ploverdale/net/server/PoolContext.java
@@ -1,8 +1,8 @@
 package ploverdale.net.server;
 
 import io.vertx.core.Vertx;
+import ploverdale.clock.ServerClock;
 import ploverdale.log.Log;
-import ploverdale.net.ServerClock;
 import ploverdale.settings.GatewaySettings;
 
 /** What the parts of a {@link ServerConnectionPool} share; nothing in it is null. Used on the event loop only. */
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -7,12 +7,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.net.ServerClock;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.settings.GatewaySettings;
 
@@ -115,7 +115,7 @@
      */
     public void startHealthCheck(ServerId id, AttemptListener listener) {
         GatewaySettings settings = context.settings();
-        RequestEncoder encoder = timeoutMs -> MessageWriter.healthCheck(settings.reportsInProbes());
+        RequestEncoder encoder = timeoutMs -> MessageWriter.healthCheck(settings.reportsInHealthChecks());
         Attempt.Work work = new Attempt.Work(() -> true, encoder, listener);
         Attempt healthCheck = new Attempt(context, this, null, server(id), settings.connectLimit(), work);
         healthCheck.startDeadline();
--- a/gateway/src/test/java/ploverdale/FakeHost.java
+++ b/gateway/src/test/java/ploverdale/FakeHost.java
@@ -32,12 +32,12 @@
 import java.util.function.UnaryOperator;
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
-import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
+import ploverdale.settings.ConfigurationFile;
 
 /** Stand-ins on loopback for the surroundings of a real gateway. */
 final class FakeHost {
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -17,15 +17,15 @@
 import ploverdale.FakeHost.Net;
 import ploverdale.FakeHost.Registry;
 import ploverdale.clock.Clock;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.OutboundActionHandler;
 import ploverdale.net.ClientConnections;
-import ploverdale.net.ConfigurationFile;
-import ploverdale.net.ServerClock;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.eventloop.SingleLoopVertx;
+import ploverdale.settings.ConfigurationFile;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
 @Timeout(120)
@@ -100,7 +100,7 @@
             context.runOnContext(x -> {
                 RouterEventLoop loop = new RouterEventLoop(vertx, context, log, null, Clock.system());
                 loop.setActionHandler(new LosesActions());
-                ServerClock time = new ServerClock(log, Clock.system());
+                ServerClock time = new ServerClock(log::line, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
                 clients.ready();
--- a/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import ploverdale.clock.Clock;
+import ploverdale.clock.ServerClock;
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
-import ploverdale.net.Gateway;
-import ploverdale.net.ServerClock;
+import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
 import ploverdale.net.postgres.MessageWriter;
@@ -46,7 +46,7 @@
             "value".getBytes(UTF_8),
             "SELECT 1"));
 
-    private final Vertx vertx = Gateway.vertx();
+    private final Vertx vertx = SingleLoopVertx.create();
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
     private final List<Outcome> outcomes = new CopyOnWriteArrayList<>();
     private final CompletableFuture<Outcome> firstOutcome = new CompletableFuture<>();
@@ -77,7 +77,7 @@
         Log log = new Log(new PrintStream(lines, true, UTF_8));
         GatewaySettings settings = new GatewaySettings(1, new JsonFields("settings", Map.of()));
         onEventLoop(() -> pool = new ServerConnectionPool(
-                vertx, log, settings, limits, limits::mayOpen, new ServerClock(log, Clock.system())));
+                vertx, log, settings, limits, limits::mayOpen, new ServerClock(log::line, Clock.system())));
     }
 
     /** A server that completes each handshake and has each query answered by this. */
--- a/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
+++ b/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import ploverdale.membership.Packet;
+import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 import ploverdale.replication.ReplicationMessage.DigestRequest;
 import ploverdale.replication.ReplicationMessage.DigestResponse;
@@ -45,8 +45,8 @@
     }
 
     private List<ReplicationMessage> sent() {
-        return queue.letters(now, 1, 1).stream()
-                .flatMap(packet -> Packet.read(packet.bytes()).parts().stream())
+        return queue.drain(now, 1, 1).stream()
+                .flatMap(packet -> PacketCodec.decode(packet.bytes()).parts().stream())
                 .map(ReplicationMessageDecoder::decode)
                 .toList();
     }
