--- a/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
@@ -40,7 +40,7 @@
                     () -> unixTime);
             queues[gateway] = new PacketQueue(1e9, NOW);
         }
-        unixTime += 1_000_000; // past the time for which writes may have been lost at the start
+        unixTime += 1_000_000; // later than the bound up to which entries may be missing after the start
     }
 
     private static long incarnation(int gateway) {
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Copies that got the same facts, in whatever order and however often, are equal; and what stands where they differ. */
+/** Replicas that received the same entries, in any order and any number of times, are equal; and what counts where they differ. */
 class VersionedEntryLawsTest {
     private static final byte[] NO_ANSWER = {};
 
@@ -25,7 +25,7 @@
     }
 
     @Provide
-    Arbitrary<VersionedEntry> fates() {
+    Arbitrary<VersionedEntry> writeOutcomes() {
         Arbitrary<ClaimId> claims = Combinators.combine(
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.longs().between(1, 2),
@@ -54,7 +54,7 @@
     }
 
     @Property
-    void positionsJoinInAnyOrder(
+    void positionsMergeInAnyOrder(
             @ForAll("positions") VersionedEntry a,
             @ForAll("positions") VersionedEntry b,
             @ForAll("positions") VersionedEntry c) {
@@ -62,43 +62,47 @@
     }
 
     @Property
-    void fatesJoinInAnyOrder(
-            @ForAll("fates") VersionedEntry a, @ForAll("fates") VersionedEntry b, @ForAll("fates") VersionedEntry c) {
+    void writeOutcomesMergeInAnyOrder(
+            @ForAll("writeOutcomes") VersionedEntry a,
+            @ForAll("writeOutcomes") VersionedEntry b,
+            @ForAll("writeOutcomes") VersionedEntry c) {
         laws(a, b, c);
     }
 
     @Test
-    void aProofWinsOverADoubtAndOfTwoThatDifferTheOneThatForbidsASendStands() {
+    void aProofWinsOverADoubtAndOfTwoThatContradictTheOneThatForbidsExecutionCounts() {
         ClaimId one = new ClaimId(0, 1, 1);
         WriteOutcome doubt = WriteOutcome.of(5, one, ClaimState.CLAIMED, NO_ANSWER);
-        WriteOutcome acked = WriteOutcome.of(5, one, ClaimState.SUCCEEDED, new byte[] {1});
+        WriteOutcome succeeded = WriteOutcome.of(5, one, ClaimState.SUCCEEDED, new byte[] {1});
         WriteOutcome never = WriteOutcome.of(5, one, ClaimState.NEVER_RAN, NO_ANSWER);
         assertThat(doubt.isInDoubt()).isTrue();
         assertThat(((WriteOutcome) doubt.merge(never)).isFree()).isTrue();
-        assertThat(((WriteOutcome) doubt.merge(acked)).hasSucceeded()).isTrue();
-        WriteOutcome both = (WriteOutcome) acked.merge(never);
+        assertThat(((WriteOutcome) doubt.merge(succeeded)).hasSucceeded()).isTrue();
+        WriteOutcome both = (WriteOutcome) succeeded.merge(never);
         assertThat(both.isContradictory()).isTrue();
         assertThat(both.isFree()).isFalse();
         assertThat(both.hasSucceeded()).isTrue();
-        WriteOutcome twice =
-                (WriteOutcome) acked.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
+        WriteOutcome twice = (WriteOutcome)
+                succeeded.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
         assertThat(twice.isContradictory()).as("it ran twice").isTrue();
     }
 
     @Test
-    void madeRoomForNeitherADoubtNorAnAckedClaimGoes() {
-        WriteOutcome f = WriteOutcome.of(5, new ClaimId(0, 1, 0), ClaimState.CLAIMED, NO_ANSWER);
+    void overTheBoundNeitherAClaimInDoubtNorASuccessfulOneIsDropped() {
+        WriteOutcome outcome = WriteOutcome.of(5, new ClaimId(0, 1, 0), ClaimState.CLAIMED, NO_ANSWER);
         for (int n = 1; n < 20; n++) {
-            f = (WriteOutcome) f.merge(new WriteOutcome(
+            outcome = (WriteOutcome) outcome.merge(new WriteOutcome(
                     5, Map.of(new ClaimId(1, 1, n), ClaimState.CLAIMED.merge(ClaimState.NEVER_RAN)), NO_ANSWER));
         }
-        assertThat(f.claims()).hasSizeLessThanOrEqualTo(WriteOutcome.MAX_CLAIMS).containsKey(new ClaimId(0, 1, 0));
-        assertThat(f.isInDoubt()).isTrue();
-        assertThat(f.encodedLength()).isLessThanOrEqualTo(EntryCodec.MAX_BYTES);
+        assertThat(outcome.claims())
+                .hasSizeLessThanOrEqualTo(WriteOutcome.MAX_CLAIMS)
+                .containsKey(new ClaimId(0, 1, 0));
+        assertThat(outcome.isInDoubt()).isTrue();
+        assertThat(outcome.encodedLength()).isLessThanOrEqualTo(EntryCodec.MAX_BYTES);
     }
 
     @Test
-    void whatIsOfALaterVersionOrCutShortIsNotRead() {
+    void anEntryOfAnUnknownTypeOrCutShortIsNotRead() {
         assertThat(EntryCodec.read(ByteBuffer.wrap(new byte[] {9, 1, 2, 3}))).isNull();
         assertThat(EntryCodec.read(ByteBuffer.wrap(new byte[] {EntryCodec.POSITION_TYPE, 1, 2})))
                 .isNull();
