--- a/gateway/src/test/java/ploverdale/AnsweringServer.java
+++ b/gateway/src/test/java/ploverdale/AnsweringServer.java
@@ -4,8 +4,6 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Server;
 
 /** Answers the queries that reach a stand-in server, on a thread of its own, and keeps their texts. */
 final class AnsweringServer implements AutoCloseable {
--- a/gateway/src/test/java/ploverdale/AttemptRecorder.java
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -5,8 +5,6 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Server;
 
 /** Records when each attempt of a request arrived, complete, at a stand-in database server. */
 final class AttemptRecorder implements AutoCloseable {
@@ -42,7 +40,7 @@
 
     /** Waits until so many attempts have arrived in all. */
     List<Arrival> await(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeHost.Net.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
         while (arrivals.size() < count) {
             assertThat(System.nanoTime())
                     .as("%d attempts, there are %s", count, arrivals)
--- a/gateway/src/test/java/ploverdale/ClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/ClassArchiveTest.java
@@ -17,8 +17,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
 
 /** Whatever becomes of the class archive, a gateway starts and serves. */
 @Timeout(180)
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/Client.java
@@ -0,0 +1,107 @@
+package ploverdale;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.vertx.core.buffer.Buffer;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.Socket;
+import java.net.SocketException;
+import java.util.HexFormat;
+import java.util.concurrent.TimeUnit;
+import ploverdale.net.postgres.MessageWriter;
+
+/** A client's connection to the gateway. */
+final class Client implements AutoCloseable {
+    private final Socket socket;
+    private final DataInputStream in;
+
+    Client(int port) throws IOException {
+        this(port, 0);
+    }
+
+    /** One whose system takes no more than about so many bytes that it has not read, unless 0. */
+    Client(int port, int receiveBuffer) throws IOException {
+        socket = new Socket();
+        if (receiveBuffer > 0) {
+            socket.setReceiveBufferSize(receiveBuffer);
+        }
+        socket.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+        in = new DataInputStream(socket.getInputStream());
+    }
+
+    Client greeted() throws IOException {
+        write(MessageWriter.startup());
+        assertThat(answer()).isEqualTo("ready");
+        return this;
+    }
+
+    Client write(Buffer b) throws IOException {
+        socket.getOutputStream().write(b.getBytes());
+        return this;
+    }
+
+    Client ask(String text) throws IOException {
+        return write(MessageWriter.query(text));
+    }
+
+    /** Reads to the end: "end" where it is one in order, "reset" else. */
+    String howItEnds() throws IOException {
+        try {
+            while (in.read() >= 0) {
+                Thread.onSpinWait();
+            }
+            return "end";
+        } catch (SocketException e) {
+            return "reset";
+        }
+    }
+
+    /** Whether anything has come that was not read yet. */
+    boolean hasAnswer() throws IOException {
+        return in.available() > 0;
+    }
+
+    int readByte() throws IOException {
+        return in.read();
+    }
+
+    /** What came up to the next ReadyForQuery or the end: the value in hex, the code with its time, or a word. */
+    String answer() throws IOException {
+        StringBuilder all = new StringBuilder();
+        try {
+            for (int type = in.read(); type != 'Z'; type = in.read()) {
+                if (type < 0) {
+                    return all + "closed";
+                }
+                byte[] body = new byte[in.readInt() - 4];
+                in.readFully(body);
+                String text = new String(body, UTF_8);
+                if (type == 'D') {
+                    all.append("row ")
+                            .append(HexFormat.of().formatHex(body, 6, body.length))
+                            .append(' ');
+                } else if (type == 'I') {
+                    all.append("empty ");
+                } else if (type == 'E') {
+                    int d = text.indexOf("\0D");
+                    all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
+                            .append(' ')
+                            .append(d < 0 ? "" : "after " + text.substring(d + 2, text.indexOf(0, d + 1)) + " ");
+                }
+            }
+            in.readFully(new byte[5]);
+        } catch (SocketException e) {
+            return all + "closed";
+        }
+        return all.append("ready").toString();
+    }
+
+    @Override
+    public void close() throws IOException {
+        socket.close();
+    }
+}
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -16,8 +16,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import ploverdale.AttemptRecorder.Arrival;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 import ploverdale.net.postgres.MessageWriter;
 
 /** No attempt begins later than the grace after its client closed or cancelled, whatever the request waits for by then. */
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -10,10 +10,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 import ploverdale.clock.Clock;
 
 /**
--- a/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
@@ -18,9 +18,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /** A gateway as a process within the bounds of deploy/gateway.args, among stand-ins of which many are silent at once. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -15,8 +15,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Registry;
 
 /** New configurations, one soon after another, while discovery is slow or does not answer. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -13,8 +13,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
 
 /** Requests that cross the end of a resting connection: what was forwarded has an answer, whatever ends the connection. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -11,8 +11,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
 
 /** A class archive that was cut short under its final name. The commands of {@code build} leave none such. */
 @Timeout(180)
--- a/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
@@ -8,8 +8,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
 
 /** Longer outages of discovery, and drains that are told at its return or during a graceful shutdown. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -6,10 +6,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /** A server that begins to drain while an attempt waits for its connection, or while the gateway is held up. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -12,10 +12,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 import ploverdale.net.postgres.MessageWriter;
 
 /** Stories of what meets an end: each holds one side back until the event that it is to meet. docs/endings.md has them in order. */
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/Got.java
@@ -0,0 +1,53 @@
+package ploverdale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.vertx.core.buffer.Buffer;
+import java.io.IOException;
+import java.net.Socket;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import ploverdale.net.postgres.MessageWriter;
+import ploverdale.net.postgres.ResultRow;
+import ploverdale.net.postgres.ServerMessage;
+
+/** A query that a database server received, and the answers that a test may give to it. */
+record Got(Server at, Socket socket, String text, CountDownLatch ended) {
+    void row(byte[] value) throws IOException {
+        row(value, Buffer.buffer());
+    }
+
+    /** An answer with more right behind it. */
+    void row(byte[] value, Buffer behind) throws IOException {
+        Server.write(socket, answer(value).appendBuffer(behind), false);
+    }
+
+    Buffer answer(byte[] value) {
+        Buffer b = Buffer.buffer();
+        MessageWriter.parameterStatus(b, "rank", at.primary ? "source" : "copy");
+        if (at.vitals == null) {
+            MessageWriter.parameterStatus(b, "as_of", Long.toString(System.currentTimeMillis()));
+        }
+        MessageWriter.parameterStatus(b, "vitals", at.report());
+        return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
+                new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
+                value,
+                "SELECT 1")));
+    }
+
+    void problem(String code) throws IOException {
+        Server.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
+    }
+
+    void reset() throws IOException {
+        socket.setSoLinger(true, 0);
+        socket.close();
+    }
+
+    /** Waits until the gateway has ended the connection. */
+    void endedByGateway() throws InterruptedException {
+        assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                .as("the connection ends")
+                .isTrue();
+    }
+}
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -9,8 +9,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Registry;
 
 /** SIGHUP that comes while a gateway is still starting, as when restarts and new configurations fall together. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -11,9 +11,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Registry;
 
 /** Gateways started by {@code run} of deploy/balancer.toml from a shell that ignores SIGHUP, as nohup makes it. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -10,9 +10,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /** Database servers that hang through the whole of a graceful shutdown: each request taken is answered before its end. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -8,9 +8,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /** Database servers that end or forget idle connections during a quiet time: what the first requests after it get. */
 @Timeout(120)
@@ -65,7 +62,7 @@
         Server primary = net.servers.get("p");
         primary.writes = false;
         List<Client> clients = new ArrayList<>();
-        List<FakeHost.Got> out = new ArrayList<>();
+        List<Got> out = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             clients.add(net.client().ask(net.request("order")));
             out.add(primary.next());
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -7,8 +7,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
 import ploverdale.net.postgres.MessageWriter;
 
 /** What crosses the last moment of a graceful shutdown is answered, or left unread. */
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -14,10 +14,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /**
  * Answers over HTTP without a length, whose end is the end of their connection. Only discovery speaks HTTP here; messages
@@ -29,7 +25,7 @@
     private static final int READY_FOR_QUERY_LENGTH = 6;
 
     /** Discovery whose answers have no length. */
-    private static final class LengthlessDiscovery extends FakeHost.Stand {
+    private static final class LengthlessDiscovery extends Stand {
         final AtomicInteger calls = new AtomicInteger();
         private final String version;
         private final String list;
--- a/gateway/src/test/java/ploverdale/RetryFailureTest.java
+++ b/gateway/src/test/java/ploverdale/RetryFailureTest.java
@@ -8,10 +8,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /** Attempts that fail as soon as they are made, retries and hedged requests included. */
 @Timeout(120)
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/Server.java
@@ -0,0 +1,121 @@
+package ploverdale;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.vertx.core.buffer.Buffer;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.Socket;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** A database server: answers health checks by itself and passes each request's query to the test. Each connection has its thread. */
+final class Server extends Stand {
+    final BlockingQueue<Got> got = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> connects = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> ran =
+            new LinkedBlockingQueue<>(); // the query of each request that was received completely
+    final AtomicInteger open = new AtomicInteger(); // connections on which a startup message was received
+    final boolean primary;
+    volatile boolean mute; // accepts connections, answers nothing
+    volatile boolean shut; // accepts connections, closes them at once
+    volatile boolean reads; // answers reads by itself
+    volatile boolean writes; // and writes
+    volatile byte[] value = {7}; // with this
+    volatile CountDownLatch holdsProbes = new CountDownLatch(0); // their answers wait for it
+    volatile CountDownLatch holdsGreetings = new CountDownLatch(0); // connections come up once it is down
+    volatile int probed;
+    volatile long forgetsMs; // resets a connection that was idle for so long, at its next query
+    volatile int forgotten;
+    volatile boolean dropsSilently; // where it forgets a connection, says nothing on it instead of a reset
+    volatile String vitals; // overrides its load report unless null
+
+    Server(boolean primary) throws IOException {
+        this.primary = primary;
+    }
+
+    @Override
+    void serve(Socket s) throws IOException {
+        connects.add("one");
+        if (shut) {
+            s.close();
+            return;
+        }
+        DataInputStream in = new DataInputStream(s.getInputStream());
+        in.readFully(new byte[in.readInt() - 4]);
+        CountDownLatch ended = new CountDownLatch(1);
+        open.incrementAndGet();
+        try {
+            awaits(holdsGreetings);
+            if (!mute) {
+                write(s, Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0), true);
+            }
+            for (long last = System.nanoTime(); true; last = System.nanoTime()) {
+                in.readByte();
+                if (forgetsMs > 0 && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(forgetsMs)) {
+                    forgotten++;
+                    if (dropsSilently) {
+                        in.transferTo(java.io.OutputStream.nullOutputStream());
+                        return;
+                    }
+                    s.setSoLinger(true, 0);
+                    s.close();
+                    return;
+                }
+                byte[] body = new byte[in.readInt() - 4];
+                in.readFully(body);
+                Got g = new Got(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), ended);
+                if (!g.text().startsWith("SHOW")) {
+                    ran.add(g.text());
+                }
+                if (mute) {
+                    continue;
+                }
+                if (g.text().startsWith("SHOW")) {
+                    probed++;
+                    awaits(holdsProbes);
+                    g.row(report().getBytes(UTF_8));
+                } else if (g.text().startsWith("SELECT") ? reads : writes) {
+                    g.row(value);
+                } else {
+                    got.add(g);
+                }
+            }
+        } finally {
+            ended.countDown();
+            open.decrementAndGet();
+        }
+    }
+
+    private static void awaits(CountDownLatch latch) throws IOException {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new IOException(e);
+        }
+    }
+
+    String report() {
+        return vitals != null
+                ? vitals
+                : "x0=" + System.currentTimeMillis() / 1000 + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
+    }
+
+    /** Waits for the next query of a request. */
+    Got next() throws InterruptedException {
+        Got g = got.poll(Net.PATIENCE_S, TimeUnit.SECONDS);
+        assertThat(g).as("a query comes").isNotNull();
+        return g;
+    }
+
+    static void write(Socket s, Buffer b, boolean ready) throws IOException {
+        if (ready) {
+            b.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
+        }
+        s.getOutputStream().write(b.getBytes());
+    }
+}
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -6,10 +6,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 
 /**
  * The deadline that an attempt passes to its database server is at most what its client has left when it arrives there, with
--- a/gateway/src/test/java/ploverdale/ServingProcess.java
+++ b/gateway/src/test/java/ploverdale/ServingProcess.java
@@ -9,7 +9,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import ploverdale.FakeHost.Net;
 
 /** A gateway in a process of its own, whose configuration and log are files in a directory of the test. */
 final class ServingProcess implements AutoCloseable {
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -7,9 +7,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
 
 /** Requests with 20 ms left, which servers may drop without a word. */
 @Timeout(120)
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -18,10 +18,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
-import ploverdale.FakeHost.Server;
 import ploverdale.net.postgres.MessageWriter;
 
 /** A gateway as a process, its deadlines 300 ms, which gets SIGTERM under load and SIGKILL 1.0 s later. */
@@ -147,7 +143,7 @@
     void aHangUpDuringTheStartIsActedOnBehindIt() throws Exception {
         Path file = directory.resolve("gateway.json");
         try (Net net = new Net("p");
-                FakeHost.Registry elsewhere = new FakeHost.Registry(net.list(5, true, "p"))) {
+                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
             net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these are in
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -10,9 +10,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
 import ploverdale.net.postgres.MessageWriter;
 
 /** Clients that stop in the middle of something and stay connected: each is owed an error or a close within 3 s. */
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -8,9 +8,6 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Got;
-import ploverdale.FakeHost.Net;
 import ploverdale.net.postgres.MessageWriter;
 
 /** A request that has been read is answered before the gateway ends its connection, on a new connection too. */
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -16,8 +16,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.FakeHost.Client;
-import ploverdale.FakeHost.Net;
 
 /** A gateway serves, and follows its signals, where neither its log nor any other file can be written. */
 @Timeout(120)
