--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -29,6 +29,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.shutdown.GracefulShutdown;
--- a/gateway/src/main/java/ploverdale/net/NioSockets.java
+++ b/gateway/src/main/java/ploverdale/net/NioSockets.java
@@ -8,7 +8,7 @@
 import io.vertx.core.net.NetSocket;
 
 /** What can be done to a socket at once, within a turn of the event loop, and Vert.x leaves to later turns. */
-final class NioSockets {
+public final class NioSockets {
     private NioSockets() {}
 
     /**
@@ -16,7 +16,7 @@
      * sockets first and runs its timers behind that, so a process that was paused between the two acts on timers while
      * requests from during the pause are still unread. Whoever is about to close a connection as idle asks here first.
      */
-    static void readNow(NetSocket socket) {
+    public static void readNow(NetSocket socket) {
         Channel channel = channel(socket);
         if (channel.isActive() && channel instanceof AbstractNioChannel nio) {
             nio.unsafe().read();
@@ -24,17 +24,17 @@
     }
 
     /** Whether the connection is still open, as far as this process has read it; false right after its end was read. */
-    static boolean isOpen(NetSocket socket) {
+    public static boolean isOpen(NetSocket socket) {
         return channel(socket).isOpen();
     }
 
     /** Leaves what comes from now on unread, in the operating system. */
-    static void stopReading(NetSocket socket) {
+    public static void stopReading(NetSocket socket) {
         channel(socket).config().setAutoRead(false);
     }
 
     /** Sends the end of the output at once; false, with nothing done, where earlier output has not been taken by the system. */
-    static boolean shutdownOutputNow(NetSocket socket) {
+    public static boolean shutdownOutputNow(NetSocket socket) {
         Channel channel = channel(socket);
         ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
         if (waiting == null || !waiting.isEmpty() || !(channel instanceof DuplexChannel duplex)) {
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -19,6 +19,7 @@
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.replication.IdempotencyRecord;
--- a/gateway/src/main/java/ploverdale/net/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/net/ServerClock.java
@@ -34,12 +34,12 @@
         this.changed = changed;
     }
 
-    Clock clock() {
+    public Clock clock() {
         return clock;
     }
 
     /** Service time. */
-    long now() {
+    public long now() {
         return clock.now();
     }
 
@@ -91,7 +91,7 @@
      * The age of a position that a session must reach, never 0, which stands for none. It is below 0 where the
      * servers' clock is a little ahead of the offset; what lies further ahead is no position.
      */
-    long tokenAge(long now, long wallPosition) {
+    public long tokenAge(long now, long wallPosition) {
         long age = Math.max(-WallClockOffset.AHEAD_MOST, now - offset.toServiceTime(wallPosition));
         return age == 0 ? -1 : age;
     }
--- a/gateway/src/main/java/ploverdale/net/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/SleepingTransport.java
@@ -12,6 +12,7 @@
 import io.netty.channel.socket.InternetProtocolFamily;
 import io.vertx.core.spi.transport.Transport;
 import ploverdale.clock.Clock;
+import ploverdale.net.client.AcceptRetry;
 
 /**
  * Owns how the event loop waits: as Java's selector does, but asleep up to its next timer. That selector waits for whole
--- a/gateway/src/main/java/ploverdale/net/AcceptRetry.java
+++ b/gateway/src/main/java/ploverdale/net/client/AcceptRetry.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.client;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -14,7 +14,7 @@
  * requests may take. This handler comes before it and stops accepting first, which leaves the acceptor nothing to do.
  */
 @ChannelHandler.Sharable
-final class AcceptRetry extends ChannelInboundHandlerAdapter {
+public final class AcceptRetry extends ChannelInboundHandlerAdapter {
     /** Some 200 failing calls a second while the lack lasts; short beside the shortest deadlines of requests. */
     static final long RETRY_AFTER_MS = 5;
 
--- a/gateway/src/main/java/ploverdale/net/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
@@ -1,4 +1,4 @@
-package ploverdale.net;
+package ploverdale.net.client;
 
 import io.netty.channel.socket.DuplexChannel;
 import io.vertx.core.Vertx;
@@ -26,6 +26,9 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.SessionId;
 import ploverdale.model.TenantId;
+import ploverdale.net.NioSockets;
+import ploverdale.net.RouterEventLoop;
+import ploverdale.net.ServerClock;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
 import ploverdale.net.postgres.MessageWriter;
@@ -70,7 +73,7 @@
             5000; // for a client to read on, or as long as an op may take, before it is closed
 
     /** Who looks up, before the module hears of an op, what the fleet knows of its past; it tells the module of it. */
-    interface RequestHistoryLookup {
+    public interface RequestHistoryLookup {
         void arrives(Event.RequestArrived request, String key);
     }
 
@@ -333,7 +336,7 @@
     }
 
     /** Ops go by this from now on. */
-    void past(RequestHistoryLookup past) {
+    public void past(RequestHistoryLookup past) {
         this.past = past;
     }
 
@@ -345,7 +348,7 @@
      * Whether the client of an op still waits for it; asked right before an attempt is written. Where its connection was not
      * read a moment ago, as for a retry, a request that was held, or behind a pause of this process, it is read now.
      */
-    boolean waits(AcceptedRequest t) {
+    public boolean waits(AcceptedRequest t) {
         RequestId request = new RequestId(t.ask.id());
         return taken.get(request) == t && !t.session.leftUnseen() && taken.get(request) == t;
     }
@@ -406,7 +409,7 @@
     }
 
     /** The write ran before, under the same id; this is what its client was answered then. */
-    void ranBefore(RequestId request, byte[] answer) {
+    public void ranBefore(RequestId request, byte[] answer) {
         answer(request, Buffer.buffer(answer));
     }
 
--- a/gateway/src/main/java/ploverdale/net/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
@@ -1,9 +1,10 @@
-package ploverdale.net;
+package ploverdale.net.client;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetSocket;
 import java.util.function.Consumer;
+import ploverdale.net.NioSockets;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
 import ploverdale.net.postgres.MessageWriter;
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -20,11 +20,11 @@
 import ploverdale.limits.ConnectionLimits;
 import ploverdale.log.Log;
 import ploverdale.model.Action;
-import ploverdale.net.ClientConnections;
 import ploverdale.net.ConfigurationFile;
 import ploverdale.net.Gateway;
 import ploverdale.net.RouterEventLoop;
 import ploverdale.net.ServerClock;
+import ploverdale.net.client.ClientConnections;
 
 /** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
 @Timeout(120)
