--- a/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
@@ -567,7 +567,7 @@
         private void enqueue(ClientMessage m) {
             boolean tooMuch = waitingBytes >= READ_AHEAD_MOST || load >= LOAD_MOST;
             queue(tooMuch && m instanceof ClientMessage.RequestQuery ? TOO_MUCH : m);
-            if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
+            if (m.endsConnection()) {
                 endInput();
             }
         }
@@ -601,11 +601,9 @@
                 if (m == null) {
                     return;
                 }
-                if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
+                if (m.endsConnection()) {
                     framingLost = !stream.skipMessage();
-                } else if (m instanceof ClientMessage.RequestQuery
-                        || m instanceof ClientMessage.EmptyQuery
-                        || m instanceof ClientMessage.InvalidQuery) {
+                } else if (m.expectsQueryResponse()) {
                     behind = Math.min(BEHIND_MOST, behind + 1);
                 }
             }
@@ -692,8 +690,8 @@
                 ClientMessage.InvalidQuery not = (ClientMessage.InvalidQuery) m;
                 log.often("client's request not run", not.text());
                 refuse(not.code(), not.text(), false);
-            } else if (m instanceof ClientMessage.InvalidQuery bad && (!skipping || bad.ends())) {
-                bad(bad.code(), bad.text(), bad.ends());
+            } else if (m instanceof ClientMessage.InvalidQuery bad && (!skipping || bad.endsConnection())) {
+                bad(bad.code(), bad.text(), bad.endsConnection());
             }
         }
 
--- a/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
@@ -69,14 +69,10 @@
     private int requestsBehind() {
         int requests = 0;
         for (ClientMessage m = stream.next(); m != null && requests < REQUESTS_MOST; m = stream.next()) {
-            if (m instanceof ClientMessage.InvalidQuery bad && bad.ends()) {
+            if (m.endsConnection()) {
                 return requests;
             }
-            requests += m instanceof ClientMessage.RequestQuery
-                            || m instanceof ClientMessage.EmptyQuery
-                            || m instanceof ClientMessage.InvalidQuery
-                    ? 1
-                    : 0;
+            requests += m.expectsQueryResponse() ? 1 : 0;
         }
         return requests;
     }
--- a/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -78,14 +78,14 @@
             assertThat(s.next())
                     .isInstanceOfSatisfying(
                             ClientMessage.InvalidQuery.class,
-                            b -> assertThat(b.ends()).isTrue());
+                            b -> assertThat(b.endsConnection()).isTrue());
         }
         ClientMessageReader s = new ClientMessageReader();
         s.feed(first(length, 196608));
         assertThat(s.next())
                 .isInstanceOfSatisfying(
                         ClientMessage.InvalidQuery.class,
-                        b -> assertThat(b.ends()).isTrue());
+                        b -> assertThat(b.endsConnection()).isTrue());
         ServerMessageReader server = new ServerMessageReader();
         server.feed(Buffer.buffer().appendByte((byte) 'D').appendInt(length));
         assertThat(server.next()).isInstanceOf(ServerMessage.Malformed.class);
@@ -112,7 +112,7 @@
         s.feed(query(text));
         assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, b -> {
             assertThat(b.code()).isEqualTo(code);
-            assertThat(b.ends()).isFalse();
+            assertThat(b.endsConnection()).isFalse();
         });
     }
 
