--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -29,7 +29,9 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.net.ConfigurationFile.ServerList;
+import ploverdale.net.client.AcceptedRequest;
 import ploverdale.net.client.ClientConnections;
+import ploverdale.net.client.ClientSession;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.quota.QuotaSettings;
 import ploverdale.shutdown.GracefulShutdown;
@@ -61,7 +63,7 @@
     private final GossipTransport peers; // null where instances do not talk
     private final MembershipTransport fleet; // null but where a fleet file switches it on
     private final ReplicationCoordinator past; // null but where that file has something kept
-    private final ConnectionLimits<ClientConnections.Session> limits;
+    private final ConnectionLimits<ClientSession> limits;
     private final ServerClock time;
     private final Map<ServerId, Start> starts = new HashMap<>();
     private int probesOut;
@@ -116,7 +118,7 @@
                         fleet::keeps,
                         time);
         if (past != null) {
-            clients.past(past);
+            clients.useHistory(past);
             fleet.whenHeard(past::ended);
         }
         discovery = new Discovery(
@@ -240,7 +242,7 @@
                     (int) (file.settings().connectLimit() / 10 / START_LOOK_MS) + 1,
                     1,
                     () -> {
-                        clients.ready();
+                        clients.startServing();
                         log.line("gateway " + file.name() + " listens at "
                                 + file.listen().getAddress().getHostAddress() + ":" + port() + ", "
                                 + file.known().entries().size() + " servers known");
@@ -284,15 +286,15 @@
     /** Has ended what the limits say makes way for one more connection to a server; false where none may be opened yet. */
     private boolean makeRoom() {
         while (!limits.serverFits()) {
-            ConnectionLimits.Eviction<ClientConnections.Session> way =
+            ConnectionLimits.Eviction<ClientSession> way =
                     limits.wayForServer(time.clock().monotonicMs());
             if (way != null) {
-                clients.end(way);
+                clients.evict(way);
             } else if (!servers.closeLongestIdle()) {
                 break;
             }
         }
-        clients.makeWay(limits.over() + 1);
+        clients.closeLingering(limits.over() + 1);
         return limits.mayOpen();
     }
 
@@ -347,14 +349,14 @@
 
     @Override
     public void send(Action.StartAttempt a) {
-        ClientConnections.AcceptedRequest t = clients.taken(a.request());
+        AcceptedRequest t = clients.requestInFlight(a.request());
         if (t == null) { // its client has gone while the module was deciding
             loop.tell(
                     new Event.AttemptEnded(a.request(), 0, a.server(), Event.Outcome.NEVER_SENT, 0, true, null, null));
             answered(a.request());
             return;
         }
-        int number = t.nextSend();
+        int number = t.nextAttemptNumber();
         int changes = time.changes();
         if (past != null) {
             past.sent(a.request());
@@ -368,10 +370,10 @@
                 a.request(),
                 a.server(),
                 left,
-                () -> clients.waits(t)
+                () -> clients.isAwaited(t)
                         && loop.mayReceive(a.server())
                         && (a.writeBy() == Long.MAX_VALUE || time.changes() == changes && time.now() <= a.writeBy()),
-                waitMs -> MessageWriter.request(t.ask(), waitMs),
+                waitMs -> MessageWriter.request(t.query(), waitMs),
                 outcome -> sendEnded(a.request(), number, a.server(), outcome));
     }
 
@@ -382,9 +384,10 @@
         if (o.row() != null && past != null) {
             past.acked(request, o.row(), o.note(), server);
         } else if (o.row() != null) {
-            clients.acked(request, o.row());
+            clients.succeed(request, o.row());
         }
-        boolean settled = o.row() != null || clients.taken(request) == null; // its answer may still wait for copies
+        boolean settled =
+                o.row() != null || clients.requestInFlight(request) == null; // its answer may still wait for copies
         loop.tell(
                 new Event.AttemptEnded(request, number, server, o.outcome(), o.took(), settled, o.note(), o.report()));
     }
@@ -396,7 +399,7 @@
 
     @Override
     public void rejectRequest(Action.RejectRequest a) {
-        clients.busyReplied(a.request(), a.retryAfter());
+        clients.reject(a.request(), a.retryAfter());
         answered(a.request());
     }
 
@@ -408,7 +411,7 @@
 
     @Override
     public void failRequest(Action.FailRequest a) {
-        clients.errored(a.request());
+        clients.fail(a.request());
         answered(a.request());
     }
 
@@ -457,24 +460,27 @@
         long killed = Math.min(longest, LONGEST_COUNTED_MS) + KILLED_AFTER_MS;
         long began = signalNanos / 1_000_000;
         GracefulShutdown shutdown = new GracefulShutdown(killed, clients.requestsPerSecond());
-        log.line("planned restart: " + clients.sessions() + " connections, " + clients.requestsInFlight()
+        log.line("planned restart: " + clients.openConnections() + " connections, " + clients.requestsInFlight()
                 + " ops in hand, serves on for " + shutdown.endsBy() + " ms or until few ask");
         long answersIn = Math.max(1, shutdown.answersBy() - (time.clock().monotonicMs() - began));
-        clients.answerAllBy(time.now() + answersIn * 10);
+        clients.capDeadlines(time.now() + answersIn * 10);
         loop.tell(new Event.ShutdownBegun());
         // Guards against ops from before the word to leave whose own timeouts are later than the end.
         vertx.setTimer(answersIn, x -> loop.tell(new Event.ShutdownDeadline()));
         if (fleet != null) {
             fleet.leaves();
         }
-        clients.whenAsked(now -> shutdown.asked(now - began));
+        clients.onRequest(now -> shutdown.asked(now - began));
         vertx.setPeriodic(LOOK_MS, timer -> {
             long passed = time.clock().monotonicMs() - began;
             if (passed >= shutdown.answersBy()) {
-                clients.refuseUnfinished(); // at each look: a message may begin at any time
+                clients.rejectIncompleteMessages(); // at each look: a message may begin at any time
             }
-            switch (shutdown.at(passed, clients.greeted() + clients.unsent(), clients.unanswered())) {
-                case ENDS -> clients.endIdle();
+            switch (shutdown.at(
+                    passed,
+                    clients.startedConnections() + clients.unflushedConnections(),
+                    clients.unansweredConnections())) {
+                case ENDS -> clients.closeIdle();
                 case FINISHES -> {
                     clients.stopReading();
                     loop.tell(new Event.ShutdownDeadline());
@@ -483,7 +489,7 @@
                     vertx.cancelTimer(timer);
                     clients.stopReading(); // before the process exits, which takes a moment
                     log.line("planned restart: ends after " + passed + " ms, " + clients.requestsInFlight()
-                            + " ops unanswered, " + clients.sessions() + " connections");
+                            + " ops unanswered, " + clients.openConnections() + " connections");
                     done.countDown();
                 }
                 default -> {}
--- a/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/ReplicationCoordinator.java
@@ -20,6 +20,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.net.client.ClientConnections;
+import ploverdale.net.client.RequestHistoryLookup;
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.replication.IdempotencyRecord;
@@ -35,7 +36,7 @@
  * read, a write claimed before the module hears of it, and what came of it copied before its client hears. Must never decide
  * what is known, fresh enough or proven, and must answer no op twice.
  */
-final class ReplicationCoordinator implements ClientConnections.RequestHistoryLookup {
+final class ReplicationCoordinator implements RequestHistoryLookup {
     private static final long LOOK_MS = 1000;
     private static final long MS = 10;
     private static final long JOIN_AGAIN_MS = 40; // a submit that waits for an earlier one's fate
@@ -100,7 +101,7 @@
         vertx.setPeriodic(
                 LOOK_MS,
                 x -> List.copyOf(inHand.keySet()).stream()
-                        .filter(request -> clients.taken(request) == null)
+                        .filter(request -> clients.requestInFlight(request) == null)
                         .forEach(this::over));
     }
 
@@ -139,7 +140,7 @@
     }
 
     @Override
-    public void arrives(RequestArrived a, String key) {
+    public void onRequestArrived(RequestArrived a, String key) {
         RequestClass type = settings.started().requestClasses().get(a.type().index());
         boolean waits =
                 keeping.waits().contains(settings.requestClasses().get(a.type().index()));
@@ -175,19 +176,19 @@
     private void arrivesLater(RequestArrived a, String key) {
         if (time.now() + JOIN_AGAIN_MS * MS < a.timeoutAt()) {
             vertx.setTimer(JOIN_AGAIN_MS, x -> {
-                if (clients.taken(a.request()) != null) {
-                    arrives(a, key);
+                if (clients.requestInFlight(a.request()) != null) {
+                    onRequestArrived(a, key);
                 }
             });
         } else if (a.resubmitted()) {
-            clients.errored(a.request()); // an earlier submit may have run
+            clients.fail(a.request()); // an earlier submit may have run
         } else {
-            clients.busyReplied(a.request(), 0);
+            clients.reject(a.request(), 0);
         }
     }
 
     private void arrived(RequestArrived a, long tokenAge) {
-        if (clients.taken(a.request()) != null) {
+        if (clients.requestInFlight(a.request()) != null) {
             loop.tell(new RequestArrived(
                     a.request(),
                     a.type(),
@@ -210,26 +211,26 @@
                 d -> {
                     if (d.end() == End.GRANTED) {
                         i.claim = d.claim();
-                        if (clients.taken(request) != null) {
+                        if (clients.requestInFlight(request) != null) {
                             loop.tell(i.asked);
                         } else {
                             inHand.remove(request);
                             neverRan(i); // its client has left, and nothing was sent
                         }
-                    } else if (clients.taken(request) == null) {
+                    } else if (clients.requestInFlight(request) == null) {
                         inHand.remove(request);
                     } else if (d.end() == End.RAN) {
                         inHand.remove(request);
                         if (d.answer().length > 0) {
-                            clients.ranBefore(request, d.answer());
+                            clients.replay(request, d.answer());
                         } else {
-                            clients.errored(request);
+                            clients.fail(request);
                         }
                     } else if (time.now() + (JOIN_AGAIN_MS + keeping.askWithin() / MS) * MS < i.asked.timeoutAt()) {
                         vertx.setTimer(JOIN_AGAIN_MS, x -> claims(i));
                     } else {
                         inHand.remove(request);
-                        clients.errored(request);
+                        clients.fail(request);
                         log.often("a write submitted before", "errored, since it may have run");
                     }
                 });
@@ -249,7 +250,7 @@
         if (i != null) {
             i.out--;
             i.mayHaveRun |= !outcome.provesNotRun();
-            if (!row && clients.taken(request) == null) {
+            if (!row && clients.requestInFlight(request) == null) {
                 over(request);
             }
         }
@@ -287,23 +288,23 @@
     void acked(RequestId request, ResultRow row, LoadReport note, ServerId server) {
         InHand i = inHand.remove(request);
         if (i == null) {
-            clients.acked(request, row);
+            clients.succeed(request, row);
             return;
         }
         acker.put(i.asked.group(), Datagram.number(server) & 0xFFFF);
         if (!time.isKnown() && keeping.sessions() && i.asked.session() != null) {
-            clients.errored(request); // its position cannot be dated, so that nothing may be promised to the session
+            clients.fail(request); // its position cannot be dated, so that nothing may be promised to the session
             log.often("an acked write while the clock is in doubt", "errored");
             return;
         }
         if (!i.waits) {
-            clients.acked(request, row);
+            clients.succeed(request, row);
         }
         long left = Math.max(1, Math.min(keeping.waitWithin(), i.asked.timeoutAt() - time.now()));
         String session = i.asked.session() == null ? null : i.asked.session().text();
         i.copies = (keeping.sessions() && session != null ? 1 : 0) + (i.claim != null ? 1 : 0);
         if (i.waits && i.copies == 0) {
-            clients.acked(request, row);
+            clients.succeed(request, row);
         }
         if (keeping.sessions() && session != null) {
             long at = note != null && note.position() != LoadReport.UNKNOWN_TIME
@@ -335,10 +336,10 @@
             return;
         }
         if (i.notCopied) {
-            clients.errored(i.asked.request()); // nothing may be promised
+            clients.fail(i.asked.request()); // nothing may be promised
             log.often("an acked write without copies", "errored after " + keeping.waitWithin() / MS + " ms");
         } else {
-            clients.acked(i.asked.request(), row);
+            clients.succeed(i.asked.request(), row);
         }
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/ploverdale/net/client/ClientRuntime.java
@@ -0,0 +1,121 @@
+package ploverdale.net.client;
+
+import io.vertx.core.Vertx;
+import ploverdale.limits.ConnectionLimits;
+import ploverdale.log.Log;
+import ploverdale.model.RequestClass;
+import ploverdale.net.RouterEventLoop;
+import ploverdale.net.ServerClock;
+import ploverdale.settings.GatewaySettings;
+
+/** What the client connections of one gateway share. Immutable; its parts are used on the event loop only. */
+final class ClientRuntime {
+    /** For a client to read on before it is closed; at least as long as a request may take. */
+    private static final long MIN_READ_TIMEOUT_MS = 5000;
+
+    private static final long TICKS_PER_MS = 10; // of the timeouts of request classes
+
+    private final Vertx vertx;
+    private final Log log;
+    private final RouterEventLoop eventLoop;
+    private final ConnectionLimits<ClientSession> limits;
+    private final ServerClock clock;
+    private final long readTimeoutMs;
+    private final ServiceStatus status = new ServiceStatus();
+    private final SessionRegistry sessions = new SessionRegistry();
+    private final MemoryBudget memory = new MemoryBudget();
+    private final CancelRegistry cancels = new CancelRegistry();
+    private final LingeringClose lingeringClose;
+    private final InFlightRequests inFlight;
+    private final RequestAcceptor acceptor;
+    private final SessionEvictor evictor;
+
+    ClientRuntime(
+            Vertx vertx,
+            Log log,
+            RouterEventLoop eventLoop,
+            GatewaySettings settings,
+            ConnectionLimits<ClientSession> limits,
+            ServerClock clock) {
+        this.vertx = vertx;
+        this.log = log;
+        this.eventLoop = eventLoop;
+        this.limits = limits;
+        this.clock = clock;
+        this.readTimeoutMs = readTimeoutMs(settings);
+        this.lingeringClose = new LingeringClose(vertx, log, limits, status);
+        this.inFlight = new InFlightRequests(log, eventLoop, memory);
+        this.acceptor = new RequestAcceptor(eventLoop, settings, limits, clock, inFlight);
+        this.evictor = new SessionEvictor(log, limits, clock, status, memory);
+    }
+
+    private static long readTimeoutMs(GatewaySettings settings) {
+        long longestRequest = settings.started().requestClasses().stream()
+                .mapToLong(RequestClass::timeout)
+                .max()
+                .orElse(0);
+        return Math.max(MIN_READ_TIMEOUT_MS, longestRequest / TICKS_PER_MS);
+    }
+
+    Vertx vertx() {
+        return vertx;
+    }
+
+    Log log() {
+        return log;
+    }
+
+    RouterEventLoop eventLoop() {
+        return eventLoop;
+    }
+
+    ConnectionLimits<ClientSession> limits() {
+        return limits;
+    }
+
+    ServerClock clock() {
+        return clock;
+    }
+
+    /** Monotonic time in milliseconds. */
+    long nowMs() {
+        return clock.clock().monotonicMs();
+    }
+
+    /** For a client that does not read, until it is closed. */
+    long readTimeoutMs() {
+        return readTimeoutMs;
+    }
+
+    ServiceStatus status() {
+        return status;
+    }
+
+    SessionRegistry sessions() {
+        return sessions;
+    }
+
+    MemoryBudget memory() {
+        return memory;
+    }
+
+    CancelRegistry cancels() {
+        return cancels;
+    }
+
+    LingeringClose lingeringClose() {
+        return lingeringClose;
+    }
+
+    InFlightRequests inFlight() {
+        return inFlight;
+    }
+
+    RequestAcceptor acceptor() {
+        return acceptor;
+    }
+
+    SessionEvictor evictor() {
+        return evictor;
+    }
+}
--- a/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
@@ -7,87 +7,88 @@
 import ploverdale.net.NioSockets;
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageReader;
-import ploverdale.net.postgres.MessageWriter;
 
 /**
- * A client's connection for which there is no room. Waits a moment for the startup message, since requests may come right
- * behind it, and then refuses it and each of them by an error of its own. Must never forward anything, nor close over what
- * it has read without an answer.
+ * A client's connection that there is no capacity for. Waits a moment for the startup message, since requests may come right
+ * behind it, and then rejects the startup and each of the requests by an error of its own. Must never forward anything, nor
+ * close over what it has read without an answer. Used on the event loop only; it is refused at most once.
  */
 final class RefusedConnection {
-    private static final String TOO_MANY_CONNECTIONS = "53300";
-    private static final int REQUESTS_MOST = 1000; // answered one by one
+    /** Requests behind the startup message that are answered one by one. */
+    private static final int MAX_REQUESTS_ANSWERED = 1000;
+
+    private static final String ENCRYPTION_NOT_SUPPORTED = "N";
 
     private final NetSocket socket;
-    private final Consumer<ClientMessage.CancelRequest> cancels;
-    private final Runnable end;
-    private final ClientMessageReader stream = new ClientMessageReader();
-    private boolean over;
+    private final Consumer<ClientMessage.CancelRequest> cancelHandler;
+    private final Runnable closer;
+    private final ClientMessageReader reader = new ClientMessageReader();
+    private boolean finished;
 
     /**
-     * @param cancels takes a cancel message, which needs no room
-     * @param end ends the connection, in order, once all is written
+     * @param cancelHandler takes a cancel message, which needs no capacity
+     * @param closer closes the connection gracefully, once all is written
      */
-    RefusedConnection(NetSocket socket, Consumer<ClientMessage.CancelRequest> cancels, Runnable end) {
+    RefusedConnection(NetSocket socket, Consumer<ClientMessage.CancelRequest> cancelHandler, Runnable closer) {
         this.socket = socket;
-        this.cancels = cancels;
-        this.end = end;
+        this.cancelHandler = cancelHandler;
+        this.closer = closer;
     }
 
-    /** Refuses it once its startup message has come, or when so much time is up. */
+    /** Refuses it once its startup message has come, or after this time. */
     void refuseWithin(long waitMs, Vertx vertx) {
-        socket.handler(this::bytes);
+        socket.handler(this::onBytes);
         if (waitMs == 0) {
             NioSockets.readNow(socket); // what is there already is answered request by request
             refuse(0);
         } else {
-            vertx.setTimer(waitMs, x -> refuse(0));
+            vertx.setTimer(waitMs, timer -> refuse(0));
         }
     }
 
     /** Its client has closed it; nothing is to be done any more. */
-    void closed() {
-        over = true;
+    void onClosed() {
+        finished = true;
     }
 
-    private void bytes(Buffer more) {
-        stream.feed(more);
-        ClientMessage first = stream.next();
+    private void onBytes(Buffer bytes) {
+        reader.feed(bytes);
+        ClientMessage first = reader.next();
         while (first instanceof ClientMessage.EncryptionRequest) {
-            socket.write(Buffer.buffer("N"));
-            first = stream.next();
+            socket.write(Buffer.buffer(ENCRYPTION_NOT_SUPPORTED));
+            first = reader.next();
         }
         if (first instanceof ClientMessage.CancelRequest cancel) {
-            over = true;
-            cancels.accept(cancel);
-            end.run();
+            finished = true;
+            cancelHandler.accept(cancel);
+            closer.run();
         } else if (first != null) {
-            refuse(requestsBehind());
+            refuse(countRequests());
         }
     }
 
-    private int requestsBehind() {
+    private int countRequests() {
         int requests = 0;
-        for (ClientMessage m = stream.next(); m != null && requests < REQUESTS_MOST; m = stream.next()) {
-            if (m.endsConnection()) {
-                return requests;
+        ClientMessage message = reader.next();
+        while (message != null && requests < MAX_REQUESTS_ANSWERED && !message.endsConnection()) {
+            if (message.expectsQueryResponse()) {
+                requests++;
             }
-            requests += m.expectsQueryResponse() ? 1 : 0;
+            message = reader.next();
         }
         return requests;
     }
 
     /** The first error answers the startup message and the first request, further ones the requests behind that. */
     private void refuse(int requests) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
-        socket.write(MessageWriter.errorResponse(TOO_MANY_CONNECTIONS, "too many connections", null, true, false));
+        finished = true;
+        socket.write(ErrorResponses.fatal(SqlStates.TOO_MANY_CONNECTIONS, "too many connections"));
         for (int i = 1; i < requests; i++) {
-            socket.write(MessageWriter.errorResponse(
-                    TOO_MANY_CONNECTIONS, "not run, too many connections", null, false, true));
+            socket.write(ErrorResponses.error(SqlStates.TOO_MANY_CONNECTIONS, "not run, too many connections"));
         }
-        end.run();
+        closer.run();
     }
 }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -102,7 +102,7 @@
                 ServerClock time = new ServerClock(log, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
-                clients.ready();
+                clients.startServing();
                 vertx.createNetServer()
                         .connectHandler(clients::accept)
                         .listen(0, "127.0.0.1")
