--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -206,7 +206,7 @@
 
     /** Whether the connection is closed or being closed. */
     boolean isClosed() {
-        return isClosed();
+        return state == SessionState.CLOSED;
     }
 
     // -- Responses
