--- a/gateway/src/main/java/ploverdale/net/ClientRequestsAdapter.java
+++ b/gateway/src/main/java/ploverdale/net/ClientRequestsAdapter.java
@@ -2,6 +2,7 @@
 
 import ploverdale.model.Event.RequestArrived;
 import ploverdale.model.RequestId;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.peer.ClientRequests;
 import ploverdale.net.postgres.ResultRow;
@@ -25,26 +26,26 @@
 
     @Override
     public boolean isPending(RequestId request) {
-        return clients.taken(request) != null;
+        return clients.requestInFlight(request) != null;
     }
 
     @Override
     public void succeeded(RequestId request, ResultRow row) {
-        clients.acked(request, row);
+        clients.succeed(request, row);
     }
 
     @Override
     public void succeededBefore(RequestId request, byte[] encodedRow) {
-        clients.ranBefore(request, encodedRow);
+        clients.replay(request, encodedRow);
     }
 
     @Override
     public void failed(RequestId request) {
-        clients.errored(request);
+        clients.fail(request);
     }
 
     @Override
     public void rejected(RequestId request) {
-        clients.busyReplied(request, NO_RETRY_AFTER);
+        clients.reject(request, NO_RETRY_AFTER);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -17,6 +17,8 @@
 import ploverdale.model.Event;
 import ploverdale.model.Quota;
 import ploverdale.model.RequestClass;
+import ploverdale.net.client.ClientConnections;
+import ploverdale.net.client.ClientSession;
 import ploverdale.net.discovery.Discovery;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.peer.ClientRequests;
@@ -43,7 +45,7 @@
     private final Log log;
     private final Clock clock;
     private final RouterEventLoop loop;
-    private final ConnectionLimits<ClientConnections.Session> limits;
+    private final ConnectionLimits<ClientSession> limits;
     private final ClientConnections clients;
     private final ServerConnectionPool servers;
     private final EndpointUpdates endpoints;
@@ -142,7 +144,7 @@
                 options.quotaSettings().orElseThrow().replication(),
                 replicas,
                 serverClock);
-        clients.past(coordinator);
+        clients.useHistory(coordinator);
         transport.whenReceived(replicas::runCallbacks);
         return coordinator;
     }
@@ -184,14 +186,14 @@
      */
     private boolean makeRoomForServer() {
         while (!limits.serverFits()) {
-            ConnectionLimits.Eviction<ClientConnections.Session> eviction = limits.wayForServer(clock.monotonicMs());
+            ConnectionLimits.Eviction<ClientSession> eviction = limits.wayForServer(clock.monotonicMs());
             if (eviction != null) {
-                clients.end(eviction);
+                clients.evict(eviction);
             } else if (!servers.closeLongestIdle()) {
                 break;
             }
         }
-        clients.makeWay(limits.over() + 1);
+        clients.closeLingering(limits.over() + 1);
         return limits.mayOpen();
     }
 
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -6,6 +6,8 @@
 import ploverdale.model.OutboundActionHandler;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
+import ploverdale.net.client.AcceptedRequest;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.discovery.Discovery;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.peer.PeerTransport;
@@ -59,12 +61,12 @@
     @Override
     public void startAttempt(Action.StartAttempt attempt) {
         RequestId request = attempt.request();
-        ClientConnections.AcceptedRequest accepted = clients.taken(request);
+        AcceptedRequest accepted = clients.requestInFlight(request);
         if (accepted == null) {
             endWithoutClient(attempt);
             return;
         }
-        int number = accepted.nextSend();
+        int number = accepted.nextAttemptNumber();
         int clockChanges = serverClock.changes();
         history.attemptStarted(request);
         // The process may have been paused since the router read the clock; the time limit counts from then.
@@ -74,7 +76,7 @@
                 attempt.server(),
                 timeLeft,
                 () -> mayBeWritten(attempt, accepted, clockChanges),
-                waitMs -> MessageWriter.request(accepted.ask(), waitMs),
+                waitMs -> MessageWriter.request(accepted.query(), waitMs),
                 end -> onAttemptEnded(request, number, attempt.server(), end));
     }
 
@@ -89,9 +91,8 @@
      * Whether the attempt may still be written. It may have waited for its connection: by now its client may have left, the
      * position it relies on may be too old or void, or its server may be draining.
      */
-    private boolean mayBeWritten(
-            Action.StartAttempt attempt, ClientConnections.AcceptedRequest accepted, int clockChanges) {
-        if (!clients.waits(accepted) || !loop.mayReceive(attempt.server())) {
+    private boolean mayBeWritten(Action.StartAttempt attempt, AcceptedRequest accepted, int clockChanges) {
+        if (!clients.isAwaited(accepted) || !loop.mayReceive(attempt.server())) {
             return false;
         }
         if (attempt.writeBy() == Long.MAX_VALUE) {
@@ -106,7 +107,8 @@
         if (hasRow) {
             history.succeeded(request, end.row(), end.answerReport(), server);
         }
-        boolean settled = hasRow || clients.taken(request) == null; // its answer may still wait to be replicated
+        boolean settled =
+                hasRow || clients.requestInFlight(request) == null; // its answer may still wait to be replicated
         loop.enqueue(new Event.AttemptEnded(
                 request, number, server, end.outcome(), end.duration(), settled, end.answerReport(), end.loadReport()));
     }
@@ -118,13 +120,13 @@
 
     @Override
     public void rejectRequest(Action.RejectRequest rejection) {
-        clients.busyReplied(rejection.request(), rejection.retryAfter());
+        clients.reject(rejection.request(), rejection.retryAfter());
         history.answered(rejection.request());
     }
 
     @Override
     public void failRequest(Action.FailRequest failure) {
-        clients.errored(failure.request());
+        clients.fail(failure.request());
         history.answered(failure.request());
     }
 
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -7,6 +7,7 @@
 import java.util.function.BooleanSupplier;
 import ploverdale.clock.Clock;
 import ploverdale.model.Event;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.peer.PeerTransport;
 import ploverdale.settings.ConfigurationFile;
@@ -65,7 +66,7 @@
      */
     Future<NetServer> run(Event.Started settings, Runnable loadEndpoints) {
         Promise<NetServer> serving = Promise.promise();
-        new ClientListener(vertx, options.log(), clients)
+        new ListeningSocket(vertx, options.log(), clients)
                 .listen(configuration.listen())
                 .compose(listener -> peers.listen(configuration.peerListen()).map(listener))
                 .onSuccess(listener -> awaitLoop(settings, loadEndpoints, () -> serve(listener, serving)))
@@ -102,7 +103,7 @@
     }
 
     private void serve(NetServer listener, Promise<NetServer> serving) {
-        clients.ready();
+        clients.startServing();
         options.log()
                 .line("gateway " + configuration.name() + " listens at "
                         + configuration.listen().getAddress().getHostAddress() + ":" + listener.actualPort() + ", "
--- a/gateway/src/main/java/ploverdale/net/ClientListener.java
+++ b/gateway/src/main/java/ploverdale/net/ListeningSocket.java
@@ -7,10 +7,11 @@
 import java.net.BindException;
 import java.net.InetSocketAddress;
 import ploverdale.log.Log;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.server.ConnectFailure;
 
 /** Opens the socket on which clients connect. Used on the event loop only. */
-final class ClientListener {
+final class ListeningSocket {
     private static final int MAX_ATTEMPTS = 50; // 5 s, half of what a restart may take
     private static final long RETRY_AFTER_MS = 100;
     private static final int ACCEPT_BACKLOG = 1024;
@@ -19,7 +20,7 @@
     private final Log log;
     private final ClientConnections clients;
 
-    ClientListener(Vertx vertx, Log log, ClientConnections clients) {
+    ListeningSocket(Vertx vertx, Log log, ClientConnections clients) {
         this.vertx = vertx;
         this.log = log;
         this.clients = clients;
--- a/gateway/src/main/java/ploverdale/net/peer/NoRequestHistory.java
+++ b/gateway/src/main/java/ploverdale/net/peer/NoRequestHistory.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void arrives(RequestArrived request, String sessionKey) {
+    public void onRequestArrived(RequestArrived request, String sessionKey) {
         requests.route(request);
     }
 
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void arrives(RequestArrived request, String sessionKey) {
+    public void onRequestArrived(RequestArrived request, String sessionKey) {
         RequestClass requestClass =
                 gatewaySettings.started().requestClasses().get(request.type().index());
         if (settings.replicatesSessions() && requestClass.needs() == Consistency.SESSION && sessionKey != null) {
@@ -111,7 +111,7 @@
         if (clock.now() + WriteClaims.RETRY_INTERVAL_MS * TENTHS_PER_MS < request.timeoutAt()) {
             vertx.setTimer(WriteClaims.RETRY_INTERVAL_MS, x -> {
                 if (requests.isPending(request.request())) {
-                    arrives(request, sessionKey);
+                    onRequestArrived(request, sessionKey);
                 }
             });
         } else if (request.resubmitted()) {
--- a/gateway/src/main/java/ploverdale/net/peer/RequestHistoryLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/RequestHistoryLookup.java
@@ -9,5 +9,5 @@
      *
      * @param sessionKey by which the gateways know the client's session, or null where it has none
      */
-    void arrives(Event.RequestArrived request, String sessionKey);
+    void onRequestArrived(Event.RequestArrived request, String sessionKey);
 }
--- a/gateway/src/main/java/ploverdale/net/shutdown/GracefulShutdownRunner.java
+++ b/gateway/src/main/java/ploverdale/net/shutdown/GracefulShutdownRunner.java
@@ -5,7 +5,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.log.Log;
 import ploverdale.model.Event;
-import ploverdale.net.ClientConnections;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.shutdown.GracefulShutdown;
 
@@ -62,15 +62,15 @@
 
     /** Begins; returns at once. */
     public void begin() {
-        log.line("planned restart: " + clients.sessions() + " connections, " + clients.requestsInFlight()
+        log.line("planned restart: " + clients.openConnections() + " connections, " + clients.requestsInFlight()
                 + " ops in hand, serves on for " + shutdown.closeIdleByMs() + " ms or until few ask");
         long answerWithinMs = Math.max(1, shutdown.answerByMs() - passedMs());
-        clients.answerAllBy(clock.now() + answerWithinMs * TENTHS_PER_MS);
+        clients.capDeadlines(clock.now() + answerWithinMs * TENTHS_PER_MS);
         loop.enqueue(new Event.ShutdownBegun());
         // Requests from before the shutdown may have timeouts of their own that are later than the end.
         vertx.setTimer(answerWithinMs, id -> loop.enqueue(new Event.ShutdownDeadline()));
         leaveMembership.run();
-        clients.whenAsked(nowMs -> shutdown.onRequest(nowMs - beganAtMs));
+        clients.onRequest(nowMs -> shutdown.onRequest(nowMs - beganAtMs));
         vertx.setPeriodic(CHECK_INTERVAL_MS, this::check);
     }
 
@@ -81,11 +81,11 @@
     private void check(long timer) {
         long passedMs = passedMs();
         if (passedMs >= shutdown.answerByMs()) {
-            clients.refuseUnfinished(); // at each check: a message may begin at any time
+            clients.rejectIncompleteMessages(); // at each check: a message may begin at any time
         }
-        int openClients = clients.greeted() + clients.unsent();
-        switch (shutdown.phaseAt(passedMs, openClients, clients.unanswered())) {
-            case CLOSING_IDLE -> clients.endIdle();
+        int openClients = clients.startedConnections() + clients.unflushedConnections();
+        switch (shutdown.phaseAt(passedMs, openClients, clients.unansweredConnections())) {
+            case CLOSING_IDLE -> clients.closeIdle();
             case ANSWERING -> {
                 clients.stopReading();
                 loop.enqueue(new Event.ShutdownDeadline());
@@ -101,7 +101,7 @@
     private void finish(long passedMs) {
         clients.stopReading(); // before the process exits, which takes a moment
         log.line("planned restart: ends after " + passedMs + " ms, " + clients.requestsInFlight() + " ops unanswered, "
-                + clients.sessions() + " connections");
+                + clients.openConnections() + " connections");
         finished.countDown();
     }
 }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -19,7 +19,7 @@
 import ploverdale.log.Log;
 import ploverdale.model.Action;
 import ploverdale.model.OutboundActionHandler;
-import ploverdale.net.ClientConnections;
+import ploverdale.net.client.ClientConnections;
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.settings.ConfigurationFile;
@@ -100,7 +100,7 @@
                 ServerClock time = new ServerClock(log::line, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
-                clients.ready();
+                clients.startServing();
                 vertx.createNetServer()
                         .connectHandler(clients::accept)
                         .listen(0, "127.0.0.1")
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -87,7 +87,7 @@
     }
 
     /** Whether the other instance gets this one, sent until then. */
-    private void arrives(int what) throws Exception {
+    private void onRequestArrived(int what) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         DatagramPacket got = new DatagramPacket(new byte[1], 1);
         do {
@@ -109,7 +109,7 @@
         Fault fault = system.fail(Call.RECEIVE, errno, 2);
         receives(2);
         assertThat(fault.failed()).isEqualTo(2);
-        arrives(3);
+        onRequestArrived(3);
     }
 
     @ParameterizedTest
@@ -117,7 +117,7 @@
     void aSendThatFailsCostsThatDatagramAlone(Errno errno) throws Exception {
         listen();
         Fault fault = system.fail(Call.SEND, errno, 2);
-        arrives(1);
+        onRequestArrived(1);
         assertThat(fault.failed()).isEqualTo(2);
         receives(2);
     }
@@ -129,7 +129,7 @@
         listen();
         receives(1);
         assertThat(fault.failed()).isEqualTo(3);
-        arrives(2);
+        onRequestArrived(2);
     }
 
     @Test
@@ -139,6 +139,6 @@
         assertThat(lines.toString()).contains("no words with other instances");
         taken.close();
         receives(1);
-        arrives(2);
+        onRequestArrived(2);
     }
 }
--- a/gateway/src/test/java/ploverdale/net/peer/ReplicationCoordinatorTest.java
+++ b/gateway/src/test/java/ploverdale/net/peer/ReplicationCoordinatorTest.java
@@ -23,7 +23,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 import ploverdale.model.TenantId;
-import ploverdale.net.Gateway;
+import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage.RowDescription;
 import ploverdale.replication.Replicas;
@@ -46,7 +46,7 @@
     private static final ReplicationSettings REPLICATION =
             new ReplicationSettings(1, false, 10_000, 400, 200_000, true, Set.of(), 1000, 1000, 0);
 
-    private final Vertx vertx = Gateway.vertx();
+    private final Vertx vertx = SingleLoopVertx.create();
     private final Clock clock = Clock.system();
     private final List<String> decisions = new ArrayList<>();
     private long wallOffset = -300_000; // the replica starts 30 s ago, longer than outcomes are kept
@@ -74,7 +74,7 @@
     }
 
     private void submit(int requestClass, boolean again) {
-        coordinator.arrives(
+        coordinator.onRequestArrived(
                 new RequestArrived(
                         REQUEST,
                         new RequestClassId(requestClass),
