--- a/gateway/src/test/java/ploverdale/routing/RouterDriver.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterDriver.java
@@ -161,6 +161,10 @@
         tell(new Event.HealthCheckEnded(new ServerId(server), Outcome.TIMED_OUT, null));
     }
 
+    static LoadReport report(Role role, long positionMs) {
+        return new LoadReport(role, positionMs * 10);
+    }
+
     RequestId ask(int type) {
         return ask(type, null, 0);
     }
