--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -1,31 +1,21 @@
 package ploverdale.routing;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.Queue;
 import java.util.SplittableRandom;
 import ploverdale.model.Action;
-import ploverdale.model.Capabilities;
 import ploverdale.model.Endpoint;
 import ploverdale.model.Event;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.GroupId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
-import ploverdale.model.ReplicaGuarantees;
-import ploverdale.model.RequestClass;
-import ploverdale.model.RequestClass.Consistency;
-import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestClassId;
 import ploverdale.model.RequestId;
-import ploverdale.model.ServerGuarantees;
 import ploverdale.model.ServerId;
 import ploverdale.model.SessionId;
-import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 import ploverdale.model.ZoneId;
 
@@ -35,35 +25,6 @@
  * Times in tenths of a millisecond, work in requests of mean work.
  */
 final class SlowStartFleet {
-    /** Which servers restart, and what else goes wrong. */
-    enum Scenario {
-        PRIMARY_UNDER_WRITES(0.7, 0.3),
-        ONE_REPLICA(0.7, 0.1),
-        MOST_SERVERS(0.22, 0.2),
-        ALL_SERVERS_AND_FAILURES(0.05, 0.18),
-        QUIET_GROUP_THEN_BURST(0.52, 0.12);
-
-        /** Floors of {@link Result#served} and {@link Result#coldServed} in the mean, for fleets of any size. */
-        final double leastServed;
-
-        final double leastColdServed;
-
-        Scenario(double leastServed, double leastColdServed) {
-            this.leastServed = leastServed;
-            this.leastColdServed = leastColdServed;
-        }
-    }
-
-    /** The contract of slow start, the cores of a server and its true capacity when warm, in requests per second. */
-    record Deployment(
-            String name,
-            double startCapacity,
-            long coldMs,
-            double multiple,
-            long windowMs,
-            int cores,
-            double capacity) {}
-
     /**
      * What one run showed.
      *
@@ -83,107 +44,47 @@
     private static final long END = START + 9500 * MS;
     private static final int GROUPS = 4;
     private static final int GROUP = 3;
-    private static final int SERVERS = GROUPS * GROUP;
-    private static final double RECOVERING_SPEED = 0.8; // of the mean server's, since servers differ
+    static final int SERVERS = GROUPS * GROUP;
     private static final double LOAD = 0.6; // of the warm servers' capacity
-    private static final double AGREED = 0.82; // of the same
     private static final double PROBE_WORK = 0.005;
     private static final double FAILURES = 0.15; // of attempts, where attempts fail at once
-    private static final long BOUND = 1000 * MS;
     private static final int VIEW = 0;
     private static final int HISTORY = 1;
     private static final int SUBMIT = 2;
 
-    private record Due(long at, long order, Runnable action) implements Comparable<Due> {
-        @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
-        }
-    }
-
-    private record Arrival(long at, double work) {}
-
-    private static final class Attempt {
-        final int gateway;
-        final RequestId request;
-        final int number;
-        final Server server;
-        final long sentAt;
-        final double work;
-        boolean ended;
-
-        Attempt(int gateway, RequestId request, int number, Server server, long sentAt, double work) {
-            this.gateway = gateway;
-            this.request = request;
-            this.number = number;
-            this.server = server;
-            this.sentAt = sentAt;
-            this.work = work;
-        }
-    }
-
-    private static final class Server {
-        final ServerId id;
-        final int number;
-        final int cores;
-        final Queue<Attempt> queue = new ArrayDeque<>();
-        final List<Attempt> running = new ArrayList<>();
-        final List<Arrival> coldArrivals = new ArrayList<>();
-        boolean restarts;
-        boolean up = true;
-        boolean restarted;
-        int life;
-        double busy;
-        long busyAt = START;
-        double coldAnswers;
-
-        Server(int number, int cores) {
-            this.number = number;
-            this.cores = cores;
-            id = new ServerId("s" + number);
-        }
-
-        boolean primary() {
-            return number % GROUP == 0;
-        }
-
-        void updateBusy(long now) {
-            busy += (1 - Math.exp(-(now - busyAt) / (200.0 * MS))) * (running.size() / (double) cores - busy);
-            busyAt = now;
-        }
-    }
-
     private record Request(int gateway, int type, int group, int tries, long targetAt) {}
 
     private final int gateways;
-    private final Scenario scenario;
+    private final SlowStartScenario scenario;
     private final boolean gossip;
-    private final Deployment deployment;
+    private final SlowStartDeployment deployment;
     private final SplittableRandom random;
     private final List<Router> routers = new ArrayList<>();
-    private final List<Server> servers = new ArrayList<>();
-    private final Map<ServerId, Server> byId = new HashMap<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
+    private final Map<ServerId, SimulatedServer> byId = new HashMap<>();
+    private final VirtualTime time = new VirtualTime(START);
+    private final SlowStartBudget budget;
     private final Map<RequestId, Request> requests = new HashMap<>();
     private final Map<RequestId, Integer> attempts = new HashMap<>();
-    private final Map<RequestId, Attempt> out = new HashMap<>();
+    private final Map<RequestId, SimulatedAttempt> out = new HashMap<>();
     private final double[] trafficUpTo;
-    private long order;
-    private long now = START;
     private int names;
     private int asked;
     private int served;
 
-    private SlowStartFleet(int gateways, Scenario scenario, boolean gossip, Deployment deployment, long seed) {
+    private SlowStartFleet(
+            int gateways, SlowStartScenario scenario, boolean gossip, SlowStartDeployment deployment, long seed) {
         this.gateways = gateways;
         this.scenario = scenario;
         this.gossip = gossip;
         this.deployment = deployment;
+        budget = new SlowStartBudget(deployment, RESTARTED_AT);
         random = new SplittableRandom(seed);
         trafficUpTo = new double[gateways];
     }
 
-    static Result run(int gateways, Scenario scenario, boolean gossip, Deployment deployment, long seed) {
+    static Result run(
+            int gateways, SlowStartScenario scenario, boolean gossip, SlowStartDeployment deployment, long seed) {
         return new SlowStartFleet(gateways, scenario, gossip, deployment, seed).play();
     }
 
@@ -193,28 +94,19 @@
         at(DOWN_AT, () -> restarting().forEach(this::goDown));
         at(RESTARTED_AT, this::notifyOfRestart);
         at(UP_AT, () -> restarting().forEach(this::comeUp));
-        at(now, this::nextRequest);
-        while (!due.isEmpty() && due.peek().at < END) {
-            Due next = due.poll();
-            now = next.at;
-            next.action.run();
-        }
-        double worst = restarting().stream().mapToDouble(this::worstLoad).max().orElseThrow();
+        at(time.now(), this::nextRequest);
+        time.runUntil(END);
+        double worst =
+                restarting().stream().mapToDouble(budget::worstLoad).max().orElseThrow();
         double answers = restarting().stream().mapToDouble(s -> s.coldAnswers).sum();
         return new Result(
-                worst, served / (double) asked, answers / (restarting().size() * possibleAnswers()));
+                worst, served / (double) asked, answers / (restarting().size() * budget.possibleAnswers(UP_AT, END)));
     }
 
     private void createServers() {
         for (int i = 0; i < SERVERS; i++) {
-            Server server = new Server(i, deployment.cores);
-            server.restarts = switch (scenario) {
-                case PRIMARY_UNDER_WRITES -> i == 0;
-                case ONE_REPLICA -> i == 1;
-                case QUIET_GROUP_THEN_BURST -> i < GROUP;
-                case MOST_SERVERS -> i >= GROUP;
-                case ALL_SERVERS_AND_FAILURES -> true;
-            };
+            SimulatedServer server = new SimulatedServer(i, deployment.cores(), GROUP, START);
+            server.restarts = scenario.restarts(i, GROUP);
             servers.add(server);
             byId.put(server.id, server);
         }
@@ -227,7 +119,7 @@
             trafficUpTo[i] = total;
             Router router = new Router(null);
             routers.add(router);
-            tell(i, started(i));
+            tell(i, SlowStartSettings.started(random.nextLong(), i, gateways, gossip, deployment));
             tell(
                     i,
                     new Event.EndpointUpdate(
@@ -237,37 +129,7 @@
         }
     }
 
-    private Event.Started started(int gateway) {
-        List<RequestClass> types = List.of(
-                type(2000 * MS, Idempotence.IDEMPOTENT, 2, 0, Consistency.BOUNDED),
-                type(1000 * MS, Idempotence.IDEMPOTENT, 1, 0, Consistency.UNBOUNDED),
-                type(3000 * MS, Idempotence.NOT_IDEMPOTENT, 6, 0.5, Consistency.WRITE));
-        ServerGuarantees guarantees = new ServerGuarantees(
-                deployment.startCapacity,
-                deployment.coldMs * MS,
-                deployment.multiple,
-                deployment.windowMs * MS,
-                true,
-                0);
-        return new Event.Started(
-                random.nextLong(),
-                gateways,
-                types,
-                List.of(new Tenant(AGREED * SERVERS * deployment.capacity)),
-                0.05,
-                guarantees,
-                new Capabilities(6, true, true, true, 1000 * MS, gossip),
-                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false),
-                false,
-                gateway);
-    }
-
-    private static RequestClass type(long timeout, Idempotence repeats, double value, double late, Consistency needs) {
-        return new RequestClass(
-                500 * MS, 0, timeout, repeats, RequestClass.Scope.GROUP, 0, value, late, false, needs, BOUND);
-    }
-
-    private static Endpoint listing(Server server, long startedAt) {
+    private static Endpoint listing(SimulatedServer server, long startedAt) {
         return new Endpoint(
                 server.id,
                 new GroupId(server.number / GROUP),
@@ -277,30 +139,30 @@
                 startedAt);
     }
 
-    private List<Server> restarting() {
+    private List<SimulatedServer> restarting() {
         return servers.stream().filter(s -> s.restarts).toList();
     }
 
-    private void at(long time, Runnable action) {
-        due.add(new Due(Math.max(now, time), order++, action));
+    private void at(long at, Runnable action) {
+        time.at(at, action);
     }
 
     // -- Clients
 
     private void nextRequest() {
-        boolean bursting = now >= BURST_AT && now < BURST_AT + BURST_LASTS;
+        boolean bursting = time.now() >= BURST_AT && time.now() < BURST_AT + BURST_LASTS;
         double burst = bursting ? 1.5 : 1;
-        double rate = burst * LOAD * SERVERS * deployment.capacity / (1000 * MS);
+        double rate = burst * LOAD * SERVERS * deployment.capacity() / (1000 * MS);
         double draw = random.nextDouble();
         int type = draw < 0.4 ? VIEW : draw < 0.6 ? HISTORY : SUBMIT;
-        long targetAt = now + 500 * MS;
-        asked += now >= UP_AT ? 1 : 0;
+        long targetAt = time.now() + 500 * MS;
+        asked += time.now() >= UP_AT ? 1 : 0;
         send(new Request(pickGateway(), type, pickGroup(bursting), 0, targetAt));
-        at(now + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate)), this::nextRequest);
+        at(time.now() + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate)), this::nextRequest);
     }
 
     private int pickGroup(boolean bursting) {
-        double first = scenario != Scenario.QUIET_GROUP_THEN_BURST ? 1.0 / GROUPS : bursting ? 0.7 : 0.01;
+        double first = scenario != SlowStartScenario.QUIET_GROUP_THEN_BURST ? 1.0 / GROUPS : bursting ? 0.7 : 0.01;
         return random.nextDouble() < first ? 0 : 1 + random.nextInt(GROUPS - 1);
     }
 
@@ -325,7 +187,7 @@
                         new TenantId(0),
                         new GroupId(request.group),
                         new SessionId("c"),
-                        now + timeout,
+                        time.now() + timeout,
                         request.tries > 0,
                         0,
                         0));
@@ -336,14 +198,14 @@
         attempts.remove(request);
         if (r != null && r.tries < 2 && random.nextDouble() < 0.6) {
             Request again = new Request(pickGateway(), r.type, r.group, r.tries + 1, r.targetAt);
-            at(now + (100 + random.nextInt(300)) * MS, () -> send(again));
+            at(time.now() + (100 + random.nextInt(300)) * MS, () -> send(again));
         }
     }
 
     // -- Routers
 
     private void tell(int gateway, Event event) {
-        for (Action action : routers.get(gateway).on(now, event)) {
+        for (Action action : routers.get(gateway).on(time.now(), event)) {
             carryOut(gateway, action);
         }
     }
@@ -352,22 +214,22 @@
         if (action instanceof Action.StartAttempt send) {
             begin(gateway, send);
         } else if (action instanceof Action.CheckHealth probe) {
-            at(now + 3 + random.nextInt(7), () -> probed(gateway, byId.get(probe.server())));
+            at(time.now() + 3 + random.nextInt(7), () -> probed(gateway, byId.get(probe.server())));
         } else if (action instanceof Action.SetTimer wake) {
             at(wake.at(), () -> tell(gateway, new Event.TimerFired(wake.mark())));
         } else if (action instanceof Action.SendGossip tell) {
             at(
-                    now + (2 + random.nextInt(20)) * MS,
+                    time.now() + (2 + random.nextInt(20)) * MS,
                     () -> tell(tell.peer(), new Event.GossipReceived(gateway, tell.bytes())));
         } else if (action instanceof Action.RejectRequest reply) {
-            at(now, () -> refused(reply.request()));
+            at(time.now(), () -> refused(reply.request()));
         } else if (action instanceof Action.FailRequest reply) {
             requests.remove(reply.request());
             attempts.remove(reply.request());
         } else if (action instanceof Action.CancelAttempt cancel) {
-            Attempt attempt = out.get(cancel.request());
+            SimulatedAttempt attempt = out.get(cancel.request());
             if (attempt != null && attempt.number == cancel.attempt()) {
-                at(now, () -> end(attempt, Outcome.CANCELLED));
+                at(time.now(), () -> end(attempt, Outcome.CANCELLED));
             }
         }
     }
@@ -375,13 +237,14 @@
     private void begin(int gateway, Action.StartAttempt send) {
         int number = attempts.merge(send.request(), 1, Integer::sum) - 1;
         double work = -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
-        Attempt attempt = new Attempt(gateway, send.request(), number, byId.get(send.server()), now, work);
+        SimulatedAttempt attempt =
+                new SimulatedAttempt(gateway, send.request(), number, byId.get(send.server()), time.now(), work);
         out.put(send.request(), attempt);
-        at(now + 3 + random.nextInt(7), () -> arrive(attempt));
-        at(now + send.timeLimit(), () -> end(attempt, Outcome.TIMED_OUT));
+        at(time.now() + 3 + random.nextInt(7), () -> arrive(attempt));
+        at(time.now() + send.timeLimit(), () -> end(attempt, Outcome.TIMED_OUT));
     }
 
-    private void end(Attempt attempt, Outcome outcome) {
+    private void end(SimulatedAttempt attempt, Outcome outcome) {
         if (attempt.ended) {
             return;
         }
@@ -393,7 +256,7 @@
         if (acked && request != null) {
             requests.remove(attempt.request);
             attempts.remove(attempt.request);
-            served += now <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
+            served += time.now() <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
         }
         boolean answered = acked || outcome == Outcome.FAILED;
         tell(
@@ -403,7 +266,7 @@
                         attempt.number,
                         attempt.server.id,
                         outcome,
-                        now - attempt.sentAt,
+                        time.now() - attempt.sentAt,
                         acked,
                         answered ? report(attempt.server) : null,
                         null));
@@ -411,21 +274,10 @@
 
     // -- Servers
 
-    private double warmth(Server server, long time) {
-        double warmed = (time - RESTARTED_AT) / (double) (deployment.coldMs * MS);
-        return server.restarted
-                ? Math.min(1, deployment.startCapacity + (1 - deployment.startCapacity) * Math.max(0, warmed))
-                : 1;
-    }
-
-    private double capacity(Server server) {
-        return server.restarts ? RECOVERING_SPEED * deployment.capacity : deployment.capacity;
-    }
-
-    private void goDown(Server server) {
+    private void goDown(SimulatedServer server) {
         server.up = false;
-        server.life++;
-        List<Attempt> lost = new ArrayList<>(server.running);
+        server.incarnation++;
+        List<SimulatedAttempt> lost = new ArrayList<>(server.running);
         lost.addAll(server.queue);
         server.running.clear();
         server.queue.clear();
@@ -438,18 +290,18 @@
         for (int i = 0; i < gateways; i++) {
             int gateway = i;
             at(
-                    now + random.nextInt((int) (90 * MS)),
+                    time.now() + random.nextInt((int) (90 * MS)),
                     () -> tell(gateway, new Event.EndpointUpdate(false, false, restarted)));
         }
     }
 
-    private void comeUp(Server server) {
+    private void comeUp(SimulatedServer server) {
         server.up = true;
         server.restarted = true;
     }
 
-    private void arrive(Attempt attempt) {
-        Server server = attempt.server;
+    private void arrive(SimulatedAttempt attempt) {
+        SimulatedServer server = attempt.server;
         if (!server.up) {
             end(attempt, Outcome.CONNECT_FAILED);
             return;
@@ -458,88 +310,64 @@
         if (attempt.ended) {
             return;
         }
-        if (scenario == Scenario.ALL_SERVERS_AND_FAILURES && server.restarted && random.nextDouble() < FAILURES) {
-            at(now + 3, () -> end(attempt, Outcome.FAILED));
+        if (scenario == SlowStartScenario.ALL_SERVERS_AND_FAILURES
+                && server.restarted
+                && random.nextDouble() < FAILURES) {
+            at(time.now() + 3, () -> end(attempt, Outcome.FAILED));
             return;
         }
         server.queue.add(attempt);
         startNext(server);
     }
 
-    private void startNext(Server server) {
-        server.updateBusy(now);
-        while (server.running.size() < deployment.cores && !server.queue.isEmpty()) {
-            Attempt attempt = server.queue.remove();
+    private void startNext(SimulatedServer server) {
+        server.updateBusy(time.now());
+        while (server.running.size() < deployment.cores() && !server.queue.isEmpty()) {
+            SimulatedAttempt attempt = server.queue.remove();
             server.running.add(attempt);
-            int life = server.life;
-            double seconds = attempt.work * deployment.cores / (capacity(server) * warmth(server, now));
-            at(now + Math.max(1, (long) (seconds * 1000 * MS)), () -> finish(attempt, life));
+            int incarnation = server.incarnation;
+            double seconds =
+                    attempt.work * deployment.cores() / (budget.capacity(server) * budget.warmth(server, time.now()));
+            at(time.now() + Math.max(1, (long) (seconds * 1000 * MS)), () -> finish(attempt, incarnation));
         }
     }
 
-    private void finish(Attempt attempt, int life) {
-        Server server = attempt.server;
-        if (server.life != life) {
+    private void finish(SimulatedAttempt attempt, int incarnation) {
+        SimulatedServer server = attempt.server;
+        if (server.incarnation != incarnation) {
             return;
         }
-        server.updateBusy(now);
+        server.updateBusy(time.now());
         server.running.remove(attempt);
         server.coldAnswers += server.restarted && !attempt.ended ? attempt.work : 0;
         end(attempt, Outcome.SUCCEEDED);
         startNext(server);
     }
 
-    private void probed(int gateway, Server server) {
+    private void probed(int gateway, SimulatedServer server) {
         if (!server.up) {
-            at(now + 250 * MS, () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.TIMED_OUT, null)));
+            at(
+                    time.now() + 250 * MS,
+                    () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.TIMED_OUT, null)));
             return;
         }
         count(server, PROBE_WORK);
         at(
-                now + 10 + random.nextInt(20),
+                time.now() + 10 + random.nextInt(20),
                 () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.SUCCEEDED, report(server))));
     }
 
-    private LoadReport report(Server server) {
-        server.updateBusy(now);
+    private LoadReport report(SimulatedServer server) {
+        server.updateBusy(time.now());
         return new LoadReport(
-                server.primary() ? Role.PRIMARY : Role.REPLICA, server.primary() ? now : now - 5 * MS, server.busy);
+                server.primary() ? Role.PRIMARY : Role.REPLICA,
+                server.primary() ? time.now() : time.now() - 5 * MS,
+                server.busy);
     }
 
-    // -- The rule
-
-    private void count(Server server, double work) {
+    private void count(SimulatedServer server, double work) {
         if (server.restarted) {
-            server.coldArrivals.add(new Arrival(now, work));
-        }
-    }
-
-    /** The most that reached the server in any window, as a part of what the rule allows then. */
-    private double worstLoad(Server server) {
-        long window = deployment.windowMs * MS;
-        Queue<Arrival> within = new ArrayDeque<>();
-        double sum = 0;
-        double worst = 0;
-        for (Arrival arrival : server.coldArrivals) {
-            within.add(arrival);
-            sum += arrival.work;
-            while (within.peek().at <= arrival.at - window) {
-                sum -= within.remove().work;
-            }
-            worst = Math.max(worst, sum / budget(capacity(server) * warmth(server, arrival.at - window / 2)));
+            server.coldArrivals.add(new SimulatedServer.Arrival(time.now(), work));
         }
-        return worst;
-    }
-
-    private double budget(double capacity) {
-        double n = deployment.multiple * capacity * deployment.windowMs / 1000;
-        return n < 30 ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
-    }
-
-    private double possibleAnswers() {
-        double seconds = (END - UP_AT) / (1000.0 * MS);
-        double middle = (UP_AT + END) / 2 - RESTARTED_AT;
-        double warmth = deployment.startCapacity + (1 - deployment.startCapacity) * middle / (deployment.coldMs * MS);
-        return seconds * warmth * deployment.capacity * RECOVERING_SPEED;
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
@@ -7,18 +7,16 @@
 import org.assertj.core.api.SoftAssertions;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ploverdale.routing.SlowStartFleet.Deployment;
 import ploverdale.routing.SlowStartFleet.Result;
-import ploverdale.routing.SlowStartFleet.Scenario;
 
 /**
  * What all routers of a fleet together send a recovering server, against the budget of the slow start rule. Prints a row for
  * each run. Runs more seeds with {@code -Dslowstart.seeds=N}.
  */
 class SlowStartFleetTest {
-    private static final List<Deployment> DEPLOYMENTS = List.of(
-            new Deployment("large", 0.21, 16_000, 2.5, 1000, 5, 55),
-            new Deployment("small", 0.15, 13_000, 2, 1500, 1, 12));
+    private static final List<SlowStartDeployment> DEPLOYMENTS = List.of(
+            new SlowStartDeployment("large", 0.21, 16_000, 2.5, 1000, 5, 55),
+            new SlowStartDeployment("small", 0.15, 13_000, 2, 1500, 1, 12));
     private static final int SEEDS = Integer.getInteger("slowstart.seeds", 1);
 
     @ParameterizedTest
@@ -26,9 +24,9 @@
     void theFleetKeepsTheBudgetOfEachRecoveringServerAndStillUsesIt(int gateways) {
         List<String> overloaded = new ArrayList<>();
         SoftAssertions floors = new SoftAssertions();
-        for (Scenario scenario : Scenario.values()) {
+        for (SlowStartScenario scenario : SlowStartScenario.values()) {
             List<Result> results = new ArrayList<>();
-            for (Deployment deployment : DEPLOYMENTS) {
+            for (SlowStartDeployment deployment : DEPLOYMENTS) {
                 for (int run = 0; run < 2 * SEEDS; run++) {
                     boolean gossip = run % 2 == 0;
                     long seed = 1 + run / 2;
@@ -61,7 +59,12 @@
     }
 
     private static String row(
-            int gateways, Scenario scenario, Deployment deployment, boolean gossip, long seed, Result result) {
+            int gateways,
+            SlowStartScenario scenario,
+            SlowStartDeployment deployment,
+            boolean gossip,
+            long seed,
+            Result result) {
         return String.format(
                 "%3d gateways  %-26s %-6s gossip %-5s seed %d  worst %.2f  served %.3f  cold %.3f",
                 gateways,
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartSettings.java
@@ -0,0 +1,52 @@
+package ploverdale.routing;
+
+import java.util.List;
+import ploverdale.model.Capabilities;
+import ploverdale.model.Event;
+import ploverdale.model.ReplicaGuarantees;
+import ploverdale.model.RequestClass;
+import ploverdale.model.RequestClass.Consistency;
+import ploverdale.model.RequestClass.Idempotence;
+import ploverdale.model.ServerGuarantees;
+import ploverdale.model.Tenant;
+
+/** The settings of the gateways of a {@link SlowStartFleet}. Times in tenths of a millisecond. */
+final class SlowStartSettings {
+    private static final long MS = 10;
+    private static final double AGREED_PART = 0.82; // of the warm servers' capacity
+    private static final long BOUND = 1000 * MS; // staleness of bounded reads
+
+    private SlowStartSettings() {}
+
+    /** The start of one gateway of so many. */
+    static Event.Started started(long seed, int gateway, int gateways, boolean gossip, SlowStartDeployment deployment) {
+        List<RequestClass> requestClasses = List.of(
+                requestClass(2000 * MS, Idempotence.IDEMPOTENT, 2, 0, Consistency.BOUNDED),
+                requestClass(1000 * MS, Idempotence.IDEMPOTENT, 1, 0, Consistency.UNBOUNDED),
+                requestClass(3000 * MS, Idempotence.NOT_IDEMPOTENT, 6, 0.5, Consistency.WRITE));
+        ServerGuarantees guarantees = new ServerGuarantees(
+                deployment.startCapacity(),
+                deployment.coldMs() * MS,
+                deployment.multiple(),
+                deployment.windowMs() * MS,
+                true,
+                0);
+        return new Event.Started(
+                seed,
+                gateways,
+                requestClasses,
+                List.of(new Tenant(AGREED_PART * SlowStartFleet.SERVERS * deployment.capacity())),
+                0.05,
+                guarantees,
+                new Capabilities(6, true, true, true, 1000 * MS, gossip),
+                new ReplicaGuarantees(ReplicaGuarantees.StalenessCheck.NONE, 0, false),
+                false,
+                gateway);
+    }
+
+    private static RequestClass requestClass(
+            long timeout, Idempotence repeats, double value, double late, Consistency needs) {
+        return new RequestClass(
+                500 * MS, 0, timeout, repeats, RequestClass.Scope.GROUP, 0, value, late, false, needs, BOUND);
+    }
+}
