--- a/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
@@ -9,7 +9,6 @@
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
-import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
@@ -17,39 +16,41 @@
 class ClockOffsetInRouterTest {
     private static final long HOUR_MS = 3_600_000;
 
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
-    private void offsetChanges(RouterDriver host, Map<String, Long> startedMs) {
+    private void offsetChanges(RouterDriver driver, Map<String, Long> startedMs) {
         Map<ServerId, Long> startedAt = new java.util.HashMap<>();
         startedMs.forEach((id, at) -> startedAt.put(new ServerId(id), at * 10));
-        host.tell(new Event.ClockOffsetChanged(startedAt));
+        driver.deliver(new Event.ClockOffsetChanged(startedAt));
     }
 
     @Test
     void positionsToldBeforeCountAsTooStaleUntilTheyAreToldAgain() {
-        host.probed("r1", Role.REPLICA, host.nowMs);
-        offsetChanges(host, Map.of());
-        RequestId read = host.ask(RouterDriver.VIEW);
-        assertThat(host.sends(read)).doesNotContain("r1", "r2");
-        host.nowMs += 200;
-        host.probed("r1", Role.REPLICA, host.nowMs - 100);
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
+        offsetChanges(driver, Map.of());
+        RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(driver.attempts(read)).doesNotContain("r1", "r2");
+        driver.nowMs += 200;
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs - 100);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("r1");
     }
 
     @Test
     void writesAndReadsOfThePrimaryGoOn() {
-        offsetChanges(host, Map.of());
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
-        assertThat(host.sends(host.ask(RouterDriver.FRESH))).containsExactly("p");
+        offsetChanges(driver, Map.of());
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.FRESH_READ)))
+                .containsExactly("p");
     }
 
     @Test
     void aSessionsLastWriteThatWasDatedWronglyIsReachedByWhatStandsAtThePresent() {
-        RouterDriver h = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, 1);
-        h.list(true, "p", "r1");
-        h.levelled("p", "r1");
-        RequestId write = h.ask(RouterDriver.SUBMIT, "s", 0);
-        h.ends(
+        RouterDriver h = new RouterDriver();
+        h.updateEndpoints(true, "p", "r1");
+        h.catchUp("p", "r1");
+        RequestId write = h.request(TestRouterSettings.WRITE, "s", 0);
+        h.attemptEnded(
                 write,
                 0,
                 "p",
@@ -57,32 +58,40 @@
                 new LoadReport(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
         offsetChanges(h, Map.of());
         h.nowMs += 200;
-        h.probed("r1", Role.REPLICA, h.nowMs - 300);
-        assertThat(h.sends(h.ask(RouterDriver.SESSION, "s", 0))).containsExactly("p");
-        h.probed("r1", Role.REPLICA, h.nowMs);
-        assertThat(h.sends(h.ask(RouterDriver.SESSION, "s", 0))).containsExactly("r1");
+        h.healthCheckSucceeded("r1", Role.REPLICA, h.nowMs - 300);
+        assertThat(h.attempts(h.request(TestRouterSettings.SESSION_READ, "s", 0)))
+                .containsExactly("p");
+        h.healthCheckSucceeded("r1", Role.REPLICA, h.nowMs);
+        assertThat(h.attempts(h.request(TestRouterSettings.SESSION_READ, "s", 0)))
+                .containsExactly("r1");
     }
 
     @Test
     void aServerWhoseStartWasDatedTooLateIsWarmOnceItIsDatedAnew() {
-        host.listed("r1", EndpointState.IN, host.nowMs);
-        offsetChanges(host, Map.of("r1", host.nowMs - HOUR_MS));
-        host.probed("r1", Role.REPLICA, host.nowMs);
+        driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
+        offsetChanges(driver, Map.of("r1", driver.nowMs - HOUR_MS));
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
         int at = 0;
         for (int i = 0; i < 20; i++) { // only r1 has a position
-            at += host.sends(host.ask(RouterDriver.VIEW)).contains("r1") ? 1 : 0;
+            at += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+                            .contains("r1")
+                    ? 1
+                    : 0;
         }
         assertThat(at).isEqualTo(20);
     }
 
     @Test
     void aServerThatIsColdStaysColdWhenItsStartIsDatedAsBefore() {
-        host.listed("r1", EndpointState.IN, host.nowMs);
-        offsetChanges(host, Map.of("r1", host.nowMs));
-        host.probed("r1", Role.REPLICA, host.nowMs);
+        driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
+        offsetChanges(driver, Map.of("r1", driver.nowMs));
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
         int at = 0;
         for (int i = 0; i < 20; i++) {
-            at += host.sends(host.ask(RouterDriver.VIEW)).contains("r1") ? 1 : 0;
+            at += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+                            .contains("r1")
+                    ? 1
+                    : 0;
         }
         assertThat(at).isLessThanOrEqualTo(1);
     }
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -18,7 +18,7 @@
 
 /** What the module makes of words of other gateways. */
 class GossipInRouterTest {
-    private final RouterDriver host = RouterDriver.talking(3);
+    private final RouterDriver driver = RouterDriver.withGossip(3);
 
     private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
         return new ServerObservation(
@@ -37,13 +37,13 @@
     }
 
     private void told(int from, String server, ServerObservation w) {
-        host.tell(new Event.GossipReceived(
+        driver.deliver(new Event.GossipReceived(
                 from,
-                new Datagram(Kind.TELLS, host.nowMs * 10, Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
+                new Datagram(Kind.TELLS, driver.nowMs * 10, Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
     }
 
     private List<Action.SendGossip> tells() {
-        return host.acts.stream()
+        return driver.actions.stream()
                 .filter(a -> a instanceof Action.SendGossip)
                 .map(a -> (Action.SendGossip) a)
                 .toList();
@@ -51,33 +51,35 @@
 
     @Test
     void aNewPrimaryIsKnownFromOthersAndOldWordsDoNotOverturnIt() {
-        host.list(true, "p", "r1", "r2");
-        host.levelled("p", "r1", "r2");
-        host.nowMs += 100;
-        told(1, "r1", word(Role.PRIMARY, host.nowMs - 20, host.nowMs - 20, host.nowMs - 20, -1));
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("r1");
-        told(2, "p", word(Role.PRIMARY, host.nowMs - 500, -1, -1, -1));
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("r1");
+        driver.updateEndpoints(true, "p", "r1", "r2");
+        driver.catchUp("p", "r1", "r2");
+        driver.nowMs += 100;
+        told(1, "r1", word(Role.PRIMARY, driver.nowMs - 20, driver.nowMs - 20, driver.nowMs - 20, -1));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("r1");
+        told(2, "p", word(Role.PRIMARY, driver.nowMs - 500, -1, -1, -1));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("r1");
     }
 
     @Test
     void aPrimaryThatOnlyOthersHaveHeardIsAskedBeforeItGetsAWrite() {
-        host.list(true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
-        told(1, "p", word(Role.PRIMARY, host.nowMs - 100, host.nowMs - 100, host.nowMs - 100, -1));
-        RequestId request = host.ask(RouterDriver.SUBMIT);
-        assertThat(host.sends(request)).isEmpty();
-        assertThat(host.probes("p")).isPositive();
-        host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(request)).containsExactly("p");
+        driver.updateEndpoints(
+                true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
+        told(1, "p", word(Role.PRIMARY, driver.nowMs - 100, driver.nowMs - 100, driver.nowMs - 100, -1));
+        RequestId request = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(request)).isEmpty();
+        assertThat(driver.healthChecks("p")).isPositive();
+        driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
+        assertThat(driver.attempts(request)).containsExactly("p");
     }
 
     @Test
     void aReadThatOnlyAPrimaryNamedByOthersCouldTakeWaitsForItsWord() {
-        RouterDriver many = RouterDriver.talking(300); // each probes few servers at its start, and p is not among them
-        many.list(true, "p", "r1", "r2");
-        assertThat(many.probes("p")).isZero();
-        many.probed("r1", Role.REPLICA, many.nowMs);
-        many.tell(new Event.GossipReceived(
+        RouterDriver many =
+                RouterDriver.withGossip(300); // each probes few servers at its start, and p is not among them
+        many.updateEndpoints(true, "p", "r1", "r2");
+        assertThat(many.healthChecks("p")).isZero();
+        many.healthCheckSucceeded("r1", Role.REPLICA, many.nowMs);
+        many.deliver(new Event.GossipReceived(
                 1,
                 new Datagram(
                                 Kind.TELLS,
@@ -87,11 +89,11 @@
                                         word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1)))
                         .bytes()));
         many.nowMs += 1200; // r1 is too old by now
-        many.probed("r1", Role.REPLICA, many.nowMs - 1200);
-        RequestId request = many.ask(RouterDriver.VIEW);
-        assertThat(many.busyReplies(request)).isZero();
-        many.probed("p", Role.PRIMARY, many.nowMs);
-        assertThat(many.sends(request)).containsExactly("p");
+        many.healthCheckSucceeded("r1", Role.REPLICA, many.nowMs - 1200);
+        RequestId request = many.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(many.rejections(request)).isZero();
+        many.healthCheckSucceeded("p", Role.PRIMARY, many.nowMs);
+        assertThat(many.attempts(request)).containsExactly("p");
     }
 
     private Event.GossipReceived heardByOthers(RouterDriver h, String server, Role role) {
@@ -108,70 +110,72 @@
 
     @Test
     void aSlowServerThatOthersHearIsAskedAndNotTakenForDead() {
-        RouterDriver many = RouterDriver.talking(300);
-        many.list(true, "p", "r1", "r2");
-        many.levelled("p", "r1", "r2");
-        assertThat(many.sends(many.ask(RouterDriver.SUBMIT))).containsExactly("p");
-        long before = many.probes("p");
+        RouterDriver many = RouterDriver.withGossip(300);
+        many.updateEndpoints(true, "p", "r1", "r2");
+        many.catchUp("p", "r1", "r2");
+        assertThat(many.attempts(many.request(TestRouterSettings.WRITE))).containsExactly("p");
+        long before = many.healthChecks("p");
         for (int i = 0; i < 15; i++) {
-            many.pass(100); // in all, fifteen times what an answer usually takes
-            many.tell(heardByOthers(many, "p", Role.PRIMARY));
+            many.advance(100); // in all, fifteen times what an answer usually takes
+            many.deliver(heardByOthers(many, "p", Role.PRIMARY));
         }
         assertThat(many.logged("silent")).isFalse();
-        assertThat(many.probes("p")).isGreaterThan(before);
+        assertThat(many.healthChecks("p")).isGreaterThan(before);
     }
 
     @Test
     void aServerThatOthersHeardMeanwhileIsNotColdWhenItReturnsHere() {
-        host.list(true, "p", "r1");
-        host.levelled("p", "r1");
-        host.pass(500);
-        host.unanswered("r1");
-        host.unanswered("r1");
-        assertThat(host.logged("r1 silent")).isTrue();
+        driver.updateEndpoints(true, "p", "r1");
+        driver.catchUp("p", "r1");
+        driver.advance(500);
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        assertThat(driver.logged("r1 silent")).isTrue();
         for (int i = 0; i < 25; i++) {
-            host.pass(100);
-            host.tell(heardByOthers(host, "r1", Role.REPLICA));
+            driver.advance(100);
+            driver.deliver(heardByOthers(driver, "r1", Role.REPLICA));
         }
-        host.levelled("p", "r1");
-        assertThat(host.logged("r1 returns")).isTrue();
+        driver.catchUp("p", "r1");
+        assertThat(driver.logged("r1 returns")).isTrue();
         int r1 = 0;
         for (int i = 0; i < 20; i++) {
-            RequestId request = host.ask(RouterDriver.HISTORY);
-            String to = host.sends(request).get(0);
+            RequestId request = driver.request(TestRouterSettings.UNBOUNDED_READ);
+            String to = driver.attempts(request).get(0);
             r1 += to.equals("r1") ? 1 : 0;
-            host.ends(request, 0, to, Outcome.SUCCEEDED, null);
+            driver.attemptEnded(request, 0, to, Outcome.SUCCEEDED, null);
         }
         assertThat(r1).isEqualTo(20); // the only replica
     }
 
     @Test
     void aPositionFromOthersAdmitsAReplicaWhileItIsFreshEnough() {
-        host.list(true, "p", "r1");
-        host.levelled("p", "r1");
-        host.nowMs += 600;
-        told(2, "r1", word(Role.REPLICA, host.nowMs - 50, host.nowMs - 50, host.nowMs - 50, -1));
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
-        host.nowMs += 455; // half a second after that position
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).doesNotContain("r1");
+        driver.updateEndpoints(true, "p", "r1");
+        driver.catchUp("p", "r1");
+        driver.nowMs += 600;
+        told(2, "r1", word(Role.REPLICA, driver.nowMs - 50, driver.nowMs - 50, driver.nowMs - 50, -1));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("r1");
+        driver.nowMs += 455; // half a second after that position
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .doesNotContain("r1");
     }
 
     @Test
     void aServerFoundSilentElsewhereIsAskedFirst() {
-        host.list(true, "p", "r1", "r2");
-        host.levelled("p", "r1", "r2");
-        host.nowMs += 50;
-        told(1, "p", word(Role.PRIMARY, host.nowMs - 40, -1, -1, host.nowMs - 10));
-        RequestId request = host.ask(RouterDriver.SUBMIT);
-        assertThat(host.sends(request)).isEmpty();
-        host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(request)).containsExactly("p");
+        driver.updateEndpoints(true, "p", "r1", "r2");
+        driver.catchUp("p", "r1", "r2");
+        driver.nowMs += 50;
+        told(1, "p", word(Role.PRIMARY, driver.nowMs - 40, -1, -1, driver.nowMs - 10));
+        RequestId request = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(request)).isEmpty();
+        driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
+        assertThat(driver.attempts(request)).containsExactly("p");
     }
 
     @Test
     void aDrainHeardBindsAtOnceAndAnOlderListDoesNotUndoIt() {
-        host.list(true, "p", "r1", "r2");
-        host.levelled("p", "r1", "r2");
+        driver.updateEndpoints(true, "p", "r1", "r2");
+        driver.catchUp("p", "r1", "r2");
         ServerObservation drains = new ServerObservation(
                 Role.UNKNOWN,
                 LoadReport.UNKNOWN_TIME,
@@ -180,20 +184,25 @@
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME,
-                host.nowMs * 10 - 100);
+                driver.nowMs * 10 - 100);
         told(1, "r1", drains);
-        host.list(true, "p", "r1", "r2");
+        driver.updateEndpoints(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r2");
+            assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                    .containsExactly("r2");
         }
-        told(2, "r1", word(Role.REPLICA, host.nowMs, host.nowMs, host.nowMs, -1)); // another that does not know of it
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r2");
+        told(
+                2,
+                "r1",
+                word(Role.REPLICA, driver.nowMs, driver.nowMs, driver.nowMs, -1)); // another that does not know of it
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("r2");
     }
 
     @Test
     void aDrainThatNoListConfirmsLapses() {
-        host.list(true, "p", "r1");
-        host.levelled("p", "r1");
+        driver.updateEndpoints(true, "p", "r1");
+        driver.catchUp("p", "r1");
         told(
                 1,
                 "r1",
@@ -205,16 +214,17 @@
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
-                        host.nowMs * 10));
-        host.pass(10_500);
-        host.levelled("p", "r1");
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
+                        driver.nowMs * 10));
+        driver.advance(10_500);
+        driver.catchUp("p", "r1");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("r1");
     }
 
     @Test
     void coldHeardIsCold() {
-        host.list(true, "p", "r1", "r2");
-        host.levelled("p", "r1", "r2");
+        driver.updateEndpoints(true, "p", "r1", "r2");
+        driver.catchUp("p", "r1", "r2");
         told(
                 1,
                 "r1",
@@ -225,52 +235,56 @@
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
-                        host.nowMs * 10 - 100,
+                        driver.nowMs * 10 - 100,
                         LoadReport.UNKNOWN_TIME));
         int cold = 0;
         for (int i = 0; i < 20; i++) {
-            cold += host.sends(host.ask(RouterDriver.VIEW)).contains("r1") ? 1 : 0;
+            cold += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+                            .contains("r1")
+                    ? 1
+                    : 0;
         }
         assertThat(cold).isLessThan(8); // of 20, where a warm one takes half
     }
 
     @Test
     void aServerOnlyOthersNameIsNeverSentTo() {
-        host.list(true, "p");
-        host.levelled("p");
-        told(1, "ghost", word(Role.REPLICA, host.nowMs, host.nowMs, host.nowMs, -1));
-        told(1, "ghost2", word(Role.PRIMARY, host.nowMs, host.nowMs, host.nowMs, -1));
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("p");
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
-        assertThat(host.probes("ghost")).isZero();
+        driver.updateEndpoints(true, "p");
+        driver.catchUp("p");
+        told(1, "ghost", word(Role.REPLICA, driver.nowMs, driver.nowMs, driver.nowMs, -1));
+        told(1, "ghost2", word(Role.PRIMARY, driver.nowMs, driver.nowMs, driver.nowMs, -1));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
+        assertThat(driver.healthChecks("ghost")).isZero();
     }
 
     @Test
     void whoSaidWrongWhoLeadsIsBelievedLessNextTime() {
-        host.list(true, "p", "r1", "r2");
-        host.levelled("p", "r1", "r2");
-        host.nowMs += 100;
-        told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        RequestId request = host.ask(RouterDriver.SUBMIT);
-        assertThat(host.sends(request)).startsWith("r1");
-        host.ends(request, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, host.nowMs * 10));
-        host.nowMs += 1000;
-        host.levelled("p", "r1", "r2");
-        host.nowMs += 100;
-        told(1, "r1", word(Role.PRIMARY, host.nowMs - 1, -1, -1, -1));
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
+        driver.updateEndpoints(true, "p", "r1", "r2");
+        driver.catchUp("p", "r1", "r2");
+        driver.nowMs += 100;
+        told(1, "r1", word(Role.PRIMARY, driver.nowMs - 1, -1, -1, -1));
+        RequestId request = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(request)).startsWith("r1");
+        driver.attemptEnded(request, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, driver.nowMs * 10));
+        driver.nowMs += 1000;
+        driver.catchUp("p", "r1", "r2");
+        driver.nowMs += 100;
+        told(1, "r1", word(Role.PRIMARY, driver.nowMs - 1, -1, -1, -1));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
     void aGatewayAsksAtItsStartAndAnswersThoseThatStart() {
-        host.list(true, "p", "r1");
-        host.pass(20);
+        driver.updateEndpoints(true, "p", "r1");
+        driver.advance(20);
         assertThat(tells())
                 .hasSize(2)
                 .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
-        host.levelled("p", "r1");
-        host.acts.clear();
-        host.tell(new Event.GossipReceived(2, new Datagram(Kind.ASKS, host.nowMs * 10, Map.of()).bytes()));
+        driver.catchUp("p", "r1");
+        driver.actions.clear();
+        driver.deliver(new Event.GossipReceived(2, new Datagram(Kind.ASKS, driver.nowMs * 10, Map.of()).bytes()));
         assertThat(tells()).hasSize(1);
         Map<Integer, ServerObservation> words =
                 Datagram.read(tells().get(0).bytes()).datagram().words();
@@ -280,23 +294,23 @@
 
     @Test
     void aSilentServerIsToldToOthersAndOneThatLeavesTellsWhatItKnows() {
-        host.list(true, "p", "r1");
-        host.levelled("p", "r1");
-        host.pass(100);
-        host.acts.clear();
-        host.unanswered("r1");
-        host.unanswered("r1");
-        host.pass(600);
-        host.unanswered("r1");
-        host.pass(100);
+        driver.updateEndpoints(true, "p", "r1");
+        driver.catchUp("p", "r1");
+        driver.advance(100);
+        driver.actions.clear();
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        driver.advance(600);
+        driver.healthCheckTimedOut("r1");
+        driver.advance(100);
         assertThat(tells())
                 .anyMatch(t -> Datagram.read(t.bytes())
                         .datagram()
                         .words()
                         .getOrDefault(Datagram.number(new ServerId("r1")), ServerObservation.NONE)
                         .silent());
-        host.acts.clear();
-        host.tell(new Event.ShutdownBegun());
+        driver.actions.clear();
+        driver.deliver(new Event.ShutdownBegun());
         assertThat(tells())
                 .hasSize(2)
                 .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
@@ -304,25 +318,26 @@
 
     @Test
     void aServerReplacedUnderANewIdInheritsNothing() {
-        host.list(true, "p", "r1");
-        host.levelled("p", "r1");
-        host.list(true, "p", "r9"); // r1 is gone, r9 in its place
-        host.nowMs += 10;
-        told(1, "r1", word(Role.PRIMARY, host.nowMs, host.nowMs, host.nowMs, -1));
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
-        assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("p");
+        driver.updateEndpoints(true, "p", "r1");
+        driver.catchUp("p", "r1");
+        driver.updateEndpoints(true, "p", "r9"); // r1 is gone, r9 in its place
+        driver.nowMs += 10;
+        told(1, "r1", word(Role.PRIMARY, driver.nowMs, driver.nowMs, driver.nowMs, -1));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("p");
     }
 
     @Test
     void whereWordsAreNotAllowedNoneAreSentOrHeard() {
         RouterDriver quiet = new RouterDriver();
-        quiet.list(true, "p", "r1");
-        quiet.levelled("p", "r1");
-        int before = quiet.acts.size();
-        quiet.tell(new Event.GossipReceived(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
-        quiet.tell(new Event.ShutdownBegun());
-        assertThat(quiet.acts).hasSize(before);
-        quiet.pass(1000);
-        assertThat(quiet.acts).noneMatch(a -> a instanceof Action.SendGossip);
+        quiet.updateEndpoints(true, "p", "r1");
+        quiet.catchUp("p", "r1");
+        int before = quiet.actions.size();
+        quiet.deliver(new Event.GossipReceived(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
+        quiet.deliver(new Event.ShutdownBegun());
+        assertThat(quiet.actions).hasSize(before);
+        quiet.advance(1000);
+        assertThat(quiet.actions).noneMatch(a -> a instanceof Action.SendGossip);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
@@ -14,47 +14,47 @@
 
     @Test
     void healthChecksThatWereNeverSentEjectNoServer() {
-        RouterDriver h = RouterDriver.settled();
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
         for (int i = 0; i < MANY; i++) {
-            h.pass(500);
-            h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            h.advance(500);
+            h.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
         }
         assertThat(h.logged("server r1 silent")).isFalse();
     }
 
     @Test
     void healthChecksThatWereSentAndNotAnsweredStillDo() {
-        RouterDriver h = RouterDriver.settled();
-        h.pass(500);
-        h.unanswered("r1");
-        h.unanswered("r1");
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        h.advance(500);
+        h.healthCheckTimedOut("r1");
+        h.healthCheckTimedOut("r1");
         assertThat(h.logged("server r1 silent")).isTrue();
     }
 
     @Test
     void aHealthCheckThatWasNeverSentLeavesASilentServersBackoffAsItIs() {
-        RouterDriver h = RouterDriver.settled();
-        h.pass(500);
-        h.unanswered("r1");
-        h.unanswered("r1");
-        long before = h.probes("r1");
-        h.pass(2000); // silent servers are asked again while others of their group are used
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        h.advance(500);
+        h.healthCheckTimedOut("r1");
+        h.healthCheckTimedOut("r1");
+        long before = h.healthChecks("r1");
+        h.advance(2000); // silent servers are asked again while others of their group are used
         for (int i = 0; i < MANY; i++) {
-            h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
-            h.pass(20);
+            h.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            h.advance(20);
         }
-        assertThat(h.probes("r1") - before).as("not asked in a busy loop").isLessThan(MANY / 2);
+        assertThat(h.healthChecks("r1") - before).as("not asked in a busy loop").isLessThan(MANY / 2);
     }
 
     @Test
     void attemptsThatWereNeverSentEjectNoServer() {
-        RouterDriver h = RouterDriver.settled();
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
         for (int i = 0; i < MANY; i++) {
-            RequestId request = h.ask(RouterDriver.HISTORY);
-            for (int send = 0; send < h.sends(request).size(); send++) {
-                h.ends(request, send, h.sends(request).get(send), Outcome.NEVER_SENT, null);
+            RequestId request = h.request(TestRouterSettings.UNBOUNDED_READ);
+            for (int send = 0; send < h.attempts(request).size(); send++) {
+                h.attemptEnded(request, send, h.attempts(request).get(send), Outcome.NEVER_SENT, null);
             }
-            h.pass(100);
+            h.advance(100);
         }
         assertThat(h.logged("silent")).isFalse();
     }
--- a/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
@@ -16,30 +16,31 @@
 
 /** Which faults eject a server or close its idle connections, and how it is readmitted, as seen through the router. */
 class OutlierDetectionTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void rejectedHealthChecksDoNotEjectAServer() {
-        host.nowMs += 3000;
+        driver.nowMs += 3000;
         for (int i = 0; i < 3; i++) {
-            host.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.REJECTED, null));
+            driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.REJECTED, null));
         }
-        assertThat(host.logged("silent")).isFalse();
-        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).containsExactly("r1");
+        assertThat(driver.logged("silent")).isFalse();
+        assertThat(driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ)))
+                .containsExactly("r1");
     }
 
     @Test
     void consecutiveRefusedConnectionsAtALiveServerCloseIdleConnections() {
-        RequestId write = host.ask(RouterDriver.SUBMIT);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
         for (int send = 0; send < 2; send++) {
-            assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
-            host.tell(new Event.AttemptEnded(
+            assertThat(driver.actions).noneMatch(Action.CloseIdleConnections.class::isInstance);
+            driver.deliver(new Event.AttemptEnded(
                     write, send, new ServerId("p"), Outcome.CONNECT_FAILED, 10, false, null, null));
-            assertThat(host.probes("p")).isEqualTo(2 + send);
-            host.probed("p", Role.PRIMARY, host.nowMs);
+            assertThat(driver.healthChecks("p")).isEqualTo(2 + send);
+            driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
         }
-        host.ends(write, 2, "p", Outcome.SUCCEEDED, null);
-        assertThat(host.acts).contains(new Action.CloseIdleConnections(new ServerId("p")));
+        driver.attemptEnded(write, 2, "p", Outcome.SUCCEEDED, null);
+        assertThat(driver.actions).contains(new Action.CloseIdleConnections(new ServerId("p")));
     }
 
     @ParameterizedTest
@@ -49,69 +50,69 @@
     void sporadicResetsNeitherLowerAServersLimitNorEjectIt(Outcome outcome) {
         for (int i = 0; i < 60; i++) { // one op in eight at every server, as on a bad network
             for (int j = 0; j < 8; j++) {
-                RequestId read = host.ask(RouterDriver.HISTORY);
+                RequestId read = driver.request(TestRouterSettings.UNBOUNDED_READ);
                 if (j == 0) {
-                    host.tell(new Event.AttemptEnded(
-                            read, 0, new ServerId(host.sends(read).get(0)), outcome, 100, false, null, null));
+                    driver.deliver(new Event.AttemptEnded(
+                            read, 0, new ServerId(driver.attempts(read).get(0)), outcome, 100, false, null, null));
                 }
-                int last = host.sends(read).size() - 1;
-                host.ends(
+                int last = driver.attempts(read).size() - 1;
+                driver.attemptEnded(
                         read,
                         last,
-                        host.sends(read).get(last),
+                        driver.attempts(read).get(last),
                         Outcome.SUCCEEDED,
-                        RouterDriver.report(Role.REPLICA, host.nowMs));
-                host.pass(100);
-                host.levelled("p", "r1", "r2");
+                        RouterDriver.report(Role.REPLICA, driver.nowMs));
+                driver.advance(100);
+                driver.catchUp("p", "r1", "r2");
             }
         }
         List<RequestId> many = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            many.add(host.ask(RouterDriver.HISTORY));
+            many.add(driver.request(TestRouterSettings.UNBOUNDED_READ));
         }
-        assertThat(many).allMatch(request -> host.sends(request).size() == 1);
-        assertThat(host.logged("silent")).isFalse();
-        assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
+        assertThat(many).allMatch(request -> driver.attempts(request).size() == 1);
+        assertThat(driver.logged("silent")).isFalse();
+        assertThat(driver.actions).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
 
     @Test
     void aSlowFailedConnectClosesNoIdleConnection() {
-        RequestId read = host.ask(RouterDriver.VIEW);
-        String server = host.sends(read).get(0);
-        host.tell(
+        RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
+        String server = driver.attempts(read).get(0);
+        driver.deliver(
                 new Event.AttemptEnded(read, 0, new ServerId(server), Outcome.CONNECT_FAILED, 2500, false, null, null));
-        host.probed(server, Role.REPLICA, host.nowMs);
-        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.SUCCEEDED, null);
-        assertThat(host.acts).noneMatch(Action.CloseIdleConnections.class::isInstance);
+        driver.healthCheckSucceeded(server, Role.REPLICA, driver.nowMs);
+        driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.SUCCEEDED, null);
+        assertThat(driver.actions).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
 
     @Test
     void aHungServerThatOnlyAnswersHealthChecksGetsOneRequestAtATime() {
         for (int i = 0; i < 30; i++) {
-            host.ask(RouterDriver.HISTORY);
+            driver.request(TestRouterSettings.UNBOUNDED_READ);
         }
-        host.pass(900);
-        host.levelled("p", "r1", "r2");
-        assertThat(host.logged("server r1 returns: answers probes")).isTrue();
-        assertThat(host.logged("server r1 returns: answers after")).isFalse();
+        driver.advance(900);
+        driver.catchUp("p", "r1", "r2");
+        assertThat(driver.logged("server r1 returns: answers probes")).isTrue();
+        assertThat(driver.logged("server r1 returns: answers after")).isFalse();
     }
 
     @Test
     void anUnresponsiveReplicasReadsMoveToAnotherAndItIsReadmittedGradually() {
-        RequestId read = host.ask(RouterDriver.VIEW);
-        String first = host.sends(read).get(0);
+        RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
+        String first = driver.attempts(read).get(0);
         String other = first.equals("r1") ? "r2" : "r1";
-        host.unanswered(first);
-        host.unanswered(first);
-        assertThat(host.calledOff(read)).isTrue();
-        host.ends(read, 0, first, Outcome.CANCELLED, null);
-        assertThat(host.sends(read)).containsExactly(first, other);
-        host.nowMs += 3000;
-        host.probed(first, Role.REPLICA, host.nowMs);
-        assertThat(host.logged("returns: answers probes")).isTrue();
-        host.ask(RouterDriver.VIEW);
-        host.ask(RouterDriver.VIEW);
-        assertThat(host.acts.stream()
+        driver.healthCheckTimedOut(first);
+        driver.healthCheckTimedOut(first);
+        assertThat(driver.cancelled(read)).isTrue();
+        driver.attemptEnded(read, 0, first, Outcome.CANCELLED, null);
+        assertThat(driver.attempts(read)).containsExactly(first, other);
+        driver.nowMs += 3000;
+        driver.healthCheckSucceeded(first, Role.REPLICA, driver.nowMs);
+        assertThat(driver.logged("returns: answers probes")).isTrue();
+        driver.request(TestRouterSettings.BOUNDED_READ);
+        driver.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(driver.actions.stream()
                         .filter(a -> a instanceof Action.StartAttempt s
                                 && s.server().text().equals(first))
                         .count())
@@ -121,17 +122,17 @@
     @Test
     void aReadmittedPrimaryGetsATrialWriteWhileOldWritesAreStillInFlight() {
         for (int i = 0; i < 10; i++) {
-            host.ask(RouterDriver.SUBMIT);
+            driver.request(TestRouterSettings.WRITE);
         }
-        host.pass(700);
-        assertThat(host.logged("server p silent")).isTrue();
-        RequestId held = host.ask(RouterDriver.SUBMIT);
-        assertThat(host.sends(held)).isEmpty();
-        host.pass(400);
-        host.levelled("p", "r1", "r2");
-        assertThat(host.sends(held)).containsExactly("p");
-        host.ask(RouterDriver.SUBMIT);
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT)))
+        driver.advance(700);
+        assertThat(driver.logged("server p silent")).isTrue();
+        RequestId held = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(held)).isEmpty();
+        driver.advance(400);
+        driver.catchUp("p", "r1", "r2");
+        assertThat(driver.attempts(held)).containsExactly("p");
+        driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE)))
                 .as("writes may be two at once")
                 .isEmpty();
     }
@@ -139,22 +140,24 @@
     @Test
     void aServerWithoutTheExpectedResponsesIsEjected() {
         for (int i = 0; i < 8; i++) {
-            host.ask(RouterDriver.HISTORY);
+            driver.request(TestRouterSettings.UNBOUNDED_READ);
         }
-        host.pass(600);
-        assertThat(host.logged("silent: quiet")).isTrue();
+        driver.advance(600);
+        assertThat(driver.logged("silent: quiet")).isTrue();
     }
 
     @Test
     void aReplicaThatFailsFastIsEjected() {
         for (int i = 0; i < 12; i++) {
-            RequestId read = host.ask(RouterDriver.HISTORY);
-            for (int s = 0; s < host.sends(read).size() && s < 4; s++) {
-                boolean bad = host.sends(read).get(s).equals("r1");
-                host.ends(read, s, host.sends(read).get(s), bad ? Outcome.FAILED : Outcome.SUCCEEDED, null);
+            RequestId read = driver.request(TestRouterSettings.UNBOUNDED_READ);
+            for (int s = 0; s < driver.attempts(read).size() && s < 4; s++) {
+                boolean bad = driver.attempts(read).get(s).equals("r1");
+                driver.attemptEnded(
+                        read, s, driver.attempts(read).get(s), bad ? Outcome.FAILED : Outcome.SUCCEEDED, null);
             }
         }
-        assertThat(host.logged("server r1 silent: fails")).isTrue();
-        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).containsExactly("r2");
+        assertThat(driver.logged("server r1 silent: fails")).isTrue();
+        assertThat(driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ)))
+                .containsExactly("r2");
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
@@ -14,69 +14,69 @@
 
 /** Time limits of attempts, queued requests and the shutdown, as seen through the router. */
 class RequestDeadlinesTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void requestsThatArriveWhenTheMaintenanceTimerIsDueDoNotPostponeIt() {
-        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
-        RequestId write = host.ask(RouterDriver.SUBMIT);
+        driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
         List<Long> wakes = new ArrayList<>();
-        for (int i = 0; i < 600 && host.busyReplies(write) == 0; i++) {
-            host.nowMs += 5;
-            host.acts.stream()
+        for (int i = 0; i < 600 && driver.rejections(write) == 0; i++) {
+            driver.nowMs += 5;
+            driver.actions.stream()
                     .filter(Action.SetTimer.class::isInstance)
                     .forEach(a -> wakes.add(((Action.SetTimer) a).at()));
-            host.acts.removeIf(Action.SetTimer.class::isInstance);
-            host.ask(RouterDriver.SUBMIT);
-            if (wakes.removeIf(at -> at <= host.nowMs * 10 - 10)) {
-                host.tell(new Event.TimerFired(0));
+            driver.actions.removeIf(Action.SetTimer.class::isInstance);
+            driver.request(TestRouterSettings.WRITE);
+            if (wakes.removeIf(at -> at <= driver.nowMs * 10 - 10)) {
+                driver.deliver(new Event.TimerFired(0));
             }
         }
-        assertThat(host.busyReplies(write)).isEqualTo(1);
+        assertThat(driver.rejections(write)).isEqualTo(1);
     }
 
     @Test
     void atTheShutdownDeadlineEachPendingRequestIsAnsweredOnceByItsProvenOutcome() {
-        RequestId read = host.ask(RouterDriver.VIEW);
-        RequestId write = host.ask(RouterDriver.SUBMIT);
-        host.tell(new Event.AttemptEnded(
-                host.ask(RouterDriver.SUBMIT),
+        RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.deliver(new Event.AttemptEnded(
+                driver.request(TestRouterSettings.WRITE),
                 0,
                 new ServerId("p"),
                 Outcome.MISDIRECTED,
                 10,
                 false,
-                RouterDriver.report(Role.REPLICA, host.nowMs),
+                RouterDriver.report(Role.REPLICA, driver.nowMs),
                 null));
-        RequestId held = host.ask(RouterDriver.SUBMIT);
-        assertThat(host.sends(held)).isEmpty();
-        host.tell(new Event.ShutdownDeadline());
-        assertThat(host.busyReplies(read)).isEqualTo(1); // may be repeated
-        assertThat(host.errorReplies(write)).isEqualTo(1); // may have run
-        assertThat(host.busyReplies(held)).isEqualTo(1); // was never sent
-        assertThat(host.calledOff(write)).isTrue();
-        host.ends(write, 0, "p", Outcome.CANCELLED, null);
-        host.pass(3000);
-        assertThat(host.sends(write)).hasSize(1);
-        assertThat(host.busyReplies(write) + host.errorReplies(write)).isEqualTo(1);
+        RequestId held = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(held)).isEmpty();
+        driver.deliver(new Event.ShutdownDeadline());
+        assertThat(driver.rejections(read)).isEqualTo(1); // may be repeated
+        assertThat(driver.failures(write)).isEqualTo(1); // may have run
+        assertThat(driver.rejections(held)).isEqualTo(1); // was never sent
+        assertThat(driver.cancelled(write)).isTrue();
+        driver.attemptEnded(write, 0, "p", Outcome.CANCELLED, null);
+        driver.advance(3000);
+        assertThat(driver.attempts(write)).hasSize(1);
+        assertThat(driver.rejections(write) + driver.failures(write)).isEqualTo(1);
     }
 
     @Test
     void aQueuedWriteIsRejectedAfterHalfItsTimeWhenNoPrimaryAppears() {
-        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
-        RequestId write = host.ask(RouterDriver.SUBMIT);
-        host.pass(1400);
-        assertThat(host.busyReplies(write)).isZero();
-        host.pass(100);
-        assertThat(host.busyReplies(write)).isEqualTo(1);
-        assertThat(host.sends(write)).isEmpty();
+        driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.advance(1400);
+        assertThat(driver.rejections(write)).isZero();
+        driver.advance(100);
+        assertThat(driver.rejections(write)).isEqualTo(1);
+        assertThat(driver.attempts(write)).isEmpty();
     }
 
     @Test
     void aWritesAttemptTimesOutBeforeTheRequestsDeadline() {
-        RouterDriver h = RouterDriver.settled();
-        RequestId write = h.ask(RouterDriver.SUBMIT);
-        assertThat(h.acts.stream()
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        RequestId write = h.request(TestRouterSettings.WRITE);
+        assertThat(h.actions.stream()
                         .filter(a -> a instanceof Action.StartAttempt x
                                 && x.request().equals(write))
                         .map(a -> ((Action.StartAttempt) a).timeLimit()))
--- a/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
@@ -10,63 +10,65 @@
 
 /** When a failed attempt is retried, and when its request fails, as seen through the router. */
 class RetryPolicyTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void whereSomeResponsesAreLostAnAttemptTimesOutBeforeTheLatencyObjective() {
         for (int i = 0; i < 40; i++) {
-            RequestId request = host.ask(RouterDriver.SUBMIT);
-            host.ends(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.SUCCEEDED, null);
+            RequestId request = driver.request(TestRouterSettings.WRITE);
+            driver.attemptEnded(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.SUCCEEDED, null);
         }
-        RequestId read = host.ask(RouterDriver.FRESH);
-        assertThat(host.acts)
+        RequestId read = driver.request(TestRouterSettings.FRESH_READ);
+        assertThat(driver.actions)
                 .anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT)))
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE)))
                 .as("and its limit is kept")
                 .containsExactly("p");
     }
 
     @Test
     void aNonIdempotentWriteThatMayHaveRunFailsWithoutARetry() {
-        RequestId write = host.ask(RouterDriver.SUBMIT);
-        host.ends(write, 0, "p", Outcome.FAILED, null);
-        assertThat(host.sends(write)).hasSize(1);
-        assertThat(host.errorReplies(write)).isEqualTo(1);
-        assertThat(host.busyReplies(write)).isZero();
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.attemptEnded(write, 0, "p", Outcome.FAILED, null);
+        assertThat(driver.attempts(write)).hasSize(1);
+        assertThat(driver.failures(write)).isEqualTo(1);
+        assertThat(driver.rejections(write)).isZero();
     }
 
     @Test
     void aRejectedWriteIsRetriedAtThePrimaryWithBackoff() {
-        RequestId write = host.ask(RouterDriver.SUBMIT);
-        host.ends(write, 0, "p", Outcome.REJECTED, null);
-        assertThat(host.sends(write)).as("not at once, while it is as full").containsExactly("p");
-        assertThat(host.busyReplies(write)).isZero();
-        host.pass(120);
-        assertThat(host.sends(write)).containsExactly("p", "p");
-        host.ends(write, 1, "p", Outcome.REJECTED, null);
-        host.pass(120);
-        assertThat(host.sends(write)).as("ever more seldom").hasSize(2);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.attemptEnded(write, 0, "p", Outcome.REJECTED, null);
+        assertThat(driver.attempts(write))
+                .as("not at once, while it is as full")
+                .containsExactly("p");
+        assertThat(driver.rejections(write)).isZero();
+        driver.advance(120);
+        assertThat(driver.attempts(write)).containsExactly("p", "p");
+        driver.attemptEnded(write, 1, "p", Outcome.REJECTED, null);
+        driver.advance(120);
+        assertThat(driver.attempts(write)).as("ever more seldom").hasSize(2);
     }
 
     @Test
     void aWriteWithAnIdempotencyKeyIsRetriedWithinItsWindowAndFailsAfterIt() {
-        RequestId write = host.ask(RouterDriver.WITH_IDEMPOTENCY_KEY);
-        host.ends(write, 0, "p", Outcome.FAILED, null);
-        assertThat(host.sends(write)).containsExactly("p", "p");
-        host.nowMs += 2000;
-        host.ends(write, 1, "p", Outcome.FAILED, null);
-        assertThat(host.sends(write)).hasSize(2);
-        assertThat(host.errorReplies(write)).isEqualTo(1);
+        RequestId write = driver.request(TestRouterSettings.WRITE_WITH_IDEMPOTENCY_KEY);
+        driver.attemptEnded(write, 0, "p", Outcome.FAILED, null);
+        assertThat(driver.attempts(write)).containsExactly("p", "p");
+        driver.nowMs += 2000;
+        driver.attemptEnded(write, 1, "p", Outcome.FAILED, null);
+        assertThat(driver.attempts(write)).hasSize(2);
+        assertThat(driver.failures(write)).isEqualTo(1);
     }
 
     @Test
     void aRequestWhoseClientDisconnectedIsCancelledAndNotRetried() {
-        RequestId read = host.ask(RouterDriver.VIEW);
-        String server = host.sends(read).get(0);
-        host.tell(new Event.ClientDisconnected(read));
-        assertThat(host.calledOff(read)).isTrue();
-        host.ends(read, 0, server, Outcome.CANCELLED, null);
-        assertThat(host.sends(read)).hasSize(1);
-        assertThat(host.busyReplies(read) + host.errorReplies(read)).isZero();
+        RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
+        String server = driver.attempts(read).get(0);
+        driver.deliver(new Event.ClientDisconnected(read));
+        assertThat(driver.cancelled(read)).isTrue();
+        driver.attemptEnded(read, 0, server, Outcome.CANCELLED, null);
+        assertThat(driver.attempts(read)).hasSize(1);
+        assertThat(driver.rejections(read) + driver.failures(read)).isZero();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/RoleTrackingTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RoleTrackingTest.java
@@ -9,41 +9,41 @@
 
 /** Which member of a group is taken for its primary, as seen through the router. */
 class RoleTrackingTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void aMisdirectedWriteDemotesThatMemberAndWaitsForHealthChecks() {
-        RequestId write = host.ask(RouterDriver.SUBMIT);
-        host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
-        assertThat(host.sends(write)).hasSize(1);
-        host.nowMs += 400;
-        host.probed("r2", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(write)).containsExactly("p", "r2");
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.attemptEnded(write, 0, "p", Outcome.MISDIRECTED, null);
+        assertThat(driver.attempts(write)).hasSize(1);
+        driver.nowMs += 400;
+        driver.healthCheckSucceeded("r2", Role.PRIMARY, driver.nowMs);
+        assertThat(driver.attempts(write)).containsExactly("p", "r2");
     }
 
     @Test
     void aReportOfThePrimaryRoleIsIgnoredRightAfterAMisdirectedWrite() {
-        RequestId read = host.ask(RouterDriver.FRESH);
-        RequestId write = host.ask(RouterDriver.SUBMIT);
-        host.ends(write, 0, "p", Outcome.MISDIRECTED, null);
-        host.nowMs += 20;
-        host.ends(
+        RequestId read = driver.request(TestRouterSettings.FRESH_READ);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.attemptEnded(write, 0, "p", Outcome.MISDIRECTED, null);
+        driver.nowMs += 20;
+        driver.attemptEnded(
                 read,
                 0,
                 "p",
                 Outcome.SUCCEEDED,
-                RouterDriver.report(Role.PRIMARY, host.nowMs)); // as it still calls itself
-        assertThat(host.sends(write)).containsExactly("p");
-        host.nowMs += 150;
-        host.probed("p", Role.PRIMARY, host.nowMs);
-        assertThat(host.sends(write)).containsExactly("p", "p");
+                RouterDriver.report(Role.PRIMARY, driver.nowMs)); // as it still calls itself
+        assertThat(driver.attempts(write)).containsExactly("p");
+        driver.nowMs += 150;
+        driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
+        assertThat(driver.attempts(write)).containsExactly("p", "p");
     }
 
     @Test
     void anOutdatedReportDoesNotRestoreAFormerPrimary() {
-        host.ends(host.ask(RouterDriver.SUBMIT), 0, "p", Outcome.MISDIRECTED, null);
-        host.nowMs += 100;
-        host.probed("p", Role.PRIMARY, host.nowMs - 200);
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).isEmpty();
+        driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
+        driver.nowMs += 100;
+        driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs - 200);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).isEmpty();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterTest.java
@@ -12,29 +12,29 @@
 
 /** The router as a whole: deterministic, and unaffected by events about unknown subjects. */
 class RouterTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void eventsAboutUnknownServersAndRequestsChangeNothing() {
-        int before = host.acts.size();
-        host.tell(new Event.GossipReceived(3, new byte[] {104, 105}));
-        host.tell(new Event.HealthCheckEnded(
-                new ServerId("stranger"), Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, host.nowMs)));
-        host.ends(new RequestId("none"), 0, "stranger", Outcome.SUCCEEDED, null);
-        host.tell(new Event.ClientDisconnected(new RequestId("none")));
-        assertThat(host.acts).hasSize(before);
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
+        int before = driver.actions.size();
+        driver.deliver(new Event.GossipReceived(3, new byte[] {104, 105}));
+        driver.deliver(new Event.HealthCheckEnded(
+                new ServerId("stranger"), Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, driver.nowMs)));
+        driver.attemptEnded(new RequestId("none"), 0, "stranger", Outcome.SUCCEEDED, null);
+        driver.deliver(new Event.ClientDisconnected(new RequestId("none")));
+        assertThat(driver.actions).hasSize(before);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        List<RouterDriver> twins = List.of(RouterDriver.settled(), RouterDriver.settled());
+        List<RouterDriver> twins = List.of(RouterDriver.withCaughtUpReplicas(), RouterDriver.withCaughtUpReplicas());
         for (RouterDriver twin : twins) {
             for (int i = 0; i < 20; i++) {
-                twin.ask(i % 6);
+                twin.request(i % 6);
             }
-            twin.pass(500);
+            twin.advance(500);
         }
-        assertThat(twins.get(0).acts).hasSizeGreaterThan(20).isEqualTo(twins.get(1).acts);
+        assertThat(twins.get(0).actions).hasSizeGreaterThan(20).isEqualTo(twins.get(1).actions);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/ServerSelectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ServerSelectionTest.java
@@ -10,21 +10,21 @@
 
 /** Which server gets a request, as seen through the router. */
 class ServerSelectionTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void boundedReadsGoToCurrentReplicasAndWritesToThePrimary() {
-        assertThat(host.sends(host.ask(RouterDriver.VIEW)))
+        assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .isSubsetOf("r1", "r2")
                 .hasSize(1);
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
     void aListedServerWithoutAnyObservationGetsNoRequest() {
-        host.list(false, "ghost");
+        driver.updateEndpoints(false, "ghost");
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(RouterDriver.HISTORY)))
+            assertThat(driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ)))
                     .isSubsetOf("r1", "r2")
                     .hasSize(1);
         }
@@ -34,27 +34,33 @@
     void whileEligibleReplicasAreSaturatedThePrimaryTakesReads() {
         int atPrimary = 0;
         for (int i = 0; i < 60; i++) {
-            atPrimary += host.sends(host.ask(RouterDriver.VIEW)).contains("p") ? 1 : 0;
+            atPrimary += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+                            .contains("p")
+                    ? 1
+                    : 0;
         }
         assertThat(atPrimary).isBetween(1, 24);
-        assertThat(host.sends(host.ask(RouterDriver.SUBMIT))).containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
     void readsLongerThanTheTightestBoundGoToTheFirstReplicaById() {
         for (int i = 0; i < 25; i++) {
-            RequestId scan = host.ask(RouterDriver.SCAN);
-            host.nowMs += 100;
-            host.tell(new Event.AttemptEnded(
-                    scan, 0, new ServerId(host.sends(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
+            RequestId scan = driver.request(TestRouterSettings.LONG_READ);
+            driver.nowMs += 100;
+            driver.deliver(new Event.AttemptEnded(
+                    scan, 0, new ServerId(driver.attempts(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
         }
-        host.levelled("p", "r1", "r2");
-        assertThat(host.sends(host.ask(RouterDriver.SCAN))).containsExactly("r1");
-        assertThat(host.sends(host.ask(RouterDriver.SCAN))).containsExactly("r1");
+        driver.catchUp("p", "r1", "r2");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.LONG_READ)))
+                .containsExactly("r1");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.LONG_READ)))
+                .containsExactly("r1");
     }
 
     @Test
     void aFreshReadGoesToThePrimary() {
-        assertThat(host.sends(host.ask(RouterDriver.FRESH))).containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.FRESH_READ)))
+                .containsExactly("p");
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
@@ -6,25 +6,24 @@
 import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.LoadReport.Role;
-import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestId;
 
 /** Slow start of a server that restarted, as seen through the router. */
 class SlowStartInRouterTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void manySmallGatewaysTogetherSendAWarmingServerOnlyItsPart() {
         int cold = 0;
         for (int i = 0; i < 100; i++) {
-            RouterDriver small = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, 100 + i);
-            small.list(true, "r1", "r2");
-            small.levelled("r1", "r2");
-            small.ends(small.ask(RouterDriver.HISTORY), 0, "r2", Outcome.SUCCEEDED, null);
-            small.listed("r1", EndpointState.IN, small.nowMs);
+            RouterDriver small = new RouterDriver(new TestRouterSettings().gateways(100 + i));
+            small.updateEndpoints(true, "r1", "r2");
+            small.catchUp("r1", "r2");
+            small.attemptEnded(small.request(TestRouterSettings.UNBOUNDED_READ), 0, "r2", Outcome.SUCCEEDED, null);
+            small.updateEndpoint("r1", EndpointState.IN, small.nowMs);
             for (int s = 0; s < 4; s++) {
-                RequestId read = small.ask(RouterDriver.HISTORY);
-                cold += small.sends(read).contains("r1") ? 1 : 0;
+                RequestId read = small.request(TestRouterSettings.UNBOUNDED_READ);
+                cold += small.attempts(read).contains("r1") ? 1 : 0;
                 small.nowMs += 250;
             }
         }
@@ -33,23 +32,29 @@
 
     @Test
     void aWarmingServerGetsFewRequests() {
-        host.listed("r1", EndpointState.IN, host.nowMs);
+        driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
         int cold = 0;
         for (int i = 0; i < 12; i++) {
-            cold += host.sends(host.ask(RouterDriver.HISTORY)).contains("r1") ? 1 : 0;
+            cold += driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ))
+                            .contains("r1")
+                    ? 1
+                    : 0;
         }
         assertThat(cold).isLessThanOrEqualTo(4);
     }
 
     @Test
     void aServerReadmittedAfterALongOutageIsWarmingUpBeforeTheEndpointListSaysSo() {
-        host.unanswered("r1");
-        host.unanswered("r1");
-        host.nowMs += 5000;
-        host.levelled("p", "r1", "r2");
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        driver.nowMs += 5000;
+        driver.catchUp("p", "r1", "r2");
         int cold = 0;
         for (int i = 0; i < 12; i++) {
-            cold += host.sends(host.ask(RouterDriver.HISTORY)).contains("r1") ? 1 : 0;
+            cold += driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ))
+                            .contains("r1")
+                    ? 1
+                    : 0;
         }
         assertThat(cold).isLessThanOrEqualTo(1);
     }
@@ -57,15 +62,15 @@
     @Test
     void aServerFirstSeenLateIsWarmWhereTheEndpointListSaysThatItStartedLongAgo() {
         RouterDriver fresh = new RouterDriver();
-        fresh.list(true, "r1");
-        fresh.unanswered("r1");
-        fresh.unanswered("r1");
+        fresh.updateEndpoints(true, "r1");
+        fresh.healthCheckTimedOut("r1");
+        fresh.healthCheckTimedOut("r1");
         fresh.nowMs += 5000;
-        fresh.probed("r1", Role.REPLICA, fresh.nowMs);
+        fresh.healthCheckSucceeded("r1", Role.REPLICA, fresh.nowMs);
         for (int i = 0; i < 12; i++) {
-            RequestId read = fresh.ask(RouterDriver.HISTORY);
-            assertThat(fresh.sends(read)).as("read " + i).containsExactly("r1");
-            fresh.ends(read, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, fresh.nowMs));
+            RequestId read = fresh.request(TestRouterSettings.UNBOUNDED_READ);
+            assertThat(fresh.attempts(read)).as("read " + i).containsExactly("r1");
+            fresh.attemptEnded(read, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, fresh.nowMs));
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
@@ -11,83 +11,96 @@
 
 /** Which replicas are current enough for a read, as seen through the router. */
 class StalenessFilterTest {
-    private final RouterDriver host = RouterDriver.settled();
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void aReplicaBeyondTheBoundGetsNoBoundedReadsButStillUnboundedOnes() {
-        host.nowMs += 400;
-        host.probed("r1", Role.REPLICA, host.nowMs);
-        host.nowMs += 150;
+        driver.nowMs += 400;
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
+        driver.nowMs += 150;
         for (int i = 0; i < 5; i++) {
-            assertThat(host.sends(host.ask(RouterDriver.VIEW))).containsExactly("r1");
+            assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
+                    .containsExactly("r1");
         }
-        assertThat(host.sends(host.ask(RouterDriver.HISTORY))).containsExactly("r2");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ)))
+                .containsExactly("r2");
     }
 
     @Test
     void whereReplicasCheckStalenessASlightlyLaggingOneIsPreferredUntilItRejectsARead() {
-        RouterDriver checked = new RouterDriver(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
-        checked.list(true, "p", "r1");
-        checked.levelled("p", "r1");
+        RouterDriver checked =
+                new RouterDriver(new TestRouterSettings().stalenessCheck(ReplicaGuarantees.StalenessCheck.WAITS));
+        checked.updateEndpoints(true, "p", "r1");
+        checked.catchUp("p", "r1");
         checked.nowMs += 560;
-        RequestId read = checked.ask(RouterDriver.VIEW);
+        RequestId read = checked.request(TestRouterSettings.BOUNDED_READ);
         checked.nowMs += 50;
-        checked.ends(read, 0, "r1", Outcome.MISDIRECTED, RouterDriver.report(Role.REPLICA, checked.nowMs - 700));
-        assertThat(checked.sends(read)).startsWith("r1");
-        assertThat(checked.sends(checked.ask(RouterDriver.VIEW))).containsExactly("p");
+        checked.attemptEnded(
+                read, 0, "r1", Outcome.MISDIRECTED, RouterDriver.report(Role.REPLICA, checked.nowMs - 700));
+        assertThat(checked.attempts(read)).startsWith("r1");
+        assertThat(checked.attempts(checked.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("p");
     }
 
     @Test
     void whereReplicasCheckStalenessOneReadASecondIsSentDespiteOutdatedReports() {
-        RouterDriver checked = new RouterDriver(ReplicaGuarantees.StalenessCheck.WAITS, false, true, 1);
-        checked.list(true, "r1");
-        checked.probed("r1", Role.REPLICA, checked.nowMs - 5200);
-        RequestId guess = checked.ask(RouterDriver.VIEW);
-        assertThat(checked.sends(guess)).containsExactly("r1");
-        assertThat(checked.busyReplies(checked.ask(RouterDriver.VIEW))).isEqualTo(1);
+        RouterDriver checked =
+                new RouterDriver(new TestRouterSettings().stalenessCheck(ReplicaGuarantees.StalenessCheck.WAITS));
+        checked.updateEndpoints(true, "r1");
+        checked.healthCheckSucceeded("r1", Role.REPLICA, checked.nowMs - 5200);
+        RequestId guess = checked.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(checked.attempts(guess)).containsExactly("r1");
+        assertThat(checked.rejections(checked.request(TestRouterSettings.BOUNDED_READ)))
+                .isEqualTo(1);
         checked.nowMs += 50;
-        checked.ends(guess, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, checked.nowMs - 10));
-        assertThat(checked.sends(checked.ask(RouterDriver.VIEW))).containsExactly("r1");
+        checked.attemptEnded(guess, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, checked.nowMs - 10));
+        assertThat(checked.attempts(checked.request(TestRouterSettings.BOUNDED_READ)))
+                .containsExactly("r1");
     }
 
     @Test
     void sessionReadsSeeTheSessionsWrites() {
-        RequestId write = host.ask(RouterDriver.SUBMIT, "s", 0);
-        host.nowMs += 100;
-        host.ends(write, 0, "p", Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, host.nowMs));
-        assertThat(host.sends(host.ask(RouterDriver.SESSION, "s", 0))).containsExactly("p");
-        assertThat(host.sends(host.ask(RouterDriver.SESSION, "other", 0)))
+        RequestId write = driver.request(TestRouterSettings.WRITE, "s", 0);
+        driver.nowMs += 100;
+        driver.attemptEnded(write, 0, "p", Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, driver.nowMs));
+        assertThat(driver.attempts(driver.request(TestRouterSettings.SESSION_READ, "s", 0)))
+                .containsExactly("p");
+        assertThat(driver.attempts(driver.request(TestRouterSettings.SESSION_READ, "other", 0)))
                 .isSubsetOf("r1", "r2")
                 .hasSize(1);
-        host.probed("r1", Role.REPLICA, host.nowMs + 1);
-        assertThat(host.sends(host.ask(RouterDriver.SESSION, "s", 0))).containsExactly("r1");
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs + 1);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.SESSION_READ, "s", 0)))
+                .containsExactly("r1");
     }
 
     @Test
     void aSessionTokenSetsTheBoundAndAZeroTokenAdmitsAnyReplica() {
-        RouterDriver carried = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, true, true, 1);
-        carried.list(true, "p", "r1");
-        carried.levelled("p", "r1");
+        RouterDriver carried = new RouterDriver(new TestRouterSettings().sessionTokens());
+        carried.updateEndpoints(true, "p", "r1");
+        carried.catchUp("p", "r1");
         carried.nowMs += 100;
-        assertThat(carried.sends(carried.ask(RouterDriver.SESSION, "s", 50))).containsExactly("p");
-        assertThat(carried.sends(carried.ask(RouterDriver.SESSION, "s", 0))).containsExactly("r1");
-        assertThat(carried.sends(carried.ask(RouterDriver.SESSION, "s", 200))).containsExactly("r1");
+        assertThat(carried.attempts(carried.request(TestRouterSettings.SESSION_READ, "s", 50)))
+                .containsExactly("p");
+        assertThat(carried.attempts(carried.request(TestRouterSettings.SESSION_READ, "s", 0)))
+                .containsExactly("r1");
+        assertThat(carried.attempts(carried.request(TestRouterSettings.SESSION_READ, "s", 200)))
+                .containsExactly("r1");
     }
 
     @Test
     void aBoundedReadAtAReplicaMustBeWrittenWhileThePositionFitsItsBound() {
-        RouterDriver h = RouterDriver.settled();
-        h.pass(100); // r1 and r2 stand where they stood then, but for what a probe told since
-        RequestId read = h.ask(RouterDriver.VIEW);
-        Action.StartAttempt s = h.acts.stream()
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        h.advance(100); // r1 and r2 stand where they stood then, but for what a probe told since
+        RequestId read = h.request(TestRouterSettings.BOUNDED_READ);
+        Action.StartAttempt s = h.actions.stream()
                 .filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
                 .map(a -> (Action.StartAttempt) a)
                 .findFirst()
                 .orElseThrow();
         assertThat(s.server().text()).startsWith("r");
         assertThat(s.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000); // a position is rounded down by a millisecond
-        RequestId write = h.ask(RouterDriver.SUBMIT);
-        assertThat(h.acts.stream()
+        RequestId write = h.request(TestRouterSettings.WRITE);
+        assertThat(h.actions.stream()
                         .filter(a -> a instanceof Action.StartAttempt x
                                 && x.request().equals(write))
                         .map(a -> ((Action.StartAttempt) a).writeBy()))
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -17,7 +17,6 @@
 import ploverdale.model.GroupId;
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
-import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestClassId;
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
@@ -44,7 +43,7 @@
 
     private record Due(long at, int order, long sequence, Runnable what) {}
 
-    private final RouterDriver host;
+    private final RouterDriver driver;
     private final Random random;
     private final int servers;
     private final List<HoldUp> holdUps = new ArrayList<>();
@@ -66,7 +65,7 @@
     VirtualFleet(int servers, long seed) {
         this.servers = servers;
         random = new Random(seed);
-        host = new RouterDriver(ReplicaGuarantees.StalenessCheck.NONE, false, true, GATEWAYS);
+        driver = new RouterDriver(new TestRouterSettings().gateways(GATEWAYS));
     }
 
     /** Holds up the servers, and the gateway, too, unless told otherwise. */
@@ -99,7 +98,7 @@
             }
         }
         later(start(), READS, () -> {
-            carryOut(List.copyOf(host.acts)); // what the module wanted at its start
+            carryOut(List.copyOf(driver.actions)); // what the module wanted at its start
             tell(new Event.EndpointUpdate(true, false, endpoints()));
         });
         long gap = requestsPerSecond == 0 ? lasts : 1000 / requestsPerSecond;
@@ -109,7 +108,7 @@
         long end = start() + lasts;
         while (!queue.isEmpty() && queue.peek().at < end) {
             Due due = queue.poll();
-            host.nowMs = due.at;
+            driver.nowMs = due.at;
             due.what.run();
         }
         return this;
@@ -133,7 +132,11 @@
     }
 
     private void arrival() {
-        int type = List.of(RouterDriver.VIEW, RouterDriver.HISTORY, RouterDriver.HISTORY, RouterDriver.SUBMIT)
+        int type = List.of(
+                        TestRouterSettings.BOUNDED_READ,
+                        TestRouterSettings.UNBOUNDED_READ,
+                        TestRouterSettings.UNBOUNDED_READ,
+                        TestRouterSettings.WRITE)
                 .get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
         tell(new Event.RequestArrived(
@@ -142,15 +145,15 @@
                 new TenantId(0),
                 group,
                 null,
-                host.nowMs * 10 + 30_000,
+                driver.nowMs * 10 + 30_000,
                 false,
                 0,
                 0));
     }
 
     private void tell(Event event) {
-        host.acts.clear(); // which would keep all there ever was
-        carryOut(host.tell(event));
+        driver.actions.clear(); // which would keep all there ever was
+        carryOut(driver.deliver(event));
     }
 
     private void carryOut(List<Action> actions) {
@@ -176,7 +179,7 @@
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
                     gateway(
-                            host.nowMs,
+                            driver.nowMs,
                             TIMERS,
                             () -> tell(new Event.AttemptEnded(
                                     a.request(), a.attempt(), at, Outcome.CANCELLED, 0, false, null, null)));
@@ -201,11 +204,11 @@
     }
 
     private void exchange(ServerId server, int work, long limit, String name, Ended ended) {
-        long began = host.nowMs;
+        long began = driver.nowMs;
         pending.add(name);
         gateway(began + Math.max(1, limit), TIMERS, () -> {
             if (pending.remove(name)) {
-                ended.with(Outcome.TIMED_OUT, host.nowMs - began);
+                ended.with(Outcome.TIMED_OUT, driver.nowMs - began);
             }
         });
         later(began + work, READS, () -> answer(server, name, began, ended));
@@ -213,25 +216,25 @@
 
     /** At the server, which does it once its machine goes on. */
     private void answer(ServerId server, String name, long began, Ended ended) {
-        if (host.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
+        if (driver.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
             return;
         }
         for (HoldUp h : holdUps) {
-            if (h.from <= host.nowMs && host.nowMs < h.until) {
+            if (h.from <= driver.nowMs && driver.nowMs < h.until) {
                 later(h.until + random.nextInt(RESUME_WITHIN_MS), READS, () -> answer(server, name, began, ended));
                 return;
             }
         }
-        gateway(host.nowMs + 1, READS, () -> {
+        gateway(driver.nowMs + 1, READS, () -> {
             if (pending.remove(name)) {
-                ended.with(Outcome.SUCCEEDED, host.nowMs - began);
+                ended.with(Outcome.SUCCEEDED, driver.nowMs - began);
             }
         });
     }
 
     private LoadReport report(ServerId server) {
         boolean primary = isPrimary(Integer.parseInt(server.text().substring(1)));
-        return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (host.nowMs - 20) * 10);
+        return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (driver.nowMs - 20) * 10);
     }
 
     /** In the gateway's process, which does it once it goes on. */
@@ -249,11 +252,11 @@
 
     private void logged(String[] words) {
         if (words[0].equals("server") && words[2].equals("silent:")) {
-            silentSince.put(words[1], host.nowMs - start());
-            silentAtFirst.putIfAbsent(words[1], host.nowMs - start());
+            silentSince.put(words[1], driver.nowMs - start());
+            silentAtFirst.putIfAbsent(words[1], driver.nowMs - start());
         } else if (words[0].equals("server") && words[2].equals("returns:")) {
             silentSince.remove(words[1]);
-            lastReturn = host.nowMs - start();
+            lastReturn = driver.nowMs - start();
         }
     }
 
