--- a/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
@@ -12,7 +12,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** What the decisions make of a servers' clock whose offset turns out to be another. */
+/** What the router does when the offset of the servers' clocks turns out to be another. */
 class ClockOffsetInRouterTest {
     private static final long HOUR_MS = 3_600_000;
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void positionsToldBeforeCountAsTooStaleUntilTheyAreToldAgain() {
+    void positionsReportedBeforeCountAsTooStaleUntilReportedAgain() {
         driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
         offsetChanges(driver, Map.of());
         RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void writesAndReadsOfThePrimaryGoOn() {
+    void writesAndReadsOfThePrimaryContinue() {
         offsetChanges(driver, Map.of());
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
         assertThat(driver.attempts(driver.request(TestRouterSettings.FRESH_READ)))
@@ -45,54 +45,54 @@
     }
 
     @Test
-    void aSessionsLastWriteThatWasDatedWronglyIsReachedByWhatStandsAtThePresent() {
-        RouterDriver h = new RouterDriver();
-        h.updateEndpoints(true, "p", "r1");
-        h.catchUp("p", "r1");
-        RequestId write = h.request(TestRouterSettings.WRITE, "s", 0);
-        h.attemptEnded(
+    void aSessionsWriteWithAWrongTimestampIsVisibleAtAReplicaThatIsCaughtUpToThePresent() {
+        RouterDriver driver = new RouterDriver();
+        driver.updateEndpoints(true, "p", "r1");
+        driver.catchUp("p", "r1");
+        RequestId write = driver.request(TestRouterSettings.WRITE, "s", 0);
+        driver.attemptEnded(
                 write,
                 0,
                 "p",
                 Outcome.SUCCEEDED,
-                new LoadReport(Role.PRIMARY, (h.nowMs - HOUR_MS) * 10)); // an hour too early
-        offsetChanges(h, Map.of());
-        h.nowMs += 200;
-        h.healthCheckSucceeded("r1", Role.REPLICA, h.nowMs - 300);
-        assertThat(h.attempts(h.request(TestRouterSettings.SESSION_READ, "s", 0)))
+                new LoadReport(Role.PRIMARY, (driver.nowMs - HOUR_MS) * 10)); // an hour too early
+        offsetChanges(driver, Map.of());
+        driver.nowMs += 200;
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs - 300);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.SESSION_READ, "s", 0)))
                 .containsExactly("p");
-        h.healthCheckSucceeded("r1", Role.REPLICA, h.nowMs);
-        assertThat(h.attempts(h.request(TestRouterSettings.SESSION_READ, "s", 0)))
+        driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
+        assertThat(driver.attempts(driver.request(TestRouterSettings.SESSION_READ, "s", 0)))
                 .containsExactly("r1");
     }
 
     @Test
-    void aServerWhoseStartWasDatedTooLateIsWarmOnceItIsDatedAnew() {
+    void aServerWhoseStartTimeWasTooLateIsWarmOnceItIsCorrected() {
         driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
         offsetChanges(driver, Map.of("r1", driver.nowMs - HOUR_MS));
         driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
-        int at = 0;
+        int readsAtReplica = 0;
         for (int i = 0; i < 20; i++) { // only r1 has a position
-            at += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+            readsAtReplica += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
                             .contains("r1")
                     ? 1
                     : 0;
         }
-        assertThat(at).isEqualTo(20);
+        assertThat(readsAtReplica).isEqualTo(20);
     }
 
     @Test
-    void aServerThatIsColdStaysColdWhenItsStartIsDatedAsBefore() {
+    void aWarmingServerStaysSoWhenItsStartTimeIsConfirmed() {
         driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
         offsetChanges(driver, Map.of("r1", driver.nowMs));
         driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
-        int at = 0;
+        int readsAtReplica = 0;
         for (int i = 0; i < 20; i++) {
-            at += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+            readsAtReplica += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
                             .contains("r1")
                     ? 1
                     : 0;
         }
-        assertThat(at).isLessThanOrEqualTo(1);
+        assertThat(readsAtReplica).isLessThanOrEqualTo(1);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
+++ b/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the module makes of many servers that are silent at once, by its own lateness, by a common cause, or dead. */
+/** What the router concludes when many servers stop answering at once: by a delay of its own process, a common cause, or death. */
 class CommonSilenceTest {
     private static final int SERVERS = 240;
     private static final int OPS_PER_SECOND = 500;
@@ -20,42 +20,42 @@
 
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "200, true"})
-    void aHoldUpOfAllMachinesRightAfterTheStartEjectsNobody(long after, boolean gatewayToo) {
-        VirtualFleet fleet = fleet(SERVERS).heldUp(after, 300, gatewayToo).play(10_000, OPS_PER_SECOND);
+    void aPauseOfAllMachinesRightAfterTheStartEjectsNoServer(long after, boolean gatewayToo) {
+        VirtualFleet fleet = fleet(SERVERS).paused(after, 300, gatewayToo).play(10_000, OPS_PER_SECOND);
         report(fleet, "held up after the start");
-        assertThat(fleet.calledSilent()).isEmpty();
+        assertThat(fleet.everEjected()).isEmpty();
         assertThat(fleet.succeeded).isGreaterThan(4500);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 15})
-    void aHoldUpOfTheGatewayEjectsNobodyOfASmallFleet(int servers) {
+    void aPauseOfTheGatewayEjectsNoServerOfASmallFleet(int servers) {
         VirtualFleet fleet =
-                fleet(servers).heldUp(1, 300, true).heldUp(5000, 600, true).play(10_000, OPS_PER_SECOND);
+                fleet(servers).paused(1, 300, true).paused(5000, 600, true).play(10_000, OPS_PER_SECOND);
         report(fleet, servers + " servers, held up");
-        assertThat(fleet.calledSilent()).isEmpty();
+        assertThat(fleet.everEjected()).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"300, true", "300, false", "600, true", "600, false", "2000, true"})
-    void aHoldUpInMidServiceEjectsNobody(long lasts, boolean gatewayToo) {
-        VirtualFleet fleet = fleet(SERVERS).heldUp(5000, lasts, gatewayToo).play(12_000, 2 * OPS_PER_SECOND);
+    void aPauseDuringServiceEjectsNoServer(long lasts, boolean gatewayToo) {
+        VirtualFleet fleet = fleet(SERVERS).paused(5000, lasts, gatewayToo).play(12_000, 2 * OPS_PER_SECOND);
         report(fleet, "held up in mid service for " + lasts + " ms");
-        assertThat(fleet.calledSilent()).isEmpty();
+        assertThat(fleet.everEjected()).isEmpty();
     }
 
     @Test
-    void holdUpsOfMostOfTheTimeEjectNobodyAndADeadServerIsStillFound() {
+    void frequentPausesEjectNoLiveServerAndADeadServerIsStillDetected() {
         VirtualFleet fleet = fleet(30).die(5000, 7, 8);
         for (long at = 2000; at < 15_000; at += 250) {
-            fleet.heldUp(at, 150, true);
+            fleet.paused(at, 150, true);
         }
         fleet.play(15_000, OPS_PER_SECOND);
         report(fleet, "held up again and again");
-        assertThat(fleet.calledSilent()).containsOnlyKeys(VirtualFleet.id(7));
+        assertThat(fleet.everEjected()).containsOnlyKeys(VirtualFleet.id(7));
     }
 
-    /** The last columns are what was measured before there was any doubt about oneself. */
+    /** The last columns were measured before the router examined its own health. */
     @ParameterizedTest
     @CsvSource({
         "240, 160, 578.9, 1066",
@@ -68,11 +68,11 @@
         "2, 2, 410.0, 410",
         "1, 1, 410.0, 410",
     })
-    void serversThatDieAreFoundAsSoonAsEver(int servers, int dead, double meanBefore, long lastBefore) {
+    void deadServersAreDetectedAsSoonAsWithoutTheSelfCheck(int servers, int dead, double meanBefore, long lastBefore) {
         VirtualFleet fleet = fleet(servers).die(5000, servers - dead, servers).play(15_000, 2 * OPS_PER_SECOND);
         report(fleet, dead + " of " + servers + " die");
-        assertThat(fleet.calledSilent()).hasSize(dead);
-        assertThat(fleet.silent()).hasSize(dead);
+        assertThat(fleet.everEjected()).hasSize(dead);
+        assertThat(fleet.ejected()).hasSize(dead);
         // beyond 128 servers the first health checks come in another order, and so chance takes another course
         assertThat(fleet.detectedAfter(5000)).isLessThan(meanBefore + (servers > 128 ? 5 : 0.1));
         assertThat(fleet.lastDetectedAfter(5000)).isLessThanOrEqualTo(lastBefore);
@@ -81,50 +81,50 @@
     /** The last column is what was measured before. */
     @ParameterizedTest
     @CsvSource({"15, 430", "240, 1050"})
-    void whereAllServersDieTheDoubtEndsSoon(int servers, long lastBefore) {
+    void whereAllServersDieTheyAreEjectedSoon(int servers, long lastBefore) {
         VirtualFleet fleet = fleet(servers).die(5000, 0, servers).play(15_000, 2 * OPS_PER_SECOND);
         report(fleet, "all of " + servers + " die");
-        assertThat(fleet.silent()).hasSize(servers);
+        assertThat(fleet.ejected()).hasSize(servers);
         assertThat(fleet.lastDetectedAfter(5000)).isLessThan(lastBefore + 750);
     }
 
     @Test
-    void withNearlyAllServersDeadReadsGoOnAtThoseThatAnswer() {
+    void withMostServersDeadReadsContinueAtThoseThatAnswer() {
         VirtualFleet fleet = fleet(60);
         for (int group = 0; group < 12; group++) {
             fleet.die(5000, 5 * group, 5 * group + 4); // in each group the last replica is left
         }
         fleet.play(15_000, 200);
         report(fleet, "four in five die");
-        assertThat(fleet.silent()).hasSize(48);
-        assertThat(fleet.succeeded).isGreaterThanOrEqualTo(2411); // as before there was any doubt
+        assertThat(fleet.ejected()).hasSize(48);
+        assertThat(fleet.succeeded).isGreaterThanOrEqualTo(2411); // as before the router examined its own health
     }
 
     @Test
-    void aServerThatNeverWasIsFoundAtItsFirstCheckAndAskedAgainSeldom() {
+    void aServerThatNeverAnsweredIsEjectedAtItsFirstCheck() {
         VirtualFleet fleet = fleet(SERVERS).die(0, SERVERS - 80, SERVERS).play(10_000, OPS_PER_SECOND);
         report(fleet, "80 of 240 never were");
-        assertThat(fleet.calledSilent()).hasSize(80);
+        assertThat(fleet.everEjected()).hasSize(80);
     }
 
     @ParameterizedTest
     @CsvSource({"15, 15", "120, 120", "240, 128"})
-    void theFirstListHasSoManyServersCheckedAtOnce(int servers, int atOnce) {
+    void theFirstEndpointListStartsABoundedNumberOfHealthChecks(int servers, int atOnce) {
         VirtualFleet fleet = fleet(servers).play(200, 0);
-        assertThat(fleet.healthChecksOutMost()).isEqualTo(atOnce);
+        assertThat(fleet.mostHealthChecksInFlight()).isEqualTo(atOnce);
     }
 
     private static void report(VirtualFleet fleet, String what) {
         System.out.printf(
-                "%s: %d called silent, the last found at %d ms (from 5000: mean %.1f), silent still %d, last return at "
-                        + "%d ms, %d ops succeeded, at most %d checks at once%n",
+                "%s: %d ejected, the last at %d ms (from 5000: mean %.1f), still ejected %d, last readmission at "
+                        + "%d ms, %d requests succeeded, at most %d checks at once%n",
                 what,
-                fleet.calledSilent().size(),
-                fleet.calledSilent().isEmpty() ? -1 : fleet.lastDetectedAfter(0),
-                fleet.calledSilent().isEmpty() ? 0 : fleet.detectedAfter(5000),
-                fleet.silent().size(),
+                fleet.everEjected().size(),
+                fleet.everEjected().isEmpty() ? -1 : fleet.lastDetectedAfter(0),
+                fleet.everEjected().isEmpty() ? 0 : fleet.detectedAfter(5000),
+                fleet.ejected().size(),
                 fleet.lastReturn(),
                 fleet.succeeded,
-                fleet.healthChecksOutMost());
+                fleet.mostHealthChecksInFlight());
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -16,11 +16,11 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** What the module makes of words of other gateways. */
+/** What the router concludes from gossip of other gateways, and what it gossips. */
 class GossipInRouterTest {
     private final RouterDriver driver = RouterDriver.withGossip(3);
 
-    private ServerObservation word(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
+    private ServerObservation observation(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
         return new ServerObservation(
                 role,
                 at(roleMs),
@@ -36,13 +36,13 @@
         return ms < 0 ? LoadReport.UNKNOWN_TIME : ms * 10;
     }
 
-    private void told(int from, String server, ServerObservation w) {
+    private void gossipReceived(int from, String server, ServerObservation w) {
         driver.deliver(new Event.GossipReceived(
                 from,
                 new Datagram(Kind.TELLS, driver.nowMs * 10, Map.of(Datagram.number(new ServerId(server)), w)).bytes()));
     }
 
-    private List<Action.SendGossip> tells() {
+    private List<Action.SendGossip> sentGossip() {
         return driver.actions.stream()
                 .filter(a -> a instanceof Action.SendGossip)
                 .map(a -> (Action.SendGossip) a)
@@ -50,21 +50,22 @@
     }
 
     @Test
-    void aNewPrimaryIsKnownFromOthersAndOldWordsDoNotOverturnIt() {
+    void aNewPrimaryIsLearntFromGossipAndOutdatedGossipDoesNotOverrideIt() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
         driver.nowMs += 100;
-        told(1, "r1", word(Role.PRIMARY, driver.nowMs - 20, driver.nowMs - 20, driver.nowMs - 20, -1));
+        gossipReceived(1, "r1", observation(Role.PRIMARY, driver.nowMs - 20, driver.nowMs - 20, driver.nowMs - 20, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("r1");
-        told(2, "p", word(Role.PRIMARY, driver.nowMs - 500, -1, -1, -1));
+        gossipReceived(2, "p", observation(Role.PRIMARY, driver.nowMs - 500, -1, -1, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("r1");
     }
 
     @Test
-    void aPrimaryThatOnlyOthersHaveHeardIsAskedBeforeItGetsAWrite() {
+    void aPrimaryKnownOnlyFromGossipIsCheckedBeforeItGetsAWrite() {
         driver.updateEndpoints(
-                true, "p", "r1", "r2"); // nothing heard yet; others do not know that p has just gone silent
-        told(1, "p", word(Role.PRIMARY, driver.nowMs - 100, driver.nowMs - 100, driver.nowMs - 100, -1));
+                true, "p", "r1", "r2"); // nothing observed yet; the others have not noticed that p no longer answers
+        gossipReceived(
+                1, "p", observation(Role.PRIMARY, driver.nowMs - 100, driver.nowMs - 100, driver.nowMs - 100, -1));
         RequestId request = driver.request(TestRouterSettings.WRITE);
         assertThat(driver.attempts(request)).isEmpty();
         assertThat(driver.healthChecks("p")).isPositive();
@@ -73,30 +74,35 @@
     }
 
     @Test
-    void aReadThatOnlyAPrimaryNamedByOthersCouldTakeWaitsForItsWord() {
-        RouterDriver many =
-                RouterDriver.withGossip(300); // each probes few servers at its start, and p is not among them
-        many.updateEndpoints(true, "p", "r1", "r2");
-        assertThat(many.healthChecks("p")).isZero();
-        many.healthCheckSucceeded("r1", Role.REPLICA, many.nowMs);
-        many.deliver(new Event.GossipReceived(
+    void aReadThatOnlyAPrimaryKnownFromGossipCouldServeWaitsForItsHealthCheck() {
+        RouterDriver driverOfMany =
+                RouterDriver.withGossip(300); // each checks few servers at its start, and p is not among them
+        driverOfMany.updateEndpoints(true, "p", "r1", "r2");
+        assertThat(driverOfMany.healthChecks("p")).isZero();
+        driverOfMany.healthCheckSucceeded("r1", Role.REPLICA, driverOfMany.nowMs);
+        driverOfMany.deliver(new Event.GossipReceived(
                 1,
                 new Datagram(
                                 Kind.TELLS,
-                                many.nowMs * 10,
+                                driverOfMany.nowMs * 10,
                                 Map.of(
                                         Datagram.number(new ServerId("p")),
-                                        word(Role.PRIMARY, many.nowMs, many.nowMs, many.nowMs, -1)))
+                                        observation(
+                                                Role.PRIMARY,
+                                                driverOfMany.nowMs,
+                                                driverOfMany.nowMs,
+                                                driverOfMany.nowMs,
+                                                -1)))
                         .bytes()));
-        many.nowMs += 1200; // r1 is too old by now
-        many.healthCheckSucceeded("r1", Role.REPLICA, many.nowMs - 1200);
-        RequestId request = many.request(TestRouterSettings.BOUNDED_READ);
-        assertThat(many.rejections(request)).isZero();
-        many.healthCheckSucceeded("p", Role.PRIMARY, many.nowMs);
-        assertThat(many.attempts(request)).containsExactly("p");
+        driverOfMany.nowMs += 1200; // the position of r1 is too old by now
+        driverOfMany.healthCheckSucceeded("r1", Role.REPLICA, driverOfMany.nowMs - 1200);
+        RequestId request = driverOfMany.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(driverOfMany.rejections(request)).isZero();
+        driverOfMany.healthCheckSucceeded("p", Role.PRIMARY, driverOfMany.nowMs);
+        assertThat(driverOfMany.attempts(request)).containsExactly("p");
     }
 
-    private Event.GossipReceived heardByOthers(RouterDriver h, String server, Role role) {
+    private Event.GossipReceived observedByAnother(RouterDriver h, String server, Role role) {
         return new Event.GossipReceived(
                 1,
                 new Datagram(
@@ -104,27 +110,28 @@
                                 h.nowMs * 10,
                                 Map.of(
                                         Datagram.number(new ServerId(server)),
-                                        word(role, h.nowMs, h.nowMs, h.nowMs, -1)))
+                                        observation(role, h.nowMs, h.nowMs, h.nowMs, -1)))
                         .bytes());
     }
 
     @Test
-    void aSlowServerThatOthersHearIsAskedAndNotTakenForDead() {
-        RouterDriver many = RouterDriver.withGossip(300);
-        many.updateEndpoints(true, "p", "r1", "r2");
-        many.catchUp("p", "r1", "r2");
-        assertThat(many.attempts(many.request(TestRouterSettings.WRITE))).containsExactly("p");
-        long before = many.healthChecks("p");
+    void aSlowServerThatOtherGatewaysObserveIsCheckedAndNotEjected() {
+        RouterDriver driverOfMany = RouterDriver.withGossip(300);
+        driverOfMany.updateEndpoints(true, "p", "r1", "r2");
+        driverOfMany.catchUp("p", "r1", "r2");
+        assertThat(driverOfMany.attempts(driverOfMany.request(TestRouterSettings.WRITE)))
+                .containsExactly("p");
+        long before = driverOfMany.healthChecks("p");
         for (int i = 0; i < 15; i++) {
-            many.advance(100); // in all, fifteen times what an answer usually takes
-            many.deliver(heardByOthers(many, "p", Role.PRIMARY));
+            driverOfMany.advance(100); // in all, fifteen times what an answer usually takes
+            driverOfMany.deliver(observedByAnother(driverOfMany, "p", Role.PRIMARY));
         }
-        assertThat(many.logged("silent")).isFalse();
-        assertThat(many.healthChecks("p")).isGreaterThan(before);
+        assertThat(driverOfMany.logged("silent")).isFalse();
+        assertThat(driverOfMany.healthChecks("p")).isGreaterThan(before);
     }
 
     @Test
-    void aServerThatOthersHeardMeanwhileIsNotColdWhenItReturnsHere() {
+    void aServerThatOtherGatewaysObservedMeanwhileIsWarmWhenReadmitted() {
         driver.updateEndpoints(true, "p", "r1");
         driver.catchUp("p", "r1");
         driver.advance(500);
@@ -133,7 +140,7 @@
         assertThat(driver.logged("r1 silent")).isTrue();
         for (int i = 0; i < 25; i++) {
             driver.advance(100);
-            driver.deliver(heardByOthers(driver, "r1", Role.REPLICA));
+            driver.deliver(observedByAnother(driver, "r1", Role.REPLICA));
         }
         driver.catchUp("p", "r1");
         assertThat(driver.logged("r1 returns")).isTrue();
@@ -148,11 +155,11 @@
     }
 
     @Test
-    void aPositionFromOthersAdmitsAReplicaWhileItIsFreshEnough() {
+    void aPositionFromGossipMakesAReplicaEligibleWhileItIsCurrentEnough() {
         driver.updateEndpoints(true, "p", "r1");
         driver.catchUp("p", "r1");
         driver.nowMs += 600;
-        told(2, "r1", word(Role.REPLICA, driver.nowMs - 50, driver.nowMs - 50, driver.nowMs - 50, -1));
+        gossipReceived(2, "r1", observation(Role.REPLICA, driver.nowMs - 50, driver.nowMs - 50, driver.nowMs - 50, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
         driver.nowMs += 455; // half a second after that position
@@ -161,11 +168,11 @@
     }
 
     @Test
-    void aServerFoundSilentElsewhereIsAskedFirst() {
+    void aServerEjectedByAnotherGatewayIsCheckedBeforeItGetsARequest() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
         driver.nowMs += 50;
-        told(1, "p", word(Role.PRIMARY, driver.nowMs - 40, -1, -1, driver.nowMs - 10));
+        gossipReceived(1, "p", observation(Role.PRIMARY, driver.nowMs - 40, -1, -1, driver.nowMs - 10));
         RequestId request = driver.request(TestRouterSettings.WRITE);
         assertThat(driver.attempts(request)).isEmpty();
         driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
@@ -173,7 +180,7 @@
     }
 
     @Test
-    void aDrainHeardBindsAtOnceAndAnOlderListDoesNotUndoIt() {
+    void aDrainFromGossipTakesEffectAtOnceAndAnOlderListDoesNotUndoIt() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
         ServerObservation drains = new ServerObservation(
@@ -185,25 +192,30 @@
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME,
                 driver.nowMs * 10 - 100);
-        told(1, "r1", drains);
+        gossipReceived(1, "r1", drains);
         driver.updateEndpoints(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
             assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                     .containsExactly("r2");
         }
-        told(
+        gossipReceived(
                 2,
                 "r1",
-                word(Role.REPLICA, driver.nowMs, driver.nowMs, driver.nowMs, -1)); // another that does not know of it
+                observation(
+                        Role.REPLICA,
+                        driver.nowMs,
+                        driver.nowMs,
+                        driver.nowMs,
+                        -1)); // from a gateway that does not know of the drain
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r2");
     }
 
     @Test
-    void aDrainThatNoListConfirmsLapses() {
+    void aDrainFromGossipThatNoListConfirmsExpires() {
         driver.updateEndpoints(true, "p", "r1");
         driver.catchUp("p", "r1");
-        told(
+        gossipReceived(
                 1,
                 "r1",
                 new ServerObservation(
@@ -222,10 +234,10 @@
     }
 
     @Test
-    void coldHeardIsCold() {
+    void aServerThatGossipReportsAsWarmingUpGetsFewRequests() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
-        told(
+        gossipReceived(
                 1,
                 "r1",
                 new ServerObservation(
@@ -244,15 +256,15 @@
                     ? 1
                     : 0;
         }
-        assertThat(cold).isLessThan(8); // of 20, where a warm one takes half
+        assertThat(cold).isLessThan(8); // of 20, where a warm one gets half
     }
 
     @Test
-    void aServerOnlyOthersNameIsNeverSentTo() {
+    void aServerKnownOnlyFromGossipGetsNoRequest() {
         driver.updateEndpoints(true, "p");
         driver.catchUp("p");
-        told(1, "ghost", word(Role.REPLICA, driver.nowMs, driver.nowMs, driver.nowMs, -1));
-        told(1, "ghost2", word(Role.PRIMARY, driver.nowMs, driver.nowMs, driver.nowMs, -1));
+        gossipReceived(1, "ghost", observation(Role.REPLICA, driver.nowMs, driver.nowMs, driver.nowMs, -1));
+        gossipReceived(1, "ghost2", observation(Role.PRIMARY, driver.nowMs, driver.nowMs, driver.nowMs, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("p");
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
@@ -260,40 +272,40 @@
     }
 
     @Test
-    void whoSaidWrongWhoLeadsIsBelievedLessNextTime() {
+    void aGatewayThatNamedAWrongPrimaryIsTrustedLessNextTime() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
         driver.nowMs += 100;
-        told(1, "r1", word(Role.PRIMARY, driver.nowMs - 1, -1, -1, -1));
+        gossipReceived(1, "r1", observation(Role.PRIMARY, driver.nowMs - 1, -1, -1, -1));
         RequestId request = driver.request(TestRouterSettings.WRITE);
         assertThat(driver.attempts(request)).startsWith("r1");
         driver.attemptEnded(request, 0, "r1", Outcome.MISDIRECTED, new LoadReport(Role.REPLICA, driver.nowMs * 10));
         driver.nowMs += 1000;
         driver.catchUp("p", "r1", "r2");
         driver.nowMs += 100;
-        told(1, "r1", word(Role.PRIMARY, driver.nowMs - 1, -1, -1, -1));
+        gossipReceived(1, "r1", observation(Role.PRIMARY, driver.nowMs - 1, -1, -1, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
-    void aGatewayAsksAtItsStartAndAnswersThoseThatStart() {
+    void aGatewayRequestsGossipAtItsStartAndAnswersThoseThatStart() {
         driver.updateEndpoints(true, "p", "r1");
         driver.advance(20);
-        assertThat(tells())
+        assertThat(sentGossip())
                 .hasSize(2)
                 .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.ASKS);
         driver.catchUp("p", "r1");
         driver.actions.clear();
         driver.deliver(new Event.GossipReceived(2, new Datagram(Kind.ASKS, driver.nowMs * 10, Map.of()).bytes()));
-        assertThat(tells()).hasSize(1);
+        assertThat(sentGossip()).hasSize(1);
         Map<Integer, ServerObservation> words =
-                Datagram.read(tells().get(0).bytes()).datagram().words();
+                Datagram.read(sentGossip().get(0).bytes()).datagram().words();
         assertThat(words.get(Datagram.number(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
         assertThat(words.get(Datagram.number(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
     }
 
     @Test
-    void aSilentServerIsToldToOthersAndOneThatLeavesTellsWhatItKnows() {
+    void anEjectionIsGossipedAndAGatewayThatShutsDownSendsAllItKnows() {
         driver.updateEndpoints(true, "p", "r1");
         driver.catchUp("p", "r1");
         driver.advance(100);
@@ -303,7 +315,7 @@
         driver.advance(600);
         driver.healthCheckTimedOut("r1");
         driver.advance(100);
-        assertThat(tells())
+        assertThat(sentGossip())
                 .anyMatch(t -> Datagram.read(t.bytes())
                         .datagram()
                         .words()
@@ -311,33 +323,34 @@
                         .silent());
         driver.actions.clear();
         driver.deliver(new Event.ShutdownBegun());
-        assertThat(tells())
+        assertThat(sentGossip())
                 .hasSize(2)
                 .allMatch(t -> Datagram.read(t.bytes()).datagram().kind() == Kind.LEAVES);
     }
 
     @Test
-    void aServerReplacedUnderANewIdInheritsNothing() {
+    void aServerReplacedUnderANewIdInheritsNoObservation() {
         driver.updateEndpoints(true, "p", "r1");
         driver.catchUp("p", "r1");
-        driver.updateEndpoints(true, "p", "r9"); // r1 is gone, r9 in its place
+        driver.updateEndpoints(true, "p", "r9"); // r9 replaces r1
         driver.nowMs += 10;
-        told(1, "r1", word(Role.PRIMARY, driver.nowMs, driver.nowMs, driver.nowMs, -1));
+        gossipReceived(1, "r1", observation(Role.PRIMARY, driver.nowMs, driver.nowMs, driver.nowMs, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("p");
     }
 
     @Test
-    void whereWordsAreNotAllowedNoneAreSentOrHeard() {
-        RouterDriver quiet = new RouterDriver();
-        quiet.updateEndpoints(true, "p", "r1");
-        quiet.catchUp("p", "r1");
-        int before = quiet.actions.size();
-        quiet.deliver(new Event.GossipReceived(1, new Datagram(Kind.ASKS, quiet.nowMs * 10, Map.of()).bytes()));
-        quiet.deliver(new Event.ShutdownBegun());
-        assertThat(quiet.actions).hasSize(before);
-        quiet.advance(1000);
-        assertThat(quiet.actions).noneMatch(a -> a instanceof Action.SendGossip);
+    void whereGossipIsDisabledNoneIsSentOrAccepted() {
+        RouterDriver withoutGossip = new RouterDriver();
+        withoutGossip.updateEndpoints(true, "p", "r1");
+        withoutGossip.catchUp("p", "r1");
+        int before = withoutGossip.actions.size();
+        withoutGossip.deliver(
+                new Event.GossipReceived(1, new Datagram(Kind.ASKS, withoutGossip.nowMs * 10, Map.of()).bytes()));
+        withoutGossip.deliver(new Event.ShutdownBegun());
+        assertThat(withoutGossip.actions).hasSize(before);
+        withoutGossip.advance(1000);
+        assertThat(withoutGossip.actions).noneMatch(a -> a instanceof Action.SendGossip);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
@@ -14,48 +14,50 @@
 
     @Test
     void healthChecksThatWereNeverSentEjectNoServer() {
-        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
         for (int i = 0; i < MANY; i++) {
-            h.advance(500);
-            h.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            driver.advance(500);
+            driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
         }
-        assertThat(h.logged("server r1 silent")).isFalse();
+        assertThat(driver.logged("server r1 silent")).isFalse();
     }
 
     @Test
-    void healthChecksThatWereSentAndNotAnsweredStillDo() {
-        RouterDriver h = RouterDriver.withCaughtUpReplicas();
-        h.advance(500);
-        h.healthCheckTimedOut("r1");
-        h.healthCheckTimedOut("r1");
-        assertThat(h.logged("server r1 silent")).isTrue();
+    void healthChecksThatWereSentAndNotAnsweredEjectTheServer() {
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
+        driver.advance(500);
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        assertThat(driver.logged("server r1 silent")).isTrue();
     }
 
     @Test
-    void aHealthCheckThatWasNeverSentLeavesASilentServersBackoffAsItIs() {
-        RouterDriver h = RouterDriver.withCaughtUpReplicas();
-        h.advance(500);
-        h.healthCheckTimedOut("r1");
-        h.healthCheckTimedOut("r1");
-        long before = h.healthChecks("r1");
-        h.advance(2000); // silent servers are asked again while others of their group are used
+    void aHealthCheckThatWasNeverSentLeavesAnEjectedServersBackoffAsItIs() {
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
+        driver.advance(500);
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        long before = driver.healthChecks("r1");
+        driver.advance(2000); // ejected servers are checked again while others of their group are used
         for (int i = 0; i < MANY; i++) {
-            h.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
-            h.advance(20);
+            driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            driver.advance(20);
         }
-        assertThat(h.healthChecks("r1") - before).as("not asked in a busy loop").isLessThan(MANY / 2);
+        assertThat(driver.healthChecks("r1") - before)
+                .as("not asked in a busy loop")
+                .isLessThan(MANY / 2);
     }
 
     @Test
     void attemptsThatWereNeverSentEjectNoServer() {
-        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
         for (int i = 0; i < MANY; i++) {
-            RequestId request = h.request(TestRouterSettings.UNBOUNDED_READ);
-            for (int send = 0; send < h.attempts(request).size(); send++) {
-                h.attemptEnded(request, send, h.attempts(request).get(send), Outcome.NEVER_SENT, null);
+            RequestId request = driver.request(TestRouterSettings.UNBOUNDED_READ);
+            for (int send = 0; send < driver.attempts(request).size(); send++) {
+                driver.attemptEnded(request, send, driver.attempts(request).get(send), Outcome.NEVER_SENT, null);
             }
-            h.advance(100);
+            driver.advance(100);
         }
-        assertThat(h.logged("silent")).isFalse();
+        assertThat(driver.logged("silent")).isFalse();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -24,41 +24,41 @@
 import ploverdale.model.ZoneId;
 
 /**
- * The decision module of one gateway among many database servers, in virtual time: groups of five whose first member is the
- * primary, clients that ask all groups evenly, servers that die without a word, and hold-ups of the servers, or of all machines
- * at once. After a hold-up of the gateway its timers fire before it reads the answers that came meanwhile. Times in ms.
+ * The router of one gateway among many database servers, in virtual time: groups of five whose first member is the primary,
+ * clients that send requests to all groups evenly, servers that die without closing connections, and pauses of the servers or of all
+ * machines at once. After a pause of the gateway its timers fire before it reads the responses that arrived meanwhile. Times in ms.
  */
 final class VirtualFleet {
     static final int HEALTH_CHECK_LIMIT_MS = 250;
     private static final int GROUP_SIZE = 5;
     private static final int HEALTH_CHECK_MS = 2;
-    private static final int OP_MS = 10;
-    private static final int RESUME_WITHIN_MS = 150; // of servers, one after the other, on a machine that was held up
+    private static final int REQUEST_MS = 10;
+    private static final int RESUME_WITHIN_MS = 150; // of servers, one after the other, on a machine that was paused
     private static final int GATEWAYS = 6;
     private static final int TIMERS = 0;
     private static final int READS = 1;
 
     /** All machines, or those of the servers only, stand still in [from, until). */
-    private record HoldUp(long from, long until, boolean gatewayToo) {}
+    private record Pause(long from, long until, boolean gatewayToo) {}
 
     private record Due(long at, int order, long sequence, Runnable what) {}
 
     private final RouterDriver driver;
     private final Random random;
     private final int servers;
-    private final List<HoldUp> holdUps = new ArrayList<>();
+    private final List<Pause> pauses = new ArrayList<>();
     private final Map<String, Long> diesAt = new LinkedHashMap<>();
     private final PriorityQueue<Due> queue = new PriorityQueue<>(
             Comparator.comparingLong(Due::at).thenComparingInt(Due::order).thenComparingLong(Due::sequence));
     private final Set<String> pending = new HashSet<>(); // attempts and health checks that have not ended
-    private final Map<String, Long> silentSince = new LinkedHashMap<>();
-    private final Map<String, Long> silentAtFirst = new LinkedHashMap<>();
+    private final Map<String, Long> ejectedSince = new LinkedHashMap<>();
+    private final Map<String, Long> firstEjectedAt = new LinkedHashMap<>();
     private final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
     private final Map<String, ServerId> sentTo = new HashMap<>();
     private long sequence;
     private long lastReturn;
-    private int healthChecksOut;
-    private int healthChecksOutMost;
+    private int healthChecksInFlight;
+    private int mostHealthChecksInFlight;
     int succeeded;
     private int names;
 
@@ -68,13 +68,13 @@
         driver = new RouterDriver(new TestRouterSettings().gateways(GATEWAYS));
     }
 
-    /** Holds up the servers, and the gateway, too, unless told otherwise. */
-    VirtualFleet heldUp(long from, long lasts, boolean gatewayToo) {
-        holdUps.add(new HoldUp(start() + from, start() + from + lasts, gatewayToo));
+    /** Pauses the servers for this time, and the gateway, too, where the flag is set. */
+    VirtualFleet paused(long from, long lasts, boolean gatewayToo) {
+        pauses.add(new Pause(start() + from, start() + from + lasts, gatewayToo));
         return this;
     }
 
-    /** From then on the servers with these numbers answer nothing. */
+    /** From this time on the servers with these numbers answer nothing. */
     VirtualFleet die(long at, int from, int until) {
         for (int i = from; i < until; i++) {
             diesAt.put(id(i), start() + at);
@@ -90,16 +90,16 @@
         return String.format("s%03d", number);
     }
 
-    /** Lists all servers and plays for so long, with so many client ops a second after the first health checks. */
+    /** Lists all servers and plays for so long, with so many requests a second after the first health checks. */
     VirtualFleet play(long lasts, int requestsPerSecond) {
-        for (HoldUp h : holdUps) {
+        for (Pause h : pauses) {
             if (h.gatewayToo) {
-                later(h.until, -1, () -> tell(new Event.LoopDelayed(h.from * 10, h.until * 10)));
+                schedule(h.until, -1, () -> deliver(new Event.LoopDelayed(h.from * 10, h.until * 10)));
             }
         }
-        later(start(), READS, () -> {
-            carryOut(List.copyOf(driver.actions)); // what the module wanted at its start
-            tell(new Event.EndpointUpdate(true, false, endpoints()));
+        schedule(start(), READS, () -> {
+            carryOut(List.copyOf(driver.actions)); // what the router did at its start
+            deliver(new Event.EndpointUpdate(true, false, endpoints()));
         });
         long gap = requestsPerSecond == 0 ? lasts : 1000 / requestsPerSecond;
         for (long at = HEALTH_CHECK_LIMIT_MS; requestsPerSecond > 0 && at < lasts; at += gap) {
@@ -139,7 +139,7 @@
                         TestRouterSettings.WRITE)
                 .get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
-        tell(new Event.RequestArrived(
+        deliver(new Event.RequestArrived(
                 new RequestId("op" + names++),
                 new RequestClassId(type),
                 new TenantId(0),
@@ -151,8 +151,8 @@
                 0));
     }
 
-    private void tell(Event event) {
-        driver.actions.clear(); // which would keep all there ever was
+    private void deliver(Event event) {
+        driver.actions.clear(); // which would otherwise keep all actions of the run
         carryOut(driver.deliver(event));
     }
 
@@ -162,9 +162,9 @@
                 int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
                 String name = "send " + a.request().text() + " " + attempt;
                 sentTo.put(name, a.server());
-                exchange(a.server(), OP_MS, a.timeLimit() / 10, name, (outcome, took) -> {
+                exchange(a.server(), REQUEST_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.SUCCEEDED ? 1 : 0;
-                    tell(new Event.AttemptEnded(
+                    deliver(new Event.AttemptEnded(
                             a.request(),
                             attempt,
                             a.server(),
@@ -181,18 +181,18 @@
                     gateway(
                             driver.nowMs,
                             TIMERS,
-                            () -> tell(new Event.AttemptEnded(
+                            () -> deliver(new Event.AttemptEnded(
                                     a.request(), a.attempt(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
             } else if (action instanceof Action.CheckHealth a) {
-                healthChecksOutMost = Math.max(healthChecksOutMost, ++healthChecksOut);
+                mostHealthChecksInFlight = Math.max(mostHealthChecksInFlight, ++healthChecksInFlight);
                 exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + names++, (outcome, took) -> {
-                    healthChecksOut--;
-                    tell(new Event.HealthCheckEnded(
+                    healthChecksInFlight--;
+                    deliver(new Event.HealthCheckEnded(
                             a.server(), outcome, outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.SetTimer a) {
-                gateway((a.at() + 9) / 10, TIMERS, () -> tell(new Event.TimerFired(a.mark())));
+                gateway((a.at() + 9) / 10, TIMERS, () -> deliver(new Event.TimerFired(a.mark())));
             } else if (action instanceof Action.LogLine a) {
                 logged(a.text().split(" "));
             }
@@ -211,17 +211,17 @@
                 ended.with(Outcome.TIMED_OUT, driver.nowMs - began);
             }
         });
-        later(began + work, READS, () -> answer(server, name, began, ended));
+        schedule(began + work, READS, () -> answer(server, name, began, ended));
     }
 
-    /** At the server, which does it once its machine goes on. */
+    /** At the server, which answers once its machine resumes. */
     private void answer(ServerId server, String name, long began, Ended ended) {
         if (driver.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
             return;
         }
-        for (HoldUp h : holdUps) {
+        for (Pause h : pauses) {
             if (h.from <= driver.nowMs && driver.nowMs < h.until) {
-                later(h.until + random.nextInt(RESUME_WITHIN_MS), READS, () -> answer(server, name, began, ended));
+                schedule(h.until + random.nextInt(RESUME_WITHIN_MS), READS, () -> answer(server, name, began, ended));
                 return;
             }
         }
@@ -237,57 +237,57 @@
         return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (driver.nowMs - 20) * 10);
     }
 
-    /** In the gateway's process, which does it once it goes on. */
+    /** In the gateway's process, which runs it once it resumes. */
     private void gateway(long at, int order, Runnable what) {
-        long goesOn = at;
-        for (HoldUp h : holdUps) {
-            goesOn = h.gatewayToo && h.from <= goesOn && goesOn < h.until ? h.until : goesOn;
+        long resumesAt = at;
+        for (Pause h : pauses) {
+            resumesAt = h.gatewayToo && h.from <= resumesAt && resumesAt < h.until ? h.until : resumesAt;
         }
-        later(goesOn, order, what);
+        schedule(resumesAt, order, what);
     }
 
-    private void later(long at, int order, Runnable what) {
+    private void schedule(long at, int order, Runnable what) {
         queue.add(new Due(at, order, sequence++, what));
     }
 
     private void logged(String[] words) {
         if (words[0].equals("server") && words[2].equals("silent:")) {
-            silentSince.put(words[1], driver.nowMs - start());
-            silentAtFirst.putIfAbsent(words[1], driver.nowMs - start());
+            ejectedSince.put(words[1], driver.nowMs - start());
+            firstEjectedAt.putIfAbsent(words[1], driver.nowMs - start());
         } else if (words[0].equals("server") && words[2].equals("returns:")) {
-            silentSince.remove(words[1]);
+            ejectedSince.remove(words[1]);
             lastReturn = driver.nowMs - start();
         }
     }
 
-    /** Servers called silent at any time, by when that was first. */
-    Map<String, Long> calledSilent() {
-        return silentAtFirst;
+    /** When each server that was ever ejected was ejected first. */
+    Map<String, Long> everEjected() {
+        return firstEjectedAt;
     }
 
-    /** Servers that are called silent still. */
-    Set<String> silent() {
-        return silentSince.keySet();
+    /** Servers that are ejected now. */
+    Set<String> ejected() {
+        return ejectedSince.keySet();
     }
 
-    /** When the last of the servers that had been called silent returned. */
+    /** When a server was last readmitted. */
     long lastReturn() {
         return lastReturn;
     }
 
-    /** The most health checks that were out at once. */
-    int healthChecksOutMost() {
-        return healthChecksOutMost;
+    /** The most health checks that were in flight at once. */
+    int mostHealthChecksInFlight() {
+        return mostHealthChecksInFlight;
     }
 
-    /** Between the death of these servers and the last of them being called silent. */
+    /** Time from the death of these servers to the ejection of the last of them. */
     long lastDetectedAfter(long death) {
-        return silentAtFirst.values().stream().mapToLong(Long::longValue).max().orElse(Long.MAX_VALUE) - death;
+        return firstEjectedAt.values().stream().mapToLong(Long::longValue).max().orElse(Long.MAX_VALUE) - death;
     }
 
     /** The same, on average. */
     double detectedAfter(long death) {
-        return silentAtFirst.values().stream()
+        return firstEjectedAt.values().stream()
                         .mapToLong(Long::longValue)
                         .average()
                         .orElse(Double.MAX_VALUE)
