--- a/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
@@ -14,48 +14,50 @@
 
     @Test
     void healthChecksThatWereNeverSentEjectNoServer() {
-        RouterDriver h = RouterDriver.settled();
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
         for (int i = 0; i < MANY; i++) {
-            h.pass(500);
-            h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            driver.advance(500);
+            driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
         }
-        assertThat(h.logged("server r1 silent")).isFalse();
+        assertThat(driver.logged("server r1 silent")).isFalse();
     }
 
     @Test
-    void healthChecksThatWereSentAndNotAnsweredStillDo() {
-        RouterDriver h = RouterDriver.settled();
-        h.pass(500);
-        h.unanswered("r1");
-        h.unanswered("r1");
-        assertThat(h.logged("server r1 silent")).isTrue();
+    void healthChecksThatWereSentAndNotAnsweredEjectTheServer() {
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
+        driver.advance(500);
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        assertThat(driver.logged("server r1 silent")).isTrue();
     }
 
     @Test
-    void aHealthCheckThatWasNeverSentLeavesASilentServersBackoffAsItIs() {
-        RouterDriver h = RouterDriver.settled();
-        h.pass(500);
-        h.unanswered("r1");
-        h.unanswered("r1");
-        long before = h.probes("r1");
-        h.pass(2000); // silent servers are asked again while others of their group are used
+    void aHealthCheckThatWasNeverSentLeavesAnEjectedServersBackoffAsItIs() {
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
+        driver.advance(500);
+        driver.healthCheckTimedOut("r1");
+        driver.healthCheckTimedOut("r1");
+        long before = driver.healthChecks("r1");
+        driver.advance(2000); // ejected servers are checked again while others of their group are used
         for (int i = 0; i < MANY; i++) {
-            h.tell(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
-            h.pass(20);
+            driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
+            driver.advance(20);
         }
-        assertThat(h.probes("r1") - before).as("not asked in a busy loop").isLessThan(MANY / 2);
+        assertThat(driver.healthChecks("r1") - before)
+                .as("not asked in a busy loop")
+                .isLessThan(MANY / 2);
     }
 
     @Test
     void attemptsThatWereNeverSentEjectNoServer() {
-        RouterDriver h = RouterDriver.settled();
+        RouterDriver driver = RouterDriver.withCaughtUpReplicas();
         for (int i = 0; i < MANY; i++) {
-            RequestId request = h.ask(RouterDriver.HISTORY);
-            for (int send = 0; send < h.sends(request).size(); send++) {
-                h.ends(request, send, h.sends(request).get(send), Outcome.NEVER_SENT, null);
+            RequestId request = driver.request(TestRouterSettings.UNBOUNDED_READ);
+            for (int send = 0; send < driver.attempts(request).size(); send++) {
+                driver.attemptEnded(request, send, driver.attempts(request).get(send), Outcome.NEVER_SENT, null);
             }
-            h.pass(100);
+            driver.advance(100);
         }
-        assertThat(h.logged("silent")).isFalse();
+        assertThat(driver.logged("silent")).isFalse();
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
@@ -0,0 +1,85 @@
+package ploverdale.routing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import ploverdale.model.Action;
+import ploverdale.model.Event;
+import ploverdale.model.Event.Outcome;
+import ploverdale.model.LoadReport.Role;
+import ploverdale.model.RequestId;
+import ploverdale.model.ServerId;
+
+/** Time limits of attempts, queued requests and the shutdown, as seen through the router. */
+class RequestDeadlinesTest {
+    private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
+
+    @Test
+    void requestsThatArriveWhenTheMaintenanceTimerIsDueDoNotPostponeIt() {
+        driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        List<Long> wakes = new ArrayList<>();
+        for (int i = 0; i < 600 && driver.rejections(write) == 0; i++) {
+            driver.nowMs += 5;
+            driver.actions.stream()
+                    .filter(Action.SetTimer.class::isInstance)
+                    .forEach(a -> wakes.add(((Action.SetTimer) a).at()));
+            driver.actions.removeIf(Action.SetTimer.class::isInstance);
+            driver.request(TestRouterSettings.WRITE);
+            if (wakes.removeIf(at -> at <= driver.nowMs * 10 - 10)) {
+                driver.deliver(new Event.TimerFired(0));
+            }
+        }
+        assertThat(driver.rejections(write)).isEqualTo(1);
+    }
+
+    @Test
+    void atTheShutdownDeadlineEachPendingRequestIsAnsweredOnceByItsProvenOutcome() {
+        RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.deliver(new Event.AttemptEnded(
+                driver.request(TestRouterSettings.WRITE),
+                0,
+                new ServerId("p"),
+                Outcome.MISDIRECTED,
+                10,
+                false,
+                RouterDriver.report(Role.REPLICA, driver.nowMs),
+                null));
+        RequestId held = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(held)).isEmpty();
+        driver.deliver(new Event.ShutdownDeadline());
+        assertThat(driver.rejections(read)).isEqualTo(1); // may be repeated
+        assertThat(driver.failures(write)).isEqualTo(1); // may have run
+        assertThat(driver.rejections(held)).isEqualTo(1); // was never sent
+        assertThat(driver.cancelled(write)).isTrue();
+        driver.attemptEnded(write, 0, "p", Outcome.CANCELLED, null);
+        driver.advance(3000);
+        assertThat(driver.attempts(write)).hasSize(1);
+        assertThat(driver.rejections(write) + driver.failures(write)).isEqualTo(1);
+    }
+
+    @Test
+    void aQueuedWriteIsRejectedAfterHalfItsTimeWhenNoPrimaryAppears() {
+        driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
+        RequestId write = driver.request(TestRouterSettings.WRITE);
+        driver.advance(1400);
+        assertThat(driver.rejections(write)).isZero();
+        driver.advance(100);
+        assertThat(driver.rejections(write)).isEqualTo(1);
+        assertThat(driver.attempts(write)).isEmpty();
+    }
+
+    @Test
+    void aWritesAttemptTimesOutBeforeTheRequestsDeadline() {
+        RouterDriver h = RouterDriver.withCaughtUpReplicas();
+        RequestId write = h.request(TestRouterSettings.WRITE);
+        assertThat(h.actions.stream()
+                        .filter(a -> a instanceof Action.StartAttempt x
+                                && x.request().equals(write))
+                        .map(a -> ((Action.StartAttempt) a).timeLimit()))
+                .containsExactly(30_000L - 30_000 / 50);
+    }
+}
