--- a/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
+++ b/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
@@ -42,7 +42,7 @@
 
     /** Brings the utilization that the server reports up to this time. */
     void updateBusy(long now) {
-        busy += (1 - Math.exp(-(now - busyAt) / (UTILIZATION_TICKS))) * (running.size() / (double) cores - busy);
+        busy += (1 - Math.exp(-(now - busyAt) / UTILIZATION_TICKS)) * (running.size() / (double) cores - busy);
         busyAt = now;
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -21,16 +21,16 @@
 
 /**
  * A fleet of routers on one simulated clock, sending to the same simulated database servers, some of which restart and come
- * back cold. Adds up what reaches each cold server against the budget of the slow start rule. One seed, one course of events.
+ * back to warm up. Adds up what reaches each of them against the budget of the slow start rule. One seed, one course of events.
  * Times in tenths of a millisecond, work in requests of mean work.
  */
 final class SlowStartFleet {
     /**
      * What one run showed.
      *
-     * @param worstLoad the most that reached a cold server within a window, as a part of what the rule allows
+     * @param worstLoad the most that reached a warming server within a window, as a part of what the rule allows
      * @param served requests answered within their latency target after the restart, as a part of all
-     * @param coldServed requests that the cold servers answered, as a part of what they could have
+     * @param coldServed requests that the warming servers answered, as a part of what they could have
      */
     record Result(double worstLoad, double served, double coldServed) {}
 
@@ -46,7 +46,7 @@
     private static final int GROUP = 3;
     static final int SERVERS = GROUPS * GROUP;
     private static final double LOAD = 0.6; // of the warm servers' capacity
-    private static final double PROBE_WORK = 0.005;
+    private static final double HEALTH_CHECK_WORK = 0.005;
     private static final double FAILURES = 0.15; // of attempts, where attempts fail at once
     private static final int VIEW = 0;
     private static final int HISTORY = 1;
@@ -66,10 +66,10 @@
     private final SlowStartBudget budget;
     private final Map<RequestId, Request> requests = new HashMap<>();
     private final Map<RequestId, Integer> attempts = new HashMap<>();
-    private final Map<RequestId, SimulatedAttempt> out = new HashMap<>();
+    private final Map<RequestId, SimulatedAttempt> inFlight = new HashMap<>();
     private final double[] trafficUpTo;
     private int names;
-    private int asked;
+    private int requestsAfterRestart;
     private int served;
 
     private SlowStartFleet(
@@ -100,7 +100,9 @@
                 restarting().stream().mapToDouble(budget::worstLoad).max().orElseThrow();
         double answers = restarting().stream().mapToDouble(s -> s.coldAnswers).sum();
         return new Result(
-                worst, served / (double) asked, answers / (restarting().size() * budget.possibleAnswers(UP_AT, END)));
+                worst,
+                served / (double) requestsAfterRestart,
+                answers / (restarting().size() * budget.possibleAnswers(UP_AT, END)));
     }
 
     private void createServers() {
@@ -119,8 +121,8 @@
             trafficUpTo[i] = total;
             Router router = new Router(null);
             routers.add(router);
-            tell(i, SlowStartSettings.started(random.nextLong(), i, gateways, gossip, deployment));
-            tell(
+            deliver(i, SlowStartSettings.started(random.nextLong(), i, gateways, gossip, deployment));
+            deliver(
                     i,
                     new Event.EndpointUpdate(
                             true,
@@ -156,7 +158,7 @@
         double draw = random.nextDouble();
         int type = draw < 0.4 ? VIEW : draw < 0.6 ? HISTORY : SUBMIT;
         long targetAt = time.now() + 500 * MS;
-        asked += time.now() >= UP_AT ? 1 : 0;
+        requestsAfterRestart += time.now() >= UP_AT ? 1 : 0;
         send(new Request(pickGateway(), type, pickGroup(bursting), 0, targetAt));
         at(time.now() + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate)), this::nextRequest);
     }
@@ -179,7 +181,7 @@
         RequestId id = new RequestId("op" + names++);
         requests.put(id, request);
         long timeout = request.type == VIEW ? 2000 * MS : request.type == HISTORY ? 1000 * MS : 3000 * MS;
-        tell(
+        deliver(
                 request.gateway,
                 new Event.RequestArrived(
                         id,
@@ -193,7 +195,7 @@
                         0));
     }
 
-    private void refused(RequestId request) {
+    private void rejected(RequestId request) {
         Request r = requests.remove(request);
         attempts.remove(request);
         if (r != null && r.tries < 2 && random.nextDouble() < 0.6) {
@@ -204,7 +206,7 @@
 
     // -- Routers
 
-    private void tell(int gateway, Event event) {
+    private void deliver(int gateway, Event event) {
         for (Action action : routers.get(gateway).on(time.now(), event)) {
             carryOut(gateway, action);
         }
@@ -213,21 +215,21 @@
     private void carryOut(int gateway, Action action) {
         if (action instanceof Action.StartAttempt send) {
             begin(gateway, send);
-        } else if (action instanceof Action.CheckHealth probe) {
-            at(time.now() + 3 + random.nextInt(7), () -> probed(gateway, byId.get(probe.server())));
-        } else if (action instanceof Action.SetTimer wake) {
-            at(wake.at(), () -> tell(gateway, new Event.TimerFired(wake.mark())));
-        } else if (action instanceof Action.SendGossip tell) {
+        } else if (action instanceof Action.CheckHealth check) {
+            at(time.now() + 3 + random.nextInt(7), () -> checkHealth(gateway, byId.get(check.server())));
+        } else if (action instanceof Action.SetTimer timer) {
+            at(timer.at(), () -> deliver(gateway, new Event.TimerFired(timer.mark())));
+        } else if (action instanceof Action.SendGossip gossipSent) {
             at(
                     time.now() + (2 + random.nextInt(20)) * MS,
-                    () -> tell(tell.peer(), new Event.GossipReceived(gateway, tell.bytes())));
+                    () -> deliver(gossipSent.peer(), new Event.GossipReceived(gateway, gossipSent.bytes())));
         } else if (action instanceof Action.RejectRequest reply) {
-            at(time.now(), () -> refused(reply.request()));
+            at(time.now(), () -> rejected(reply.request()));
         } else if (action instanceof Action.FailRequest reply) {
             requests.remove(reply.request());
             attempts.remove(reply.request());
         } else if (action instanceof Action.CancelAttempt cancel) {
-            SimulatedAttempt attempt = out.get(cancel.request());
+            SimulatedAttempt attempt = inFlight.get(cancel.request());
             if (attempt != null && attempt.number == cancel.attempt()) {
                 at(time.now(), () -> end(attempt, Outcome.CANCELLED));
             }
@@ -239,7 +241,7 @@
         double work = -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
         SimulatedAttempt attempt =
                 new SimulatedAttempt(gateway, send.request(), number, byId.get(send.server()), time.now(), work);
-        out.put(send.request(), attempt);
+        inFlight.put(send.request(), attempt);
         at(time.now() + 3 + random.nextInt(7), () -> arrive(attempt));
         at(time.now() + send.timeLimit(), () -> end(attempt, Outcome.TIMED_OUT));
     }
@@ -250,16 +252,16 @@
         }
         attempt.ended = true;
         attempt.server.queue.remove(attempt);
-        out.remove(attempt.request, attempt);
-        boolean acked = outcome == Outcome.SUCCEEDED;
+        inFlight.remove(attempt.request, attempt);
+        boolean succeeded = outcome == Outcome.SUCCEEDED;
         Request request = requests.get(attempt.request);
-        if (acked && request != null) {
+        if (succeeded && request != null) {
             requests.remove(attempt.request);
             attempts.remove(attempt.request);
             served += time.now() <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
         }
-        boolean answered = acked || outcome == Outcome.FAILED;
-        tell(
+        boolean answered = succeeded || outcome == Outcome.FAILED;
+        deliver(
                 attempt.gateway,
                 new Event.AttemptEnded(
                         attempt.request,
@@ -267,7 +269,7 @@
                         attempt.server.id,
                         outcome,
                         time.now() - attempt.sentAt,
-                        acked,
+                        succeeded,
                         answered ? report(attempt.server) : null,
                         null));
     }
@@ -291,7 +293,7 @@
             int gateway = i;
             at(
                     time.now() + random.nextInt((int) (90 * MS)),
-                    () -> tell(gateway, new Event.EndpointUpdate(false, false, restarted)));
+                    () -> deliver(gateway, new Event.EndpointUpdate(false, false, restarted)));
         }
     }
 
@@ -344,17 +346,17 @@
         startNext(server);
     }
 
-    private void probed(int gateway, SimulatedServer server) {
+    private void checkHealth(int gateway, SimulatedServer server) {
         if (!server.up) {
             at(
                     time.now() + 250 * MS,
-                    () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.TIMED_OUT, null)));
+                    () -> deliver(gateway, new Event.HealthCheckEnded(server.id, Outcome.TIMED_OUT, null)));
             return;
         }
-        count(server, PROBE_WORK);
+        count(server, HEALTH_CHECK_WORK);
         at(
                 time.now() + 10 + random.nextInt(20),
-                () -> tell(gateway, new Event.HealthCheckEnded(server.id, Outcome.SUCCEEDED, report(server))));
+                () -> deliver(gateway, new Event.HealthCheckEnded(server.id, Outcome.SUCCEEDED, report(server))));
     }
 
     private LoadReport report(SimulatedServer server) {
