--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/Rehearsal.java
@@ -107,7 +107,7 @@
         RequestClass requestClass =
                 configuration.settings().started().requestClasses().get(classIndex);
         String key = "k" + index % DISTINCT_KEYS;
-        if (requestClass.needs() == RequestClass.Consistency.WRITE) {
+        if (requestClass.consistency() == RequestClass.Consistency.WRITE) {
             String value = "ab".repeat(1 + index * VALUE_GROWTH_BYTES);
             return "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x" + value + "') RETURNING val"
                     + comment(index, retries, classIndex);
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -21,7 +21,7 @@
             double beyondShareValue,
             ServerGuarantees guarantees,
             Capabilities capabilities,
-            ReplicaGuarantees copies,
+            ReplicaGuarantees replicaGuarantees,
             boolean listOnDemand,
             int me)
             implements Event {
--- a/gateway/src/main/java/ploverdale/model/GroupId.java
+++ b/gateway/src/main/java/ploverdale/model/GroupId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Names a group: one primary and its replicas. */
+/** The number of a replica group: one primary and its replicas. */
 public record GroupId(long number) {}
--- a/gateway/src/main/java/ploverdale/model/RequestClassId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestClassId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Place of an op type in the list told at start. */
+/** The index of a request class in the list of the settings. */
 public record RequestClassId(int index) {}
--- a/gateway/src/main/java/ploverdale/model/RequestId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Names one try of an op, as its client sent it. */
+/** The name of one submission of a request, as its client sent it. */
 public record RequestId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/ServerId.java
+++ b/gateway/src/main/java/ploverdale/model/ServerId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Names a database server. */
+/** The name of a database server. */
 public record ServerId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/SessionId.java
+++ b/gateway/src/main/java/ploverdale/model/SessionId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Names a client's session. */
+/** The name of a client's session. */
 public record SessionId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/Tenant.java
+++ b/gateway/src/main/java/ploverdale/model/Tenant.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** A customer's agreed traffic over all gateways. */
+/** A tenant's agreed traffic over all gateways. */
 public record Tenant(double requestsPerSecond) {}
--- a/gateway/src/main/java/ploverdale/model/TenantId.java
+++ b/gateway/src/main/java/ploverdale/model/TenantId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Place of a tenant in the list told at start. */
+/** The index of a tenant in the list of the settings. */
 public record TenantId(int index) {}
--- a/gateway/src/main/java/ploverdale/model/ZoneId.java
+++ b/gateway/src/main/java/ploverdale/model/ZoneId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Names a place where servers stand. */
+/** The number of a zone in which servers run. */
 public record ZoneId(int number) {}
--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -56,7 +56,7 @@
         if (entry.address() != null) {
             servers.setAddress(endpoint.server(), entry.address());
         }
-        if (endpoint.stage() == Endpoint.EndpointState.GONE) {
+        if (endpoint.state() == Endpoint.EndpointState.GONE) {
             servers.closeIdleConnections(endpoint.server());
         }
     }
@@ -67,7 +67,7 @@
         if (startTime == null || startTime.wall() != endpoint.startedAt()) {
             startTime = new StartTime(endpoint.startedAt(), serverClock.start(endpoint.startedAt()));
         }
-        if (endpoint.stage() == Endpoint.EndpointState.GONE) {
+        if (endpoint.state() == Endpoint.EndpointState.GONE) {
             startTimes.remove(endpoint.server());
         } else {
             startTimes.put(endpoint.server(), startTime);
@@ -76,7 +76,7 @@
                 endpoint.server(),
                 endpoint.group(),
                 endpoint.zone(),
-                endpoint.stage(),
+                endpoint.state(),
                 endpoint.primary(),
                 startTime.serviceTime());
     }
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -164,7 +164,7 @@
                 settings.beyondShareValue(),
                 settings.guarantees(),
                 settings.capabilities(),
-                history.replicaGuarantees(settings.copies()),
+                history.replicaGuarantees(settings.replicaGuarantees()),
                 settings.listOnDemand(),
                 settings.me());
     }
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -119,7 +119,7 @@
                 new RequestClassId(classIndex),
                 new TenantId(tenantIndex),
                 new GroupId(query.group()),
-                session(query, requestClass.needs()),
+                session(query, requestClass.consistency()),
                 timeoutAt,
                 query.again(),
                 0,
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -74,18 +74,18 @@
     @Override
     public ReplicaGuarantees replicaGuarantees(ReplicaGuarantees configured) {
         return new ReplicaGuarantees(
-                configured.checks(),
-                configured.checkWait(),
-                configured.tokensCarried() || settings.replicatesSessions());
+                configured.stalenessCheck(),
+                configured.stalenessCheckWait(),
+                configured.requestsCarryPositions() || settings.replicatesSessions());
     }
 
     @Override
     public void onRequestArrived(RequestArrived request, String sessionKey) {
         RequestClass requestClass =
                 gatewaySettings.started().requestClasses().get(request.type().index());
-        if (settings.replicatesSessions() && requestClass.needs() == Consistency.SESSION && sessionKey != null) {
+        if (settings.replicatesSessions() && requestClass.consistency() == Consistency.SESSION && sessionKey != null) {
             positions.lookUp(request, sessionKey);
-        } else if (requestClass.needs() != Consistency.WRITE) {
+        } else if (requestClass.consistency() != Consistency.WRITE) {
             requests.route(request);
         } else if (clock.isKnown()) {
             admitWrite(request, requestClass);
@@ -99,7 +99,7 @@
         PendingWrite write =
                 new PendingWrite(request, settings.synchronousClasses().contains(className), clock.wallNow());
         writes.put(write.id(), write);
-        if (settings.replicatesOutcomes() && requestClass.repeats() != Idempotence.IDEMPOTENT) {
+        if (settings.replicatesOutcomes() && requestClass.idempotence() != Idempotence.IDEMPOTENT) {
             claims.claim(write);
         } else {
             requests.route(request);
--- a/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -53,7 +53,7 @@
 
     private ServerState register(Endpoint entry) {
         ServerState server = directory.add(entry.server(), entry.group(), settings.initialLimit());
-        if (entry.stage() == EndpointState.IN && random.nextDouble() < settings.firstCheckProbability()) {
+        if (entry.state() == EndpointState.IN && random.nextDouble() < settings.firstCheckProbability()) {
             healthChecker.checkWhenPossible(server);
         }
         return server;
@@ -62,10 +62,10 @@
     private void updateServer(ServerState server, Endpoint entry) {
         EndpointLifecycle lifecycle = server.lifecycle();
         lifecycle.placeInZone(entry.zone());
-        if (entry.stage() != EndpointState.GONE) {
+        if (entry.state() != EndpointState.GONE) {
             gossip.serverListed(server.id());
         }
-        lifecycle.recordListedState(entry.stage(), context.now());
+        lifecycle.recordListedState(entry.state(), context.now());
         transition(server, lifecycle.stateAfter(entry, context.now()));
         if (entry.primary()) {
             assumePrimary(server);
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -43,8 +43,9 @@
 
     /** Sends a health check, unless one is in flight or none may be sent; returns whether it was sent. */
     boolean check(ServerState server, HealthCheckReason reason) {
-        boolean sent =
-                capabilities.probes() && !server.healthCheck().isInFlight() && quota.tryAcquireHealthCheck(reason);
+        boolean sent = capabilities.healthChecks()
+                && !server.healthCheck().isInFlight()
+                && quota.tryAcquireHealthCheck(reason);
         if (sent) {
             queue.sent(server);
             server.healthCheck().sent(context.now());
@@ -76,7 +77,7 @@
 
     /** Whether the server is known to be alive, so that a request is not lost on a dead one; always where no check may tell. */
     boolean isConfirmed(ServerState server) {
-        return server.liveness().isConfirmed(context.now()) || !capabilities.probes();
+        return server.liveness().isConfirmed(context.now()) || !capabilities.healthChecks();
     }
 
     /** How long after a report another one may tell something new; where gossip brings positions, that is as good as waiting. */
--- a/gateway/src/main/java/ploverdale/routing/LatencyEstimates.java
+++ b/gateway/src/main/java/ploverdale/routing/LatencyEstimates.java
@@ -15,7 +15,7 @@
 
     LatencyEstimates(List<RequestClass> requestClasses) {
         for (RequestClass requestClass : requestClasses) {
-            byClass.add(new LatencyEstimate(requestClass.latencyTarget() / INITIAL_SHARE));
+            byClass.add(new LatencyEstimate(requestClass.latencyObjective() / INITIAL_SHARE));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/routing/RequestDeadlines.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDeadlines.java
@@ -26,7 +26,7 @@
 
     /** Until when an answer has a value. */
     static long valuableUntil(PendingRequest request) {
-        boolean hasValueWhenLate = request.requestClass().lateShare() > 0;
+        boolean hasValueWhenLate = request.requestClass().lateValueShare() > 0;
         long objective = hasValueWhenLate ? Long.MAX_VALUE : request.objectiveAt();
         return Math.min(answerBy(request), objective) - MARGIN;
     }
@@ -43,7 +43,7 @@
     static long waitUntil(PendingRequest request) {
         long end = Math.min(valuableUntil(request), request.retryUntil());
         long half = request.mayHaveRun() ? end : (request.arrivedAt() + request.timeoutAt()) / 2 - MARGIN;
-        boolean hasValueWhenLate = request.requestClass().lateShare() > 0;
+        boolean hasValueWhenLate = request.requestClass().lateValueShare() > 0;
         long attemptTime = hasValueWhenLate ? 0 : (long) (LatencyEstimate.RARELY_EXCEEDED * request.usualLatency());
         long shortWait = request.arrivedAt() + 2 * HealthChecker.PROMPT_ANSWER;
         return Math.min(Math.min(end, half), Math.max(end - attemptTime, shortWait)) - MAINTENANCE_INTERVAL;
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -78,8 +78,9 @@
 
     /** The latency objective, less what the client spent on an earlier submission. */
     private long objectiveAt(RequestArrived arrival, RequestClass requestClass) {
-        long objective = requestClass.latencyTarget() + (long) (requestClass.targetPerWork() * arrival.expectedWork());
-        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_AFTER * requestClass.latencyTarget()) : 0;
+        long objective =
+                requestClass.latencyObjective() + (long) (requestClass.objectivePerWork() * arrival.expectedWork());
+        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_AFTER * requestClass.latencyObjective()) : 0;
         return context.now() + objective - spent;
     }
 
--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -45,7 +45,7 @@
             return true;
         }
         ServerState executor = request.firstPossibleExecutor();
-        return switch (request.requestClass().scope()) {
+        return switch (request.requestClass().idempotencyScope()) {
             case ALL -> true;
             case GROUP -> server.group().equals(executor.group());
             case ZONE -> server.lifecycle().zone().equals(executor.lifecycle().zone());
@@ -58,7 +58,8 @@
             return;
         }
         boolean hasKey = request.idempotence() == Idempotence.WITH_IDEMPOTENCY_KEY;
-        long windowEnd = request.attemptStartedAt() + request.requestClass().repeatWindow() - RequestDeadlines.MARGIN;
+        long windowEnd =
+                request.attemptStartedAt() + request.requestClass().idempotencyWindow() - RequestDeadlines.MARGIN;
         request.recordPossibleRun(server, hasKey ? windowEnd : Long.MAX_VALUE);
     }
 
@@ -106,7 +107,8 @@
         RequestClass requestClass = request.requestClass();
         return !request.mayHaveRun()
                 || request.idempotence() == Idempotence.IDEMPOTENT
-                || request.idempotence() == Idempotence.WITH_IDEMPOTENCY_KEY && requestClass.scope() == Scope.ALL;
+                || request.idempotence() == Idempotence.WITH_IDEMPOTENCY_KEY
+                        && requestClass.idempotencyScope() == Scope.ALL;
     }
 
     /** After how long the client may submit the request again; 0 where it may not be told. */
@@ -114,7 +116,7 @@
         long quotaPause = request.isBeyondShare()
                 ? quota.retryAfter(context.now(), request.arrival().tenant())
                 : 0;
-        long pause = (long) (RESUBMIT_AFTER * request.requestClass().latencyTarget());
+        long pause = (long) (RESUBMIT_AFTER * request.requestClass().latencyObjective());
         long longest = Math.min(Math.max(pause, quotaPause), capabilities.longestRetryAfter());
         return capabilities.retryAfterAllowed() ? longest : 0;
     }
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -41,7 +41,7 @@
                 ? LEAST_LIMIT
                 : Math.min(LEAST_LIMIT_OF_ONE_GATEWAY, Math.max(1, LEAST_LIMIT / gateways));
         tightestBound = started.requestClasses().stream()
-                .filter(requestClass -> requestClass.needs() == Consistency.BOUNDED)
+                .filter(requestClass -> requestClass.consistency() == Consistency.BOUNDED)
                 .mapToLong(RequestClass::stalenessBound)
                 .min()
                 .orElse(Long.MAX_VALUE);
@@ -80,12 +80,12 @@
 
     /** How replicas follow and what they say of it. */
     ReplicaGuarantees replicaGuarantees() {
-        return started.copies();
+        return started.replicaGuarantees();
     }
 
     /** Whether replicas check by themselves whether a read is too fresh for them. */
     boolean replicasCheckReads() {
-        return started.copies().checks() != StalenessCheck.NONE;
+        return started.replicaGuarantees().stalenessCheck() != StalenessCheck.NONE;
     }
 
     /** The tightest staleness bound of all classes, or the largest number where none has one. */
--- a/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
+++ b/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
@@ -57,10 +57,10 @@
 
     /** The position of the session's last write, which its reads must include; unknown where they need none. */
     long requiredPosition(RequestArrived arrival, RequestClass requestClass, long now) {
-        if (requestClass.needs() != Consistency.SESSION) {
+        if (requestClass.consistency() != Consistency.SESSION) {
             return LoadReport.UNKNOWN_TIME;
         }
-        if (!settings.replicaGuarantees().tokensCarried()) {
+        if (!settings.replicaGuarantees().requestsCarryPositions()) {
             return sessionWrites.of(arrival.session());
         }
         return arrival.sessionWriteAge() == 0 ? LoadReport.UNKNOWN_TIME : now - arrival.sessionWriteAge();
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -150,7 +150,7 @@
             }
         }
         if (replication.replicatesSessions()
-                && gatewaySettings.started().copies().tokensCarried()) {
+                && gatewaySettings.started().replicaGuarantees().requestsCarryPositions()) {
             throw misfit("sessions", " where clients bring their sessions' positions", "a value", "no such field");
         }
         int gateways = gatewaySettings.started().gateways();
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -260,7 +260,7 @@
 
     private static ReplicaGuarantees.StalenessCheck stalenessCheck(String text) {
         return switch (text) {
-            case "bounce" -> ReplicaGuarantees.StalenessCheck.TURNS_AWAY;
+            case "bounce" -> ReplicaGuarantees.StalenessCheck.REJECTS;
             case "await" -> ReplicaGuarantees.StalenessCheck.WAITS;
             default -> ReplicaGuarantees.StalenessCheck.NONE;
         };
--- a/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
+++ b/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
@@ -84,7 +84,7 @@
     /** The state that an entry of the list puts in force: a list that does not know yet of a reported drain does not undo it. */
     public EndpointState stateAfter(Endpoint entry, long now) {
         boolean keepsDrain = isDrainByReportOnly(now) && entry.startedAt() <= startedAt;
-        return keepsDrain ? state : entry.stage();
+        return keepsDrain ? state : entry.state();
     }
 
     /** Takes note that another gateway's list named a drain. */
--- a/gateway/src/main/java/ploverdale/state/PendingRequest.java
+++ b/gateway/src/main/java/ploverdale/state/PendingRequest.java
@@ -72,17 +72,17 @@
 
     /** How recent the data must be. */
     public Consistency consistency() {
-        return requestClass.needs();
+        return requestClass.consistency();
     }
 
     /** Whether and how the request may run twice. */
     public Idempotence idempotence() {
-        return requestClass.repeats();
+        return requestClass.idempotence();
     }
 
     /** Whether the request is a write. */
     public boolean isWrite() {
-        return requestClass.needs() == Consistency.WRITE;
+        return requestClass.consistency() == Consistency.WRITE;
     }
 
     /** The latency that requests of this class usually have. */
@@ -235,6 +235,6 @@
 
     /** Whether this is a read of any age that usually takes longer than this. */
     public boolean isUnboundedReadLongerThan(long span) {
-        return requestClass.needs() == Consistency.UNBOUNDED && latency.usual() > span;
+        return requestClass.consistency() == Consistency.UNBOUNDED && latency.usual() > span;
     }
 }
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -42,7 +42,7 @@
         assertThat(a.address().getPort()).isEqualTo(7100);
         assertThat(a.endpoint().zone().number()).isEqualTo(1);
         assertThat(a.endpoint().startedAt()).isEqualTo(120);
-        assertThat(f.known().entries().get(1).endpoint().stage()).isEqualTo(EndpointState.GONE);
+        assertThat(f.known().entries().get(1).endpoint().state()).isEqualTo(EndpointState.GONE);
         assertThat(f.known().leftOut()).hasSize(2);
         assertThat(f.known().leftOut().get(0)).contains("b").contains("db.example");
     }
