--- a/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
+++ b/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
@@ -94,7 +94,8 @@
         List<Action> actions;
         try {
             actions = router.on(now, event);
-        } catch (RuntimeException fault) { // whatever it is: the simulator ascribes it to this gateway, others go on
+        } catch (RuntimeException fault) {
+            // broad catch: whatever it is, the simulator ascribes it to this gateway, others go on
             StackTraceElement[] trace = fault.getStackTrace();
             writer.broken(fault + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
--- a/gateway/src/main/java/ploverdale/benchlink/Writer.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Writer.java
@@ -35,8 +35,8 @@
     private static void rethrowing(Runnable write) throws IOException {
         try {
             write.run();
-        } catch (UncheckedIOException e) {
-            throw e.getCause();
+        } catch (UncheckedIOException failure) {
+            throw failure.getCause();
         }
     }
 
@@ -116,8 +116,8 @@
             fields.write();
             json.writeEndObject();
             json.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+        } catch (IOException failure) {
+            throw new UncheckedIOException(failure);
         }
     }
 
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -27,16 +27,18 @@
     /**
      * What came of a datagram.
      *
-     * @param words what is to be merged into the own knowledge of listed servers
-     * @param letters what is to be sent in reply
-     * @param line for the log, or null
+     * @param observations what is to be merged into the own knowledge of listed servers
+     * @param replies what is to be sent in reply
+     * @param logLine for the log, or null
      */
-    public record ReceivedGossip(Map<ServerId, ServerObservation> words, List<OutboundPacket> letters, String line) {}
+    public record ReceivedGossip(
+            Map<ServerId, ServerObservation> observations, List<OutboundPacket> replies, String logLine) {}
 
     private static final long MS = 10;
 
     /** The longest time from one broadcast of positions to the end of use of the next. */
-    public static final long PLACES_EVERY = PositionExchange.BROADCAST_INTERVAL + PositionExchange.BROADCAST_MAX_AGE;
+    public static final long MAX_POSITION_REFRESH =
+            PositionExchange.BROADCAST_INTERVAL + PositionExchange.BROADCAST_MAX_AGE;
 
     /** A datagram that was sent earlier is rejected: something is wrong with the network or a clock. */
     static final long MAX_TRANSIT_TIME = 2000 * MS;
@@ -99,18 +101,18 @@
     // -- Events
 
     /** This gateway starts and knows nothing yet. */
-    public void starts(long now) {
+    public void start(long now) {
         bootstrap.start(now);
         budget.start(now);
     }
 
     /** The endpoint list names this server; without effect where it did before. */
-    public void listed(ServerId id) {
+    public void addServer(ServerId id) {
         servers.add(id);
     }
 
     /** The endpoint list does not name this server any more. */
-    public void forget(ServerId id) {
+    public void removeServer(ServerId id) {
         KnownServer server = servers.remove(id);
         if (server != null) {
             rumors.remove(server);
@@ -125,12 +127,12 @@
     }
 
     /** A client's request has come; it adds to the budget. */
-    public void request() {
+    public void onRequest() {
         budget.onRequest();
     }
 
     /** This gateway's own knowledge of a server may have changed. */
-    public void learnt(long now, ServerId id) {
+    public void onObservationChanged(long now, ServerId id) {
         KnownServer server = servers.find(id);
         if (server != null) {
             rumors.offer(now, server, own.apply(id), KnownServer.NO_PEER);
@@ -138,14 +140,14 @@
     }
 
     /** A response to this gateway held the server's log position. */
-    public void placed(long now, ServerId id) {
-        if (needsOthers() && servers.find(id) != null) {
+    public void onPositionObserved(long now, ServerId id) {
+        if (needsPeerPositions() && servers.find(id) != null) {
             positions.recordOwn(now, id, own.apply(id));
         }
     }
 
     /** The server itself has confirmed or refuted the role that gossip had reported. */
-    public void proved(long now, ServerId id, boolean right) {
+    public void onRoleVerified(long now, ServerId id, boolean right) {
         KnownServer server = servers.find(id);
         int peer = server == null ? KnownServer.NO_PEER : server.takeRolePeer();
         if (peer != KnownServer.NO_PEER) {
@@ -154,7 +156,7 @@
     }
 
     /** This gateway leaves. Returns its last snapshot, for a few that stay. */
-    public List<OutboundPacket> leaves(long now) {
+    public List<OutboundPacket> leave(long now) {
         List<Integer> receivers = peers.choose(now, LEAVE_FANOUT, KnownServer.NO_PEER);
         List<byte[]> snapshot = snapshots.build(now, Kind.LEAVE);
         if (snapshot.isEmpty()) {
@@ -170,7 +172,7 @@
      *
      * @param from the number of the peer, by its address
      */
-    public ReceivedGossip hears(long now, int from, byte[] bytes) {
+    public ReceivedGossip onDatagram(long now, int from, byte[] bytes) {
         if (!peers.isPeer(from)) {
             return rejected(now, from, RejectionReason.UNKNOWN_PEER);
         }
@@ -251,20 +253,20 @@
     // -- Sending
 
     /** Whether own responses come so seldom that positions would be too old between them. */
-    public boolean needsOthers() {
+    public boolean needsPeerPositions() {
         return requestsPerSecondHere * boundSeconds < servers.all().size();
     }
 
     /** Whether {@link #due} may have something to send soon. */
-    public boolean wantsToTell(long now) {
-        return !rumors.isEmpty() || bootstrap.isPending() || needsOthers() && positions.isCollector(now);
+    public boolean hasPending(long now) {
+        return !rumors.isEmpty() || bootstrap.isPending() || needsPeerPositions() && positions.isCollector(now);
     }
 
     /** What is to be sent by now. */
     public List<OutboundPacket> due(long now) {
         budget.refill(now);
         List<OutboundPacket> packets = new ArrayList<>(requestSnapshots(now));
-        if (needsOthers()) {
+        if (needsPeerPositions()) {
             packets.addAll(positions.onTick(now, own));
         }
         packets.addAll(rumors.onTick(now));
--- a/gateway/src/main/java/ploverdale/membership/MemberState.java
+++ b/gateway/src/main/java/ploverdale/membership/MemberState.java
@@ -24,7 +24,7 @@
  */
 public enum MemberState {
     /** Configured, but neither it nor anybody else has said anything of it yet. */
-    UNKNOWN("unheard"),
+    UNKNOWN("unheard"), // log line: on-call guide
     /** Reachable, as far as is known. */
     ALIVE("alive"),
     /** Did not answer a probe; dead unless it refutes this with a higher incarnation in time. */
--- a/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
@@ -44,7 +44,7 @@
         ConfigurationFile next;
         try {
             next = ConfigurationFile.read(path);
-        } catch (RuntimeException invalid) { // whatever is wrong with the file, service goes on
+        } catch (RuntimeException invalid) { // broad catch: whatever is wrong with the file, service goes on
             log.line("new configuration not taken, all goes on as before: " + invalid.getMessage());
             return;
         }
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -57,7 +57,8 @@
                     log.line("service begins without practice: " + failure.getMessage());
                     return null;
                 })
-                .onSuccess(ignored -> log.line("practised for " + (clock.monotonicMs() - beganAtMs) + " ms"));
+                .onSuccess(ignored -> log.line(
+                        "practised for " + (clock.monotonicMs() - beganAtMs) + " ms")); // log line: on-call guide
     }
 
     /** Owns all sockets and timers of the warm-up; undeploying it closes them. */
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -68,7 +68,7 @@
         try {
             decoder.feed(bytes);
             processInput();
-        } catch (RuntimeException failure) { // a fault here ends this connection and no other
+        } catch (RuntimeException failure) { // broad catch: a fault here ends this connection and no other
             runtime.log().fault("client connection fault", failure);
             close();
         } finally {
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -81,7 +81,8 @@
         loopLag.onTick();
         reportPause(loopLag.previousTick(), loopLag.lastTick());
         if (loopLag.lastInterval() > LOGGED_PAUSE_MS * TENTHS_PER_MS) {
-            log.often("stood still", "for " + loopLag.lastInterval() / TENTHS_PER_MS + " ms");
+            log.often(
+                    "stood still", "for " + loopLag.lastInterval() / TENTHS_PER_MS + " ms"); // log line: on-call guide
         }
     }
 
@@ -168,7 +169,8 @@
             for (Action action : actions) {
                 action.dispatchTo(actionHandler);
             }
-        } catch (RuntimeException fault) { // a fault in one decision must not end service for all other requests
+        } catch (RuntimeException fault) {
+            // broad catch: a fault in one decision must not end service for all other requests
             log.fault("module fault on " + event.getClass().getSimpleName(), fault);
             if (event instanceof Event.RequestArrived arrival) { // an accepted request is answered all the same
                 outbound.failRequest(new Action.FailRequest(arrival.request()));
--- a/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
@@ -93,9 +93,8 @@
         DatagramSocket opening;
         try {
             opening = vertx.createDatagramSocket(new DatagramSocketOptions());
-        } catch (
-                RuntimeException
-                        failure) { // Vert.x throws whatever the system call failed with: no descriptor, no memory
+        } catch (RuntimeException failure) {
+            // broad catch: Vert.x throws whatever the system call failed with
             reopenLater("cannot be opened: " + failure);
             return Future.succeededFuture();
         }
--- a/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -46,7 +46,9 @@
         boolean known = result.status() == Status.POSITION_KNOWN;
         int lastWriter = lastWriters.getOrDefault(read.group(), result.server());
         if (known && result.server() >= 0 && result.server() != lastWriter) {
-            log.often("a session over a takeover", "its last write was acked by another server than the group's last");
+            log.often(
+                    "a session over a takeover",
+                    "its last write was acked by another server than the group's last"); // log line: on-call guide
         }
         long position = known ? result.position() : clock.toWall(arrivedAt);
         long tokenAge = clock.tokenAge(clock.now(), position);
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -190,7 +190,8 @@
     private void onBytes(Buffer bytes) {
         try {
             decode(bytes);
-        } catch (RuntimeException fault) { // a fault while one connection is read must end that connection only
+        } catch (RuntimeException fault) {
+            // broad catch: a fault while one connection is read must end that connection only
             context.log().fault("server connection fault", fault);
             onLost("fault", Outcome.CONNECT_INTERRUPTED);
         }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -36,11 +36,11 @@
     private final PacketQueue queue;
     private final Quota quota;
     private final Optional<Replicas> replicas;
-    private final int id; // gateways with another allocation or replication factor are told apart by it
+    private final int id; // gateways with another allocation or replication factor are distinguished by it
     private final List<String> logLines = new ArrayList<>();
 
     /**
-     * @param startedMs Unix time in ms, by which later starts of a gateway are told from earlier ones
+     * @param startedMs Unix time in ms, by which later starts of a gateway are distinguished from earlier ones
      * @param clock monotonic, in tenths of a millisecond
      * @param wallClock Unix time, in tenths of a millisecond
      */
--- a/gateway/src/main/java/ploverdale/replication/Hashing.java
+++ b/gateway/src/main/java/ploverdale/replication/Hashing.java
@@ -26,8 +26,8 @@
             digest.update(session ? SESSION_PREFIX : WRITE_PREFIX);
             byte[] hash = digest.digest(text.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java platform has to provide it
+        } catch (NoSuchAlgorithmException missing) {
+            throw new IllegalStateException(missing); // every Java platform has to provide it
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
@@ -21,17 +21,17 @@
 
     @Override
     public boolean isNeededForPositions() {
-        return protocol.needsOthers();
+        return protocol.needsPeerPositions();
     }
 
     @Override
     public void serverListed(ServerId server) {
-        protocol.listed(server);
+        protocol.addServer(server);
     }
 
     @Override
     public void serverRemoved(ServerId server) {
-        protocol.forget(server);
+        protocol.removeServer(server);
     }
 
     @Override
@@ -41,27 +41,27 @@
 
     @Override
     public void requestArrived() {
-        protocol.request();
+        protocol.onRequest();
     }
 
     @Override
     public void positionReported(long now, ServerId server) {
-        protocol.placed(now, server);
+        protocol.onPositionObserved(now, server);
     }
 
     @Override
     public void serverObserved(long now, ServerId server) {
-        protocol.learnt(now, server);
+        protocol.onObservationChanged(now, server);
     }
 
     @Override
     public void primaryVerified(long now, ServerId server, boolean right) {
-        protocol.proved(now, server, right);
+        protocol.onRoleVerified(now, server, right);
     }
 
     @Override
     public boolean hasPending(long now) {
-        return protocol.wantsToTell(now);
+        return protocol.hasPending(now);
     }
 
     @Override
@@ -71,11 +71,11 @@
 
     @Override
     public List<OutboundPacket> shutdown(long now) {
-        return protocol.leaves(now);
+        return protocol.leave(now);
     }
 
     @Override
     public ReceivedGossip receive(long now, int peer, byte[] datagram) {
-        return protocol.hears(now, peer, datagram);
+        return protocol.onDatagram(now, peer, datagram);
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/EventDecisions.java
+++ b/gateway/src/main/java/ploverdale/routing/EventDecisions.java
@@ -164,13 +164,13 @@
     @Override
     public void onGossipReceived(Event.GossipReceived gossipReceived) {
         ReceivedGossip received = gossip.receive(context.now(), gossipReceived.from(), gossipReceived.bytes());
-        received.words().forEach((id, observation) -> {
+        received.observations().forEach((id, observation) -> {
             ServerState server = directory.find(id).orElseThrow();
             observations.merge(server, observation);
             dispatcher.release(server.group());
         });
-        maintenance.send(received.letters());
-        Optional.ofNullable(received.line()).ifPresent(context::log);
+        maintenance.send(received.replies());
+        Optional.ofNullable(received.logLine()).ifPresent(context::log);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -82,7 +82,7 @@
 
     /** How long after a report another one may tell something new; where gossip brings positions, that is as good as waiting. */
     long recheckInterval() {
-        return gossip.isNeededForPositions() ? REPORT_INTERVAL + GossipProtocol.PLACES_EVERY : REPORT_INTERVAL;
+        return gossip.isNeededForPositions() ? REPORT_INTERVAL + GossipProtocol.MAX_POSITION_REFRESH : REPORT_INTERVAL;
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -69,7 +69,7 @@
                 settings.tightestBound(),
                 new SplittableRandom(~started.seed()),
                 id -> ServerObservations.observe(context, directory, slowStart, id));
-        protocol.starts(context.now());
+        protocol.start(context.now());
         return new EnabledGossip(protocol);
     }
 
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -38,16 +38,16 @@
                         5000,
                         new SplittableRandom(i),
                         id -> mine.getOrDefault(id, ServerObservation.NONE));
-                protocol.listed(P);
-                protocol.listed(R);
+                protocol.addServer(P);
+                protocol.addServer(R);
                 all.add(protocol);
                 known.add(mine);
             }
         }
 
         private ReceivedGossip deliver(long now, int at, int from, byte[] bytes) {
-            ReceivedGossip received = all.get(at).hears(now, from, bytes);
-            received.words()
+            ReceivedGossip received = all.get(at).onDatagram(now, from, bytes);
+            received.observations()
                     .forEach((id, observation) -> known.get(at).merge(id, observation, ServerObservation::join));
             return received;
         }
@@ -60,7 +60,7 @@
                     deliverAll(
                             now,
                             packet.peer(),
-                            deliver(now, packet.peer(), from, packet.bytes()).letters(),
+                            deliver(now, packet.peer(), from, packet.bytes()).replies(),
                             loss,
                             random);
                 }
@@ -78,7 +78,7 @@
 
         private void observe(long now, int at, ServerId id, ServerObservation observation) {
             known.get(at).merge(id, observation, ServerObservation::join);
-            all.get(at).learnt(now, id);
+            all.get(at).onObservationChanged(now, id);
         }
 
         private long knowing(ServerId id, Role role) {
@@ -110,7 +110,7 @@
         Group group = new Group(3);
         group.known.get(1).put(P, role(Role.PRIMARY, NOW - 100 * MS));
         group.known.get(2).put(R, role(Role.REPLICA, NOW - 100 * MS));
-        group.all.get(0).starts(NOW);
+        group.all.get(0).start(NOW);
         group.run(NOW, NOW + 20 * MS, 0);
         assertThat(group.known.get(0).get(P).role()).isEqualTo(Role.PRIMARY);
         assertThat(group.known.get(0).get(R).role()).isEqualTo(Role.REPLICA);
@@ -120,7 +120,7 @@
     @Test
     void lostSnapshotRequestsAreRepeatedABoundedNumberOfTimes() {
         Group group = new Group(3);
-        group.all.get(0).starts(NOW);
+        group.all.get(0).start(NOW);
         group.run(NOW, NOW + 10_000 * MS, 1);
         assertThat(group.packets).isEqualTo(8);
     }
@@ -152,8 +152,8 @@
         assertThat(group.known.get(0).get(P).role()).isEqualTo(Role.UNKNOWN);
         ReceivedGossip late =
                 group.deliver(NOW, 0, 1, datagram(NOW - 3000 * MS, P, role(Role.PRIMARY, NOW - 3000 * MS)));
-        assertThat(late.words()).isEmpty();
-        assertThat(late.line()).contains("1 LATE");
+        assertThat(late.observations()).isEmpty();
+        assertThat(late.logLine()).contains("1 LATE");
     }
 
     @Test
@@ -162,7 +162,7 @@
         group.deliver(NOW, 0, 1, datagram(NOW + 400 * MS, P, role(Role.PRIMARY, NOW + 400 * MS)));
         assertThat(group.known.get(0).get(P).roleAt()).isLessThanOrEqualTo(NOW);
         assertThat(group.deliver(NOW, 0, 1, datagram(NOW + 600 * MS, P, role(Role.PRIMARY, NOW)))
-                        .line())
+                        .logLine())
                 .contains("OF_THE_FUTURE");
     }
 
@@ -170,7 +170,7 @@
     void observationsOfUnlistedServersAreIgnored() {
         Group group = new Group(2);
         assertThat(group.deliver(NOW, 0, 1, datagram(NOW, new ServerId("unknown"), role(Role.PRIMARY, NOW)))
-                        .words())
+                        .observations())
                 .isEmpty();
     }
 
@@ -180,13 +180,15 @@
         for (int i = 0; i < 3; i++) {
             long at = NOW + i * 1000 * MS;
             group.deliver(at, 0, 1, datagram(at, P, role(Role.PRIMARY, at)));
-            group.all.get(0).proved(at, P, false);
+            group.all.get(0).onRoleVerified(at, P, false);
         }
         long now = NOW + 3000 * MS;
         assertThat(group.all.get(0).trustIn(now, 1)).isLessThan(0.2);
         byte[] datagram = datagram(now, P, role(Role.PRIMARY, now));
-        assertThat(group.deliver(now, 0, 1, datagram).words().get(P).role()).isEqualTo(Role.UNKNOWN);
-        assertThat(group.deliver(now, 0, 2, datagram).words().get(P).role()).isEqualTo(Role.PRIMARY);
+        assertThat(group.deliver(now, 0, 1, datagram).observations().get(P).role())
+                .isEqualTo(Role.UNKNOWN);
+        assertThat(group.deliver(now, 0, 2, datagram).observations().get(P).role())
+                .isEqualTo(Role.PRIMARY);
         assertThat(group.all.get(0).trustIn(NOW + 180_000 * MS, 1)).isGreaterThan(0.9);
     }
 
@@ -194,9 +196,9 @@
     void aRoleOfAHalfTrustedPeerCountsAsOlder() {
         Group group = new Group(3);
         group.deliver(NOW, 0, 1, datagram(NOW, P, role(Role.PRIMARY, NOW)));
-        group.all.get(0).proved(NOW, P, false);
+        group.all.get(0).onRoleVerified(NOW, P, false);
         ServerObservation observation = group.deliver(NOW + MS, 0, 1, datagram(NOW + MS, P, role(Role.PRIMARY, NOW)))
-                .words()
+                .observations()
                 .get(P);
         assertThat(observation.roleAt()).isBetween(NOW - 520 * MS, NOW - 480 * MS);
     }
@@ -205,7 +207,7 @@
     void aPeerThatLeftIsNotChosenUntilItIsBack() {
         Group group = new Group(2);
         group.known.get(1).put(P, role(Role.PRIMARY, NOW));
-        group.deliverAll(NOW, 1, group.all.get(1).leaves(NOW), 0, new SplittableRandom(1));
+        group.deliverAll(NOW, 1, group.all.get(1).leave(NOW), 0, new SplittableRandom(1));
         assertThat(group.known.get(0).get(P).role()).isEqualTo(Role.PRIMARY); // what it knew stays
         group.observe(NOW, 0, R, role(Role.PRIMARY, NOW));
         assertThat(group.all.get(0).due(NOW + MS)).isEmpty();
@@ -226,17 +228,17 @@
         byte[] request = DatagramCodec.encode(new Datagram(Datagram.Kind.SNAPSHOT_REQUEST, NOW, Map.of()));
         int answers = 0;
         for (int i = 1; i < 300; i++) {
-            answers += group.deliver(NOW, 0, i, request).letters().size();
+            answers += group.deliver(NOW, 0, i, request).replies().size();
         }
         assertThat(answers).isEqualTo(8);
-        assertThat(group.deliver(NOW + 250 * MS, 0, 1, request).letters()).hasSize(1);
+        assertThat(group.deliver(NOW + 250 * MS, 0, 1, request).replies()).hasSize(1);
     }
 
     @Test
     void changesBeyondTheBudgetWait() {
         Group group = new Group(300);
         GossipProtocol protocol = group.all.get(0);
-        protocol.starts(NOW - 10_000 * MS);
+        protocol.start(NOW - 10_000 * MS);
         protocol.due(NOW - 9_999 * MS);
         int sent = 0;
         for (int i = 0; i < 40; i++) { // a server that comes and goes
@@ -248,7 +250,7 @@
         }
         assertThat(sent).isBetween(1, 1100);
         for (int i = 0; i < 20; i++) {
-            protocol.request();
+            protocol.onRequest();
         }
         assertThat(protocol.due(NOW + 500 * MS)).isNotEmpty();
     }
@@ -256,10 +258,11 @@
     @Test
     void rejectionsAreLoggedFromTimeToTime() {
         Group group = new Group(3);
-        assertThat(group.deliver(NOW, 0, 1, new byte[] {1}).line()).contains("1 TOO_SHORT", "instance 1");
+        assertThat(group.deliver(NOW, 0, 1, new byte[] {1}).logLine()).contains("1 TOO_SHORT", "instance 1");
         for (int i = 0; i < 5; i++) {
-            assertThat(group.deliver(NOW, 0, 7, new byte[0]).line()).isNull(); // no instance has this number
+            assertThat(group.deliver(NOW, 0, 7, new byte[0]).logLine()).isNull(); // no instance has this number
         }
-        assertThat(group.deliver(NOW + 10_000 * MS, 0, 1, new byte[300]).line()).contains("5 STRANGER", "1 TOO_LONG");
+        assertThat(group.deliver(NOW + 10_000 * MS, 0, 1, new byte[300]).logLine())
+                .contains("5 STRANGER", "1 TOO_LONG");
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
@@ -140,8 +140,8 @@
                         500 * MS,
                         new SplittableRandom(i),
                         id -> own.getOrDefault(id, ServerObservation.NONE));
-                servers.forEach(protocol::listed);
-                protocol.starts(NOW);
+                servers.forEach(protocol::addServer);
+                protocol.start(NOW);
                 instances.add(protocol);
             }
         }
@@ -157,7 +157,7 @@
             }
             for (int i = 0; i < instances.size(); i++) {
                 observe(now, i);
-                checksum.update(instances.get(i).wantsToTell(now) ? 1 : 0);
+                checksum.update(instances.get(i).hasPending(now) ? 1 : 0);
                 send(i, instances.get(i).due(now));
             }
             disturb(step, now);
@@ -165,19 +165,19 @@
 
         private void deliver(long now, Delivery delivery) {
             GossipProtocol to = instances.get(delivery.to());
-            GossipProtocol.ReceivedGossip received = to.hears(now, delivery.from(), delivery.bytes());
+            GossipProtocol.ReceivedGossip received = to.onDatagram(now, delivery.from(), delivery.bytes());
             Map<ServerId, ServerObservation> own = known.get(delivery.to());
-            received.words().forEach((id, observation) -> {
+            received.observations().forEach((id, observation) -> {
                 own.merge(id, observation, ServerObservation::join);
                 checksum.update(fields(observation).hashCode());
                 if (random.nextInt(50) == 0) {
-                    to.proved(now, id, random.nextBoolean());
+                    to.onRoleVerified(now, id, random.nextBoolean());
                 }
             });
-            if (received.line() != null) {
-                checksum.update(received.line().hashCode());
+            if (received.logLine() != null) {
+                checksum.update(received.logLine().hashCode());
             }
-            send(delivery.to(), received.letters());
+            send(delivery.to(), received.replies());
         }
 
         private void observe(long now, int instance) {
@@ -197,9 +197,9 @@
                     random.nextInt(20) == 0 ? now : NEVER,
                     random.nextInt(20) == 0 ? now : NEVER);
             known.get(instance).merge(id, observation, ServerObservation::join);
-            instances.get(instance).request();
-            instances.get(instance).learnt(now, id);
-            instances.get(instance).placed(now, id);
+            instances.get(instance).onRequest();
+            instances.get(instance).onObservationChanged(now, id);
+            instances.get(instance).onPositionObserved(now, id);
         }
 
         private void disturb(int step, long now) {
@@ -213,10 +213,10 @@
                 underway.add(new Delivery(4, 2, new byte[random.nextInt(20)]));
             }
             if (step == 400) {
-                send(5, instances.get(5).leaves(now));
+                send(5, instances.get(5).leave(now));
             }
             if (step == 450) {
-                instances.forEach(protocol -> protocol.forget(servers.get(0)));
+                instances.forEach(protocol -> protocol.removeServer(servers.get(0)));
             }
             if (step == 500) {
                 instances.get(6).forgetPositions();
--- a/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
@@ -41,7 +41,7 @@
                     500 * MS,
                     new SplittableRandom(i),
                     id -> mine.getOrDefault(id, ServerObservation.NONE));
-            protocol.listed(R);
+            protocol.addServer(R);
             all.add(protocol);
         }
     }
@@ -74,11 +74,11 @@
                 if (!dead.contains(delivery.packet().peer())) {
                     GossipProtocol.ReceivedGossip received = all.get(
                                     delivery.packet().peer())
-                            .hears(now, delivery.from(), delivery.packet().bytes());
-                    received.words()
+                            .onDatagram(now, delivery.from(), delivery.packet().bytes());
+                    received.observations()
                             .forEach((id, x) ->
                                     known.get(delivery.packet().peer()).merge(id, x, ServerObservation::join));
-                    received.letters()
+                    received.replies()
                             .forEach(l ->
                                     underway.add(new Delivery(delivery.packet().peer(), l)));
                 }
@@ -88,7 +88,7 @@
 
     private void observe(int instance, long now) {
         known.get(instance).merge(R, observation(now, now - 3 * MS), ServerObservation::join);
-        all.get(instance).placed(now, R);
+        all.get(instance).onPositionObserved(now, R);
     }
 
     private long knowing(long position) {
--- a/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
@@ -58,9 +58,10 @@
                 Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER, observation(position, NOW + senderAhead))));
         GossipProtocol gossip =
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
-        gossip.listed(new ServerId("r1"));
-        gossip.starts(NOW);
-        Map<ServerId, ServerObservation> accepted = gossip.hears(NOW, 1, sent).words();
+        gossip.addServer(new ServerId("r1"));
+        gossip.start(NOW);
+        Map<ServerId, ServerObservation> accepted =
+                gossip.onDatagram(NOW, 1, sent).observations();
         assertThat(accepted.values())
                 .allSatisfy(observation -> assertThat(observation.position()).isLessThanOrEqualTo(position));
     }
@@ -77,12 +78,12 @@
         ServerId server = new ServerId("r1");
         GossipProtocol gossip =
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
-        gossip.listed(server);
-        gossip.starts(NOW);
+        gossip.addServer(server);
+        gossip.start(NOW);
         ServerObservation drained = // a change, which is passed on
                 new ServerObservation(
                         Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
-        gossip.hears(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, drained))));
+        gossip.onDatagram(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, drained))));
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND))
                 .isNotEmpty()
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -107,8 +107,8 @@
             Map<ServerId, ServerObservation> mine = new HashMap<>();
             GossipProtocol h = new GossipProtocol(
                     i, INSTANCES, OPS, BOUND, random.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
-            servers.forEach(h::listed);
-            h.starts(START);
+            servers.forEach(h::addServer);
+            h.start(START);
             all.add(h);
             known.add(mine);
         }
@@ -153,7 +153,7 @@
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME);
         known.get(3).merge(lost, silent, ServerObservation::join);
-        all.get(3).learnt(now, lost);
+        all.get(3).onObservationChanged(now, lost);
     }
 
     private void deliver(long now) {
@@ -161,9 +161,9 @@
             OnItsWay w = ways.poll();
             int to = w.letter().peer();
             GossipProtocol.ReceivedGossip h =
-                    all.get(to).hears(now, w.from(), w.letter().bytes());
-            h.words().forEach((id, x) -> known.get(to).merge(id, x, ServerObservation::join));
-            order = send(now, to, h.letters(), order);
+                    all.get(to).onDatagram(now, w.from(), w.letter().bytes());
+            h.observations().forEach((id, x) -> known.get(to).merge(id, x, ServerObservation::join));
+            order = send(now, to, h.replies(), order);
         }
     }
 
@@ -224,10 +224,10 @@
                                     LoadReport.UNKNOWN_TIME,
                                     LoadReport.UNKNOWN_TIME),
                             ServerObservation::join);
-            all.get(at).placed(now, id);
-            all.get(at).learnt(now, id);
+            all.get(at).onPositionObserved(now, id);
+            all.get(at).onObservationChanged(now, id);
         }
-        all.get(at).request();
+        all.get(at).onRequest();
     }
 
     private void replace(ServerId lost) {
@@ -235,9 +235,9 @@
         ServerId old = servers.get(i);
         servers.set(i, new ServerId("s-" + named++));
         for (int k = 0; k < INSTANCES; k++) {
-            all.get(k).forget(old);
+            all.get(k).removeServer(old);
             known.get(k).remove(old);
-            all.get(k).listed(servers.get(i));
+            all.get(k).addServer(servers.get(i));
         }
     }
 
