--- a/gateway/src/main/java/ploverdale/routing/AdmissionController.java
+++ b/gateway/src/main/java/ploverdale/routing/AdmissionController.java
@@ -7,21 +7,25 @@
 import ploverdale.state.ServerState;
 
 /**
- * Decides which requests get capacity where it is scarce: by their value for each unit of work. Long reads, which can keep a
- * replica from applying the log, are shed while requests of more value are rejected.
+ * Decides which requests are served while capacity is scarce, by their value per unit of work. Sheds long reads, which
+ * can keep a replica from applying the log, while requests of higher value are being rejected.
  */
 final class AdmissionController {
-    /** Weight of the newest request in the average of the value that is rejected. */
+    /** Weight of the newest request in the moving average of the value that is being rejected. */
     private static final double REJECTED_VALUE_WEIGHT = 0.02;
 
     private final RoutingSettings settings;
+    /** Moving average over first attempts: the value per unit of work of rejected requests, 0 for admitted ones. */
     private double rejectedValue;
 
     AdmissionController(RoutingSettings settings) {
         this.settings = settings;
     }
 
-    /** Whether a long read is shed, because it would make a replica age, or keep an aged one so, at the cost of better requests. */
+    /**
+     * Returns whether a long read is shed because it would let a replica fall behind the tightest staleness bound, or
+     * keep one behind it, at the cost of requests of higher value.
+     */
     boolean isShed(PendingRequest request, ServerState server, long now) {
         return !request.wasAttempted()
                 && isLongRead(request)
@@ -34,7 +38,7 @@
         return request.isUnboundedReadLongerThan(settings.tightestBound());
     }
 
-    /** Takes note whether a request was admitted at its first attempt. */
+    /** Records whether a request was admitted at its first attempt. */
     void recordAdmission(PendingRequest request, boolean admitted) {
         if (!request.wasAttempted()) {
             double rejected = admitted ? 0 : valuePerWork(request);
@@ -42,7 +46,10 @@
         }
     }
 
-    /** The group's waiting requests, those of most value first, among equals the newest. */
+    /**
+     * Returns the waiting requests of a group, highest value per unit of work first and, among equal ones, newest
+     * first.
+     */
     List<PendingRequest> releaseOrder(ReplicaGroup group) {
         return group.waiting().stream()
                 .sorted(Comparator.comparingDouble((PendingRequest request) -> -valuePerWork(request))
@@ -50,6 +57,9 @@
                 .toList();
     }
 
+    /**
+     * Returns the value of a request per tick of usual latency; requests beyond the tenant's agreed traffic count less.
+     */
     private double valuePerWork(PendingRequest request) {
         double share = request.isBeyondShare() ? settings.valueBeyondShare() : 1;
         return request.requestClass().value() * share / request.usualLatency();
--- a/gateway/src/main/java/ploverdale/routing/AttemptCanceller.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptCanceller.java
@@ -6,7 +6,7 @@
 import ploverdale.state.PendingRequest;
 import ploverdale.state.ServerState;
 
-/** Gives up attempts that are in flight. */
+/** Cancels attempts that are in flight. */
 final class AttemptCanceller {
     private final DecisionContext context;
     private final Capabilities capabilities;
@@ -18,7 +18,9 @@
         this.directory = directory;
     }
 
-    /** Has the request wait no longer, and its attempt in flight given up where that is allowed. */
+    /**
+     * Removes the request from the queue of its group, and cancels its attempt in flight if the deployment allows it.
+     */
     void cancel(PendingRequest request) {
         directory.group(request.arrival().group()).dequeue(request);
         if (capabilities.cancel() && request.requestCancel()) {
@@ -26,7 +28,7 @@
         }
     }
 
-    /** Gives up the attempts at this server that may be made again elsewhere. */
+    /** Cancels the attempts at this server whose requests are idempotent, so that they can be retried elsewhere. */
     void cancelRetryable(ServerState server) {
         server.load().inFlight().stream()
                 .filter(request -> request.idempotence() == Idempotence.IDEMPOTENT)
--- a/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
@@ -7,9 +7,9 @@
 import ploverdale.state.PendingRequest;
 import ploverdale.state.ServerState;
 
-/** Decides what the outcome of an attempt says of its server. */
+/** Updates the state of a server from the outcomes of attempts. */
 final class AttemptEvaluator {
-    /** A failure that may be the network's doing counts so much of one that the server reported. */
+    /** Severity of a failure that the network may have caused; a failure that the server reported counts 1. */
     private static final double NETWORK_FAILURE = 0.5;
 
     private final DecisionContext context;
@@ -40,7 +40,10 @@
         this.gossip = gossip;
     }
 
-    /** Learns from the end of an attempt. */
+    /**
+     * Updates the server's state when an attempt has ended. The latency excludes time that this gateway itself or a
+     * cause common to all servers explains.
+     */
     void learn(ServerState server, PendingRequest request, AttemptEnded end) {
         long now = context.now();
         Outcome outcome = end.outcome();
@@ -65,12 +68,15 @@
             case TIMED_OUT -> limiter.learnMissingAnswer(server, request, latency);
             case MISDIRECTED -> learnMisdirected(server, request);
             default -> {
-                // REJECTED is dealt with above; CANCELLED and NEVER_SENT say nothing of the server.
+                // REJECTED is handled above; CANCELLED and NEVER_SENT say nothing about the server.
             }
         }
     }
 
-    /** A connection that fails is a sign of a dead server, or of one without capacity; a health check tells. */
+    /**
+     * Expires the server's confirmation after a connection failure, and sends a health check to find out whether the
+     * server is dead or only out of capacity. An answer from the server confirms it.
+     */
     private void learnLiveness(ServerState server, PendingRequest request, Outcome outcome) {
         boolean answeredSince = server.liveness().attemptAnsweredAt() >= request.attemptStartedAt();
         if (outcome.isConnectionFailure() && !answeredSince) {
@@ -97,7 +103,11 @@
         outlierDetector.ejectIfFailing(server);
     }
 
-    /** A primary that hands over rejects writes while its reports still say that it is the primary. */
+    /**
+     * Handles an answer by which the server declined the request for its role or position. A primary that is handing
+     * over rejects writes while its load reports still say that it is the primary; the role of a replica is therefore
+     * recorded for one report interval ahead, so that those reports do not override it.
+     */
     private void learnMisdirected(ServerState server, PendingRequest request) {
         server.replication().recordMisdirected(context.now());
         verifyPrimary(server, request, false);
@@ -106,6 +116,7 @@
         }
     }
 
+    /** Reports the outcome of a write to gossip, which rates peers by whether they named the right primary. */
     private void verifyPrimary(ServerState server, PendingRequest request, boolean right) {
         if (request.isWrite()) {
             gossip.primaryVerified(context.now(), server.id(), right);
--- a/gateway/src/main/java/ploverdale/routing/BeforeStart.java
+++ b/gateway/src/main/java/ploverdale/routing/BeforeStart.java
@@ -5,8 +5,8 @@
 import ploverdale.model.EventHandler;
 
 /**
- * Handles events before the gateway has its settings: delays of the event loop are noted, a request is an error of the
- * host, and all else has no meaning yet.
+ * Handles events before the gateway has received its settings. Delays of the event loop are recorded and a request is
+ * an error of the caller; all other events are ignored.
  */
 final class BeforeStart implements EventHandler {
     private final LocalHealth localHealth;
@@ -30,7 +30,11 @@
     @Override
     public void onEndpointUpdate(Event.EndpointUpdate update) {}
 
-    /** Thrown, so that the host answers the request with an error. */
+    /**
+     * Always throws.
+     *
+     * @throws IllegalStateException so that the caller answers the request with an error
+     */
     @Override
     public void onRequestArrived(Event.RequestArrived arrival) {
         throw new IllegalStateException("request before the start");
--- a/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
@@ -11,23 +11,29 @@
 import ploverdale.state.ServerState;
 
 /**
- * Adaptive concurrency limit of each server, by additive increase and decrease (Chiu and Jain 1989): it grows while latency is a
- * small part of the requests' latency objective and the limit is used, and shrinks while it is not.
+ * Adaptive concurrency limit of each server, by additive increase and additive decrease (Chiu and Jain 1989). A limit
+ * grows while latency is a small part of the requests' latency objective and the limit is used; it shrinks while
+ * latency is a large part of the objective.
  */
 final class ConcurrencyLimiter {
-    /** Weight of the newest answer; the work of requests varies as much as its mean. */
+    /**
+     * Weight of the newest answer in moving averages. It is small because the work of requests varies by as much as its
+     * mean.
+     */
     private static final double NEWEST_WEIGHT = 0.1;
-    /** Mean latency as a part of the latency objective; latencies have long tails. */
+    /**
+     * Target of mean latency as a part of the latency objective. It is well below 1 because latencies have long tails.
+     */
     private static final double PRESSURE_GOAL = 0.35;
-    /** The most that one answer counts as a part of the latency objective. */
+    /** Largest part of the latency objective that one answer counts as. */
     private static final double LARGEST_PRESSURE = 3;
-    /** The most that one answer counts as latency inflation. */
+    /** Largest latency inflation that one answer counts as. */
     private static final double LARGEST_INFLATION = 8;
-    /** Change a limit makes at each answer: about a fifth of an attempt in a round trip. */
+    /** Change of a limit at each answer; about a fifth of an attempt per round trip. */
     private static final double LIMIT_STEP = 0.2;
-    /** A limit grows only where so much of it is used. */
+    /** A limit grows only while at least this share of it is used. */
     private static final double USED_SHARE = 0.7;
-    /** Refusals of connections further apart are not in a row. */
+    /** Refused connections further apart than this do not count as consecutive. */
     private static final long REFUSALS_IN_A_ROW_WITHIN = Ticks.ofMillis(500);
 
     private final DecisionContext context;
@@ -50,10 +56,10 @@
     }
 
     /**
-     * Whether a further attempt may be in flight. Counts only attempts begun since the server was last readmitted, since older
-     * ones may never be answered; a server that just rejected one gets none.
+     * Returns whether another attempt may be in flight at the server. Counts only attempts begun since the server was
+     * last readmitted, because older ones may never be answered. A server within its rejection backoff has no capacity.
      *
-     * @param share the part of the limit that such requests may use
+     * @param share the share of the limit that requests of this kind may use
      */
     boolean hasCapacity(ServerState server, double share) {
         long now = context.now();
@@ -62,12 +68,15 @@
                 && quota.hasAttempt(server.id(), slowStart.isWarmingUp(server, now));
     }
 
-    /** A request was answered, or waited for as long without an answer. */
+    /** Records the latency of an answered attempt, or the time that an unanswered one has waited so far. */
     void learnLatency(ServerState server, PendingRequest request, long latency) {
         learnLatency(server, request, latency, latency);
     }
 
-    /** No answer came in time; one that was probably lost on its way counts less as load. */
+    /**
+     * Records an attempt without an answer in time. An answer that was probably lost on the network counts less as
+     * load.
+     */
     void learnMissingAnswer(ServerState server, PendingRequest request, long waited) {
         boolean lost = server.answerLoss().recordMissing();
         double expected = request.usualLatency() * server.load().measuredInflation();
@@ -76,6 +85,12 @@
         learnLatency(server, request, latency, loadLatency);
     }
 
+    /**
+     * Updates the estimates and the limit.
+     *
+     * @param latency the latency by which estimates and latency inflation are updated, in ticks
+     * @param loadLatency the part of it that counts as load, in ticks
+     */
     private void learnLatency(ServerState server, PendingRequest request, long latency, long loadLatency) {
         Load load = server.load();
         request.latency().observe(latency, context.now());
@@ -100,22 +115,25 @@
     }
 
     /**
-     * A connection was refused, or not made in time. Networks reset connections by chance: only refusals in a row, or slow
-     * failures, limit the server to the connections that are open already.
+     * Records a connection that was refused or not established in time. Networks reset single connections at random, so
+     * only consecutive refusals, or slow failures, limit the server to the connections that are already open.
      */
     void learnConnectFailure(ServerState server, long duration) {
         boolean immediate = duration < HealthChecker.PROMPT_ANSWER;
         server.connections().recordConnectFailure(immediate, REFUSALS_IN_A_ROW_WITHIN, context.now());
     }
 
-    /** Limits a server whose connections failed in this event to the attempts that are in flight. */
+    /** Limits the server to its attempts in flight if the current event limited its connections. */
     void limitAfterConnectFailure(ServerState server) {
         if (server.connections().connectionsLimitedAt() == context.now()) {
             limitToInFlight(server);
         }
     }
 
-    /** The server rejected a request: it is tried ever more rarely, and not at the same time as by all other gateways. */
+    /**
+     * Records that the server rejected a request. The backoff doubles with each rejection and has jitter, so that not
+     * all gateways retry at the same time.
+     */
     void learnRejection(ServerState server) {
         ConnectionStatus connections = server.connections();
         long jitter = random.nextLong(HealthChecker.PROMPT_ANSWER);
--- a/gateway/src/main/java/ploverdale/routing/DecisionContext.java
+++ b/gateway/src/main/java/ploverdale/routing/DecisionContext.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import ploverdale.model.Action;
 
-/** The event that is being decided on: its time, and the actions decided on so far, in their order. */
+/** The event being handled: its time, and the actions that have been decided on so far, in order. */
 final class DecisionContext {
     private long now;
     private List<Action> actions = new ArrayList<>();
 
-    /** Begins with the next event. */
+    /** Starts handling the next event, with an empty list of actions. */
     void begin(long time) {
         now = time;
         actions = new ArrayList<>();
     }
 
-    /** The time of the event. */
+    /** Returns the time of the event, in ticks. */
     long now() {
         return now;
     }
@@ -30,7 +30,7 @@
         actions.add(new Action.LogLine(text));
     }
 
-    /** The actions of the event. */
+    /** Returns the actions decided on for this event, in order. */
     List<Action> actions() {
         return actions;
     }
--- a/gateway/src/main/java/ploverdale/routing/DisabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/DisabledGossip.java
@@ -6,7 +6,7 @@
 import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.model.ServerId;
 
-/** Gateways may not talk: nothing is sent, and what comes is ignored. */
+/** Used where the deployment does not allow gossip between gateways: sends nothing and ignores received datagrams. */
 final class DisabledGossip implements PeerGossip {
     @Override
     public boolean isEnabled() {
--- a/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
@@ -6,7 +6,7 @@
 import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.model.ServerId;
 
-/** Gateways talk by the gossip protocol. */
+/** Exchanges server observations with the peers by the gossip protocol. */
 final class EnabledGossip implements PeerGossip {
     private final GossipProtocol protocol;
 
--- a/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -14,9 +14,10 @@
 import ploverdale.state.ServerState;
 
 /**
- * Takes over the endpoint list: new servers, drains, removals and restarts. A drain that another gateway reported binds, too,
- * until the own list had time to name it. Where a removal without a drain does not bind, one in an update that skips revisions does:
- * the server may have drained in between.
+ * Applies the endpoint list: new servers, drains, removals and restarts. A drain reported by a peer also takes effect,
+ * until this gateway's own list has had time to name it. Where the settings say that a removal without a preceding
+ * drain does not take effect, it still does in an update that skips revisions, because the server may have drained in
+ * one of them.
  */
 final class EndpointRegistry {
     private final DecisionContext context;
@@ -26,8 +27,11 @@
     private final HealthChecker healthChecker;
     private final RandomGenerator random;
     private long lastRevision = EndpointUpdate.UNKNOWN_REVISION;
-    private boolean
-            mayHideDrains; // whether a server that the update at hand removes may have drained since the one before
+    /**
+     * Whether the current update skips revisions, so that a server it removes may have drained since the previous
+     * update.
+     */
+    private boolean mayHideDrains;
 
     EndpointRegistry(
             DecisionContext context,
@@ -44,7 +48,7 @@
         this.random = random;
     }
 
-    /** Takes over the list, or its changes. */
+    /** Applies a complete endpoint list or an update of it. */
     void update(EndpointUpdate update) {
         mayHideDrains = skipsRevisions(update.revision());
         lastRevision = update.revision();
@@ -57,7 +61,10 @@
         unlisted.forEach(server -> transition(server, EndpointState.GONE, update.revision()));
     }
 
-    /** An entry shows only the last change of its server, and no server changes twice in one revision. */
+    /**
+     * Returns whether revisions between the last update and this one were missed. An entry shows only the last change
+     * of its server, and no server changes twice in one revision.
+     */
     private boolean skipsRevisions(long revision) {
         boolean areKnown =
                 revision != EndpointUpdate.UNKNOWN_REVISION && lastRevision != EndpointUpdate.UNKNOWN_REVISION;
@@ -95,7 +102,7 @@
         }
     }
 
-    /** The list's word on who leads is a hint, used until a server itself reports its role. */
+    /** Uses the primary that the list names only as a hint, until a server reports its own role. */
     private static void assumePrimary(ServerState server) {
         boolean nothingKnown =
                 server.group().primary() == null && server.replication().role() == Role.UNKNOWN;
@@ -114,7 +121,11 @@
         }
     }
 
-    /** Another gateway's list named a drain of this server. */
+    /**
+     * Handles a peer's report that its endpoint list names a drain of this server.
+     *
+     * @param reportedAt when a list last named the drain, in ticks
+     */
     void learnReportedDrain(ServerState server, long reportedAt) {
         EndpointLifecycle lifecycle = server.lifecycle();
         if (reportedAt <= lifecycle.drainReportedAt() || !lifecycle.isActive()) {
@@ -126,14 +137,19 @@
         }
     }
 
-    /** Ends a drain that another gateway reported and that no list confirmed in time. */
+    /** Ends a drain that a peer reported and that no list has confirmed in time. */
     void endUnconfirmedDrain(ServerState server) {
         if (gossip.isEnabled() && server.lifecycle().isUnconfirmedDrainOver(context.now())) {
             transition(server, EndpointState.IN, EndpointUpdate.UNKNOWN_REVISION);
         }
     }
 
-    /** The servers' wall clock has another offset: positions so far cannot be compared with later ones, and starts are dated anew. */
+    /**
+     * Handles a change of the servers' wall clock offset. Positions reported so far cannot be compared with later ones
+     * and are forgotten; start times are replaced.
+     *
+     * @param startedAt the corrected start times in ticks; servers that are not in it keep theirs
+     */
     void redate(Map<ServerId, Long> startedAt) {
         for (ServerState server : directory.servers()) {
             server.replication().forgetPosition();
--- a/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
@@ -4,7 +4,7 @@
 import ploverdale.model.Action;
 import ploverdale.model.Ticks;
 
-/** Decides when the endpoint list is watched anew, where it has to be asked for. */
+/** Decides when to watch the endpoint list (again), in deployments where it has to be requested. */
 final class EndpointWatch {
     private static final long NEVER = Long.MAX_VALUE;
     private static final long SHORTEST_PAUSE = Ticks.ofMillis(500);
@@ -19,17 +19,17 @@
         this.random = random;
     }
 
-    /** The list has to be asked for, first at once. */
+    /** Has the list requested at the next maintenance run. */
     void begin() {
         dueAt = context.now();
     }
 
-    /** Asking brought nothing; it is repeated after a pause with jitter, so that gateways do not ask together. */
+    /** Schedules the next request after one that failed, with jitter so that gateways do not retry at the same time. */
     void retryLater() {
         dueAt = context.now() + SHORTEST_PAUSE + Ticks.ofMillis(random.nextInt(JITTER_MILLIS));
     }
 
-    /** Asks if it is time to. */
+    /** Requests the list if it is time to. */
     void watchIfDue() {
         if (context.now() >= dueAt) {
             context.emit(new Action.WatchEndpoints());
--- a/gateway/src/main/java/ploverdale/routing/EventDecisions.java
+++ b/gateway/src/main/java/ploverdale/routing/EventDecisions.java
@@ -13,7 +13,7 @@
 import ploverdale.state.ServerState;
 import ploverdale.state.SessionWrites;
 
-/** Handles each event of a started gateway: which parts take it, in which order. */
+/** Handles the events of a started gateway: passes each to the components that it concerns, in a fixed order. */
 final class EventDecisions implements EventHandler {
     private final DecisionContext context;
     private final ServerDirectory directory;
@@ -33,7 +33,7 @@
     private final RequestDispatcher dispatcher;
     private final Maintenance maintenance;
 
-    /** The parts that take events. */
+    /** The components that handle events. */
     record Dependencies(
             DecisionContext context,
             ServerDirectory directory,
@@ -95,7 +95,7 @@
         dispatcher.dispatch(request);
     }
 
-    /** Nothing is decided before the response has ended. */
+    /** Does nothing: decisions are made when the attempt has ended. */
     @Override
     public void onResponseStarted(Event.ResponseStarted response) {}
 
@@ -183,7 +183,10 @@
         dispatcher.finishAll();
     }
 
-    /** What was dated before cannot be compared with what will be; a session's last write is at most as late as now. */
+    /**
+     * Invalidates all positions and commit times reported before the change, which cannot be compared with later ones.
+     * The last write of a session is assumed to have been committed now, which is never too early.
+     */
     @Override
     public void onClockOffsetChanged(Event.ClockOffsetChanged change) {
         endpoints.redate(change.startedAt());
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -7,7 +7,7 @@
 import ploverdale.state.Liveness;
 import ploverdale.state.ServerState;
 
-/** Decides what the outcome of a health check says of its server. */
+/** Updates the state of a server from the outcomes of health checks. */
 final class HealthCheckEvaluator {
     private final DecisionContext context;
     private final ServerDirectory directory;
@@ -40,7 +40,7 @@
         this.gossip = gossip;
     }
 
-    /** Learns from the end of a health check. */
+    /** Updates the server's state when a health check has ended. */
     void learn(ServerState server, HealthCheckEnded end) {
         chargeToSlowStart(server, end.outcome());
         long aliveBefore = lastKnownAlive(server);
@@ -52,7 +52,10 @@
         }
     }
 
-    /** Only checks that were answered; the others may not have reached the server. */
+    /**
+     * Charges an answered check to the server's slow start. Only checks that succeeded count; others may not have
+     * reached the server.
+     */
     private void chargeToSlowStart(ServerState server, Outcome outcome) {
         if (server.healthCheck().isInFlight() && outcome == Outcome.SUCCEEDED) {
             long now = context.now();
@@ -60,7 +63,10 @@
         }
     }
 
-    /** When the server was last known to be alive, to any gateway; now if it never was, so that the list's start time decides. */
+    /**
+     * Returns when the server was last known to be alive, to any gateway. If it never was, returns the current time, so
+     * that the start time from the endpoint list decides.
+     */
     private long lastKnownAlive(ServerState server) {
         long known = Math.max(server.liveness().aliveAt(), server.replication().positionReportedAt());
         return known == LoadReport.UNKNOWN_TIME
@@ -68,7 +74,10 @@
                 : Math.max(server.ejection().ejectedAt(), known);
     }
 
-    /** Something is lacking on this machine, which says nothing of the server. */
+    /**
+     * Delays the next check after one that was never sent: this machine lacked a resource, which says nothing about the
+     * server.
+     */
     private void postpone(ServerState server) {
         server.ejection().recheckNotBefore(context.now() + HealthChecker.REPORT_INTERVAL);
     }
@@ -87,10 +96,15 @@
         }
     }
 
+    /**
+     * Handles a check without an answer. It may eject the server, unless the server answers attempts or the check is
+     * inconclusive.
+     */
     private void learnMissedCheck(ServerState server) {
         long now = context.now();
         long sentAt = server.healthCheck().sentAt();
-        boolean waited = now - sentAt >= HealthChecker.PROMPT_ANSWER; // what fails at once is no silence
+        // A check that fails immediately is not evidence that the server is unresponsive.
+        boolean waited = now - sentAt >= HealthChecker.PROMPT_ANSWER;
         if (waited) {
             server.liveness().recordCheckMissed(now);
         }
@@ -110,12 +124,14 @@
         }
     }
 
+    /** Counts the missed check, and returns whether the missed checks suffice for an ejection. */
     private boolean isConclusive(ServerState server) {
         Liveness liveness = server.liveness();
         return server.ejection().countMissedCheck() >= OutlierDetector.CHECKS_MISSED
                 || !liveness.wasEverConfirmed() && !liveness.hasInconclusiveChecks();
     }
 
+    /** Schedules the next check of a server that is already ejected. */
     private void extendEjection(ServerState server, boolean waited) {
         long now = context.now();
         Ejection ejection = server.ejection();
@@ -124,7 +140,10 @@
         ejection.delayRecheck(now, inconclusive ? ejection.backoff() : nextBackoff(server));
     }
 
-    /** A server that never was up is checked rarely, and even more so where another gateway would report that it is. */
+    /**
+     * Returns the delay before the next check of an ejected server. A server that was never alive is checked rarely,
+     * and even less often where a peer would report that it is alive.
+     */
     private long nextBackoff(ServerState server) {
         if (!outlierDetector.wasNeverThere(server)) {
             return Math.min(
@@ -133,7 +152,10 @@
         return gossip.isNeededForPositions() ? 4 * OutlierDetector.LONGEST_BACKOFF : OutlierDetector.LONGEST_BACKOFF;
     }
 
-    /** Where checks are inconclusive again and again, what they waited without another explanation adds up to a verdict. */
+    /**
+     * Returns whether the missed check says nothing about the server. Where checks are inconclusive repeatedly, the
+     * parts of their waits without another explanation add up, until they suffice for an ejection.
+     */
     private boolean isInconclusive(ServerState server) {
         long now = context.now();
         long sentAt = server.healthCheck().sentAt();
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
@@ -6,36 +6,42 @@
 import ploverdale.state.ServerState;
 
 /**
- * Servers that wait for a health check that no request needs: those just listed, and those whose last check was inconclusive. Bounds
- * how many checks are in flight when the next of these is sent. Not thread-safe.
+ * Servers waiting for a health check that no request needs: newly listed ones, and those whose last check was
+ * inconclusive. A queued check is sent only while fewer than {@link #MOST_IN_FLIGHT} checks are in flight. Not
+ * thread-safe.
  */
 final class HealthCheckQueue {
     /**
-     * Checks in flight at once. Each opens a connection, which costs an event loop some 0.2 ms: with so many the last is still
-     * written within 30 ms, far less than a check may take (250 ms, as long as a connection).
+     * Maximum number of checks in flight when a queued one is sent. Each check opens a connection, which costs the
+     * event loop about 0.2 ms. With 128 checks the last one is written within 30 ms, far less than the time limit of a
+     * check (250 ms, the same as for a connection).
      */
     static final int MOST_IN_FLIGHT = 128;
 
+    /** In order of arrival. */
     private final Set<ServerState> waiting = new LinkedHashSet<>();
     private int inFlight;
 
-    /** Has a server checked when its turn comes; one that waits already keeps its place. */
+    /** Adds a server to the queue; one that is already waiting keeps its position. */
     void add(ServerState server) {
         waiting.add(server);
     }
 
-    /** A check of this server was sent, from this queue or otherwise. */
+    /** Records that a check of this server was sent, from this queue or otherwise. */
     void sent(ServerState server) {
         waiting.remove(server);
         inFlight++;
     }
 
-    /** A check that was sent has ended. */
+    /** Records that a check has ended. */
     void ended() {
         inFlight--;
     }
 
-    /** Takes the server to be checked next, or null where none waits or enough checks are out. */
+    /**
+     * Removes the server that is to be checked next and returns it; null if none is waiting or too many checks are in
+     * flight.
+     */
     ServerState next() {
         if (waiting.isEmpty() || inFlight >= MOST_IN_FLIGHT) {
             return null;
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -12,15 +12,18 @@
 import ploverdale.state.ServerState;
 
 /**
- * Decides when a health check is sent: on demand of a request that needs its result, periodically, after a first listing, or on
- * suspicion. What the outcome says is decided by {@link HealthCheckEvaluator}.
+ * Decides when health checks are sent: for a request that needs the result, periodically, after a server was first
+ * listed, or on suspicion. {@link HealthCheckEvaluator} handles their outcomes.
  */
 final class HealthChecker {
-    /** An answer that needs no work, or a refused connection, takes less than this. */
+    /** Upper bound of the time for an answer that needs no work, or for a refused connection. */
     static final long PROMPT_ANSWER = Ticks.ofMillis(50);
-    /** Servers make their reports anew about this often, so that checking them more often tells nothing new. */
+    /** Servers renew their load reports about this often, so checking them more often yields nothing new. */
     static final long REPORT_INTERVAL = Ticks.ofMillis(150);
-    /** A check on an idle connection that the server forgot fails after 100 ms, and one on a new connection follows it. */
+    /**
+     * Longest duration of a check: one on an idle connection that the server has dropped fails after 100 ms and is
+     * followed by one on a new connection.
+     */
     private static final long LONGEST_CHECK = Ticks.ofMillis(250);
 
     private final DecisionContext context;
@@ -41,7 +44,11 @@
         this.random = random;
     }
 
-    /** Sends a health check, unless one is in flight or none may be sent; returns whether it was sent. */
+    /**
+     * Sends a health check, unless one is in flight or the deployment or the quota does not allow it.
+     *
+     * @return whether it was sent
+     */
     boolean check(ServerState server, HealthCheckReason reason) {
         boolean sent = capabilities.healthChecks()
                 && !server.healthCheck().isInFlight()
@@ -54,20 +61,20 @@
         return sent;
     }
 
-    /** Has a server checked at once, or when fewer checks are in flight. */
+    /** Queues a check of the server, which is sent at once unless too many checks are in flight. */
     void checkWhenPossible(ServerState server) {
         queue.add(server);
         checkQueued();
     }
 
-    /** Sends the checks that wait for fewer to be in flight. */
+    /** Sends queued checks, as many as may be in flight. */
     void checkQueued() {
         for (ServerState server = queue.next(); server != null; server = queue.next()) {
             check(server, HealthCheckReason.SUSPICION);
         }
     }
 
-    /** A health check has ended. */
+    /** Records that a health check has ended. */
     void checkEnded(ServerState server) {
         if (server.healthCheck().isInFlight()) {
             queue.ended();
@@ -75,22 +82,28 @@
         server.healthCheck().ended();
     }
 
-    /** Whether the server is known to be alive, so that a request is not lost on a dead one; always where no check may tell. */
+    /**
+     * Returns whether the server was recently confirmed to be alive, so that a request is not lost at a dead server.
+     * Always true where the deployment does not allow health checks.
+     */
     boolean isConfirmed(ServerState server) {
         return server.liveness().isConfirmed(context.now()) || !capabilities.healthChecks();
     }
 
-    /** How long after a report another one may tell something new; where gossip brings positions, that is as good as waiting. */
+    /**
+     * Returns how long after a load report another check can yield something new, in ticks. Where gossip provides
+     * positions, waiting for the next gossip message does as well.
+     */
     long recheckInterval() {
         return gossip.isNeededForPositions() ? REPORT_INTERVAL + GossipProtocol.MAX_POSITION_REFRESH : REPORT_INTERVAL;
     }
 
     /**
-     * Has one of a group's servers checked for a request that needs the result. Only one, since checks of all would cost more than
-     * the request.
+     * Checks one server of the group for a request that needs the result. Checks only one, because checking all of them
+     * would cost more than the request.
      *
-     * @param wanted servers whose result would help
-     * @return whether a result is awaited
+     * @param wanted accepts the servers whose result would help the request
+     * @return whether a check is in flight whose result the request can wait for
      */
     boolean checkOneOf(ReplicaGroup group, Predicate<ServerState> wanted) {
         long now = context.now();
@@ -112,7 +125,11 @@
         return chosen != null && check(chosen, HealthCheckReason.ON_DEMAND);
     }
 
-    /** A primary that only other gateways named may never have been confirmed here. */
+    /**
+     * Returns whether an on-demand check of the server may help. A server that was never confirmed is a candidate only
+     * if the group has no confirmed one, or if it is the primary: one that only peers have named may never have been
+     * confirmed by this gateway.
+     */
     private static boolean isCandidate(ServerState server, Predicate<ServerState> wanted, boolean anyConfirmed) {
         if (!server.lifecycle().isActive() || !wanted.test(server)) {
             return false;
@@ -122,6 +139,10 @@
         return unconfirmedAllowed || server.isConfirmedServing();
     }
 
+    /**
+     * Returns whether an on-demand check of the server may be sent now. Without a confirmed server in the group the
+     * ejection backoff is ignored, unless peers would report that the server is alive.
+     */
     private boolean isDue(ServerState server, boolean anyConfirmed) {
         long now = context.now();
         boolean pastBackoff = now >= server.ejection().recheckAt() || !anyConfirmed && !gossip.isNeededForPositions();
@@ -130,7 +151,7 @@
                 && now - server.healthCheck().sentAt() > REPORT_INTERVAL;
     }
 
-    /** Whether no server of the group is confirmed, but the check of one that was is still in flight. */
+    /** Returns whether no server of the group is confirmed, but a check of one that used to be is still in flight. */
     boolean awaitsConfirmation(ReplicaGroup group) {
         return group.members().stream().noneMatch(this::isConfirmed)
                 && group.members().stream()
@@ -138,18 +159,18 @@
                                 && server.healthCheck().isInFlightFor(LONGEST_CHECK, context.now()));
     }
 
-    /** Begins a round of periodic health checks. */
+    /** Starts a periodic pass over all servers. */
     PeriodicRound beginPeriodicRound() {
         return new PeriodicRound();
     }
 
-    /** A round over all servers, in which the one whose report is oldest is checked if that is due. */
+    /** A pass over all servers that checks the one with the oldest load report, if that report is old enough. */
     final class PeriodicRound {
         private final long now = context.now();
         private long oldestReport = now - (gossip.isNeededForPositions() ? recheckInterval() : checkInterval);
         private ServerState oldest;
 
-        /** Takes the next server into account; one that is in use and not confirmed has a check of its own. */
+        /** Considers the next server. One that is in use but not confirmed is queued for a check of its own. */
         void consider(ServerState server) {
             if (!server.lifecycle().isActive() || !server.group().wasRequestedWithin(checkInterval, now)) {
                 return;
@@ -163,13 +184,16 @@
             }
         }
 
-        /** A position that another gateway reported and that is still fresh makes a check needless. */
+        /**
+         * Returns when the server's position was last known. A recent position reported by a peer makes a check
+         * unnecessary.
+         */
         private long positionKnownAt(ServerState server) {
             long coveredUntil = gossip.isEnabled() ? server.replication().position() + checkInterval : 0;
             return Math.max(server.replication().positionReportedAt(), coveredUntil);
         }
 
-        /** Ends the round. */
+        /** Ends the pass: sends the check of the server with the oldest load report, if one is due. */
         void finish() {
             if (oldest != null) {
                 check(oldest, HealthCheckReason.PERIODIC);
--- a/gateway/src/main/java/ploverdale/routing/LatencyEstimates.java
+++ b/gateway/src/main/java/ploverdale/routing/LatencyEstimates.java
@@ -8,7 +8,7 @@
 
 /** The latency estimates of all request classes. */
 final class LatencyEstimates {
-    /** Of a class's latency objective: what its requests are taken to need before any was answered. */
+    /** Before any answer, the latency of a class is estimated as its latency objective divided by this. */
     private static final double INITIAL_SHARE = 5.0;
 
     private final List<LatencyEstimate> byClass = new ArrayList<>();
@@ -19,12 +19,12 @@
         }
     }
 
-    /** The estimate of this class. */
+    /** Returns the estimate of this request class. */
     LatencyEstimate of(RequestClassId id) {
         return byClass.get(id.index());
     }
 
-    /** What a request usually takes, over the classes as often as they come. */
+    /** Returns the usual latency of a request in ticks, averaged over the classes by how many answers each has had. */
     double mean() {
         double weights = byClass.stream().mapToDouble(LatencyEstimate::weight).sum();
         double weighted = byClass.stream()
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -9,59 +9,76 @@
 import ploverdale.state.ServerState;
 
 /**
- * Local health awareness (as Lifeguard has it for SWIM) with a limited self-preservation (as Eureka has it): which time without
- * answers is better explained by this gateway itself, or by something that holds up all servers at once, than by the single
- * server. That is
- *
+ * Local health awareness (as in Lifeguard for SWIM) with limited self-preservation (as in Eureka): decides which time
+ * without answers is better explained by this gateway itself, or by something that delays all servers at once, than by
+ * a single server. That is
  * <ul>
  *   <li>time in which this process did not run, as reported by its event loop;
- *   <li>time in which nearly all servers were silent together (a common silence), for {@link #LONGEST_COMMON_CAUSE} at most. After
- *       that their silence counts as theirs again, whatever its cause, until most have answered or
- *       {@link #EPISODE_GAP} has passed without such a sign.
+ *   <li>time in which nearly all servers were unresponsive together, for at most {@link #LONGEST_COMMON_CAUSE}. After
+ *       that, their unresponsiveness is attributed to the servers again, whatever its cause, until most of them have
+ *       answered or {@link #EPISODE_GAP} has passed without another sign of a common cause.
  * </ul>
  *
- * Not thread-safe. Times are {@link Ticks}.
+ * <p>Not thread-safe. Times are {@link Ticks}.
  */
 final class LocalHealth {
     /**
-     * How long the silence of nearly all servers is put down to a common cause. Together with the silence before it is noticed
-     * (100 ms) and the one that is needed again after it (400 ms, {@link OutlierDetector#SHORTEST_SILENCE}) it is shorter than any
-     * restart of a server (1.5 s).
+     * How long the unresponsiveness of nearly all servers is put down to a common cause. Together with the time until
+     * it is noticed (100 ms) and the time without answers that is needed again after it (400 ms,
+     * {@link OutlierDetector#SHORTEST_SILENCE}), it is shorter than any restart of a server (1.5 s).
      */
     static final long LONGEST_COMMON_CAUSE = Ticks.ofMillis(500);
 
-    /** So long after the last sign of a common cause the next one begins a new episode, if most have not answered sooner. */
+    /**
+     * Time after the last sign of a common cause, after which the next sign begins a new episode if most servers have
+     * not answered sooner.
+     */
     static final long EPISODE_GAP = Ticks.ofMillis(5_000);
 
     /**
-     * Part of the other servers that must be silent together. Above two thirds, so that the loss of two zones of three is not
-     * taken for a common cause, with a margin for single slow servers beside it.
+     * Share of the other servers that must be unresponsive at the same time. It is above two thirds, so that the loss
+     * of two zones of three is not taken for a common cause, with a margin for single slow servers in addition.
      */
     private static final double NEARLY_ALL = 0.75;
 
-    /** The silence of fewer servers is no sign of a common cause. */
+    /** With fewer servers, unresponsiveness is never put down to a common cause. */
     private static final int FEWEST_SERVERS = 4;
-    /** An answer that needs no work takes at most half of this. */
+    /**
+     * Time without answers after which a server counts as unresponsive; an answer that needs no work takes at most half
+     * of this.
+     */
     private static final long NOTICED_AFTER = Ticks.ofMillis(100);
-    /** Answers that must be missing: of one server, by chance once in twenty times; of nearly all, never. */
+    /**
+     * Number of missing answers after which a server counts as unresponsive. A single server exceeds it by chance once
+     * in twenty times; nearly all servers at the same time never do.
+     */
     private static final double ANSWERS_MISSING = 3;
-    /** Enough for the last seconds; older spans explain nothing more. */
+    /** Enough for the last few seconds; older spans no longer explain anything. */
     private static final int SPANS_KEPT = 64;
 
-    /** Explained from one time until another; what was held up meanwhile is worked off by the third. */
+    /**
+     * Time in which missing answers are explained by this gateway or by a common cause.
+     *
+     * @param from start of the span
+     * @param until end of the span
+     * @param workedOffAt when the backlog that built up in the span has been worked off
+     */
     private record ExplainedSpan(long from, long until, long workedOffAt) {}
 
-    private final Deque<ExplainedSpan> explained = new ArrayDeque<>(); // ordered, not overlapping
+    private final Deque<ExplainedSpan> explained = new ArrayDeque<>(); // ordered and disjoint
     private boolean episodeOver = true;
     private long episodeBegan;
     private long lastSignAt;
 
-    /** This process did not run in this span; spans come in order and may overlap earlier ones. */
+    /**
+     * Records that this process did not run between two times. Spans are reported in order and may overlap earlier
+     * ones.
+     */
     void processDelayed(long from, long until) {
         explain(from, until, until + Math.min(until - from, LONGEST_COMMON_CAUSE));
     }
 
-    /** How much of this span is explained without any single server. */
+    /** Returns how much of this span is explained by something other than a single server, in ticks. */
     long explainedIn(long from, long until) {
         long sum = 0;
         for (Iterator<ExplainedSpan> newestFirst = explained.descendingIterator(); newestFirst.hasNext(); ) {
@@ -75,8 +92,9 @@
     }
 
     /**
-     * Whether what was awaited in this span says nothing of the server: half of the span or more is explained, or comes so soon
-     * after explained time that what was held up meanwhile may not yet be worked off, which takes as long again.
+     * Returns whether a wait over this span says nothing about the server. That is the case if at least half of it is
+     * explained, or is so soon after explained time that the backlog may not have been worked off yet, which is assumed
+     * to take as long again.
      */
     boolean inconclusive(long from, long until) {
         long sum = 0;
@@ -87,8 +105,8 @@
     }
 
     /**
-     * Takes note that a server has not answered since then; true where nearly all others have not, either, which then explains
-     * that span.
+     * Records that a server has not answered since a time. Returns whether nearly all other servers have not answered
+     * either; the span then counts as explained.
      */
     boolean commonSilence(long now, ServerState silentServer, long since, Collection<ServerState> servers) {
         return nearlyAllSilent(now, silentServer, since, servers) && recordSign(now, since);
@@ -108,8 +126,8 @@
     }
 
     /**
-     * Looks for a common silence while it is short, before any single server is suspected, so that those that answer last after
-     * it are not judged by it. To be called often.
+     * Looks for a common cause while the servers have been unresponsive only briefly, before any of them is suspected,
+     * so that those that answer last afterwards are not judged by that time. Has to be called frequently.
      */
     void observe(long now, Collection<ServerState> servers) {
         if (!episodeOver && mostAnsweredSince(lastSignAt, servers)) {
@@ -140,6 +158,7 @@
         return 2 * answered > confirmed;
     }
 
+    /** Returns whether the server has been unresponsive for a short time while it has attempts in flight. */
     private static boolean answersAreMissing(ServerState server, long now) {
         long respondedAt = server.liveness().respondedAt();
         if (server.load().inFlight().isEmpty() || now - respondedAt < NOTICED_AFTER) {
@@ -154,12 +173,18 @@
         return missing > ANSWERS_MISSING;
     }
 
-    /** Whether any time was explained so a short while ago; what has been silent since then may well be there. */
+    /**
+     * Returns whether any time was explained recently. A server that has been unresponsive since then may well be
+     * alive.
+     */
     boolean explainedLately(long now) {
         return !explained.isEmpty() && now - explained.getLast().until < EPISODE_GAP;
     }
 
-    /** A server that was never confirmed says nothing until its health check is overdue. */
+    /**
+     * Returns whether nearly all other servers have not answered since a time. A server that was never confirmed counts
+     * only once its health check is overdue.
+     */
     private static boolean nearlyAllSilent(
             long now, ServerState silentServer, long since, Collection<ServerState> servers) {
         int others = 0;
@@ -179,7 +204,10 @@
         return servers >= FEWEST_SERVERS && silent > NEARLY_ALL * servers;
     }
 
-    /** No answer since then, to a check or a request that waits for half of that time or was given up in it. */
+    /**
+     * Returns whether the server has not answered since then, although a health check or an attempt has waited for at
+     * least half of that time or a check timed out in it.
+     */
     private static boolean unansweredSince(ServerState server, long since, long now) {
         if (server.liveness().respondedAt() >= since) {
             return false;
@@ -191,6 +219,7 @@
                 || oldestFirst.hasNext() && oldestFirst.next().attemptStartedAt() <= overdue;
     }
 
+    /** Adds the part of a span that is not explained yet. */
     private void explain(long from, long until, long workedOffAt) {
         ExplainedSpan last = explained.peekLast();
         long begin = last == null ? from : Math.max(from, last.until);
--- a/gateway/src/main/java/ploverdale/routing/Maintenance.java
+++ b/gateway/src/main/java/ploverdale/routing/Maintenance.java
@@ -6,7 +6,10 @@
 import ploverdale.model.Ticks;
 import ploverdale.state.ServerState;
 
-/** What is done periodically, rather than on an event: silent servers, health checks, waiting requests, gossip. */
+/**
+ * Periodic work, not tied to an event: detects unresponsive servers, sends health checks and gossip, and retries
+ * waiting requests.
+ */
 final class Maintenance {
     private static final long IDLE_INTERVAL = Ticks.ofMillis(200);
 
@@ -21,7 +24,7 @@
     private final RequestDispatcher dispatcher;
     private final PeerGossip gossip;
 
-    /** The parts that maintenance runs. */
+    /** The components that maintenance runs. */
     record Dependencies(
             DecisionContext context,
             ServerDirectory directory,
@@ -47,12 +50,12 @@
         gossip = dependencies.gossip;
     }
 
-    /** Has maintenance run soon, since a request waits or is in flight. */
+    /** Schedules maintenance within the short interval, because a request is waiting or in flight. */
     void scheduleSoon() {
         timer.scheduleWithin(RequestDeadlines.MAINTENANCE_INTERVAL);
     }
 
-    /** Runs maintenance if it is due. */
+    /** Runs maintenance if it is due, and schedules the next run. */
     void runIfDue() {
         if (!timer.isDue()) {
             return;
@@ -78,7 +81,7 @@
         round.finish();
     }
 
-    /** Sends datagrams to other gateways. */
+    /** Sends datagrams to peers. */
     void send(List<OutboundPacket> packets) {
         packets.forEach(packet -> context.emit(new Action.SendGossip(packet.peer(), packet.bytes())));
     }
--- a/gateway/src/main/java/ploverdale/routing/MaintenanceTimer.java
+++ b/gateway/src/main/java/ploverdale/routing/MaintenanceTimer.java
@@ -2,18 +2,24 @@
 
 import ploverdale.model.Action;
 
-/** Sets the timer of the periodic maintenance, so that it runs as early as anything needs it and not more often. */
+/** Sets the timer for periodic maintenance, so that it runs as early as any component needs it and no more often. */
 final class MaintenanceTimer {
+    /** The mark of the timer, which is passed back when it fires; there is only this one timer. */
     private static final long MARK = 0;
 
     private final DecisionContext context;
+    /** When the next run is scheduled. The minimum value has the first timer event of the gateway run maintenance. */
     private long nextAt = Long.MIN_VALUE;
 
     MaintenanceTimer(DecisionContext context) {
         this.context = context;
     }
 
-    /** Has maintenance run after this span at the latest. */
+    /**
+     * Schedules a run after this time at the latest.
+     *
+     * @param span in ticks
+     */
     void scheduleWithin(long span) {
         long at = context.now() + span;
         if (at < nextAt) {
@@ -22,7 +28,10 @@
         }
     }
 
-    /** A timer expired: whether maintenance is due. Not where an earlier run has set a later time. */
+    /**
+     * Returns whether maintenance is due now that a timer has fired, and clears the schedule if so. False if an earlier
+     * run has scheduled a later time.
+     */
     boolean isDue() {
         if (context.now() < nextAt) {
             return false;
--- a/gateway/src/main/java/ploverdale/state/AnswerLoss.java
+++ b/gateway/src/main/java/ploverdale/state/AnswerLoss.java
@@ -1,27 +1,38 @@
 package ploverdale.state;
 
-/** How often a server's answers get lost on their way while it works, distinguished from slowness. */
+/** Estimates how often answers of a server are lost on the network while the server works, as opposed to being slow. */
 public final class AnswerLoss {
     private static final double NEWEST_WEIGHT = 0.1;
-    /** Latency inflation of answers that come; where it is higher, a missing answer is put down to load. */
+    /** Latency inflation of received answers from which on a missing answer is attributed to load. */
     private static final double LOAD_FROM = 1.5;
-    /** More missing answers in a row than this are no loss on the way. */
+    /** If more answers than this are missing in a row, they were not lost on the network. */
     private static final int LOST_IN_A_ROW = 2;
-    /** Of answers. Long requests alone miss one in twenty. */
+    /**
+     * Share of lost answers that justifies early retries. It has to be above one in twenty, the share of answers that
+     * long requests alone miss.
+     */
     private static final double NOTABLE_SHARE = 0.12;
 
     private int missedInARow;
     private double lostShare;
     private double answeredInflation = 1;
 
-    /** An answer came, with this latency as a multiple of the usual one. */
+    /**
+     * Records an answer.
+     *
+     * @param inflation its latency as a multiple of the usual one
+     */
     public void recordAnswer(double inflation) {
         missedInARow = 0;
         lostShare *= 1 - NEWEST_WEIGHT;
         answeredInflation += NEWEST_WEIGHT * (inflation - answeredInflation);
     }
 
-    /** No answer came in time; returns whether it was probably lost rather than slow. */
+    /**
+     * Records an answer that did not arrive in time.
+     *
+     * @return whether it was probably lost rather than slow
+     */
     public boolean recordMissing() {
         missedInARow++;
         boolean lost = missedInARow <= LOST_IN_A_ROW && answeredInflation < LOAD_FROM;
@@ -29,12 +40,12 @@
         return lost;
     }
 
-    /** The most that a lost answer counts as load, as a multiple of the usual latency. */
+    /** Returns the most that a lost answer counts as load, as a multiple of the usual latency. */
     public static double loadOfLostAnswer() {
         return LOAD_FROM;
     }
 
-    /** Whether so many answers get lost that an early retry is worth its cost. */
+    /** Returns whether enough answers are lost that an early retry is worth its cost. */
     public boolean isNotable() {
         return lostShare > NOTABLE_SHARE;
     }
--- a/gateway/src/main/java/ploverdale/state/ConnectionStatus.java
+++ b/gateway/src/main/java/ploverdale/state/ConnectionStatus.java
@@ -2,7 +2,7 @@
 
 import ploverdale.model.LoadReport;
 
-/** How a server takes new connections and requests. Written by {@code ConcurrencyLimiter}. */
+/** How a server accepts new connections and requests. Written by {@code ConcurrencyLimiter}. */
 public final class ConnectionStatus {
     private long connectFailedAt = LoadReport.UNKNOWN_TIME;
     private boolean refusing;
@@ -10,26 +10,29 @@
     private long rejectedAt = LoadReport.UNKNOWN_TIME;
     private long rejectionBackoff;
 
-    /** When a connection last failed. */
+    /** Returns when a connection last failed. */
     public long connectFailedAt() {
         return connectFailedAt;
     }
 
-    /** Whether the server refused several connections in a row, the last one less than so long ago. */
+    /**
+     * Returns whether the server refused several connections in a row, the last one less than {@code lessThan} ticks
+     * ago.
+     */
     public boolean isRefusing(long lessThan, long now) {
         return refusing && now - connectFailedAt < lessThan;
     }
 
-    /** When failed connections last limited how many requests the server may have. */
+    /** Returns when failed connections last lowered the server's concurrency limit. */
     public long connectionsLimitedAt() {
         return connectionsLimitedAt;
     }
 
     /**
-     * A connection failed.
+     * Records that a connection could not be established.
      *
-     * @param immediate whether it was refused at once, rather than not made in time
-     * @param rowWithin the longest time between refusals in a row
+     * @param immediate whether it was refused immediately, rather than not established in time
+     * @param rowWithin the longest time between consecutive refusals, in ticks
      */
     public void recordConnectFailure(boolean immediate, long rowWithin, long now) {
         refusing = immediate && now - connectFailedAt < rowWithin;
@@ -39,23 +42,27 @@
         }
     }
 
-    /** The server rejected a request for lack of capacity; it gets none for so long. */
+    /**
+     * Records that the server rejected a request for lack of capacity.
+     *
+     * @param backoff time during which the server gets no request, in ticks
+     */
     public void recordRejection(long now, long backoff) {
         rejectedAt = now;
         rejectionBackoff = backoff;
     }
 
-    /** For how long the latest rejection keeps requests away; 0 after a success. */
+    /** Returns how long after the latest rejection the server gets no request, in ticks; 0 after a success. */
     public long rejectionBackoff() {
         return rejectionBackoff;
     }
 
-    /** Whether the latest rejection no longer keeps requests away. */
+    /** Returns whether the backoff of the latest rejection has passed. */
     public boolean isPastRejection(long now) {
         return now - rejectedAt >= rejectionBackoff;
     }
 
-    /** A success ends the backoff. */
+    /** Ends the backoff, after a success. */
     public void clearRejection() {
         rejectionBackoff = 0;
     }
--- a/gateway/src/main/java/ploverdale/state/Ejection.java
+++ b/gateway/src/main/java/ploverdale/state/Ejection.java
@@ -6,10 +6,12 @@
  * Whether a server is ejected as an outlier, and the evidence for it. Written by {@code OutlierDetector}.
  *
  * <table>
- *   <caption>Transitions</caption>
- *   <tr><th>from</th><th>to</th><th>when</th></tr>
- *   <tr><td>serving</td><td>ejected</td><td>answers are missing, health checks are missed, or too many attempts fail</td></tr>
- *   <tr><td>ejected</td><td>serving</td><td>a health check after the backoff, or an attempt from before, is answered</td></tr>
+ * <caption>Transitions</caption>
+ * <tr><th>from</th><th>to</th><th>when</th></tr>
+ * <tr><td>serving</td><td>ejected</td><td>answers are missing, health checks time out, or too many attempts
+ * fail</td></tr>
+ * <tr><td>ejected</td><td>serving</td><td>a health check after the backoff, or an earlier attempt, is
+ * answered</td></tr>
  * </table>
  */
 public final class Ejection {
@@ -23,72 +25,80 @@
     private int missedChecks;
     private double failureShare;
 
-    /** Whether the server is ejected. */
+    /** Returns whether the server is ejected. */
     public boolean isEjected() {
         return ejected;
     }
 
-    /** When the server was last ejected; 0 if never. */
+    /** Returns when the server was last ejected; 0 if never. */
     public long ejectedAt() {
         return ejectedAt;
     }
 
-    /** When the server was last readmitted. */
+    /** Returns when the server was last readmitted. */
     public long readmittedAt() {
         return readmittedAt;
     }
 
-    /** When the next health check may be sent on behalf of waiting requests. */
+    /** Returns the earliest time of the next health check on behalf of waiting requests. */
     public long recheckAt() {
         return recheckAt;
     }
 
-    /** The pause before the next health check of the ejected server. */
+    /** Returns the delay before the next health check of the ejected server, in ticks. */
     public long backoff() {
         return backoff;
     }
 
-    /** Health checks missed in a row. */
+    /** Returns how many health checks in a row have had no answer. */
     public int missedChecks() {
         return missedChecks;
     }
 
-    /** Moving average of failed attempts. */
+    /** Returns the moving average of the severity of failures, from 0 to 1. */
     public double failureShare() {
         return failureShare;
     }
 
-    /** Ejects the server for the backoff at least. */
+    /**
+     * Ejects the server.
+     *
+     * @param firstBackoff delay before its next health check, in ticks
+     */
     public void eject(long now, long firstBackoff) {
         ejected = true;
         ejectedAt = now;
         delayRecheck(now, firstBackoff);
     }
 
-    /** Takes the server back; no more than this of its failures is remembered. */
+    /**
+     * Readmits the server.
+     *
+     * @param rememberedFailureShare upper bound of the failure average after readmission
+     */
     public void readmit(long now, double rememberedFailureShare) {
         ejected = false;
         readmittedAt = now;
         failureShare = Math.min(failureShare, rememberedFailureShare);
     }
 
-    /** Sets the pause before the next health check of the ejected server. */
+    /** Sets the delay before the next health check of the ejected server, in ticks from now. */
     public void delayRecheck(long now, long newBackoff) {
         backoff = newBackoff;
         recheckAt = now + newBackoff;
     }
 
-    /** Allows the next health check no earlier than then. */
+    /** Allows the next health check no earlier than at this time. */
     public void recheckNotBefore(long time) {
         recheckAt = Math.max(recheckAt, time);
     }
 
-    /** Allows the next health check from then on at the latest. */
+    /** Allows the next health check at this time at the latest. */
     public void recheckNotAfter(long time) {
         recheckAt = Math.min(recheckAt, time);
     }
 
-    /** An answer ends the row of missed health checks. */
+    /** Resets the count of missed health checks, after an answer. */
     public void clearMissedChecks() {
         missedChecks = 0;
     }
@@ -99,17 +109,20 @@
         return missedChecks;
     }
 
-    /** Other evidence counts like so many missed health checks. */
+    /** Counts other evidence as this many missed health checks. */
     public void countAtLeast(int checks) {
         missedChecks = Math.max(missedChecks, checks);
     }
 
-    /** Moves the average of failures toward this value, 0 for a success to 1 for a failure of the server's own. */
+    /**
+     * Moves the average of failures toward this severity: 1 for a failure that the server itself reported, less if
+     * another cause is possible.
+     */
     public void recordFailure(double severity) {
         failureShare += NEWEST_WEIGHT * (severity - failureShare);
     }
 
-    /** Moves the average of failures toward none. */
+    /** Moves the average of failures toward 0. */
     public void recordSuccess() {
         failureShare *= 1 - NEWEST_WEIGHT;
     }
--- a/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
+++ b/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
@@ -8,78 +8,89 @@
 import ploverdale.model.ZoneId;
 
 /**
- * Whether a server is in service, by the endpoint list and by what other gateways reported of it. Written by
+ * Whether a server is in service, according to the endpoint list and to reports of peers. Written by
  * {@code EndpointRegistry} alone.
  *
  * <table>
- *   <caption>Transitions</caption>
- *   <tr><th>from</th><th>to</th><th>when</th></tr>
- *   <tr><td>IN</td><td>DRAINING</td><td>the list says so, or another gateway reported that its list does</td></tr>
- *   <tr><td>IN, DRAINING</td><td>GONE</td><td>the list no longer names the server</td></tr>
- *   <tr><td>DRAINING</td><td>IN</td><td>a newer list takes the drain back, the server restarted, or no list confirmed the report
- *       </td></tr>
- *   <tr><td>GONE</td><td>IN</td><td>a newer list names the server again, or the server restarted</td></tr>
- *   <tr><td>GONE</td><td>DRAINING</td><td>a list names the server again</td></tr>
+ * <caption>Transitions</caption>
+ * <tr><th>from</th><th>to</th><th>when</th></tr>
+ * <tr><td>IN</td><td>DRAINING</td><td>the list says so, or a peer reported that its list does</td></tr>
+ * <tr><td>IN, DRAINING</td><td>GONE</td><td>the list no longer names the server</td></tr>
+ * <tr><td>DRAINING</td><td>IN</td><td>a newer list withdraws the drain, the server restarted, or no list confirmed the
+ * report</td></tr>
+ * <tr><td>GONE</td><td>IN</td><td>a newer list names the server again, or the server restarted</td></tr>
+ * <tr><td>GONE</td><td>DRAINING</td><td>a list names the server again</td></tr>
  * </table>
  *
- * <p>A list is newer if its revision is higher than the highest one that named the server draining or removed since it was last in
- * service, whichever agent either came from: agents hold copies of one registry, so the lower revision is the older copy. A registry
- * that begins its revisions anew brings a server back by a later start, or once its revisions have passed the former ones.
+ * <p>A list is newer if its revision is higher than the highest one that named the server draining or removed since it
+ * was last in service, no matter from which discovery agent either was received: agents hold copies of the same
+ * registry, so the lower revision is the older copy. If a registry restarts its revisions, a server returns to service
+ * by a later start time, or once the new revisions have exceeded the old ones.
  */
 public final class EndpointLifecycle {
-    /** How long a drain that another gateway reported binds without the own list; longer than any list is late. */
+    /**
+     * How long a drain reported by a peer is in force without confirmation by this gateway's own list; longer than the
+     * delay of any list.
+     */
     private static final long REPORTED_DRAIN_LASTS = Ticks.ofMillis(10_000);
 
     private ZoneId zone;
     private EndpointState state = EndpointState.IN;
     private EndpointState listedState = EndpointState.IN;
+    /** Whether the server was draining since it was last in service. */
     private boolean drainSeen;
     private long drainReportedAt = LoadReport.UNKNOWN_TIME;
     private long startedAt;
-    private long outOfServiceRevision =
-            EndpointUpdate.UNKNOWN_REVISION; // the highest that named it draining or removed
+    /** The highest revision that named the server draining or removed since it was last in service. */
+    private long outOfServiceRevision = EndpointUpdate.UNKNOWN_REVISION;
 
-    /** The zone by the list; null before the list named one. */
+    /** Returns the zone that the list names; null until a list has named one. */
     public ZoneId zone() {
         return zone;
     }
 
-    /** The state that holds now. */
+    /** Returns the state that is in force. */
     public EndpointState state() {
         return state;
     }
 
-    /** Whether the server may get new requests as far as its lifecycle is concerned. */
+    /** Returns whether the server may get new requests as far as its lifecycle is concerned. */
     public boolean isActive() {
         return state == EndpointState.IN;
     }
 
-    /** Whether the server is no longer listed. */
+    /** Returns whether the server is no longer listed. */
     public boolean isRemoved() {
         return state == EndpointState.GONE;
     }
 
-    /** Whether the server is known to drain. */
+    /** Returns whether the server is draining. */
     public boolean isDraining() {
         return state == EndpointState.DRAINING;
     }
 
-    /** When the server started, by the list; 0 for long ago. */
+    /** Returns the start time that the list names; 0 for long ago. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** When a list, here or at another gateway, was last known to name the drain; unknown if none does. */
+    /**
+     * Returns when a list, of this gateway or of a peer, was last known to name the drain;
+     * {@link LoadReport#UNKNOWN_TIME} if none does.
+     */
     public long drainReportedAt() {
         return drainReportedAt;
     }
 
-    /** Takes over the zone that the list names. */
+    /** Sets the zone that the list names. */
     public void placeInZone(ZoneId listedZone) {
         zone = listedZone;
     }
 
-    /** Takes over the state that the list names; the own list's withdrawal of its own drain ends the report. */
+    /**
+     * Records the state that the list names. If the own list withdraws a drain that it had named, the report of that
+     * drain ends as well.
+     */
     public void recordListedState(EndpointState listed, long now) {
         boolean drainWasListed = listedState == EndpointState.DRAINING;
         if (listed == EndpointState.DRAINING) {
@@ -90,7 +101,10 @@
         listedState = listed;
     }
 
-    /** Whether an entry would return the server to service by a list that is older than the one that named it out of service. */
+    /**
+     * Returns whether an entry would return the server to service although its list is older than the one that took the
+     * server out of service.
+     */
     public boolean isOutdated(Endpoint entry, long revision) {
         return state != EndpointState.IN
                 && entry.state() == EndpointState.IN
@@ -99,27 +113,31 @@
                 && revision <= outOfServiceRevision;
     }
 
-    /** The state that an entry of the list puts in force: a list that does not know yet of a reported drain does not undo it. */
+    /**
+     * Returns the state to enter for an entry of the list. A drain reported by a peer stays in force while the own list
+     * does not know of it yet, unless the server has restarted.
+     */
     public EndpointState stateAfter(Endpoint entry, long now) {
         boolean keepsDrain = isDrainByReportOnly(now) && entry.startedAt() <= startedAt;
         return keepsDrain ? state : entry.state();
     }
 
-    /** Takes note that another gateway's list named a drain. */
+    /** Records that a peer's list named a drain at this time. */
     public void recordReportedDrain(long reportedAt) {
         drainReportedAt = reportedAt;
     }
 
-    /** Whether a drain reported at this time still binds. */
+    /** Returns whether a drain reported at this time is still in force. */
     public static boolean reportedDrainBinds(long reportedAt, long now) {
         return now - reportedAt < REPORTED_DRAIN_LASTS;
     }
 
-    /** Whether the server drains by another gateway's report that no list has confirmed in time. */
+    /** Returns whether the server is draining only by a peer's report, which no list has confirmed in time. */
     public boolean isUnconfirmedDrainOver(long now) {
         return isDraining() && listedState == EndpointState.IN && !isDrainByReportOnly(now);
     }
 
+    /** Returns whether the server is draining only by a peer's report that is still in force. */
     private boolean isDrainByReportOnly(long now) {
         return isDraining() && listedState == EndpointState.IN && reportedDrainBinds(drainReportedAt, now);
     }
@@ -127,9 +145,9 @@
     /**
      * Changes the state.
      *
-     * @param removalBinds whether a removal without a drain before it puts the server out of service
-     * @param revision of the list that names the state, if one does
-     * @return whether the state is another than before
+     * @param removalBinds whether a removal takes effect without a preceding drain
+     * @param revision the revision of the list that names the state; unknown if none does
+     * @return whether the state has changed
      */
     public boolean moveTo(EndpointState next, boolean removalBinds, long revision) {
         drainSeen = drainSeen || next == EndpointState.DRAINING;
@@ -147,7 +165,11 @@
         return true;
     }
 
-    /** Takes over a later start; returns whether it is one. */
+    /**
+     * Records a start time from the list, if it is later than the known one.
+     *
+     * @return whether it is later
+     */
     public boolean recordStart(long listedStart) {
         if (listedStart <= startedAt) {
             return false;
@@ -156,7 +178,7 @@
         return true;
     }
 
-    /** Dates the same start anew, after the offset of the servers' wall clock changed. */
+    /** Replaces the start time after the offset of the servers' wall clock has changed; the server did not restart. */
     public void redateStart(long at) {
         startedAt = at;
     }
--- a/gateway/src/main/java/ploverdale/state/LatencyEstimate.java
+++ b/gateway/src/main/java/ploverdale/state/LatencyEstimate.java
@@ -3,16 +3,21 @@
 import ploverdale.model.Ticks;
 
 /**
- * How long requests of one class take: an exponentially weighted average of the latest answers, and a usual latency that follows it
- * down quickly and up slowly, so that a fault does not become the usual.
+ * Estimates how long requests of one class take: an exponentially weighted average of the latest answers, and a usual
+ * latency that follows it quickly downward and slowly upward, so that the latency during a fault does not become the
+ * usual one.
  */
 public final class LatencyEstimate {
-    /** Multiple of the usual latency that few requests of a good server exceed. */
+    /** Multiple of the usual latency that requests at a healthy server rarely exceed. */
     public static final double RARELY_EXCEEDED = 2.5;
 
+    /** Time constant with which the usual latency follows the recent average upward. */
     private static final double RISES_IN = Ticks.ofMillis(60_000);
+    /** Weight with which the usual latency follows the recent average downward, at each answer. */
     private static final double FALL_WEIGHT = 0.1;
+    /** Lower bound of the weight of the newest answer in the recent average. */
     private static final double LEAST_WEIGHT = 0.02;
+    /** Until this many answers, the usual latency follows the average quickly in both directions. */
     private static final int FIRST_SAMPLES = 20;
 
     private double recent;
@@ -20,23 +25,23 @@
     private long samples;
     private long observedAt;
 
-    /** @param initial what requests are taken to need before any was answered */
+    /** @param initial the estimate before any answer, in ticks */
     public LatencyEstimate(double initial) {
         recent = initial;
         usual = initial;
     }
 
-    /** The latency that requests of this class usually have. */
+    /** Returns the latency that requests of this class usually have. */
     public double usual() {
         return usual;
     }
 
-    /** The weight of this class in a mean over all requests. */
+    /** Returns the weight of this class in an average over all requests. */
     public double weight() {
         return 1 + samples;
     }
 
-    /** A request took so long. */
+    /** Records the latency of an answer, in ticks. */
     public void observe(long latency, long now) {
         samples++;
         recent += Math.max(1.0 / samples, LEAST_WEIGHT) * (latency - recent);
--- a/gateway/src/main/java/ploverdale/state/Liveness.java
+++ b/gateway/src/main/java/ploverdale/state/Liveness.java
@@ -3,9 +3,9 @@
 import ploverdale.model.LoadReport;
 import ploverdale.model.Ticks;
 
-/** When a server last showed that it is alive, to this gateway and to others. */
+/** When a server last proved to be alive, to this gateway and to its peers. */
 public final class Liveness {
-    /** A server that was not confirmed for longer gets no request before a health check succeeds. */
+    /** A server whose last confirmation is older gets no request until a health check has succeeded. */
     public static final long CONFIRMATION_LASTS = Ticks.ofMillis(2000);
 
     private long confirmedAt = LoadReport.UNKNOWN_TIME;
@@ -17,53 +17,56 @@
     private int inconclusiveChecks;
     private long inconclusiveWait;
 
-    /** When the server last answered this gateway, or another one whose observation is as good; put back to have it checked. */
+    /**
+     * Returns when the server last answered this gateway, or a peer whose observation counts as much; earlier than that
+     * after {@link #expireConfirmation}.
+     */
     public long confirmedAt() {
         return confirmedAt;
     }
 
-    /** Whether the server was ever confirmed. */
+    /** Returns whether the server was ever confirmed. */
     public boolean wasEverConfirmed() {
         return confirmedAt != LoadReport.UNKNOWN_TIME;
     }
 
-    /** Whether the server was confirmed lately enough for a request. */
+    /** Returns whether the server was confirmed recently enough to get a request. */
     public boolean isConfirmed(long now) {
         return now - confirmedAt <= CONFIRMATION_LASTS;
     }
 
-    /** When the server last answered any gateway, as far as known. */
+    /** Returns when the server last answered any gateway, as far as known here. */
     public long aliveAt() {
         return aliveAt;
     }
 
-    /** When any gateway last found the server unresponsive, as far as known. */
+    /** Returns when any gateway last found the server unresponsive, as far as known here. */
     public long unresponsiveAt() {
         return unresponsiveAt;
     }
 
-    /** When the server last answered this gateway, an attempt or a health check. */
+    /** Returns when the server last answered an attempt or a health check of this gateway. */
     public long respondedAt() {
         return respondedAt;
     }
 
-    /** When the server last answered an attempt of this gateway. */
+    /** Returns when the server last answered an attempt of this gateway. */
     public long attemptAnsweredAt() {
         return attemptAnsweredAt;
     }
 
-    /** When a health check of this gateway was last given up after a wait. */
+    /** Returns when a health check of this gateway last timed out. */
     public long checkMissedAt() {
         return checkMissedAt;
     }
 
-    /** The server answered an attempt. */
+    /** Records that the server answered an attempt. */
     public void recordAttemptAnswered(long now) {
         attemptAnsweredAt = now;
         recordCheckAnswered(now);
     }
 
-    /** The server answered a health check. */
+    /** Records that the server answered a health check. */
     public void recordCheckAnswered(long now) {
         confirmedAt = now;
         aliveAt = now;
@@ -72,44 +75,51 @@
         inconclusiveWait = 0;
     }
 
-    /** A health check was given up after a wait. */
+    /** Records that a health check timed out. */
     public void recordCheckMissed(long now) {
         checkMissedAt = now;
     }
 
-    /** A missed health check proves nothing; this part of its wait has no other explanation. */
+    /**
+     * Records a missed health check that says nothing about the server.
+     *
+     * @param unexplainedWait the part of its wait without another explanation, in ticks
+     */
     public void recordInconclusiveCheck(long unexplainedWait) {
         inconclusiveChecks++;
         inconclusiveWait += unexplainedWait;
     }
 
-    /** Whether there were inconclusive health checks since the last answer. */
+    /** Returns whether any health check since the last answer was inconclusive. */
     public boolean hasInconclusiveChecks() {
         return inconclusiveChecks > 0;
     }
 
-    /** What the inconclusive health checks since the last answer waited without another explanation. */
+    /**
+     * Returns how long the inconclusive health checks since the last answer waited without another explanation, in
+     * ticks.
+     */
     public long inconclusiveWait() {
         return inconclusiveWait;
     }
 
-    /** Has the server count as unconfirmed until its next answer. */
+    /** Makes the server count as unconfirmed until its next answer. */
     public void expireConfirmation(long now) {
         confirmedAt = Math.min(confirmedAt, now - CONFIRMATION_LASTS - 1);
     }
 
-    /** Another gateway's observation is as good as an own answer at that time. */
+    /** Records that a peer observed the server alive at this time, which counts as an answer to this gateway. */
     public void confirmByPeer(long observedAt) {
         confirmedAt = observedAt;
     }
 
-    /** Joins another gateway's observation. */
+    /** Merges a peer's observation: the later time of each kind is kept. */
     public void mergeObservation(long observedAliveAt, long observedUnresponsiveAt) {
         unresponsiveAt = Math.max(unresponsiveAt, observedUnresponsiveAt);
         aliveAt = Math.max(aliveAt, observedAliveAt);
     }
 
-    /** This gateway finds the server unresponsive. */
+    /** Records that this gateway found the server unresponsive. */
     public void recordUnresponsive(long now) {
         unresponsiveAt = now;
     }
--- a/gateway/src/main/java/ploverdale/state/Load.java
+++ b/gateway/src/main/java/ploverdale/state/Load.java
@@ -8,12 +8,12 @@
 import ploverdale.model.Ticks;
 
 /**
- * A server's load as this gateway sees it: its own attempts in flight, the concurrency limit, latency inflation (latency as a
- * multiple of what the request classes usually take) and the utilization that the server reports. Written by
- * {@code ConcurrencyLimiter}.
+ * The load of a server as seen by this gateway: its own attempts in flight, the concurrency limit, latency inflation
+ * (latency as a multiple of the usual latency of the request class) and the utilization that the server reports.
+ * Written by {@code ConcurrencyLimiter}.
  */
 public final class Load {
-    /** Slowness that no newer answer confirms fades with this time constant. */
+    /** Time constant with which a latency inflation that no newer answer confirms decays. */
     private static final double INFLATION_FADES_IN = Ticks.ofMillis(4000);
 
     private final Map<RequestId, PendingRequest> inFlight = new LinkedHashMap<>();
@@ -27,34 +27,34 @@
         this.limit = limit;
     }
 
-    /** The requests with an attempt in flight here, oldest attempt first. */
+    /** Returns the requests with an attempt in flight at the server, oldest attempt first. */
     public Collection<PendingRequest> inFlight() {
         return inFlight.values();
     }
 
-    /** How many attempts are in flight. */
+    /** Returns how many attempts are in flight. */
     public int attemptsInFlight() {
         return inFlight.size();
     }
 
-    /** An attempt of this request begins. */
+    /** Records that an attempt of this request has begun. */
     public void attemptStarted(PendingRequest request) {
         inFlight.put(request.id(), request);
     }
 
-    /** Takes the ended attempt's request out; null if there is none. */
+    /** Removes the request of an attempt that has ended and returns it; null if it is not in flight. */
     public PendingRequest attemptEnded(RequestId request) {
         return inFlight.remove(request);
     }
 
-    /** The attempts begun since this time, oldest first. */
+    /** Returns the requests in flight whose attempts began at this time or later, oldest first. */
     public List<PendingRequest> startedSince(long time) {
         return inFlight.values().stream()
                 .filter(request -> request.attemptStartedAt() >= time)
                 .toList();
     }
 
-    /** How many attempts were begun since this time. */
+    /** Returns how many of the attempts in flight began at this time or later. */
     public int countStartedSince(long time) {
         int count = 0;
         for (PendingRequest request : inFlight.values()) {
@@ -63,58 +63,58 @@
         return count;
     }
 
-    /** How many attempts may be in flight. */
+    /** Returns the concurrency limit: how many attempts may be in flight. */
     public double limit() {
         return limit;
     }
 
-    /** Changes the limit. */
+    /** Sets the concurrency limit. */
     public void limitTo(double newLimit) {
         limit = newLimit;
     }
 
-    /** Moving average of latency as a part of the requests' latency objective. */
+    /** Returns the moving average of latency as a part of the requests' latency objective. */
     public double pressure() {
         return pressure;
     }
 
-    /** Moves the average of latency toward the newest answer. */
+    /** Moves the average of {@link #pressure} toward the newest value. */
     public void recordPressure(double newest, double weight) {
         pressure += weight * (newest - pressure);
     }
 
-    /** The busy part of the server's cores by its latest report. */
+    /** Returns the busy share of the server's cores according to its latest load report. */
     public double utilization() {
         return utilization;
     }
 
-    /** Takes over the reported utilization; NaN reports none. */
+    /** Records the reported utilization; NaN if the report has none, which keeps the former one. */
     public void recordUtilization(double reported) {
         utilization = Double.isNaN(reported) ? utilization : reported;
     }
 
-    /** The latency inflation as it was last measured. */
+    /** Returns the latency inflation when it was last measured. */
     public double measuredInflation() {
         return inflation;
     }
 
-    /** The latency inflation now, faded toward none since it was last measured. */
+    /** Returns the current latency inflation, decayed toward 1 since it was last measured. */
     public double inflation(long now) {
         return 1 + (inflation - 1) * Math.exp(-(now - inflationAt) / INFLATION_FADES_IN);
     }
 
-    /** How long ago the latency inflation was last measured. */
+    /** Returns how long ago the latency inflation was last measured, in ticks. */
     public long inflationAge(long now) {
         return now - inflationAt;
     }
 
-    /** Moves the latency inflation toward the newest answer. */
+    /** Moves the latency inflation toward the newest value. */
     public void recordInflation(double newest, double weight, long now) {
         inflation = inflation(now) + weight * (newest - inflation(now));
         inflationAt = now;
     }
 
-    /** A restarted server has no history of slowness. */
+    /** Resets the latency inflation, after a restart of the server. */
     public void forgetInflation() {
         inflation = 1;
     }
--- a/gateway/src/main/java/ploverdale/state/PendingRequest.java
+++ b/gateway/src/main/java/ploverdale/state/PendingRequest.java
@@ -7,7 +7,7 @@
 import ploverdale.model.RequestClass.Idempotence;
 import ploverdale.model.RequestId;
 
-/** One request from its arrival to its final answer, with its attempts so far. */
+/** A request from its arrival to its final answer, with its attempts so far. */
 public final class PendingRequest {
     private static final int NO_ATTEMPT = -1;
 
@@ -31,11 +31,13 @@
     private ServerState firstPossibleExecutor;
 
     /**
-     * A request without attempts.
+     * Creates a request without attempts.
      *
-     * @param latency how long requests of its class take
-     * @param objectiveAt the latency objective as a point in time
-     * @param requiredPosition the log position that a replica must have reached; unknown where any will do
+     * @param latency the latency estimate of its class
+     * @param arrivedAt when the request arrived, in ticks
+     * @param objectiveAt the latency objective as a point in time, in ticks
+     * @param requiredPosition the log position that a replica must have reached; {@link LoadReport#UNKNOWN_TIME} if any
+     *     will do
      * @param beyondShare whether its tenant has used up its agreed traffic
      */
     public PendingRequest(
@@ -55,129 +57,132 @@
         this.beyondShare = beyondShare;
     }
 
-    /** The request's name. */
+    /** Returns the request id. */
     public RequestId id() {
         return arrival.request();
     }
 
-    /** The request as it arrived. */
+    /** Returns the request as it arrived. */
     public RequestArrived arrival() {
         return arrival;
     }
 
-    /** What the class of the request promises and needs. */
+    /** Returns the class of the request, which says what the request may and must do. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** How recent the data must be. */
+    /** Returns how recent the data must be. */
     public Consistency consistency() {
         return requestClass.consistency();
     }
 
-    /** Whether and how the request may run twice. */
+    /** Returns whether, and under which condition, the request may run twice. */
     public Idempotence idempotence() {
         return requestClass.idempotence();
     }
 
-    /** Whether the request is a write. */
+    /** Returns whether the request is a write. */
     public boolean isWrite() {
         return requestClass.consistency() == Consistency.WRITE;
     }
 
-    /** The latency that requests of this class usually have. */
+    /** Returns the latency that requests of this class usually have. */
     public double usualLatency() {
         return latency.usual();
     }
 
-    /** How long requests of this class take. */
+    /** Returns the latency estimate of the request class. */
     public LatencyEstimate latency() {
         return latency;
     }
 
-    /** When the request arrived. */
+    /** Returns when the request arrived. */
     public long arrivedAt() {
         return arrivedAt;
     }
 
-    /** When the client's time is up. */
+    /** Returns when the client stops waiting. */
     public long timeoutAt() {
         return arrival.timeoutAt();
     }
 
-    /** The latency objective as a point in time. */
+    /** Returns the latency objective as a point in time. */
     public long objectiveAt() {
         return objectiveAt;
     }
 
-    /** Whether the tenant has used up its agreed traffic. */
+    /** Returns whether the tenant has used up its agreed traffic. */
     public boolean isBeyondShare() {
         return beyondShare;
     }
 
-    /** The log position that a replica must have reached. */
+    /** Returns the log position that a replica must have reached; {@link LoadReport#UNKNOWN_TIME} if any will do. */
     public long requiredPosition() {
         return requiredPosition;
     }
 
-    /** A required position, if any, cannot be compared with positions any more; this later one is sure to include it. */
+    /**
+     * Replaces a required position that can no longer be compared with reported ones, by the current time, which is
+     * sure to include it.
+     */
     public void redateRequiredPosition(long now) {
         if (requiredPosition != LoadReport.UNKNOWN_TIME) {
             requiredPosition = now;
         }
     }
 
-    /** How many attempts were made. */
+    /** Returns how many attempts have been made. */
     public int attempts() {
         return attempts;
     }
 
-    /** Whether an attempt was made before. */
+    /** Returns whether an attempt has been made. */
     public boolean wasAttempted() {
         return attempts > 0;
     }
 
-    /** The number of the attempt in flight; there must be one. */
+    /** Returns the number of the attempt in flight, counted from 0; -1 if there is none. */
     public int attemptInFlight() {
         return attemptInFlight;
     }
 
-    /** Whether an attempt is in flight. */
+    /** Returns whether an attempt is in flight. */
     public boolean hasAttemptInFlight() {
         return attemptInFlight != NO_ATTEMPT;
     }
 
-    /** Whether this is the attempt in flight. */
+    /** Returns whether the attempt of this number is the one in flight. */
     public boolean isInFlight(int attempt) {
         return attemptInFlight == attempt;
     }
 
-    /** The server of the latest attempt, or null. */
+    /** Returns the server of the latest attempt; null if there was none. */
     public ServerState lastServer() {
         return lastServer;
     }
 
-    /** When the latest attempt began. */
+    /** Returns when the latest attempt began. */
     public long attemptStartedAt() {
         return attemptStartedAt;
     }
 
-    /** Whether the server was in slow start when the latest attempt was admitted. */
+    /** Returns whether the server was in slow start when the latest attempt was admitted. */
     public boolean isAttemptInSlowStart() {
         return attemptInSlowStart;
     }
 
-    /** Takes note whether the server of the next attempt is in slow start. */
+    /** Records whether the server of the next attempt is in slow start. */
     public void setAttemptInSlowStart(boolean inSlowStart) {
         attemptInSlowStart = inSlowStart;
     }
 
-    /** Whether the attempt in flight ends early so that a retry is in time; that retry is reserved. */
+    /** Returns whether the attempt in flight times out early to leave time for a retry, which is reserved for it. */
     public boolean hasEarlyTimeout() {
         return earlyTimeout;
     }
 
-    /** An attempt begins. */
+    /** Records the start of an attempt. */
     public void startAttempt(ServerState server, boolean withEarlyTimeout, long now) {
         attemptInFlight = attempts;
         attempts++;
@@ -187,17 +192,21 @@
         earlyTimeout = withEarlyTimeout;
     }
 
-    /** The attempt in flight has ended and the request goes on. */
+    /** Records that the attempt in flight has ended without settling the request. */
     public void endAttempt() {
         attemptInFlight = NO_ATTEMPT;
     }
 
-    /** The retry that was reserved for the end of the attempt is reserved no longer. */
+    /** Records that the retry reserved for the end of the attempt is no longer reserved. */
     public void clearEarlyTimeout() {
         earlyTimeout = false;
     }
 
-    /** Marks the attempt in flight as cancelled; false where it was already or none is in flight. */
+    /**
+     * Marks the attempt in flight as cancelled.
+     *
+     * @return false if it was already, or if none is in flight
+     */
     public boolean requestCancel() {
         if (!hasAttemptInFlight() || cancelRequested) {
             return false;
@@ -206,34 +215,38 @@
         return true;
     }
 
-    /** Whether an attempt may have had its effect. */
+    /** Returns whether an attempt may have taken effect at a server. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** The first attempt that may have had its effect has ended; a retry is allowed until then. */
+    /**
+     * Records that the first attempt that may have taken effect at a server has ended.
+     *
+     * @param retryAllowedUntil until when a retry is allowed, in ticks
+     */
     public void recordPossibleRun(ServerState server, long retryAllowedUntil) {
         mayHaveRun = true;
         retryUntil = retryAllowedUntil;
         firstPossibleExecutor = server;
     }
 
-    /** The attempt in flight, if any, counts as one that may have had its effect. */
+    /** Assumes that the attempt in flight, if any, has taken effect. */
     public void assumeAttemptRan() {
         mayHaveRun |= hasAttemptInFlight();
     }
 
-    /** Until when a retry is allowed. */
+    /** Returns until when a retry is allowed. */
     public long retryUntil() {
         return retryUntil;
     }
 
-    /** The server of the first attempt that may have had its effect, or null. */
+    /** Returns the server of the first attempt that may have taken effect; null if there was none. */
     public ServerState firstPossibleExecutor() {
         return firstPossibleExecutor;
     }
 
-    /** Whether this is a read of any age that usually takes longer than this. */
+    /** Returns whether this is a read without a staleness bound that usually takes longer than this many ticks. */
     public boolean isUnboundedReadLongerThan(long span) {
         return requestClass.consistency() == Consistency.UNBOUNDED && latency.usual() > span;
     }
--- a/gateway/src/main/java/ploverdale/state/ReplicaGroup.java
+++ b/gateway/src/main/java/ploverdale/state/ReplicaGroup.java
@@ -8,7 +8,7 @@
 import ploverdale.model.GroupId;
 import ploverdale.model.LoadReport;
 
-/** The members of a replica group, its primary, and the requests that wait for one of them. */
+/** A replica group: its members, its primary, and the requests that wait for one of its members. */
 public final class ReplicaGroup {
     private final GroupId id;
     private final List<ServerState> members = new ArrayList<>();
@@ -16,17 +16,17 @@
     private ServerState primary;
     private long requestedAt = LoadReport.UNKNOWN_TIME;
 
-    /** A group without members. */
+    /** Creates a group without members. */
     public ReplicaGroup(GroupId id) {
         this.id = id;
     }
 
-    /** The group's name. */
+    /** Returns the group id. */
     public GroupId id() {
         return id;
     }
 
-    /** All servers ever listed in the group, in the order in which they were. */
+    /** Returns all servers that were ever listed in the group, in the order of their first listing. Unmodifiable. */
     public List<ServerState> members() {
         return Collections.unmodifiableList(members);
     }
@@ -36,37 +36,37 @@
         members.add(server);
     }
 
-    /** The requests that wait for a server of the group, in their order of arrival. */
+    /** Returns the requests that wait for a server of the group, in order of arrival. Unmodifiable. */
     public Set<PendingRequest> waiting() {
         return Collections.unmodifiableSet(waiting);
     }
 
-    /** Has a request wait; one that waits already keeps its place. */
+    /** Adds a request to those that wait; one that is already waiting keeps its position. */
     public void enqueue(PendingRequest request) {
         waiting.add(request);
     }
 
-    /** A request waits no longer. */
+    /** Removes a request from those that wait. */
     public void dequeue(PendingRequest request) {
         waiting.remove(request);
     }
 
-    /** The known primary, or null. */
+    /** Returns the known primary, or null. */
     public ServerState primary() {
         return primary;
     }
 
-    /** Changes the known primary; null where none is known. */
+    /** Sets the known primary; null if none is known. */
     public void setPrimary(ServerState server) {
         primary = server;
     }
 
-    /** A request for the group has arrived. */
+    /** Records that a request for the group has arrived. */
     public void recordRequest(long now) {
         requestedAt = now;
     }
 
-    /** Whether a request for the group arrived less than so long ago. */
+    /** Returns whether a request for the group arrived less than this many ticks ago. */
     public boolean wasRequestedWithin(long span, long now) {
         return now - requestedAt < span;
     }
--- a/gateway/src/main/java/ploverdale/state/ServerState.java
+++ b/gateway/src/main/java/ploverdale/state/ServerState.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import ploverdale.model.ServerId;
 
-/** All that this gateway knows of one database server, in parts that each belong to one kind of decision. */
+/** What this gateway knows about one database server, in parts that each belong to one kind of decision. */
 public final class ServerState {
     private final ServerId id;
     private final ReplicaGroup group;
@@ -17,89 +17,92 @@
     private final SlowStartProgress slowStart = new SlowStartProgress();
     private final Load load;
 
-    /** @param limit how many attempts may be in flight at first */
+    /** @param limit the initial concurrency limit */
     public ServerState(ServerId id, ReplicaGroup group, double limit) {
         this.id = id;
         this.group = group;
         load = new Load(limit);
     }
 
-    /** The server's name. */
+    /** Returns the server id. */
     public ServerId id() {
         return id;
     }
 
-    /** The replica group that the server belongs to. */
+    /** Returns the replica group that the server belongs to. */
     public ReplicaGroup group() {
         return group;
     }
 
-    /** Whether the server is listed, draining or removed. */
+    /** Returns whether the server is listed, draining or removed. */
     public EndpointLifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** Role and log position. */
+    /** Returns the role and the log position. */
     public ReplicationStatus replication() {
         return replication;
     }
 
-    /** When the server last showed that it is alive. */
+    /** Returns when the server last proved to be alive. */
     public Liveness liveness() {
         return liveness;
     }
 
-    /** Whether the server is ejected as an outlier. */
+    /** Returns whether the server is ejected as an outlier. */
     public Ejection ejection() {
         return ejection;
     }
 
-    /** The health check in flight. */
+    /** Returns the state of the health check in flight. */
     public HealthCheckProgress healthCheck() {
         return healthCheck;
     }
 
-    /** Refused connections and rejected requests. */
+    /** Returns the state of refused connections and rejected requests. */
     public ConnectionStatus connections() {
         return connections;
     }
 
-    /** Answers lost on their way. */
+    /** Returns the estimate of answers lost on the network. */
     public AnswerLoss answerLoss() {
         return answerLoss;
     }
 
-    /** Slow start after a cold start. */
+    /** Returns the progress of slow start. */
     public SlowStartProgress slowStart() {
         return slowStart;
     }
 
-    /** Attempts in flight, limit and latency inflation. */
+    /** Returns the attempts in flight, the concurrency limit and the latency inflation. */
     public Load load() {
         return load;
     }
 
-    /** Whether the server is the known primary of its group. */
+    /** Returns whether the server is the known primary of its group. */
     public boolean isPrimary() {
         return group.primary() == this;
     }
 
-    /** Whether the server is listed and not ejected. */
+    /** Returns whether the server is listed and not ejected. */
     public boolean isServing() {
         return lifecycle.isActive() && !ejection.isEjected();
     }
 
-    /** Whether the server is serving and was confirmed to be alive at least once. */
+    /** Returns whether the server is serving and has been confirmed to be alive at least once. */
     public boolean isConfirmedServing() {
         return isServing() && liveness.wasEverConfirmed();
     }
 
-    /** The attempts begun since the server was last readmitted; older ones may never be answered. */
+    /**
+     * Returns the requests in flight whose attempts began since the server was last readmitted; older ones may never be
+     * answered.
+     */
     public List<PendingRequest> attemptsSinceReadmission() {
         return load.startedSince(ejection.readmittedAt());
     }
 
-    /** How many attempts were begun since the server was last readmitted. */
+    /** Returns how many attempts in flight began since the server was last readmitted. */
     public int countAttemptsSinceReadmission() {
         return load.countStartedSince(ejection.readmittedAt());
     }
--- a/gateway/src/main/java/ploverdale/state/SessionWrites.java
+++ b/gateway/src/main/java/ploverdale/state/SessionWrites.java
@@ -7,20 +7,20 @@
 import ploverdale.model.SessionId;
 
 /**
- * When the last write of each session was committed. Bounded: when the capacity is reached, all sessions are folded into one lower
- * bound that holds for each of them.
+ * Commit times of the last write of each session. Bounded: when the capacity is reached, all sessions are merged into
+ * one lower bound that holds for each of them.
  */
 public final class SessionWrites {
     private final int capacity;
     private final Map<SessionId, Long> committedAt = new HashMap<>();
     private long lowerBound = LoadReport.UNKNOWN_TIME;
 
-    /** @param capacity how many sessions are kept one by one */
+    /** @param capacity how many sessions are tracked individually */
     public SessionWrites(int capacity) {
         this.capacity = capacity;
     }
 
-    /** A write of the session was committed; a write without a session (null) concerns none. */
+    /** Records that a write of the session was committed. Ignored if the session is null. */
     public void put(SessionId session, long time) {
         if (session == null) {
             return;
@@ -32,13 +32,18 @@
         committedAt.put(session, time);
     }
 
-    /** All writes so far were committed by this time; when each was is no longer known. */
+    /**
+     * Replaces all commit times by one lower bound: each write was committed by this time, but when is no longer known.
+     */
     public void foldAllInto(long time) {
         lowerBound = time;
         committedAt.clear();
     }
 
-    /** The commit time that a read of this session must include; unknown where there is none. */
+    /**
+     * Returns the commit time that a read of this session must include; {@link LoadReport#UNKNOWN_TIME} if there is
+     * none.
+     */
     public long of(SessionId session) {
         return committedAt.getOrDefault(session, lowerBound);
     }
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -3,8 +3,8 @@
 import ploverdale.model.LoadReport;
 
 /**
- * A server's slow start at this gateway: since when it warms up, the token bucket for requests to it meanwhile, and the work that it
- * answered lately. The bucket belongs to {@code SlowStart}.
+ * A server's slow start at this gateway: when it began, the token bucket that limits requests meanwhile, and the work
+ * that the server has answered recently. {@code SlowStart} manages the bucket.
  */
 public final class SlowStartProgress {
     private long coldSince = LoadReport.UNKNOWN_TIME;
@@ -14,42 +14,49 @@
     private double recentWork;
     private long recentWorkAt;
 
-    /** When the server last started cold. */
+    /** Returns when the server last started cold. */
     public long coldSince() {
         return coldSince;
     }
 
-    /** The server started cold at this time, if it did not do so later. */
+    /** Records a cold start at this time, unless a later one is known. */
     public void recordColdStart(long at) {
         coldSince = Math.max(coldSince, at);
     }
 
-    /** The server counts as started cold now. */
+    /** Begins slow start anew, as if the server had started now. */
     public void restart(long now) {
         coldSince = now;
     }
 
-    /** Dates a start that came from the endpoint list anew. */
+    /**
+     * Replaces a start time that came from the endpoint list, after the offset of the servers' wall clock has changed.
+     */
     public void redateColdStart(long listedBefore, long listedNow) {
         coldSince = coldSince == listedBefore ? listedNow : coldSince;
     }
 
-    /** Work that the bucket has tokens for. */
+    /** Returns the tokens in the bucket, in units of work; negative after more was charged than it held. */
     public double credit() {
         return credit;
     }
 
-    /** Whether a ticket that was won still admits one request. */
+    /** Returns whether a ticket won in the lottery still admits one request. */
     public boolean hasValidTicket(long now) {
         return now <= ticketValidUntil;
     }
 
-    /** Keeps the bucket from filling up while a ticket waits to be used. */
+    /** Skips the refill up to now, so that the bucket does not fill up while a ticket waits to be used. */
     public void touchCredit(long now) {
         creditAt = now;
     }
 
-    /** A ticket that was not used in time is void, and the bucket fills up to its size. */
+    /**
+     * Refills the bucket for the time since its last refill. Voids a ticket that was not used in time.
+     *
+     * @param perWindow the refill in a window, in units of work
+     * @param bucketSize the largest number of tokens
+     */
     public void refill(double perWindow, double bucketSize, long window, long now) {
         if (creditAt < coldSince) {
             credit = Math.min(0, credit);
@@ -60,19 +67,24 @@
         creditAt = now;
     }
 
-    /** A ticket was won, which has tokens for one request and is valid until then. */
+    /**
+     * Issues a ticket for one request.
+     *
+     * @param work tokens for the request
+     * @param validUntil when the ticket expires, in ticks
+     */
     public void winTicket(double work, long validUntil) {
         credit = work;
         ticketValidUntil = validUntil;
     }
 
-    /** The lottery was lost, with the tokens that were staked. */
+    /** Takes the tokens that were staked in a lost lottery. */
     public void loseLottery() {
         credit = 0;
         ticketValidUntil = LoadReport.UNKNOWN_TIME;
     }
 
-    /** An attempt uses the ticket, if there is one. */
+    /** Uses up the ticket, if there is one, for an attempt. */
     public void useTicket(long now) {
         if (ticketValidUntil != LoadReport.UNKNOWN_TIME) {
             ticketValidUntil = LoadReport.UNKNOWN_TIME;
@@ -80,12 +92,12 @@
         }
     }
 
-    /** Takes tokens, beyond zero too. */
+    /** Takes tokens for work; the bucket may become negative. */
     public void charge(double work) {
         credit -= work;
     }
 
-    /** The work answered lately; older answers fade out over the window. */
+    /** Returns the work answered recently, with exponential decay over the window. */
     public double recentWork(long window, long now) {
         recentWork *= Math.exp(-(now - recentWorkAt) / (double) window);
         recentWorkAt = now;
--- a/gateway/src/main/java/ploverdale/state/package-info.java
+++ b/gateway/src/main/java/ploverdale/state/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What a gateway knows of each database server, each replica group and each pending request. The parts of a
- * {@link ploverdale.state.ServerState} keep their fields private and change by named transitions; which rule decides on a
- * transition is the business of {@code ploverdale.routing}. No input or output, no clock: the current time is passed in. Not
- * thread-safe; all of it belongs to the event loop that runs the router. Times are {@link ploverdale.model.Ticks}.
+ * What a gateway knows about each database server, replica group and pending request. The parts of a
+ * {@link ploverdale.state.ServerState} keep their fields private and change by named transitions; the rules that decide
+ * on transitions are in {@code ploverdale.routing}. The package does no input or output and reads no clock: the current
+ * time is passed in. Not thread-safe: everything here belongs to the event loop that runs the router. Times are
+ * {@link ploverdale.model.Ticks}.
  */
 package ploverdale.state;
