--- a/gateway/src/test/java/ploverdale/routing/AdmissionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/AdmissionTest.java
@@ -32,7 +32,7 @@
         assertThat(driver.actions)
                 .filteredOn(
                         a -> a instanceof Action.RejectRequest b && b.request().equals(last))
-                .allMatch(a -> ((Action.RejectRequest) a).retryAfter() < 5000, "a second try is still in time");
+                .allMatch(a -> ((Action.RejectRequest) a).retryAfter() < 5000, "the client's retry is still in time");
     }
 
     @Test
@@ -71,7 +71,7 @@
             driver.request(TestRouterSettings.BOUNDED_READ);
         }
         assertThat(driver.attempts(driver.request(TestRouterSettings.LONG_READ)))
-                .as("a replica that lags of itself takes one")
+                .as("a replica that lags anyway takes one")
                 .containsExactly("r1");
         RequestId scan = driver.request(TestRouterSettings.LONG_READ);
         assertThat(driver.attempts(scan)).isEmpty();
--- a/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
@@ -12,12 +12,13 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** What the router does when the offset of the servers' clocks turns out to be another. */
+/** What the router does when the offset between the servers' wall clocks and its own time is corrected. */
 class ClockOffsetInRouterTest {
     private static final long HOUR_MS = 3_600_000;
 
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
+    /** Delivers a change of the clock offset with corrected start times, by server id. */
     private void offsetChanges(RouterDriver driver, Map<String, Long> startedMs) {
         Map<ServerId, Long> startedAt = new java.util.HashMap<>();
         startedMs.forEach((id, at) -> startedAt.put(new ServerId(id), at * 10));
@@ -72,7 +73,7 @@
         offsetChanges(driver, Map.of("r1", driver.nowMs - HOUR_MS));
         driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
         int readsAtReplica = 0;
-        for (int i = 0; i < 20; i++) { // only r1 has a position
+        for (int i = 0; i < 20; i++) { // r1 is the only server whose position is known
             readsAtReplica += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
                             .contains("r1")
                     ? 1
--- a/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
+++ b/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the router concludes when many servers stop answering at once: by a delay of its own process, a common cause, or death. */
+/**
+ * What the router concludes when many servers stop answering at the same time: because its own process was paused,
+ * because of a common cause, or because the servers are dead.
+ */
 class CommonSilenceTest {
     private static final int SERVERS = 240;
     private static final int OPS_PER_SECOND = 500;
@@ -22,7 +25,7 @@
     @CsvSource({"1, true", "1, false", "200, true"})
     void aPauseOfAllMachinesRightAfterTheStartEjectsNoServer(long after, boolean gatewayToo) {
         VirtualFleet fleet = fleet(SERVERS).paused(after, 300, gatewayToo).play(10_000, OPS_PER_SECOND);
-        report(fleet, "held up after the start");
+        report(fleet, "paused after the start");
         assertThat(fleet.everEjected()).isEmpty();
         assertThat(fleet.succeeded).isGreaterThan(4500);
     }
@@ -32,7 +35,7 @@
     void aPauseOfTheGatewayEjectsNoServerOfASmallFleet(int servers) {
         VirtualFleet fleet =
                 fleet(servers).paused(1, 300, true).paused(5000, 600, true).play(10_000, OPS_PER_SECOND);
-        report(fleet, servers + " servers, held up");
+        report(fleet, servers + " servers, gateway paused");
         assertThat(fleet.everEjected()).isEmpty();
     }
 
@@ -40,7 +43,7 @@
     @CsvSource({"300, true", "300, false", "600, true", "600, false", "2000, true"})
     void aPauseDuringServiceEjectsNoServer(long lasts, boolean gatewayToo) {
         VirtualFleet fleet = fleet(SERVERS).paused(5000, lasts, gatewayToo).play(12_000, 2 * OPS_PER_SECOND);
-        report(fleet, "held up in mid service for " + lasts + " ms");
+        report(fleet, "paused during service for " + lasts + " ms");
         assertThat(fleet.everEjected()).isEmpty();
     }
 
@@ -51,11 +54,14 @@
             fleet.paused(at, 150, true);
         }
         fleet.play(15_000, OPS_PER_SECOND);
-        report(fleet, "held up again and again");
+        report(fleet, "paused repeatedly");
         assertThat(fleet.everEjected()).containsOnlyKeys(VirtualFleet.id(7));
     }
 
-    /** The last columns were measured before the router examined its own health. */
+    /**
+     * Prevents local health awareness from delaying the detection of dead servers. The last two columns are the mean
+     * and the longest detection time in ms without it.
+     */
     @ParameterizedTest
     @CsvSource({
         "240, 160, 578.9, 1066",
@@ -73,12 +79,15 @@
         report(fleet, dead + " of " + servers + " die");
         assertThat(fleet.everEjected()).hasSize(dead);
         assertThat(fleet.ejected()).hasSize(dead);
-        // beyond 128 servers the first health checks come in another order, and so chance takes another course
+        // with more than 128 servers the first health checks are queued, which changes the order of random numbers
         assertThat(fleet.detectedAfter(5000)).isLessThan(meanBefore + (servers > 128 ? 5 : 0.1));
         assertThat(fleet.lastDetectedAfter(5000)).isLessThanOrEqualTo(lastBefore);
     }
 
-    /** The last column is what was measured before. */
+    /**
+     * The last column is the longest detection time in ms without local health awareness. It may grow by the time that
+     * is put down to a common cause, and a margin.
+     */
     @ParameterizedTest
     @CsvSource({"15, 430", "240, 1050"})
     void whereAllServersDieTheyAreEjectedSoon(int servers, long lastBefore) {
@@ -92,18 +101,18 @@
     void withMostServersDeadReadsContinueAtThoseThatAnswer() {
         VirtualFleet fleet = fleet(60);
         for (int group = 0; group < 12; group++) {
-            fleet.die(5000, 5 * group, 5 * group + 4); // in each group the last replica is left
+            fleet.die(5000, 5 * group, 5 * group + 4); // only the last replica of each group stays alive
         }
         fleet.play(15_000, 200);
         report(fleet, "four in five die");
         assertThat(fleet.ejected()).hasSize(48);
-        assertThat(fleet.succeeded).isGreaterThanOrEqualTo(2411); // as before the router examined its own health
+        assertThat(fleet.succeeded).isGreaterThanOrEqualTo(2411); // the number without local health awareness
     }
 
     @Test
     void aServerThatNeverAnsweredIsEjectedAtItsFirstCheck() {
         VirtualFleet fleet = fleet(SERVERS).die(0, SERVERS - 80, SERVERS).play(10_000, OPS_PER_SECOND);
-        report(fleet, "80 of 240 never were");
+        report(fleet, "80 of 240 were never alive");
         assertThat(fleet.everEjected()).hasSize(80);
     }
 
@@ -114,6 +123,7 @@
         assertThat(fleet.mostHealthChecksInFlight()).isEqualTo(atOnce);
     }
 
+    /** Prints the figures of a run. */
     private static void report(VirtualFleet fleet, String what) {
         System.out.printf(
                 "%s: %d ejected, the last at %d ms (from 5000: mean %.1f), still ejected %d, last readmission at "
--- a/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
@@ -6,7 +6,7 @@
 import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.model.LoadReport.Role;
 
-/** What updates of the endpoint list change, as seen through the router. */
+/** The effects of endpoint updates, as seen through the router. */
 class EndpointUpdatesTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -18,10 +18,11 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** What the router concludes from gossip of other gateways, and what it gossips. */
+/** What the router concludes from gossip of its peers, and what it gossips itself. */
 class GossipInRouterTest {
     private final RouterDriver driver = RouterDriver.withGossip(3);
 
+    /** Returns an observation with these times in ms; a negative time is unknown. */
     private ServerObservation observation(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
         return new ServerObservation(
                 role,
@@ -34,10 +35,12 @@
                 LoadReport.UNKNOWN_TIME);
     }
 
+    /** Converts ms to ticks; a negative time is unknown. */
     private static long at(long ms) {
         return ms < 0 ? LoadReport.UNKNOWN_TIME : ms * 10;
     }
 
+    /** Delivers an observation of a server by a peer. */
     private void gossipReceived(int from, String server, ServerObservation w) {
         driver.deliver(new Event.GossipReceived(
                 from,
@@ -66,7 +69,7 @@
     @Test
     void aPrimaryKnownOnlyFromGossipIsCheckedBeforeItGetsAWrite() {
         driver.updateEndpoints(
-                true, "p", "r1", "r2"); // nothing observed yet; the others have not noticed that p no longer answers
+                true, "p", "r1", "r2"); // nothing observed yet; the peers have not noticed that p no longer answers
         gossipReceived(
                 1, "p", observation(Role.PRIMARY, driver.nowMs - 100, driver.nowMs - 100, driver.nowMs - 100, -1));
         RequestId request = driver.request(TestRouterSettings.WRITE);
@@ -79,7 +82,7 @@
     @Test
     void aReadThatOnlyAPrimaryKnownFromGossipCouldServeWaitsForItsHealthCheck() {
         RouterDriver driverOfMany =
-                RouterDriver.withGossip(300); // each checks few servers at its start, and p is not among them
+                RouterDriver.withGossip(300); // each checks few servers at its start; this one not p
         driverOfMany.updateEndpoints(true, "p", "r1", "r2");
         assertThat(driverOfMany.healthChecks("p")).isZero();
         driverOfMany.healthCheckSucceeded("r1", Role.REPLICA, driverOfMany.nowMs);
@@ -96,7 +99,7 @@
                                         driverOfMany.nowMs,
                                         driverOfMany.nowMs,
                                         -1))))));
-        driverOfMany.nowMs += 1200; // the position of r1 is too old by now
+        driverOfMany.nowMs += 1200; // makes the position of r1 too old
         driverOfMany.healthCheckSucceeded("r1", Role.REPLICA, driverOfMany.nowMs - 1200);
         RequestId request = driverOfMany.request(TestRouterSettings.BOUNDED_READ);
         assertThat(driverOfMany.rejections(request)).isZero();
@@ -104,6 +107,7 @@
         assertThat(driverOfMany.attempts(request)).containsExactly("p");
     }
 
+    /** Returns the event that a peer currently observes the server alive, in this role. */
     private Event.GossipReceived observedByAnother(RouterDriver h, String server, Role role) {
         return new Event.GossipReceived(
                 1,
@@ -124,7 +128,7 @@
                 .containsExactly("p");
         long before = driverOfMany.healthChecks("p");
         for (int i = 0; i < 15; i++) {
-            driverOfMany.advance(100); // in all, fifteen times what an answer usually takes
+            driverOfMany.advance(100); // in total, fifteen times the usual latency
             driverOfMany.deliver(observedByAnother(driverOfMany, "p", Role.PRIMARY));
         }
         assertThat(driverOfMany.logged("silent")).isFalse();
@@ -152,7 +156,7 @@
             r1 += to.equals("r1") ? 1 : 0;
             driver.attemptEnded(request, 0, to, Outcome.SUCCEEDED, null);
         }
-        assertThat(r1).isEqualTo(20); // the only replica
+        assertThat(r1).isEqualTo(20); // r1 is the only replica
     }
 
     @Test
@@ -163,7 +167,7 @@
         gossipReceived(2, "r1", observation(Role.REPLICA, driver.nowMs - 50, driver.nowMs - 50, driver.nowMs - 50, -1));
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
-        driver.nowMs += 455; // half a second after that position
+        driver.nowMs += 455; // the position is now more than half a second old
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .doesNotContain("r1");
     }
@@ -207,7 +211,7 @@
                         driver.nowMs,
                         driver.nowMs,
                         driver.nowMs,
-                        -1)); // from a gateway that does not know of the drain
+                        -1)); // from a peer that does not know of the drain
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r2");
     }
@@ -257,7 +261,7 @@
                     ? 1
                     : 0;
         }
-        assertThat(cold).isLessThan(8); // of 20, where a warm one gets half
+        assertThat(cold).isLessThan(8); // of 20; a warm replica would get half
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
+++ b/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
@@ -8,7 +8,7 @@
 import ploverdale.state.ReplicaGroup;
 import ploverdale.state.ServerState;
 
-/** How many health checks nobody waits for are out at once. */
+/** The order of queued health checks, and the bound on how many are in flight. */
 class HealthCheckQueueTest {
     private final HealthCheckQueue queue = new HealthCheckQueue();
     private final ReplicaGroup group = new ReplicaGroup(new GroupId(1));
--- a/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
@@ -8,7 +8,9 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** What the router concludes from attempts and health checks that never left this machine: nothing about their servers. */
+/**
+ * Attempts and health checks that never left this machine must not change what the router knows about their servers.
+ */
 class LocalFailureInRouterTest {
     private static final int MANY = 20;
 
@@ -38,13 +40,13 @@
         driver.healthCheckTimedOut("r1");
         driver.healthCheckTimedOut("r1");
         long before = driver.healthChecks("r1");
-        driver.advance(2000); // ejected servers are checked again while others of their group are used
+        driver.advance(2000); // ejected servers are checked again while other servers of their group are used
         for (int i = 0; i < MANY; i++) {
             driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
             driver.advance(20);
         }
         assertThat(driver.healthChecks("r1") - before)
-                .as("not asked in a busy loop")
+                .as("not checked in a busy loop")
                 .isLessThan(MANY / 2);
     }
 
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -10,14 +10,19 @@
 import ploverdale.state.ReplicaGroup;
 import ploverdale.state.ServerState;
 
-/** Which silence is put down to this gateway itself or to a common cause. */
+/**
+ * Which time without answers is attributed to this gateway or to a common cause rather than to a server. Times are
+ * ticks.
+ */
 class LocalHealthTest {
     private static final long START = 1_000_000;
-    private static final long CHECK = 2_500; // a health check's limit
+    /** Time limit of a health check. */
+    private static final long CHECK = 2_500;
 
     private final LocalHealth health = new LocalHealth();
     private final List<ServerState> members = new ArrayList<>();
 
+    /** Adds confirmed servers, of which the first {@code checksMissed} have just missed a health check. */
     private void servers(int count, int checksMissed) {
         ReplicaGroup group = new ReplicaGroup(new GroupId(1));
         for (int i = 0; i < count; i++) {
@@ -30,6 +35,10 @@
         }
     }
 
+    /**
+     * Records that the first server has not answered for the duration of a health check; returns whether a common cause
+     * explains it.
+     */
     private boolean doubt(long now) {
         return health.commonSilence(now, members.get(0), now - CHECK, members);
     }
@@ -97,7 +106,7 @@
         servers(16, 16);
         assertThat(doubt(START)).isTrue();
         assertThat(doubt(START + 2 * LocalHealth.LONGEST_COMMON_CAUSE))
-                .as("spent")
+                .as("the time of this episode is used up")
                 .isFalse();
         members.forEach(server -> server.liveness().recordCheckAnswered(START + 11_000));
         health.observe(START + 11_000, members);
--- a/gateway/src/test/java/ploverdale/routing/RouterDriver.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterDriver.java
@@ -17,8 +17,8 @@
 import ploverdale.model.ZoneId;
 
 /**
- * Delivers events to a {@link Router} and records its actions. Its clock moves only when a test advances it. Times in milliseconds,
- * but for the events and actions themselves ({@link ploverdale.model.Ticks}).
+ * Delivers events to a {@link Router} and records its actions. Its clock moves only when a test advances it. Times are
+ * in milliseconds, except in the events and actions themselves, which use {@link ploverdale.model.Ticks}.
  */
 final class RouterDriver {
     final Router router = new Router(null);
@@ -34,12 +34,15 @@
         deliver(settings.started());
     }
 
-    /** A driver of gateway 0 of so many, which may gossip. */
+    /** Creates a driver of gateway 0 of this number of gateways, which may gossip. */
     static RouterDriver withGossip(int gateways) {
         return new RouterDriver(new TestRouterSettings().gateways(gateways).gossip());
     }
 
-    /** A driver with a primary p and replicas r1 and r2, all of which passed a health check and are caught up. */
+    /**
+     * Creates a driver with a primary p and replicas r1 and r2, all of which have passed a health check and are caught
+     * up.
+     */
     static RouterDriver withCaughtUpReplicas() {
         RouterDriver driver = new RouterDriver();
         driver.updateEndpoints(true, "p", "r1", "r2");
@@ -47,7 +50,7 @@
         return driver;
     }
 
-    /** Health checks of all these servers succeed, with the present as their position. */
+    /** Delivers successful health checks of all these servers, with the current time as their position. */
     void catchUp(String primary, String... replicas) {
         healthCheckSucceeded(primary, Role.PRIMARY, nowMs);
         for (String replica : replicas) {
@@ -55,7 +58,7 @@
         }
     }
 
-    /** Advances the clock by this time, after which the primary is caught up and the replicas report their former position. */
+    /** Advances the clock; afterwards the primary is caught up and the replicas report their former position. */
     void replicasLagBy(long ms) {
         long formerMs = nowMs;
         nowMs += ms;
@@ -64,14 +67,16 @@
         healthCheckSucceeded("r2", Role.REPLICA, formerMs);
     }
 
-    /** Delivers an event now; returns the actions that it caused, which are recorded, too. */
+    /** Delivers an event at the current time, records the actions it causes and returns them. */
     List<Action> deliver(Event event) {
         List<Action> caused = router.on(nowMs * 10, event);
         actions.addAll(caused);
         return caused;
     }
 
-    /** Serving endpoints from discovery: the complete list, or an update that adds to it. */
+    /**
+     * Delivers an endpoint update in which all these servers are in service: the complete list, or an addition to it.
+     */
     void updateEndpoints(boolean complete, String... servers) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String server : servers) {
@@ -80,7 +85,7 @@
         deliver(new Event.EndpointUpdate(complete, false, endpoints));
     }
 
-    /** One endpoint changes; a start time of 0 is unknown. */
+    /** Delivers an update of one endpoint; a start time of 0 is unknown. */
     void updateEndpoint(String server, Endpoint.EndpointState state, long startedMs) {
         deliver(new Event.EndpointUpdate(false, false, List.of(endpoint(server, state, startedMs))));
     }
@@ -90,7 +95,7 @@
                 new ServerId(server), new GroupId(1), new ZoneId(0), state, server.equals("p"), startedMs * 10);
     }
 
-    /** Advances the clock, with a timer event every 20 ms. */
+    /** Advances the clock with a timer event every 20 ms. */
     void advance(long ms) {
         for (long end = nowMs + ms; nowMs < end; ) {
             nowMs = Math.min(end, nowMs + 20);
@@ -98,28 +103,33 @@
         }
     }
 
-    /** A health check succeeds with a load report of this role and position. */
+    /** Delivers a successful health check whose load report has this role and position. */
     void healthCheckSucceeded(String server, Role role, long positionMs) {
         deliver(new Event.HealthCheckEnded(
                 new ServerId(server), Outcome.SUCCEEDED, new LoadReport(role, positionMs * 10)));
     }
 
-    /** A health check gets no answer in time. */
+    /** Delivers a health check without an answer in time. */
     void healthCheckTimedOut(String server) {
         deliver(new Event.HealthCheckEnded(new ServerId(server), Outcome.TIMED_OUT, null));
     }
 
-    /** A load report of this role and position. */
+    /** Returns a load report of this role and position. */
     static LoadReport report(Role role, long positionMs) {
         return new LoadReport(role, positionMs * 10);
     }
 
-    /** A request of a class of {@link TestRouterSettings} arrives. */
+    /** Delivers a request of a class of {@link TestRouterSettings}, without a session. */
     RequestId request(int requestClass) {
         return request(requestClass, null, 0);
     }
 
-    /** The same, of a session unless null, with the age of the session token that the client carries, 0 for a zero token. */
+    /**
+     * Delivers a request.
+     *
+     * @param session the session, or null
+     * @param tokenAgeMs the age of the session token that the client carries; 0 for a zero token
+     */
     RequestId request(int requestClass, String session, long tokenAgeMs) {
         RequestId request = new RequestId("op" + names++);
         deliver(new Event.RequestArrived(
@@ -135,13 +145,13 @@
         return request;
     }
 
-    /** An attempt ends; the load report is null where none came with it. */
+    /** Delivers the end of an attempt; the load report is null if there was none with it. */
     void attemptEnded(RequestId request, int attempt, String server, Outcome outcome, LoadReport report) {
         boolean settled = outcome == Outcome.SUCCEEDED;
         deliver(new Event.AttemptEnded(request, attempt, new ServerId(server), outcome, 1000, settled, report, null));
     }
 
-    /** The servers of the request's attempts, in order. */
+    /** Returns the servers of the request's attempts, in order. */
     List<String> attempts(RequestId request) {
         return actions.stream()
                 .filter(a -> a instanceof Action.StartAttempt s && s.request().equals(request))
@@ -149,28 +159,28 @@
                 .toList();
     }
 
-    /** How often the request was rejected: 1 at most in a correct router. */
+    /** Returns how often the request was rejected: at most once by a correct router. */
     long rejections(RequestId request) {
         return actions.stream()
                 .filter(a -> a instanceof Action.RejectRequest b && b.request().equals(request))
                 .count();
     }
 
-    /** How often the request was failed: 1 at most in a correct router. */
+    /** Returns how often the request was failed: at most once by a correct router. */
     long failures(RequestId request) {
         return actions.stream()
                 .filter(a -> a instanceof Action.FailRequest b && b.request().equals(request))
                 .count();
     }
 
-    /** Whether an attempt of the request was cancelled. */
+    /** Returns whether an attempt of the request was cancelled. */
     boolean cancelled(RequestId request) {
         return actions.stream()
                 .anyMatch(
                         a -> a instanceof Action.CancelAttempt c && c.request().equals(request));
     }
 
-    /** How many health checks of the server were started. */
+    /** Returns how many health checks of the server were started. */
     long healthChecks(String server) {
         return actions.stream()
                 .filter(a ->
@@ -178,7 +188,7 @@
                 .count();
     }
 
-    /** Whether a log line contains this text. */
+    /** Returns whether a log line contains this text. */
     boolean logged(String part) {
         return actions.stream()
                 .anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(part));
--- a/gateway/src/test/java/ploverdale/routing/SimulatedAttempt.java
+++ b/gateway/src/test/java/ploverdale/routing/SimulatedAttempt.java
@@ -2,7 +2,9 @@
 
 import ploverdale.model.RequestId;
 
-/** One attempt of a request at a simulated server. Times in tenths of a millisecond, work in requests of mean work. */
+/**
+ * An attempt of a request at a simulated server. Times are ticks; work is in multiples of the mean work of a request.
+ */
 final class SimulatedAttempt {
     final int gateway;
     final RequestId request;
@@ -10,6 +12,7 @@
     final SimulatedServer server;
     final long sentAt;
     final double work;
+    /** Whether the gateway has been notified of the end of the attempt. */
     boolean ended;
 
     SimulatedAttempt(int gateway, RequestId request, int number, SimulatedServer server, long sentAt, double work) {
--- a/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
+++ b/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
@@ -6,11 +6,15 @@
 import java.util.Queue;
 import ploverdale.model.ServerId;
 
-/** A simulated database server with its queue, and what reached it while it was warming up. Times in tenths of a millisecond. */
+/**
+ * A simulated database server with its queue, and a record of the work that reached it after its restart. Times are
+ * ticks.
+ */
 final class SimulatedServer {
-    private static final double UTILIZATION_TICKS = 200.0 * 10; // over which the reported utilization is averaged
+    /** Time constant of the average of the reported utilization. */
+    private static final double UTILIZATION_TICKS = 200.0 * 10;
 
-    /** Work that reached the server while it was warming up. */
+    /** Work that reached the server after its restart, in multiples of the mean work of a request. */
     record Arrival(long at, double work) {}
 
     final ServerId id;
@@ -20,12 +24,17 @@
     final Queue<SimulatedAttempt> queue = new ArrayDeque<>();
     final List<SimulatedAttempt> running = new ArrayList<>();
     final List<Arrival> coldArrivals = new ArrayList<>();
+    /** Whether the server restarts in this scenario. */
     boolean restarts;
     boolean up = true;
+    /** Whether the server has restarted and is up again. */
     boolean restarted;
+    /** The number of restarts so far. */
     int incarnation;
+    /** The reported utilization at {@link #busyAt}. */
     double busy;
     long busyAt;
+    /** Work answered since the restart. */
     double coldAnswers;
 
     SimulatedServer(int number, int cores, int groupSize, long start) {
@@ -40,7 +49,7 @@
         return number % groupSize == 0;
     }
 
-    /** Brings the utilization that the server reports up to this time. */
+    /** Updates the reported utilization to this time. */
     void updateBusy(long now) {
         busy += (1 - Math.exp(-(now - busyAt) / UTILIZATION_TICKS)) * (running.size() / (double) cores - busy);
         busyAt = now;
--- a/gateway/src/test/java/ploverdale/routing/TestRouterSettings.java
+++ b/gateway/src/test/java/ploverdale/routing/TestRouterSettings.java
@@ -10,7 +10,7 @@
 import ploverdale.model.ServerGuarantees;
 import ploverdale.model.Tenant;
 
-/** Builder of the settings that a router under test starts with. Times in tenths of a millisecond. */
+/** Builder of the settings that a router under test starts with. Times are ticks. */
 final class TestRouterSettings {
     static final int BOUNDED_READ = 0;
     static final int UNBOUNDED_READ = 1;
@@ -29,37 +29,37 @@
     private int gateways = 1;
     private boolean gossip;
 
-    /** How replicas check the staleness of reads; by default they don't. */
+    /** Sets how replicas check the staleness of reads; by default they do not. */
     TestRouterSettings stalenessCheck(ReplicaGuarantees.StalenessCheck check) {
         stalenessCheck = check;
         return this;
     }
 
-    /** Clients carry a token of their session's last write. */
+    /** Makes clients carry a token of their session's last write. */
     TestRouterSettings sessionTokens() {
         sessionTokens = true;
         return this;
     }
 
-    /** Servers that are removed from the endpoint list without draining may still be used. */
+    /** Lets servers that are removed from the endpoint list without draining still be used. */
     TestRouterSettings removalNotBinding() {
         removalBinding = false;
         return this;
     }
 
-    /** How many gateways there are; the one under test is number 0. */
+    /** Sets the number of gateways; the one under test is number 0. */
     TestRouterSettings gateways(int count) {
         gateways = count;
         return this;
     }
 
-    /** The gateway may gossip with the others. */
+    /** Allows gossip between the gateways. */
     TestRouterSettings gossip() {
         gossip = true;
         return this;
     }
 
-    /** The event that starts a router with these settings; its seed follows from the number of gateways. */
+    /** Returns the event that starts a router with these settings; its seed depends on the number of gateways. */
     Event.Started started() {
         List<RequestClass> classes = List.of(
                 requestClass(Idempotence.IDEMPOTENT, Consistency.BOUNDED, 0),
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -24,23 +24,28 @@
 import ploverdale.model.ZoneId;
 
 /**
- * The router of one gateway among many database servers, in virtual time: groups of five whose first member is the primary,
- * clients that send requests to all groups evenly, servers that die without closing connections, and pauses of the servers or of all
- * machines at once. After a pause of the gateway its timers fire before it reads the responses that arrived meanwhile. Times in ms.
+ * Simulates the router of one gateway and many database servers in virtual time: groups of five whose first member is
+ * the primary, clients that send requests to all groups evenly, servers that die without closing connections, and
+ * pauses of the servers or of all machines. After a pause of the gateway its timers fire before it reads the responses
+ * that have arrived meanwhile. Times are in ms.
  */
 final class VirtualFleet {
     static final int HEALTH_CHECK_LIMIT_MS = 250;
     private static final int GROUP_SIZE = 5;
     private static final int HEALTH_CHECK_MS = 2;
     private static final int REQUEST_MS = 10;
-    private static final int RESUME_WITHIN_MS = 150; // of servers, one after the other, on a machine that was paused
+    /** After a pause, servers resume at random times within this span. */
+    private static final int RESUME_WITHIN_MS = 150;
     private static final int GATEWAYS = 6;
+    /** Order of timer events, which precede reads of the same time. */
     private static final int TIMERS = 0;
+    /** Order of events that are read from connections. */
     private static final int READS = 1;
 
-    /** All machines, or those of the servers only, stand still in [from, until). */
+    /** A pause of the servers in [from, until), and of the gateway as well if the flag is set. */
     private record Pause(long from, long until, boolean gatewayToo) {}
 
+    /** A task of the simulation. Tasks of the same time run in the order of {@code order}, then of scheduling. */
     private record Due(long at, int order, long sequence, Runnable what) {}
 
     private final RouterDriver driver;
@@ -50,10 +55,13 @@
     private final Map<String, Long> diesAt = new LinkedHashMap<>();
     private final PriorityQueue<Due> queue = new PriorityQueue<>(
             Comparator.comparingLong(Due::at).thenComparingInt(Due::order).thenComparingLong(Due::sequence));
-    private final Set<String> pending = new HashSet<>(); // attempts and health checks that have not ended
+    /** Names of the attempts and health checks that have not ended. */
+    private final Set<String> pending = new HashSet<>();
     private final Map<String, Long> ejectedSince = new LinkedHashMap<>();
     private final Map<String, Long> firstEjectedAt = new LinkedHashMap<>();
+    /** The number of attempts of each request. */
     private final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
+    /** The server of each attempt, by the attempt's name. */
     private final Map<String, ServerId> sentTo = new HashMap<>();
     private long sequence;
     private long lastReturn;
@@ -68,13 +76,15 @@
         driver = new RouterDriver(new TestRouterSettings().gateways(GATEWAYS));
     }
 
-    /** Pauses the servers for this time, and the gateway, too, where the flag is set. */
+    /** Pauses the servers for this time, and the gateway as well if the flag is set. */
     VirtualFleet paused(long from, long lasts, boolean gatewayToo) {
         pauses.add(new Pause(start() + from, start() + from + lasts, gatewayToo));
         return this;
     }
 
-    /** From this time on the servers with these numbers answer nothing. */
+    /**
+     * Makes the servers numbered from {@code from} up to but not including {@code until} stop answering at this time.
+     */
     VirtualFleet die(long at, int from, int until) {
         for (int i = from; i < until; i++) {
             diesAt.put(id(i), start() + at);
@@ -90,7 +100,12 @@
         return String.format("s%03d", number);
     }
 
-    /** Lists all servers and plays for so long, with so many requests a second after the first health checks. */
+    /**
+     * Lists all servers and runs the simulation.
+     *
+     * @param lasts duration of the run in ms
+     * @param requestsPerSecond rate of requests after the first health checks; 0 for none
+     */
     VirtualFleet play(long lasts, int requestsPerSecond) {
         for (Pause h : pauses) {
             if (h.gatewayToo) {
@@ -98,7 +113,7 @@
             }
         }
         schedule(start(), READS, () -> {
-            carryOut(List.copyOf(driver.actions)); // what the router did at its start
+            carryOut(List.copyOf(driver.actions)); // actions that the router decided on at its start
             deliver(new Event.EndpointUpdate(true, false, endpoints()));
         });
         long gap = requestsPerSecond == 0 ? lasts : 1000 / requestsPerSecond;
@@ -152,7 +167,7 @@
     }
 
     private void deliver(Event event) {
-        driver.actions.clear(); // which would otherwise keep all actions of the run
+        driver.actions.clear(); // otherwise all actions of the run would be kept
         carryOut(driver.deliver(event));
     }
 
@@ -160,7 +175,7 @@
         for (Action action : actions) {
             if (action instanceof Action.StartAttempt a) {
                 int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
-                String name = "send " + a.request().text() + " " + attempt;
+                String name = "attempt " + a.request().text() + " " + attempt;
                 sentTo.put(name, a.server());
                 exchange(a.server(), REQUEST_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.SUCCEEDED ? 1 : 0;
@@ -175,7 +190,7 @@
                             outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.CancelAttempt a) {
-                String name = "send " + a.request().text() + " " + a.attempt();
+                String name = "attempt " + a.request().text() + " " + a.attempt();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
                     gateway(
@@ -199,10 +214,17 @@
         }
     }
 
+    /** Receives the outcome of an attempt or a health check. */
     private interface Ended {
         void with(Outcome outcome, long tookMs);
     }
 
+    /**
+     * Sends an attempt or a health check to a server, with a time limit.
+     *
+     * @param work how long the server takes to answer it
+     * @param name identifies it until it has ended
+     */
     private void exchange(ServerId server, int work, long limit, String name, Ended ended) {
         long began = driver.nowMs;
         pending.add(name);
@@ -214,7 +236,7 @@
         schedule(began + work, READS, () -> answer(server, name, began, ended));
     }
 
-    /** At the server, which answers once its machine resumes. */
+    /** Runs at the server, which answers once its machine has resumed. A dead server never answers. */
     private void answer(ServerId server, String name, long began, Ended ended) {
         if (driver.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
             return;
@@ -237,7 +259,7 @@
         return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (driver.nowMs - 20) * 10);
     }
 
-    /** In the gateway's process, which runs it once it resumes. */
+    /** Runs a task in the process of the gateway, after its pause if it is paused. */
     private void gateway(long at, int order, Runnable what) {
         long resumesAt = at;
         for (Pause h : pauses) {
@@ -250,6 +272,7 @@
         queue.add(new Due(at, order, sequence++, what));
     }
 
+    /** Tracks ejections and readmissions by the router's log lines. */
     private void logged(String[] words) {
         if (words[0].equals("server") && words[2].equals("silent:")) {
             ejectedSince.put(words[1], driver.nowMs - start());
@@ -260,32 +283,32 @@
         }
     }
 
-    /** When each server that was ever ejected was ejected first. */
+    /** Returns when each server that was ever ejected was first ejected, in ms from the start. */
     Map<String, Long> everEjected() {
         return firstEjectedAt;
     }
 
-    /** Servers that are ejected now. */
+    /** Returns the servers that are currently ejected. */
     Set<String> ejected() {
         return ejectedSince.keySet();
     }
 
-    /** When a server was last readmitted. */
+    /** Returns when a server was last readmitted, in ms from the start. */
     long lastReturn() {
         return lastReturn;
     }
 
-    /** The most health checks that were in flight at once. */
+    /** Returns the highest number of health checks that were in flight at once. */
     int mostHealthChecksInFlight() {
         return mostHealthChecksInFlight;
     }
 
-    /** Time from the death of these servers to the ejection of the last of them. */
+    /** Returns the time from the death of the servers until the last of them was first ejected. */
     long lastDetectedAfter(long death) {
         return firstEjectedAt.values().stream().mapToLong(Long::longValue).max().orElse(Long.MAX_VALUE) - death;
     }
 
-    /** The same, on average. */
+    /** Returns the mean time from the death of the servers until each was first ejected. */
     double detectedAfter(long death) {
         return firstEjectedAt.values().stream()
                         .mapToLong(Long::longValue)
--- a/gateway/src/test/java/ploverdale/routing/VirtualTime.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualTime.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** The clock of a simulation and what is due on it, in the order of time and then of scheduling. In tenths of a millisecond. */
+/**
+ * The clock of a simulation and its scheduled actions, which run in the order of their times and then of scheduling.
+ * Times are ticks.
+ */
 final class VirtualTime {
     private record Due(long at, long order, Runnable action) implements Comparable<Due> {
         @Override
@@ -23,12 +26,12 @@
         return now;
     }
 
-    /** Schedules an action, at once where the time is past. */
+    /** Schedules an action at this time, or now if the time is past. */
     void at(long time, Runnable action) {
         due.add(new Due(Math.max(now, time), order++, action));
     }
 
-    /** Runs all that is due before the end, and what that schedules. */
+    /** Runs all actions that are due before the end, including those that they schedule. */
     void runUntil(long end) {
         while (!due.isEmpty() && due.peek().at < end) {
             Due next = due.poll();
