--- a/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
@@ -117,9 +117,9 @@
     }
 
     /** Reports the outcome of a write to gossip, which rates peers by whether they named the right primary. */
-    private void verifyPrimary(ServerState server, PendingRequest request, boolean right) {
+    private void verifyPrimary(ServerState server, PendingRequest request, boolean confirmed) {
         if (request.isWrite()) {
-            gossip.primaryVerified(context.now(), server.id(), right);
+            gossip.primaryVerified(context.now(), server.id(), confirmed);
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
@@ -24,17 +24,17 @@
     /**
      * Target of mean latency as a part of the latency objective. It is well below 1 because latencies have long tails.
      */
-    private static final double PRESSURE_GOAL = 0.35;
+    private static final double TARGET_OBJECTIVE_RATIO = 0.35;
     /** Largest part of the latency objective that one answer counts as. */
-    private static final double LARGEST_PRESSURE = 3;
+    private static final double MAX_OBJECTIVE_RATIO = 3;
     /** Largest latency inflation that one answer counts as. */
-    private static final double LARGEST_INFLATION = 8;
+    private static final double MAX_INFLATION = 8;
     /** Change of a limit at each answer; about a fifth of an attempt per round trip. */
     private static final double LIMIT_STEP = 0.2;
     /** A limit grows only while at least this share of it is used. */
     private static final double USED_SHARE = 0.7;
     /** Refused connections further apart than this do not count as consecutive. */
-    private static final long REFUSALS_IN_A_ROW_WITHIN = Ticks.ofMillis(500);
+    private static final long CONSECUTIVE_REFUSAL_WINDOW = Ticks.ofMillis(500);
 
     private final DecisionContext context;
     private final RoutingSettings settings;
@@ -94,22 +94,22 @@
     private void learnLatency(ServerState server, PendingRequest request, long latency, long loadLatency) {
         Load load = server.load();
         request.latency().observe(latency, context.now());
-        double inflation = Math.min(LARGEST_INFLATION, latency / request.usualLatency());
+        double inflation = Math.min(MAX_INFLATION, latency / request.usualLatency());
         load.recordInflation(inflation, NEWEST_WEIGHT, context.now());
         double objective = Math.max(1.0, request.objectiveAt() - request.arrivedAt());
-        load.recordPressure(Math.min(LARGEST_PRESSURE, loadLatency / objective), NEWEST_WEIGHT);
+        load.recordObjectiveRatio(Math.min(MAX_OBJECTIVE_RATIO, loadLatency / objective), NEWEST_WEIGHT);
         adjustLimit(server);
     }
 
     private void adjustLimit(ServerState server) {
         Load load = server.load();
-        if (load.pressure() > PRESSURE_GOAL) {
+        if (load.objectiveRatio() > TARGET_OBJECTIVE_RATIO) {
             load.limitTo(Math.max(settings.leastLimit(), load.limit() - LIMIT_STEP));
             return;
         }
         boolean isUsed = load.attemptsInFlight() + 1 >= load.limit() * USED_SHARE;
         long sinceConnectionLimit = context.now() - server.connections().connectionsLimitedAt();
-        if (isUsed && sinceConnectionLimit > Liveness.CONFIRMATION_LASTS) {
+        if (isUsed && sinceConnectionLimit > Liveness.CONFIRMATION_VALIDITY) {
             load.limitTo(load.limit() + LIMIT_STEP);
         }
     }
@@ -120,7 +120,7 @@
      */
     void learnConnectFailure(ServerState server, long duration) {
         boolean immediate = duration < HealthChecker.PROMPT_ANSWER;
-        server.connections().recordConnectFailure(immediate, REFUSALS_IN_A_ROW_WITHIN, context.now());
+        server.connections().recordConnectFailure(immediate, CONSECUTIVE_REFUSAL_WINDOW, context.now());
     }
 
     /** Limits the server to its attempts in flight if the current event limited its connections. */
@@ -138,7 +138,7 @@
         ConnectionStatus connections = server.connections();
         long jitter = random.nextLong(HealthChecker.PROMPT_ANSWER);
         long backoff = 2 * connections.rejectionBackoff() + HealthChecker.PROMPT_ANSWER + jitter;
-        connections.recordRejection(context.now(), Math.min(Liveness.CONFIRMATION_LASTS, backoff));
+        connections.recordRejection(context.now(), Math.min(Liveness.CONFIRMATION_VALIDITY, backoff));
         limitToInFlight(server);
     }
 
--- a/gateway/src/main/java/ploverdale/routing/ConnectionScarcity.java
+++ b/gateway/src/main/java/ploverdale/routing/ConnectionScarcity.java
@@ -10,13 +10,13 @@
  */
 final class ConnectionScarcity {
     /** How long the shortage is assumed to last after it was last observed. */
-    private static final long LASTS = Ticks.ofMillis(10_000);
+    private static final long ASSUMED_DURATION = Ticks.ofMillis(10_000);
 
     private long until = LoadReport.UNKNOWN_TIME;
 
     /** Records that a server is short of connections. */
     void begin(long now) {
-        until = now + LASTS;
+        until = now + ASSUMED_DURATION;
     }
 
     /** Returns whether idle connections have to be closed. */
--- a/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void primaryVerified(long now, ServerId server, boolean right) {
-        protocol.onRoleVerified(now, server, right);
+    public void primaryVerified(long now, ServerId server, boolean confirmed) {
+        protocol.onRoleVerified(now, server, confirmed);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -66,9 +66,9 @@
      * of its server, and no server changes twice in one revision.
      */
     private boolean skipsRevisions(long revision) {
-        boolean areKnown =
+        boolean bothKnown =
                 revision != EndpointUpdate.UNKNOWN_REVISION && lastRevision != EndpointUpdate.UNKNOWN_REVISION;
-        return areKnown && revision != lastRevision && revision != lastRevision + 1;
+        return bothKnown && revision != lastRevision && revision != lastRevision + 1;
     }
 
     private ServerState register(Endpoint entry) {
--- a/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
@@ -7,8 +7,8 @@
 /** Decides when to watch the endpoint list (again), in deployments where it has to be requested. */
 final class EndpointWatch {
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long SHORTEST_PAUSE = Ticks.ofMillis(500);
-    private static final int JITTER_MILLIS = 1000;
+    private static final long MIN_RETRY_DELAY = Ticks.ofMillis(500);
+    private static final int MAX_JITTER_MS = 1000;
 
     private final DecisionContext context;
     private final RandomGenerator random;
@@ -26,7 +26,7 @@
 
     /** Schedules the next request after one that failed, with jitter so that gateways do not retry at the same time. */
     void retryLater() {
-        dueAt = context.now() + SHORTEST_PAUSE + Ticks.ofMillis(random.nextInt(JITTER_MILLIS));
+        dueAt = context.now() + MIN_RETRY_DELAY + Ticks.ofMillis(random.nextInt(MAX_JITTER_MS));
     }
 
     /** Requests the list if it is time to. */
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
@@ -7,7 +7,7 @@
 
 /**
  * Servers waiting for a health check that no request needs: newly listed ones, and those whose last check was
- * inconclusive. A queued check is sent only while fewer than {@link #MOST_IN_FLIGHT} checks are in flight. Not
+ * inconclusive. A queued check is sent only while fewer than {@link #MAX_IN_FLIGHT} checks are in flight. Not
  * thread-safe.
  */
 final class HealthCheckQueue {
@@ -16,7 +16,7 @@
      * event loop about 0.2 ms. With 128 checks the last one is written within 30 ms, far less than the time limit of a
      * check (250 ms, the same as for a connection).
      */
-    static final int MOST_IN_FLIGHT = 128;
+    static final int MAX_IN_FLIGHT = 128;
 
     /** In order of arrival. */
     private final Set<ServerState> waiting = new LinkedHashSet<>();
@@ -43,7 +43,7 @@
      * flight.
      */
     ServerState next() {
-        if (waiting.isEmpty() || inFlight >= MOST_IN_FLIGHT) {
+        if (waiting.isEmpty() || inFlight >= MAX_IN_FLIGHT) {
             return null;
         }
         Iterator<ServerState> oldestFirst = waiting.iterator();
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -24,7 +24,7 @@
      * Longest duration of a check: one on an idle connection that the server has dropped fails after 100 ms and is
      * followed by one on a new connection.
      */
-    private static final long LONGEST_CHECK = Ticks.ofMillis(250);
+    private static final long MAX_CHECK_DURATION = Ticks.ofMillis(250);
 
     private final DecisionContext context;
     private final Capabilities capabilities;
@@ -156,16 +156,16 @@
         return group.members().stream().noneMatch(this::isConfirmed)
                 && group.members().stream()
                         .anyMatch(server -> server.isConfirmedServing()
-                                && server.healthCheck().isInFlightFor(LONGEST_CHECK, context.now()));
+                                && server.healthCheck().isInFlightFor(MAX_CHECK_DURATION, context.now()));
     }
 
     /** Starts a periodic pass over all servers. */
-    PeriodicRound beginPeriodicRound() {
-        return new PeriodicRound();
+    PeriodicPass beginPeriodicPass() {
+        return new PeriodicPass();
     }
 
     /** A pass over all servers that checks the one with the oldest load report, if that report is old enough. */
-    final class PeriodicRound {
+    final class PeriodicPass {
         private final long now = context.now();
         private long oldestReport = now - (gossip.isNeededForPositions() ? recheckInterval() : checkInterval);
         private ServerState oldest;
--- a/gateway/src/main/java/ploverdale/routing/LatencyEstimates.java
+++ b/gateway/src/main/java/ploverdale/routing/LatencyEstimates.java
@@ -9,13 +9,13 @@
 /** The latency estimates of all request classes. */
 final class LatencyEstimates {
     /** Before any answer, the latency of a class is estimated as its latency objective divided by this. */
-    private static final double INITIAL_SHARE = 5.0;
+    private static final double INITIAL_DIVISOR = 5.0;
 
     private final List<LatencyEstimate> byClass = new ArrayList<>();
 
     LatencyEstimates(List<RequestClass> requestClasses) {
         for (RequestClass requestClass : requestClasses) {
-            byClass.add(new LatencyEstimate(requestClass.latencyObjective() / INITIAL_SHARE));
+            byClass.add(new LatencyEstimate(requestClass.latencyObjective() / INITIAL_DIVISOR));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -14,9 +14,9 @@
  * a single server. That is
  * <ul>
  *   <li>time in which this process did not run, as reported by its event loop;
- *   <li>time in which nearly all servers were unresponsive together, for at most {@link #LONGEST_COMMON_CAUSE}. After
- *       that, their unresponsiveness is attributed to the servers again, whatever its cause, until most of them have
- *       answered or {@link #EPISODE_GAP} has passed without another sign of a common cause.
+ *   <li>time in which nearly all servers were unresponsive together, for at most {@link #MAX_COMMON_CAUSE_DURATION}.
+ *       After that, their unresponsiveness is attributed to the servers again, whatever its cause, until most of them
+ *       have answered or {@link #EPISODE_GAP} has passed without another sign of a common cause.
  * </ul>
  *
  * <p>Not thread-safe. Times are {@link Ticks}.
@@ -27,7 +27,7 @@
      * it is noticed (100 ms) and the time without answers that is needed again after it (400 ms,
      * {@link OutlierDetector#SHORTEST_SILENCE}), it is shorter than any restart of a server (1.5 s).
      */
-    static final long LONGEST_COMMON_CAUSE = Ticks.ofMillis(500);
+    static final long MAX_COMMON_CAUSE_DURATION = Ticks.ofMillis(500);
 
     /**
      * Time after the last sign of a common cause, after which the next sign begins a new episode if most servers have
@@ -39,31 +39,31 @@
      * Share of the other servers that must be unresponsive at the same time. It is above two thirds, so that the loss
      * of two zones of three is not taken for a common cause, with a margin for single slow servers in addition.
      */
-    private static final double NEARLY_ALL = 0.75;
+    private static final double COMMON_CAUSE_SHARE = 0.75;
 
     /** With fewer servers, unresponsiveness is never put down to a common cause. */
-    private static final int FEWEST_SERVERS = 4;
+    private static final int MIN_SERVERS = 4;
     /**
      * Time without answers after which a server counts as unresponsive; an answer that needs no work takes at most half
      * of this.
      */
-    private static final long NOTICED_AFTER = Ticks.ofMillis(100);
+    private static final long UNRESPONSIVE_AFTER = Ticks.ofMillis(100);
     /**
      * Number of missing answers after which a server counts as unresponsive. A single server exceeds it by chance once
      * in twenty times; nearly all servers at the same time never do.
      */
-    private static final double ANSWERS_MISSING = 3;
+    private static final double MISSING_ANSWERS_THRESHOLD = 3;
     /** Enough for the last few seconds; older spans no longer explain anything. */
-    private static final int SPANS_KEPT = 64;
+    private static final int MAX_SPANS = 64;
 
     /**
      * Time in which missing answers are explained by this gateway or by a common cause.
      *
      * @param from start of the span
      * @param until end of the span
-     * @param workedOffAt when the backlog that built up in the span has been worked off
+     * @param backlogClearedAt when the backlog that built up in the span has been worked off
      */
-    private record ExplainedSpan(long from, long until, long workedOffAt) {}
+    private record ExplainedSpan(long from, long until, long backlogClearedAt) {}
 
     private final Deque<ExplainedSpan> explained = new ArrayDeque<>(); // ordered and disjoint
     private boolean episodeOver = true;
@@ -75,7 +75,7 @@
      * ones.
      */
     void processDelayed(long from, long until) {
-        explain(from, until, until + Math.min(until - from, LONGEST_COMMON_CAUSE));
+        explain(from, until, until + Math.min(until - from, MAX_COMMON_CAUSE_DURATION));
     }
 
     /** Returns how much of this span is explained by something other than a single server, in ticks. */
@@ -99,7 +99,7 @@
     boolean inconclusive(long from, long until) {
         long sum = 0;
         for (ExplainedSpan span : explained) {
-            sum += Math.max(0, Math.min(until, span.workedOffAt) - Math.max(from, span.from));
+            sum += Math.max(0, Math.min(until, span.backlogClearedAt) - Math.max(from, span.from));
         }
         return sum > 0 && 2 * sum >= until - from;
     }
@@ -108,8 +108,8 @@
      * Records that a server has not answered since a time. Returns whether nearly all other servers have not answered
      * either; the span then counts as explained.
      */
-    boolean commonSilence(long now, ServerState silentServer, long since, Collection<ServerState> servers) {
-        return nearlyAllSilent(now, silentServer, since, servers) && recordSign(now, since);
+    boolean commonSilence(long now, ServerState unresponsiveServer, long since, Collection<ServerState> servers) {
+        return nearlyAllUnresponsive(now, unresponsiveServer, since, servers) && recordSign(now, since);
     }
 
     private boolean recordSign(long now, long since) {
@@ -118,9 +118,9 @@
             episodeOver = false;
         }
         lastSignAt = now;
-        boolean hasCommonCause = now - episodeBegan < LONGEST_COMMON_CAUSE;
+        boolean hasCommonCause = now - episodeBegan < MAX_COMMON_CAUSE_DURATION;
         if (hasCommonCause) {
-            explain(since, now, now + Math.min(NOTICED_AFTER + now - episodeBegan, LONGEST_COMMON_CAUSE));
+            explain(since, now, now + Math.min(UNRESPONSIVE_AFTER + now - episodeBegan, MAX_COMMON_CAUSE_DURATION));
         }
         return hasCommonCause;
     }
@@ -134,15 +134,15 @@
             episodeOver = true;
         }
         int confirmed = 0;
-        int silent = 0;
+        int unresponsive = 0;
         for (ServerState server : servers) {
             if (server.isConfirmedServing()) {
                 confirmed++;
-                silent += answersAreMissing(server, now) ? 1 : 0;
+                unresponsive += answersAreMissing(server, now) ? 1 : 0;
             }
         }
-        if (isNearlyAll(silent, confirmed)) {
-            recordSign(now, now - NOTICED_AFTER);
+        if (isNearlyAll(unresponsive, confirmed)) {
+            recordSign(now, now - UNRESPONSIVE_AFTER);
         }
     }
 
@@ -161,7 +161,7 @@
     /** Returns whether the server has been unresponsive for a short time while it has attempts in flight. */
     private static boolean answersAreMissing(ServerState server, long now) {
         long respondedAt = server.liveness().respondedAt();
-        if (server.load().inFlight().isEmpty() || now - respondedAt < NOTICED_AFTER) {
+        if (server.load().inFlight().isEmpty() || now - respondedAt < UNRESPONSIVE_AFTER) {
             return false;
         }
         double inflation = Math.max(1, server.load().measuredInflation());
@@ -170,7 +170,7 @@
             long waited = now - Math.max(request.attemptStartedAt(), respondedAt);
             missing += waited / (request.usualLatency() * inflation);
         }
-        return missing > ANSWERS_MISSING;
+        return missing > MISSING_ANSWERS_THRESHOLD;
     }
 
     /**
@@ -185,12 +185,12 @@
      * Returns whether nearly all other servers have not answered since a time. A server that was never confirmed counts
      * only once its health check is overdue.
      */
-    private static boolean nearlyAllSilent(
-            long now, ServerState silentServer, long since, Collection<ServerState> servers) {
+    private static boolean nearlyAllUnresponsive(
+            long now, ServerState unresponsiveServer, long since, Collection<ServerState> servers) {
         int others = 0;
         int unanswered = 0;
         for (ServerState server : servers) {
-            if (server == silentServer || !server.isServing()) {
+            if (server == unresponsiveServer || !server.isServing()) {
                 continue;
             }
             boolean missing = unansweredSince(server, since, now);
@@ -200,8 +200,8 @@
         return isNearlyAll(unanswered, others);
     }
 
-    private static boolean isNearlyAll(int silent, int servers) {
-        return servers >= FEWEST_SERVERS && silent > NEARLY_ALL * servers;
+    private static boolean isNearlyAll(int unresponsive, int servers) {
+        return servers >= MIN_SERVERS && unresponsive > COMMON_CAUSE_SHARE * servers;
     }
 
     /**
@@ -220,13 +220,13 @@
     }
 
     /** Adds the part of a span that is not explained yet. */
-    private void explain(long from, long until, long workedOffAt) {
+    private void explain(long from, long until, long backlogClearedAt) {
         ExplainedSpan last = explained.peekLast();
         long begin = last == null ? from : Math.max(from, last.until);
         if (begin < until) {
-            explained.addLast(new ExplainedSpan(begin, until, workedOffAt));
+            explained.addLast(new ExplainedSpan(begin, until, backlogClearedAt));
         }
-        if (explained.size() > SPANS_KEPT) {
+        if (explained.size() > MAX_SPANS) {
             explained.removeFirst();
         }
     }
--- a/gateway/src/main/java/ploverdale/routing/Maintenance.java
+++ b/gateway/src/main/java/ploverdale/routing/Maintenance.java
@@ -71,14 +71,14 @@
     }
 
     private void checkServers(long now) {
-        HealthChecker.PeriodicRound round = healthChecker.beginPeriodicRound();
+        HealthChecker.PeriodicPass pass = healthChecker.beginPeriodicPass();
         for (ServerState server : directory.servers()) {
             outlierDetector.checkForSilence(server);
             gossip.serverObserved(now, server.id());
             endpoints.endUnconfirmedDrain(server);
-            round.consider(server);
+            pass.consider(server);
         }
-        round.finish();
+        pass.finish();
     }
 
     /** Sends datagrams to peers. */
--- a/gateway/src/main/java/ploverdale/routing/MaintenanceTimer.java
+++ b/gateway/src/main/java/ploverdale/routing/MaintenanceTimer.java
@@ -5,7 +5,7 @@
 /** Sets the timer for periodic maintenance, so that it runs as early as any component needs it and no more often. */
 final class MaintenanceTimer {
     /** The mark of the timer, which is passed back when it fires; there is only this one timer. */
-    private static final long MARK = 0;
+    private static final long TIMER_MARK = 0;
 
     private final DecisionContext context;
     /** When the next run is scheduled. The minimum value has the first timer event of the gateway run maintenance. */
@@ -24,7 +24,7 @@
         long at = context.now() + span;
         if (at < nextAt) {
             nextAt = at;
-            context.emit(new Action.SetTimer(at, MARK));
+            context.emit(new Action.SetTimer(at, TIMER_MARK));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/state/AnswerLoss.java
+++ b/gateway/src/main/java/ploverdale/state/AnswerLoss.java
@@ -4,9 +4,9 @@
 public final class AnswerLoss {
     private static final double NEWEST_WEIGHT = 0.1;
     /** Latency inflation of received answers from which on a missing answer is attributed to load. */
-    private static final double LOAD_FROM = 1.5;
+    private static final double LOAD_INFLATION = 1.5;
     /** If more answers than this are missing in a row, they were not lost on the network. */
-    private static final int LOST_IN_A_ROW = 2;
+    private static final int MAX_LOST_IN_A_ROW = 2;
     /**
      * Share of lost answers that justifies early retries. It has to be above one in twenty, the share of answers that
      * long requests alone miss.
@@ -35,14 +35,14 @@
      */
     public boolean recordMissing() {
         missedInARow++;
-        boolean lost = missedInARow <= LOST_IN_A_ROW && answeredInflation < LOAD_FROM;
+        boolean lost = missedInARow <= MAX_LOST_IN_A_ROW && answeredInflation < LOAD_INFLATION;
         lostShare += lost ? NEWEST_WEIGHT * (1 - lostShare) : 0;
         return lost;
     }
 
     /** Returns the most that a lost answer counts as load, as a multiple of the usual latency. */
     public static double loadOfLostAnswer() {
-        return LOAD_FROM;
+        return LOAD_INFLATION;
     }
 
     /** Returns whether enough answers are lost that an early retry is worth its cost. */
--- a/gateway/src/main/java/ploverdale/state/ConnectionStatus.java
+++ b/gateway/src/main/java/ploverdale/state/ConnectionStatus.java
@@ -16,11 +16,11 @@
     }
 
     /**
-     * Returns whether the server refused several connections in a row, the last one less than {@code lessThan} ticks
+     * Returns whether the server refused several connections in a row, the last one less than {@code maxAge} ticks
      * ago.
      */
-    public boolean isRefusing(long lessThan, long now) {
-        return refusing && now - connectFailedAt < lessThan;
+    public boolean isRefusing(long maxAge, long now) {
+        return refusing && now - connectFailedAt < maxAge;
     }
 
     /** Returns when failed connections last lowered the server's concurrency limit. */
@@ -32,10 +32,10 @@
      * Records that a connection could not be established.
      *
      * @param immediate whether it was refused immediately, rather than not established in time
-     * @param rowWithin the longest time between consecutive refusals, in ticks
+     * @param maxInterval the longest time between consecutive refusals, in ticks
      */
-    public void recordConnectFailure(boolean immediate, long rowWithin, long now) {
-        refusing = immediate && now - connectFailedAt < rowWithin;
+    public void recordConnectFailure(boolean immediate, long maxInterval, long now) {
+        refusing = immediate && now - connectFailedAt < maxInterval;
         connectFailedAt = now;
         if (refusing || !immediate) {
             connectionsLimitedAt = now;
--- a/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
+++ b/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
@@ -32,7 +32,7 @@
      * How long a drain reported by a peer is in force without confirmation by this gateway's own list; longer than the
      * delay of any list.
      */
-    private static final long REPORTED_DRAIN_LASTS = Ticks.ofMillis(10_000);
+    private static final long REPORTED_DRAIN_VALIDITY = Ticks.ofMillis(10_000);
 
     private ZoneId zone;
     private EndpointState state = EndpointState.IN;
@@ -129,7 +129,7 @@
 
     /** Returns whether a drain reported at this time is still in force. */
     public static boolean reportedDrainBinds(long reportedAt, long now) {
-        return now - reportedAt < REPORTED_DRAIN_LASTS;
+        return now - reportedAt < REPORTED_DRAIN_VALIDITY;
     }
 
     /** Returns whether the server is draining only by a peer's report, which no list has confirmed in time. */
--- a/gateway/src/main/java/ploverdale/state/HealthCheckProgress.java
+++ b/gateway/src/main/java/ploverdale/state/HealthCheckProgress.java
@@ -17,9 +17,9 @@
         return inFlight;
     }
 
-    /** Returns whether a health check is in flight that was sent less than {@code lessThan} ticks ago. */
-    public boolean isInFlightFor(long lessThan, long now) {
-        return inFlight && now - sentAt < lessThan;
+    /** Returns whether a health check is in flight that was sent less than {@code maxAge} ticks ago. */
+    public boolean isInFlightFor(long maxAge, long now) {
+        return inFlight && now - sentAt < maxAge;
     }
 
     /** Records that a health check was sent. */
--- a/gateway/src/main/java/ploverdale/state/LatencyEstimate.java
+++ b/gateway/src/main/java/ploverdale/state/LatencyEstimate.java
@@ -12,13 +12,13 @@
     public static final double RARELY_EXCEEDED = 2.5;
 
     /** Time constant with which the usual latency follows the recent average upward. */
-    private static final double RISES_IN = Ticks.ofMillis(60_000);
+    private static final double RISE_TIME_CONSTANT = Ticks.ofMillis(60_000);
     /** Weight with which the usual latency follows the recent average downward, at each answer. */
     private static final double FALL_WEIGHT = 0.1;
     /** Lower bound of the weight of the newest answer in the recent average. */
-    private static final double LEAST_WEIGHT = 0.02;
+    private static final double MIN_WEIGHT = 0.02;
     /** Until this many answers, the usual latency follows the average quickly in both directions. */
-    private static final int FIRST_SAMPLES = 20;
+    private static final int INITIAL_SAMPLES = 20;
 
     private double recent;
     private double usual;
@@ -44,15 +44,15 @@
     /** Records the latency of an answer, in ticks. */
     public void observe(long latency, long now) {
         samples++;
-        recent += Math.max(1.0 / samples, LEAST_WEIGHT) * (latency - recent);
+        recent += Math.max(1.0 / samples, MIN_WEIGHT) * (latency - recent);
         usual += usualWeight(now) * (recent - usual);
         observedAt = now;
     }
 
     private double usualWeight(long now) {
-        if (recent < usual || samples < FIRST_SAMPLES) {
+        if (recent < usual || samples < INITIAL_SAMPLES) {
             return FALL_WEIGHT;
         }
-        return Math.min(1, (now - observedAt) / RISES_IN);
+        return Math.min(1, (now - observedAt) / RISE_TIME_CONSTANT);
     }
 }
--- a/gateway/src/main/java/ploverdale/state/Liveness.java
+++ b/gateway/src/main/java/ploverdale/state/Liveness.java
@@ -6,7 +6,7 @@
 /** When a server last proved to be alive, to this gateway and to its peers. */
 public final class Liveness {
     /** A server whose last confirmation is older gets no request until a health check has succeeded. */
-    public static final long CONFIRMATION_LASTS = Ticks.ofMillis(2000);
+    public static final long CONFIRMATION_VALIDITY = Ticks.ofMillis(2000);
 
     private long confirmedAt = LoadReport.UNKNOWN_TIME;
     private long aliveAt = LoadReport.UNKNOWN_TIME;
@@ -32,7 +32,7 @@
 
     /** Returns whether the server was confirmed recently enough to get a request. */
     public boolean isConfirmed(long now) {
-        return now - confirmedAt <= CONFIRMATION_LASTS;
+        return now - confirmedAt <= CONFIRMATION_VALIDITY;
     }
 
     /** Returns when the server last answered any gateway, as far as known here. */
@@ -105,7 +105,7 @@
 
     /** Makes the server count as unconfirmed until its next answer. */
     public void expireConfirmation(long now) {
-        confirmedAt = Math.min(confirmedAt, now - CONFIRMATION_LASTS - 1);
+        confirmedAt = Math.min(confirmedAt, now - CONFIRMATION_VALIDITY - 1);
     }
 
     /** Records that a peer observed the server alive at this time, which counts as an answer to this gateway. */
--- a/gateway/src/main/java/ploverdale/state/Load.java
+++ b/gateway/src/main/java/ploverdale/state/Load.java
@@ -14,11 +14,11 @@
  */
 public final class Load {
     /** Time constant with which a latency inflation that no newer answer confirms decays. */
-    private static final double INFLATION_FADES_IN = Ticks.ofMillis(4000);
+    private static final double INFLATION_DECAY_TIME = Ticks.ofMillis(4000);
 
     private final Map<RequestId, PendingRequest> inFlight = new LinkedHashMap<>();
     private double limit;
-    private double pressure;
+    private double objectiveRatio;
     private double utilization;
     private double inflation = 1;
     private long inflationAt;
@@ -74,13 +74,13 @@
     }
 
     /** Returns the moving average of latency as a part of the requests' latency objective. */
-    public double pressure() {
-        return pressure;
+    public double objectiveRatio() {
+        return objectiveRatio;
     }
 
-    /** Moves the average of {@link #pressure} toward the newest value. */
-    public void recordPressure(double newest, double weight) {
-        pressure += weight * (newest - pressure);
+    /** Moves the average of {@link #objectiveRatio} toward the newest value. */
+    public void recordObjectiveRatio(double newest, double weight) {
+        objectiveRatio += weight * (newest - objectiveRatio);
     }
 
     /** Returns the busy share of the server's cores according to its latest load report. */
@@ -100,7 +100,7 @@
 
     /** Returns the current latency inflation, decayed toward 1 since it was last measured. */
     public double inflation(long now) {
-        return 1 + (inflation - 1) * Math.exp(-(now - inflationAt) / INFLATION_FADES_IN);
+        return 1 + (inflation - 1) * Math.exp(-(now - inflationAt) / INFLATION_DECAY_TIME);
     }
 
     /** Returns how long ago the latency inflation was last measured, in ticks. */
--- a/gateway/src/test/java/ploverdale/routing/AdmissionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/AdmissionTest.java
@@ -22,11 +22,11 @@
         driver.replicasLagBy(1100);
         assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("p");
-        RequestId refused = null;
+        RequestId latest = null;
         for (int i = 0; i < 30; i++) {
-            refused = driver.request(TestRouterSettings.BOUNDED_READ);
+            latest = driver.request(TestRouterSettings.BOUNDED_READ);
         }
-        RequestId last = refused;
+        RequestId last = latest;
         assertThat(driver.attempts(last)).isEmpty();
         assertThat(driver.rejections(last)).isEqualTo(1);
         assertThat(driver.actions)
@@ -45,16 +45,16 @@
 
     @Test
     void aServerThatReportsHighUtilizationGetsFewerReads() {
-        RouterDriver small = new RouterDriver(new TestRouterSettings().gateways(100));
-        small.updateEndpoints(true, "r1");
-        small.deliver(new Event.HealthCheckEnded(
-                new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, small.nowMs * 10, 1.1)));
-        assertThat(small.attempts(small.request(TestRouterSettings.UNBOUNDED_READ)))
+        RouterDriver manyGateways = new RouterDriver(new TestRouterSettings().gateways(100));
+        manyGateways.updateEndpoints(true, "r1");
+        manyGateways.deliver(new Event.HealthCheckEnded(
+                new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, manyGateways.nowMs * 10, 1.1)));
+        assertThat(manyGateways.attempts(manyGateways.request(TestRouterSettings.UNBOUNDED_READ)))
                 .isEmpty();
-        small.nowMs += 200;
-        small.deliver(new Event.HealthCheckEnded(
-                new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, small.nowMs * 10, 0.5)));
-        assertThat(small.attempts(small.request(TestRouterSettings.UNBOUNDED_READ)))
+        manyGateways.nowMs += 200;
+        manyGateways.deliver(new Event.HealthCheckEnded(
+                new ServerId("r1"), Outcome.SUCCEEDED, new LoadReport(Role.REPLICA, manyGateways.nowMs * 10, 0.5)));
+        assertThat(manyGateways.attempts(manyGateways.request(TestRouterSettings.UNBOUNDED_READ)))
                 .containsExactly("r1");
     }
 
@@ -79,18 +79,18 @@
     }
 
     @Test
-    void whileCapacityIsShortRequestsWithinTheTenantsQuotaGoBeforeThoseBeyondIt() {
+    void whileCapacityIsShortRequestsWithinTheTenantsAgreedTrafficGoBeforeThoseBeyondIt() {
         driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
-        List<RequestId> asked = new ArrayList<>();
+        List<RequestId> writes = new ArrayList<>();
         for (int i = 0; i < 130; i++) {
-            asked.add(driver.request(TestRouterSettings.WRITE));
+            writes.add(driver.request(TestRouterSettings.WRITE));
         }
         driver.nowMs += 400;
         driver.healthCheckSucceeded("r1", Role.PRIMARY, driver.nowMs);
-        assertThat(asked.subList(0, 99))
+        assertThat(writes.subList(0, 99))
                 .filteredOn(request -> !driver.attempts(request).isEmpty())
                 .isNotEmpty();
-        assertThat(asked.subList(100, 130))
+        assertThat(writes.subList(100, 130))
                 .allMatch(request -> driver.attempts(request).isEmpty());
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
+++ b/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
@@ -13,7 +13,7 @@
  */
 class CommonSilenceTest {
     private static final int SERVERS = 240;
-    private static final int OPS_PER_SECOND = 500;
+    private static final int REQUESTS_PER_SECOND = 500;
     private static final long SEED = 7;
 
     private static VirtualFleet fleet(int servers) {
@@ -23,8 +23,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "200, true"})
-    void aPauseOfAllMachinesRightAfterTheStartEjectsNoServer(long after, boolean gatewayToo) {
-        VirtualFleet fleet = fleet(SERVERS).paused(after, 300, gatewayToo).play(10_000, OPS_PER_SECOND);
+    void aPauseOfAllMachinesRightAfterTheStartEjectsNoServer(long pausedAtMs, boolean gatewayToo) {
+        VirtualFleet fleet = fleet(SERVERS).withPause(pausedAtMs, 300, gatewayToo).simulate(10_000, REQUESTS_PER_SECOND);
         report(fleet, "paused after the start");
         assertThat(fleet.everEjected()).isEmpty();
         assertThat(fleet.succeeded).isGreaterThan(4500);
@@ -34,26 +34,26 @@
     @ValueSource(ints = {1, 2, 15})
     void aPauseOfTheGatewayEjectsNoServerOfASmallFleet(int servers) {
         VirtualFleet fleet =
-                fleet(servers).paused(1, 300, true).paused(5000, 600, true).play(10_000, OPS_PER_SECOND);
+                fleet(servers).withPause(1, 300, true).withPause(5000, 600, true).simulate(10_000, REQUESTS_PER_SECOND);
         report(fleet, servers + " servers, gateway paused");
         assertThat(fleet.everEjected()).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"300, true", "300, false", "600, true", "600, false", "2000, true"})
-    void aPauseDuringServiceEjectsNoServer(long lasts, boolean gatewayToo) {
-        VirtualFleet fleet = fleet(SERVERS).paused(5000, lasts, gatewayToo).play(12_000, 2 * OPS_PER_SECOND);
-        report(fleet, "paused during service for " + lasts + " ms");
+    void aPauseDuringServiceEjectsNoServer(long durationMs, boolean gatewayToo) {
+        VirtualFleet fleet = fleet(SERVERS).withPause(5000, durationMs, gatewayToo).simulate(12_000, 2 * REQUESTS_PER_SECOND);
+        report(fleet, "paused during service for " + durationMs + " ms");
         assertThat(fleet.everEjected()).isEmpty();
     }
 
     @Test
     void frequentPausesEjectNoLiveServerAndADeadServerIsStillDetected() {
-        VirtualFleet fleet = fleet(30).die(5000, 7, 8);
+        VirtualFleet fleet = fleet(30).kill(5000, 7, 8);
         for (long at = 2000; at < 15_000; at += 250) {
-            fleet.paused(at, 150, true);
+            fleet.withPause(at, 150, true);
         }
-        fleet.play(15_000, OPS_PER_SECOND);
+        fleet.simulate(15_000, REQUESTS_PER_SECOND);
         report(fleet, "paused repeatedly");
         assertThat(fleet.everEjected()).containsOnlyKeys(VirtualFleet.id(7));
     }
@@ -74,14 +74,14 @@
         "2, 2, 410.0, 410",
         "1, 1, 410.0, 410",
     })
-    void deadServersAreDetectedAsSoonAsWithoutTheSelfCheck(int servers, int dead, double meanBefore, long lastBefore) {
-        VirtualFleet fleet = fleet(servers).die(5000, servers - dead, servers).play(15_000, 2 * OPS_PER_SECOND);
+    void deadServersAreDetectedAsSoonAsWithoutLocalHealthAwareness(int servers, int dead, double meanMsWithout, long longestMsWithout) {
+        VirtualFleet fleet = fleet(servers).kill(5000, servers - dead, servers).simulate(15_000, 2 * REQUESTS_PER_SECOND);
         report(fleet, dead + " of " + servers + " die");
         assertThat(fleet.everEjected()).hasSize(dead);
         assertThat(fleet.ejected()).hasSize(dead);
         // with more than 128 servers the first health checks are queued, which changes the order of random numbers
-        assertThat(fleet.detectedAfter(5000)).isLessThan(meanBefore + (servers > 128 ? 5 : 0.1));
-        assertThat(fleet.lastDetectedAfter(5000)).isLessThanOrEqualTo(lastBefore);
+        assertThat(fleet.meanDetectionTime(5000)).isLessThan(meanMsWithout + (servers > 128 ? 5 : 0.1));
+        assertThat(fleet.lastDetectionTime(5000)).isLessThanOrEqualTo(longestMsWithout);
     }
 
     /**
@@ -90,20 +90,20 @@
      */
     @ParameterizedTest
     @CsvSource({"15, 430", "240, 1050"})
-    void whereAllServersDieTheyAreEjectedSoon(int servers, long lastBefore) {
-        VirtualFleet fleet = fleet(servers).die(5000, 0, servers).play(15_000, 2 * OPS_PER_SECOND);
+    void ifAllServersDieTheyAreEjectedSoon(int servers, long longestMsWithout) {
+        VirtualFleet fleet = fleet(servers).kill(5000, 0, servers).simulate(15_000, 2 * REQUESTS_PER_SECOND);
         report(fleet, "all of " + servers + " die");
         assertThat(fleet.ejected()).hasSize(servers);
-        assertThat(fleet.lastDetectedAfter(5000)).isLessThan(lastBefore + 750);
+        assertThat(fleet.lastDetectionTime(5000)).isLessThan(longestMsWithout + 750);
     }
 
     @Test
     void withMostServersDeadReadsContinueAtThoseThatAnswer() {
         VirtualFleet fleet = fleet(60);
         for (int group = 0; group < 12; group++) {
-            fleet.die(5000, 5 * group, 5 * group + 4); // only the last replica of each group stays alive
+            fleet.kill(5000, 5 * group, 5 * group + 4); // only the last replica of each group stays alive
         }
-        fleet.play(15_000, 200);
+        fleet.simulate(15_000, 200);
         report(fleet, "four in five die");
         assertThat(fleet.ejected()).hasSize(48);
         assertThat(fleet.succeeded).isGreaterThanOrEqualTo(2411); // the number without local health awareness
@@ -111,7 +111,7 @@
 
     @Test
     void aServerThatNeverAnsweredIsEjectedAtItsFirstCheck() {
-        VirtualFleet fleet = fleet(SERVERS).die(0, SERVERS - 80, SERVERS).play(10_000, OPS_PER_SECOND);
+        VirtualFleet fleet = fleet(SERVERS).kill(0, SERVERS - 80, SERVERS).simulate(10_000, REQUESTS_PER_SECOND);
         report(fleet, "80 of 240 were never alive");
         assertThat(fleet.everEjected()).hasSize(80);
     }
@@ -119,21 +119,21 @@
     @ParameterizedTest
     @CsvSource({"15, 15", "120, 120", "240, 128"})
     void theFirstEndpointListStartsABoundedNumberOfHealthChecks(int servers, int atOnce) {
-        VirtualFleet fleet = fleet(servers).play(200, 0);
+        VirtualFleet fleet = fleet(servers).simulate(200, 0);
         assertThat(fleet.mostHealthChecksInFlight()).isEqualTo(atOnce);
     }
 
     /** Prints the figures of a run. */
-    private static void report(VirtualFleet fleet, String what) {
+    private static void report(VirtualFleet fleet, String label) {
         System.out.printf(
                 "%s: %d ejected, the last at %d ms (from 5000: mean %.1f), still ejected %d, last readmission at "
                         + "%d ms, %d requests succeeded, at most %d checks at once%n",
-                what,
+                label,
                 fleet.everEjected().size(),
-                fleet.everEjected().isEmpty() ? -1 : fleet.lastDetectedAfter(0),
-                fleet.everEjected().isEmpty() ? 0 : fleet.detectedAfter(5000),
+                fleet.everEjected().isEmpty() ? -1 : fleet.lastDetectionTime(0),
+                fleet.everEjected().isEmpty() ? 0 : fleet.meanDetectionTime(5000),
                 fleet.ejected().size(),
-                fleet.lastReturn(),
+                fleet.lastReadmission(),
                 fleet.succeeded,
                 fleet.mostHealthChecksInFlight());
     }
--- a/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
@@ -12,13 +12,13 @@
 
     @Test
     void anEmptyListRemovesNoServerWhereRemovalIsNotBinding() {
-        RouterDriver loose = new RouterDriver(new TestRouterSettings().removalNotBinding());
-        loose.updateEndpoints(true, "p", "r1");
-        loose.catchUp("p", "r1");
-        loose.updateEndpoints(true);
-        assertThat(loose.attempts(loose.request(TestRouterSettings.BOUNDED_READ)))
+        RouterDriver lenientDriver = new RouterDriver(new TestRouterSettings().removalNotBinding());
+        lenientDriver.updateEndpoints(true, "p", "r1");
+        lenientDriver.catchUp("p", "r1");
+        lenientDriver.updateEndpoints(true);
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
-        assertThat(loose.attempts(loose.request(TestRouterSettings.WRITE))).containsExactly("p");
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
@@ -33,11 +33,11 @@
 
     @Test
     void whereRemovalIsNotBindingAServerRemovedWithoutDrainingIsStillUsed() {
-        RouterDriver loose = new RouterDriver(new TestRouterSettings().removalNotBinding());
-        loose.updateEndpoints(true, "r1");
-        loose.healthCheckSucceeded("r1", Role.REPLICA, loose.nowMs);
-        loose.updateEndpoint("r1", EndpointState.GONE, 0);
-        assertThat(loose.attempts(loose.request(TestRouterSettings.BOUNDED_READ)))
+        RouterDriver lenientDriver = new RouterDriver(new TestRouterSettings().removalNotBinding());
+        lenientDriver.updateEndpoints(true, "r1");
+        lenientDriver.healthCheckSucceeded("r1", Role.REPLICA, lenientDriver.nowMs);
+        lenientDriver.updateEndpoint("r1", EndpointState.GONE, 0);
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -23,14 +23,14 @@
     private final RouterDriver driver = RouterDriver.withGossip(3);
 
     /** Returns an observation with these times in ms; a negative time is unknown. */
-    private ServerObservation observation(Role role, long roleMs, long positionMs, long aliveMs, long silentMs) {
+    private ServerObservation observation(Role role, long roleMs, long positionMs, long aliveMs, long unresponsiveMs) {
         return new ServerObservation(
                 role,
                 at(roleMs),
                 at(positionMs),
                 at(positionMs),
                 at(aliveMs),
-                at(silentMs),
+                at(unresponsiveMs),
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME);
     }
@@ -41,11 +41,11 @@
     }
 
     /** Delivers an observation of a server by a peer. */
-    private void gossipReceived(int from, String server, ServerObservation w) {
+    private void gossipReceived(int from, String server, ServerObservation received) {
         driver.deliver(new Event.GossipReceived(
                 from,
                 DatagramCodec.encode(new Datagram(
-                        Kind.OBSERVATIONS, driver.nowMs * 10, Map.of(ServerHash.of(new ServerId(server)), w)))));
+                        Kind.OBSERVATIONS, driver.nowMs * 10, Map.of(ServerHash.of(new ServerId(server)), received)))));
     }
 
     private List<Action.SendGossip> sentGossip() {
@@ -81,58 +81,58 @@
 
     @Test
     void aReadThatOnlyAPrimaryKnownFromGossipCouldServeWaitsForItsHealthCheck() {
-        RouterDriver driverOfMany =
+        RouterDriver driverOfLargeFleet =
                 RouterDriver.withGossip(300); // each checks few servers at its start; this one not p
-        driverOfMany.updateEndpoints(true, "p", "r1", "r2");
-        assertThat(driverOfMany.healthChecks("p")).isZero();
-        driverOfMany.healthCheckSucceeded("r1", Role.REPLICA, driverOfMany.nowMs);
-        driverOfMany.deliver(new Event.GossipReceived(
+        driverOfLargeFleet.updateEndpoints(true, "p", "r1", "r2");
+        assertThat(driverOfLargeFleet.healthChecks("p")).isZero();
+        driverOfLargeFleet.healthCheckSucceeded("r1", Role.REPLICA, driverOfLargeFleet.nowMs);
+        driverOfLargeFleet.deliver(new Event.GossipReceived(
                 1,
                 DatagramCodec.encode(new Datagram(
                         Kind.OBSERVATIONS,
-                        driverOfMany.nowMs * 10,
+                        driverOfLargeFleet.nowMs * 10,
                         Map.of(
                                 ServerHash.of(new ServerId("p")),
                                 observation(
                                         Role.PRIMARY,
-                                        driverOfMany.nowMs,
-                                        driverOfMany.nowMs,
-                                        driverOfMany.nowMs,
+                                        driverOfLargeFleet.nowMs,
+                                        driverOfLargeFleet.nowMs,
+                                        driverOfLargeFleet.nowMs,
                                         -1))))));
-        driverOfMany.nowMs += 1200; // makes the position of r1 too old
-        driverOfMany.healthCheckSucceeded("r1", Role.REPLICA, driverOfMany.nowMs - 1200);
-        RequestId request = driverOfMany.request(TestRouterSettings.BOUNDED_READ);
-        assertThat(driverOfMany.rejections(request)).isZero();
-        driverOfMany.healthCheckSucceeded("p", Role.PRIMARY, driverOfMany.nowMs);
-        assertThat(driverOfMany.attempts(request)).containsExactly("p");
+        driverOfLargeFleet.nowMs += 1200; // makes the position of r1 too old
+        driverOfLargeFleet.healthCheckSucceeded("r1", Role.REPLICA, driverOfLargeFleet.nowMs - 1200);
+        RequestId request = driverOfLargeFleet.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(driverOfLargeFleet.rejections(request)).isZero();
+        driverOfLargeFleet.healthCheckSucceeded("p", Role.PRIMARY, driverOfLargeFleet.nowMs);
+        assertThat(driverOfLargeFleet.attempts(request)).containsExactly("p");
     }
 
     /** Returns the event that a peer currently observes the server alive, in this role. */
-    private Event.GossipReceived observedByAnother(RouterDriver h, String server, Role role) {
+    private Event.GossipReceived observedByAnother(RouterDriver target, String server, Role role) {
         return new Event.GossipReceived(
                 1,
                 DatagramCodec.encode(new Datagram(
                         Kind.OBSERVATIONS,
-                        h.nowMs * 10,
+                        target.nowMs * 10,
                         Map.of(
                                 ServerHash.of(new ServerId(server)),
-                                observation(role, h.nowMs, h.nowMs, h.nowMs, -1)))));
+                                observation(role, target.nowMs, target.nowMs, target.nowMs, -1)))));
     }
 
     @Test
     void aSlowServerThatOtherGatewaysObserveIsCheckedAndNotEjected() {
-        RouterDriver driverOfMany = RouterDriver.withGossip(300);
-        driverOfMany.updateEndpoints(true, "p", "r1", "r2");
-        driverOfMany.catchUp("p", "r1", "r2");
-        assertThat(driverOfMany.attempts(driverOfMany.request(TestRouterSettings.WRITE)))
+        RouterDriver driverOfLargeFleet = RouterDriver.withGossip(300);
+        driverOfLargeFleet.updateEndpoints(true, "p", "r1", "r2");
+        driverOfLargeFleet.catchUp("p", "r1", "r2");
+        assertThat(driverOfLargeFleet.attempts(driverOfLargeFleet.request(TestRouterSettings.WRITE)))
                 .containsExactly("p");
-        long before = driverOfMany.healthChecks("p");
+        long before = driverOfLargeFleet.healthChecks("p");
         for (int i = 0; i < 15; i++) {
-            driverOfMany.advance(100); // in total, fifteen times the usual latency
-            driverOfMany.deliver(observedByAnother(driverOfMany, "p", Role.PRIMARY));
+            driverOfLargeFleet.advance(100); // in total, fifteen times the usual latency
+            driverOfLargeFleet.deliver(observedByAnother(driverOfLargeFleet, "p", Role.PRIMARY));
         }
-        assertThat(driverOfMany.logged("silent")).isFalse();
-        assertThat(driverOfMany.healthChecks("p")).isGreaterThan(before);
+        assertThat(driverOfLargeFleet.logged("silent")).isFalse();
+        assertThat(driverOfLargeFleet.healthChecks("p")).isGreaterThan(before);
     }
 
     @Test
@@ -149,14 +149,14 @@
         }
         driver.catchUp("p", "r1");
         assertThat(driver.logged("r1 returns")).isTrue();
-        int r1 = 0;
+        int requestsToR1 = 0;
         for (int i = 0; i < 20; i++) {
             RequestId request = driver.request(TestRouterSettings.UNBOUNDED_READ);
-            String to = driver.attempts(request).get(0);
-            r1 += to.equals("r1") ? 1 : 0;
-            driver.attemptEnded(request, 0, to, Outcome.SUCCEEDED, null);
+            String chosenServer = driver.attempts(request).get(0);
+            requestsToR1 += chosenServer.equals("r1") ? 1 : 0;
+            driver.attemptEnded(request, 0, chosenServer, Outcome.SUCCEEDED, null);
         }
-        assertThat(r1).isEqualTo(20); // r1 is the only replica
+        assertThat(requestsToR1).isEqualTo(20); // r1 is the only replica
     }
 
     @Test
@@ -188,7 +188,7 @@
     void aDrainFromGossipTakesEffectAtOnceAndAnOlderListDoesNotUndoIt() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
-        ServerObservation drains = new ServerObservation(
+        ServerObservation drain = new ServerObservation(
                 Role.UNKNOWN,
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME,
@@ -197,7 +197,7 @@
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME,
                 driver.nowMs * 10 - 100);
-        gossipReceived(1, "r1", drains);
+        gossipReceived(1, "r1", drain);
         driver.updateEndpoints(true, "p", "r1", "r2");
         for (int i = 0; i < 5; i++) {
             assertThat(driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ)))
@@ -254,14 +254,14 @@
                         LoadReport.UNKNOWN_TIME,
                         driver.nowMs * 10 - 100,
                         LoadReport.UNKNOWN_TIME));
-        int cold = 0;
+        int requestsToR1 = 0;
         for (int i = 0; i < 20; i++) {
-            cold += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
+            requestsToR1 += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
                             .contains("r1")
                     ? 1
                     : 0;
         }
-        assertThat(cold).isLessThan(8); // of 20; a warm replica would get half
+        assertThat(requestsToR1).isLessThan(8); // of 20; a warm replica would get half
     }
 
     @Test
@@ -304,10 +304,10 @@
         driver.deliver(new Event.GossipReceived(
                 2, DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, driver.nowMs * 10, Map.of()))));
         assertThat(sentGossip()).hasSize(1);
-        Map<Integer, ServerObservation> words =
+        Map<Integer, ServerObservation> sentObservations =
                 DatagramCodec.decode(sentGossip().get(0).bytes()).datagram().observations();
-        assertThat(words.get(ServerHash.of(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
-        assertThat(words.get(ServerHash.of(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
+        assertThat(sentObservations.get(ServerHash.of(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
+        assertThat(sentObservations.get(ServerHash.of(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
+++ b/gateway/src/test/java/ploverdale/routing/HealthCheckQueueTest.java
@@ -18,13 +18,13 @@
     }
 
     @Test
-    void serversAreTakenInTheirOrderWhileChecksOutAreUnderTheBound() {
+    void serversAreTakenInOrderWhileFewerChecksThanTheLimitAreInFlight() {
         ServerState first = server(0);
         ServerState second = server(1);
         queue.add(first);
         queue.add(second);
         queue.add(first);
-        for (int i = 0; i < HealthCheckQueue.MOST_IN_FLIGHT - 1; i++) {
+        for (int i = 0; i < HealthCheckQueue.MAX_IN_FLIGHT - 1; i++) {
             queue.sent(server(10 + i));
         }
         assertThat(queue.next()).isSameAs(first);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aServerThatWasCheckedMeanwhileWaitsNoMore() {
+    void aServerThatWasCheckedMeanwhileIsNoLongerQueued() {
         ServerState server = server(0);
         queue.add(server);
         queue.sent(server);
--- a/gateway/src/test/java/ploverdale/routing/HealthCheckingTest.java
+++ b/gateway/src/test/java/ploverdale/routing/HealthCheckingTest.java
@@ -13,13 +13,13 @@
 
     @Test
     void aNewGatewayChecksHealthAtOnceAndQueuesABoundedReadUntilAPositionIsKnown() {
-        RouterDriver fresh = new RouterDriver();
-        fresh.updateEndpoints(true, "r1");
-        assertThat(fresh.healthChecks("r1")).isEqualTo(1);
-        RequestId read = fresh.request(TestRouterSettings.BOUNDED_READ);
-        assertThat(fresh.attempts(read)).isEmpty();
-        fresh.healthCheckSucceeded("r1", Role.REPLICA, fresh.nowMs - 100);
-        assertThat(fresh.attempts(read)).containsExactly("r1");
+        RouterDriver newDriver = new RouterDriver();
+        newDriver.updateEndpoints(true, "r1");
+        assertThat(newDriver.healthChecks("r1")).isEqualTo(1);
+        RequestId read = newDriver.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(newDriver.attempts(read)).isEmpty();
+        newDriver.healthCheckSucceeded("r1", Role.REPLICA, newDriver.nowMs - 100);
+        assertThat(newDriver.attempts(read)).containsExactly("r1");
     }
 
     @Test
@@ -39,34 +39,34 @@
 
     @Test
     void unansweredFirstChecksAreRepeatedSoonUnlessOtherServersOfTheGroupAnswer() {
-        RouterDriver fresh = new RouterDriver();
-        fresh.updateEndpoints(true, "p", "r1");
-        fresh.healthCheckTimedOut("p");
-        fresh.healthCheckTimedOut("r1");
-        RequestId write = fresh.request(TestRouterSettings.WRITE);
-        fresh.advance(1000);
-        assertThat(fresh.healthChecks("p") + fresh.healthChecks("r1")).isGreaterThan(2);
-        fresh.healthCheckSucceeded("p", Role.PRIMARY, fresh.nowMs);
-        assertThat(fresh.attempts(write)).containsExactly("p");
-        fresh.updateEndpoints(false, "ghost");
-        fresh.healthCheckTimedOut("ghost");
-        fresh.advance(7000);
-        assertThat(fresh.healthChecks("ghost")).isEqualTo(1);
+        RouterDriver newDriver = new RouterDriver();
+        newDriver.updateEndpoints(true, "p", "r1");
+        newDriver.healthCheckTimedOut("p");
+        newDriver.healthCheckTimedOut("r1");
+        RequestId write = newDriver.request(TestRouterSettings.WRITE);
+        newDriver.advance(1000);
+        assertThat(newDriver.healthChecks("p") + newDriver.healthChecks("r1")).isGreaterThan(2);
+        newDriver.healthCheckSucceeded("p", Role.PRIMARY, newDriver.nowMs);
+        assertThat(newDriver.attempts(write)).containsExactly("p");
+        newDriver.updateEndpoints(false, "ghost");
+        newDriver.healthCheckTimedOut("ghost");
+        newDriver.advance(7000);
+        assertThat(newDriver.healthChecks("ghost")).isEqualTo(1);
     }
 
     @Test
     void theOnlyMemberOfAGroupIsCheckedWithoutBackoffWhenEjected() {
-        RouterDriver cut = new RouterDriver();
-        cut.updateEndpoints(true, "r1");
-        cut.catchUp("r1");
-        cut.nowMs += 3000;
+        RouterDriver driverOfOneServer = new RouterDriver();
+        driverOfOneServer.updateEndpoints(true, "r1");
+        driverOfOneServer.catchUp("r1");
+        driverOfOneServer.nowMs += 3000;
         for (int i = 0; i < 6; i++) {
-            cut.healthCheckTimedOut("r1");
+            driverOfOneServer.healthCheckTimedOut("r1");
         }
-        cut.nowMs += 200;
-        long before = cut.healthChecks("r1");
-        cut.request(TestRouterSettings.UNBOUNDED_READ);
-        assertThat(cut.healthChecks("r1")).isEqualTo(before + 1);
+        driverOfOneServer.nowMs += 200;
+        long before = driverOfOneServer.healthChecks("r1");
+        driverOfOneServer.request(TestRouterSettings.UNBOUNDED_READ);
+        assertThat(driverOfOneServer.healthChecks("r1")).isEqualTo(before + 1);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -17,13 +17,13 @@
 class LocalHealthTest {
     private static final long START = 1_000_000;
     /** Time limit of a health check. */
-    private static final long CHECK = 2_500;
+    private static final long CHECK_TIMEOUT = 2_500;
 
     private final LocalHealth health = new LocalHealth();
-    private final List<ServerState> members = new ArrayList<>();
+    private final List<ServerState> servers = new ArrayList<>();
 
     /** Adds confirmed servers, of which the first {@code checksMissed} have just missed a health check. */
-    private void servers(int count, int checksMissed) {
+    private void addServers(int count, int checksMissed) {
         ReplicaGroup group = new ReplicaGroup(new GroupId(1));
         for (int i = 0; i < count; i++) {
             ServerState server = new ServerState(new ServerId("s" + i), group, 8);
@@ -31,7 +31,7 @@
             if (i < checksMissed) {
                 server.liveness().recordCheckMissed(START);
             }
-            members.add(server);
+            servers.add(server);
         }
     }
 
@@ -39,8 +39,8 @@
      * Records that the first server has not answered for the duration of a health check; returns whether a common cause
      * explains it.
      */
-    private boolean doubt(long now) {
-        return health.commonSilence(now, members.get(0), now - CHECK, members);
+    private boolean hasCommonCause(long now) {
+        return health.commonSilence(now, servers.get(0), now - CHECK_TIMEOUT, servers);
     }
 
     @Test
@@ -53,11 +53,11 @@
     @Test
     void aShortDelayLeavesALongWaitConclusive() {
         health.processDelayed(START, START + 500);
-        assertThat(health.inconclusive(START, START + CHECK)).isFalse();
+        assertThat(health.inconclusive(START, START + CHECK_TIMEOUT)).isFalse();
     }
 
     @Test
-    void whatComesRightAfterADelayIsInconclusiveForAsLongAsItLasted() {
+    void aCheckRightAfterADelayIsInconclusiveForAsLongAsTheDelayLasted() {
         health.processDelayed(START, START + 3_000);
         assertThat(health.inconclusive(START + 3_000, START + 5_500)).isTrue();
         assertThat(health.inconclusive(START + 5_500, START + 8_000)).isFalse();
@@ -71,46 +71,46 @@
     }
 
     @Test
-    void theSilenceOfMoreThanThreeQuartersOfTheOthersIsDoubt() {
-        servers(16, 13);
-        assertThat(doubt(START + 10)).isTrue();
-        assertThat(health.explainedIn(START - CHECK, START + 10)).isEqualTo(CHECK);
+    void moreThanThreeQuartersOfTheOthersUnresponsiveIsACommonCause() {
+        addServers(16, 13);
+        assertThat(hasCommonCause(START + 10)).isTrue();
+        assertThat(health.explainedIn(START - CHECK_TIMEOUT, START + 10)).isEqualTo(CHECK_TIMEOUT);
     }
 
     @Test
-    void theSilenceOfTwoThirdsIsTheirs() {
-        servers(15, 10);
-        assertThat(doubt(START + 10)).isFalse();
+    void twoThirdsUnresponsiveIsNoCommonCause() {
+        addServers(15, 10);
+        assertThat(hasCommonCause(START + 10)).isFalse();
     }
 
     @Test
-    void theSilenceOfAllOfASmallFleetIsTheirs() {
-        servers(4, 4);
-        assertThat(doubt(START + 10)).isFalse();
+    void allOfASmallFleetUnresponsiveIsNoCommonCause() {
+        addServers(4, 4);
+        assertThat(hasCommonCause(START + 10)).isFalse();
     }
 
     @Test
-    void doubtEndsByItselfAndDoesNotBeginAgainWhileTheSilenceLasts() {
-        servers(16, 16);
+    void aCommonCauseIsAssumedForALimitedTimeAndNotAgainWhileServersStayUnresponsive() {
+        addServers(16, 16);
         for (long at = START; at < START + 100_000; at += 1_000) {
             long now = at;
-            members.forEach(server -> server.liveness().recordCheckMissed(now));
-            assertThat(doubt(now))
+            servers.forEach(server -> server.liveness().recordCheckMissed(now));
+            assertThat(hasCommonCause(now))
                     .as("%d after the start", now - START)
-                    .isEqualTo(now - START < LocalHealth.LONGEST_COMMON_CAUSE);
+                    .isEqualTo(now - START < LocalHealth.MAX_COMMON_CAUSE_DURATION);
         }
     }
 
     @Test
-    void onceMostHaveAnsweredTheNextCommonSilenceIsDoubtAgain() {
-        servers(16, 16);
-        assertThat(doubt(START)).isTrue();
-        assertThat(doubt(START + 2 * LocalHealth.LONGEST_COMMON_CAUSE))
+    void afterMostHaveAnsweredACommonCauseIsAssumedAgain() {
+        addServers(16, 16);
+        assertThat(hasCommonCause(START)).isTrue();
+        assertThat(hasCommonCause(START + 2 * LocalHealth.MAX_COMMON_CAUSE_DURATION))
                 .as("the time of this episode is used up")
                 .isFalse();
-        members.forEach(server -> server.liveness().recordCheckAnswered(START + 11_000));
-        health.observe(START + 11_000, members);
-        members.forEach(server -> server.liveness().recordCheckMissed(START + 15_000));
-        assertThat(doubt(START + 15_000)).isTrue();
+        servers.forEach(server -> server.liveness().recordCheckAnswered(START + 11_000));
+        health.observe(START + 11_000, servers);
+        servers.forEach(server -> server.liveness().recordCheckMissed(START + 15_000));
+        assertThat(hasCommonCause(START + 15_000)).isTrue();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/RouterDriver.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterDriver.java
@@ -24,7 +24,7 @@
     final Router router = new Router(null);
     final List<Action> actions = new ArrayList<>();
     long nowMs = 100_000;
-    private int names;
+    private int requestCount;
 
     RouterDriver() {
         this(new TestRouterSettings());
@@ -131,7 +131,7 @@
      * @param tokenAgeMs the age of the session token that the client carries; 0 for a zero token
      */
     RequestId request(int requestClass, String session, long tokenAgeMs) {
-        RequestId request = new RequestId("op" + names++);
+        RequestId request = new RequestId("op" + requestCount++);
         deliver(new Event.RequestArrived(
                 request,
                 new RequestClassId(requestClass),
@@ -189,8 +189,8 @@
     }
 
     /** Returns whether a log line contains this text. */
-    boolean logged(String part) {
+    boolean logged(String text) {
         return actions.stream()
-                .anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(part));
+                .anyMatch(a -> a instanceof Action.LogLine l && l.text().contains(text));
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -38,23 +38,23 @@
     private static final int RESUME_WITHIN_MS = 150;
     private static final int GATEWAYS = 6;
     /** Order of timer events, which precede reads of the same time. */
-    private static final int TIMERS = 0;
+    private static final int TIMER_ORDER = 0;
     /** Order of events that are read from connections. */
-    private static final int READS = 1;
+    private static final int READ_ORDER = 1;
 
     /** A pause of the servers in [from, until), and of the gateway as well if the flag is set. */
     private record Pause(long from, long until, boolean gatewayToo) {}
 
     /** A task of the simulation. Tasks of the same time run in the order of {@code order}, then of scheduling. */
-    private record Due(long at, int order, long sequence, Runnable what) {}
+    private record Task(long at, int order, long sequence, Runnable action) {}
 
     private final RouterDriver driver;
     private final Random random;
     private final int servers;
     private final List<Pause> pauses = new ArrayList<>();
     private final Map<String, Long> diesAt = new LinkedHashMap<>();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            Comparator.comparingLong(Due::at).thenComparingInt(Due::order).thenComparingLong(Due::sequence));
+    private final PriorityQueue<Task> queue = new PriorityQueue<>(
+            Comparator.comparingLong(Task::at).thenComparingInt(Task::order).thenComparingLong(Task::sequence));
     /** Names of the attempts and health checks that have not ended. */
     private final Set<String> pending = new HashSet<>();
     private final Map<String, Long> ejectedSince = new LinkedHashMap<>();
@@ -62,13 +62,13 @@
     /** The number of attempts of each request. */
     private final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
     /** The server of each attempt, by the attempt's name. */
-    private final Map<String, ServerId> sentTo = new HashMap<>();
+    private final Map<String, ServerId> serverOfAttempt = new HashMap<>();
     private long sequence;
-    private long lastReturn;
+    private long lastReadmission;
     private int healthChecksInFlight;
     private int mostHealthChecksInFlight;
     int succeeded;
-    private int names;
+    private int nextId;
 
     VirtualFleet(int servers, long seed) {
         this.servers = servers;
@@ -77,15 +77,15 @@
     }
 
     /** Pauses the servers for this time, and the gateway as well if the flag is set. */
-    VirtualFleet paused(long from, long lasts, boolean gatewayToo) {
-        pauses.add(new Pause(start() + from, start() + from + lasts, gatewayToo));
+    VirtualFleet withPause(long from, long durationMs, boolean gatewayToo) {
+        pauses.add(new Pause(start() + from, start() + from + durationMs, gatewayToo));
         return this;
     }
 
     /**
      * Makes the servers numbered from {@code from} up to but not including {@code until} stop answering at this time.
      */
-    VirtualFleet die(long at, int from, int until) {
+    VirtualFleet kill(long at, int from, int until) {
         for (int i = from; i < until; i++) {
             diesAt.put(id(i), start() + at);
         }
@@ -103,39 +103,39 @@
     /**
      * Lists all servers and runs the simulation.
      *
-     * @param lasts duration of the run in ms
+     * @param durationMs duration of the run
      * @param requestsPerSecond rate of requests after the first health checks; 0 for none
      */
-    VirtualFleet play(long lasts, int requestsPerSecond) {
-        for (Pause h : pauses) {
-            if (h.gatewayToo) {
-                schedule(h.until, -1, () -> deliver(new Event.LoopDelayed(h.from * 10, h.until * 10)));
+    VirtualFleet simulate(long durationMs, int requestsPerSecond) {
+        for (Pause pause : pauses) {
+            if (pause.gatewayToo) {
+                schedule(pause.until, -1, () -> deliver(new Event.LoopDelayed(pause.from * 10, pause.until * 10)));
             }
         }
-        schedule(start(), READS, () -> {
-            carryOut(List.copyOf(driver.actions)); // actions that the router decided on at its start
+        schedule(start(), READ_ORDER, () -> {
+            execute(List.copyOf(driver.actions)); // actions that the router decided on at its start
             deliver(new Event.EndpointUpdate(true, false, endpoints()));
         });
-        long gap = requestsPerSecond == 0 ? lasts : 1000 / requestsPerSecond;
-        for (long at = HEALTH_CHECK_LIMIT_MS; requestsPerSecond > 0 && at < lasts; at += gap) {
-            gateway(start() + at, READS, this::arrival);
+        long gap = requestsPerSecond == 0 ? durationMs : 1000 / requestsPerSecond;
+        for (long at = HEALTH_CHECK_LIMIT_MS; requestsPerSecond > 0 && at < durationMs; at += gap) {
+            runInGateway(start() + at, READ_ORDER, this::requestArrives);
         }
-        long end = start() + lasts;
+        long end = start() + durationMs;
         while (!queue.isEmpty() && queue.peek().at < end) {
-            Due due = queue.poll();
-            driver.nowMs = due.at;
-            due.what.run();
+            Task task = queue.poll();
+            driver.nowMs = task.at;
+            task.action.run();
         }
         return this;
     }
 
     private List<Endpoint> endpoints() {
-        List<Endpoint> all = new ArrayList<>();
+        List<Endpoint> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Endpoint(
+            listed.add(new Endpoint(
                     new ServerId(id(i)), group(i), new ZoneId(0), Endpoint.EndpointState.IN, isPrimary(i), 0));
         }
-        return all;
+        return listed;
     }
 
     private static GroupId group(int server) {
@@ -146,8 +146,8 @@
         return server % GROUP_SIZE == 0;
     }
 
-    private void arrival() {
-        int type = List.of(
+    private void requestArrives() {
+        int requestClass = List.of(
                         TestRouterSettings.BOUNDED_READ,
                         TestRouterSettings.UNBOUNDED_READ,
                         TestRouterSettings.UNBOUNDED_READ,
@@ -155,8 +155,8 @@
                 .get(random.nextInt(4));
         GroupId group = new GroupId(random.nextInt((servers + GROUP_SIZE - 1) / GROUP_SIZE));
         deliver(new Event.RequestArrived(
-                new RequestId("op" + names++),
-                new RequestClassId(type),
+                new RequestId("op" + nextId++),
+                new RequestClassId(requestClass),
                 new TenantId(0),
                 group,
                 null,
@@ -168,15 +168,15 @@
 
     private void deliver(Event event) {
         driver.actions.clear(); // otherwise all actions of the run would be kept
-        carryOut(driver.deliver(event));
+        execute(driver.deliver(event));
     }
 
-    private void carryOut(List<Action> actions) {
+    private void execute(List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Action.StartAttempt a) {
                 int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
                 String name = "attempt " + a.request().text() + " " + attempt;
-                sentTo.put(name, a.server());
+                serverOfAttempt.put(name, a.server());
                 exchange(a.server(), REQUEST_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.SUCCEEDED ? 1 : 0;
                     deliver(new Event.AttemptEnded(
@@ -192,31 +192,31 @@
             } else if (action instanceof Action.CancelAttempt a) {
                 String name = "attempt " + a.request().text() + " " + a.attempt();
                 if (pending.remove(name)) {
-                    ServerId at = sentTo.get(name);
-                    gateway(
+                    ServerId at = serverOfAttempt.get(name);
+                    runInGateway(
                             driver.nowMs,
-                            TIMERS,
+                            TIMER_ORDER,
                             () -> deliver(new Event.AttemptEnded(
                                     a.request(), a.attempt(), at, Outcome.CANCELLED, 0, false, null, null)));
                 }
             } else if (action instanceof Action.CheckHealth a) {
                 mostHealthChecksInFlight = Math.max(mostHealthChecksInFlight, ++healthChecksInFlight);
-                exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + names++, (outcome, took) -> {
+                exchange(a.server(), HEALTH_CHECK_MS, HEALTH_CHECK_LIMIT_MS, "check " + nextId++, (outcome, took) -> {
                     healthChecksInFlight--;
                     deliver(new Event.HealthCheckEnded(
                             a.server(), outcome, outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.SetTimer a) {
-                gateway((a.at() + 9) / 10, TIMERS, () -> deliver(new Event.TimerFired(a.mark())));
+                runInGateway((a.at() + 9) / 10, TIMER_ORDER, () -> deliver(new Event.TimerFired(a.mark())));
             } else if (action instanceof Action.LogLine a) {
-                logged(a.text().split(" "));
+                trackEjections(a.text().split(" "));
             }
         }
     }
 
     /** Receives the outcome of an attempt or a health check. */
-    private interface Ended {
-        void with(Outcome outcome, long tookMs);
+    private interface Completion {
+        void accept(Outcome outcome, long tookMs);
     }
 
     /**
@@ -225,31 +225,34 @@
      * @param work how long the server takes to answer it
      * @param name identifies it until it has ended
      */
-    private void exchange(ServerId server, int work, long limit, String name, Ended ended) {
+    private void exchange(ServerId server, int work, long limit, String name, Completion completion) {
         long began = driver.nowMs;
         pending.add(name);
-        gateway(began + Math.max(1, limit), TIMERS, () -> {
+        runInGateway(began + Math.max(1, limit), TIMER_ORDER, () -> {
             if (pending.remove(name)) {
-                ended.with(Outcome.TIMED_OUT, driver.nowMs - began);
+                completion.accept(Outcome.TIMED_OUT, driver.nowMs - began);
             }
         });
-        schedule(began + work, READS, () -> answer(server, name, began, ended));
+        schedule(began + work, READ_ORDER, () -> answer(server, name, began, completion));
     }
 
     /** Runs at the server, which answers once its machine has resumed. A dead server never answers. */
-    private void answer(ServerId server, String name, long began, Ended ended) {
+    private void answer(ServerId server, String name, long began, Completion completion) {
         if (driver.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
             return;
         }
-        for (Pause h : pauses) {
-            if (h.from <= driver.nowMs && driver.nowMs < h.until) {
-                schedule(h.until + random.nextInt(RESUME_WITHIN_MS), READS, () -> answer(server, name, began, ended));
+        for (Pause pause : pauses) {
+            if (pause.from <= driver.nowMs && driver.nowMs < pause.until) {
+                schedule(
+                        pause.until + random.nextInt(RESUME_WITHIN_MS),
+                        READ_ORDER,
+                        () -> answer(server, name, began, completion));
                 return;
             }
         }
-        gateway(driver.nowMs + 1, READS, () -> {
+        runInGateway(driver.nowMs + 1, READ_ORDER, () -> {
             if (pending.remove(name)) {
-                ended.with(Outcome.SUCCEEDED, driver.nowMs - began);
+                completion.accept(Outcome.SUCCEEDED, driver.nowMs - began);
             }
         });
     }
@@ -260,26 +263,27 @@
     }
 
     /** Runs a task in the process of the gateway, after its pause if it is paused. */
-    private void gateway(long at, int order, Runnable what) {
+    private void runInGateway(long at, int order, Runnable action) {
         long resumesAt = at;
-        for (Pause h : pauses) {
-            resumesAt = h.gatewayToo && h.from <= resumesAt && resumesAt < h.until ? h.until : resumesAt;
+        for (Pause pause : pauses) {
+            resumesAt =
+                    pause.gatewayToo && pause.from <= resumesAt && resumesAt < pause.until ? pause.until : resumesAt;
         }
-        schedule(resumesAt, order, what);
+        schedule(resumesAt, order, action);
     }
 
-    private void schedule(long at, int order, Runnable what) {
-        queue.add(new Due(at, order, sequence++, what));
+    private void schedule(long at, int order, Runnable action) {
+        queue.add(new Task(at, order, sequence++, action));
     }
 
     /** Tracks ejections and readmissions by the router's log lines. */
-    private void logged(String[] words) {
+    private void trackEjections(String[] words) {
         if (words[0].equals("server") && words[2].equals("silent:")) {
             ejectedSince.put(words[1], driver.nowMs - start());
             firstEjectedAt.putIfAbsent(words[1], driver.nowMs - start());
         } else if (words[0].equals("server") && words[2].equals("returns:")) {
             ejectedSince.remove(words[1]);
-            lastReturn = driver.nowMs - start();
+            lastReadmission = driver.nowMs - start();
         }
     }
 
@@ -294,8 +298,8 @@
     }
 
     /** Returns when a server was last readmitted, in ms from the start. */
-    long lastReturn() {
-        return lastReturn;
+    long lastReadmission() {
+        return lastReadmission;
     }
 
     /** Returns the highest number of health checks that were in flight at once. */
@@ -304,12 +308,12 @@
     }
 
     /** Returns the time from the death of the servers until the last of them was first ejected. */
-    long lastDetectedAfter(long death) {
+    long lastDetectionTime(long death) {
         return firstEjectedAt.values().stream().mapToLong(Long::longValue).max().orElse(Long.MAX_VALUE) - death;
     }
 
     /** Returns the mean time from the death of the servers until each was first ejected. */
-    double detectedAfter(long death) {
+    double meanDetectionTime(long death) {
         return firstEjectedAt.values().stream()
                         .mapToLong(Long::longValue)
                         .average()
--- a/gateway/src/test/java/ploverdale/routing/VirtualTime.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualTime.java
@@ -7,14 +7,14 @@
  * Times are ticks.
  */
 final class VirtualTime {
-    private record Due(long at, long order, Runnable action) implements Comparable<Due> {
+    private record ScheduledAction(long at, long order, Runnable action) implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledAction other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private long order;
     private long now;
 
@@ -28,13 +28,13 @@
 
     /** Schedules an action at this time, or now if the time is past. */
     void at(long time, Runnable action) {
-        due.add(new Due(Math.max(now, time), order++, action));
+        scheduled.add(new ScheduledAction(Math.max(now, time), order++, action));
     }
 
     /** Runs all actions that are due before the end, including those that they schedule. */
     void runUntil(long end) {
-        while (!due.isEmpty() && due.peek().at < end) {
-            Due next = due.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().at < end) {
+            ScheduledAction next = scheduled.poll();
             now = next.at;
             next.action.run();
         }
