--- a/gateway/src/main/java/ploverdale/routing/Maintenance.java
+++ b/gateway/src/main/java/ploverdale/routing/Maintenance.java
@@ -7,8 +7,8 @@
 import ploverdale.state.ServerState;
 
 /**
- * Periodic work, not tied to an event: detects unresponsive servers, sends health checks and gossip, and retries
- * waiting requests.
+ * Periodic work, not tied to an event: detects unresponsive servers, sends health checks and gossip, and
+ * dispatches waiting requests.
  */
 final class Maintenance {
     private static final long IDLE_INTERVAL = Ticks.ofMillis(200);
