--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -160,7 +160,7 @@
         long now = context.now();
         long sentAt = server.healthCheck().sentAt();
         boolean inconclusive = localHealth.inconclusive(sentAt, now)
-                || localHealth.commonSilence(now, server, sentAt, directory.servers());
+                || localHealth.detectCommonCause(now, server, sentAt, directory.servers());
         if (inconclusive) {
             server.liveness().recordInconclusiveCheck(now - sentAt - localHealth.explainedIn(sentAt, now));
         }
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -108,7 +108,7 @@
      * Records that a server has not answered since a time. Returns whether nearly all other servers have not answered
      * either; the span then counts as explained.
      */
-    boolean commonSilence(long now, ServerState unresponsiveServer, long since, Collection<ServerState> servers) {
+    boolean detectCommonCause(long now, ServerState unresponsiveServer, long since, Collection<ServerState> servers) {
         return nearlyAllUnresponsive(now, unresponsiveServer, since, servers) && recordSign(now, since);
     }
 
@@ -177,7 +177,7 @@
      * Returns whether any time was explained recently. A server that has been unresponsive since then may well be
      * alive.
      */
-    boolean explainedLately(long now) {
+    boolean explainedRecently(long now) {
         return !explained.isEmpty() && now - explained.getLast().until < EPISODE_GAP;
     }
 
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -94,7 +94,7 @@
     private boolean isExplainedOtherwise(ServerState server, long silence) {
         long now = context.now();
         return silence - localHealth.explainedIn(now - silence, now) < SHORTEST_SILENCE
-                || localHealth.commonSilence(now, server, now - silence, directory.servers());
+                || localHealth.detectCommonCause(now, server, now - silence, directory.servers());
     }
 
     /** As {@link #suspect}; requests that may be repeated go where answers have come meanwhile. */
@@ -168,7 +168,7 @@
      */
     boolean wasNeverThere(ServerState server) {
         return !server.liveness().wasEverConfirmed()
-                && !localHealth.explainedLately(context.now())
+                && !localHealth.explainedRecently(context.now())
                 && directory.servers().stream().anyMatch(ServerState::isConfirmedServing);
     }
 
--- a/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalHealthTest.java
@@ -40,7 +40,7 @@
      * explains it.
      */
     private boolean hasCommonCause(long now) {
-        return health.commonSilence(now, servers.get(0), now - CHECK_TIMEOUT, servers);
+        return health.detectCommonCause(now, servers.get(0), now - CHECK_TIMEOUT, servers);
     }
 
     @Test
