--- a/gateway/src/main/java/ploverdale/state/Ejection.java
+++ b/gateway/src/main/java/ploverdale/state/Ejection.java
@@ -110,7 +110,7 @@
     }
 
     /** Counts other evidence as this many missed health checks. */
-    public void countAtLeast(int checks) {
+    public void raiseMissedChecksTo(int checks) {
         missedChecks = Math.max(missedChecks, checks);
     }
 
