--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -113,7 +113,7 @@
 
     /** After how long the client may submit the request again; 0 where it may not be told. */
     long retryAfter(PendingRequest request) {
-        long quotaPause = request.isBeyondShare()
+        long quotaPause = request.isBeyondAgreedTraffic()
                 ? quota.retryAfter(context.now(), request.arrival().tenant())
                 : 0;
         long pause = (long) (RESUBMIT_AFTER * request.requestClass().latencyObjective());
--- a/gateway/src/main/java/ploverdale/state/PendingRequest.java
+++ b/gateway/src/main/java/ploverdale/state/PendingRequest.java
@@ -16,7 +16,7 @@
     private final LatencyEstimate latency;
     private final long arrivedAt;
     private final long objectiveAt;
-    private final boolean beyondShare;
+    private final boolean beyondAgreedTraffic;
     private long requiredPosition;
 
     private int attempts;
@@ -38,7 +38,7 @@
      * @param objectiveAt the latency objective as a point in time, in ticks
      * @param requiredPosition the log position that a replica must have reached; {@link LoadReport#UNKNOWN_TIME} if any
      *     will do
-     * @param beyondShare whether its tenant has used up its agreed traffic
+     * @param beyondAgreedTraffic whether its tenant has used up its agreed traffic
      */
     public PendingRequest(
             RequestArrived arrival,
@@ -47,14 +47,14 @@
             long arrivedAt,
             long objectiveAt,
             long requiredPosition,
-            boolean beyondShare) {
+            boolean beyondAgreedTraffic) {
         this.arrival = arrival;
         this.requestClass = requestClass;
         this.latency = latency;
         this.arrivedAt = arrivedAt;
         this.objectiveAt = objectiveAt;
         this.requiredPosition = requiredPosition;
-        this.beyondShare = beyondShare;
+        this.beyondAgreedTraffic = beyondAgreedTraffic;
     }
 
     /** Returns the request id. */
@@ -113,8 +113,8 @@
     }
 
     /** Returns whether the tenant has used up its agreed traffic. */
-    public boolean isBeyondShare() {
-        return beyondShare;
+    public boolean isBeyondAgreedTraffic() {
+        return beyondAgreedTraffic;
     }
 
     /** Returns the log position that a replica must have reached; {@link LoadReport#UNKNOWN_TIME} if any will do. */
