--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -83,20 +83,20 @@
         }
         SlowStartProgress progress = server.slowStart();
         if (progress.hasValidTicket(now)) {
-            progress.touchCredit(now);
+            progress.skipRefill(now);
             return true;
         }
         double refill = refillPerWindow(server, meanWork, servers, now);
         double bucketSize = refill * BURST + SLACK_SHARE * slack(server, now) * meanWork / gateways;
         progress.refill(refill, bucketSize, window(), now);
-        return bucketSize >= work ? progress.credit() >= work : playLottery(progress, work, now);
+        return bucketSize >= work ? progress.tokens() >= work : playLottery(progress, work, now);
     }
 
     private boolean playLottery(SlowStartProgress progress, double work, long now) {
-        if (progress.credit() <= 0) {
+        if (progress.tokens() <= 0) {
             return false;
         }
-        boolean won = random.nextDouble() < progress.credit() / work;
+        boolean won = random.nextDouble() < progress.tokens() / work;
         if (won) {
             progress.winTicket(work, now + (long) (TICKET_LASTS * window()));
         } else {
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -8,8 +8,8 @@
  */
 public final class SlowStartProgress {
     private long coldSince = LoadReport.UNKNOWN_TIME;
-    private double credit;
-    private long creditAt = LoadReport.UNKNOWN_TIME;
+    private double tokens;
+    private long lastRefillAt = LoadReport.UNKNOWN_TIME;
     private long ticketValidUntil = LoadReport.UNKNOWN_TIME;
     private double recentWork;
     private long recentWorkAt;
@@ -37,8 +37,8 @@
     }
 
     /** Returns the tokens in the bucket, in units of work; negative after more was charged than it held. */
-    public double credit() {
-        return credit;
+    public double tokens() {
+        return tokens;
     }
 
     /** Returns whether a ticket won in the lottery still admits one request. */
@@ -47,8 +47,8 @@
     }
 
     /** Skips the refill up to now, so that the bucket does not fill up while a ticket waits to be used. */
-    public void touchCredit(long now) {
-        creditAt = now;
+    public void skipRefill(long now) {
+        lastRefillAt = now;
     }
 
     /**
@@ -58,13 +58,13 @@
      * @param bucketSize the largest number of tokens
      */
     public void refill(double perWindow, double bucketSize, long window, long now) {
-        if (creditAt < coldSince) {
-            credit = Math.min(0, credit);
+        if (lastRefillAt < coldSince) {
+            tokens = Math.min(0, tokens);
         }
         ticketValidUntil = LoadReport.UNKNOWN_TIME;
-        double windows = (now - Math.max(coldSince, creditAt)) / (double) window;
-        credit = Math.min(bucketSize, credit + perWindow * Math.max(0, windows));
-        creditAt = now;
+        double windows = (now - Math.max(coldSince, lastRefillAt)) / (double) window;
+        tokens = Math.min(bucketSize, tokens + perWindow * Math.max(0, windows));
+        lastRefillAt = now;
     }
 
     /**
@@ -74,13 +74,13 @@
      * @param validUntil when the ticket expires, in ticks
      */
     public void winTicket(double work, long validUntil) {
-        credit = work;
+        tokens = work;
         ticketValidUntil = validUntil;
     }
 
     /** Takes the tokens that were staked in a lost lottery. */
     public void loseLottery() {
-        credit = 0;
+        tokens = 0;
         ticketValidUntil = LoadReport.UNKNOWN_TIME;
     }
 
@@ -88,13 +88,13 @@
     public void useTicket(long now) {
         if (ticketValidUntil != LoadReport.UNKNOWN_TIME) {
             ticketValidUntil = LoadReport.UNKNOWN_TIME;
-            creditAt = now;
+            lastRefillAt = now;
         }
     }
 
     /** Takes tokens for work; the bucket may become negative. */
     public void charge(double work) {
-        credit -= work;
+        tokens -= work;
     }
 
     /** Returns the work answered recently, with exponential decay over the window. */
