--- a/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
+++ b/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
@@ -23,7 +23,7 @@
     private final int groupSize;
     final Queue<SimulatedAttempt> queue = new ArrayDeque<>();
     final List<SimulatedAttempt> running = new ArrayList<>();
-    final List<Arrival> coldArrivals = new ArrayList<>();
+    final List<Arrival> arrivalsAfterRestart = new ArrayList<>();
     /** Whether the server restarts in this scenario. */
     boolean restarts;
     boolean up = true;
@@ -31,17 +31,17 @@
     boolean restarted;
     /** The number of restarts so far. */
     int incarnation;
-    /** The reported utilization at {@link #busyAt}. */
-    double busy;
-    long busyAt;
+    /** The reported utilization at {@link #utilizationAt}. */
+    double utilization;
+    long utilizationAt;
     /** Work answered since the restart. */
-    double coldAnswers;
+    double workAnsweredAfterRestart;
 
     SimulatedServer(int number, int cores, int groupSize, long start) {
         this.number = number;
         this.cores = cores;
         this.groupSize = groupSize;
-        busyAt = start;
+        utilizationAt = start;
         id = new ServerId("s" + number);
     }
 
@@ -50,8 +50,8 @@
     }
 
     /** Updates the reported utilization to this time. */
-    void updateBusy(long now) {
-        busy += (1 - Math.exp(-(now - busyAt) / UTILIZATION_TICKS)) * (running.size() / (double) cores - busy);
-        busyAt = now;
+    void updateUtilization(long now) {
+        utilization += (1 - Math.exp(-(now - utilizationAt) / UTILIZATION_TICKS)) * (running.size() / (double) cores - utilization);
+        utilizationAt = now;
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
@@ -35,7 +35,7 @@
         Queue<SimulatedServer.Arrival> within = new ArrayDeque<>();
         double sum = 0;
         double worst = 0;
-        for (SimulatedServer.Arrival arrival : server.coldArrivals) {
+        for (SimulatedServer.Arrival arrival : server.arrivalsAfterRestart) {
             within.add(arrival);
             sum += arrival.work();
             while (within.peek().at() <= arrival.at() - window) {
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -98,7 +98,7 @@
         time.runUntil(END);
         double worst =
                 restarting().stream().mapToDouble(budget::worstLoad).max().orElseThrow();
-        double answers = restarting().stream().mapToDouble(s -> s.coldAnswers).sum();
+        double answers = restarting().stream().mapToDouble(s -> s.workAnsweredAfterRestart).sum();
         return new Result(
                 worst,
                 served / (double) requestsAfterRestart,
@@ -323,7 +323,7 @@
     }
 
     private void startNext(SimulatedServer server) {
-        server.updateBusy(time.now());
+        server.updateUtilization(time.now());
         while (server.running.size() < deployment.cores() && !server.queue.isEmpty()) {
             SimulatedAttempt attempt = server.queue.remove();
             server.running.add(attempt);
@@ -339,9 +339,9 @@
         if (server.incarnation != incarnation) {
             return;
         }
-        server.updateBusy(time.now());
+        server.updateUtilization(time.now());
         server.running.remove(attempt);
-        server.coldAnswers += server.restarted && !attempt.ended ? attempt.work : 0;
+        server.workAnsweredAfterRestart += server.restarted && !attempt.ended ? attempt.work : 0;
         end(attempt, Outcome.SUCCEEDED);
         startNext(server);
     }
@@ -360,16 +360,16 @@
     }
 
     private LoadReport report(SimulatedServer server) {
-        server.updateBusy(time.now());
+        server.updateUtilization(time.now());
         return new LoadReport(
                 server.primary() ? Role.PRIMARY : Role.REPLICA,
                 server.primary() ? time.now() : time.now() - 5 * MS,
-                server.busy);
+                server.utilization);
     }
 
     private void count(SimulatedServer server, double work) {
         if (server.restarted) {
-            server.coldArrivals.add(new SimulatedServer.Arrival(time.now(), work));
+            server.arrivalsAfterRestart.add(new SimulatedServer.Arrival(time.now(), work));
         }
     }
 }
