--- a/gateway/src/test/java/ploverdale/routing/CommonSilenceTest.java
+++ b/gateway/src/test/java/ploverdale/routing/CommonCauseTest.java
@@ -11,7 +11,7 @@
  * What the router concludes when many servers stop answering at the same time: because its own process was paused,
  * because of a common cause, or because the servers are dead.
  */
-class CommonSilenceTest {
+class CommonCauseTest {
     private static final int SERVERS = 240;
     private static final int REQUESTS_PER_SECOND = 500;
     private static final long SEED = 7;
