--- a/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
@@ -126,7 +126,7 @@
         System.out.println("of " + dead.size() + " dead half found after " + half + " ms, all after " + all + " ms");
         ended = true;
         load.join();
-        // 1.0 and 2.6 s, before and after; more where this machine delays the gateway. CommonSilenceTest has it to the
+        // 1.0 and 2.6 s, before and after; more where this machine delays the gateway. CommonCauseTest has it to the
         // ms.
         assertThat(half).isLessThan(4000);
         assertThat(all).isLessThan(8000);
