--- a/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
@@ -98,6 +98,11 @@
         server.ejection().recordSuccess();
     }
 
+    /**
+     * Records a failure, which may eject the server.
+     *
+     * @param severity how much it counts, from 0 to 1
+     */
     private void learnFailure(ServerState server, double severity) {
         server.ejection().recordFailure(severity);
         outlierDetector.ejectIfFailing(server);
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -82,6 +82,11 @@
         server.ejection().recheckNotBefore(context.now() + HealthChecker.REPORT_INTERVAL);
     }
 
+    /**
+     * Handles an answered check, which confirms the server to be alive and may readmit it.
+     *
+     * @param aliveBefore when the server was last known to be alive before this answer, in ticks
+     */
     private void learnAnswer(ServerState server, LoadReport report, long aliveBefore) {
         long now = context.now();
         server.ejection().clearMissedChecks();
@@ -97,7 +102,7 @@
     }
 
     /**
-     * Handles a check without an answer. It may eject the server, unless the server answers attempts or the check is
+     * Handles a check without an answer, which may eject the server, unless the server answers attempts or the check is
      * inconclusive.
      */
     private void learnMissedCheck(ServerState server) {
@@ -118,14 +123,14 @@
         }
         if (waited && isInconclusive(server)) {
             outlierDetector.suspect(server);
-        } else if (isConclusive(server)) {
+        } else if (missedChecksSuffice(server)) {
             outlierDetector.eject(
                     server, "probes unanswered " + server.ejection().missedChecks());
         }
     }
 
     /** Counts the missed check, and returns whether the missed checks suffice for an ejection. */
-    private boolean isConclusive(ServerState server) {
+    private boolean missedChecksSuffice(ServerState server) {
         Liveness liveness = server.liveness();
         return server.ejection().countMissedCheck() >= OutlierDetector.CHECKS_MISSED
                 || !liveness.wasEverConfirmed() && !liveness.hasInconclusiveChecks();
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -66,6 +66,7 @@
     private record ExplainedSpan(long from, long until, long backlogClearedAt) {}
 
     private final Deque<ExplainedSpan> explained = new ArrayDeque<>(); // ordered and disjoint
+    /** Whether most servers have answered since the last sign of a common cause. */
     private boolean episodeOver = true;
     private long episodeBegan;
     private long lastSignAt;
@@ -112,6 +113,11 @@
         return nearlyAllUnresponsive(now, unresponsiveServer, since, servers) && recordSign(now, since);
     }
 
+    /**
+     * Records a sign of a common cause.
+     *
+     * @return whether the time since the episode began is short enough to put missing answers down to the common cause
+     */
     private boolean recordSign(long now, long since) {
         if (episodeOver || now - lastSignAt >= EPISODE_GAP) {
             episodeBegan = now;
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -9,6 +9,7 @@
 public final class SlowStartProgress {
     private long coldSince = LoadReport.UNKNOWN_TIME;
     private double tokens;
+    /** Until when the bucket has been refilled. */
     private long lastRefillAt = LoadReport.UNKNOWN_TIME;
     private long ticketValidUntil = LoadReport.UNKNOWN_TIME;
     private double recentWork;
