--- a/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckQueue.java
@@ -20,6 +20,7 @@
 
     /** In order of arrival. */
     private final Set<ServerState> waiting = new LinkedHashSet<>();
+
     private int inFlight;
 
     /** Adds a server to the queue; one that is already waiting keeps its position. */
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -68,6 +68,7 @@
     private final Deque<ExplainedSpan> explained = new ArrayDeque<>(); // ordered and disjoint
     /** Whether most servers have answered since the last sign of a common cause. */
     private boolean episodeOver = true;
+
     private long episodeBegan;
     private long lastSignAt;
 
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -100,7 +100,8 @@
     /** As {@link #suspect}; requests that may be repeated go where answers have come meanwhile. */
     private void suspectSilent(ServerState server, long since) {
         suspect(server);
-        server.ejection().raiseMissedChecksTo(CHECKS_MISSED - 1); // missing answers and one more missed check are enough
+        server.ejection()
+                .raiseMissedChecksTo(CHECKS_MISSED - 1); // missing answers and one more missed check are enough
         boolean othersAnswer = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
--- a/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
+++ b/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
@@ -39,6 +39,7 @@
     private EndpointState listedState = EndpointState.IN;
     /** Whether the server was draining since it was last in service. */
     private boolean drainSeen;
+
     private long drainReportedAt = LoadReport.UNKNOWN_TIME;
     private long startedAt;
     /** The highest revision that named the server draining or removed since it was last in service. */
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -11,6 +11,7 @@
     private double tokens;
     /** Until when the bucket has been refilled. */
     private long lastRefillAt = LoadReport.UNKNOWN_TIME;
+
     private long ticketValidUntil = LoadReport.UNKNOWN_TIME;
     private double recentWork;
     private long recentWorkAt;
--- a/gateway/src/test/java/ploverdale/routing/CommonCauseTest.java
+++ b/gateway/src/test/java/ploverdale/routing/CommonCauseTest.java
@@ -24,7 +24,8 @@
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "200, true"})
     void aPauseOfAllMachinesRightAfterTheStartEjectsNoServer(long pausedAtMs, boolean gatewayToo) {
-        VirtualFleet fleet = fleet(SERVERS).withPause(pausedAtMs, 300, gatewayToo).simulate(10_000, REQUESTS_PER_SECOND);
+        VirtualFleet fleet =
+                fleet(SERVERS).withPause(pausedAtMs, 300, gatewayToo).simulate(10_000, REQUESTS_PER_SECOND);
         report(fleet, "paused after the start");
         assertThat(fleet.everEjected()).isEmpty();
         assertThat(fleet.succeeded).isGreaterThan(4500);
@@ -33,8 +34,10 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 15})
     void aPauseOfTheGatewayEjectsNoServerOfASmallFleet(int servers) {
-        VirtualFleet fleet =
-                fleet(servers).withPause(1, 300, true).withPause(5000, 600, true).simulate(10_000, REQUESTS_PER_SECOND);
+        VirtualFleet fleet = fleet(servers)
+                .withPause(1, 300, true)
+                .withPause(5000, 600, true)
+                .simulate(10_000, REQUESTS_PER_SECOND);
         report(fleet, servers + " servers, gateway paused");
         assertThat(fleet.everEjected()).isEmpty();
     }
@@ -42,7 +45,8 @@
     @ParameterizedTest
     @CsvSource({"300, true", "300, false", "600, true", "600, false", "2000, true"})
     void aPauseDuringServiceEjectsNoServer(long durationMs, boolean gatewayToo) {
-        VirtualFleet fleet = fleet(SERVERS).withPause(5000, durationMs, gatewayToo).simulate(12_000, 2 * REQUESTS_PER_SECOND);
+        VirtualFleet fleet =
+                fleet(SERVERS).withPause(5000, durationMs, gatewayToo).simulate(12_000, 2 * REQUESTS_PER_SECOND);
         report(fleet, "paused during service for " + durationMs + " ms");
         assertThat(fleet.everEjected()).isEmpty();
     }
@@ -74,8 +78,10 @@
         "2, 2, 410.0, 410",
         "1, 1, 410.0, 410",
     })
-    void deadServersAreDetectedAsSoonAsWithoutLocalHealthAwareness(int servers, int dead, double meanMsWithout, long longestMsWithout) {
-        VirtualFleet fleet = fleet(servers).kill(5000, servers - dead, servers).simulate(15_000, 2 * REQUESTS_PER_SECOND);
+    void deadServersAreDetectedAsSoonAsWithoutLocalHealthAwareness(
+            int servers, int dead, double meanMsWithout, long longestMsWithout) {
+        VirtualFleet fleet =
+                fleet(servers).kill(5000, servers - dead, servers).simulate(15_000, 2 * REQUESTS_PER_SECOND);
         report(fleet, dead + " of " + servers + " die");
         assertThat(fleet.everEjected()).hasSize(dead);
         assertThat(fleet.ejected()).hasSize(dead);
--- a/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
@@ -18,7 +18,8 @@
         lenientDriver.updateEndpoints(true);
         assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
-        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.WRITE))).containsExactly("p");
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.WRITE)))
+                .containsExactly("p");
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -306,8 +306,10 @@
         assertThat(sentGossip()).hasSize(1);
         Map<Integer, ServerObservation> sentObservations =
                 DatagramCodec.decode(sentGossip().get(0).bytes()).datagram().observations();
-        assertThat(sentObservations.get(ServerHash.of(new ServerId("p"))).role()).isEqualTo(Role.PRIMARY);
-        assertThat(sentObservations.get(ServerHash.of(new ServerId("r1"))).role()).isEqualTo(Role.REPLICA);
+        assertThat(sentObservations.get(ServerHash.of(new ServerId("p"))).role())
+                .isEqualTo(Role.PRIMARY);
+        assertThat(sentObservations.get(ServerHash.of(new ServerId("r1"))).role())
+                .isEqualTo(Role.REPLICA);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
+++ b/gateway/src/test/java/ploverdale/routing/SimulatedServer.java
@@ -26,6 +26,7 @@
     final List<Arrival> arrivalsAfterRestart = new ArrayList<>();
     /** Whether the server restarts in this scenario. */
     boolean restarts;
+
     boolean up = true;
     /** Whether the server has restarted and is up again. */
     boolean restarted;
@@ -33,6 +34,7 @@
     int incarnation;
     /** The reported utilization at {@link #utilizationAt}. */
     double utilization;
+
     long utilizationAt;
     /** Work answered since the restart. */
     double workAnsweredAfterRestart;
@@ -51,7 +53,8 @@
 
     /** Updates the reported utilization to this time. */
     void updateUtilization(long now) {
-        utilization += (1 - Math.exp(-(now - utilizationAt) / UTILIZATION_TICKS)) * (running.size() / (double) cores - utilization);
+        utilization += (1 - Math.exp(-(now - utilizationAt) / UTILIZATION_TICKS))
+                * (running.size() / (double) cores - utilization);
         utilizationAt = now;
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -98,7 +98,9 @@
         time.runUntil(END);
         double worst =
                 restarting().stream().mapToDouble(budget::worstLoad).max().orElseThrow();
-        double answers = restarting().stream().mapToDouble(s -> s.workAnsweredAfterRestart).sum();
+        double answers = restarting().stream()
+                .mapToDouble(s -> s.workAnsweredAfterRestart)
+                .sum();
         return new Result(
                 worst,
                 served / (double) requestsAfterRestart,
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -36,6 +36,7 @@
     private static final int REQUEST_MS = 10;
     /** After a pause, servers resume at random times within this span. */
     private static final int RESUME_WITHIN_MS = 150;
+
     private static final int GATEWAYS = 6;
     /** Order of timer events, which precede reads of the same time. */
     private static final int TIMER_ORDER = 0;
@@ -57,12 +58,14 @@
             Comparator.comparingLong(Task::at).thenComparingInt(Task::order).thenComparingLong(Task::sequence));
     /** Names of the attempts and health checks that have not ended. */
     private final Set<String> pending = new HashSet<>();
+
     private final Map<String, Long> ejectedSince = new LinkedHashMap<>();
     private final Map<String, Long> firstEjectedAt = new LinkedHashMap<>();
     /** The number of attempts of each request. */
     private final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
     /** The server of each attempt, by the attempt's name. */
     private final Map<String, ServerId> serverOfAttempt = new HashMap<>();
+
     private long sequence;
     private long lastReadmission;
     private int healthChecksInFlight;
