--- a/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
@@ -6,7 +6,7 @@
 import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.model.ServerId;
 
-/** Gateways talk by the gossip protocol. */
+/** Exchanges server observations with the peers by the gossip protocol. */
 final class EnabledGossip implements PeerGossip {
     private final GossipProtocol protocol;
 
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void primaryVerified(long now, ServerId server, boolean right) {
-        protocol.onRoleVerified(now, server, right);
+    public void primaryVerified(long now, ServerId server, boolean confirmed) {
+        protocol.onRoleVerified(now, server, confirmed);
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
@@ -4,11 +4,11 @@
 import ploverdale.model.Action;
 import ploverdale.model.Ticks;
 
-/** Decides when the endpoint list is watched anew, where it has to be asked for. */
+/** Decides when to watch the endpoint list (again), in deployments where it has to be requested. */
 final class EndpointWatch {
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long SHORTEST_PAUSE = Ticks.ofMillis(500);
-    private static final int JITTER_MILLIS = 1000;
+    private static final long MIN_RETRY_DELAY = Ticks.ofMillis(500);
+    private static final int MAX_JITTER_MS = 1000;
 
     private final DecisionContext context;
     private final RandomGenerator random;
@@ -19,17 +19,17 @@
         this.random = random;
     }
 
-    /** The list has to be asked for, first at once. */
+    /** Has the list requested at the next maintenance run. */
     void begin() {
         dueAt = context.now();
     }
 
-    /** Asking brought nothing; it is repeated after a pause with jitter, so that gateways do not ask together. */
+    /** Schedules the next request after one that failed, with jitter so that gateways do not retry at the same time. */
     void retryLater() {
-        dueAt = context.now() + SHORTEST_PAUSE + Ticks.ofMillis(random.nextInt(JITTER_MILLIS));
+        dueAt = context.now() + MIN_RETRY_DELAY + Ticks.ofMillis(random.nextInt(MAX_JITTER_MS));
     }
 
-    /** Asks if it is time to. */
+    /** Requests the list if it is time to. */
     void watchIfDue() {
         if (context.now() >= dueAt) {
             context.emit(new Action.WatchEndpoints());
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -94,13 +94,14 @@
     private boolean isExplainedOtherwise(ServerState server, long silence) {
         long now = context.now();
         return silence - localHealth.explainedIn(now - silence, now) < SHORTEST_SILENCE
-                || localHealth.commonSilence(now, server, now - silence, directory.servers());
+                || localHealth.detectCommonCause(now, server, now - silence, directory.servers());
     }
 
     /** As {@link #suspect}; requests that may be repeated go where answers have come meanwhile. */
     private void suspectSilent(ServerState server, long since) {
         suspect(server);
-        server.ejection().countAtLeast(CHECKS_MISSED - 1); // missing answers and one more missed check are enough
+        server.ejection()
+                .raiseMissedChecksTo(CHECKS_MISSED - 1); // missing answers and one more missed check are enough
         boolean othersAnswer = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
@@ -168,7 +169,7 @@
      */
     boolean wasNeverThere(ServerState server) {
         return !server.liveness().wasEverConfirmed()
-                && !localHealth.explainedLately(context.now())
+                && !localHealth.explainedRecently(context.now())
                 && directory.servers().stream().anyMatch(ServerState::isConfirmedServing);
     }
 
--- a/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/EndpointUpdatesTest.java
@@ -6,19 +6,20 @@
 import ploverdale.model.Endpoint.EndpointState;
 import ploverdale.model.LoadReport.Role;
 
-/** What updates of the endpoint list change, as seen through the router. */
+/** The effects of endpoint updates, as seen through the router. */
 class EndpointUpdatesTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
     void anEmptyListRemovesNoServerWhereRemovalIsNotBinding() {
-        RouterDriver loose = new RouterDriver(new TestRouterSettings().removalNotBinding());
-        loose.updateEndpoints(true, "p", "r1");
-        loose.catchUp("p", "r1");
-        loose.updateEndpoints(true);
-        assertThat(loose.attempts(loose.request(TestRouterSettings.BOUNDED_READ)))
+        RouterDriver lenientDriver = new RouterDriver(new TestRouterSettings().removalNotBinding());
+        lenientDriver.updateEndpoints(true, "p", "r1");
+        lenientDriver.catchUp("p", "r1");
+        lenientDriver.updateEndpoints(true);
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
-        assertThat(loose.attempts(loose.request(TestRouterSettings.WRITE))).containsExactly("p");
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.WRITE)))
+                .containsExactly("p");
     }
 
     @Test
@@ -33,11 +34,11 @@
 
     @Test
     void whereRemovalIsNotBindingAServerRemovedWithoutDrainingIsStillUsed() {
-        RouterDriver loose = new RouterDriver(new TestRouterSettings().removalNotBinding());
-        loose.updateEndpoints(true, "r1");
-        loose.healthCheckSucceeded("r1", Role.REPLICA, loose.nowMs);
-        loose.updateEndpoint("r1", EndpointState.GONE, 0);
-        assertThat(loose.attempts(loose.request(TestRouterSettings.BOUNDED_READ)))
+        RouterDriver lenientDriver = new RouterDriver(new TestRouterSettings().removalNotBinding());
+        lenientDriver.updateEndpoints(true, "r1");
+        lenientDriver.healthCheckSucceeded("r1", Role.REPLICA, lenientDriver.nowMs);
+        lenientDriver.updateEndpoint("r1", EndpointState.GONE, 0);
+        assertThat(lenientDriver.attempts(lenientDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/LocalFailureInRouterTest.java
@@ -8,14 +8,16 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** What the router concludes from attempts and health checks that never left this machine: nothing about their servers. */
+/**
+ * Attempts and health checks that never left this machine must not change what the router knows about their servers.
+ */
 class LocalFailureInRouterTest {
-    private static final int MANY = 20;
+    private static final int REPETITIONS = 20;
 
     @Test
     void healthChecksThatWereNeverSentEjectNoServer() {
         RouterDriver driver = RouterDriver.withCaughtUpReplicas();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < REPETITIONS; i++) {
             driver.advance(500);
             driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
         }
@@ -38,23 +40,23 @@
         driver.healthCheckTimedOut("r1");
         driver.healthCheckTimedOut("r1");
         long before = driver.healthChecks("r1");
-        driver.advance(2000); // ejected servers are checked again while others of their group are used
-        for (int i = 0; i < MANY; i++) {
+        driver.advance(2000); // ejected servers are checked again while other servers of their group are used
+        for (int i = 0; i < REPETITIONS; i++) {
             driver.deliver(new Event.HealthCheckEnded(new ServerId("r1"), Outcome.NEVER_SENT, null));
             driver.advance(20);
         }
         assertThat(driver.healthChecks("r1") - before)
-                .as("not asked in a busy loop")
-                .isLessThan(MANY / 2);
+                .as("not checked in a busy loop")
+                .isLessThan(REPETITIONS / 2);
     }
 
     @Test
     void attemptsThatWereNeverSentEjectNoServer() {
         RouterDriver driver = RouterDriver.withCaughtUpReplicas();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < REPETITIONS; i++) {
             RequestId request = driver.request(TestRouterSettings.UNBOUNDED_READ);
-            for (int send = 0; send < driver.attempts(request).size(); send++) {
-                driver.attemptEnded(request, send, driver.attempts(request).get(send), Outcome.NEVER_SENT, null);
+            for (int attempt = 0; attempt < driver.attempts(request).size(); attempt++) {
+                driver.attemptEnded(request, attempt, driver.attempts(request).get(attempt), Outcome.NEVER_SENT, null);
             }
             driver.advance(100);
         }
