--- a/gateway/src/main/java/ploverdale/net/client/AcceptedRequest.java
+++ b/gateway/src/main/java/ploverdale/net/client/AcceptedRequest.java
@@ -14,8 +14,8 @@
     private int attempts;
 
     /**
-     * @param response its place in the order of the session's responses
-     * @param lastResortAtMs monotonic time in milliseconds after which it is answered with an error, whatever the router does
+     * @param response slot reserved for this request in the session's response pipeline
+     * @param lastResortAtMs monotonic time in milliseconds after which the request is failed if still unanswered
      */
     AcceptedRequest(
             ClientMessage.RequestQuery query, ClientSession session, PendingResponse response, long lastResortAtMs) {
@@ -26,37 +26,36 @@
         this.lastResortAtMs = lastResortAtMs;
     }
 
-    /** The query as the client wrote it. */
+    /** Returns the query as the client sent it. */
     public ClientMessage.RequestQuery query() {
         return query;
     }
 
-    /** Numbers the attempts of this request from 0 on, as the router does. */
+    /** Returns the number of the next attempt. Attempts are numbered from 0, as in the router. */
     public int nextAttemptNumber() {
         return attempts++;
     }
 
-    /** Identifies the request. */
     RequestId id() {
         return id;
     }
 
-    /** The connection that it came on. */
+    /** Returns the connection on which the request was received. */
     ClientSession session() {
         return session;
     }
 
-    /** Bytes of memory that it is counted with. */
+    /** Returns the number of bytes that this request takes from the memory budget. */
     int bytes() {
         return query.text().length;
     }
 
-    /** Whether the router has left it without an answer for too long. */
+    /** Returns whether the time limit for the router's answer has passed. */
     boolean isOverdue(long nowMs) {
         return nowMs > lastResortAtMs;
     }
 
-    /** Has the response written in its turn. */
+    /** Sets the response, which is written once all earlier responses of the session have been written. */
     void complete(Buffer completeResponse) {
         response.complete(completeResponse);
         session.flush();
--- a/gateway/src/main/java/ploverdale/net/client/CancelRegistry.java
+++ b/gateway/src/main/java/ploverdale/net/client/CancelRegistry.java
@@ -6,14 +6,14 @@
 import ploverdale.net.postgres.ClientMessage;
 
 /**
- * Assigns each session its backend key and finds the session that a cancel message names. A message with another secret, or
- * the key of another gateway, cancels nothing. Used on the event loop only.
+ * Assigns a backend key to each session and finds the session that a cancel message refers to. A cancel message with a
+ * wrong secret or with the key of another gateway has no effect. Used on the event loop only.
  */
 final class CancelRegistry {
-    /** The two numbers of a BackendKeyData message, which a cancel message repeats. */
+    /** The two numbers of a BackendKeyData message, which a client repeats in a cancel message. */
     record BackendKey(int processId, int secret) {}
 
-    // Must not be guessed by counting; connections have no password, so no stronger source is needed.
+    // Secrets must not be predictable by counting. Connections have no password, so no stronger generator is needed.
     private final SplittableRandom secrets = new SplittableRandom();
     private final Map<BackendKey, ClientSession> sessions = new HashMap<>();
     private int lastProcessId;
@@ -26,12 +26,12 @@
         return key;
     }
 
-    /** Forgets the session of this key; does nothing if it is forgotten already. */
+    /** Removes the session with this key; does nothing if it has already been removed. */
     void unregister(BackendKey key) {
         sessions.remove(key);
     }
 
-    /** Cancels the requests of the session that the message names, if there is one. */
+    /** Cancels the requests of the session that the message refers to, if there is one. */
     void cancel(ClientMessage.CancelRequest request) {
         ClientSession session = sessions.get(new BackendKey(request.process(), request.secret()));
         if (session != null) {
--- a/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
@@ -16,10 +16,10 @@
 import ploverdale.settings.GatewaySettings;
 
 /**
- * The gateway's access to the connections of its clients and the requests in flight on them: accepts connections, passes
- * requests to the router, and writes one response to each command in the order of the commands. Must never decide the outcome
- * of a request, answer one twice, or keep more of a client that does not read than the budgets allow. Created and used on the
- * event loop only.
+ * Manages the client connections of the gateway and the requests in flight on them: accepts connections, passes
+ * requests to the router, and writes one response to each command in the order of the commands. Must never decide the
+ * outcome of a request, answer a request twice, or buffer more for a client that does not read than the memory budget
+ * allows. Created and used on the event loop only.
  */
 public final class ClientConnections {
     private static final long TICK_MS = 20;
@@ -27,7 +27,7 @@
     private final ClientRuntime runtime;
     private final ClientListener listener;
 
-    /** Nothing is accepted before {@link #accept} is called, and no query is run before {@link #startServing}. */
+    /** Creates the manager without any connection. Queries are held until {@link #startServing} is called. */
     public ClientConnections(
             Vertx vertx,
             Log log,
@@ -41,7 +41,7 @@
     }
 
     private void onTick() {
-        // After a pause of the process, answers that came during it are read first.
+        // After a process pause, answers that arrived during the pause are read before requests are failed as overdue.
         if (runtime.eventLoop().lag() == 0) {
             runtime.inFlight().failOverdue(runtime.nowMs());
         }
@@ -50,37 +50,37 @@
 
     // -- Connections
 
-    /** Takes over a connection, in the place of an idle one if there are many, or refuses it. */
+    /** Accepts a connection, if necessary after evicting another client, or refuses it. */
     public void accept(NetSocket socket) {
         listener.accept(socket);
     }
 
-    /** Ends a session that the limits named, unless its client has sent something by now. */
+    /** Evicts a client that the connection limits selected, unless that client has sent something in the meantime. */
     public void evict(Eviction<ClientSession> eviction) {
         runtime.evictor().evict(eviction);
     }
 
-    /** Closes this many of the connections that linger after their end, the longest first; none if it is 0 or less. */
+    /** Closes the given number of lingering connections, oldest first; none if the number is 0 or negative. */
     public void closeLingering(int count) {
         runtime.lingeringClose().closeOldest(count);
     }
 
-    /** Number of open connections. */
+    /** Returns the number of open connections. */
     public int openConnections() {
         return runtime.sessions().size();
     }
 
-    /** Number of open connections whose startup message has been read. */
+    /** Returns the number of open connections whose startup message has been read. */
     public int startedConnections() {
         return runtime.sessions().size() - runtime.limits().strangers();
     }
 
-    /** Number of closed connections whose last responses have not been taken by the operating system yet. */
+    /** Returns the number of closed connections whose last responses the operating system has not accepted yet. */
     public int unflushedConnections() {
         return runtime.lingeringClose().unflushed();
     }
 
-    /** Number of connections on which something has been read completely and not been answered. */
+    /** Returns the number of connections with a message that was read completely and has not been answered. */
     public int unansweredConnections() {
         return (int) runtime.sessions().all().stream()
                 .filter(ClientSession::owesResponse)
@@ -89,40 +89,41 @@
 
     // -- Requests
 
-    /** From now on queries are run, those that came before first. */
+    /** Starts to run queries, beginning with those that have been held. */
     public void startServing() {
         runtime.status().startServing();
         runtime.sessions().runHeldQueries();
     }
 
-    /** The listener is called with the monotonic time in milliseconds at each request from now on. */
+    /** Sets the listener that is called for each accepted request with the monotonic time in milliseconds. */
     public void onRequest(LongConsumer requestListener) {
         runtime.acceptor().onRequest(requestListener);
     }
 
-    /** Requests are passed to this lookup, instead of the router, from now on. */
+    /** Passes all later requests to this lookup instead of directly to the router. */
     public void useHistory(RequestHistoryLookup lookup) {
         runtime.acceptor().useHistory(lookup);
     }
 
-    /** Requests a second, lately. */
+    /** Returns the recent rate of accepted requests. */
     public double requestsPerSecond() {
         return runtime.acceptor().requestsPerSecond();
     }
 
-    /** Number of requests in flight. */
+    /** Returns the number of requests in flight. */
     public int requestsInFlight() {
         return runtime.inFlight().size();
     }
 
-    /** The request with this id, or null if it has been answered or its client has closed. */
+    /** Returns the request with this id, or null if it has been answered or its client has closed the connection. */
     public AcceptedRequest requestInFlight(RequestId id) {
         return runtime.inFlight().get(id);
     }
 
     /**
-     * Whether the client of a request still waits for it; called right before an attempt is written. Where its connection was
-     * not read a moment ago, as for a retry, a request that was queued, or after a pause of this process, it is read now.
+     * Returns whether the client of a request still waits for the response; called right before an attempt is written.
+     * If the connection has not been read recently (for a retry, a queued request, or after a process pause), it is
+     * read first, to detect a client that has closed it.
      */
     public boolean isAwaited(AcceptedRequest request) {
         InFlightRequests inFlight = runtime.inFlight();
@@ -134,33 +135,33 @@
         runtime.inFlight().succeed(id, row);
     }
 
-    /** Answers a write that ran before, under the same id, with the response that its client was given then. */
+    /** Answers a write that has already run under the same id with the response that was recorded for it. */
     public void replay(RequestId id, byte[] response) {
         runtime.inFlight().replay(id, response);
     }
 
     /**
-     * Answers that a request was not run and may be retried.
+     * Rejects a request: answers that it was not run and may be retried.
      *
-     * @param retryAfter after how long, in tenths of a millisecond, or 0 for no advice
+     * @param retryAfter delay before a retry, in tenths of a millisecond, or 0 to suggest none
      */
     public void reject(RequestId id, long retryAfter) {
         runtime.inFlight().reject(id, retryAfter);
     }
 
-    /** Answers that a request failed and may have run. */
+    /** Fails a request: answers that it failed and may have run. */
     public void fail(RequestId id) {
         runtime.inFlight().fail(id);
     }
 
     // -- Shutdown
 
-    /** No request that is accepted from now on has a later deadline than this service time. */
+    /** Limits the deadline of each request that is accepted from now on to this service time. */
     public void capDeadlines(long deadline) {
         runtime.acceptor().capDeadlines(deadline);
     }
 
-    /** From now on idle connections are closed, and others once they are idle. */
+    /** Closes idle connections now, and each other connection as soon as it becomes idle. */
     public void closeIdle() {
         if (!runtime.status().isClosingIdle()) {
             runtime.log().line("planned restart: idle connections end, " + openConnections() + " connections");
@@ -172,16 +173,17 @@
     }
 
     /**
-     * Rejects messages that are incomplete, whose rest would come too late to be answered, and runs nothing more on their
-     * connections.
+     * Rejects all incomplete messages, since the rest of them would arrive too late to be answered, and closes their
+     * connections once earlier requests have been answered.
      */
     public void rejectIncompleteMessages() {
         runtime.evictor().rejectIncompleteMessages();
     }
 
     /**
-     * Reads nothing more, on connections that come later neither: what is read right before the process exits could not be
-     * answered, while clients retry what they find unread. What has been read is answered as before.
+     * Stops reading from all connections, including those accepted later. Requests that are read right before the
+     * process exits could not be answered, whereas clients can safely retry requests that were left unread. Requests
+     * that have been read are still answered.
      */
     public void stopReading() {
         runtime.status().stopReading();
--- a/gateway/src/main/java/ploverdale/net/client/ClientListener.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientListener.java
@@ -3,9 +3,9 @@
 import io.vertx.core.net.NetSocket;
 import ploverdale.net.eventloop.NioSockets;
 
-/** Accepts connections of clients, in the place of others if need be, or refuses them. Used on the event loop only. */
+/** Accepts client connections, evicting other clients if necessary, or refuses them. Used on the event loop only. */
 final class ClientListener {
-    /** For the startup message of a connection that is refused. */
+    /** How long a refused connection waits for the client's startup message. */
     private static final long REFUSED_STARTUP_WAIT_MS = 100;
 
     private final ClientRuntime runtime;
@@ -14,10 +14,10 @@
         this.runtime = runtime;
     }
 
-    /** Takes over a connection that the operating system has accepted. */
+    /** Accepts or refuses a connection that the operating system has accepted. */
     void accept(NetSocket socket) {
         if (runtime.status().isReadingStopped()) {
-            NioSockets.stopReading(socket); // the process exits in a moment
+            NioSockets.stopReading(socket); // the process is about to exit
             return;
         }
         runtime.evictor().makeRoomForClient();
--- a/gateway/src/main/java/ploverdale/net/client/ClientRuntime.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientRuntime.java
@@ -8,12 +8,14 @@
 import ploverdale.net.eventloop.RouterEventLoop;
 import ploverdale.settings.GatewaySettings;
 
-/** What the client connections of one gateway share. Immutable; its parts are used on the event loop only. */
+/**
+ * The objects shared by all client connections of a gateway. Immutable; the objects are used on the event loop only.
+ */
 final class ClientRuntime {
-    /** For a client to read on before it is closed; at least as long as a request may take. */
+    /** Minimum time that a client has to read its responses before its connection is closed. */
     private static final long MIN_READ_TIMEOUT_MS = 5000;
 
-    private static final long TICKS_PER_MS = 10; // of the timeouts of request classes
+    private static final long TICKS_PER_MS = 10; // timeouts of request classes are in tenths of a millisecond
 
     private final Vertx vertx;
     private final Log log;
@@ -77,12 +79,12 @@
         return clock;
     }
 
-    /** Monotonic time in milliseconds. */
+    /** Returns the monotonic time in milliseconds. */
     long nowMs() {
         return clock.clock().monotonicMs();
     }
 
-    /** For a client that does not read, until it is closed. */
+    /** Returns the time after which a client that does not read is closed: at least the longest request timeout. */
     long readTimeoutMs() {
         return readTimeoutMs;
     }
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -6,9 +6,9 @@
 import ploverdale.net.postgres.ClientMessage;
 
 /**
- * One client's connection: decodes its messages, runs them in order as far as the pipeline allows, and writes the responses.
- * Its states are those of {@link SessionState}. Used on the event loop only; closing is idempotent, and a session that is
- * closed holds no memory and no requests.
+ * One client's connection: decodes its messages, runs them in order as far as the pipeline has capacity, and writes the
+ * responses. {@link SessionState} describes its states. Used on the event loop only. Closing is idempotent; a closed
+ * session holds no memory and no requests.
  */
 public final class ClientSession {
     private final ClientRuntime runtime;
@@ -35,7 +35,7 @@
         this.backendKey = runtime.cancels().register(this);
     }
 
-    /** Opens a session on a connection and registers it; it begins to read with the next turn of the event loop. */
+    /** Opens and registers a session on a connection. It starts reading in the next turn of the event loop. */
     static void open(ClientRuntime runtime, NetSocket socket) {
         ClientSession session = new ClientSession(runtime, socket);
         socket.handler(session::onBytes);
@@ -46,12 +46,12 @@
         runtime.sessions().add(session);
     }
 
-    /** The numbers by which a cancel message names this session. */
+    /** Returns the key by which a cancel message refers to this session. */
     CancelRegistry.BackendKey backendKey() {
         return backendKey;
     }
 
-    /** Bytes of an incomplete message, which are counted in the memory budget. */
+    /** Returns the number of bytes of an incomplete message that are counted in the memory budget. */
     int undecodedBytes() {
         return decoder.countedBytes();
     }
@@ -68,7 +68,7 @@
         try {
             decoder.feed(bytes);
             processInput();
-        } catch (RuntimeException failure) { // broad catch: a fault here ends this connection and no other
+        } catch (RuntimeException failure) { // broad catch: a fault closes only this connection
             runtime.log().fault("client connection fault", failure);
             close();
         } finally {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Runs what is queued and decodes what has come, as far as there is capacity. */
+    /** Runs queued messages and decodes the bytes received, as far as the pipeline and the queue have capacity. */
     private void processInput() {
         if (isClosed()) {
             return;
@@ -95,7 +95,7 @@
         pauseInputWhileFull();
     }
 
-    /** True if a message was complete. Terminate takes effect at once, whatever is queued: the client has closed. */
+    /** Decodes messages; returns whether any was complete. Terminate takes effect before queued messages. */
     private boolean decodeMessages() {
         boolean decoded = false;
         while (state == SessionState.ACTIVE && !queue.isFull()) {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Nothing runs while the input is not read: the end of the connection could not be seen. */
+    /** Runs queued messages. While input is paused, requests are rejected: a close by the client would be missed. */
     private void runQueued() {
         while (mayRunNext()) {
             QueuedInput next = queue.poll();
@@ -143,12 +143,12 @@
                 && !queue.isEmpty();
     }
 
-    /** The message at the head of the stream ends the connection: what comes behind it is not run. */
+    /** Ends the input at the message at the head of the stream: later messages are not run. */
     private void endInput() {
         state = decoder.skipMessage() ? SessionState.INPUT_ENDED : SessionState.INPUT_UNREADABLE;
     }
 
-    /** Each request behind the message that ends the connection is rejected before the connection is closed. */
+    /** Counts the requests after the message that ends the connection; they are rejected before it is closed. */
     private void countRequestsAfterEnd() {
         if (state == SessionState.INPUT_ENDED && !decoder.countRequestsAfterEnd()) {
             state = SessionState.INPUT_UNREADABLE;
@@ -175,23 +175,23 @@
         }
     }
 
-    /** Runs the query that was held until the gateway serves, and what came behind it. */
+    /** Runs the query that was held until the gateway started serving, and the messages behind it. */
     void runHeldQuery() {
         messageHandler.runHeldQuery();
         processInput();
     }
 
-    /** Reads at once what the operating system has received. */
+    /** Reads immediately what the operating system has received. */
     void readNow() {
         input.readNow();
     }
 
-    /** Reads nothing more. */
+    /** Stops reading from the socket. */
     void stopReading() {
         input.stop();
     }
 
-    /** Whether the client has closed, which is looked up now if the connection was not read a moment ago. */
+    /** Returns whether the client has closed the connection; reads it first unless it has been read recently. */
     boolean isClosedByClient() {
         if (isClosed() || input.isFresh(runtime.nowMs())) {
             return isClosed();
@@ -204,31 +204,31 @@
         return isClosed();
     }
 
-    /** Whether the connection is closed or being closed. */
+    /** Returns whether the connection is closed or being closed. */
     boolean isClosed() {
         return state == SessionState.CLOSED;
     }
 
     // -- Responses
 
-    /** Reserves the place of a response that is completed later. */
+    /** Reserves the pipeline slot of a response that is completed later. */
     void awaitResponse(PendingResponse response) {
         pipeline.add(response);
     }
 
-    /** Writes a response in its turn. */
+    /** Writes a response once all earlier responses have been written. */
     void respond(Buffer response) {
         pipeline.add(PendingResponse.completed(response));
         flush();
     }
 
-    /** Answers a query that cannot be accepted. */
+    /** Answers an invalid query with an error; the connection stays open. */
     void rejectInvalidQuery(String sqlState, String message) {
         logInvalidInput(sqlState, message);
         respond(ErrorResponses.error(sqlState, message));
     }
 
-    /** Answers what cannot be accepted and closes the connection behind that. */
+    /** Answers invalid input with an error and closes the connection once that response has been written. */
     void rejectAndClose(String sqlState, String message) {
         logInvalidInput(sqlState, message);
         pipeline.add(PendingResponse.closing(ErrorResponses.fatal(sqlState, message)));
@@ -241,7 +241,7 @@
         }
     }
 
-    /** Writes the responses whose turn it is. */
+    /** Writes the responses that are complete, up to the first incomplete one. */
     void flush() {
         writeCompletedResponses();
         if (!isClosed() && pipeline.isEmpty()) {
@@ -293,7 +293,7 @@
         });
     }
 
-    /** Answers every request that has come and has no response yet as canceled: none is attempted from now on. */
+    /** Answers every request that was received and has no response yet as canceled, and starts no further attempts. */
     void cancelRequests() {
         for (PendingResponse response : pipeline.inFlight()) {
             runtime.inFlight().abandon(response.request());
@@ -304,7 +304,7 @@
         flush();
     }
 
-    /** Whether something has been read completely and not been answered. */
+    /** Returns whether a message has been read completely and not been answered. */
     boolean owesResponse() {
         boolean undecodedMessage = decoder.isStarted()
                 && decoder.hasUndecodedBytes()
@@ -312,14 +312,14 @@
         return !pipeline.isEmpty() || undecodedMessage;
     }
 
-    /** Whether part of the startup message has come. */
+    /** Returns whether only part of the startup message has been received. */
     boolean hasIncompleteStartup() {
         return !decoder.isStarted() && decoder.hasUndecodedBytes();
     }
 
     // -- Closing
 
-    /** Ends the connection with an error in place of what is incomplete; requests before that are answered first. */
+    /** Answers incomplete input with an error and closes the connection; earlier requests are answered first. */
     void giveUp(String sqlState, String message) {
         if (isClosed()) {
             return;
@@ -336,12 +336,12 @@
     }
 
     /**
-     * Closes the connection if its client waits for nothing; false if it stays, as when a request on it had not been read yet.
-     * Nothing happens between that last read and the end of the output: what came in between would be lost.
+     * Closes the connection if its client waits for no response; returns false if it stays open. Reads the socket once
+     * more and shuts the output down right after that read: a request that arrived in between would be lost.
      */
     boolean closeIfIdle() {
         if (runtime.status().isReadingStopped() || handlingBytes || !isWaitingForNothing()) {
-            return false; // called again once the bytes have been handled
+            return false; // onBytes calls this again once the bytes have been handled
         }
         readNow();
         if (!isWaitingForNothing()) {
@@ -366,7 +366,7 @@
                 && !messageHandler.isHoldingQuery();
     }
 
-    /** Closes the connection behind what was written; does nothing if it is closed already. */
+    /** Closes the connection after everything written has been sent; does nothing if it is already closed. */
     void close() {
         if (isClosed()) {
             return;
@@ -381,14 +381,14 @@
         runtime.lingeringClose().onClosed(socket);
     }
 
-    /** Forgets the session and abandons its requests; does nothing the second time. */
+    /** Unregisters the session, abandons its requests and releases its memory. Idempotent. */
     private void release() {
         if (isClosed()) {
             return;
         }
         state = SessionState.CLOSED;
         runtime.limits().left(this);
-        decoder.clear(); // what still refers to this session must not keep its bytes
+        decoder.clear(); // remaining references to this session must not keep its bytes in memory
         decoder.releaseMemory();
         writer.releaseMemory();
         queue.clear();
--- a/gateway/src/main/java/ploverdale/net/client/ErrorResponses.java
+++ b/gateway/src/main/java/ploverdale/net/client/ErrorResponses.java
@@ -3,16 +3,16 @@
 import io.vertx.core.buffer.Buffer;
 import ploverdale.net.postgres.MessageWriter;
 
-/** The error responses that clients are given. */
+/** Builds the error responses that are sent to clients. */
 final class ErrorResponses {
     private ErrorResponses() {}
 
-    /** An error after which the session goes on. */
+    /** Returns an error response after which the session continues. */
     static Buffer error(String sqlState, String message) {
         return MessageWriter.errorResponse(sqlState, message, null, false, true);
     }
 
-    /** An error with which the connection ends. */
+    /** Returns an error response after which the connection is closed. */
     static Buffer fatal(String sqlState, String message) {
         return MessageWriter.errorResponse(sqlState, message, null, true, false);
     }
--- a/gateway/src/main/java/ploverdale/net/client/InFlightRequests.java
+++ b/gateway/src/main/java/ploverdale/net/client/InFlightRequests.java
@@ -12,11 +12,11 @@
 import ploverdale.net.postgres.ResultRow;
 
 /**
- * The requests of all clients that have no final answer yet. Gives each at most one, and each one at the latest shortly after
- * its timeout. Used on the event loop only.
+ * The requests of all clients that have not been answered yet. Answers each request at most once, and no later than
+ * shortly after its timeout. Used on the event loop only.
  */
 final class InFlightRequests {
-    /** After a request's timeout, in milliseconds: half of what an answer may be late. */
+    /** How long after its timeout an unanswered request is failed: half of the time by which an answer may be late. */
     static final long LAST_RESORT_MS = 250;
 
     private final Map<RequestId, AcceptedRequest> requests = new HashMap<>();
@@ -30,33 +30,33 @@
         this.memory = memory;
     }
 
-    /** Adds a request, whose id must not be in flight. */
+    /** Adds a request; no other request with its id may be in flight. */
     void add(AcceptedRequest request) {
         requests.put(request.id(), request);
         memory.reserve(request.bytes());
     }
 
-    /** The request with this id, or null if none is in flight. */
+    /** Returns the request with this id, or null if none is in flight. */
     AcceptedRequest get(RequestId id) {
         return requests.get(id);
     }
 
-    /** Whether this very request is in flight: an id may be used again once its request has been answered. */
+    /** Returns whether exactly this request is in flight: its id may be reused once it has been answered. */
     boolean contains(AcceptedRequest request) {
         return requests.get(request.id()) == request;
     }
 
-    /** Number of requests in flight. */
+    /** Returns the number of requests in flight. */
     int size() {
         return requests.size();
     }
 
-    /** Answers with the row that a server returned. */
+    /** Answers the request with the row that a server returned. */
     void succeed(RequestId id, ResultRow row) {
         complete(id, MessageWriter.resultRow(row));
     }
 
-    /** Answers a write that ran before with the response that its client was given then. */
+    /** Answers a write that has already run with the response that was recorded for it. */
     void replay(RequestId id, byte[] response) {
         complete(id, Buffer.buffer(response));
     }
@@ -64,7 +64,7 @@
     /**
      * Answers that the request was not run and may be retried.
      *
-     * @param retryAfter after how long, in tenths of a millisecond, or 0 for no advice
+     * @param retryAfter delay before a retry, in tenths of a millisecond, or 0 to suggest none
      */
     void reject(RequestId id, long retryAfter) {
         String detail = retryAfter > 0 ? Long.toString((retryAfter + 9) / 10) : null;
@@ -79,7 +79,7 @@
         complete(id, ErrorResponses.error(SqlStates.SYSTEM_ERROR, "the op failed; whether it ran is not known"));
     }
 
-    /** Does nothing if the request has been answered or its client has closed. */
+    /** Answers a request; does nothing if it has been answered or its client has closed the connection. */
     private void complete(RequestId id, Buffer response) {
         AcceptedRequest request = remove(id);
         if (request != null) {
@@ -87,20 +87,20 @@
         }
     }
 
-    /** Forgets a request in flight that its client no longer waits for, and has the router forget it, too. */
+    /** Removes a request that its client no longer waits for, and notifies the router. */
     void abandon(RequestId id) {
         remove(id);
         eventLoop.enqueue(new Event.ClientDisconnected(id));
     }
 
-    /** Fails what the router has left unanswered beyond its timeout, whatever the cause. */
+    /** Fails all requests that the router has left unanswered for too long after their timeout, whatever the cause. */
     void failOverdue(long nowMs) {
         List<AcceptedRequest> overdue = requests.values().stream()
                 .filter(request -> request.isOverdue(nowMs))
                 .toList();
         for (AcceptedRequest request : overdue) {
             log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
-            eventLoop.enqueue(new Event.ClientDisconnected(request.id())); // so that the router gives no second answer
+            eventLoop.enqueue(new Event.ClientDisconnected(request.id())); // prevents a second answer by the router
             fail(request.id());
         }
     }
--- a/gateway/src/main/java/ploverdale/net/client/InputQueue.java
+++ b/gateway/src/main/java/ploverdale/net/client/InputQueue.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * The messages of one client that wait until earlier requests have been answered, with the bytes that they take. Used on the
- * event loop only.
+ * The messages of one client that wait until earlier requests have been answered. Counts their bytes in the memory
+ * budget. Used on the event loop only.
  *
- * <p>Messages are read and queued although they cannot run yet, because the end of a connection follows its bytes: a client
- * that has closed is noticed only once all that it wrote has been read.
+ * <p>Messages are read and queued although they cannot run yet, because the close of a connection is received after its
+ * bytes: it is detected only once everything that the client sent has been read.
  */
 final class InputQueue {
-    /** Bytes queued from which on further requests of the same client are rejected. */
+    /** Number of queued bytes from which further requests of the same client are rejected. */
     private static final int READ_AHEAD_BYTES = 64 * 1024;
-    /** Bytes queued from which on nothing more is read of that client, and queued requests are rejected. */
+    /** Number of queued bytes from which that client's input is paused and its queued requests are rejected. */
     private static final int MAX_BYTES = 4 * READ_AHEAD_BYTES;
 
     private final Deque<QueuedInput> inputs = new ArrayDeque<>();
@@ -32,7 +32,7 @@
         memory.reserve(input.bytes());
     }
 
-    /** Removes the oldest input; null if there is none. */
+    /** Removes and returns the oldest input; null if the queue is empty. */
     QueuedInput poll() {
         QueuedInput input = inputs.poll();
         if (input != null) {
@@ -42,29 +42,28 @@
         return input;
     }
 
-    /** Whether nothing is queued. */
     boolean isEmpty() {
         return inputs.isEmpty();
     }
 
-    /** Whether a further request is to be rejected. */
+    /** Returns whether further requests must be rejected. */
     boolean isOverReadAhead() {
         return bytes >= READ_AHEAD_BYTES;
     }
 
-    /** Whether nothing more is to be read. */
+    /** Returns whether input must be paused. */
     boolean isFull() {
         return bytes >= MAX_BYTES;
     }
 
-    /** Puts rejections in the places of all requests. */
+    /** Replaces all queued requests by rejections. */
     void rejectRequests(RequestRejection rejection) {
         List<QueuedInput> queued = List.copyOf(inputs);
         clear();
         queued.forEach(input -> add(input.rejectedIfRequest(rejection)));
     }
 
-    /** Forgets all that is queued. */
+    /** Discards all queued inputs. */
     void clear() {
         inputs.clear();
         memory.release(bytes);
--- a/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
+++ b/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
@@ -13,23 +13,24 @@
 import ploverdale.net.eventloop.NioSockets;
 
 /**
- * Closes connections without losing their last responses. A close while bytes are still to be read would reset the connection
- * and discard responses that are on their way. So the output is ended behind what was written, and the input is read and
- * dropped until the client closes, too, or a time limit has passed. Used on the event loop only.
+ * Closes connections without losing their last responses. Closing a socket with unread input would reset the connection
+ * and discard responses that the client has not received yet. Therefore the output is shut down after the last
+ * response, and input is read and discarded until the client closes the connection, too, or a time limit has passed.
+ * Used on the event loop only.
  */
 final class LingeringClose {
-    /** For a client to close, too, once the output has been ended. */
+    /** How long the client may take to close the connection, too, after the output has been shut down. */
     private static final long LINGER_MS = 500;
-    /** What a client may write after its end; more is left unread, since reading it would cost a busy gateway time. */
+    /** How much is read from a client after its connection has ended. The rest is left unread, to limit the load. */
     private static final int MAX_DROPPED_BYTES = 64 * 1024;
-    /** The operating system has the descriptor of a closed socket back a moment later. */
+    /** Delay until the operating system has released the descriptor of a closed socket. */
     private static final long DESCRIPTOR_RELEASE_MS = 1;
 
     private final Vertx vertx;
     private final Log log;
     private final ConnectionLimits<ClientSession> limits;
     private final ServiceStatus status;
-    private final Set<NetSocket> lingering = new LinkedHashSet<>(); // the longest first
+    private final Set<NetSocket> lingering = new LinkedHashSet<>(); // oldest first
     private int unflushed;
 
     LingeringClose(Vertx vertx, Log log, ConnectionLimits<ClientSession> limits, ServiceStatus status) {
@@ -39,7 +40,7 @@
         this.status = status;
     }
 
-    /** Ends the output behind all that was written, then drops the input. To be called once a socket. */
+    /** Shuts the output down after everything written has been sent, and discards the input. Call once per socket. */
     void close(NetSocket socket) {
         unflushed++;
         socket.write(Buffer.buffer()).onComplete(written -> {
@@ -53,7 +54,7 @@
         dropInput(socket);
     }
 
-    /** Reads and drops what still comes on a connection whose output has been ended, and closes it after a while. */
+    /** Discards the input of a connection whose output has been shut down, and closes it after a time limit. */
     void dropInput(NetSocket socket) {
         lingering.add(socket);
         DroppedInput dropped = new DroppedInput(socket);
@@ -62,7 +63,7 @@
         closeOldest(limits.over());
     }
 
-    /** Closes this many of the lingering connections for good, the longest first; none if it is 0 or less. */
+    /** Closes the given number of lingering connections, oldest first; none if the number is 0 or negative. */
     void closeOldest(int count) {
         for (NetSocket socket : lingering.stream().limit(Math.max(0, count)).toList()) {
             lingering.remove(socket);
@@ -71,24 +72,24 @@
         }
     }
 
-    /** A socket has been closed, whether it lingered or not. */
+    /** Called when a socket has been closed, whether it lingered or not. */
     void onClosed(NetSocket socket) {
         lingering.remove(socket);
         vertx.setTimer(DESCRIPTOR_RELEASE_MS, timer -> limits.closed());
     }
 
-    /** Connections whose last responses have not been taken by the operating system yet. */
+    /** Returns the number of connections whose last responses the operating system has not accepted yet. */
     int unflushed() {
         return unflushed;
     }
 
-    /** Logs bytes that came after the end of a connection. */
+    /** Logs that bytes were received after the end of a connection and discarded. */
     void logDropped(int bytes) {
         String during = status.isClosingIdle() ? ", in a planned restart" : "";
         log.often("client bytes after its end", bytes + " bytes, not read" + during);
     }
 
-    /** The input of one lingering connection. */
+    /** Discards the input of one lingering connection. */
     private final class DroppedInput {
         private final NetSocket socket;
         private int bytes;
@@ -109,7 +110,7 @@
             return bytes > MAX_DROPPED_BYTES;
         }
 
-        /** Closes the socket, with nothing left unread where that can be had. */
+        /** Closes the socket; reads the remaining input first, unless the client has exceeded the limit. */
         private void close() {
             if (!isFlood()) {
                 NioSockets.readNow(socket);
--- a/gateway/src/main/java/ploverdale/net/client/MemoryBudget.java
+++ b/gateway/src/main/java/ploverdale/net/client/MemoryBudget.java
@@ -1,31 +1,31 @@
 package ploverdale.net.client;
 
 /**
- * Counts the bytes that all clients together make this gateway keep: requests in flight, queued and incomplete messages, and
- * responses that clients have not read. Used on the event loop only.
+ * Counts the bytes that the gateway buffers for all clients together: requests in flight, queued and incomplete
+ * messages, and responses that clients have not read. Used on the event loop only.
  */
 final class MemoryBudget {
-    /** In bytes. Above it new requests are rejected, and the oldest incomplete messages are given up. */
+    /** From this size on, new requests are rejected, and clients with the oldest incomplete messages are evicted. */
     private static final long MAX_BYTES = 16 * 1024 * 1024;
 
     private long usedBytes;
 
-    /** Counts further bytes, also above the budget. */
+    /** Adds bytes to the count, even beyond the budget. */
     void reserve(long bytes) {
         usedBytes += bytes;
     }
 
-    /** Counts bytes no longer. */
+    /** Subtracts bytes from the count. */
     void release(long bytes) {
         usedBytes -= bytes;
     }
 
-    /** Bytes counted now. */
+    /** Returns the number of bytes that are counted now. */
     long usedBytes() {
         return usedBytes;
     }
 
-    /** Whether nothing that can be rejected may be added. */
+    /** Returns whether the budget is used up, so that new requests must be rejected. */
     boolean isExhausted() {
         return usedBytes >= MAX_BYTES;
     }
--- a/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
+++ b/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
@@ -5,11 +5,11 @@
 import ploverdale.net.postgres.ClientMessageReader;
 
 /**
- * Decodes one client's messages, counts the bytes of an incomplete one in the memory budget, and counts the requests that
- * come behind the end of the input. Used on the event loop only.
+ * Decodes one client's messages, counts the bytes of an incomplete message in the memory budget, and counts the
+ * requests received after the end of the input. Used on the event loop only.
  */
 final class MessageDecoder {
-    /** Requests behind the end of the input that are answered one by one. */
+    /** Number of requests after the end of the input that are answered individually. */
     private static final int MAX_REQUESTS_AFTER_END = 1000;
 
     private final ClientMessageReader reader = new ClientMessageReader();
@@ -21,49 +21,57 @@
         this.memory = memory;
     }
 
-    /** Adds bytes that were received. */
+    /** Adds received bytes. */
     void feed(Buffer bytes) {
         reader.feed(bytes);
     }
 
-    /** The next message, or null until more bytes have been received. */
+    /** Returns the next message, or null if it is still incomplete. */
     ClientMessage next() {
         return reader.next();
     }
 
-    /** Whether the startup message has been read. */
+    /** Returns whether the startup message has been read. */
     boolean isStarted() {
         return reader.greeted();
     }
 
-    /** Whether bytes have been received that are not decoded yet. */
+    /** Returns whether received bytes are waiting to be decoded. */
     boolean hasUndecodedBytes() {
         return reader.held() > 0;
     }
 
-    /** Bytes that the memory budget counts for this decoder. */
+    /** Returns the number of bytes that the memory budget counts for this decoder. */
     int countedBytes() {
         return countedBytes;
     }
 
-    /** Brings the memory budget up to date with the bytes that are not decoded yet. */
+    /** Updates the memory budget to the number of bytes that have not been decoded yet. */
     void countBytes() {
         memory.reserve(reader.held() - countedBytes);
         countedBytes = reader.held();
     }
 
-    /** Counts nothing in the memory budget until {@link #countBytes} is called again. */
+    /** Removes this decoder's bytes from the memory budget until {@link #countBytes} is called again. */
     void releaseMemory() {
         memory.release(countedBytes);
         countedBytes = 0;
     }
 
-    /** Skips the message at the head of the stream; false if no later message can be found in what comes. */
+    /**
+     * Skips the message at the head of the stream.
+     *
+     * @return false if the boundaries of later messages cannot be determined
+     */
     boolean skipMessage() {
         return reader.skipMessage();
     }
 
-    /** Counts the requests that have come behind the end of the input; false if no later message can be found. */
+    /**
+     * Counts the requests received after the end of the input.
+     *
+     * @return false if the boundaries of later messages cannot be determined
+     */
     boolean countRequestsAfterEnd() {
         ClientMessage message = reader.next();
         while (message != null) {
@@ -79,12 +87,12 @@
         return true;
     }
 
-    /** Requests that have come behind the end of the input. */
+    /** Returns the number of requests received after the end of the input, up to a maximum. */
     int requestsAfterEnd() {
         return requestsAfterEnd;
     }
 
-    /** Forgets the bytes that are not decoded yet. */
+    /** Discards the bytes that have not been decoded yet. */
     void clear() {
         reader.clear();
     }
--- a/gateway/src/main/java/ploverdale/net/client/PendingResponse.java
+++ b/gateway/src/main/java/ploverdale/net/client/PendingResponse.java
@@ -3,9 +3,9 @@
 import io.vertx.core.buffer.Buffer;
 import ploverdale.model.RequestId;
 
-/** One place in the order of a client's responses: still to be completed, or ready to be written. */
+/** A slot in a client's response pipeline, whose response is still awaited or ready to be written. */
 final class PendingResponse {
-    private final RequestId request; // null where no request was passed to the router
+    private final RequestId request; // null if no request was passed to the router
     private final boolean endsConnection;
     private Buffer response; // null until it is complete
 
@@ -15,37 +15,37 @@
         this.endsConnection = endsConnection;
     }
 
-    /** The response to a request that is in flight. */
+    /** Returns the slot of a request that is in flight. */
     static PendingResponse of(RequestId request) {
         return new PendingResponse(request, null, false);
     }
 
-    /** A response that only waits for those before it. */
+    /** Returns the slot of a complete response, which waits only for the responses before it. */
     static PendingResponse completed(Buffer response) {
         return new PendingResponse(null, response, false);
     }
 
-    /** The last response of a connection. */
+    /** Returns the slot of the last response of a connection. */
     static PendingResponse closing(Buffer response) {
         return new PendingResponse(null, response, true);
     }
 
-    /** The request that is answered, or null. */
+    /** Returns the request that is answered, or null if none was passed to the router. */
     RequestId request() {
         return request;
     }
 
-    /** Whether the request has no response yet. */
+    /** Returns whether the response is still awaited. */
     boolean isInFlight() {
         return response == null;
     }
 
-    /** Whether the connection is to be closed behind this response. */
+    /** Returns whether the connection is closed after this response. */
     boolean endsConnection() {
         return endsConnection;
     }
 
-    /** The response, or null while the request is in flight. */
+    /** Returns the response, or null while the request is in flight. */
     Buffer response() {
         return response;
     }
--- a/gateway/src/main/java/ploverdale/net/client/QueuedInput.java
+++ b/gateway/src/main/java/ploverdale/net/client/QueuedInput.java
@@ -3,27 +3,27 @@
 import ploverdale.net.postgres.ClientMessage;
 import ploverdale.net.postgres.ClientMessageHandler;
 
-/** A place in a session's queue of input: a message, or the rejection of a request that was in that place. */
+/** An element of a session's input queue: a message, or the rejection that has replaced a queued request. */
 sealed interface QueuedInput {
-    /** Bytes of memory that a queued message is counted with beside its text. */
+    /** Number of bytes that a queued message takes from the memory budget in addition to its text. */
     int OVERHEAD_BYTES = 64;
 
-    /** Takes the kinds of input. */
+    /** Handles each kind of input. */
     interface Handler extends ClientMessageHandler {
-        /** A request is to be rejected. */
+        /** Called for a request that must be answered with a rejection. */
         void onRejectedRequest(RequestRejection rejection);
     }
 
-    /** Bytes of memory that this input is counted with. */
+    /** Returns the number of bytes that this input takes from the memory budget. */
     int bytes();
 
-    /** The rejection that takes the place of this input if it is a request, else this input itself. */
+    /** Returns the rejection that replaces this input if it is a request, otherwise this input itself. */
     QueuedInput rejectedIfRequest(RequestRejection rejection);
 
-    /** Calls the method of the handler that takes this kind of input. */
+    /** Calls the handler's method for this kind of input. */
     void dispatchTo(Handler handler);
 
-    /** A message as it was read. */
+    /** A message as received. */
     record Message(ClientMessage message) implements QueuedInput {
         @Override
         public int bytes() {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Takes the place of a request, whose text is no longer needed. */
+    /** Replaces a request, whose text is no longer needed. */
     record RejectedRequest(RequestRejection rejection) implements QueuedInput {
         @Override
         public int bytes() {
@@ -50,7 +50,7 @@
         }
 
         @Override
-        public QueuedInput rejectedIfRequest(RequestRejection another) {
+        public QueuedInput rejectedIfRequest(RequestRejection otherRejection) {
             return this;
         }
 
--- a/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
@@ -9,12 +9,13 @@
 import ploverdale.net.postgres.ClientMessageReader;
 
 /**
- * A client's connection that there is no capacity for. Waits a moment for the startup message, since requests may come right
- * behind it, and then rejects the startup and each of the requests by an error of its own. Must never forward anything, nor
- * close over what it has read without an answer. Used on the event loop only; it is refused at most once.
+ * A client connection that is refused for lack of capacity. Waits a short time for the startup message, since requests
+ * may directly follow it, and then answers the startup message and each of the requests with a separate error. Must
+ * never forward a request, nor close the connection while a request that it has read is unanswered. Refuses the
+ * connection at most once. Used on the event loop only.
  */
 final class RefusedConnection {
-    /** Requests behind the startup message that are answered one by one. */
+    /** Number of requests after the startup message that are answered individually. */
     private static final int MAX_REQUESTS_ANSWERED = 1000;
 
     private static final String ENCRYPTION_NOT_SUPPORTED = "N";
@@ -26,8 +27,8 @@
     private boolean finished;
 
     /**
-     * @param cancelHandler takes a cancel message, which needs no capacity
-     * @param closer closes the connection gracefully, once all is written
+     * @param cancelHandler called with a cancel message, which is accepted without capacity
+     * @param closer called to close the connection after the last response has been written
      */
     RefusedConnection(NetSocket socket, Consumer<ClientMessage.CancelRequest> cancelHandler, Runnable closer) {
         this.socket = socket;
@@ -35,18 +36,18 @@
         this.closer = closer;
     }
 
-    /** Refuses it once its startup message has come, or after this time. */
+    /** Refuses the connection when its startup message has been received, or else after this time. */
     void refuseWithin(long waitMs, Vertx vertx) {
         socket.handler(this::onBytes);
         if (waitMs == 0) {
-            NioSockets.readNow(socket); // what is there already is answered request by request
+            NioSockets.readNow(socket); // requests received already are answered individually
             refuse(0);
         } else {
             vertx.setTimer(waitMs, timer -> refuse(0));
         }
     }
 
-    /** Its client has closed it; nothing is to be done any more. */
+    /** Called when the client has closed the connection; nothing is written after that. */
     void onClosed() {
         finished = true;
     }
@@ -79,7 +80,7 @@
         return requests;
     }
 
-    /** The first error answers the startup message and the first request, further ones the requests behind that. */
+    /** Writes one error for the startup message and the first request, and one for each further request. */
     private void refuse(int requests) {
         if (finished) {
             return;
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -18,14 +18,14 @@
 import ploverdale.shutdown.RequestRate;
 
 /**
- * Accepts queries as requests: checks what each names, reserves its place in the order of responses, sets its deadline, and
- * passes it to the router or, where gateways record requests together, to the lookup of its history. Used on the event loop
- * only.
+ * Accepts queries as requests: validates the request class, tenant and id, reserves a slot in the response pipeline,
+ * sets the deadline, and passes the request to the router or, if gateways share a record of requests, to the lookup of
+ * its history. Used on the event loop only.
  */
 final class RequestAcceptor {
     private static final double TRAFFIC_FADE_MS = 1000;
-    private static final long TICKS_PER_MS = 10; // service time counts tenths of a millisecond
-    private static final long NO_TOKEN = 0; // age of the position that a request must reach, where it names none
+    private static final long TICKS_PER_MS = 10; // service time is in tenths of a millisecond
+    private static final long NO_TOKEN = 0; // token age of a request that requires no log position
 
     private final RouterEventLoop eventLoop;
     private final GatewaySettings settings;
@@ -34,7 +34,7 @@
     private final InFlightRequests inFlight;
     private final RequestRate traffic = new RequestRate(TRAFFIC_FADE_MS);
     private LongConsumer requestListener = nowMs -> {};
-    private RequestHistoryLookup historyLookup; // null where gateways record nothing together
+    private RequestHistoryLookup historyLookup; // null if gateways share no record of requests
     private long latestDeadline = Long.MAX_VALUE;
 
     RequestAcceptor(
@@ -50,30 +50,30 @@
         this.inFlight = inFlight;
     }
 
-    /** Called with the monotonic time in milliseconds at each request from now on. */
+    /** Sets the listener that is called for each accepted request with the monotonic time in milliseconds. */
     void onRequest(LongConsumer listener) {
         requestListener = listener;
     }
 
-    /** Requests are passed to this lookup from now on. */
+    /** Passes all later requests to this lookup instead of directly to the router. */
     void useHistory(RequestHistoryLookup lookup) {
         historyLookup = lookup;
     }
 
-    /** No request that is accepted from now on has a later deadline than this service time. */
+    /** Limits the deadline of each request that is accepted from now on to this service time. */
     void capDeadlines(long deadline) {
         latestDeadline = deadline;
     }
 
-    /** Requests a second, lately. */
+    /** Returns the recent rate of accepted requests. */
     double requestsPerSecond() {
         return traffic.perSecond(clock.clock().monotonicMs());
     }
 
     /**
-     * Accepts a query, or answers it with an error if it names something unknown.
+     * Accepts a query, or answers it with an error if its request class or tenant is unknown or its id is in flight.
      *
-     * @param arrivedAt service time that its timeout counts from
+     * @param arrivedAt service time at which the request's timeout starts
      */
     void accept(ClientSession session, ClientMessage.RequestQuery query, long arrivedAt) {
         int classIndex = settings.requestClasses().indexOf(query.requestClass());
@@ -126,7 +126,7 @@
                 tokenAge(query, arrivedAt));
     }
 
-    /** The session whose writes a read must see, or that a write belongs to; null if there is none. */
+    /** Returns the session whose writes a read must observe, or to which a write belongs; null if there is none. */
     private static SessionId session(ClientMessage.RequestQuery query, Consistency consistency) {
         boolean inSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
         return query.key() != null && inSession ? new SessionId(query.key()) : null;
--- a/gateway/src/main/java/ploverdale/net/client/RequestPipeline.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestPipeline.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * The responses that one client still waits for, in the order of its commands: a response is written once all before it have
- * been written. Used on the event loop only.
+ * The responses that one client still waits for, in the order of its commands. A response is written once all earlier
+ * responses have been written. Used on the event loop only.
  */
 final class RequestPipeline {
-    /** Commands of one client that run before their responses are written; later ones are queued. */
+    /** Number of commands of one client that may run before their responses are written; later commands are queued. */
     private static final int MAX_PENDING = 8;
 
     private final Deque<PendingResponse> pending = new ArrayDeque<>();
@@ -19,28 +19,27 @@
         pending.add(response);
     }
 
-    /** Whether no further command may run yet. */
+    /** Returns whether no further command may run yet. */
     boolean isFull() {
         return pending.size() >= MAX_PENDING;
     }
 
-    /** Whether the client waits for no response. */
+    /** Returns whether the client waits for no response. */
     boolean isEmpty() {
         return pending.isEmpty();
     }
 
-    /** Removes the first response if it is complete, else returns null. */
+    /** Removes and returns the first response if it is complete, otherwise returns null. */
     PendingResponse pollCompleted() {
         PendingResponse first = pending.peek();
         return first == null || first.isInFlight() ? null : pending.poll();
     }
 
-    /** The responses to requests that are in flight, oldest first; a copy. */
+    /** Returns a copy of the responses to requests that are in flight, oldest first. */
     List<PendingResponse> inFlight() {
         return pending.stream().filter(PendingResponse::isInFlight).toList();
     }
 
-    /** Forgets all responses. */
     void clear() {
         pending.clear();
     }
--- a/gateway/src/main/java/ploverdale/net/client/RequestRejection.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestRejection.java
@@ -2,11 +2,11 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Why a request that was read is answered with an error instead of being passed to the router. */
+/** The reason for which a request is answered with an error, whether or not it was passed to the router. */
 enum RequestRejection {
-    /** Its client, or all clients together, have too much queued. */
+    /** Too much is queued for the request's client, or for all clients together. */
     OVERLOADED(SqlStates.TOO_MANY_CONNECTIONS, "too many requests at once, trying again does no harm"),
-    /** A cancel message names its connection. */
+    /** The client has sent a cancel message for the request's connection. */
     CANCELED(SqlStates.QUERY_CANCELED, "canceled on the client's request; whether it ran is not known");
 
     private final String sqlState;
@@ -17,12 +17,12 @@
         this.message = message;
     }
 
-    /** The text of the error that the client reads. */
+    /** Returns the error text that is sent to the client. */
     String message() {
         return message;
     }
 
-    /** The error response, after which the connection goes on. */
+    /** Returns the error response, after which the connection stays open. */
     Buffer response() {
         return ErrorResponses.error(sqlState, message);
     }
--- a/gateway/src/main/java/ploverdale/net/client/ResponseWriter.java
+++ b/gateway/src/main/java/ploverdale/net/client/ResponseWriter.java
@@ -6,8 +6,8 @@
 import ploverdale.log.Log;
 
 /**
- * Writes one client's responses and notices a client that does not read: while the socket's write queue is full, no further
- * command of that client runs, and after a time limit its connection is closed. Used on the event loop only.
+ * Writes one client's responses and detects a client that does not read them: while the socket's write queue is full,
+ * no further command of that client runs, and after a time limit its connection is closed. Used on the event loop only.
  */
 final class ResponseWriter {
     private final Vertx vertx;
@@ -22,7 +22,7 @@
 
     /**
      * @param onDrained called when the client has read what was written
-     * @param onReadTimeout called when the client has not read for the time limit
+     * @param onReadTimeout called when the client has read nothing within the time limit
      */
     ResponseWriter(ClientRuntime runtime, NetSocket socket, Runnable onDrained, Runnable onReadTimeout) {
         this.vertx = runtime.vertx();
@@ -34,12 +34,12 @@
         this.onReadTimeout = onReadTimeout;
     }
 
-    /** Whether the client has to read before any of its commands runs. */
+    /** Returns whether the client must read responses before its next command runs. */
     boolean isBlocked() {
         return blocked;
     }
 
-    /** Writes a response, counted while the client does not read. */
+    /** Writes a response; counts its bytes in the memory budget if the client is not reading. */
     void write(Buffer response) {
         socket.write(response);
         if (blocked || socket.writeQueueFull()) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Waits for the client to read, if the write queue is full and this is not waiting yet. */
+    /** Blocks this writer until the client reads, if the write queue is full. */
     void blockWhileFull() {
         if (blocked || !socket.writeQueueFull()) {
             return;
@@ -66,7 +66,7 @@
         });
     }
 
-    /** Counts what the client has not read no longer. */
+    /** Removes the unread bytes from the memory budget. */
     void releaseMemory() {
         memory.release(unreadBytes);
         unreadBytes = 0;
--- a/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
@@ -7,11 +7,11 @@
 import ploverdale.log.Log;
 
 /**
- * Ends sessions that the limits name: without a startup message, with an incomplete message for too long, or idle where
- * connections are many. Used on the event loop only.
+ * Closes sessions that the connection limits select: those that have sent no startup message or have had an incomplete
+ * message for too long, and idle ones when there are many connections. Used on the event loop only.
  */
 final class SessionEvictor {
-    /** For a startup message, once a graceful shutdown closes connections. */
+    /** Time limit for the startup message while a graceful shutdown closes idle connections. */
     private static final long SHUTDOWN_STARTUP_TIMEOUT_MS = 20;
 
     private static final String SHUTTING_DOWN = "this gateway ends, trying again does no harm";
@@ -39,7 +39,7 @@
         return clock.clock().monotonicMs();
     }
 
-    /** Ends the sessions whose time is up. */
+    /** Evicts all sessions that have exceeded a time limit. */
     void evictOverdue() {
         Eviction<ClientSession> eviction = limits.overdue(nowMs());
         while (eviction != null) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Ends sessions until a new one fits, or none may be ended. */
+    /** Evicts sessions until there is capacity for a new client, or no session may be evicted. */
     void makeRoomForClient() {
         while (!limits.clientFits()) {
             Eviction<ClientSession> eviction = limits.wayForClient(nowMs());
@@ -71,8 +71,9 @@
     }
 
     /**
-     * Ends a session, unless its client has sent something by now: what the operating system holds for it is read first, since
-     * after a pause of this process a timer fires before the requests that came during the pause have been read.
+     * Evicts a session, unless its client has sent something in the meantime. Reads what the operating system has
+     * buffered for it first: after a process pause, a timer fires before the requests that arrived during the pause
+     * have been read.
      */
     void evict(Eviction<ClientSession> eviction) {
         OptionalLong since = limits.heldSince(eviction);
@@ -91,7 +92,7 @@
         if (eviction.who().closeIfIdle()) {
             log.often("idle client connection", "ended " + describe(eviction));
         } else {
-            limits.asks(eviction.who()); // so that it is not named again before it has been answered
+            limits.asks(eviction.who()); // prevents its selection until it is idle again
         }
     }
 
@@ -103,7 +104,10 @@
         eviction.who().giveUp(sqlState(eviction), reason);
     }
 
-    /** What ends for this gateway's sake may be retried: the client may have written a request meanwhile. */
+    /**
+     * Returns the SQLSTATE for an eviction. An eviction in the gateway's own interest gets a code after which a retry
+     * is safe, since the client may have sent a request in the meantime.
+     */
     private String sqlState(Eviction<ClientSession> eviction) {
         if (status.isClosingIdle()) {
             return SqlStates.CANNOT_CONNECT_NOW;
@@ -116,9 +120,9 @@
     }
 
     /**
-     * Ends the sessions whose messages have been incomplete longest, behind the responses to what came before, until memory is
-     * within its budget. All others go on being read: a client that was not read would get its response too late because of
-     * what others have queued here.
+     * Evicts the sessions whose messages have been incomplete longest until the memory budget suffices; their earlier
+     * requests are answered first. Input of all other sessions is not paused, since a client would otherwise get its
+     * response too late because of what other clients have queued.
      */
     void releaseMemory() {
         while (memory.isExhausted() && limits.longestUnfinished() != null) {
@@ -130,12 +134,12 @@
         }
     }
 
-    /** Ends a session because the gateway shuts down. */
+    /** Ends a session because the gateway is shutting down. */
     static void giveUpForShutdown(ClientSession session) {
         session.giveUp(SqlStates.CANNOT_CONNECT_NOW, SHUTTING_DOWN);
     }
 
-    /** Ends all sessions with an incomplete message, whose rest would come too late to be answered. */
+    /** Ends all sessions with an incomplete message, since the rest of it would arrive too late to be answered. */
     void rejectIncompleteMessages() {
         ClientSession session = limits.longestUnfinished();
         while (session != null) {
--- a/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
@@ -5,38 +5,40 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Runs the messages of one session, each in its turn. Until the gateway serves, the first query is held, and with it all
- * behind it. Used on the event loop only.
+ * Runs the messages of one session in order. Until the gateway serves, the first query and all messages after it are
+ * held. Used on the event loop only.
  */
 final class SessionMessageHandler implements QueuedInput.Handler {
     private static final String ENCRYPTION_NOT_SUPPORTED = "N";
 
-    /** A query that waits for the gateway to serve. */
+    /** A query that is held until the gateway serves. */
     private record HeldQuery(boolean isRequest, Runnable run) {}
 
     private final ClientRuntime runtime;
     private final ClientSession session;
-    private HeldQuery heldQuery; // null if there is none
-    private boolean skippingToSync; // after an error in the extended protocol, as PostgreSQL does
+    private HeldQuery heldQuery; // null if no query is held
+
+    /** Whether messages are skipped up to the next Sync, as PostgreSQL does after an error in the extended protocol. */
+    private boolean skippingToSync;
 
     SessionMessageHandler(ClientRuntime runtime, ClientSession session) {
         this.runtime = runtime;
         this.session = session;
     }
 
-    /** Whether a query is held, so that nothing behind it runs. */
+    /** Returns whether a query is held, so that no later message may run. */
     boolean isHoldingQuery() {
         return heldQuery != null;
     }
 
-    /** Runs the query that was held. */
+    /** Runs the held query. */
     void runHeldQuery() {
         HeldQuery query = heldQuery;
         heldQuery = null;
         query.run().run();
     }
 
-    /** Has the held query, if it is a request, answered as canceled in its turn. */
+    /** Replaces the held query, if it is a request, by a response that it was canceled. */
     void cancelHeldQuery() {
         if (heldQuery != null && heldQuery.isRequest()) {
             heldQuery = new HeldQuery(false, () -> onRejectedRequest(RequestRejection.CANCELED));
@@ -46,10 +48,10 @@
     private void hold(HeldQuery query) {
         heldQuery = query;
         runtime.sessions().addHoldingQuery(session);
-        runtime.limits().asks(session); // it waits for a response, so it is not evicted as idle
+        runtime.limits().asks(session); // a client that awaits a response is not evicted as idle
     }
 
-    /** The earliest time at which what is read now may have come; its client's timeout counts from there. */
+    /** Returns the earliest time at which the current message may have arrived; its request's timeout starts then. */
     private long arrivalTime() {
         return runtime.clock().now() - runtime.eventLoop().lag();
     }
--- a/gateway/src/main/java/ploverdale/net/client/SessionRegistry.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionRegistry.java
@@ -8,35 +8,35 @@
 /** The open sessions, in the order in which they were accepted. Used on the event loop only. */
 final class SessionRegistry {
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
-    private final List<ClientSession> holdingQuery = new ArrayList<>(); // until queries are run
+    private final List<ClientSession> holdingQuery = new ArrayList<>(); // in order of arrival of the queries
 
-    /** Adds a session that has been opened. */
+    /** Adds a newly opened session. */
     void add(ClientSession session) {
         sessions.add(session);
     }
 
-    /** Forgets a session; does nothing if it is forgotten already. */
+    /** Removes a session; does nothing if it has already been removed. */
     void remove(ClientSession session) {
         holdingQuery.remove(session);
         sessions.remove(session);
     }
 
-    /** The open sessions; a copy, so that they may be closed meanwhile. */
+    /** Returns a copy of the open sessions, so that callers may close sessions while iterating. */
     List<ClientSession> all() {
         return List.copyOf(sessions);
     }
 
-    /** Number of open sessions. */
+    /** Returns the number of open sessions. */
     int size() {
         return sessions.size();
     }
 
-    /** A session holds a query until queries are run. */
+    /** Records that a session holds a query. */
     void addHoldingQuery(ClientSession session) {
         holdingQuery.add(session);
     }
 
-    /** Has the queries run that sessions held, in the order in which they came. */
+    /** Runs the held queries of all sessions, in the order in which they arrived. */
     void runHeldQueries() {
         holdingQuery.forEach(ClientSession::runHeldQuery);
         holdingQuery.clear();
--- a/gateway/src/main/java/ploverdale/net/client/SocketInput.java
+++ b/gateway/src/main/java/ploverdale/net/client/SocketInput.java
@@ -4,11 +4,11 @@
 import io.vertx.core.net.NetSocket;
 import ploverdale.net.eventloop.NioSockets;
 
-/** The input side of one client's socket: pauses it, and reads it at once where that matters. Used on the event loop only. */
+/** The input side of a client's socket: pauses it, or reads it immediately if required. Used on the event loop only. */
 final class SocketInput {
     /**
-     * An attempt may begin up to 100 ms after its client closed; a connection that was read longer ago than this is read once
-     * more before an attempt begins.
+     * A connection whose last read is older than this is read once more before an attempt is sent. No attempt may be
+     * sent more than 100 ms after its client has closed the connection.
      */
     private static final long READ_FRESH_MS = 20;
 
@@ -24,18 +24,18 @@
         this.lastReadAtMs = nowMs;
     }
 
-    /** Notes that bytes were received. */
+    /** Called when bytes have been received. */
     void onBytes(Buffer bytes, long nowMs) {
         lastReadAtMs = nowMs;
         bytesReceived += bytes.length();
     }
 
-    /** Whether reading is paused because too much is queued. */
+    /** Returns whether reading is paused because too much is queued. */
     boolean isPaused() {
         return paused;
     }
 
-    /** Pauses or resumes reading, if that is a change. */
+    /** Pauses or resumes reading; does nothing if the state is unchanged. */
     void setPaused(boolean pause) {
         if (pause == paused) {
             return;
@@ -48,22 +48,26 @@
         }
     }
 
-    /** Reads at once what the operating system has received. */
+    /** Reads immediately what the operating system has received. */
     void readNow() {
         NioSockets.readNow(socket);
     }
 
-    /** Reads nothing more. */
+    /** Stops reading for good. */
     void stop() {
         NioSockets.stopReading(socket);
     }
 
-    /** Whether the connection was read a moment ago. */
+    /** Returns whether the connection has been read recently. */
     boolean isFresh(long nowMs) {
         return nowMs - lastReadAtMs < READ_FRESH_MS;
     }
 
-    /** Reads until nothing more comes, since the end of a connection follows its bytes; true if that has come. */
+    /**
+     * Reads until no more bytes are available, since the close of a connection is received after its bytes.
+     *
+     * @return whether the client has closed the connection
+     */
     boolean readToEnd(ClientSession session) {
         long before = -1;
         for (int i = 0; i < MAX_READS_AT_ONCE && bytesReceived != before && !session.isClosed(); i++) {
@@ -73,7 +77,7 @@
         return !NioSockets.isOpen(socket);
     }
 
-    /** Takes what was read as fresh from now on. */
+    /** Records that the connection was read at this time. */
     void markRead(long nowMs) {
         lastReadAtMs = nowMs;
     }
