--- a/gateway/src/main/java/ploverdale/net/client/AcceptedRequest.java
+++ b/gateway/src/main/java/ploverdale/net/client/AcceptedRequest.java
@@ -10,20 +10,20 @@
     private final ClientMessage.RequestQuery query;
     private final ClientSession session;
     private final PendingResponse response;
-    private final long lastResortAtMs;
+    private final long overdueAtMs;
     private int attempts;
 
     /**
      * @param response slot reserved for this request in the session's response pipeline
-     * @param lastResortAtMs monotonic time in milliseconds after which the request is failed if still unanswered
+     * @param overdueAtMs monotonic time in milliseconds after which the request is failed if still unanswered
      */
     AcceptedRequest(
-            ClientMessage.RequestQuery query, ClientSession session, PendingResponse response, long lastResortAtMs) {
+            ClientMessage.RequestQuery query, ClientSession session, PendingResponse response, long overdueAtMs) {
         this.id = response.request();
         this.query = query;
         this.session = session;
         this.response = response;
-        this.lastResortAtMs = lastResortAtMs;
+        this.overdueAtMs = overdueAtMs;
     }
 
     /** Returns the query as the client sent it. */
@@ -52,7 +52,7 @@
 
     /** Returns whether the time limit for the router's answer has passed. */
     boolean isOverdue(long nowMs) {
-        return nowMs > lastResortAtMs;
+        return nowMs > overdueAtMs;
     }
 
     /** Sets the response, which is written once all earlier responses of the session have been written. */
--- a/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
@@ -22,7 +22,7 @@
  * allows. Created and used on the event loop only.
  */
 public final class ClientConnections {
-    private static final long TICK_MS = 20;
+    private static final long CHECK_INTERVAL_MS = 20;
 
     private final ClientRuntime runtime;
     private final ClientListener listener;
@@ -37,10 +37,10 @@
             ServerClock clock) {
         runtime = new ClientRuntime(vertx, log, eventLoop, settings, limits, clock);
         listener = new ClientListener(runtime);
-        vertx.setPeriodic(TICK_MS, timer -> onTick());
+        vertx.setPeriodic(CHECK_INTERVAL_MS, timer -> runPeriodicChecks());
     }
 
-    private void onTick() {
+    private void runPeriodicChecks() {
         // After a process pause, answers that arrived during the pause are read before requests are failed as overdue.
         if (runtime.eventLoop().lag() == 0) {
             runtime.inFlight().failOverdue(runtime.nowMs());
@@ -189,7 +189,7 @@
         runtime.status().stopReading();
         List<ClientSession> sessions = runtime.sessions().all();
         sessions.forEach(ClientSession::stopReading);
-        sessions.stream().filter(ClientSession::hasIncompleteStartup).forEach(SessionEvictor::giveUpForShutdown);
+        sessions.stream().filter(ClientSession::hasIncompleteStartup).forEach(SessionEvictor::abortForShutdown);
         rejectIncompleteMessages();
     }
 }
--- a/gateway/src/main/java/ploverdale/net/client/ClientListener.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientListener.java
@@ -20,7 +20,7 @@
             NioSockets.stopReading(socket); // the process is about to exit
             return;
         }
-        runtime.evictor().makeRoomForClient();
+        runtime.evictor().evictForNewClient();
         if (runtime.limits().clientFits()) {
             ClientSession.open(runtime, socket);
         } else {
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -61,7 +61,7 @@
     private void onBytes(Buffer bytes) {
         input.onBytes(bytes, runtime.nowMs());
         if (!state.decodesInput()) {
-            runtime.lingeringClose().logDropped(bytes.length());
+            runtime.lingeringClose().logDiscarded(bytes.length());
             return;
         }
         handlingBytes = true;
@@ -91,7 +91,7 @@
         }
         decoder.countBytes();
         trackIncompleteMessage(decoded);
-        runtime.evictor().releaseMemory();
+        runtime.evictor().evictForMemory();
         pauseInputWhileFull();
     }
 
@@ -320,7 +320,7 @@
     // -- Closing
 
     /** Answers incomplete input with an error and closes the connection; earlier requests are answered first. */
-    void giveUp(String sqlState, String message) {
+    void abortInput(String sqlState, String message) {
         if (isClosed()) {
             return;
         }
@@ -340,24 +340,24 @@
      * more and shuts the output down right after that read: a request that arrived in between would be lost.
      */
     boolean closeIfIdle() {
-        if (runtime.status().isReadingStopped() || handlingBytes || !isWaitingForNothing()) {
+        if (runtime.status().isReadingStopped() || handlingBytes || !isIdle()) {
             return false; // onBytes calls this again once the bytes have been handled
         }
         readNow();
-        if (!isWaitingForNothing()) {
+        if (!isIdle()) {
             return false;
         }
         boolean outputEnded = NioSockets.shutdownOutputNow(socket);
         release();
         if (outputEnded) {
-            runtime.lingeringClose().dropInput(socket);
+            runtime.lingeringClose().discardInput(socket);
         } else {
             runtime.lingeringClose().close(socket);
         }
         return true;
     }
 
-    private boolean isWaitingForNothing() {
+    private boolean isIdle() {
         return !isClosed()
                 && pipeline.isEmpty()
                 && queue.isEmpty()
--- a/gateway/src/main/java/ploverdale/net/client/InFlightRequests.java
+++ b/gateway/src/main/java/ploverdale/net/client/InFlightRequests.java
@@ -17,7 +17,7 @@
  */
 final class InFlightRequests {
     /** How long after its timeout an unanswered request is failed: half of the time by which an answer may be late. */
-    static final long LAST_RESORT_MS = 250;
+    static final long OVERDUE_AFTER_TIMEOUT_MS = 250;
 
     private final Map<RequestId, AcceptedRequest> requests = new HashMap<>();
     private final Log log;
@@ -99,7 +99,7 @@
                 .filter(request -> request.isOverdue(nowMs))
                 .toList();
         for (AcceptedRequest request : overdue) {
-            log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
+            log.often("request without an answer", "failed " + OVERDUE_AFTER_TIMEOUT_MS + " ms after its time");
             eventLoop.enqueue(new Event.ClientDisconnected(request.id())); // prevents a second answer by the router
             fail(request.id());
         }
--- a/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
+++ b/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
@@ -22,7 +22,7 @@
     /** How long the client may take to close the connection, too, after the output has been shut down. */
     private static final long LINGER_MS = 500;
     /** How much is read from a client after its connection has ended. The rest is left unread, to limit the load. */
-    private static final int MAX_DROPPED_BYTES = 64 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
     /** Delay until the operating system has released the descriptor of a closed socket. */
     private static final long DESCRIPTOR_RELEASE_MS = 1;
 
@@ -51,15 +51,15 @@
                 duplexChannel.shutdownOutput();
             }
         });
-        dropInput(socket);
+        discardInput(socket);
     }
 
     /** Discards the input of a connection whose output has been shut down, and closes it after a time limit. */
-    void dropInput(NetSocket socket) {
+    void discardInput(NetSocket socket) {
         lingering.add(socket);
-        DroppedInput dropped = new DroppedInput(socket);
-        socket.handler(dropped::onBytes);
-        vertx.setTimer(LINGER_MS, timer -> dropped.close());
+        DiscardedInput discarded = new DiscardedInput(socket);
+        socket.handler(discarded::onBytes);
+        vertx.setTimer(LINGER_MS, timer -> discarded.close());
         closeOldest(limits.over());
     }
 
@@ -84,35 +84,35 @@
     }
 
     /** Logs that bytes were received after the end of a connection and discarded. */
-    void logDropped(int bytes) {
+    void logDiscarded(int bytes) {
         String during = status.isClosingIdle() ? ", in a planned restart" : "";
         log.often("client bytes after its end", bytes + " bytes, not read" + during);
     }
 
     /** Discards the input of one lingering connection. */
-    private final class DroppedInput {
+    private final class DiscardedInput {
         private final NetSocket socket;
         private int bytes;
 
-        private DroppedInput(NetSocket socket) {
+        private DiscardedInput(NetSocket socket) {
             this.socket = socket;
         }
 
-        private void onBytes(Buffer more) {
-            bytes += more.length();
-            logDropped(more.length());
-            if (isFlood()) {
+        private void onBytes(Buffer received) {
+            bytes += received.length();
+            logDiscarded(received.length());
+            if (exceedsLimit()) {
                 socket.pause();
             }
         }
 
-        private boolean isFlood() {
-            return bytes > MAX_DROPPED_BYTES;
+        private boolean exceedsLimit() {
+            return bytes > MAX_DISCARDED_BYTES;
         }
 
         /** Closes the socket; reads the remaining input first, unless the client has exceeded the limit. */
         private void close() {
-            if (!isFlood()) {
+            if (!exceedsLimit()) {
                 NioSockets.readNow(socket);
             }
             socket.close();
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -23,7 +23,7 @@
  * its history. Used on the event loop only.
  */
 final class RequestAcceptor {
-    private static final double TRAFFIC_FADE_MS = 1000;
+    private static final double RATE_DECAY_MS = 1000;
     private static final long TICKS_PER_MS = 10; // service time is in tenths of a millisecond
     private static final long NO_TOKEN = 0; // token age of a request that requires no log position
 
@@ -32,10 +32,10 @@
     private final ConnectionLimits<ClientSession> limits;
     private final ServerClock clock;
     private final InFlightRequests inFlight;
-    private final RequestRate traffic = new RequestRate(TRAFFIC_FADE_MS);
+    private final RequestRate requestRate = new RequestRate(RATE_DECAY_MS);
     private LongConsumer requestListener = nowMs -> {};
     private RequestHistoryLookup historyLookup; // null if gateways share no record of requests
-    private long latestDeadline = Long.MAX_VALUE;
+    private long maxDeadline = Long.MAX_VALUE;
 
     RequestAcceptor(
             RouterEventLoop eventLoop,
@@ -62,12 +62,12 @@
 
     /** Limits the deadline of each request that is accepted from now on to this service time. */
     void capDeadlines(long deadline) {
-        latestDeadline = deadline;
+        maxDeadline = deadline;
     }
 
     /** Returns the recent rate of accepted requests. */
     double requestsPerSecond() {
-        return traffic.perSecond(clock.clock().monotonicMs());
+        return requestRate.perSecond(clock.clock().monotonicMs());
     }
 
     /**
@@ -91,9 +91,9 @@
             session.rejectInvalidQuery(SqlStates.DUPLICATE_OBJECT, "the id of an op still in hand");
             return;
         }
-        long timeoutAt = Math.min(latestDeadline, arrivedAt + (long) Math.floor(query.timeoutMs() * TICKS_PER_MS));
+        long timeoutAt = Math.min(maxDeadline, arrivedAt + (long) Math.floor(query.timeoutMs() * TICKS_PER_MS));
         register(session, query, id, Math.max(0, timeoutAt - arrivedAt) / TICKS_PER_MS);
-        pass(arrival(query, classIndex, tenantIndex, arrivedAt, timeoutAt), query.key());
+        dispatch(arrivalEvent(query, classIndex, tenantIndex, arrivedAt, timeoutAt), query.key());
     }
 
     private int tenantIndex(String tenant) {
@@ -103,15 +103,15 @@
     private void register(ClientSession session, ClientMessage.RequestQuery query, RequestId id, long timeoutMs) {
         long nowMs = clock.clock().monotonicMs();
         limits.asks(session);
-        traffic.onRequest(nowMs);
+        requestRate.onRequest(nowMs);
         requestListener.accept(nowMs);
         PendingResponse response = PendingResponse.of(id);
         session.awaitResponse(response);
-        long lastResortAtMs = nowMs + timeoutMs + InFlightRequests.LAST_RESORT_MS;
-        inFlight.add(new AcceptedRequest(query, session, response, lastResortAtMs));
+        long overdueAtMs = nowMs + timeoutMs + InFlightRequests.OVERDUE_AFTER_TIMEOUT_MS;
+        inFlight.add(new AcceptedRequest(query, session, response, overdueAtMs));
     }
 
-    private Event.RequestArrived arrival(
+    private Event.RequestArrived arrivalEvent(
             ClientMessage.RequestQuery query, int classIndex, int tenantIndex, long arrivedAt, long timeoutAt) {
         RequestClass requestClass = settings.started().requestClasses().get(classIndex);
         return new Event.RequestArrived(
@@ -119,7 +119,7 @@
                 new RequestClassId(classIndex),
                 new TenantId(tenantIndex),
                 new GroupId(query.group()),
-                session(query, requestClass.consistency()),
+                sessionOf(query, requestClass.consistency()),
                 timeoutAt,
                 query.again(),
                 0,
@@ -127,7 +127,7 @@
     }
 
     /** Returns the session whose writes a read must observe, or to which a write belongs; null if there is none. */
-    private static SessionId session(ClientMessage.RequestQuery query, Consistency consistency) {
+    private static SessionId sessionOf(ClientMessage.RequestQuery query, Consistency consistency) {
         boolean inSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
         return query.key() != null && inSession ? new SessionId(query.key()) : null;
     }
@@ -136,7 +136,7 @@
         return query.afterMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.afterMs() * TICKS_PER_MS);
     }
 
-    private void pass(Event.RequestArrived arrival, String key) {
+    private void dispatch(Event.RequestArrived arrival, String key) {
         if (historyLookup == null) {
             eventLoop.enqueue(arrival);
         } else {
--- a/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
@@ -47,11 +47,11 @@
             eviction = limits.overdue(nowMs());
         }
         if (status.isClosingIdle()) {
-            evictWithoutStartup();
+            evictPreStartup();
         }
     }
 
-    private void evictWithoutStartup() {
+    private void evictPreStartup() {
         Eviction<ClientSession> eviction = limits.silentFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
         while (eviction != null) {
             evict(eviction);
@@ -60,7 +60,7 @@
     }
 
     /** Evicts sessions until there is capacity for a new client, or no session may be evicted. */
-    void makeRoomForClient() {
+    void evictForNewClient() {
         while (!limits.clientFits()) {
             Eviction<ClientSession> eviction = limits.wayForClient(nowMs());
             if (eviction == null) {
@@ -101,7 +101,7 @@
                 ? "client without a greeting"
                 : "client with an unfinished message";
         log.often(reason, "closed " + describe(eviction));
-        eviction.who().giveUp(sqlState(eviction), reason);
+        eviction.who().abortInput(sqlState(eviction), reason);
     }
 
     /**
@@ -124,26 +124,27 @@
      * requests are answered first. Input of all other sessions is not paused, since a client would otherwise get its
      * response too late because of what other clients have queued.
      */
-    void releaseMemory() {
+    void evictForMemory() {
         while (memory.isExhausted() && limits.longestUnfinished() != null) {
             ClientSession session = limits.longestUnfinished();
             log.often(
                     "too much unfinished",
                     "given up with " + session.undecodedBytes() + " bytes, " + memory.usedBytes() + " held in all");
-            session.giveUp(SqlStates.TOO_MANY_CONNECTIONS, "too much is unfinished here, trying again does no harm");
+            session.abortInput(
+                    SqlStates.TOO_MANY_CONNECTIONS, "too much is unfinished here, trying again does no harm");
         }
     }
 
     /** Ends a session because the gateway is shutting down. */
-    static void giveUpForShutdown(ClientSession session) {
-        session.giveUp(SqlStates.CANNOT_CONNECT_NOW, SHUTTING_DOWN);
+    static void abortForShutdown(ClientSession session) {
+        session.abortInput(SqlStates.CANNOT_CONNECT_NOW, SHUTTING_DOWN);
     }
 
     /** Ends all sessions with an incomplete message, since the rest of it would arrive too late to be answered. */
     void rejectIncompleteMessages() {
         ClientSession session = limits.longestUnfinished();
         while (session != null) {
-            giveUpForShutdown(session);
+            abortForShutdown(session);
             session = limits.longestUnfinished();
         }
     }
--- a/gateway/src/main/java/ploverdale/net/client/SocketInput.java
+++ b/gateway/src/main/java/ploverdale/net/client/SocketInput.java
@@ -10,7 +10,7 @@
      * A connection whose last read is older than this is read once more before an attempt is sent. No attempt may be
      * sent more than 100 ms after its client has closed the connection.
      */
-    private static final long READ_FRESH_MS = 20;
+    private static final long FRESH_READ_MS = 20;
 
     private static final int MAX_READS_AT_ONCE = 4;
 
@@ -36,12 +36,12 @@
     }
 
     /** Pauses or resumes reading; does nothing if the state is unchanged. */
-    void setPaused(boolean pause) {
-        if (pause == paused) {
+    void setPaused(boolean shouldPause) {
+        if (shouldPause == paused) {
             return;
         }
-        paused = pause;
-        if (pause) {
+        paused = shouldPause;
+        if (shouldPause) {
             socket.pause();
         } else {
             socket.resume();
@@ -60,7 +60,7 @@
 
     /** Returns whether the connection has been read recently. */
     boolean isFresh(long nowMs) {
-        return nowMs - lastReadAtMs < READ_FRESH_MS;
+        return nowMs - lastReadAtMs < FRESH_READ_MS;
     }
 
     /**
@@ -69,9 +69,9 @@
      * @return whether the client has closed the connection
      */
     boolean readToEnd(ClientSession session) {
-        long before = -1;
-        for (int i = 0; i < MAX_READS_AT_ONCE && bytesReceived != before && !session.isClosed(); i++) {
-            before = bytesReceived;
+        long bytesBefore = -1;
+        for (int i = 0; i < MAX_READS_AT_ONCE && bytesReceived != bytesBefore && !session.isClosed(); i++) {
+            bytesBefore = bytesReceived;
             readNow();
         }
         return !NioSockets.isOpen(socket);
