--- a/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
+++ b/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
@@ -6,233 +6,310 @@
 import java.util.OptionalLong;
 
 /**
- * The descriptors of one gateway and who holds them. A client's connection is a stranger's until its greeting, then idle
- * or asking; a message may be unfinished at any time. Clients together hold at most their share, so that servers stay
- * within reach however many clients come; servers may also use what clients leave.
+ * Tracks the connections of one gateway against its limit of file descriptors and selects the client connections to
+ * evict. A client connection is pre-startup until its startup message has been read. After that it is idle, or its
+ * client awaits a response; part of an incomplete message may have been received at any time. Client connections are
+ * limited to a share of the descriptors, so that the gateway can always connect to servers, however many clients there
+ * are. Connections to servers may also use descriptors that clients leave free. Not thread-safe.
  *
- * @param <C> stands for a client's connection; its identity is its name
+ * @param <C> type of a client connection; its instances are distinguished by {@code equals}
  */
 public final class ConnectionLimits<C> {
-    /** Why a client's connection is to end. */
-    public enum Why {
-        NO_GREETING,
-        UNFINISHED,
+    /** The reason for which a client connection is evicted. */
+    public enum EvictionReason {
+        /** Its startup message has not been received. */
+        NO_STARTUP_MESSAGE,
+        /** A message has been received only in part. */
+        INCOMPLETE_MESSAGE,
+        /** Its client awaits no response. */
         IDLE
     }
 
-    /** Who is to end, and why. */
-    public record Eviction<C>(C who, Why why, long sinceMs) {
-        /** Whether it ends for lack of room, before the time that any client has for a greeting or a message is up. */
-        public boolean forRoom() {
-            return sinceMs < UNFINISHED_MS;
+    /**
+     * Selects a client connection for eviction.
+     *
+     * @param client the connection to close
+     * @param durationMs for how long the reason has applied, in milliseconds
+     */
+    public record Eviction<C>(C client, EvictionReason reason, long durationMs) {
+        /**
+         * Returns whether the connection is evicted to free capacity, before the time limit that every client has for a
+         * startup message or another message has passed.
+         */
+        public boolean isForCapacity() {
+            return durationMs < INCOMPLETE_TIMEOUT_MS;
         }
     }
 
-    private static final int CLIENTS_OF_TEN = 7; // of what connections may take
-    private static final int MANY_PART = 3; // of the clients' share; above it long idle ones end
-    private static final double CROWDED_PART = 2.2; // of the same; above it those idle for a moment end, since clients
-    // hold connections of their own share only, and those idle at one client keep others from asking
-    private static final int STRANGERS_PART = 3; // of the same; above it a new stranger takes the oldest one's place
-    private static final int SPARE_LEAST = 24; // for the program's own files, discovery, the listener
-    private static final int SPARE_PART = 8; // of the descriptors
-    private static final int CROSSING_PART = 3; // of the spare ones, for connections that open as others close
-    private static final long UNFINISHED_MS = 2200; // for a greeting or a message to be whole; the platform waits 3 s
-    private static final long IDLE_MS = 2100; // after which a connection may be ended; the platform grants 2 s
-    private static final long MOMENT_MS = 100; // so that a client that has just been let in may ask
-
-    private int connections;
-    private int clientsMost;
-    private int crossing;
-    private final Map<C, Long> strangers = new LinkedHashMap<>(); // since when; longest first, as in the others
-    private final Map<C, Long> unfinished = new LinkedHashMap<>();
-    private final Map<C, Long> idle = new LinkedHashMap<>();
-    private int clients;
-    private int servers;
-    private int closing;
+    /** Tenths of the connections that may be client connections. */
+    private static final int CLIENT_SHARE_TENTHS = 7;
+
+    /** With more clients than the maximum divided by this, those idle for {@link #IDLE_TIMEOUT_MS} are evicted. */
+    private static final int MANY_CLIENTS_DIVISOR = 3;
+
+    /**
+     * With more started clients than the maximum divided by this, those idle for {@link #MIN_EVICTION_AGE_MS} are
+     * evicted. Clients can use only their own share of the connections, so those that one client leaves idle prevent
+     * other clients from sending requests.
+     */
+    private static final double CROWDED_DIVISOR = 2.2;
+
+    /**
+     * With more pre-startup connections than the maximum of clients divided by this, the oldest ones are evicted as
+     * soon as they are {@link #MIN_EVICTION_AGE_MS} old.
+     */
+    private static final int PRE_STARTUP_DIVISOR = 3;
+
+    /** Descriptors reserved at least for the program's own files, discovery and the listening socket. */
+    private static final int MIN_RESERVED_DESCRIPTORS = 24;
+
+    /** The reserved descriptors are the total divided by this, unless the minimum is greater. */
+    private static final int RESERVED_DIVISOR = 8;
+
+    /** The reserved descriptors divided by this may be used by connections that open while others are still closing. */
+    private static final int OVERLAP_DIVISOR = 3;
+
+    /** Time limit for a startup message or an incomplete message; these connections must be closed within 3 s. */
+    private static final long INCOMPLETE_TIMEOUT_MS = 2200;
+
+    /** Time after which an idle connection may be evicted; clients may leave a connection idle for 2 s. */
+    private static final long IDLE_TIMEOUT_MS = 2100;
+
+    /** Minimum time before an eviction for capacity, in which a newly accepted client can send its first messages. */
+    private static final long MIN_EVICTION_AGE_MS = 100;
+
+    private int maxConnections;
+    private int maxClients;
+    private int overlapAllowance;
 
+    /** Pre-startup connections with the time of their acceptance, oldest first. */
+    private final Map<C, Long> preStartupSince = new LinkedHashMap<>();
+
+    /** Connections with an incomplete message and the time at which its first part was received, oldest first. */
+    private final Map<C, Long> incompleteSince = new LinkedHashMap<>();
+
+    /** Idle connections with the time since which they have been idle, longest first. */
+    private final Map<C, Long> idleSince = new LinkedHashMap<>();
+
+    private int clientConnections;
+    private int serverConnections;
+    private int closingConnections;
+
+    /**
+     * Creates the limits of a gateway without connections.
+     *
+     * @param descriptors maximum number of file descriptors of the process
+     */
     public ConnectionLimits(int descriptors) {
-        renew(descriptors);
+        setMaxDescriptors(descriptors);
     }
 
-    /** Another number of descriptors from now on; those held over it end as they make way. */
-    public void renew(int descriptors) {
-        int spare = Math.max(SPARE_LEAST, descriptors / SPARE_PART);
-        connections = descriptors - spare;
-        clientsMost = connections * CLIENTS_OF_TEN / 10;
-        crossing = spare / CROSSING_PART;
+    /** Changes the maximum number of descriptors. Connections in excess of it are closed by later evictions. */
+    public void setMaxDescriptors(int descriptors) {
+        int reserved = Math.max(MIN_RESERVED_DESCRIPTORS, descriptors / RESERVED_DIVISOR);
+        maxConnections = descriptors - reserved;
+        maxClients = maxConnections * CLIENT_SHARE_TENTHS / 10;
+        overlapAllowance = reserved / OVERLAP_DIVISOR;
     }
 
-    public int clientsMost() {
-        return clientsMost;
+    /** Returns the maximum number of client connections. */
+    public int maxClients() {
+        return maxClients;
     }
 
-    public int clients() {
-        return clients;
+    /** Returns the number of client connections, without those that are being closed. */
+    public int clientConnections() {
+        return clientConnections;
     }
 
-    /** How many connections there are beyond those that may be, with those on their way out; below 0: so many less. */
-    public int over() {
-        return clients + servers + closing - connections;
+    /**
+     * Returns by how many the connections, including those that are being closed, exceed their maximum; negative if
+     * there are fewer.
+     */
+    public int excessConnections() {
+        return clientConnections + serverConnections + closingConnections - maxConnections;
     }
 
-    public int strangers() {
-        return strangers.size();
+    /** Returns the number of client connections whose startup message has not been read. */
+    public int preStartupConnections() {
+        return preStartupSince.size();
     }
 
-    public int servers() {
-        return servers;
+    /** Returns the number of connections to servers, without those that are being closed. */
+    public int serverConnections() {
+        return serverConnections;
     }
 
-    // -- What happens to connections
+    // -- State of the connections
 
-    /** A client has connected. */
-    public void came(C client, long nowMs) {
-        clients++;
-        strangers.put(client, nowMs);
+    /** Called when a client connection has been accepted. */
+    public void onClientConnected(C client, long nowMs) {
+        clientConnections++;
+        preStartupSince.put(client, nowMs);
     }
 
-    /** A client has greeted; the answer makes it idle. */
-    public void greeted(C client) {
-        strangers.remove(client);
+    /** Marks a client connection as past its startup message. It becomes idle when the response has been written. */
+    public void markStarted(C client) {
+        preStartupSince.remove(client);
     }
 
-    /** A client waits for nothing; counts from now, also where it was idle before. */
-    public void idle(C client, long nowMs) {
-        idle.remove(client);
-        idle.put(client, nowMs);
+    /** Marks a client connection as idle from now on, even if it has been idle before. */
+    public void markIdle(C client, long nowMs) {
+        idleSince.remove(client);
+        idleSince.put(client, nowMs);
     }
 
-    /** A client waits for an answer. */
-    public void asks(C client) {
-        idle.remove(client);
+    /** Marks a client connection as awaiting a response, hence not idle. */
+    public void markAwaitingResponse(C client) {
+        idleSince.remove(client);
     }
 
-    /** Part of a message has come; its time counts from the first part. */
-    public void begun(C client, long nowMs) {
-        unfinished.putIfAbsent(client, nowMs);
-        idle.remove(client);
+    /** Marks a client connection as having an incomplete message; its time limit starts at the first such call. */
+    public void markIncomplete(C client, long nowMs) {
+        incompleteSince.putIfAbsent(client, nowMs);
+        idleSince.remove(client);
     }
 
-    /** No part of a message is left. */
-    public void whole(C client) {
-        unfinished.remove(client);
+    /** Marks a client connection as having no incomplete message. */
+    public void clearIncomplete(C client) {
+        incompleteSince.remove(client);
     }
 
-    /** A client's connection is being closed; its descriptor counts until {@link #closed}. */
-    public void left(C client) {
-        strangers.remove(client);
-        unfinished.remove(client);
-        idle.remove(client);
-        clients--;
-        closing++;
+    /** Called when a client connection is being closed; its descriptor counts until {@link #onDescriptorReleased}. */
+    public void onClientClosing(C client) {
+        preStartupSince.remove(client);
+        incompleteSince.remove(client);
+        idleSince.remove(client);
+        clientConnections--;
+        closingConnections++;
     }
 
-    /** A client that has connected is turned away; its descriptor counts until {@link #closed}. */
-    public void turnedAway() {
-        closing++;
+    /** Called when a new client connection is refused; its descriptor counts until {@link #onDescriptorReleased}. */
+    public void onClientRefused() {
+        closingConnections++;
     }
 
-    /** A connection to a server is being opened. */
-    public void opened() {
-        servers++;
+    /** Called when a connection to a server is being opened. */
+    public void onServerConnecting() {
+        serverConnections++;
     }
 
-    /** A connection to a server is being closed. */
-    public void released() {
-        servers--;
-        closing++;
+    /**
+     * Called when a connection to a server is being closed; its descriptor counts until {@link #onDescriptorReleased}.
+     */
+    public void onServerClosing() {
+        serverConnections--;
+        closingConnections++;
     }
 
-    /** The system has one descriptor back. */
-    public void closed() {
-        closing--;
+    /** Called when the operating system has released the descriptor of a closed or refused connection. */
+    public void onDescriptorReleased() {
+        closingConnections--;
     }
 
-    // -- Who makes way
+    // -- Capacity and evictions
 
-    /** Whether one more client has its place; if not, {@link #wayForClient} may make one. */
-    public boolean clientFits() {
-        return clients < clientsMost;
+    /** Returns whether one more client may be accepted; if not, {@link #evictionForClient} may free capacity. */
+    public boolean hasCapacityForClient() {
+        return clientConnections < maxClients;
     }
 
-    /** Who ends so that a client which has come may stay, or null: then that one is turned away. */
-    public Eviction<C> wayForClient(long nowMs) {
-        Eviction<C> stranger = oldest(strangers, nowMs, MOMENT_MS, Why.NO_GREETING);
-        return stranger != null ? stranger : oldest(idle, nowMs, MOMENT_MS, Why.IDLE);
+    /** Returns the client connection to evict in favor of a new one, or null: then the new one must be refused. */
+    public Eviction<C> evictionForClient(long nowMs) {
+        Eviction<C> preStartup = oldest(preStartupSince, nowMs, MIN_EVICTION_AGE_MS, EvictionReason.NO_STARTUP_MESSAGE);
+        return preStartup != null ? preStartup : oldest(idleSince, nowMs, MIN_EVICTION_AGE_MS, EvictionReason.IDLE);
     }
 
-    /** Whether the connections counted are fewer than may be; if not, way is to be made for one more to a server. */
-    public boolean serverFits() {
-        return clients + servers < connections;
+    /**
+     * Returns whether there is capacity for one more connection to a server; if not, a connection must be evicted
+     * first.
+     */
+    public boolean hasCapacityForServer() {
+        return clientConnections + serverConnections < maxConnections;
     }
 
-    /** Who of the clients ends for a connection to a server, or null: then an idle one to a server is to end. */
-    public Eviction<C> wayForServer(long nowMs) {
-        return wayForClient(nowMs);
+    /**
+     * Returns the client connection to evict in favor of a connection to a server, or null: then an idle connection to
+     * a server must be closed instead.
+     */
+    public Eviction<C> evictionForServer(long nowMs) {
+        return evictionForClient(nowMs);
     }
 
     /**
-     * Whether a connection to a server may be opened now. Guards against running out of descriptors when many ops are
-     * released at once: one that is closed gives its descriptor back a moment later.
+     * Returns whether a connection to a server may be opened now. Prevents the process from running out of descriptors
+     * when many requests are sent at once: a closed connection releases its descriptor only a moment later.
      */
-    public boolean mayOpen() {
-        return clients + servers + closing < connections + crossing;
+    public boolean mayOpenServerConnection() {
+        return clientConnections + serverConnections + closingConnections < maxConnections + overlapAllowance;
     }
 
     /**
-     * Who is to end by now, or null; asked again until then. Guards against clients that hold connections and do nothing
-     * with them: what they began ends in time; where connections are many, those long idle go, and where the share is
-     * about used up, so does each that is idle.
+     * Returns a client connection that has exceeded a time limit, or null if there is none; to be called until it
+     * returns null. Prevents clients from occupying connections without using them: startup messages and other messages
+     * must be completed in time, long idle connections are evicted when there are many clients, and all idle
+     * connections when the clients' share is nearly used up.
      */
     public Eviction<C> overdue(long nowMs) {
-        Eviction<C> l = oldest(
-                strangers,
+        Eviction<C> eviction = oldest(
+                preStartupSince,
                 nowMs,
-                strangers.size() > clientsMost / STRANGERS_PART ? MOMENT_MS : UNFINISHED_MS,
-                Why.NO_GREETING);
-        l = l != null ? l : oldest(unfinished, nowMs, UNFINISHED_MS, Why.UNFINISHED);
-        l = l == null && clients > clientsMost / MANY_PART ? oldest(idle, nowMs, IDLE_MS, Why.IDLE) : l;
-        return l == null && clients - strangers.size() > clientsMost / CROWDED_PART
-                ? oldest(idle, nowMs, MOMENT_MS, Why.IDLE)
-                : l;
-    }
-
-    /** Since when what was said of a connection has held without a break; empty where it holds no more. */
-    public OptionalLong heldSince(Eviction<C> leave) {
-        Long since = switch (leave.why()) {
-            case NO_GREETING -> strangers.get(leave.who());
-            case UNFINISHED -> unfinished.get(leave.who());
-            case IDLE -> idle.get(leave.who());
+                preStartupSince.size() > maxClients / PRE_STARTUP_DIVISOR ? MIN_EVICTION_AGE_MS : INCOMPLETE_TIMEOUT_MS,
+                EvictionReason.NO_STARTUP_MESSAGE);
+        eviction = eviction != null
+                ? eviction
+                : oldest(incompleteSince, nowMs, INCOMPLETE_TIMEOUT_MS, EvictionReason.INCOMPLETE_MESSAGE);
+        eviction = eviction == null && clientConnections > maxClients / MANY_CLIENTS_DIVISOR
+                ? oldest(idleSince, nowMs, IDLE_TIMEOUT_MS, EvictionReason.IDLE)
+                : eviction;
+        return eviction == null && clientConnections - preStartupSince.size() > maxClients / CROWDED_DIVISOR
+                ? oldest(idleSince, nowMs, MIN_EVICTION_AGE_MS, EvictionReason.IDLE)
+                : eviction;
+    }
+
+    /** Returns since when the reason of an eviction has applied without interruption; empty if it no longer applies. */
+    public OptionalLong reasonSince(Eviction<C> eviction) {
+        Long since = switch (eviction.reason()) {
+            case NO_STARTUP_MESSAGE -> preStartupSince.get(eviction.client());
+            case INCOMPLETE_MESSAGE -> incompleteSince.get(eviction.client());
+            case IDLE -> idleSince.get(eviction.client());
         };
         return since == null ? OptionalLong.empty() : OptionalLong.of(since);
     }
 
-    /** The client whose message has been unfinished longest, or null. */
-    public C longestUnfinished() {
-        return unfinished.isEmpty() ? null : unfinished.keySet().iterator().next();
+    /** Returns the client connection whose message has been incomplete longest, or null if there is none. */
+    public C longestIncomplete() {
+        return incompleteSince.isEmpty()
+                ? null
+                : incompleteSince.keySet().iterator().next();
     }
 
-    /** Whether part of a message of this client is here. */
-    public boolean isUnfinished(C client) {
-        return unfinished.containsKey(client);
+    /** Returns whether the client connection has an incomplete message. */
+    public boolean hasIncompleteMessage(C client) {
+        return incompleteSince.containsKey(client);
     }
 
-    /** Those who wait for nothing, longest first. */
-    public Iterable<C> allIdle() {
-        return idle.keySet();
+    /** Returns the idle client connections, longest idle first. */
+    public Iterable<C> idleClients() {
+        return idleSince.keySet();
     }
 
-    /** Those who have said nothing for so long, or null; for a gateway that ends. */
-    public Eviction<C> silentFor(long ms, long nowMs) {
-        return oldest(strangers, nowMs, ms, Why.NO_GREETING);
+    /**
+     * Returns the oldest pre-startup connection, or null if none is at least this old. For a graceful shutdown, which
+     * grants less time for the startup message.
+     */
+    public Eviction<C> preStartupFor(long minAgeMs, long nowMs) {
+        return oldest(preStartupSince, nowMs, minAgeMs, EvictionReason.NO_STARTUP_MESSAGE);
     }
 
-    private static <C> Eviction<C> oldest(Map<C, Long> all, long nowMs, long ms, Why why) {
-        Iterator<Map.Entry<C, Long>> i = all.entrySet().iterator();
-        if (!i.hasNext()) {
+    private static <C> Eviction<C> oldest(Map<C, Long> sinceMs, long nowMs, long minAgeMs, EvictionReason reason) {
+        Iterator<Map.Entry<C, Long>> entries = sinceMs.entrySet().iterator();
+        if (!entries.hasNext()) {
             return null;
         }
-        Map.Entry<C, Long> e = i.next();
-        return nowMs - e.getValue() < ms ? null : new Eviction<>(e.getKey(), why, nowMs - e.getValue());
+        Map.Entry<C, Long> oldest = entries.next();
+        return nowMs - oldest.getValue() < minAgeMs
+                ? null
+                : new Eviction<>(oldest.getKey(), reason, nowMs - oldest.getValue());
     }
 }
--- a/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
@@ -54,7 +54,7 @@
     private void apply(ConfigurationFile next) {
         ConfigurationFile previous = current;
         current = next;
-        limits.renew(next.sockets());
+        limits.setMaxDescriptors(next.sockets());
         InetSocketAddress agent = next.discovery();
         log.line("new configuration: discovery at " + agent.getAddress().getHostAddress() + ":" + agent.getPort() + ", "
                 + next.sockets() + " descriptors"
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -205,16 +205,16 @@
      * @return whether it may be opened now; an evicted connection may take a moment to close
      */
     private boolean makeRoomForServer() {
-        while (!limits.serverFits()) {
-            ConnectionLimits.Eviction<ClientSession> eviction = limits.wayForServer(clock.monotonicMs());
+        while (!limits.hasCapacityForServer()) {
+            ConnectionLimits.Eviction<ClientSession> eviction = limits.evictionForServer(clock.monotonicMs());
             if (eviction != null) {
                 clients.evict(eviction);
             } else if (!servers.closeLongestIdle()) {
                 break;
             }
         }
-        clients.closeLingering(limits.over() + 1);
-        return limits.mayOpen();
+        clients.closeLingering(limits.excessConnections() + 1);
+        return limits.mayOpenServerConnection();
     }
 
     /** The port on which it accepts clients. May be called on any thread. */
--- a/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientConnections.java
@@ -72,7 +72,7 @@
 
     /** Returns the number of open connections whose startup message has been read. */
     public int startedConnections() {
-        return runtime.sessions().size() - runtime.limits().strangers();
+        return runtime.sessions().size() - runtime.limits().preStartupConnections();
     }
 
     /** Returns the number of closed connections whose last responses the operating system has not accepted yet. */
@@ -168,7 +168,7 @@
         }
         runtime.status().startClosingIdle();
         List<ClientSession> idle = new ArrayList<>();
-        runtime.limits().allIdle().forEach(idle::add);
+        runtime.limits().idleClients().forEach(idle::add);
         idle.forEach(ClientSession::closeIfIdle);
     }
 
--- a/gateway/src/main/java/ploverdale/net/client/ClientListener.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientListener.java
@@ -21,7 +21,7 @@
             return;
         }
         runtime.evictor().evictForNewClient();
-        if (runtime.limits().clientFits()) {
+        if (runtime.limits().hasCapacityForClient()) {
             ClientSession.open(runtime, socket);
         } else {
             refuse(socket);
@@ -33,10 +33,10 @@
         runtime.log()
                 .often(
                         "no room for a connection",
-                        "of a client, " + runtime.limits().clients() + " of clients");
-        runtime.limits().turnedAway();
+                        "of a client, " + runtime.limits().clientConnections() + " of clients");
+        runtime.limits().onClientRefused();
         socket.exceptionHandler(failure -> {});
-        boolean descriptorsShort = runtime.limits().over() > 0;
+        boolean descriptorsShort = runtime.limits().excessConnections() > 0;
         RefusedConnection refused =
                 new RefusedConnection(socket, runtime.cancels()::cancel, () -> lingeringClose.close(socket));
         socket.closeHandler(closed -> {
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -42,7 +42,7 @@
         socket.closeHandler(closed -> session.onSocketClosed());
         socket.exceptionHandler(
                 failure -> runtime.log().often("client connection", String.valueOf(failure.getMessage())));
-        runtime.limits().came(session, runtime.nowMs());
+        runtime.limits().onClientConnected(session, runtime.nowMs());
         runtime.sessions().add(session);
     }
 
@@ -162,10 +162,10 @@
         boolean incomplete =
                 decoder.hasUndecodedBytes() && decoder.isStarted() && state == SessionState.ACTIVE && !queue.isFull();
         if (!incomplete || decoded) {
-            runtime.limits().whole(this);
+            runtime.limits().clearIncomplete(this);
         }
         if (incomplete) {
-            runtime.limits().begun(this, runtime.nowMs());
+            runtime.limits().markIncomplete(this, runtime.nowMs());
         }
     }
 
@@ -274,8 +274,8 @@
     }
 
     private void onAllAnswered() {
-        if (!decoder.hasUndecodedBytes() && queue.isEmpty() && !runtime.limits().isUnfinished(this)) {
-            runtime.limits().idle(this, runtime.nowMs());
+        if (!decoder.hasUndecodedBytes() && queue.isEmpty() && !runtime.limits().hasIncompleteMessage(this)) {
+            runtime.limits().markIdle(this, runtime.nowMs());
         }
         if (runtime.status().isClosingIdle()) {
             closeIfIdle();
@@ -308,7 +308,7 @@
     boolean owesResponse() {
         boolean undecodedMessage = decoder.isStarted()
                 && decoder.hasUndecodedBytes()
-                && !runtime.limits().isUnfinished(this);
+                && !runtime.limits().hasIncompleteMessage(this);
         return !pipeline.isEmpty() || undecodedMessage;
     }
 
@@ -324,8 +324,8 @@
         if (isClosed()) {
             return;
         }
-        runtime.limits().greeted(this);
-        runtime.limits().whole(this);
+        runtime.limits().markStarted(this);
+        runtime.limits().clearIncomplete(this);
         endInput();
         decoder.releaseMemory();
         if (state == SessionState.INPUT_UNREADABLE) {
@@ -387,7 +387,7 @@
             return;
         }
         state = SessionState.CLOSED;
-        runtime.limits().left(this);
+        runtime.limits().onClientClosing(this);
         decoder.clear(); // remaining references to this session must not keep its bytes in memory
         decoder.releaseMemory();
         writer.releaseMemory();
--- a/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
+++ b/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
@@ -60,7 +60,7 @@
         DiscardedInput discarded = new DiscardedInput(socket);
         socket.handler(discarded::onBytes);
         vertx.setTimer(LINGER_MS, timer -> discarded.close());
-        closeOldest(limits.over());
+        closeOldest(limits.excessConnections());
     }
 
     /** Closes the given number of lingering connections, oldest first; none if the number is 0 or negative. */
@@ -75,7 +75,7 @@
     /** Called when a socket has been closed, whether it lingered or not. */
     void onClosed(NetSocket socket) {
         lingering.remove(socket);
-        vertx.setTimer(DESCRIPTOR_RELEASE_MS, timer -> limits.closed());
+        vertx.setTimer(DESCRIPTOR_RELEASE_MS, timer -> limits.onDescriptorReleased());
     }
 
     /** Returns the number of connections whose last responses the operating system has not accepted yet. */
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -102,7 +102,7 @@
 
     private void register(ClientSession session, ClientMessage.RequestQuery query, RequestId id, long timeoutMs) {
         long nowMs = clock.clock().monotonicMs();
-        limits.asks(session);
+        limits.markAwaitingResponse(session);
         requestRate.onRequest(nowMs);
         requestListener.accept(nowMs);
         PendingResponse response = PendingResponse.of(id);
--- a/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
@@ -52,17 +52,17 @@
     }
 
     private void evictPreStartup() {
-        Eviction<ClientSession> eviction = limits.silentFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
+        Eviction<ClientSession> eviction = limits.preStartupFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
         while (eviction != null) {
             evict(eviction);
-            eviction = limits.silentFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
+            eviction = limits.preStartupFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
         }
     }
 
     /** Evicts sessions until there is capacity for a new client, or no session may be evicted. */
     void evictForNewClient() {
-        while (!limits.clientFits()) {
-            Eviction<ClientSession> eviction = limits.wayForClient(nowMs());
+        while (!limits.hasCapacityForClient()) {
+            Eviction<ClientSession> eviction = limits.evictionForClient(nowMs());
             if (eviction == null) {
                 return;
             }
@@ -76,12 +76,12 @@
      * have been read.
      */
     void evict(Eviction<ClientSession> eviction) {
-        OptionalLong since = limits.heldSince(eviction);
-        eviction.who().readNow();
-        if (since.isEmpty() || !since.equals(limits.heldSince(eviction))) {
+        OptionalLong since = limits.reasonSince(eviction);
+        eviction.client().readNow();
+        if (since.isEmpty() || !since.equals(limits.reasonSince(eviction))) {
             return;
         }
-        if (eviction.why() == ConnectionLimits.Why.IDLE) {
+        if (eviction.reason() == ConnectionLimits.EvictionReason.IDLE) {
             evictIdle(eviction);
         } else {
             evictIncomplete(eviction);
@@ -89,19 +89,19 @@
     }
 
     private void evictIdle(Eviction<ClientSession> eviction) {
-        if (eviction.who().closeIfIdle()) {
+        if (eviction.client().closeIfIdle()) {
             log.often("idle client connection", "ended " + describe(eviction));
         } else {
-            limits.asks(eviction.who()); // prevents its selection until it is idle again
+            limits.markAwaitingResponse(eviction.client()); // prevents its selection until it is idle again
         }
     }
 
     private void evictIncomplete(Eviction<ClientSession> eviction) {
-        String reason = eviction.why() == ConnectionLimits.Why.NO_GREETING
+        String reason = eviction.reason() == ConnectionLimits.EvictionReason.NO_STARTUP_MESSAGE
                 ? "client without a greeting"
                 : "client with an unfinished message";
         log.often(reason, "closed " + describe(eviction));
-        eviction.who().abortInput(sqlState(eviction), reason);
+        eviction.client().abortInput(sqlState(eviction), reason);
     }
 
     /**
@@ -112,11 +112,11 @@
         if (status.isClosingIdle()) {
             return SqlStates.CANNOT_CONNECT_NOW;
         }
-        return eviction.forRoom() ? SqlStates.TOO_MANY_CONNECTIONS : SqlStates.PROTOCOL_VIOLATION;
+        return eviction.isForCapacity() ? SqlStates.TOO_MANY_CONNECTIONS : SqlStates.PROTOCOL_VIOLATION;
     }
 
     private String describe(Eviction<ClientSession> eviction) {
-        return "after " + eviction.sinceMs() + " ms, " + limits.clients() + " of clients";
+        return "after " + eviction.durationMs() + " ms, " + limits.clientConnections() + " of clients";
     }
 
     /**
@@ -125,8 +125,8 @@
      * response too late because of what other clients have queued.
      */
     void evictForMemory() {
-        while (memory.isExhausted() && limits.longestUnfinished() != null) {
-            ClientSession session = limits.longestUnfinished();
+        while (memory.isExhausted() && limits.longestIncomplete() != null) {
+            ClientSession session = limits.longestIncomplete();
             log.often(
                     "too much unfinished",
                     "given up with " + session.undecodedBytes() + " bytes, " + memory.usedBytes() + " held in all");
@@ -142,10 +142,10 @@
 
     /** Ends all sessions with an incomplete message, since the rest of it would arrive too late to be answered. */
     void rejectIncompleteMessages() {
-        ClientSession session = limits.longestUnfinished();
+        ClientSession session = limits.longestIncomplete();
         while (session != null) {
             abortForShutdown(session);
-            session = limits.longestUnfinished();
+            session = limits.longestIncomplete();
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
@@ -48,7 +48,7 @@
     private void hold(HeldQuery query) {
         heldQuery = query;
         runtime.sessions().addHoldingQuery(session);
-        runtime.limits().asks(session); // a client that awaits a response is not evicted as idle
+        runtime.limits().markAwaitingResponse(session); // a client that awaits a response is not evicted as idle
     }
 
     /** Returns the earliest time at which the current message may have arrived; its request's timeout starts then. */
@@ -59,7 +59,7 @@
     @Override
     public void onStartup(ClientMessage.Startup startup) {
         CancelRegistry.BackendKey key = session.backendKey();
-        runtime.limits().greeted(session);
+        runtime.limits().markStarted(session);
         session.respond(MessageWriter.startupResponse(key.processId(), key.secret()));
     }
 
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -190,7 +190,7 @@
         if (hasAddress && connectAgainLater(attempt)) {
             return;
         }
-        String text = "to server " + server.id().text() + ", " + limits.servers() + " to servers";
+        String text = "to server " + server.id().text() + ", " + limits.serverConnections() + " to servers";
         context.log().often("no room for a connection", text);
         attempt.failToConnect();
     }
@@ -200,7 +200,7 @@
             return false;
         }
         attempt.setFailedLocally(false);
-        limits.opened();
+        limits.onServerConnecting();
         new ServerConnection(context, this, loadReports, attempt).open(client);
         return true;
     }
@@ -259,8 +259,8 @@
 
     /** Forgets a connection that is being closed; its descriptor counts a moment longer. */
     void onConnectionClosed(ServerConnection connection) {
-        limits.released();
-        context.vertx().setTimer(DESCRIPTOR_RELEASE_DELAY_MS, timer -> limits.closed());
+        limits.onServerClosing();
+        context.vertx().setTimer(DESCRIPTOR_RELEASE_DELAY_MS, timer -> limits.onDescriptorReleased());
         idleConnections.remove(connection);
     }
 }
--- a/gateway/src/test/java/ploverdale/limits/ConnectionLimitsTest.java
+++ b/gateway/src/test/java/ploverdale/limits/ConnectionLimitsTest.java
@@ -4,112 +4,115 @@
 
 import org.junit.jupiter.api.Test;
 import ploverdale.limits.ConnectionLimits.Eviction;
-import ploverdale.limits.ConnectionLimits.Why;
+import ploverdale.limits.ConnectionLimits.EvictionReason;
 
-/** Who holds descriptors and who makes way; 64 of them leave 40 for connections, 28 of these for clients. */
+/** Capacity and evictions with 64 descriptors, which allow 40 connections, 28 of them from clients. */
 class ConnectionLimitsTest {
     private final ConnectionLimits<String> limits = new ConnectionLimits<>(64);
 
-    private void idleOnes(int n, long now) {
-        for (int i = 0; i < n; i++) {
-            limits.came("idle" + i, now);
-            limits.greeted("idle" + i);
-            limits.idle("idle" + i, now);
+    private void addIdleClients(int count, long nowMs) {
+        for (int i = 0; i < count; i++) {
+            limits.onClientConnected("idle" + i, nowMs);
+            limits.markStarted("idle" + i);
+            limits.markIdle("idle" + i, nowMs);
         }
     }
 
-    private void askingOnes(int n) {
-        for (int i = 0; i < n; i++) {
-            limits.came("asking" + i, 0);
-            limits.greeted("asking" + i);
+    private void addAwaitingClients(int count) {
+        for (int i = 0; i < count; i++) {
+            limits.onClientConnected("awaiting" + i, 0);
+            limits.markStarted("awaiting" + i);
         }
     }
 
     @Test
-    void clientsNeverTakeWhatServersNeed() {
-        askingOnes(28);
-        assertThat(limits.clientFits()).isFalse();
-        assertThat(limits.wayForClient(10_000)).isNull();
+    void clientsLeaveTheServersShareFree() {
+        addAwaitingClients(28);
+        assertThat(limits.hasCapacityForClient()).isFalse();
+        assertThat(limits.evictionForClient(10_000)).isNull();
         for (int i = 0; i < 12; i++) {
-            assertThat(limits.serverFits()).isTrue();
-            limits.opened();
+            assertThat(limits.hasCapacityForServer()).isTrue();
+            limits.onServerConnecting();
         }
-        assertThat(limits.serverFits()).isFalse();
+        assertThat(limits.hasCapacityForServer()).isFalse();
     }
 
     @Test
-    void aStrangerMakesWayBeforeAnyoneWhoHasGreeted() {
-        idleOnes(27, 0);
-        limits.came("stranger", 50);
-        assertThat(limits.wayForClient(160)).isEqualTo(new Eviction<>("stranger", Why.NO_GREETING, 110));
-        assertThat(limits.wayForClient(120)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 120)); // it may greet yet
+    void aPreStartupConnectionIsEvictedBeforeAnIdleClient() {
+        addIdleClients(27, 0);
+        limits.onClientConnected("preStartup", 50);
+        assertThat(limits.evictionForClient(160))
+                .isEqualTo(new Eviction<>("preStartup", EvictionReason.NO_STARTUP_MESSAGE, 110));
+        // after 70 ms, the pre-startup connection may still send its startup message
+        assertThat(limits.evictionForClient(120)).isEqualTo(new Eviction<>("idle0", EvictionReason.IDLE, 120));
     }
 
     @Test
-    void whoHasJustBeenLetInIsNotSentAwayAgain() {
-        idleOnes(28, 1000);
-        assertThat(limits.wayForClient(1099)).isNull();
-        assertThat(limits.wayForServer(1100)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 100));
+    void aClientIsNotEvictedForCapacityWithinItsFirst100Ms() {
+        addIdleClients(28, 1000);
+        assertThat(limits.evictionForClient(1099)).isNull();
+        assertThat(limits.evictionForServer(1100)).isEqualTo(new Eviction<>("idle0", EvictionReason.IDLE, 100));
     }
 
     @Test
-    void strangersBeyondTheirPartGoSoonAndOthersAfterTheirTime() {
+    void preStartupConnectionsAreEvictedEarlyIfManyAndOtherwiseAfterTheirTimeLimit() {
         for (int i = 0; i < 9; i++) {
-            limits.came("s" + i, i);
+            limits.onClientConnected("preStartup" + i, i);
         }
         assertThat(limits.overdue(2199)).isNull();
-        limits.came("s9", 200);
-        assertThat(limits.overdue(200)).isEqualTo(new Eviction<>("s0", Why.NO_GREETING, 200));
-        limits.left("s0");
+        limits.onClientConnected("preStartup9", 200);
+        assertThat(limits.overdue(200))
+                .isEqualTo(new Eviction<>("preStartup0", EvictionReason.NO_STARTUP_MESSAGE, 200));
+        limits.onClientClosing("preStartup0");
         assertThat(limits.overdue(300)).isNull();
-        assertThat(limits.overdue(2201).why()).isEqualTo(Why.NO_GREETING);
+        assertThat(limits.overdue(2201).reason()).isEqualTo(EvictionReason.NO_STARTUP_MESSAGE);
     }
 
     @Test
-    void idleOnesStayWhereFewAreAndGoSoonerTheMoreThereAre() {
-        idleOnes(9, 0);
+    void idleClientsAreEvictedSoonerTheMoreClientsThereAre() {
+        addIdleClients(9, 0);
         assertThat(limits.overdue(60_000)).isNull();
-        limits.came("tenth", 0);
-        limits.greeted("tenth");
+        limits.onClientConnected("tenth", 0);
+        limits.markStarted("tenth");
         assertThat(limits.overdue(2099)).isNull();
-        assertThat(limits.overdue(2100)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 2100));
-        askingOnes(3);
+        assertThat(limits.overdue(2100)).isEqualTo(new Eviction<>("idle0", EvictionReason.IDLE, 2100));
+        addAwaitingClients(3);
         assertThat(limits.overdue(99)).isNull();
-        assertThat(limits.overdue(100)).isEqualTo(new Eviction<>("idle0", Why.IDLE, 100));
+        assertThat(limits.overdue(100)).isEqualTo(new Eviction<>("idle0", EvictionReason.IDLE, 100));
     }
 
     @Test
-    void whatAsksOrIsUnfinishedIsNotIdle() {
-        idleOnes(1, 0);
-        limits.asks("idle0");
-        assertThat(limits.wayForClient(5000)).isNull();
-        limits.idle("idle0", 5000);
-        limits.begun("idle0", 5100);
-        limits.begun("idle0", 7000); // more of the same message
-        assertThat(limits.wayForClient(7000)).isNull();
-        assertThat(limits.overdue(7300)).isEqualTo(new Eviction<>("idle0", Why.UNFINISHED, 2200));
-        limits.whole("idle0");
+    void aClientWithARequestOrAnIncompleteMessageIsNotIdle() {
+        addIdleClients(1, 0);
+        limits.markAwaitingResponse("idle0");
+        assertThat(limits.evictionForClient(5000)).isNull();
+        limits.markIdle("idle0", 5000);
+        limits.markIncomplete("idle0", 5100);
+        limits.markIncomplete("idle0", 7000); // a further part of the same message
+        assertThat(limits.evictionForClient(7000)).isNull();
+        assertThat(limits.overdue(7300)).isEqualTo(new Eviction<>("idle0", EvictionReason.INCOMPLETE_MESSAGE, 2200));
+        limits.clearIncomplete("idle0");
         assertThat(limits.overdue(7300)).isNull();
     }
 
     @Test
-    void aDescriptorCountsUntilItIsClosed() {
+    void aDescriptorCountsUntilItIsReleased() {
         for (int i = 0; i < 48; i++) {
-            assertThat(limits.mayOpen()).isTrue();
-            limits.opened();
+            assertThat(limits.mayOpenServerConnection()).isTrue();
+            limits.onServerConnecting();
         }
-        assertThat(limits.mayOpen()).isFalse();
-        limits.released();
-        assertThat(limits.mayOpen()).isFalse();
-        limits.closed();
-        assertThat(limits.mayOpen()).isTrue();
+        assertThat(limits.mayOpenServerConnection()).isFalse();
+        limits.onServerClosing();
+        assertThat(limits.mayOpenServerConnection()).isFalse();
+        limits.onDescriptorReleased();
+        assertThat(limits.mayOpenServerConnection()).isTrue();
     }
 
     @Test
-    void fewerDescriptorsHoldFromThenOn() {
+    void fewerDescriptorsLowerTheMaximumOfClients() {
         ConnectionLimits<String> large = new ConnectionLimits<>(1024);
-        assertThat(large.clientsMost()).isEqualTo(627);
-        large.renew(64);
-        assertThat(large.clientsMost()).isEqualTo(28);
+        assertThat(large.maxClients()).isEqualTo(627);
+        large.setMaxDescriptors(64);
+        assertThat(large.maxClients()).isEqualTo(28);
     }
 }
--- a/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
@@ -77,7 +77,12 @@
         Log log = new Log(new PrintStream(lines, true, UTF_8));
         GatewaySettings settings = new GatewaySettings(1, new JsonFields("settings", Map.of()));
         onEventLoop(() -> pool = new ServerConnectionPool(
-                vertx, log, settings, limits, limits::mayOpen, new ServerClock(log::line, Clock.system())));
+                vertx,
+                log,
+                settings,
+                limits,
+                limits::mayOpenServerConnection,
+                new ServerClock(log::line, Clock.system())));
     }
 
     /** A server that completes each handshake and has each query answered by this. */
@@ -128,7 +133,7 @@
 
     private int openConnections() throws Exception {
         CompletableFuture<Integer> count = new CompletableFuture<>();
-        onEventLoop(() -> count.complete(limits.servers()));
+        onEventLoop(() -> count.complete(limits.serverConnections()));
         return count.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
