--- a/gateway/src/main/java/ploverdale/net/shutdown/GracefulShutdownRunner.java
+++ b/gateway/src/main/java/ploverdale/net/shutdown/GracefulShutdownRunner.java
@@ -10,19 +10,19 @@
 import ploverdale.shutdown.GracefulShutdown;
 
 /**
- * Runs one graceful shutdown: asks {@link GracefulShutdown} every few milliseconds for the phase and applies it to the client
- * connections and the router. A request that is accepted meanwhile is answered before the end, whatever its own timeout. Used
- * on the event loop only, and once.
+ * Runs one graceful shutdown: queries {@link GracefulShutdown} for the phase every few milliseconds and applies it to
+ * the client connections and the router. Every request accepted during the shutdown is answered before the process
+ * exits, whatever its own timeout. Used on the event loop only, and once.
  */
 public final class GracefulShutdownRunner {
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long CHECK_INTERVAL_MS = 20;
 
-    /** The platform kills the process no earlier than after the longest request timeout, counted up to this. */
+    /** Request timeouts beyond this do not postpone the kill of the process. */
     private static final long MAX_COUNTED_TIMEOUT_MS = 3000;
 
-    /** How much longer than the longest request timeout the platform waits before it kills the process. */
+    /** How long after the longest request timeout the process is killed. */
     private static final long KILL_GRACE_MS = 700;
 
     private final Vertx vertx;
@@ -32,15 +32,15 @@
     private final Runnable leaveMembership;
     private final Clock clock;
     private final CountDownLatch finished;
-    private final long beganAtMs;
+    private final long signalAtMs;
     private final GracefulShutdown shutdown;
 
     /**
-     * A shutdown that has not begun yet.
+     * Creates a shutdown that has not begun yet.
      *
-     * @param leaveMembership tells the other gateways that this one leaves
-     * @param longestTimeoutMs of all request classes
-     * @param signalNanos when the signal arrived, by {@link Clock#nanos}; all times of the shutdown count from it
+     * @param leaveMembership notifies the peers that this gateway leaves
+     * @param longestTimeoutMs longest timeout of all request classes
+     * @param signalNanos time of the signal by {@link Clock#nanos}, from which all times of the shutdown are measured
      * @param finished counted down when the process may exit
      */
     public GracefulShutdownRunner(
@@ -52,39 +52,39 @@
         clock = parts.clock();
         this.leaveMembership = leaveMembership;
         this.finished = finished;
-        beganAtMs = signalNanos / NANOS_PER_MS;
+        signalAtMs = signalNanos / NANOS_PER_MS;
         long killedAfterMs = Math.min(longestTimeoutMs, MAX_COUNTED_TIMEOUT_MS) + KILL_GRACE_MS;
         shutdown = new GracefulShutdown(killedAfterMs, clients.requestsPerSecond());
     }
 
-    /** What a shutdown acts on. */
+    /** The objects on which a shutdown acts. */
     public record Parts(Vertx vertx, Log log, RouterEventLoop loop, ClientConnections clients, Clock clock) {}
 
-    /** Begins; returns at once. */
+    /** Begins the shutdown and returns at once. */
     public void begin() {
         log.line("planned restart: " + clients.openConnections() + " connections, " + clients.requestsInFlight()
                 + " ops in hand, serves on for " + shutdown.closeIdleByMs() + " ms or until few ask");
-        long answerWithinMs = Math.max(1, shutdown.answerByMs() - passedMs());
-        clients.capDeadlines(clock.now() + answerWithinMs * TENTHS_PER_MS);
+        long answerWithinMs = Math.max(1, shutdown.answerByMs() - elapsedMs());
+        clients.capDeadlines(clock.now() + answerWithinMs * TICKS_PER_MS);
         loop.enqueue(new Event.ShutdownBegun());
-        // Requests from before the shutdown may have timeouts of their own that are later than the end.
+        // Requests accepted before the shutdown may have deadlines after the exit of the process.
         vertx.setTimer(answerWithinMs, id -> loop.enqueue(new Event.ShutdownDeadline()));
         leaveMembership.run();
-        clients.onRequest(nowMs -> shutdown.onRequest(nowMs - beganAtMs));
+        clients.onRequest(nowMs -> shutdown.onRequest(nowMs - signalAtMs));
         vertx.setPeriodic(CHECK_INTERVAL_MS, this::check);
     }
 
-    private long passedMs() {
-        return clock.monotonicMs() - beganAtMs;
+    private long elapsedMs() {
+        return clock.monotonicMs() - signalAtMs;
     }
 
     private void check(long timer) {
-        long passedMs = passedMs();
-        if (passedMs >= shutdown.answerByMs()) {
-            clients.rejectIncompleteMessages(); // at each check: a message may begin at any time
+        long elapsedMs = elapsedMs();
+        if (elapsedMs >= shutdown.answerByMs()) {
+            clients.rejectIncompleteMessages(); // at each check, since a message may begin at any time
         }
         int openClients = clients.startedConnections() + clients.unflushedConnections();
-        switch (shutdown.phaseAt(passedMs, openClients, clients.unansweredConnections())) {
+        switch (shutdown.phaseAt(elapsedMs, openClients, clients.unansweredConnections())) {
             case CLOSING_IDLE -> clients.closeIdle();
             case ANSWERING -> {
                 clients.stopReading();
@@ -92,15 +92,15 @@
             }
             case FINISHED -> {
                 vertx.cancelTimer(timer);
-                finish(passedMs);
+                finish(elapsedMs);
             }
-            default -> {} // SERVING: nothing changes
+            default -> {} // SERVING requires no action
         }
     }
 
-    private void finish(long passedMs) {
-        clients.stopReading(); // before the process exits, which takes a moment
-        log.line("planned restart: ends after " + passedMs + " ms, " + clients.requestsInFlight() + " ops unanswered, "
+    private void finish(long elapsedMs) {
+        clients.stopReading(); // what is read while the process exits could not be answered
+        log.line("planned restart: ends after " + elapsedMs + " ms, " + clients.requestsInFlight() + " ops unanswered, "
                 + clients.openConnections() + " connections");
         finished.countDown();
     }
--- a/gateway/src/main/java/ploverdale/shutdown/RequestRate.java
+++ b/gateway/src/main/java/ploverdale/shutdown/RequestRate.java
@@ -1,8 +1,8 @@
 package ploverdale.shutdown;
 
 /**
- * The recent rate of requests, as an exponentially decaying count. Times are milliseconds of any clock that never goes back.
- * Not thread-safe.
+ * Measures the recent rate of requests by an exponentially decaying count. Times are milliseconds of any monotonic
+ * clock. Not thread-safe.
  */
 public final class RequestRate {
     private static final double MS_PER_SECOND = 1000;
@@ -11,7 +11,7 @@
     private double weight;
     private long updatedAtMs;
 
-    /** @param decayMs after which a request counts for 1/e of its weight */
+    /** @param decayMs time after which a request counts for 1/e of its initial weight */
     public RequestRate(double decayMs) {
         this.decayMs = decayMs;
     }
@@ -22,13 +22,13 @@
         weight++;
     }
 
-    /** Starts with a rate that was measured elsewhere. */
+    /** Sets an initial rate that was measured elsewhere. */
     public void startAt(double perSecond, long nowMs) {
         weight = perSecond * decayMs / MS_PER_SECOND;
         updatedAtMs = nowMs;
     }
 
-    /** The rate by now. */
+    /** Returns the current rate. */
     public double perSecond(long nowMs) {
         decayTo(nowMs);
         return weight * MS_PER_SECOND / decayMs;
