--- a/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
+++ b/gateway/src/main/java/ploverdale/limits/ConnectionLimits.java
@@ -153,7 +153,7 @@
         preStartupSince.remove(client);
     }
 
-    /** Marks a client connection as idle from now on, even if it has been idle before. */
+    /** Marks a client connection as idle; its idle time starts now, even if it was already idle. */
     public void markIdle(C client, long nowMs) {
         idleSince.remove(client);
         idleSince.put(client, nowMs);
--- a/gateway/src/main/java/ploverdale/net/client/AcceptedRequest.java
+++ b/gateway/src/main/java/ploverdale/net/client/AcceptedRequest.java
@@ -14,6 +14,8 @@
     private int attempts;
 
     /**
+     * Creates a request without attempts.
+     *
      * @param response slot reserved for this request in the session's response pipeline
      * @param overdueAtMs monotonic time in milliseconds after which the request is failed if still unanswered
      */
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Runs the query that was held until the gateway started serving, and the messages behind it. */
+    /** Runs the query that was held until the gateway started serving, and the messages after it. */
     void runHeldQuery() {
         messageHandler.runHeldQuery();
         processInput();
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -132,10 +132,12 @@
         return query.key() != null && inSession ? new SessionId(query.key()) : null;
     }
 
+    /** Returns the age of the log position that the request must observe, or {@link #NO_TOKEN}. */
     private long tokenAge(ClientMessage.RequestQuery query, long arrivedAt) {
         return query.afterMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.afterMs() * TICKS_PER_MS);
     }
 
+    /** Passes a request to the lookup of its history, if there is one, otherwise to the router. */
     private void dispatch(Event.RequestArrived arrival, String key) {
         if (historyLookup == null) {
             eventLoop.enqueue(arrival);
