--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -18,24 +18,24 @@
 import ploverdale.shutdown.RequestRate;
 
 /**
- * Accepts queries as requests: checks what each names, reserves its place in the order of responses, sets its deadline, and
- * passes it to the router or, where gateways record requests together, to the lookup of its history. Used on the event loop
- * only.
+ * Accepts queries as requests: validates the request class, tenant and id, reserves a slot in the response pipeline,
+ * sets the deadline, and passes the request to the router or, if gateways share a record of requests, to the lookup of
+ * its history. Used on the event loop only.
  */
 final class RequestAcceptor {
-    private static final double TRAFFIC_FADE_MS = 1000;
-    private static final long TICKS_PER_MS = 10; // service time counts tenths of a millisecond
-    private static final long NO_TOKEN = 0; // age of the position that a request must reach, where it names none
+    private static final double RATE_DECAY_MS = 1000;
+    private static final long TICKS_PER_MS = 10; // service time is in tenths of a millisecond
+    private static final long NO_TOKEN = 0; // token age of a request that requires no log position
 
     private final RouterEventLoop eventLoop;
     private final GatewaySettings settings;
     private final ConnectionLimits<ClientSession> limits;
     private final ServerClock clock;
     private final InFlightRequests inFlight;
-    private final RequestRate traffic = new RequestRate(TRAFFIC_FADE_MS);
+    private final RequestRate requestRate = new RequestRate(RATE_DECAY_MS);
     private LongConsumer requestListener = nowMs -> {};
-    private RequestHistoryLookup historyLookup; // null where gateways record nothing together
-    private long latestDeadline = Long.MAX_VALUE;
+    private RequestHistoryLookup historyLookup; // null if gateways share no record of requests
+    private long maxDeadline = Long.MAX_VALUE;
 
     RequestAcceptor(
             RouterEventLoop eventLoop,
@@ -50,30 +50,30 @@
         this.inFlight = inFlight;
     }
 
-    /** Called with the monotonic time in milliseconds at each request from now on. */
+    /** Sets the listener that is called for each accepted request with the monotonic time in milliseconds. */
     void onRequest(LongConsumer listener) {
         requestListener = listener;
     }
 
-    /** Requests are passed to this lookup from now on. */
+    /** Passes all later requests to this lookup instead of directly to the router. */
     void useHistory(RequestHistoryLookup lookup) {
         historyLookup = lookup;
     }
 
-    /** No request that is accepted from now on has a later deadline than this service time. */
+    /** Limits the deadline of each request that is accepted from now on to this service time. */
     void capDeadlines(long deadline) {
-        latestDeadline = deadline;
+        maxDeadline = deadline;
     }
 
-    /** Requests a second, lately. */
+    /** Returns the recent rate of accepted requests. */
     double requestsPerSecond() {
-        return traffic.perSecond(clock.clock().monotonicMs());
+        return requestRate.perSecond(clock.clock().monotonicMs());
     }
 
     /**
-     * Accepts a query, or answers it with an error if it names something unknown.
+     * Accepts a query, or answers it with an error if its request class or tenant is unknown or its id is in flight.
      *
-     * @param arrivedAt service time that its timeout counts from
+     * @param arrivedAt service time at which the request's timeout starts
      */
     void accept(ClientSession session, ClientMessage.RequestQuery query, long arrivedAt) {
         int classIndex = settings.requestClasses().indexOf(query.requestClass());
@@ -91,9 +91,9 @@
             session.rejectInvalidQuery(SqlStates.DUPLICATE_OBJECT, "the id of an op still in hand");
             return;
         }
-        long timeoutAt = Math.min(latestDeadline, arrivedAt + (long) Math.floor(query.timeoutMs() * TICKS_PER_MS));
+        long timeoutAt = Math.min(maxDeadline, arrivedAt + (long) Math.floor(query.timeoutMs() * TICKS_PER_MS));
         register(session, query, id, Math.max(0, timeoutAt - arrivedAt) / TICKS_PER_MS);
-        pass(arrival(query, classIndex, tenantIndex, arrivedAt, timeoutAt), query.key());
+        dispatch(arrivalEvent(query, classIndex, tenantIndex, arrivedAt, timeoutAt), query.key());
     }
 
     private int tenantIndex(String tenant) {
@@ -102,16 +102,16 @@
 
     private void register(ClientSession session, ClientMessage.RequestQuery query, RequestId id, long timeoutMs) {
         long nowMs = clock.clock().monotonicMs();
-        limits.asks(session);
-        traffic.onRequest(nowMs);
+        limits.markAwaitingResponse(session);
+        requestRate.onRequest(nowMs);
         requestListener.accept(nowMs);
         PendingResponse response = PendingResponse.of(id);
         session.awaitResponse(response);
-        long lastResortAtMs = nowMs + timeoutMs + InFlightRequests.LAST_RESORT_MS;
-        inFlight.add(new AcceptedRequest(query, session, response, lastResortAtMs));
+        long overdueAtMs = nowMs + timeoutMs + InFlightRequests.OVERDUE_AFTER_TIMEOUT_MS;
+        inFlight.add(new AcceptedRequest(query, session, response, overdueAtMs));
     }
 
-    private Event.RequestArrived arrival(
+    private Event.RequestArrived arrivalEvent(
             ClientMessage.RequestQuery query, int classIndex, int tenantIndex, long arrivedAt, long timeoutAt) {
         RequestClass requestClass = settings.started().requestClasses().get(classIndex);
         return new Event.RequestArrived(
@@ -119,24 +119,26 @@
                 new RequestClassId(classIndex),
                 new TenantId(tenantIndex),
                 new GroupId(query.group()),
-                session(query, requestClass.consistency()),
+                sessionOf(query, requestClass.consistency()),
                 timeoutAt,
                 query.again(),
                 0,
                 tokenAge(query, arrivedAt));
     }
 
-    /** The session whose writes a read must see, or that a write belongs to; null if there is none. */
-    private static SessionId session(ClientMessage.RequestQuery query, Consistency consistency) {
+    /** Returns the session whose writes a read must observe, or to which a write belongs; null if there is none. */
+    private static SessionId sessionOf(ClientMessage.RequestQuery query, Consistency consistency) {
         boolean inSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
         return query.key() != null && inSession ? new SessionId(query.key()) : null;
     }
 
+    /** Returns the age of the log position that the request must observe, or {@link #NO_TOKEN}. */
     private long tokenAge(ClientMessage.RequestQuery query, long arrivedAt) {
         return query.afterMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.afterMs() * TICKS_PER_MS);
     }
 
-    private void pass(Event.RequestArrived arrival, String key) {
+    /** Passes a request to the lookup of its history, if there is one, otherwise to the router. */
+    private void dispatch(Event.RequestArrived arrival, String key) {
         if (historyLookup == null) {
             eventLoop.enqueue(arrival);
         } else {
--- a/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
@@ -7,11 +7,11 @@
 import ploverdale.log.Log;
 
 /**
- * Ends sessions that the limits name: without a startup message, with an incomplete message for too long, or idle where
- * connections are many. Used on the event loop only.
+ * Closes sessions that the connection limits select: those that have sent no startup message or have had an incomplete
+ * message for too long, and idle ones when there are many connections. Used on the event loop only.
  */
 final class SessionEvictor {
-    /** For a startup message, once a graceful shutdown closes connections. */
+    /** Time limit for the startup message while a graceful shutdown closes idle connections. */
     private static final long SHUTDOWN_STARTUP_TIMEOUT_MS = 20;
 
     private static final String SHUTTING_DOWN = "this gateway ends, trying again does no harm";
@@ -39,7 +39,7 @@
         return clock.clock().monotonicMs();
     }
 
-    /** Ends the sessions whose time is up. */
+    /** Evicts all sessions that have exceeded a time limit. */
     void evictOverdue() {
         Eviction<ClientSession> eviction = limits.overdue(nowMs());
         while (eviction != null) {
@@ -47,22 +47,22 @@
             eviction = limits.overdue(nowMs());
         }
         if (status.isClosingIdle()) {
-            evictWithoutStartup();
+            evictPreStartup();
         }
     }
 
-    private void evictWithoutStartup() {
-        Eviction<ClientSession> eviction = limits.silentFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
+    private void evictPreStartup() {
+        Eviction<ClientSession> eviction = limits.preStartupFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
         while (eviction != null) {
             evict(eviction);
-            eviction = limits.silentFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
+            eviction = limits.preStartupFor(SHUTDOWN_STARTUP_TIMEOUT_MS, nowMs());
         }
     }
 
-    /** Ends sessions until a new one fits, or none may be ended. */
-    void makeRoomForClient() {
-        while (!limits.clientFits()) {
-            Eviction<ClientSession> eviction = limits.wayForClient(nowMs());
+    /** Evicts sessions until there is capacity for a new client, or no session may be evicted. */
+    void evictForNewClient() {
+        while (!limits.hasCapacityForClient()) {
+            Eviction<ClientSession> eviction = limits.evictionForClient(nowMs());
             if (eviction == null) {
                 return;
             }
@@ -71,16 +71,17 @@
     }
 
     /**
-     * Ends a session, unless its client has sent something by now: what the operating system holds for it is read first, since
-     * after a pause of this process a timer fires before the requests that came during the pause have been read.
+     * Evicts a session, unless its client has sent something in the meantime. Reads what the operating system has
+     * buffered for it first: after a process pause, a timer fires before the requests that arrived during the pause
+     * have been read.
      */
     void evict(Eviction<ClientSession> eviction) {
-        OptionalLong since = limits.heldSince(eviction);
-        eviction.who().readNow();
-        if (since.isEmpty() || !since.equals(limits.heldSince(eviction))) {
+        OptionalLong since = limits.reasonSince(eviction);
+        eviction.client().readNow();
+        if (since.isEmpty() || !since.equals(limits.reasonSince(eviction))) {
             return;
         }
-        if (eviction.why() == ConnectionLimits.Why.IDLE) {
+        if (eviction.reason() == ConnectionLimits.EvictionReason.IDLE) {
             evictIdle(eviction);
         } else {
             evictIncomplete(eviction);
@@ -88,59 +89,63 @@
     }
 
     private void evictIdle(Eviction<ClientSession> eviction) {
-        if (eviction.who().closeIfIdle()) {
+        if (eviction.client().closeIfIdle()) {
             log.often("idle client connection", "ended " + describe(eviction));
         } else {
-            limits.asks(eviction.who()); // so that it is not named again before it has been answered
+            limits.markAwaitingResponse(eviction.client()); // prevents its selection until it is idle again
         }
     }
 
     private void evictIncomplete(Eviction<ClientSession> eviction) {
-        String reason = eviction.why() == ConnectionLimits.Why.NO_GREETING
+        String reason = eviction.reason() == ConnectionLimits.EvictionReason.NO_STARTUP_MESSAGE
                 ? "client without a greeting"
                 : "client with an unfinished message";
         log.often(reason, "closed " + describe(eviction));
-        eviction.who().giveUp(sqlState(eviction), reason);
+        eviction.client().abortInput(sqlState(eviction), reason);
     }
 
-    /** What ends for this gateway's sake may be retried: the client may have written a request meanwhile. */
+    /**
+     * Returns the SQLSTATE for an eviction. An eviction in the gateway's own interest gets a code after which a retry
+     * is safe, since the client may have sent a request in the meantime.
+     */
     private String sqlState(Eviction<ClientSession> eviction) {
         if (status.isClosingIdle()) {
             return SqlStates.CANNOT_CONNECT_NOW;
         }
-        return eviction.forRoom() ? SqlStates.TOO_MANY_CONNECTIONS : SqlStates.PROTOCOL_VIOLATION;
+        return eviction.isForCapacity() ? SqlStates.TOO_MANY_CONNECTIONS : SqlStates.PROTOCOL_VIOLATION;
     }
 
     private String describe(Eviction<ClientSession> eviction) {
-        return "after " + eviction.sinceMs() + " ms, " + limits.clients() + " of clients";
+        return "after " + eviction.durationMs() + " ms, " + limits.clientConnections() + " of clients";
     }
 
     /**
-     * Ends the sessions whose messages have been incomplete longest, behind the responses to what came before, until memory is
-     * within its budget. All others go on being read: a client that was not read would get its response too late because of
-     * what others have queued here.
+     * Evicts the sessions whose messages have been incomplete longest until the memory budget suffices; their earlier
+     * requests are answered first. Input of all other sessions is not paused, since a client would otherwise get its
+     * response too late because of what other clients have queued.
      */
-    void releaseMemory() {
-        while (memory.isExhausted() && limits.longestUnfinished() != null) {
-            ClientSession session = limits.longestUnfinished();
+    void evictForMemory() {
+        while (memory.isExhausted() && limits.longestIncomplete() != null) {
+            ClientSession session = limits.longestIncomplete();
             log.often(
                     "too much unfinished",
                     "given up with " + session.undecodedBytes() + " bytes, " + memory.usedBytes() + " held in all");
-            session.giveUp(SqlStates.TOO_MANY_CONNECTIONS, "too much is unfinished here, trying again does no harm");
+            session.abortInput(
+                    SqlStates.TOO_MANY_CONNECTIONS, "too much is unfinished here, trying again does no harm");
         }
     }
 
-    /** Ends a session because the gateway shuts down. */
-    static void giveUpForShutdown(ClientSession session) {
-        session.giveUp(SqlStates.CANNOT_CONNECT_NOW, SHUTTING_DOWN);
+    /** Ends a session because the gateway is shutting down. */
+    static void abortForShutdown(ClientSession session) {
+        session.abortInput(SqlStates.CANNOT_CONNECT_NOW, SHUTTING_DOWN);
     }
 
-    /** Ends all sessions with an incomplete message, whose rest would come too late to be answered. */
+    /** Ends all sessions with an incomplete message, since the rest of it would arrive too late to be answered. */
     void rejectIncompleteMessages() {
-        ClientSession session = limits.longestUnfinished();
+        ClientSession session = limits.longestIncomplete();
         while (session != null) {
-            giveUpForShutdown(session);
-            session = limits.longestUnfinished();
+            abortForShutdown(session);
+            session = limits.longestIncomplete();
         }
     }
 }
