--- a/gateway/src/main/java/ploverdale/gossip/BootstrapSchedule.java
+++ b/gateway/src/main/java/ploverdale/gossip/BootstrapSchedule.java
@@ -1,25 +1,28 @@
 package ploverdale.gossip;
 
-/** When a gateway that has just started asks peers for snapshots. Times in tenths of a millisecond. */
+/** Schedules the snapshot requests of a gateway that has just started. Times in tenths of a millisecond. */
 final class BootstrapSchedule {
     private static final long MS = 10;
-    /** After the start; repeated, since datagrams get lost and peers may start at the same time. */
+    /**
+     * Delays from the start to each request. Requests are repeated because datagrams get lost, and because peers that
+     * start at the same time have nothing to send yet.
+     */
     private static final long[] DELAYS = {0, 40 * MS, 300 * MS, 1000 * MS};
 
     private long startedAt = Long.MAX_VALUE;
     private int next;
 
-    /** The gateway starts. */
+    /** Sets the time from which the delays are counted. */
     void start(long now) {
         startedAt = now;
     }
 
-    /** Whether a request may follow. */
+    /** Returns whether any request is still to be sent. */
     boolean isPending() {
         return next < DELAYS.length;
     }
 
-    /** Whether a request is due; each is due once. */
+    /** Returns whether a request is due, and if so counts it as sent. */
     boolean pollDue(long now) {
         if (!isPending() || now - startedAt < DELAYS[next]) {
             return false;
--- a/gateway/src/main/java/ploverdale/gossip/Datagram.java
+++ b/gateway/src/main/java/ploverdale/gossip/Datagram.java
@@ -3,30 +3,32 @@
 import java.util.Map;
 
 /**
- * One gossip message; each is useful alone, in any order. {@link DatagramCodec} gives it its bytes.
+ * A gossip message. Messages do not depend on each other and may arrive in any order. {@link DatagramCodec} encodes
+ * them.
  *
- * @param kind what the receiver is to do with it
- * @param sentAt by the sender's wall clock, in tenths of a millisecond
- * @param observations by {@link ServerHash}, the short one where the kind {@linkplain Kind#isPositions holds positions};
- *     at most {@link DatagramCodec#MAX_OBSERVATIONS} or {@link DatagramCodec#MAX_POSITIONS}; not copied
+ * @param kind purpose of the message
+ * @param sentAt sending time on the sender's wall clock, in tenths of a millisecond
+ * @param observations observations by {@link ServerHash} of the server; by its short form if the kind {@linkplain
+ *     Kind#isPositions holds positions}. At most {@link DatagramCodec#MAX_OBSERVATIONS}, or {@link
+ *     DatagramCodec#MAX_POSITIONS} if it holds positions; not copied
  */
 public record Datagram(Kind kind, long sentAt, Map<Integer, ServerObservation> observations) {
-    /** What a datagram is for. The ordinal is the code on the wire. */
+    /** Purpose of a datagram. The ordinal is the code on the wire. */
     public enum Kind {
-        /** Asks for a snapshot of all that the receiver knows. */
+        /** Asks the receiver for a snapshot of all that it knows. */
         SNAPSHOT_REQUEST,
-        /** Observations: changes, or part of a snapshot. */
+        /** Holds observations: changes, or part of a snapshot. */
         OBSERVATIONS,
-        /** The sender shuts down; with its last snapshot. */
+        /** Announces that the sender shuts down, and holds part of its last snapshot. */
         LEAVE,
-        /** Log positions for the collector, see {@link PositionExchange}. */
+        /** Reports log positions to the collector, see {@link PositionExchange}. */
         POSITION_REPORT,
-        /** Log positions from the collector, which the receiver is to relay to its group. */
+        /** Holds log positions from the collector, which the receiver relays to its group. */
         POSITIONS_TO_RELAY,
-        /** Log positions for the receiver alone. */
+        /** Holds log positions from the collector, which the receiver does not relay. */
         POSITIONS;
 
-        /** Whether it holds only log positions and roles, in the short form. */
+        /** Returns whether the datagram holds only log positions and roles, encoded by {@link PositionCodec}. */
         boolean isPositions() {
             return this == POSITION_REPORT || this == POSITIONS_TO_RELAY || this == POSITIONS;
         }
--- a/gateway/src/main/java/ploverdale/gossip/DatagramCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/DatagramCodec.java
@@ -7,19 +7,20 @@
 import ploverdale.gossip.Datagram.Kind;
 
 /**
- * The bytes of a {@link Datagram}, big-endian:
+ * Encodes and decodes a {@link Datagram}. The layout is big-endian, with sizes in bytes:
  *
  * <pre>
- * magic (1), version (1), kind (1), length of an entry (1), time of sending (6, Unix ms),
+ * magic (1), version (1), kind (1), length of an entry (1), sending time (6, Unix ms),
  * entries: see {@link ObservationCodec} and {@link PositionCodec}
- * CRC-32C of all before it (4)
+ * CRC-32C of all preceding bytes (4)
  * </pre>
  *
- * <p>All other times are ages relative to the time of sending. Versions can run side by side: an entry of an older version is
- * shorter, and what it lacks is unknown; one of a newer version is longer, and the rest of it is passed over.
+ * <p>All other times are encoded as ages relative to the sending time. Gateways of different versions understand each
+ * other: the fields that are missing in a shorter entry of an older version are unknown, and the additional fields in a
+ * longer entry of a newer version are ignored.
  */
 public final class DatagramCodec {
-    /** Largest datagram, in bytes; far below any path's MTU, so none is fragmented. */
+    /** Maximum length of a datagram in bytes; far below the usual path MTU, so that no datagram is fragmented. */
     static final int MAX_BYTES = 256;
 
     private static final byte MAGIC = (byte) 0xB1;
@@ -32,15 +33,20 @@
     private static final int CHECKSUM_BYTES = 4;
     private static final int MAX_ENTRIES_BYTES = MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES;
 
-    /** Observations that fit a datagram. */
+    /** Maximum number of observations in a datagram. */
     static final int MAX_OBSERVATIONS = MAX_ENTRIES_BYTES / ObservationCodec.ENTRY_BYTES;
-    /** Positions that fit a datagram. */
+    /** Maximum number of positions in a datagram. */
     static final int MAX_POSITIONS = MAX_ENTRIES_BYTES / PositionCodec.ENTRY_BYTES;
 
     private static final long MS = 10;
     private static final Kind[] KINDS = Kind.values();
 
-    /** What came of decoding: exactly one of both is null. */
+    /**
+     * Result of decoding. Exactly one component is null.
+     *
+     * @param datagram the decoded datagram, or null if the bytes were rejected
+     * @param rejection why the bytes were rejected, or null
+     */
     public record DecodeResult(Datagram datagram, RejectionReason rejection) {
         private static DecodeResult rejected(RejectionReason reason) {
             return new DecodeResult(null, reason);
@@ -49,15 +55,15 @@
 
     private DatagramCodec() {}
 
-    /** Bytes of a datagram with so many observations. */
+    /** Returns the length in bytes of a datagram with this number of observations. */
     static int encodedLength(int observations) {
         return HEADER_BYTES + observations * ObservationCodec.ENTRY_BYTES + CHECKSUM_BYTES;
     }
 
     /**
-     * The bytes of a datagram.
+     * Encodes a datagram.
      *
-     * @throws IllegalArgumentException if there are more entries than fit
+     * @throws IllegalArgumentException if there are more entries than fit into a datagram
      */
     public static byte[] encode(Datagram datagram) {
         boolean positions = datagram.kind().isPositions();
@@ -81,7 +87,7 @@
         return putChecksum(buffer);
     }
 
-    /** The datagram in what has arrived, or the reason why it is not read. Never throws. */
+    /** Decodes received bytes, or returns the reason for which they are rejected. Never throws. */
     public static DecodeResult decode(byte[] bytes) {
         RejectionReason reason = findFault(bytes);
         if (reason != null) {
@@ -96,7 +102,7 @@
                 : new DecodeResult(new Datagram(kind, sentAt, observations), null);
     }
 
-    /** What is wrong with the frame around the entries; null where it is sound. */
+    /** Checks everything but the content of the entries; returns null if it is valid. */
     private static RejectionReason findFault(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
             return RejectionReason.TOO_LONG;
@@ -128,7 +134,7 @@
         return isKnownLength && (bytes.length - HEADER_BYTES - CHECKSUM_BYTES) % entryBytes == 0;
     }
 
-    /** The entries by hash, those of one hash joined; null where one is malformed. */
+    /** Returns the entries by hash, joining those with the same hash; null if an entry is malformed. */
     private static Map<Integer, ServerObservation> decodeEntries(ByteBuffer buffer, Kind kind, long sentAt) {
         int entryBytes = Byte.toUnsignedInt(buffer.get(ENTRY_LENGTH_OFFSET));
         int end = buffer.capacity() - CHECKSUM_BYTES;
@@ -148,10 +154,10 @@
     }
 
     /**
-     * Moves the time of sending, and with it all times in the datagram, since they are ages. What is no sound datagram is
-     * returned as it is, for the receiver to reject.
+     * Shifts the sending time of an encoded datagram, and thereby all times in it, since they are encoded relative to
+     * the sending time. Bytes that are not a valid datagram are returned unchanged; the receiver rejects them.
      *
-     * @param shift in tenths of a millisecond
+     * @param shift time to add, in tenths of a millisecond
      */
     public static byte[] shiftSentAt(byte[] bytes, long shift) {
         if (shift == 0 || decode(bytes).rejection() != null) {
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -12,42 +12,46 @@
 import ploverdale.model.ServerId;
 
 /**
- * Epidemic dissemination of server observations between gateways (Demers et al., 1987): the entry point for events and ticks.
- * A gateway that starts asks a few peers for a snapshot of all that they know ({@link SnapshotBuilder}); from then on only
- * changes are sent, to a few random peers that pass them on ({@link RumorQueue}). Positions take a path of their own ({@link
- * PositionExchange}). {@link PeerTrust} decides how far a peer is believed, {@link SendBudget} how much is sent.
+ * Epidemic dissemination of server observations between gateways (Demers et al., 1987). This class is the entry point
+ * for events and ticks. A gateway that starts asks a few peers for a snapshot of all that they know
+ * ({@link SnapshotBuilder}). After that only changes are sent, to a few random peers that forward them
+ * ({@link RumorQueue}). Log positions are distributed separately ({@link PositionExchange}). {@link PeerTrust} limits
+ * the influence of peers that report wrong roles, and {@link SendBudget} limits the bandwidth.
  *
- * <p>Not thread-safe: belongs to the event loop. Does no I/O: methods return what is to be sent. Times in tenths of a
- * millisecond, of the clock by which servers are observed.
+ * <p>Not thread-safe; used on the event loop only. Performs no I/O: methods return the packets that are to be sent.
+ * Times are in tenths of a millisecond of the clock that dates the observations of servers.
  */
 public final class GossipProtocol {
-    /** The bytes of a datagram for a peer. */
+    /** An encoded datagram and the number of the peer that it is for. */
     public record OutboundPacket(int peer, byte[] bytes) {}
 
     /**
-     * What came of a datagram.
+     * Result of handling a datagram.
      *
-     * @param observations what is to be merged into the own knowledge of listed servers
-     * @param replies what is to be sent in reply
-     * @param logLine for the log, or null
+     * @param observations observations of listed servers, which the caller joins with its own
+     * @param replies packets that are to be sent in response
+     * @param logLine a line for the log, or null
      */
     public record ReceivedGossip(
             Map<ServerId, ServerObservation> observations, List<OutboundPacket> replies, String logLine) {}
 
     private static final long MS = 10;
 
-    /** The longest time from one broadcast of positions to the end of use of the next. */
+    /** Maximum time from a broadcast of positions until the positions of the next broadcast are too old to be used. */
     public static final long MAX_POSITION_REFRESH =
             PositionExchange.BROADCAST_INTERVAL + PositionExchange.BROADCAST_MAX_AGE;
 
-    /** A datagram that was sent earlier is rejected: something is wrong with the network or a clock. */
+    /** Maximum age of a datagram. An older one is rejected, since the network or a clock must be at fault. */
     static final long MAX_TRANSIT_TIME = 2000 * MS;
 
-    /** A datagram from further in the future is rejected; what is from less far counts as observed now. */
+    /**
+     * Maximum time by which the sending time of a datagram may be in the future. A datagram beyond it is rejected; the
+     * observations of one within it count as made now.
+     */
     private static final long MAX_CLOCK_SKEW = 500 * MS;
-    /** Peers that one snapshot request goes to. */
+    /** Number of peers that a snapshot request is sent to. */
     private static final int SNAPSHOT_REQUEST_FANOUT = 2;
-    /** Peers that are sent the last snapshot of a gateway that leaves. */
+    /** Number of peers that the last snapshot of this gateway is sent to when it shuts down. */
     private static final int LEAVE_FANOUT = 3;
 
     private final Function<ServerId, ServerObservation> own;
@@ -64,13 +68,15 @@
     private final SnapshotBuilder snapshots;
 
     /**
+     * Creates the protocol without any server; {@link #addServer} adds the listed ones.
+     *
      * @param me the number of this gateway
      * @param instances the number of gateways
-     * @param requestsPerSecond expected of all gateways together; with the bound it decides whether the own responses bring
-     *     positions often enough
+     * @param requestsPerSecond expected request rate of all gateways together. Together with the staleness bound it
+     *     decides whether the responses to this gateway's own requests report positions often enough
      * @param bound the tightest staleness bound, in tenths of a millisecond
-     * @param random drawn from in a fixed order, so that a run can be repeated
-     * @param own this gateway's knowledge of a server, with the gossip that it has merged; never null
+     * @param random source of random numbers; they are drawn in a fixed order, so that a run can be reproduced
+     * @param own returns this gateway's observation of a server, joined with the accepted gossip; never null
      */
     public GossipProtocol(
             int me,
@@ -89,7 +95,7 @@
         snapshots = new SnapshotBuilder(servers, own);
     }
 
-    /** Each datagram for each receiver. */
+    /** Returns one packet for each pair of datagram and receiver. */
     static List<OutboundPacket> address(List<byte[]> datagrams, List<Integer> receivers) {
         List<OutboundPacket> packets = new ArrayList<>();
         for (byte[] bytes : datagrams) {
@@ -100,18 +106,18 @@
 
     // -- Events
 
-    /** This gateway starts and knows nothing yet. */
+    /** Called when this gateway starts, before it knows any server. */
     public void start(long now) {
         bootstrap.start(now);
         budget.start(now);
     }
 
-    /** The endpoint list names this server; without effect where it did before. */
+    /** Called when the endpoint list names a server. Has no effect if it did before. */
     public void addServer(ServerId id) {
         servers.add(id);
     }
 
-    /** The endpoint list does not name this server any more. */
+    /** Called when the endpoint list no longer names a server. */
     public void removeServer(ServerId id) {
         KnownServer server = servers.remove(id);
         if (server != null) {
@@ -120,18 +126,18 @@
         }
     }
 
-    /** Positions known so far cannot be dated any more. */
+    /** Drops all known positions. Called when the clock that dates them was corrected. */
     public void forgetPositions() {
         servers.all().forEach(KnownServer::forgetPosition);
         positions.forgetAll();
     }
 
-    /** A client's request has come; it adds to the budget. */
+    /** Called when a client request arrives; each request adds to the send budget. */
     public void onRequest() {
         budget.onRequest();
     }
 
-    /** This gateway's own knowledge of a server may have changed. */
+    /** Called when this gateway's observation of a server may have changed. */
     public void onObservationChanged(long now, ServerId id) {
         KnownServer server = servers.find(id);
         if (server != null) {
@@ -139,14 +145,19 @@
         }
     }
 
-    /** A response to this gateway held the server's log position. */
+    /** Called when a server's response to this gateway has reported the server's log position. */
     public void onPositionObserved(long now, ServerId id) {
         if (needsPeerPositions() && servers.find(id) != null) {
             positions.recordOwn(now, id, own.apply(id));
         }
     }
 
-    /** The server itself has confirmed or refuted the role that gossip had reported. */
+    /**
+     * Called when a server itself has confirmed or refuted the role that gossip reported. Adjusts the trust in the peer
+     * that sent it.
+     *
+     * @param right whether the reported role was correct
+     */
     public void onRoleVerified(long now, ServerId id, boolean right) {
         KnownServer server = servers.find(id);
         int peer = server == null ? KnownServer.NO_PEER : server.takeRolePeer();
@@ -155,7 +166,7 @@
         }
     }
 
-    /** This gateway leaves. Returns its last snapshot, for a few that stay. */
+    /** Called when this gateway shuts down. Returns packets with its last snapshot for a few peers. */
     public List<OutboundPacket> leave(long now) {
         List<Integer> receivers = peers.choose(now, LEAVE_FANOUT, KnownServer.NO_PEER);
         List<byte[]> snapshot = snapshots.build(now, Kind.LEAVE);
@@ -168,9 +179,9 @@
     // -- Receiving
 
     /**
-     * A datagram has arrived.
+     * Handles a received datagram.
      *
-     * @param from the number of the peer, by its address
+     * @param from the number of the peer with the sender's address
      */
     public ReceivedGossip onDatagram(long now, int from, byte[] bytes) {
         if (!peers.isPeer(from)) {
@@ -237,7 +248,7 @@
         };
     }
 
-    /** Nothing where this gateway knows nothing or was asked too often. */
+    /** Returns nothing if this gateway knows no server or has answered too many requests lately. */
     private List<OutboundPacket> answerSnapshotRequest(long now, int peer) {
         budget.refill(now);
         if (!budget.allowsSnapshot()) {
@@ -252,17 +263,20 @@
 
     // -- Sending
 
-    /** Whether own responses come so seldom that positions would be too old between them. */
+    /**
+     * Returns whether this gateway handles too few requests for their responses to keep the positions of all servers
+     * within the staleness bound.
+     */
     public boolean needsPeerPositions() {
         return requestsPerSecondHere * boundSeconds < servers.all().size();
     }
 
-    /** Whether {@link #due} may have something to send soon. */
+    /** Returns whether {@link #due} may return packets soon. */
     public boolean hasPending(long now) {
         return !rumors.isEmpty() || bootstrap.isPending() || needsPeerPositions() && positions.isCollector(now);
     }
 
-    /** What is to be sent by now. */
+    /** Returns the packets that are due. */
     public List<OutboundPacket> due(long now) {
         budget.refill(now);
         List<OutboundPacket> packets = new ArrayList<>(requestSnapshots(now));
@@ -285,7 +299,7 @@
         return servers.all().stream().anyMatch(server -> own.apply(server.id()).aliveAt() == LoadReport.UNKNOWN_TIME);
     }
 
-    /** How far a peer is believed on roles, from 0 to 1. */
+    /** Returns the trust in the roles that a peer reports, from 0 to 1. */
     double trustIn(long now, int peer) {
         return trust.at(now, peer);
     }
--- a/gateway/src/main/java/ploverdale/gossip/KnownServer.java
+++ b/gateway/src/main/java/ploverdale/gossip/KnownServer.java
@@ -2,48 +2,53 @@
 
 import ploverdale.model.ServerId;
 
-/** A server of this gateway's endpoint list, with what gossip has said of it. */
+/** A server of this gateway's endpoint list, with its state in the gossip protocol. */
 final class KnownServer {
-    /** Stands for the origin of what this gateway has observed itself. */
+    /** Used in place of a peer number for observations that this gateway made itself. */
     static final int NO_PEER = -1;
 
     private final ServerId id;
     private ServerObservation disseminated = ServerObservation.NONE;
     private int rolePeer = NO_PEER;
 
-    /** Nothing is known of the server yet. */
+    /** Creates a server of which nothing is known yet. */
     KnownServer(ServerId id) {
         this.id = id;
     }
 
-    /** The id by which the endpoint list names it. */
+    /** Returns the id of the server in the endpoint list. */
     ServerId id() {
         return id;
     }
 
-    /** What the peers know already, since they have sent it or were sent it. */
+    /**
+     * Returns what has already been disseminated: the join of all observations that were sent to or received from
+     * peers.
+     */
     ServerObservation disseminated() {
         return disseminated;
     }
 
-    /** The peers learn of an observation, or have sent it. */
+    /** Adds an observation that is sent to peers or was received from one. */
     void addDisseminated(ServerObservation observation) {
         disseminated = disseminated.join(observation);
     }
 
-    /** Positions cannot be dated any more. */
+    /** Drops the position, since the clock that dates it was corrected. */
     void forgetPosition() {
         disseminated = disseminated.withoutPosition();
     }
 
-    /** Remembers which peer a newer role has come from, to rate that peer when the role is confirmed or refuted. */
+    /**
+     * Remembers the peer that sent a newer role, so that it can be rated when the server confirms or refutes the role.
+     */
     void recordRolePeer(ServerObservation observation, int peer) {
         if (observation.isRoleNewerThan(disseminated)) {
             rolePeer = peer;
         }
     }
 
-    /** The peer that the role has come from, which is then forgotten; {@link #NO_PEER} where there is none. */
+    /** Returns the peer that sent the role and forgets it; {@link #NO_PEER} if there is none. */
     int takeRolePeer() {
         int peer = rolePeer;
         rolePeer = NO_PEER;
--- a/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
@@ -5,20 +5,20 @@
 import ploverdale.model.LoadReport.Role;
 
 /**
- * The bytes of one entry of a datagram of observations:
+ * Encodes and decodes an entry of a datagram that holds observations. Sizes in bytes:
  *
  * <pre>
- * hash of the server (4), role (1, its two lowest bits), age of the role (2),
- * age of the position (3, ms), then the ages of its observation, of the last response, of the last silence, of the start of
- * slow start and of draining (2 each)
+ * hash of the server (4), role (1, only the lowest two bits are used), age of the role (2),
+ * age of the position (3, ms), age of the observation of the position (2), age of the last response (2),
+ * time since the server was last found unresponsive (2), time since slow start began (2), time since draining began (2)
  * </pre>
  *
- * <p>Ages count units of 10 ms but for that of the position, and are rounded up: a relayed observation never becomes newer
- * than it was at its source.
+ * <p>The age of the position is in milliseconds, all others in units of 10 ms. Those are rounded up, so that a relayed
+ * observation never becomes newer than it was at its source.
  */
 final class ObservationCodec {
     static final int ENTRY_BYTES = 20;
-    /** The entry of the oldest version: hash, role, and age of the role. */
+    /** Length of an entry of the oldest version, which holds only the hash, the role and the age of the role. */
     static final int MIN_ENTRY_BYTES = 7;
 
     private static final int ROLE_MASK = 3;
@@ -30,7 +30,7 @@
 
     private ObservationCodec() {}
 
-    /** Appends an entry. */
+    /** Appends an entry to the buffer. */
     static void encode(ByteBuffer buffer, int hash, ServerObservation observation, long sentAt) {
         buffer.putInt(hash).put((byte) observation.role().ordinal());
         putAge(buffer, observation.roleAt(), sentAt);
@@ -58,12 +58,14 @@
         buffer.put((byte) (age >> Short.SIZE)).putShort((short) age);
     }
 
-    /** Reads the hash of an entry. */
+    /** Reads the hash at the start of an entry. */
     static int decodeHash(ByteBuffer entry) {
         return entry.getInt();
     }
 
-    /** Reads what follows the hash; null where the role is impossible. Fields that the entry lacks are unknown. */
+    /**
+     * Reads the fields after the hash. Returns null if the role is invalid; fields missing in the entry are unknown.
+     */
     static ServerObservation decode(ByteBuffer entry, long sentAt) {
         int role = entry.get() & ROLE_MASK;
         if (role >= Role.values().length) {
--- a/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -6,12 +6,17 @@
 import java.util.random.RandomGenerator;
 import ploverdale.model.LoadReport;
 
-/** Draws random peers to send to, but for those that have announced that they leave. Times in tenths of a millisecond. */
+/**
+ * Selects random peers to send to, except those that have announced their shutdown. Times in tenths of a millisecond.
+ */
 final class PeerSelector {
     private static final long MS = 10;
-    /** A peer that has left is not chosen for so long; by then another process is running in its place. */
+    /** How long a peer that has shut down is not selected; after this time a new process usually runs in its place. */
     private static final long DEPARTURE_LASTS = 10_000 * MS;
-    /** Random draws for each peer wanted; enough for nearly all peers, and bounded where nearly all have left. */
+    /**
+     * Limit of random draws per peer wanted: enough to find them in most cases, and bounded when nearly all peers have
+     * shut down.
+     */
     private static final int DRAWS_PER_PEER = 8;
 
     private final int self;
@@ -19,6 +24,8 @@
     private final long[] leftAt;
 
     /**
+     * Creates a selector for which no peer has shut down.
+     *
      * @param self the number of this gateway
      * @param size the number of gateways
      */
@@ -29,17 +36,20 @@
         Arrays.fill(leftAt, LoadReport.UNKNOWN_TIME);
     }
 
-    /** Whether this is the number of another gateway. */
+    /** Returns whether the number is that of another gateway. */
     boolean isPeer(int number) {
         return number >= 0 && number < leftAt.length && number != self;
     }
 
-    /** The peer has announced that it leaves. */
+    /** Called when a peer has announced its shutdown. */
     void recordDeparture(long now, int peer) {
         leftAt[peer] = now;
     }
 
-    /** Something else has arrived from the peer: it runs again, unless that was still under way when it left. */
+    /**
+     * Called for any other datagram of a peer. It shows that the peer runs again, unless the datagram may have been
+     * sent before the shutdown.
+     */
     void recordContact(long now, int peer) {
         if (now - leftAt[peer] > GossipProtocol.MAX_TRANSIT_TIME) {
             leftAt[peer] = LoadReport.UNKNOWN_TIME;
@@ -47,9 +57,9 @@
     }
 
     /**
-     * Up to so many distinct peers.
+     * Selects up to {@code count} distinct peers.
      *
-     * @param excluded a peer that is not to be chosen, or {@link KnownServer#NO_PEER}
+     * @param excluded a peer that must not be selected, or {@link KnownServer#NO_PEER}
      */
     List<Integer> choose(long now, int count, int excluded) {
         List<Integer> chosen = new ArrayList<>();
--- a/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
@@ -3,33 +3,37 @@
 import java.util.Arrays;
 
 /**
- * How far each peer is believed on roles, from 0 to 1. It falls when a role that a peer has reported turns out wrong, rises
- * when one turns out right, and returns to 1 with time. Times in tenths of a millisecond.
+ * The trust in the roles that each peer reports, from 0 to 1. It falls when a reported role turns out wrong, rises when
+ * one turns out right, and recovers to 1 over time. Times in tenths of a millisecond.
  */
 final class PeerTrust {
     private static final long MS = 10;
-    /** What is left of the trust after a wrong role. */
+    /** Factor by which a wrong role reduces the trust. */
     private static final double PENALTY_FACTOR = 0.5;
-    /** The part of the missing trust that a right role restores. */
+    /** Fraction of the missing trust that a right role restores. */
     private static final double REWARD_FRACTION = 0.1;
-    /** Time constant of the return to 1. */
+    /** Time constant of the exponential recovery to 1. */
     private static final double RECOVERY_TIME = 60_000 * MS;
-    /** Below it the roles of a peer are ignored. */
+    /** Below this trust, the roles that a peer reports are ignored. */
     private static final double MIN_TRUST = 0.2;
-    /** How much older a role counts for lack of trust: by this much where there is none at all. */
+    /** Maximum time by which a reported role is made older; scaled by the missing trust. */
     private static final long MAX_ROLE_DISCOUNT = 1000 * MS;
 
     private final double[] trust;
     private final long[] updatedAt;
 
-    /** Trusts all peers fully, as many as there are gateways. */
+    /**
+     * Starts with full trust in all peers.
+     *
+     * @param size the number of gateways
+     */
     PeerTrust(int size) {
         trust = new double[size];
         updatedAt = new long[size];
         Arrays.fill(trust, 1);
     }
 
-    /** The trust in a peer. */
+    /** Returns the trust in a peer at a time, from 0 to 1. */
     double at(long now, int peer) {
         double missing = (1 - trust[peer]) * Math.exp(-(now - updatedAt[peer]) / RECOVERY_TIME);
         trust[peer] = 1 - missing;
@@ -37,13 +41,17 @@
         return trust[peer];
     }
 
-    /** A role that the peer has reported was confirmed or refuted by the server itself. */
+    /**
+     * Called when a server itself has confirmed or refuted a role that the peer reported.
+     *
+     * @param right whether the reported role was correct
+     */
     void rate(long now, int peer, boolean right) {
         double before = at(now, peer);
         trust[peer] = right ? before + REWARD_FRACTION * (1 - before) : before * PENALTY_FACTOR;
     }
 
-    /** An observation of a peer, its role weakened by the lack of trust. */
+    /** Returns the peer's observation with its role made older by the missing trust, or without its role. */
     ServerObservation discount(long now, int peer, ServerObservation observation) {
         double current = at(now, peer);
         return current < MIN_TRUST
--- a/gateway/src/main/java/ploverdale/gossip/PositionCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/PositionCodec.java
@@ -6,14 +6,14 @@
 import ploverdale.model.LoadReport.Role;
 
 /**
- * The bytes of one entry of a datagram of positions:
+ * Encodes and decodes an entry of a datagram that holds positions. Sizes in bytes:
  *
  * <pre>
- * short hash of the server (2), age of the position (15 bits, ms) after one bit that is set for a primary
+ * short hash of the server (2), primary flag (highest bit) and age of the position (15 bits, ms) (2)
  * </pre>
  *
- * <p>The time of the observation itself is not sent. The receiver takes the earliest that the kind of the datagram allows, so
- * that no position seems to be observed later than it was.
+ * <p>The time of the observation is not encoded. The receiver assumes the earliest time that the kind of the datagram
+ * allows, so that no position appears to be observed later than it was.
  */
 final class PositionCodec {
     static final int ENTRY_BYTES = 4;
@@ -21,11 +21,11 @@
     private static final long MS = 10;
     private static final int PRIMARY_BIT = 0x8000;
     private static final int AGE_MASK = 0x7FFF;
-    private static final int UNKNOWN_AGE = AGE_MASK; // also any that is too long for the field
+    private static final int UNKNOWN_AGE = AGE_MASK; // also stands for ages that do not fit the field
 
     private PositionCodec() {}
 
-    /** Appends an entry. */
+    /** Appends an entry to the buffer. */
     static void encode(ByteBuffer buffer, int shortHash, ServerObservation observation, long sentAt) {
         int primaryBit = observation.role() == Role.PRIMARY ? PRIMARY_BIT : 0;
         buffer.putShort((short) shortHash).putShort((short) (age(observation.position(), sentAt) | primaryBit));
@@ -39,12 +39,12 @@
         return (int) Math.max(0, Math.min(ageMs, UNKNOWN_AGE));
     }
 
-    /** Reads the short hash of an entry. */
+    /** Reads the short hash at the start of an entry. */
     static int decodeHash(ByteBuffer entry) {
         return Short.toUnsignedInt(entry.getShort());
     }
 
-    /** Reads what follows the hash. */
+    /** Reads the field after the hash. */
     static ServerObservation decode(ByteBuffer entry, Kind kind, long sentAt) {
         int field = Short.toUnsignedInt(entry.getShort());
         Role role = (field & PRIMARY_BIT) != 0 ? Role.PRIMARY : Role.REPLICA;
@@ -55,7 +55,7 @@
         }
         long position = sentAt - ageMs * MS;
         return ServerObservation.ofPosition(
-                role, position, Math.max(earliest, position)); // none is observed in advance
+                role, position, Math.max(earliest, position)); // a position cannot be observed before its time
     }
 
     private static long maxObservationAge(Kind kind) {
--- a/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
+++ b/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
@@ -14,32 +14,32 @@
 import ploverdale.model.ServerId;
 
 /**
- * Distributes log positions where each gateway alone observes too few. They change too fast for epidemic dissemination, so
- * they go up and down a tree of two levels: every gateway reports the positions that it has observed to one collector, which
- * broadcasts all of them, a few bytes a server, to some relays, and each relay to its group. The collector follows from the
- * clock alone, without an election; one that is dead costs the time until the next takes over. Times in tenths of a
- * millisecond.
+ * Distributes log positions if a single gateway observes too few of them. Positions change too fast for epidemic
+ * dissemination, so they use a tree of two levels: each gateway reports the positions that it has observed to one
+ * collector. The collector broadcasts all of them, in a few bytes per server, to some relays, and each relay forwards
+ * them to its group. The collector is a function of the time, so no election is needed; if it is dead, positions are
+ * missing until the next term. Times in tenths of a millisecond.
  */
 final class PositionExchange {
     private static final long MS = 10;
 
-    /** How long a gateway stays the collector. */
+    /** How long a gateway remains the collector. */
     private static final long COLLECTOR_TERM = 2000 * MS;
-    /** Between two broadcasts: half of the tightest staleness bound in use. */
+    /** Time between two broadcasts: half of the tightest staleness bound in use. */
     static final long BROADCAST_INTERVAL = 250 * MS;
-    /** Between two reports to the collector. */
+    /** Minimum time between two reports to the collector. */
     private static final long REPORT_INTERVAL = 20 * MS;
-    /** A report holds no older observation. */
+    /** Maximum age of an observation in a report. */
     static final long REPORT_MAX_AGE = 60 * MS;
-    /** A broadcast holds no older observation. */
+    /** Maximum age of an observation in a broadcast. */
     static final long BROADCAST_MAX_AGE = BROADCAST_INTERVAL + REPORT_MAX_AGE;
-    /** What has been broadcast so lately is not reported: others report it, too. */
+    /** A position that was broadcast within this time is not reported, since other gateways report it as well. */
     private static final long RECENT_BROADCAST = 150 * MS;
-    /** With at most so many peers the collector sends to each without relays. */
+    /** Maximum number of peers that the collector sends to directly, without relays. */
     private static final int MAX_DIRECT_PEERS = 9;
-    /** Servers in a report; they fit one datagram. */
+    /** Maximum number of servers in a report; they fit into one datagram. */
     private static final int MAX_PENDING = 55;
-    /** Fibonacci hashing: spreads successive terms over the gateways. */
+    /** Multiplier of Fibonacci hashing, which spreads successive terms over the gateways. */
     private static final long TERM_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private static final int TERM_HASH_SHIFT = 33;
@@ -49,11 +49,15 @@
     private final int self;
     private final int size;
     private final Map<ServerId, PositionRecord> positions = new LinkedHashMap<>();
-    private final Set<ServerId> pending = new LinkedHashSet<>(); // observed here and not reported yet
+    /** Servers whose position this gateway has observed and not reported yet. */
+    private final Set<ServerId> pending = new LinkedHashSet<>();
+
     private long lastReportAt = LoadReport.UNKNOWN_TIME;
     private long lastBroadcastAt = LoadReport.UNKNOWN_TIME;
 
     /**
+     * Creates the exchange without any position.
+     *
      * @param self the number of this gateway
      * @param size the number of gateways
      */
@@ -62,18 +66,18 @@
         this.size = size;
     }
 
-    /** Whose term it is. */
+    /** Returns the number of the gateway that is the collector at a time. */
     int collector(long now) {
         long term = now / COLLECTOR_TERM;
         return (int) ((term * TERM_MULTIPLIER >>> TERM_HASH_SHIFT) % size);
     }
 
-    /** Whether it is this gateway's term. */
+    /** Returns whether this gateway is the collector at a time. */
     boolean isCollector(long now) {
         return collector(now) == self;
     }
 
-    /** A response to this gateway held a server's position. */
+    /** Records a position that a server's response to this gateway has reported. */
     void recordOwn(long now, ServerId id, ServerObservation observation) {
         PositionRecord known = positions.get(id);
         boolean isKnownToOthers = known != null && now - known.recordedAt <= RECENT_BROADCAST;
@@ -85,7 +89,11 @@
         }
     }
 
-    /** A peer has reported a server's position. */
+    /**
+     * Records a position that a peer has sent.
+     *
+     * @param at the time at which the position counts as reported
+     */
     void recordReported(ServerId id, ServerObservation observation, long at) {
         if (observation.position() == LoadReport.UNKNOWN_TIME || observation.role() == Role.UNKNOWN) {
             return;
@@ -95,22 +103,22 @@
         positions.put(id, new PositionRecord(position, observation.role(), at));
     }
 
-    /** Drops all positions, of all servers. */
+    /** Drops the positions of all servers. */
     void forgetAll() {
         positions.clear();
         pending.clear();
     }
 
-    /** Drops a server that is no longer listed. */
+    /** Drops the position of a server that is no longer listed. */
     void forget(ServerId id) {
         positions.remove(id);
         pending.remove(id);
     }
 
     /**
-     * What is to be sent by now.
+     * Returns the packets that are due: a broadcast if this gateway is the collector, or else a report.
      *
-     * @param own this gateway's knowledge of a server
+     * @param own returns this gateway's observation of a server
      */
     List<OutboundPacket> onTick(long now, Function<ServerId, ServerObservation> own) {
         if (isCollector(now)) {
@@ -167,7 +175,10 @@
         return observations;
     }
 
-    /** The gateway at a rank in the order of a broadcast. It rotates, so that a dead relay cuts off others each time. */
+    /**
+     * Returns the gateway at a rank in the order of a broadcast. The order rotates from one broadcast to the next, so
+     * that a dead relay does not cut off the same gateways each time.
+     */
     private int receiverOf(int rank, int collector, long sentAt) {
         return (collector + 1 + (rank + rotation(sentAt)) % (size - 1)) % size;
     }
@@ -176,12 +187,15 @@
         return (int) (sentAt / BROADCAST_INTERVAL % (size - 1));
     }
 
-    /** Gateways that one relay reaches, itself included: as many as there are relays. */
+    /** Returns the size of a relay's group, the relay included. It about equals the number of relays. */
     private int groupSize() {
         return (int) Math.ceil(Math.sqrt(size - 1));
     }
 
-    /** Passes a broadcast of the collector on to this gateway's group; nothing where it is no relay of this broadcast. */
+    /**
+     * Returns the packets that forward a broadcast to this gateway's group; none if it is not a relay of this
+     * broadcast.
+     */
     List<OutboundPacket> relay(int collector, Datagram broadcast) {
         long sentAt = broadcast.sentAt();
         int ownRank = Math.floorMod(Math.floorMod(self - collector - 1, size) - rotation(sentAt), size - 1);
--- a/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
+++ b/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
@@ -5,7 +5,10 @@
 import java.util.stream.Collectors;
 import ploverdale.model.LoadReport;
 
-/** Counts rejected datagrams, and makes a log line of the counts from time to time. Times in tenths of a millisecond. */
+/**
+ * Counts rejected datagrams and reports the counts in a log line at most every ten seconds. Times in tenths of a
+ * millisecond.
+ */
 final class RejectionLog {
     private static final long MS = 10;
     private static final long LINE_INTERVAL = 10_000 * MS;
@@ -13,7 +16,12 @@
     private final Map<RejectionReason, Integer> counts = new EnumMap<>(RejectionReason.class);
     private long lastLineAt = LoadReport.UNKNOWN_TIME;
 
-    /** Counts a datagram. Returns the line that is due, or null. */
+    /**
+     * Counts a rejected datagram.
+     *
+     * @param from the number of the sender
+     * @return a log line if one is due, or null
+     */
     String record(long now, int from, RejectionReason reason) {
         counts.merge(reason, 1, Integer::sum);
         if (now - lastLineAt < LINE_INTERVAL) {
--- a/gateway/src/main/java/ploverdale/gossip/RejectionReason.java
+++ b/gateway/src/main/java/ploverdale/gossip/RejectionReason.java
@@ -1,24 +1,24 @@
 package ploverdale.gossip;
 
-/** Why a datagram of a peer is not read. */
+/** Why a datagram is rejected. */
 public enum RejectionReason {
-    /** Longer than any datagram of any version. */
+    /** Longer than {@link DatagramCodec#MAX_BYTES}. */
     TOO_LONG("TOO_LONG"),
     /** Shorter than the header and the checksum. */
     TOO_SHORT("TOO_SHORT"),
-    /** Not of this protocol. */
+    /** The first byte is not the magic byte of gossip datagrams. */
     WRONG_MAGIC("NOT_OURS"),
-    /** Damaged. */
+    /** The checksum does not match the content. */
     WRONG_CHECKSUM("CHECKSUM"),
-    /** Of a version that never was. */
+    /** The version is 0, which was never used. */
     UNKNOWN_VERSION("VERSION"),
-    /** Of unknown kind, or entries that do not fit the length or hold impossible values. */
+    /** The kind is unknown, the length does not fit whole entries, or an entry holds an invalid value. */
     MALFORMED("MISSHAPEN"),
-    /** The sender is none of the configured peers. */
+    /** The sender is not a configured peer. */
     UNKNOWN_PEER("STRANGER"),
-    /** Sent too long ago. */
+    /** Sent longer ago than {@link GossipProtocol#MAX_TRANSIT_TIME}. */
     LATE("LATE"),
-    /** Sent too far in the future, by the receiver's clock. */
+    /** Sent too far in the future according to the receiver's clock. */
     FROM_THE_FUTURE("OF_THE_FUTURE");
 
     private final String logName;
@@ -27,7 +27,7 @@
         this.logName = logName;
     }
 
-    /** The spelling in log lines; operators search for it, so it may differ from the name of the constant. */
+    /** Returns the spelling in log lines. Operators search for it, so it stays when a constant is renamed. */
     String logName() {
         return logName;
     }
--- a/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
+++ b/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
@@ -10,21 +10,22 @@
 import ploverdale.model.ServerId;
 
 /**
- * Rumor mongering (Demers et al., 1987, section 1.4): a change is a hot rumor for a fixed number of rounds, each to a few
- * random peers, and everyone to whom it is new passes it on likewise. Times in tenths of a millisecond.
+ * Rumor mongering (Demers et al., 1987, section 1.4). A change is a hot rumor for a fixed number of rounds; in each
+ * round it is sent to a few random peers. Each gateway to which it is new forwards it in the same way. Times in tenths
+ * of a millisecond.
  */
 final class RumorQueue {
     private static final long MS = 10;
-    /** Peers in a round; with these nearly all gateways are reached in a few hops. */
+    /** Number of peers in a round; enough to reach nearly all gateways within a few hops. */
     private static final int FANOUT = 3;
-    /** Rounds of a rumor, since datagrams get lost. */
+    /** Number of rounds of a rumor; more than one because datagrams get lost. */
     private static final int ROUNDS = 2;
 
     private static final long ROUND_INTERVAL = 150 * MS;
 
-    /** A server whose change is being passed on. */
+    /** The state of a server's change that is being disseminated. */
     private static final class Rumor {
-        private final int origin; // the peer that has sent it, which need not be sent it
+        private final int origin; // the peer that sent the change and so does not need it
         private int remainingRounds = ROUNDS;
         private long nextRoundAt;
 
@@ -39,27 +40,27 @@
     private final PeerSelector peers;
     private final SendBudget budget;
 
-    /** @param own this gateway's knowledge of a server */
+    /** @param own returns this gateway's observation of a server */
     RumorQueue(Function<ServerId, ServerObservation> own, PeerSelector peers, SendBudget budget) {
         this.own = own;
         this.peers = peers;
         this.budget = budget;
     }
 
-    /** Whether no rumor has rounds left. */
+    /** Returns whether no rumor has rounds left. */
     boolean isEmpty() {
         return rumors.isEmpty();
     }
 
-    /** The server is no longer listed. */
+    /** Drops the rumor about a server that is no longer listed. */
     void remove(KnownServer server) {
         rumors.remove(server);
     }
 
     /**
-     * An observation was made here or has arrived; it becomes a rumor where it says something new.
+     * Takes an observation that this gateway made or received. It becomes a rumor if it holds a significant change.
      *
-     * @param origin the peer that has sent it, or {@link KnownServer#NO_PEER}
+     * @param origin the peer that sent the observation, or {@link KnownServer#NO_PEER}
      */
     void offer(long now, KnownServer server, ServerObservation observation, int origin) {
         if (observation.isSignificantChangeFrom(server.disseminated())) {
@@ -68,7 +69,9 @@
         server.addDisseminated(observation);
     }
 
-    /** The next round of all rumors that are due, as far as they fit one datagram and the budget. */
+    /**
+     * Returns the packets of the next round for the rumors that are due and fit into one datagram and the send budget.
+     */
     List<OutboundPacket> onTick(long now) {
         Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         List<KnownServer> due = collectDue(now, observations);
@@ -84,7 +87,7 @@
         return GossipProtocol.address(List.of(bytes), receivers);
     }
 
-    /** Adds what is due to the observations, up to a datagram's worth, and returns the servers that they are about. */
+    /** Adds the observations that are due to the map, as many as fit into a datagram, and returns their servers. */
     private List<KnownServer> collectDue(long now, Map<Integer, ServerObservation> observations) {
         List<KnownServer> due = new ArrayList<>();
         rumors.forEach((server, rumor) -> {
@@ -100,7 +103,7 @@
         return own.apply(server.id()).join(server.disseminated()).withoutOutdated(now);
     }
 
-    /** The peer that all these rumors have come from, which then needs none of them. */
+    /** Returns the peer that sent all of these rumors, or {@link KnownServer#NO_PEER} if there is no such peer. */
     private int commonOrigin(List<KnownServer> servers) {
         int origin = rumors.get(servers.get(0)).origin;
         boolean isCommon = servers.stream().allMatch(server -> rumors.get(server).origin == origin);
--- a/gateway/src/main/java/ploverdale/gossip/ServerDirectory.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerDirectory.java
@@ -6,15 +6,19 @@
 import java.util.Map;
 import ploverdale.model.ServerId;
 
-/** The listed servers, by id and by hash. Servers whose hashes collide cannot be distinguished in datagrams and are left out. */
+/**
+ * The listed servers by id and by hash. Servers with the same hash cannot be distinguished in a datagram, so they are
+ * excluded from gossip.
+ */
 final class ServerDirectory {
+    /** Stands in the maps by hash for several servers with the same hash. */
     private static final KnownServer AMBIGUOUS = new KnownServer(null);
 
     private final Map<ServerId, KnownServer> byId = new LinkedHashMap<>();
     private final Map<Integer, KnownServer> byHash = new HashMap<>();
     private final Map<Integer, KnownServer> byShortHash = new HashMap<>();
 
-    /** A server is listed; without effect where it is known already. */
+    /** Adds a listed server; has no effect if it was added before. */
     void add(ServerId id) {
         if (byId.containsKey(id)) {
             return;
@@ -25,7 +29,7 @@
         byShortHash.merge(ServerHash.shortOf(id), server, (known, added) -> AMBIGUOUS);
     }
 
-    /** A server is no longer listed. Returns what was known of it, or null. */
+    /** Removes a server that is no longer listed and returns it; null if it was not listed. */
     KnownServer remove(ServerId id) {
         KnownServer server = byId.remove(id);
         if (server != null) {
@@ -35,23 +39,23 @@
         return server;
     }
 
-    /** The server with this id, or null. */
+    /** Returns the server with an id, or null if it is not listed. */
     KnownServer find(ServerId id) {
         return byId.get(id);
     }
 
-    /** The server that a datagram names; null where it is not listed or ambiguous. */
+    /** Returns the server with a hash in a datagram; null if none is listed or the hash is ambiguous. */
     KnownServer find(Datagram.Kind kind, int hash) {
         KnownServer server = (kind.isPositions() ? byShortHash : byHash).get(hash);
         return server == AMBIGUOUS ? null : server;
     }
 
-    /** Whether a datagram of observations can name this server. */
+    /** Returns whether the 32-bit hash of a listed server identifies it. */
     boolean isUnambiguous(KnownServer server) {
         return byHash.get(ServerHash.of(server.id())) == server;
     }
 
-    /** All listed servers, in the order in which they were added. */
+    /** Returns all listed servers in the order in which they were added. */
     Collection<KnownServer> all() {
         return byId.values();
     }
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -4,20 +4,21 @@
 import ploverdale.model.LoadReport.Role;
 
 /**
- * What is known of one server. Each field has the time at which its source observed it, in tenths of a millisecond of this
- * gateway's clock; {@link LoadReport#UNKNOWN_TIME} where nothing is known.
+ * What is known about a server. Times are those at which the source made the observation, in tenths of a millisecond of
+ * this gateway's clock, or {@link LoadReport#UNKNOWN_TIME} if nothing is known.
  *
- * <p>Observations are a join-semilattice (a state-based CRDT): {@link #join} takes the newest of each field, so observations
- * may arrive in any order, repeatedly, or not at all, and the result is the same or an older one, never a fresher one.
+ * <p>Observations form a join-semilattice (a state-based CRDT): {@link #join} takes the newest value of each field. So
+ * the order and the repetition of observations do not matter, and a lost observation can make the result older but
+ * never newer.
  *
- * @param role in its replication group
+ * @param role the role of the server in its replica group
  * @param roleAt when the role was observed
- * @param position the wall-clock time of a log position that the server had applied at least
+ * @param position a log position up to which the server had applied the log, as wall-clock time
  * @param positionAt when the position was observed
  * @param aliveAt when the server last responded to anyone
- * @param silentAt when a gateway last found that it does not respond
- * @param coldSince when its last slow start began
- * @param drainAt when it was listed as draining
+ * @param silentAt when a gateway last found the server unresponsive
+ * @param coldSince when the last slow start of the server began
+ * @param drainAt when the endpoint list named the server as draining
  */
 public record ServerObservation(
         Role role,
@@ -29,7 +30,7 @@
         long coldSince,
         long drainAt) {
 
-    /** Nothing known. */
+    /** An observation in which nothing is known. */
     public static final ServerObservation NONE = new ServerObservation(
             Role.UNKNOWN,
             LoadReport.UNKNOWN_TIME,
@@ -41,12 +42,15 @@
             LoadReport.UNKNOWN_TIME);
 
     private static final long MS = 10;
-    /** Older observations of role, position and liveness are outdated. */
+    /** Maximum age of an observation of role, position or liveness; older ones are outdated. */
     private static final long MAX_AGE = 30_000 * MS;
-    /** Slow starts that begin closer together are one: each gateway sees the beginning at its own time. */
+    /**
+     * Slow starts that begin within this time of each other are the same one, since each gateway notices it at a
+     * different time.
+     */
     private static final long SAME_SLOW_START = 2000 * MS;
 
-    /** A position with a role, of a server that has responded then; the position may be unknown. */
+    /** Returns the observation of a role and a position, which may be unknown, by a response of the server. */
     static ServerObservation ofPosition(Role role, long position, long observedAt) {
         return new ServerObservation(
                 role,
@@ -59,7 +63,7 @@
                 LoadReport.UNKNOWN_TIME);
     }
 
-    /** The newest of each field of both. */
+    /** Returns the observation with the newest value of each field. */
     public ServerObservation join(ServerObservation other) {
         boolean takesRole = other.roleAt > roleAt || other.roleAt == roleAt && other.role.ordinal() > role.ordinal();
         return new ServerObservation(
@@ -73,12 +77,12 @@
                 Math.max(drainAt, other.drainAt));
     }
 
-    /** The same without what is too old to act on; draining and slow start stay. */
+    /** Returns this observation without the fields that are outdated at a time. Draining and slow start are kept. */
     ServerObservation withoutOutdated(long now) {
         return since(now - MAX_AGE);
     }
 
-    /** The same without what was observed before a time; draining and slow start stay. */
+    /** Returns this observation without the fields observed before a time. Draining and slow start are kept. */
     ServerObservation since(long time) {
         boolean hasRole = roleAt >= time;
         boolean hasPosition = positionAt >= time;
@@ -93,7 +97,7 @@
                 drainAt);
     }
 
-    /** The same with no field observed after a time; for a sender whose clock is ahead. */
+    /** Returns this observation with all observation times limited to a time, for a sender whose clock is ahead. */
     ServerObservation notAfter(long time) {
         return new ServerObservation(
                 role,
@@ -106,36 +110,39 @@
                 Math.min(drainAt, time));
     }
 
-    /** The same with the role unknown. */
+    /** Returns this observation with an unknown role. */
     ServerObservation withoutRole() {
         return new ServerObservation(
                 Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
-    /** The same with the position unknown. */
+    /** Returns this observation with an unknown position. */
     ServerObservation withoutPosition() {
         return new ServerObservation(
                 role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince, drainAt);
     }
 
-    /** The same with its role observed earlier by so much. */
+    /** Returns this observation with the observation time of the role moved into the past. */
     ServerObservation withRoleOlder(long by) {
         return by == 0 || roleAt == LoadReport.UNKNOWN_TIME
                 ? this
                 : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
     }
 
-    /** Whether a gateway found that the server does not respond, and none has had a response since. */
+    /** Returns whether a gateway found the server unresponsive and no gateway has had a response since. */
     public boolean silent() {
         return silentAt != LoadReport.UNKNOWN_TIME && silentAt > aliveAt;
     }
 
-    /** Whether this has a role, and a later one than the other. */
+    /** Returns whether this observation has a role that was observed later than that of the other. */
     boolean isRoleNewerThan(ServerObservation other) {
         return role != Role.UNKNOWN && roleAt > other.roleAt;
     }
 
-    /** Whether this holds a change that other gateways act on: of the primary, of liveness, a drain or a slow start. */
+    /**
+     * Returns whether this observation holds a change that other gateways act on: a change of the primary or of
+     * liveness, or the start of draining or slow start.
+     */
     boolean isSignificantChangeFrom(ServerObservation older) {
         return changesPrimary(older) || changesLiveness(older) || beginsDraining(older) || beginsSlowStart(older);
     }
--- a/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
+++ b/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
@@ -8,21 +8,24 @@
 import ploverdale.gossip.Datagram.Kind;
 import ploverdale.model.ServerId;
 
-/** Builds the datagrams that hold all that this gateway knows, for a peer that starts or those that stay behind. */
+/**
+ * Builds the datagrams with all that this gateway knows, for a peer that starts, or for some peers when this gateway
+ * shuts down.
+ */
 final class SnapshotBuilder {
-    /** Servers in a snapshot; bounds the burst that one request causes. */
+    /** Maximum number of servers in a snapshot; bounds the burst of datagrams that a request causes. */
     private static final int MAX_SERVERS = 60;
 
     private final ServerDirectory servers;
     private final Function<ServerId, ServerObservation> own;
 
-    /** @param own this gateway's knowledge of a server */
+    /** @param own returns this gateway's observation of a server */
     SnapshotBuilder(ServerDirectory servers, Function<ServerId, ServerObservation> own) {
         this.servers = servers;
         this.own = own;
     }
 
-    /** The encoded datagrams; none where nothing is known. */
+    /** Returns the encoded datagrams of the snapshot; none if nothing is known. */
     List<byte[]> build(long now, Kind kind) {
         List<byte[]> datagrams = new ArrayList<>();
         Map<Integer, ServerObservation> chunk = new LinkedHashMap<>();
--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -12,33 +12,44 @@
 import ploverdale.membership.MembershipMessage.PingRequest;
 
 /**
- * SWIM's failure detector. In each protocol period it pings one member, in an order that is shuffled anew each round
- * (section 4.3). Without an ack in time it asks a few others for an indirect probe; without any packet of the member by the
- * end of the period the member is suspected. A suspicion that comes from another member is confirmed by a probe of one's
- * own with some probability: a member that two have probed in vain is dead without awaiting the suspicion timeout, as with
- * the independent confirmations of Lifeguard. Times in tenths of a millisecond, of a monotonic clock.
+ * The failure detector of SWIM. In each protocol period it pings one member, in an order that is shuffled anew in each
+ * round (section 4.3). If no packet of the member arrives in time, it asks a few other members for indirect probes. If
+ * none has arrived by the end of the period, the member is suspected. When an update reports a suspicion of another
+ * gateway, this gateway probes the suspect as well, with some probability. If this confirming probe fails too, the
+ * member is declared dead before the suspicion timeout expires, similar to the independent confirmations of Lifeguard.
+ * Times in tenths of a millisecond of a monotonic clock.
  */
 final class FailureDetector {
     private static final long MS = 10;
 
-    /** SWIM's T'. */
+    /** The protocol period, T' in SWIM. */
     static final long PROTOCOL_PERIOD = 500 * MS;
-    /** After it indirect probes start; several round trips, so that they are rare. */
+    /** Time without an ack after which indirect probes are sent. Several round-trip times, so that they are rare. */
     private static final long ACK_TIMEOUT = 150 * MS;
-    /** SWIM's k: enough to tell a dead member from a path that loses packets. */
+    /** Number of indirect probes, k in SWIM. Enough to tell a dead member from a lossy network path. */
     private static final int INDIRECT_PROBES = 3;
-    /** Members that confirm a suspicion, on average: several, since some probes are lost, and few in a large cluster. */
+    /**
+     * Average number of members that send a confirming probe: several, since probes get lost, but few in a large
+     * cluster.
+     */
     private static final double EXPECTED_CONFIRMATIONS = 8;
-    /** Protocol periods until a suspicion expires, times half the binary logarithm of the number of members. */
+    /**
+     * The suspicion timeout is this number of protocol periods, times half the binary logarithm of the number of
+     * members.
+     */
     private static final double SUSPICION_PERIODS = 4;
-    /** A dead or leaving member is probed in one of so many rounds, to find out when it is back. */
+    /** A dead or leaving member is probed in one out of this many rounds on average, to detect when it runs again. */
     private static final int ABSENT_PROBE_ROUNDS = 4;
 
-    /** A ping that is not answered yet. */
+    /** A ping that has not been answered yet. */
     private static final class OutstandingPing {
         private final int target;
-        private final int requester; // whose ping-req it serves; this gateway itself for a probe of its own
+        /** The sender of the ping-req, or this gateway for its own probes. */
+        private final int requester;
+
+        /** The sequence number of the ping-req; 0 for own probes. */
         private final int requesterSequence;
+
         private final long sentAt;
         private final long targetIncarnation;
         private final boolean confirmsSuspicion;
@@ -66,12 +77,16 @@
     private final RandomGenerator random;
     private final long suspicionTimeout;
     private final Map<Integer, OutstandingPing> outstanding = new LinkedHashMap<>(); // by sequence number
-    private final List<Integer> round = new ArrayList<>(); // members that are still to be probed in it
+    private final List<Integer> round = new ArrayList<>(); // the members that are still to be probed in this round
     private int lastSequence;
     private boolean started;
     private long nextProbeAt;
 
-    /** Probes from the first tick on; the random numbers are drawn in a fixed order, so that a run can be repeated. */
+    /**
+     * Creates a detector that starts to probe with the first tick.
+     *
+     * @param random source of random numbers; they are drawn in a fixed order, so that a run can be reproduced
+     */
     FailureDetector(int self, MemberTable members, UpdateDisseminator disseminator, RandomGenerator random) {
         this.self = self;
         this.members = members;
@@ -80,7 +95,7 @@
         suspicionTimeout = (long) (SUSPICION_PERIODS * Membership.logOfSize(members.size()) * PROTOCOL_PERIOD / 2);
     }
 
-    /** Evaluates the outstanding probes and suspicions, and begins a new probe where one is due. */
+    /** Evaluates the outstanding probes and the suspicions, and sends the next probe if it is due. */
     void onTick(long now, PacketQueue out) {
         dropExpiredRelays(now);
         for (int sequence : List.copyOf(outstanding.keySet())) {
@@ -120,7 +135,7 @@
                 }
             }
             default -> {
-                // LEAVING and DEAD: a missing ack says nothing new.
+                // LEAVING and DEAD: a missing ack is expected.
             }
         }
     }
@@ -150,7 +165,7 @@
         if (started && now < nextProbeAt) {
             return;
         }
-        // The first period has a random length, so that gateways that start together do not probe at the same moments.
+        // The first period has a random length, so that gateways that start together do not probe in lockstep.
         nextProbeAt = started ? Math.max(now, nextProbeAt + PROTOCOL_PERIOD) : now + random.nextLong(PROTOCOL_PERIOD);
         started = true;
         if (round.isEmpty()) {
@@ -171,7 +186,7 @@
         shuffle(round);
     }
 
-    /** Another member suspects this one, and the suspicion is new here. */
+    /** Called when an update has newly reported a member as suspected. Probes the suspect with some probability. */
     void onSuspicion(long now, int suspect, PacketQueue out) {
         if (random.nextDouble() * (members.size() - 1) < EXPECTED_CONFIRMATIONS) {
             probe(now, suspect, true, out);
@@ -190,12 +205,12 @@
         disseminator.piggyback(ping.target, out);
     }
 
-    /** Answers a ping. */
+    /** Answers a ping with an ack. */
     void onPing(int from, Ping ping, PacketQueue out) {
         sendAck(from, ping.sequence(), out);
     }
 
-    /** Ends an own probe, or passes the ack on to the member on whose behalf the ping was sent. */
+    /** Completes a probe, or relays the ack to the member on whose behalf the ping was sent. */
     void onAck(Ack ack, PacketQueue out) {
         OutstandingPing ping = outstanding.remove(ack.sequence());
         if (ping != null && ping.requester != self) {
@@ -203,7 +218,9 @@
         }
     }
 
-    /** Pings the target on behalf of another member; ignored where no such other member exists. */
+    /**
+     * Pings the target on behalf of another member. Ignores a target that is not configured or is this gateway itself.
+     */
     void onPingRequest(long now, int from, PingRequest request, PacketQueue out) {
         int target = request.target();
         if (target < members.size() && target != self) {
--- a/gateway/src/main/java/ploverdale/membership/MemberState.java
+++ b/gateway/src/main/java/ploverdale/membership/MemberState.java
@@ -1,17 +1,17 @@
 package ploverdale.membership;
 
 /**
- * What this gateway believes of a member. The constants stand in order of precedence: of two updates of the same
- * incarnation the later constant wins, and an update of a higher incarnation always wins.
+ * The state of a member as known to this gateway. The constants are in order of precedence: of two updates of the same
+ * incarnation, the one with the later constant wins. An update of a higher incarnation always wins.
  *
  * <table>
- * <caption>Transitions of another member</caption>
+ * <caption>Transitions of the other members</caption>
  * <tr><th>from</th><th>event</th><th>to</th></tr>
  * <tr><td>UNKNOWN</td><td>a packet of the member</td><td>ALIVE</td></tr>
- * <tr><td>UNKNOWN</td><td>the own probe was not answered within a protocol period</td><td>DEAD</td></tr>
- * <tr><td>ALIVE</td><td>the own probe was not answered, directly or indirectly, within a protocol period</td>
+ * <tr><td>UNKNOWN</td><td>a probe by this gateway was not answered within a protocol period</td><td>DEAD</td></tr>
+ * <tr><td>ALIVE</td><td>a probe by this gateway was not answered within a protocol period, directly or indirectly</td>
  *     <td>SUSPECT</td></tr>
- * <tr><td>SUSPECT</td><td>the own confirming probe was not answered, or the suspicion timeout has passed</td>
+ * <tr><td>SUSPECT</td><td>a confirming probe by this gateway was not answered, or the suspicion has timed out</td>
  *     <td>DEAD</td></tr>
  * <tr><td>SUSPECT, LEAVING, DEAD</td><td>a packet of the member with a higher incarnation</td><td>ALIVE</td></tr>
  * <tr><td>any</td><td>an update of a higher incarnation</td><td>the state of the update</td></tr>
@@ -19,19 +19,19 @@
  *     <td>the state of the update</td></tr>
  * </table>
  *
- * <p>A suspicion of a member that this gateway has been in contact with during the last protocol period is ignored. The
- * own state is ALIVE, and LEAVING once this gateway has begun to shut down.
+ * <p>An update that suspects a member is ignored if a packet of that member has arrived within the last protocol
+ * period. The state of this gateway itself is ALIVE, or LEAVING once its shutdown has begun.
  */
 public enum MemberState {
-    /** Configured, but neither it nor anybody else has said anything of it yet. */
+    /** Configured, but neither a packet of it nor an update about it has been received yet. */
     UNKNOWN("unheard"), // log line: on-call guide
-    /** Reachable, as far as is known. */
+    /** Assumed to be running and reachable. */
     ALIVE("alive"),
-    /** Did not answer a probe; dead unless it refutes this with a higher incarnation in time. */
+    /** Did not answer a probe. Becomes DEAD unless it refutes the suspicion with a higher incarnation in time. */
     SUSPECT("suspected"),
-    /** Has announced that it shuts down. */
+    /** Has announced its shutdown. */
     LEAVING("leaving"),
-    /** Found dead by a second probe, or not refuted in time. */
+    /** Did not answer a confirming probe, or did not refute the suspicion in time. */
     DEAD("gone");
 
     private final String logName;
@@ -40,12 +40,15 @@
         this.logName = logName;
     }
 
-    /** The spelling in log lines; operators search for it, so it differs from the name of the constant. */
+    /**
+     * Returns the spelling in log lines. Operators search for it, so it stays although the constants are named
+     * otherwise.
+     */
     public String logName() {
         return logName;
     }
 
-    /** Whether an update with this state replaces a known state of the same incarnation. */
+    /** Returns whether an update with this state replaces a known state of the same incarnation. */
     boolean overrides(MemberState known) {
         return ordinal() > known.ordinal();
     }
--- a/gateway/src/main/java/ploverdale/membership/MemberTable.java
+++ b/gateway/src/main/java/ploverdale/membership/MemberTable.java
@@ -5,11 +5,11 @@
 import ploverdale.membership.Membership.Change;
 
 /**
- * The state, incarnation and last contact of each member, and how often its state has still to be disseminated. Owns all
- * changes of these fields, but not the decision to make them. Times in tenths of a millisecond.
+ * The state, incarnation and last contact of each member, and how often its state is still to be disseminated. All
+ * changes of these values go through this class, but other classes decide on them. Times in tenths of a millisecond.
  */
 final class MemberTable {
-    private static final long NEVER = Long.MIN_VALUE / 2; // may be subtracted from any time without overflow
+    private static final long NEVER = Long.MIN_VALUE / 2; // can be subtracted from any time without overflow
 
     private static final class Member {
         private MemberState state = MemberState.UNKNOWN;
@@ -25,8 +25,12 @@
     private final List<Change> changes = new ArrayList<>();
 
     /**
-     * @param self this gateway's number; it is alive from the start
-     * @param maxTransmissions how often each change is disseminated
+     * Creates a table in which this gateway is alive and all other members are unknown.
+     *
+     * @param self the number of this gateway
+     * @param size the number of configured members
+     * @param ownIncarnation the incarnation of this gateway
+     * @param maxTransmissions how often each change is sent
      */
     MemberTable(int self, int size, long ownIncarnation, int maxTransmissions) {
         this.self = self;
@@ -40,32 +44,32 @@
         members[self].remainingTransmissions = maxTransmissions;
     }
 
-    /** The number of configured members. */
+    /** Returns the number of configured members. */
     int size() {
         return members.length;
     }
 
-    /** What is believed of a member. */
+    /** Returns the known state of a member. */
     MemberState state(int member) {
         return members[member].state;
     }
 
-    /** The highest incarnation known of it; 0 while it is unknown. */
+    /** Returns the highest known incarnation of a member; 0 if none is known. */
     long incarnation(int member) {
         return members[member].incarnation;
     }
 
-    /** When a packet of this member itself has arrived last; long ago where none has. */
+    /** Returns when the last packet of the member itself arrived; a time far in the past if none has. */
     long lastContactAt(int member) {
         return members[member].lastContactAt;
     }
 
-    /** Whether it is believed to run: ALIVE, or SUSPECT and not yet declared dead. */
+    /** Returns whether a member counts as running, that is, whether it is ALIVE or SUSPECT. */
     boolean isPresent(int member) {
         return state(member) == MemberState.ALIVE || state(member) == MemberState.SUSPECT;
     }
 
-    /** The number of members that are present, this gateway included. */
+    /** Returns the number of members that are present, including this gateway. */
     int presentCount() {
         int count = 0;
         for (int i = 0; i < members.length; i++) {
@@ -74,24 +78,24 @@
         return count;
     }
 
-    /** What is to be disseminated about a member. */
+    /** Returns the update that disseminates the state of a member. */
     MemberUpdate update(int member) {
         return new MemberUpdate(member, members[member].incarnation, members[member].state);
     }
 
-    /** Whether an update says more than is known here. */
+    /** Returns whether an update takes precedence over the known state of its member. */
     boolean isOverriddenBy(MemberUpdate update) {
         Member known = members[update.member()];
         return update.incarnation() > known.incarnation
                 || update.incarnation() == known.incarnation && update.state().overrides(known.state);
     }
 
-    /** A packet of the member itself has arrived. */
+    /** Records that a packet of the member itself has arrived. */
     void recordContact(long now, int member) {
         members[member].lastContactAt = now;
     }
 
-    /** Takes over an update, whatever is known, and disseminates it. */
+    /** Applies an update unconditionally and schedules its dissemination. */
     void apply(long now, MemberUpdate update) {
         Member member = members[update.member()];
         MemberState previous = member.state;
@@ -105,12 +109,12 @@
         }
     }
 
-    /** Changes the state within the known incarnation. */
+    /** Changes the state of a member without changing its incarnation. */
     void setState(long now, int member, MemberState state) {
         apply(now, new MemberUpdate(member, members[member].incarnation, state));
     }
 
-    /** Declares dead who has been suspected for longer than the timeout. */
+    /** Declares the members dead that have been suspected for longer than the timeout. */
     void expireSuspicions(long now, long suspicionTimeout) {
         for (int i = 0; i < members.length; i++) {
             if (members[i].state == MemberState.SUSPECT && now - members[i].stateSince > suspicionTimeout) {
@@ -119,22 +123,22 @@
         }
     }
 
-    /** How often the state of the member is still to be sent. */
+    /** Returns how often the state of a member is still to be sent. */
     int remainingTransmissions(int member) {
         return members[member].remainingTransmissions;
     }
 
-    /** The state of the member is being sent once more. */
+    /** Counts one transmission of the state of a member. */
     void countTransmission(int member) {
         members[member].remainingTransmissions = Math.max(0, members[member].remainingTransmissions - 1);
     }
 
-    /** The state of the member is to be sent as often as a new one. */
+    /** Schedules the state of a member to be sent as often as a new one. */
     void disseminateAgain(int member) {
         members[member].remainingTransmissions = maxTransmissions;
     }
 
-    /** What has changed since the last call, in order. */
+    /** Returns the changes since the last call, in order. */
     List<Change> drainChanges() {
         List<Change> drained = List.copyOf(changes);
         changes.clear();
--- a/gateway/src/main/java/ploverdale/membership/Membership.java
+++ b/gateway/src/main/java/ploverdale/membership/Membership.java
@@ -10,19 +10,19 @@
 import ploverdale.membership.Packet.Part;
 
 /**
- * SWIM group membership (Das, Gupta and Motivala, 2002) as one gateway sees it: entry point for packets and ticks. The
- * members are configured and numbered from 0; which of them run is found out here. {@link FailureDetector} probes,
- * {@link MemberTable} keeps the states, {@link UpdateDisseminator} spreads them; this class takes over updates and refutes
- * those about this gateway.
+ * SWIM group membership (Das, Gupta and Motivala, 2002) of one gateway; the entry point for packets and ticks. The
+ * members are configured and numbered from 0; the protocol detects which of them are running. {@link FailureDetector}
+ * probes the members, {@link MemberTable} stores their states, and {@link UpdateDisseminator} disseminates these. This
+ * class applies received updates and refutes wrong updates about this gateway.
  *
- * <p>Not thread-safe: belongs to the event loop. Does no I/O: what is to be sent is added to a {@link PacketQueue}. Times
- * in tenths of a millisecond, of a monotonic clock.
+ * <p>Not thread-safe; used on the event loop only. Performs no I/O: outgoing messages are added to a
+ * {@link PacketQueue}. Times in tenths of a millisecond of a monotonic clock.
  */
 public final class Membership {
-    /** Times that each change is disseminated, times the binary logarithm of the number of members; SWIM's lambda. */
+    /** Each change is sent this number of times the binary logarithm of the number of members; lambda in SWIM. */
     private static final double TRANSMISSION_FACTOR = 3;
 
-    /** A member's state has changed, or its incarnation. */
+    /** A change of the state or the incarnation of a member. */
     public record Change(int member, MemberState previous, MemberState current, long incarnation) {}
 
     private final int self;
@@ -33,11 +33,14 @@
     private boolean leaving;
 
     /**
+     * Creates the membership as it is before any packet has been received.
+     *
      * @param self the number of this gateway
      * @param size the number of configured gateways
-     * @param startedMs Unix ms, by which a later start of the same gateway overrides an earlier one; where the wall clock has
-     *     stepped back in between, {@link #correctStaleSender} lets the later start find a higher incarnation
-     * @param random drawn from in a fixed order, so that a run can be repeated
+     * @param startedMs start time of the process in Unix milliseconds. With it, updates of a later start of a gateway
+     *     override those of an earlier one. If the wall clock was set back in between, {@link #correctStaleSender}
+     *     makes the later start use a higher incarnation
+     * @param random source of random numbers; they are drawn in a fixed order, so that a run can be reproduced
      */
     public Membership(int self, int size, long startedMs, RandomGenerator random) {
         this.self = self;
@@ -46,61 +49,65 @@
         failureDetector = new FailureDetector(self, members, new UpdateDisseminator(members), random);
     }
 
-    /** The binary logarithm of the number of members, at least 1: the scale of SWIM's timeouts and retransmissions. */
+    /**
+     * Returns the binary logarithm of the number of members, at least 1. Timeouts and retransmissions scale with it.
+     */
     static double logOfSize(int size) {
         return Math.max(1, Math.log(size) / Math.log(2));
     }
 
-    /** The own incarnation, which each packet of this gateway carries. */
+    /** Returns the incarnation of this gateway, which each of its packets carries. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** The number of configured gateways. */
+    /** Returns the number of configured gateways. */
     public int size() {
         return members.size();
     }
 
-    /** What is believed of a member. */
+    /** Returns the known state of a member. */
     public MemberState state(int member) {
         return members.state(member);
     }
 
-    /** The highest incarnation known of a member; 0 while it is unknown. */
+    /** Returns the highest known incarnation of a member; 0 if none is known. */
     public long incarnation(int member) {
         return members.incarnation(member);
     }
 
-    /** Whether a member takes part in the cluster's work: ALIVE or SUSPECT. */
+    /** Returns whether a member counts as running, that is, whether it is ALIVE or SUSPECT. */
     public boolean isPresent(int member) {
         return members.isPresent(member);
     }
 
-    /** The number of members that are present, this gateway included. */
+    /** Returns the number of members that are present, including this gateway. */
     public int presentCount() {
         return members.presentCount();
     }
 
-    /** What has changed since the last call, in order. */
+    /** Returns the changes since the last call, in order. */
     public List<Change> drainChanges() {
         return members.drainChanges();
     }
 
-    /** This gateway begins to shut down, and announces that with all that it still sends. */
+    /** Called when this gateway begins to shut down. Its pings and acks announce this from now on. */
     public void leave(long now) {
         leaving = true;
         members.apply(now, new MemberUpdate(self, incarnation, MemberState.LEAVING));
     }
 
-    /** Sends what is due; to be called several times in a protocol period. */
+    /** Queues the messages that are due. To be called several times in each protocol period. */
     public void onTick(long now, PacketQueue out) {
         failureDetector.onTick(now, out);
     }
 
     /**
-     * A packet of another member has arrived. Its parts are to be passed to {@link #onPart} if this returns true.
+     * Called when a packet of another member has been received. If this returns true, its parts must be passed to
+     * {@link #onPart}.
      *
-     * @return false where the packet is of an earlier start of that member than the last one known; its parts must not be read
+     * @return false if the packet is from an earlier start of the member than the latest known one. Its parts must then
+     *     be ignored
      */
     public boolean acceptPacket(long now, int from, long senderIncarnation) {
         long known = members.incarnation(from);
@@ -112,21 +119,22 @@
         if (senderIncarnation > known || state == MemberState.UNKNOWN) {
             members.apply(now, new MemberUpdate(from, senderIncarnation, MemberState.ALIVE));
         } else if (state == MemberState.SUSPECT || state == MemberState.DEAD) {
-            members.disseminateAgain(from); // also to the member itself, which refutes it; that clears it everywhere
+            // The update also reaches the member itself, whose refutation clears the state on all gateways.
+            members.disseminateAgain(from);
         }
         return true;
     }
 
     /**
-     * Answers a packet that {@link #acceptPacket} has turned down. Either it was delayed, or the process has been restarted
-     * while its wall clock was behind that of the earlier start. The answer holds the incarnation known here, which a live
-     * process refutes with a higher one.
+     * Answers a packet that {@link #acceptPacket} has rejected. Either the packet was delayed, or the process was
+     * restarted while its wall clock was behind that of the earlier start. The answer holds the latest known
+     * incarnation, which a running process refutes with a higher one.
      */
     public void correctStaleSender(int sender, PacketQueue out) {
         out.add(sender, MembershipCodec.encode(new Updates(List.of(members.update(sender)))));
     }
 
-    /** Handles one part of an accepted packet; ignores parts of other protocols. */
+    /** Handles a part of an accepted packet. Ignores parts of other protocols. */
     public void onPart(long now, int from, Part part, PacketQueue out) {
         MembershipMessage message = MembershipCodec.decode(part);
         if (message != null) {
@@ -145,14 +153,17 @@
         }
     }
 
-    /** Whether a suspicion is out of date here, since a packet of the suspect has arrived just now. */
+    /**
+     * Returns whether an update is a suspicion of a member from which a packet has arrived within the last protocol
+     * period.
+     */
     private boolean isRefutedByContact(long now, MemberUpdate update) {
         return update.state() == MemberState.SUSPECT
                 && update.incarnation() == members.incarnation(update.member())
                 && now - members.lastContactAt(update.member()) < FailureDetector.PROTOCOL_PERIOD;
     }
 
-    /** Overrides a false suspicion, and any update about an earlier start of this gateway whose clock was ahead. */
+    /** Refutes a false suspicion, and any update about an earlier start of this gateway whose clock was ahead. */
     private void refuteIfNeeded(long now, MemberUpdate update) {
         boolean isSuspicion =
                 update.incarnation() == incarnation && update.state().overrides(MemberState.ALIVE);
@@ -163,7 +174,7 @@
         }
     }
 
-    /** Hands each kind of message to the class that is in charge of it. */
+    /** Passes each kind of message to the class that handles it. */
     private final class MessageHandler implements MembershipMessage.Handler {
         @Override
         public void onPing(Delivery delivery, Ping ping) {
--- a/gateway/src/main/java/ploverdale/membership/MembershipCodec.java
+++ b/gateway/src/main/java/ploverdale/membership/MembershipCodec.java
@@ -10,8 +10,8 @@
 import ploverdale.membership.Packet.Part;
 
 /**
- * The bytes of each {@link MembershipMessage}, big-endian. What follows the fields named here belongs to a newer version
- * and is ignored.
+ * Encodes and decodes each {@link MembershipMessage}. The layout is big-endian, with sizes in bytes. Additional bytes
+ * after these fields belong to a newer version and are ignored.
  *
  * <pre>
  * kind 1  ping      sequence (4)
@@ -21,7 +21,7 @@
  * </pre>
  */
 final class MembershipCodec {
-    /** Updates in one message; with a ping and a packet's header they stay well below {@link PacketCodec#MAX_BYTES}. */
+    /** Maximum number of updates in a message. With a ping they fit well into {@link PacketCodec#MAX_BYTES}. */
     static final int MAX_UPDATES = 12;
 
     private static final int PING = 1;
@@ -36,7 +36,7 @@
 
     private MembershipCodec() {}
 
-    /** The part that carries a message. */
+    /** Encodes a message as a part of a packet. */
     static Part encode(MembershipMessage message) {
         if (message instanceof Ping ping) {
             return new Part(PING, sequence(ping.sequence()));
@@ -71,7 +71,7 @@
         return buffer.array();
     }
 
-    /** The message in a part; null where the part is too short or of a kind that is not of this protocol. */
+    /** Decodes a part; returns null if it is too short or its kind does not belong to this protocol. */
     static MembershipMessage decode(Part part) {
         ByteBuffer buffer = ByteBuffer.wrap(part.content());
         return switch (part.kind()) {
@@ -83,7 +83,10 @@
         };
     }
 
-    /** A part without a sequence number is read as one of number 0, which no ping has: its ack is ignored by the origin. */
+    /**
+     * A part that is too short for both fields holds only the target. Its sequence number is 0, which no ping has, so
+     * its ack is ignored.
+     */
     private static PingRequest decodePingRequest(ByteBuffer buffer) {
         if (buffer.remaining() < TARGET_BYTES) {
             return null;
@@ -92,7 +95,7 @@
         return new PingRequest(sequence, Short.toUnsignedInt(buffer.getShort()));
     }
 
-    /** Updates with a state that this version does not know are left out. */
+    /** Skips updates with a state that is unknown to this version. */
     private static Updates decodeUpdates(ByteBuffer buffer) {
         List<MemberUpdate> updates = new ArrayList<>();
         while (buffer.remaining() >= UPDATE_BYTES) {
--- a/gateway/src/main/java/ploverdale/membership/MembershipMessage.java
+++ b/gateway/src/main/java/ploverdale/membership/MembershipMessage.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** A message of the SWIM protocol. {@link MembershipCodec} gives each its bytes. */
+/** A message of the SWIM protocol. {@link MembershipCodec} encodes and decodes it. */
 sealed interface MembershipMessage {
-    /** Passes this message to the method of the handler that is for its kind. */
+    /** Calls the handler's method for this kind of message. */
     void dispatch(Delivery delivery, Handler handler);
 
     /**
-     * The circumstances of an arrival.
+     * When and from whom a message was received, and the queue for the response.
      *
-     * @param now in tenths of a millisecond, of a monotonic clock
-     * @param from the member that has sent the message
-     * @param out takes the messages that the handler sends
+     * @param now the time of receipt, in tenths of a millisecond of a monotonic clock
+     * @param from the number of the member that sent the message
+     * @param out the queue for the messages that the handler sends
      */
     record Delivery(long now, int from, PacketQueue out) {}
 
-    /** A probe, which asks the receiver for an {@link Ack}. */
+    /** A probe that asks the receiver for an {@link Ack}. */
     record Ping(int sequence) implements MembershipMessage {
         @Override
         public void dispatch(Delivery delivery, Handler handler) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The answer to a {@link Ping} or {@link PingRequest}, with the sequence number of that message. */
+    /** The response to a {@link Ping} or {@link PingRequest}; repeats its sequence number. */
     record Ack(int sequence) implements MembershipMessage {
         @Override
         public void dispatch(Delivery delivery, Handler handler) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** SWIM's ping-req: asks the receiver to ping the target and to relay its ack under this sequence number. */
+    /** SWIM's ping-req: asks the receiver to ping the target and to relay its ack with this sequence number. */
     record PingRequest(int sequence, int target) implements MembershipMessage {
         @Override
         public void dispatch(Delivery delivery, Handler handler) {
@@ -48,18 +48,18 @@
         }
     }
 
-    /** Receives each kind of message. */
+    /** Handles each kind of message. */
     interface Handler {
-        /** Another member probes this one. */
+        /** Called when another member probes this one. */
         void onPing(Delivery delivery, Ping ping);
 
-        /** A ping that this member has sent is answered. */
+        /** Called when a ping of this member was answered. */
         void onAck(Delivery delivery, Ack ack);
 
-        /** Another member asks for an indirect probe. */
+        /** Called when another member asks for an indirect probe. */
         void onPingRequest(Delivery delivery, PingRequest request);
 
-        /** Another member passes on what it believes. */
+        /** Called when another member sends updates. */
         void onUpdates(Delivery delivery, Updates updates);
     }
 }
--- a/gateway/src/main/java/ploverdale/membership/Packet.java
+++ b/gateway/src/main/java/ploverdale/membership/Packet.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * One datagram between gateways. It carries parts of several protocols: those of {@link MembershipMessage}, and those of
- * the packages that build on membership, which own other kinds. {@link PacketCodec} gives it its bytes.
+ * A datagram between gateways. It carries parts of several protocols: the {@link MembershipMessage}s, and the messages
+ * of packages that build on membership, which use other kinds. {@link PacketCodec} encodes and decodes it.
  *
- * @param incarnation of the sender; a later start of the process has a higher one
- * @param allocationId by which gateways with unlike quota allocations find out that they disagree, see {@code
- *     ploverdale.quota}
- * @param parts in the order in which they are handled
+ * @param incarnation the incarnation of the sender; higher for a later start of the process
+ * @param allocationId identifies the sender's quota allocation, so that gateways with different allocations notice that
+ *     they disagree; see {@code ploverdale.quota}
+ * @param parts the parts in the order in which they are handled
  */
 public record Packet(long incarnation, int allocationId, List<Part> parts) {
     /**
-     * One message of one protocol.
+     * An encoded message of one protocol.
      *
-     * @param kind from 0 to 255; decides which protocol reads the content
-     * @param content at most 255 bytes; not copied, and not to be changed
+     * @param kind the kind of message, from 0 to 255; determines the protocol that decodes the content
+     * @param content the encoded message, at most 255 bytes; not copied, must not be modified
      */
     public record Part(int kind, byte[] content) {
-        /** Bytes that the part takes in a packet, with its header. */
+        /** Returns the number of bytes of the part in a packet, including its header. */
         int encodedLength() {
             return PacketCodec.PART_HEADER_BYTES + content.length;
         }
--- a/gateway/src/main/java/ploverdale/membership/PacketCodec.java
+++ b/gateway/src/main/java/ploverdale/membership/PacketCodec.java
@@ -7,19 +7,20 @@
 import ploverdale.membership.Packet.Part;
 
 /**
- * The bytes of a {@link Packet}, big-endian:
+ * Encodes and decodes a {@link Packet}. The layout is big-endian, with sizes in bytes:
  *
  * <pre>
  * magic (1), version (1), incarnation of the sender (6), allocation id (4),
  * parts, each: kind (1), length of the content (1), content,
- * CRC-32C of all before it (4)
+ * CRC-32C of all preceding bytes (4)
  * </pre>
  *
- * <p>Any version from {@value #VERSION} on is read, and a part of unknown kind is passed over by its length, so versions can
- * run side by side. The magic byte differs from that of gossip datagrams, which share the socket.
+ * <p>Packets of version {@value #VERSION} and later are decoded, and parts of unknown kinds are skipped, so gateways of
+ * different versions can run side by side. The magic byte differs from that of gossip datagrams, which use the same
+ * socket.
  */
 public final class PacketCodec {
-    /** Largest packet, in bytes; far below any path's MTU, so no packet is fragmented. */
+    /** Maximum length of a packet in bytes; far below the usual path MTU, so that no packet is fragmented. */
     public static final int MAX_BYTES = 256;
 
     static final int PART_HEADER_BYTES = 2;
@@ -31,20 +32,20 @@
     private static final int HEADER_BYTES = 12;
     private static final int CHECKSUM_BYTES = 4;
 
-    /** Bytes that the parts of a packet may take together. */
+    /** Maximum total length of the parts of a packet in bytes. */
     static final int MAX_PARTS_BYTES = MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES;
 
     private PacketCodec() {}
 
-    /** Whether a datagram is meant to be a packet; {@link #decode} finds out whether it is intact. */
+    /** Returns whether a datagram starts with the magic byte of packets. {@link #decode} checks the rest. */
     public static boolean hasMagic(byte[] bytes) {
         return bytes.length > 0 && bytes[0] == MAGIC;
     }
 
     /**
-     * The bytes of a packet.
+     * Encodes a packet.
      *
-     * @throws IllegalStateException if it is longer than {@link #MAX_BYTES}
+     * @throws IllegalStateException if the packet would be longer than {@link #MAX_BYTES}
      */
     public static byte[] encode(Packet packet) {
         int partsBytes = packet.parts().stream().mapToInt(Part::encodedLength).sum();
@@ -62,7 +63,7 @@
         return buffer.putInt(checksum(buffer.array())).array();
     }
 
-    /** The packet in a datagram; null where it is none, damaged, or truncated. */
+    /** Decodes a datagram; returns null if it is not a packet, or is corrupt or truncated. */
     public static Packet decode(byte[] bytes) {
         if (!isIntact(bytes)) {
             return null;
@@ -83,7 +84,7 @@
                 && ByteBuffer.wrap(bytes).getInt(bytes.length - CHECKSUM_BYTES) == checksum(bytes);
     }
 
-    /** Null where a part claims more bytes than are left. */
+    /** Returns the parts; null if the length of a part exceeds the remaining bytes. */
     private static List<Part> decodeParts(ByteBuffer buffer) {
         List<Part> parts = new ArrayList<>();
         while (buffer.hasRemaining()) {
@@ -108,12 +109,12 @@
         return (int) crc.getValue();
     }
 
-    /** Writes the low 48 bits. */
+    /** Writes the low 48 bits of an incarnation. */
     static void putIncarnation(ByteBuffer buffer, long incarnation) {
         buffer.putShort((short) (incarnation >>> Integer.SIZE)).putInt((int) incarnation);
     }
 
-    /** Reads what {@link #putIncarnation} has written. */
+    /** Reads an incarnation that {@link #putIncarnation} wrote. */
     static long getIncarnation(ByteBuffer buffer) {
         long high = Short.toUnsignedLong(buffer.getShort());
         return high << Integer.SIZE | Integer.toUnsignedLong(buffer.getInt());
--- a/gateway/src/main/java/ploverdale/membership/PacketQueue.java
+++ b/gateway/src/main/java/ploverdale/membership/PacketQueue.java
@@ -7,14 +7,14 @@
 import ploverdale.membership.Packet.Part;
 
 /**
- * Collects the parts for each other gateway and packs them into as few packets as possible, within a bandwidth that a token
- * bucket limits. A packet that exceeds the budget is dropped, not queued: each protocol sends again what still matters.
+ * Collects the parts for each other gateway and combines them into packets. A token bucket limits the bandwidth. A
+ * packet that exceeds the budget is dropped rather than queued, since each protocol repeats what is still relevant.
  *
- * <p>Not thread-safe: belongs to the event loop. Times in tenths of a millisecond, of a monotonic clock.
+ * <p>Not thread-safe; used on the event loop only. Times in tenths of a millisecond of a monotonic clock.
  */
 public final class PacketQueue {
     /**
-     * The bytes of a packet for another gateway.
+     * An encoded packet for another gateway.
      *
      * @param to the number of that gateway
      */
@@ -31,7 +31,11 @@
     private long bytesSent;
     private long packetsDropped;
 
-    /** @param bytesPerSecond of payload that may be sent, averaged over {@value #BURST_SECONDS} seconds */
+    /**
+     * Creates an empty queue with a full budget.
+     *
+     * @param bytesPerSecond the bandwidth limit for packets, averaged over {@value #BURST_SECONDS} seconds
+     */
     public PacketQueue(double bytesPerSecond, long now) {
         this.bytesPerSecond = bytesPerSecond;
         burstBytes = bytesPerSecond * BURST_SECONDS;
@@ -39,21 +43,28 @@
         refilledAt = now;
     }
 
-    /** Appends a part for a gateway. */
+    /** Queues a part for a gateway. */
     public void add(int to, Part part) {
         pending.computeIfAbsent(to, key -> new ArrayList<>()).add(part);
     }
 
-    /** The unused fraction of the largest burst, from 0 to 1, for senders that can wait. */
+    /**
+     * Returns the available fraction of the maximum burst, from 0 to 1. Senders whose data can wait hold back when it
+     * is low.
+     */
     public double budgetFraction(long now) {
         return Math.min(1, refilled(now) / burstBytes);
     }
 
+    /** Returns the budget in bytes at a time, before the limit of the burst is applied. */
     private double refilled(long now) {
         return budgetBytes + Math.max(0, now - refilledAt) / SECOND * bytesPerSecond;
     }
 
-    /** Empties the queue and returns the packets that fit the budget, by gateway in the order of their first part. */
+    /**
+     * Empties the queue and returns the packets that fit the budget. Gateways come in the order of their first queued
+     * part.
+     */
     public List<OutboundPacket> drain(long now, long incarnation, int allocationId) {
         budgetBytes = Math.min(burstBytes, refilled(now));
         refilledAt = Math.max(refilledAt, now);
@@ -70,7 +81,7 @@
         return packets;
     }
 
-    /** Splits parts, in their order, into lists that fit a packet each. */
+    /** Splits parts, in their order, into lists that each fit into a packet. */
     private static List<List<Part>> groupByPacket(List<Part> parts) {
         List<List<Part>> groups = new ArrayList<>();
         List<Part> group = new ArrayList<>();
@@ -98,12 +109,12 @@
         return true;
     }
 
-    /** Bytes sent since the start. */
+    /** Returns the number of bytes sent since the start. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Packets dropped for want of budget since the start. */
+    /** Returns the number of packets dropped since the start because they exceeded the budget. */
     public long packetsDropped() {
         return packetsDropped;
     }
--- a/gateway/src/main/java/ploverdale/membership/UpdateDisseminator.java
+++ b/gateway/src/main/java/ploverdale/membership/UpdateDisseminator.java
@@ -6,19 +6,19 @@
 import ploverdale.membership.MembershipMessage.Updates;
 
 /**
- * Chooses the updates that are piggybacked on pings and acks (SWIM, section 4.1). Each change goes out a bounded number of
- * times, those first that have gone out least often. A member that is suspected or dead is always sent its own state, so
- * that it can refute it (the buddy system of Lifeguard).
+ * Selects the updates that are piggybacked on pings and acks (SWIM, section 4.1). Each change is sent a bounded number
+ * of times; changes that have been sent least often are preferred. A suspected or dead member is always sent its own
+ * state, so that it can refute it (the buddy system of Lifeguard).
  */
 final class UpdateDisseminator {
     private final MemberTable members;
 
-    /** Disseminates the states of this table. */
+    /** Creates a disseminator of the states in the table. */
     UpdateDisseminator(MemberTable members) {
         this.members = members;
     }
 
-    /** Queues updates for a member to which a ping or an ack is queued as well. */
+    /** Queues updates for a member for which a ping or an ack has been queued. */
     void piggyback(int receiver, PacketQueue out) {
         List<Integer> candidates = candidates(receiver);
         List<Integer> chosen = candidates.subList(0, Math.min(MembershipCodec.MAX_UPDATES, candidates.size()));
@@ -44,6 +44,7 @@
         return candidates;
     }
 
+    /** Returns whether the state of a member is still to be sent to others. */
     private boolean isPending(int member) {
         return members.remainingTransmissions(member) > 0 && members.state(member) != MemberState.UNKNOWN;
     }
@@ -52,6 +53,7 @@
         return members.state(member) == MemberState.SUSPECT || members.state(member) == MemberState.DEAD;
     }
 
+    /** Sort key: the receiver's own state comes first, then the states that have been sent least often. */
     private int order(int member, int receiver) {
         return member == receiver ? Integer.MIN_VALUE : -members.remainingTransmissions(member);
     }
--- a/gateway/src/main/java/ploverdale/net/peer/ClientRequests.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ClientRequests.java
@@ -5,25 +5,29 @@
 import ploverdale.net.postgres.ResultRow;
 
 /**
- * What becomes of a client's request once its history is known: it is routed, or gets its one final answer. An answer to a
+ * Routes or answers a client's request once its history is known. Each request gets one final answer; an answer to a
  * request that is no longer pending is dropped. Used on the event loop only.
  */
 public interface ClientRequests {
-    /** Hands the request to the router. */
+    /** Passes the request to the router. */
     void route(RequestArrived request);
 
-    /** Whether its client still waits for an answer. */
+    /** Returns whether the client still waits for the answer to the request. */
     boolean isPending(RequestId request);
 
-    /** Answers with the row that a server has returned. */
+    /** Answers the client with the row that a server has returned. */
     void succeeded(RequestId request, ResultRow row);
 
-    /** Answers with what the client was answered when the same write ran before, as encoded then. */
+    /**
+     * Answers a resubmitted write with the result of its earlier execution.
+     *
+     * @param encodedRow the recorded answer, as encoded for the client that submitted the write first
+     */
     void succeededBefore(RequestId request, byte[] encodedRow);
 
-    /** Answers with an error; whether the request ran is unknown. */
+    /** Answers the client with an error that leaves open whether the request ran. */
     void failed(RequestId request);
 
-    /** Answers that the request did not run and may be submitted again at once. */
+    /** Answers the client that the request did not run and may be submitted again at once. */
     void rejected(RequestId request);
 }
--- a/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
@@ -19,32 +19,40 @@
 import ploverdale.model.Event;
 
 /**
- * Owns the one datagram socket to the other gateways: hands on what arrives together with its sender, and sends what it
- * is given. Decodes no message, repeats none, and drops those from an address that is not a peer's. A socket that fails is
- * closed and opened again with a backoff, until {@link #close}.
+ * Owns the datagram socket for the traffic with the other gateways. Passes received datagrams on together with the
+ * number of the sender, and sends outgoing ones. Does not interpret or retransmit datagrams, and drops those from
+ * addresses that are not configured as peers. A socket that fails is closed and opened again with exponential backoff,
+ * until {@link #close}.
  *
  * <p>Used on the event loop only.
  */
 public final class GossipTransport implements PeerTransport {
-    private static final long FIRST_REOPEN_DELAY_MS = 20; // doubled each time, until a datagram has arrived
+    /** Delay before the socket is opened again; doubled on each failure and reset by a received datagram. */
+    private static final long FIRST_REOPEN_DELAY_MS = 20;
+
     private static final long MAX_REOPEN_DELAY_MS = 2000;
 
     private final Vertx vertx;
     private final Log log;
     private final Consumer<Event> events;
     private final List<InetSocketAddress> peers;
-    private final Map<String, Integer> peerNumbers = new HashMap<>(); // by host and port
+    private final Map<String, Integer> peerNumbers = new HashMap<>(); // by "host:port"
+    /** Handles the datagrams of other protocols; see {@link #setFirstReader}. */
     private BiPredicate<Integer, byte[]> firstReader = (from, datagram) -> false;
-    private ServerClock serverClock; // null: all gateways read the same clock
+    /** Null if gossip needs no conversion of times. */
+    private ServerClock serverClock;
+
     private InetSocketAddress address;
-    private DatagramSocket socket; // null while none is listening
+    private DatagramSocket socket; // null while no socket is open
     private long reopenDelayMs = FIRST_REOPEN_DELAY_MS;
     private boolean received;
     private boolean closed;
 
     /**
-     * @param events receives {@link Event.GossipReceived}
-     * @param peers the address of each gateway, by its number
+     * Creates a transport without a socket; {@link #listen} opens it.
+     *
+     * @param events receives an {@link Event.GossipReceived} for each gossip datagram
+     * @param peers the address of each gateway, indexed by its number
      */
     public GossipTransport(Vertx vertx, Log log, Consumer<Event> events, List<InetSocketAddress> peers) {
         this.vertx = vertx;
@@ -62,14 +70,17 @@
     }
 
     /**
-     * Sets who sees each datagram first, with the number of its sender; one for which it returns true is not handed on as
-     * gossip.
+     * Sets the reader that sees each datagram before it is treated as gossip. It is called with the number of the
+     * sender and the bytes, and returns true if it has handled the datagram.
      */
     public void setFirstReader(BiPredicate<Integer, byte[]> reader) {
         firstReader = reader;
     }
 
-    /** Gossip is dated by the servers' wall clock from now on; while that is unknown, none is sent and none is read. */
+    /**
+     * Sets the clock that converts the sending times of gossip between this gateway's time and the wall clock of the
+     * servers. While the offset of that clock is unknown, gossip is neither sent nor received.
+     */
     public void setServerClock(ServerClock clock) {
         serverClock = clock;
     }
@@ -80,8 +91,8 @@
     }
 
     /**
-     * {@inheritDoc} Without a socket only the other gateways' messages are missed, so a failure does not stop the start;
-     * the socket is opened again and again until there is one.
+     * {@inheritDoc} A failure does not prevent the gateway from starting, since without the socket it only misses the
+     * messages of its peers. Opening the socket is retried until it succeeds.
      */
     @Override
     public Future<Void> listen(InetSocketAddress listenAddress) {
@@ -94,7 +105,7 @@
         try {
             opening = vertx.createDatagramSocket(new DatagramSocketOptions());
         } catch (RuntimeException failure) {
-            // broad catch: Vert.x throws whatever the system call failed with
+            // broad catch: Vert.x wraps the failure of the system call in various exceptions
             reopenLater("cannot be opened: " + failure);
             return Future.succeededFuture();
         }
@@ -112,7 +123,7 @@
                 });
     }
 
-    /** Vert.x closes a socket that failed to receive, whatever the failure was. */
+    /** Replaces the socket after a failed receive: Vert.x closes the socket on any such failure. */
     private void onReceiveFailure(DatagramSocket failedSocket, Throwable failure) {
         if (failedSocket == socket) {
             socket = null;
@@ -179,8 +190,8 @@
     }
 
     /**
-     * {@inheritDoc} Nothing is sent before the socket listens: the first datagram of an unbound socket would bind it to a
-     * random port, and it would never receive one.
+     * {@inheritDoc} Nothing is sent before the socket is bound: sending on an unbound socket binds it to a random port,
+     * on which it would receive nothing.
      */
     @Override
     public void send(int peer, byte[] datagram) {
--- a/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
@@ -12,15 +12,16 @@
 import ploverdale.quota.QuotaSettings;
 
 /**
- * Drives a {@link QuotaNode}: gives it a monotonic clock and a periodic tick, hands it the datagrams that are its own,
- * sends the packets that it returns, and logs its lines. Decides neither who is alive nor who holds which quota.
+ * Connects a {@link QuotaNode} to the event loop: supplies the clock and the periodic tick, passes it the datagrams of
+ * its protocols, sends the packets that it returns, and writes its log lines. Decides neither which members are alive
+ * nor which gateway holds which quota.
  *
  * <p>Used on the event loop only.
  */
 public final class MembershipTransport implements PeerCoordination {
     /** Sends a datagram to another gateway. */
     public interface DatagramSender {
-        /** @param to the receiver's number */
+        /** @param to the number of the receiving gateway */
         void send(int to, byte[] datagram);
     }
 
@@ -53,17 +54,20 @@
         writeLogLines();
     }
 
-    /** The quota that the router may spend, and the replicas. */
+    /** Returns the node, which holds the quota of this gateway and the replicated entries. */
     public QuotaNode node() {
         return node;
     }
 
-    /** Sets what is run after each datagram and each tick: requests to the replicas may have ended by then. */
+    /**
+     * Sets a listener that runs after each datagram and each tick, either of which may complete requests to the
+     * replicas.
+     */
     public void whenReceived(Runnable listener) {
         receiveListener = listener;
     }
 
-    /** Runs something that asks or informs the replicas, and sends the packets that it queues. */
+    /** Runs an action that queues packets for other gateways, and sends these packets. */
     public void exchange(ObjLongConsumer<PacketQueue> action) {
         send(node.runAndDrain(action));
         writeLogLines();
--- a/gateway/src/main/java/ploverdale/net/peer/NoRequestHistory.java
+++ b/gateway/src/main/java/ploverdale/net/peer/NoRequestHistory.java
@@ -8,7 +8,7 @@
 import ploverdale.model.ServerId;
 import ploverdale.net.postgres.ResultRow;
 
-/** Remembers nothing: requests are routed and answered at once. */
+/** Records nothing: requests are routed and answered at once. */
 final class NoRequestHistory implements RequestHistory {
     private final ClientRequests requests;
 
--- a/gateway/src/main/java/ploverdale/net/peer/PeerCoordination.java
+++ b/gateway/src/main/java/ploverdale/net/peer/PeerCoordination.java
@@ -1,8 +1,11 @@
 package ploverdale.net.peer;
 
-/** What gateways agree on by packets of their own, beside gossip. Used on the event loop only. */
+/**
+ * The coordination protocols between gateways (membership, quota and replication), whose packets share the socket with
+ * gossip. Used on the event loop only.
+ */
 public interface PeerCoordination {
-    /** For a gateway that shares nothing with others. */
+    /** For a gateway that does not coordinate with others: handles no datagram. */
     PeerCoordination NONE = new PeerCoordination() {
         @Override
         public boolean receive(int from, byte[] datagram) {
@@ -14,10 +17,10 @@
     };
 
     /**
-     * Reads a datagram of another gateway.
+     * Handles a datagram of another gateway if it is a packet of these protocols.
      *
-     * @param from the sender's number
-     * @return false where it is none of these packets, and nothing was done
+     * @param from the number of the sender
+     * @return false, without any effect, if the datagram is not such a packet
      */
     boolean receive(int from, byte[] datagram);
 
--- a/gateway/src/main/java/ploverdale/net/peer/PeerTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/PeerTransport.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import ploverdale.model.Action;
 
-/** Exchanges datagrams with the other gateways. Used on the event loop only. */
+/** Sends datagrams to the other gateways and receives theirs. Used on the event loop only. */
 public interface PeerTransport {
     /** For a gateway without peers: sends and receives nothing. */
     PeerTransport NONE = new PeerTransport() {
@@ -33,21 +33,27 @@
         public void close() {}
     };
 
-    /** Whether there are other gateways to talk to. */
+    /** Returns whether other gateways are configured. */
     boolean isEnabled();
 
-    /** Opens the socket; the future always succeeds, once the first attempt is over. */
+    /**
+     * Opens the socket. The future completes when the first attempt has ended, and succeeds even if that attempt
+     * failed.
+     */
     Future<Void> listen(InetSocketAddress address);
 
-    /** Whether gossip of any other gateway has come. */
+    /** Returns whether gossip from any other gateway has been received. */
     boolean hasReceived();
 
-    /** Sends gossip, dated by the servers' wall clock; while that is unknown, sends nothing. */
+    /**
+     * Sends gossip with its sending time on the servers' wall clock; sends nothing while the offset of that clock is
+     * unknown.
+     */
     void sendGossip(Action.SendGossip gossip);
 
-    /** Sends a datagram as it is; it may get lost. */
+    /** Sends a datagram unchanged, without any guarantee of delivery. */
     void send(int peer, byte[] datagram);
 
-    /** Closes the socket for good. */
+    /** Closes the socket. It is not opened again. */
     void close();
 }
--- a/gateway/src/main/java/ploverdale/net/peer/PendingWrite.java
+++ b/gateway/src/main/java/ploverdale/net/peer/PendingWrite.java
@@ -5,7 +5,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.replication.ClaimId;
 
-/** A write without a final answer, with what its attempts prove of it. Used on the event loop only. */
+/** A write without a final answer, with what its attempts prove about whether it ran. Used on the event loop only. */
 final class PendingWrite {
     private final RequestArrived request;
     private final boolean waitsForCopies;
@@ -15,8 +15,11 @@
     private boolean mayHaveRun;
 
     /**
-     * @param waitsForCopies whether its client is answered only once a majority of the replicas has a copy
-     * @param arrivedAt on the servers' wall clock, in tenths of a millisecond
+     * Creates a write without a claim and without attempts.
+     *
+     * @param waitsForCopies whether the client is answered only after a majority of the replicas has stored the entries
+     *     of the write
+     * @param arrivedAt when the request arrived, on the servers' wall clock, in tenths of a millisecond
      */
     PendingWrite(RequestArrived request, boolean waitsForCopies, long arrivedAt) {
         this.request = request;
@@ -40,7 +43,7 @@
         return arrivedAt;
     }
 
-    /** Under which the replicas let this gateway send the write; null while there is none. */
+    /** Returns the claim by which the replicas allow this gateway to send the write; null if it holds none. */
     ClaimId claim() {
         return claim;
     }
@@ -62,11 +65,12 @@
         mayHaveRun |= !outcome.provesNotRun();
     }
 
-    /** Whether an attempt is in flight, whose end may still prove whether the write ran. */
+    /** Returns whether an attempt is in flight. Its outcome may still prove whether the write ran. */
     boolean hasAttemptInFlight() {
         return attemptsInFlight > 0;
     }
 
+    /** Returns whether a completed attempt may have run the write. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicaRequests.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicaRequests.java
@@ -9,34 +9,39 @@
 import ploverdale.replication.Replicas;
 
 /**
- * Sends requests to the replicas and calls back whoever waits for one when it has ended. Used on the event loop only.
+ * Sends requests to the replicas and runs the callback of each request when it has completed. Used on the event loop
+ * only.
  */
 public final class ReplicaRequests {
-    /** Runs something that queues packets for other gateways, and sends these. */
+    /** Runs an action that queues packets for other gateways, and sends these packets. */
     public interface PacketExchange {
-        /** @param action takes the queue and the present, in tenths of a millisecond of a monotonic clock */
+        /**
+         * @param action is called with the queue and the current time, in tenths of a millisecond of a monotonic clock
+         */
         void exchange(ObjLongConsumer<PacketQueue> action);
     }
 
-    /** One request to the replicas. */
+    /** A request to the replicas that has not been sent yet. */
     interface ReplicaRequest {
         /**
-         * @param now in tenths of a millisecond of a monotonic clock
-         * @return its ticket, or 0 where nobody is to be called back
+         * Queues the packets of the request.
+         *
+         * @param now the current time, in tenths of a millisecond of a monotonic clock
+         * @return the ticket of the request; 0 if no result will follow
          */
         long start(Replicas replicas, long now, PacketQueue packets);
     }
 
     private final Replicas replicas;
     private final PacketExchange packetExchange;
-    private final Map<Long, Consumer<QuorumResult>> callbacks = new HashMap<>(); // by ticket
+    private final Map<Long, Consumer<QuorumResult>> callbacks = new HashMap<>(); // by the ticket of the request
 
     public ReplicaRequests(Replicas replicas, PacketExchange packetExchange) {
         this.replicas = replicas;
         this.packetExchange = packetExchange;
     }
 
-    /** Starts a request; the callback may run before this returns. */
+    /** Starts a request. The callback may run before this method returns. */
     void start(ReplicaRequest request, Consumer<QuorumResult> callback) {
         packetExchange.exchange((packets, now) -> {
             long ticket = request.start(replicas, now, packets);
@@ -47,7 +52,7 @@
         runCallbacks();
     }
 
-    /** Calls back for each request that has ended; to be called after each datagram and each tick. */
+    /** Runs the callbacks of all completed requests. To be called after each datagram and each tick. */
     public void runCallbacks() {
         for (QuorumResult result : replicas.takeResults()) {
             Consumer<QuorumResult> callback = callbacks.remove(result.ticket());
@@ -57,7 +62,10 @@
         }
     }
 
-    /** What this gateway recorded was dated wrongly: it vouches only for what it records from now on. */
+    /**
+     * Called when the offset of the servers' clock was corrected. Entries that this gateway has recorded until now
+     * carry wrong times, so it answers as a replica only for what it records from now on.
+     */
     void clockOffsetChanged() {
         replicas.onClockCorrected();
     }
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -21,11 +21,12 @@
 import ploverdale.settings.GatewaySettings;
 
 /**
- * Ties client requests to what the gateways replicate of sessions and writes. A session's read is routed once the position
- * that it must reach has been looked up ({@link SessionPositionLookup}), a write once it has been claimed ({@link
- * WriteClaims}), and a write that has succeeded is recorded before or after its client is answered ({@link
- * WriteRecorder}). A write that is proven never to have run releases its claim. Decides nothing about freshness or proof,
- * and answers no request twice.
+ * Connects client requests with the session positions and write outcomes that the gateways replicate among each other.
+ * A session's read is routed after the position that it must reach has been looked up ({@link SessionPositionLookup}),
+ * and a write after it has been claimed ({@link WriteClaims}). A write that has succeeded is recorded, before or after
+ * its client is answered ({@link WriteRecorder}). The claim of a write that provably did not run is released. The rules
+ * for the freshness of positions and for the proof of outcomes are not part of this class. No request is answered
+ * twice.
  *
  * <p>Used on the event loop only.
  */
@@ -64,7 +65,10 @@
         vertx.setPeriodic(DEPARTED_CLIENTS_CHECK_MS, x -> releaseWritesOfDepartedClients());
     }
 
-    /** A client may leave while its write waits here; then no attempt is made, and nobody notifies of the end. */
+    /**
+     * Ends the writes of clients that have disconnected. A client may disconnect while its write still waits here for a
+     * claim; then no attempt is made, whose end would call {@link #attemptEnded}.
+     */
     private void releaseWritesOfDepartedClients() {
         List.copyOf(writes.keySet()).stream()
                 .filter(request -> !requests.isPending(request))
@@ -106,7 +110,10 @@
         }
     }
 
-    /** While the offset of the servers' clock is unknown, a write's outcome cannot be dated, and so no attempt is made. */
+    /**
+     * Delays a write, or answers it if its timeout is near. While the offset of the servers' clock is unknown, the
+     * outcome of a write cannot be given a time, so the write is not sent.
+     */
     private void deferWrite(RequestArrived request, String sessionKey) {
         if (clock.now() + WriteClaims.RETRY_INTERVAL_MS * TENTHS_PER_MS < request.timeoutAt()) {
             vertx.setTimer(WriteClaims.RETRY_INTERVAL_MS, x -> {
@@ -152,7 +159,10 @@
         recorder.record(write, row, report, server);
     }
 
-    /** {@inheritDoc} While an attempt is in flight, the write is kept: the end of the attempt may prove what it did. */
+    /**
+     * {@inheritDoc} The write is kept while an attempt is in flight, since its outcome may still prove whether the
+     * write ran.
+     */
     @Override
     public void answered(RequestId request) {
         PendingWrite write = writes.get(request);
--- a/gateway/src/main/java/ploverdale/net/peer/RequestHistory.java
+++ b/gateway/src/main/java/ploverdale/net/peer/RequestHistory.java
@@ -8,38 +8,43 @@
 import ploverdale.net.postgres.ResultRow;
 
 /**
- * What gateways remember together of sessions and writes: looked up before a request is routed, recorded after it. It is
- * notified of each attempt and of each answer. Used on the event loop only.
+ * The history of sessions and writes that the gateways replicate among each other. It is looked up before a request is
+ * routed and extended after the request has succeeded, and is notified of each attempt and each final answer. Used on
+ * the event loop only.
  */
 public interface RequestHistory extends RequestHistoryLookup {
-    /** For a gateway that remembers nothing together with others. */
+    /** Returns the history of a gateway that replicates nothing: it routes and answers requests at once. */
     static RequestHistory none(ClientRequests requests) {
         return new NoRequestHistory(requests);
     }
 
-    /** The guarantees by which session reads are routed: with this history, each brings the position that it needs. */
+    /**
+     * Returns the guarantees for routing. With a replicated history, each session read carries the position that it
+     * must reach.
+     */
     ReplicaGuarantees replicaGuarantees(ReplicaGuarantees configured);
 
-    /** An attempt of the request starts. */
+    /** Called when an attempt of the request starts. */
     void attemptStarted(RequestId request);
 
     /**
-     * An attempt of the request has ended.
+     * Called when an attempt of the request has ended.
      *
-     * @param hasRow whether the server returned a row, with which {@link #succeeded} is called next
+     * @param hasRow whether the server returned a row; if so, {@link #succeeded} is called with it next
      */
     void attemptEnded(RequestId request, Outcome outcome, boolean hasRow);
 
     /**
-     * A server has answered with a row: it is recorded, and the client answered, at once or once it is recorded.
+     * Called when a server has answered with a row. Records the success and answers the client, either at once or after
+     * the record has been replicated.
      *
-     * @param report what the server reported with it, or null
+     * @param report the load report that came with the row, or null
      */
     void succeeded(RequestId request, ResultRow row, LoadReport report, ServerId server);
 
-    /** The request has its final answer, or its client has left. */
+    /** Called when the request has its final answer or its client has disconnected. */
     void answered(RequestId request);
 
-    /** The offset of the servers' clock was wrong: what was dated until now is void. */
+    /** Called when the offset of the servers' clock was found wrong, which invalidates all times recorded until now. */
     void clockOffsetChanged();
 }
--- a/gateway/src/main/java/ploverdale/net/peer/RequestHistoryLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/RequestHistoryLookup.java
@@ -2,12 +2,12 @@
 
 import ploverdale.model.Event;
 
-/** Looks up what the gateways know of a request's past, before the request is routed. */
+/** Looks up the replicated history of a request before the request is routed. */
 public interface RequestHistoryLookup {
     /**
-     * Has the request routed, at once or later, or answered, or neither where its client leaves meanwhile.
+     * Routes or answers the request, at once or later. Does neither if the client disconnects in the meantime.
      *
-     * @param sessionKey by which the gateways know the client's session, or null where it has none
+     * @param sessionKey key of the client's session among the gateways; null if it has no session
      */
     void onRequestArrived(Event.RequestArrived request, String sessionKey);
 }
--- a/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -11,16 +11,16 @@
 import ploverdale.replication.Replicas;
 
 /**
- * Asks the replicas how far a session's reads must reach, and routes the read with that position. Where no majority
- * answers in time, the read must reach the present of its arrival. Used on the event loop only.
+ * Reads from the replicas the position that a session's read must reach, and routes the read with that position. If no
+ * majority answers in time, the position is the time at which the read arrived. Used on the event loop only.
  */
 final class SessionPositionLookup {
     private final Log log;
     private final ClientRequests requests;
     private final ReplicaRequests replicas;
     private final ServerClock clock;
-    private final Map<GroupId, Integer> lastWriters =
-            new HashMap<>(); // number of the server of the last write seen here
+    /** The lower 16 bits of the hash of the server at which the last write through this gateway succeeded, by group. */
+    private final Map<GroupId, Integer> lastWriters = new HashMap<>();
 
     SessionPositionLookup(Log log, ClientRequests requests, ReplicaRequests replicas, ServerClock clock) {
         this.log = log;
@@ -29,7 +29,7 @@
         this.clock = clock;
     }
 
-    /** Routes the read once its session's position is known, or cannot be. */
+    /** Routes the read when the lookup of its session's position has completed. */
     void lookUp(RequestArrived read, String sessionKey) {
         long arrivedAt = clock.now();
         replicas.start(
@@ -37,7 +37,11 @@
                 result -> onPosition(read, result, arrivedAt));
     }
 
-    /** A write to the group has succeeded at the server of that number. */
+    /**
+     * Called when a write to the group has succeeded.
+     *
+     * @param server the lower 16 bits of the server's hash
+     */
     void writeSucceeded(GroupId group, int server) {
         lastWriters.put(group, server);
     }
--- a/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -12,11 +12,12 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * Lets at most one gateway send a write at a time: a write is routed once the replicas have granted a claim to it, and
- * one that was submitted before gets the answer of the earlier submission. Used on the event loop only.
+ * Ensures that at most one gateway sends a write at a time. A write is routed when the replicas have granted a claim to
+ * it. A write that was submitted before is answered with the outcome of the earlier submission. Used on the event loop
+ * only.
  */
 final class WriteClaims {
-    /** Between two looks at an earlier submission whose outcome is not known yet, in milliseconds. */
+    /** Delay before a claim is retried while the outcome of an earlier submission is still unknown, in milliseconds. */
     static final long RETRY_INTERVAL_MS = 40;
 
     private static final long TENTHS_PER_MS = 10;
@@ -29,7 +30,10 @@
     private final ServerClock clock;
     private final Consumer<RequestId> forget;
 
-    /** @param forget is called with each write that ends here: it has an answer, or its client has left */
+    /**
+     * @param forget is called with the id of each write that is not routed: it is answered here, or its client has
+     *     disconnected
+     */
     WriteClaims(
             Vertx vertx,
             Log log,
@@ -47,7 +51,7 @@
         this.forget = forget;
     }
 
-    /** Routes the write once its claim is granted, or answers it by the outcome of its earlier submission. */
+    /** Routes the write when its claim is granted, or answers it with the outcome of its earlier submission. */
     void claim(PendingWrite write) {
         replicas.start(
                 (store, now, packets) -> store.claimWrite(
@@ -78,7 +82,7 @@
             return;
         }
         forget.accept(write.id());
-        release(write); // its client has left, and no attempt was made
+        release(write); // the client has disconnected, and no attempt was made
     }
 
     private void onRanBefore(PendingWrite write, byte[] encodedRow) {
@@ -95,7 +99,7 @@
         return clock.now() + neededMs * TENTHS_PER_MS < write.request().timeoutAt();
     }
 
-    /** Records that the write never ran, so that a later submission may be sent; nothing where it has no claim. */
+    /** Records that the write never ran, so that a later submission of it may be sent. Does nothing without a claim. */
     void release(PendingWrite write) {
         if (!write.hasClaim()) {
             return;
@@ -113,7 +117,7 @@
                 result -> {});
     }
 
-    /** The key by which the replicas know the outcome of the write. */
+    /** Returns the key under which the replicas store the outcome of the write. */
     static long idempotencyKey(PendingWrite write) {
         return Replicas.key(false, write.id().text());
     }
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -15,9 +15,9 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * Records a write that has succeeded: the position that later reads of its session must reach, and its outcome under its
- * id. Answers the client, at once or, for classes that wait for copies, when a majority of the replicas has them. Used on
- * the event loop only.
+ * Records a write that has succeeded: the position that later reads of its session must reach, and the outcome of the
+ * write under its id. Answers the client at once or, for synchronously replicated classes, when a majority of the
+ * replicas has stored both entries. Used on the event loop only.
  */
 final class WriteRecorder {
     private static final long TENTHS_PER_MS = 10;
@@ -41,12 +41,16 @@
         this.clock = clock;
     }
 
-    /** @param report what the server reported with the row, or null */
+    /**
+     * Records the write and answers its client.
+     *
+     * @param report the load report that came with the row, or null
+     */
     void record(PendingWrite write, ResultRow row, LoadReport report, ServerId server) {
         SessionId session = write.request().session();
         boolean recordsPosition = settings.replicatesSessions() && session != null;
         if (recordsPosition && !clock.isKnown()) {
-            requests.failed(write.id()); // its position cannot be dated, and so cannot be guaranteed to the session
+            requests.failed(write.id()); // without a time for its position, later reads of the session could miss it
             log.often("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
             return;
         }
@@ -64,7 +68,9 @@
         }
     }
 
-    /** The position of the write on the servers' wall clock; the present where the server did not report it. */
+    /**
+     * Returns the position of the write on the servers' wall clock; the current time if the server did not report it.
+     */
     private long position(LoadReport report) {
         return report != null && report.position() != LoadReport.UNKNOWN_TIME
                 ? clock.toWall(report.position())
@@ -99,7 +105,10 @@
                 copies::onCopyEnded);
     }
 
-    /** Answers the client of a write that waits for copies once both its position and its outcome are copied. */
+    /**
+     * Answers the client of a synchronously replicated write when both its position and its outcome have been
+     * replicated.
+     */
     private final class CopyWait {
         private final PendingWrite write;
         private final ResultRow row;
@@ -119,7 +128,7 @@
                 return;
             }
             if (failed) {
-                requests.failed(write.id()); // nothing is guaranteed of it
+                requests.failed(write.id()); // a later read or resubmission might not see the write
                 long waitedMs = settings.synchronousTimeout() / TENTHS_PER_MS;
                 String outcome = "errored after " + waitedMs + " ms"; // log line: on-call guide
                 log.often("an acked write without copies", outcome); // log line: on-call guide
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
@@ -1,22 +1,22 @@
 package ploverdale.net.postgres;
 
-/** A message of a client, as the reader decoded it. Immutable, but for the bytes of a query's text, which nobody changes. */
+/** A decoded client message. Immutable, except that the array of query bytes is shared and must not be modified. */
 public sealed interface ClientMessage {
 
-    /** Calls the method of the handler that takes this kind of message. */
+    /** Calls the handler's method for this kind of message. */
     void dispatchTo(ClientMessageHandler handler);
 
-    /** Whether the client waits for a response to this query by itself, even if that is an error. */
+    /** Returns whether the client expects a response to this very message, which may be an error. */
     default boolean expectsQueryResponse() {
         return false;
     }
 
-    /** Whether the connection ends with this message. */
+    /** Returns whether the connection is closed after this message. */
     default boolean endsConnection() {
         return false;
     }
 
-    /** The startup message. */
+    /** StartupMessage: the client opens the session. */
     record Startup() implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** SSLRequest or GSSENCRequest. */
+    /** SSLRequest or GSSENCRequest: the client asks for encryption before it sends its startup message. */
     record EncryptionRequest() implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Terminate. */
+    /** Terminate: the client closes the session. */
     record Terminate() implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
@@ -40,7 +40,12 @@
         }
     }
 
-    /** Cancels the requests of the connection whose BackendKeyData holds these two numbers. */
+    /**
+     * Cancels the requests of another connection.
+     *
+     * @param process process id from that connection's BackendKeyData
+     * @param secret secret key from that connection's BackendKeyData
+     */
     record CancelRequest(int process, int secret) implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
@@ -48,7 +53,7 @@
         }
     }
 
-    /** A query without any statement. */
+    /** A query string without a statement. */
     record EmptyQuery() implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
@@ -62,19 +67,19 @@
     }
 
     /**
-     * A query with a statement and the comment that describes its request.
+     * A query with one statement and the comment that describes the request.
      *
-     * @param id names this attempt of the client's
-     * @param requestClass name of the request's class
-     * @param tenant name of the tenant, or empty
+     * @param id the client's id of the request
+     * @param requestClass name of the request class
+     * @param tenant name of the tenant; empty if the comment names none
      * @param group number of the replica group
-     * @param key the first quoted value of the statement, or null
-     * @param timeoutMs for how long the client waits, in milliseconds
-     * @param again whether the client retries
-     * @param afterMs position that a read must reach, as Unix milliseconds; 0 or less: none
-     * @param text the statement as it came
-     * @param timeoutFrom index in the text at which the digits of the timeout begin
-     * @param timeoutTo index behind them
+     * @param key the first text literal of the statement, or null if it has none
+     * @param timeoutMs how long the client waits for the answer, in milliseconds
+     * @param again whether the client has submitted the request before
+     * @param afterMs the position that a read must reach, in Unix milliseconds; 0 or less if there is none
+     * @param text the query string as received, without the terminating zero; not copied
+     * @param timeoutFrom index of the first byte of the timeout in the text
+     * @param timeoutTo index after the last byte of the timeout in the text
      */
     record RequestQuery(
             String id,
@@ -101,9 +106,9 @@
     }
 
     /**
-     * A message of the extended protocol, or a function call, which are not supported.
+     * A message of the extended query protocol, or a function call. Neither is supported.
      *
-     * @param untilSync whether further messages are skipped up to the next Sync
+     * @param untilSync whether all further messages are skipped up to the next Sync
      */
     record UnsupportedMessage(boolean untilSync) implements ClientMessage {
         @Override
@@ -112,7 +117,7 @@
         }
     }
 
-    /** The end of a run of extended messages. */
+    /** Sync: ends a series of extended query messages. */
     record Sync() implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
@@ -121,11 +126,11 @@
     }
 
     /**
-     * Something that cannot be accepted.
+     * A message or query that is rejected because it is malformed, too long or not supported.
      *
-     * @param code SQLSTATE of the answer
-     * @param text message of the answer
-     * @param endsConnection whether the connection ends with it
+     * @param code SQLSTATE of the error response
+     * @param text message of the error response
+     * @param endsConnection whether the connection is closed after the error response
      */
     record InvalidQuery(String code, String text, boolean endsConnection) implements ClientMessage {
         @Override
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageHandler.java
@@ -1,32 +1,32 @@
 package ploverdale.net.postgres;
 
-/** Takes each kind of {@link ClientMessage}; called by {@link ClientMessage#dispatchTo}. */
+/** Handles each kind of {@link ClientMessage}. Its methods are called by {@link ClientMessage#dispatchTo}. */
 public interface ClientMessageHandler {
 
-    /** The client starts the session. */
+    /** Called when the client opens the session. */
     void onStartup(ClientMessage.Startup startup);
 
-    /** The client asks for an encrypted connection. */
+    /** Called when the client asks for an encrypted connection. */
     void onEncryptionRequest(ClientMessage.EncryptionRequest encryption);
 
-    /** The client ends the session. */
+    /** Called when the client closes the session. */
     void onTerminate(ClientMessage.Terminate terminate);
 
-    /** Another connection's requests are to be canceled. */
+    /** Called when the client asks to cancel the requests of another connection. */
     void onCancelRequest(ClientMessage.CancelRequest cancel);
 
-    /** A query without any statement. */
+    /** Called for a query string without a statement. */
     void onEmptyQuery(ClientMessage.EmptyQuery query);
 
-    /** A query that describes a request. */
+    /** Called for a query that describes a request. */
     void onRequestQuery(ClientMessage.RequestQuery query);
 
-    /** A message that is not supported. */
+    /** Called for a message that is not supported. */
     void onUnsupportedMessage(ClientMessage.UnsupportedMessage message);
 
-    /** The end of a run of extended messages. */
+    /** Called at the end of a series of extended query messages. */
     void onSync(ClientMessage.Sync sync);
 
-    /** A message that cannot be accepted. */
+    /** Called for a message or query that is rejected. */
     void onInvalidQuery(ClientMessage.InvalidQuery query);
 }
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -9,14 +9,18 @@
 import ploverdale.net.postgres.ClientMessage.Terminate;
 import ploverdale.net.postgres.ClientMessage.UnsupportedMessage;
 
-/** Decodes what one client writes. Used by the thread that owns the connection. */
+/** Decodes the byte stream of one client connection into messages. Used only by the thread that owns the connection. */
 public final class ClientMessageReader {
-    /** The longest value that a request may carry or a server may answer, in bytes. */
+    /** Maximum size in bytes of a value in a request or in a server's row. */
     public static final int MAX_VALUE_BYTES = 64 * 1024;
 
     private static final int MAX_STARTUP_BYTES = 10_000;
-    private static final int MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 8 * 1024; // hex takes two characters a byte
-    private static final int MAX_SKIPPED_BYTES = 1024 * 1024; // a longer message ends the connection unread
+    /** A value in hex takes two characters per byte. */
+    private static final int MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 8 * 1024;
+
+    /** A longer message closes the connection. */
+    private static final int MAX_SKIPPED_BYTES = 1024 * 1024;
+
     private static final int MIN_STARTUP_BYTES = 8;
     private static final int CANCEL_REQUEST_BYTES = 16;
     private static final int HEADER_BYTES = 5; // type and length
@@ -29,29 +33,32 @@
     private final FrameBuffer frames = new FrameBuffer();
     private boolean greeted;
 
-    /** Adds bytes that were received. */
+    /** Appends received bytes. */
     public void feed(Buffer more) {
         frames.feed(more);
     }
 
-    /** Whether the startup message has been read. */
+    /** Returns whether the startup message has been decoded. */
     public boolean greeted() {
         return greeted;
     }
 
-    /** Discards the bytes that are not decoded yet. */
+    /** Discards all received bytes that have not been decoded yet. */
     public void clear() {
         frames.drop(frames.size());
     }
 
-    /** Number of bytes received and not decoded yet. */
+    /** Returns the number of bytes that have been received but not decoded yet. */
     public int held() {
         return frames.size();
     }
 
     /**
-     * Skips the message at the head of the stream, which is incomplete or unacceptable; false, with nothing skipped, where its
-     * header is missing or its length cannot be believed, so that no later message can be found.
+     * Skips the incomplete or unacceptable message at the head of the stream, including the part that is still to be
+     * received.
+     *
+     * @return false, with nothing skipped, if the header is incomplete or the length is out of range, so that the start
+     *     of the next message cannot be found
      */
     public boolean skipMessage() {
         if (!greeted || !frames.skipped() || frames.size() < HEADER_BYTES) {
@@ -65,7 +72,7 @@
         return true;
     }
 
-    /** The next message, or null until more bytes have been received. */
+    /** Decodes the next message; returns null if more bytes are needed. */
     public ClientMessage next() {
         return greeted ? nextMessage() : nextStartup();
     }
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageFields.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageFields.java
@@ -4,7 +4,10 @@
 
 import java.util.Arrays;
 
-/** Reads the fields of one message in order; past its end all are empty and the message counts as truncated. */
+/**
+ * Reads the fields of one message in order. A read past the end returns an empty value and marks the message as
+ * truncated.
+ */
 final class MessageFields {
     private final byte[] bytes;
     private int position;
@@ -14,15 +17,17 @@
         this.bytes = bytes;
     }
 
-    /** Whether a field was read that the message did not hold completely. */
+    /** Returns whether a field that was read extends past the end of the message. */
     boolean truncated() {
         return truncated;
     }
 
+    /** Returns the number of bytes that have not been read. */
     int remaining() {
         return bytes.length - position;
     }
 
+    /** Reads an unsigned byte. */
     int int8() {
         if (position >= bytes.length) {
             truncated = true;
@@ -39,7 +44,7 @@
         return int8() << 24 | int8() << 16 | int8() << 8 | int8();
     }
 
-    /** Text up to a zero byte. */
+    /** Reads a zero-terminated string. */
     String text() {
         int end = position;
         while (end < bytes.length && bytes[end] != 0) {
@@ -51,7 +56,9 @@
         return text;
     }
 
-    /** Bytes behind their number; null for the number -1. */
+    /**
+     * Reads a value that is preceded by its length in bytes; returns null for the length -1, which stands for SQL NULL.
+     */
     byte[] sizedBytes() {
         int size = int32();
         if (size == -1) {
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -4,18 +4,23 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Encodes what is written to clients and to database servers. */
+/** Encodes the messages to clients and to database servers. */
 public final class MessageWriter {
     private static final int PROTOCOL_VERSION = 3 << 16;
 
     private MessageWriter() {}
 
-    /** To a client: the answer to its startup message, with a BackendKeyData that no cancel request is matched with. */
+    /** Encodes the response to a client's startup message, with a BackendKeyData that no cancel request matches. */
     public static Buffer startupResponse() {
         return startupResponse(0, 0);
     }
 
-    /** To a client: the answer to its startup message; a cancel request names the connection by these two numbers. */
+    /**
+     * Encodes the response to a client's startup message.
+     *
+     * @param process process id by which a cancel request names the connection
+     * @param secret secret key that a cancel request must repeat
+     */
     public static Buffer startupResponse(int process, int secret) {
         Buffer buffer = Buffer.buffer(128);
         buffer.appendByte((byte) 'R').appendInt(8).appendInt(0);
@@ -26,7 +31,7 @@
         return readyForQuery(buffer);
     }
 
-    /** Appends a ParameterStatus message of ASCII text. */
+    /** Appends a ParameterStatus message. Name and value must be ASCII. */
     public static void parameterStatus(Buffer buffer, String name, String value) {
         buffer.appendByte((byte) 'S').appendInt(6 + name.length() + value.length());
         buffer.appendString(name).appendByte((byte) 0);
@@ -37,17 +42,17 @@
         return buffer.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
     }
 
-    /** To a client: the answer to a Sync. */
+    /** Encodes the response to a client's Sync. */
     public static Buffer readyForQuery() {
         return readyForQuery(Buffer.buffer(6));
     }
 
-    /** To a client: the answer to an empty query. */
+    /** Encodes the response to a client's empty query. */
     public static Buffer emptyQueryResponse() {
         return readyForQuery(Buffer.buffer(11).appendByte((byte) 'I').appendInt(4));
     }
 
-    /** To a client: the row as the database server gave it. */
+    /** Encodes a result for a client, with the row unchanged from the database server. */
     public static Buffer resultRow(ResultRow row) {
         int size = row.value() == null ? 0 : row.value().length;
         byte[] name = row.column().name().getBytes(UTF_8);
@@ -68,11 +73,11 @@
     }
 
     /**
-     * To a client: an ErrorResponse.
+     * Encodes an ErrorResponse for a client.
      *
-     * @param detail may be null
-     * @param ends whether the connection ends with it
-     * @param ready whether ReadyForQuery follows
+     * @param detail the detail field, or null to omit it
+     * @param ends whether the connection is closed after it, which makes the error fatal
+     * @param ready whether to append ReadyForQuery
      */
     public static Buffer errorResponse(String code, String text, String detail, boolean ends, boolean ready) {
         String severity = ends ? "FATAL" : "ERROR";
@@ -94,7 +99,7 @@
         fields.appendByte((byte) type).appendString(value).appendByte((byte) 0);
     }
 
-    /** To a server: the startup message. */
+    /** Encodes the startup message to a server. */
     public static Buffer startup() {
         Buffer buffer = Buffer.buffer(48);
         buffer.appendInt(0).appendInt(PROTOCOL_VERSION);
@@ -105,7 +110,11 @@
         return buffer.setInt(0, buffer.length());
     }
 
-    /** To a server: the request's statement as it came, but for the time that the server has for it. */
+    /**
+     * Encodes a request for a server: the client's query unchanged, except that its timeout is replaced.
+     *
+     * @param timeoutMs how long the server may take, in milliseconds
+     */
     public static Buffer request(ClientMessage.RequestQuery query, long timeoutMs) {
         byte[] timeout = Long.toString(timeoutMs).getBytes(UTF_8);
         int size = query.text().length - (query.timeoutTo() - query.timeoutFrom()) + timeout.length;
@@ -116,12 +125,16 @@
         return buffer.appendByte((byte) 0);
     }
 
-    /** To a server: a health check, which asks for the load report where there is one. */
+    /**
+     * Encodes a health check for a server.
+     *
+     * @param forReport whether to ask for the load report
+     */
     public static Buffer healthCheck(boolean forReport) {
         return query(forReport ? "SHOW vitals" : "SELECT 1");
     }
 
-    /** To a server: a query with this text. */
+    /** Encodes a simple query for a server. */
     public static Buffer query(String text) {
         byte[] bytes = text.getBytes(UTF_8);
         Buffer buffer = Buffer.buffer(bytes.length + 6);
--- a/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
@@ -8,7 +8,7 @@
 import ploverdale.net.postgres.ClientMessage.InvalidQuery;
 import ploverdale.net.postgres.ClientMessage.RequestQuery;
 
-/** Parses the one statement of a query and the comment behind it, which describes the request. */
+/** Parses a query string: one statement and the comment that describes the request. */
 final class RequestQueryParser {
     private static final String[] REQUIRED_FIELDS = {"id", "c", "d"};
     private static final double MAX_TIMEOUT_MS = 1e9;
@@ -30,6 +30,11 @@
         this.text = text;
     }
 
+    /**
+     * Parses a query string.
+     *
+     * @return a {@link RequestQuery}, an {@link EmptyQuery} or an {@link InvalidQuery}
+     */
     static ClientMessage parse(byte[] text) {
         RequestQueryParser parser = new RequestQueryParser(text);
         parser.scanStatement();
@@ -54,7 +59,7 @@
         }
     }
 
-    /** Returns the index of the last byte that belongs to what begins at the given index. */
+    /** Scans the token that begins at an index, a quoted value or a single byte. Returns the index of its last byte. */
     private int scanStatementByte(int from) {
         if (statementEnded) {
             invalid = new InvalidQuery("42601", "more than one statement in a query", false);
@@ -64,6 +69,7 @@
         return b == '\'' || b == '"' ? scanQuoted(from, b) : from;
     }
 
+    /** Returns the index of the last byte of the comment. */
     private int scanComment(int from) {
         int end = from + 2;
         while (end + 1 < text.length && !(text[end] == '*' && text[end + 1] == '/')) {
@@ -78,6 +84,7 @@
         return end + 1;
     }
 
+    /** Returns the index of the closing quote. */
     private int scanQuoted(int from, byte quote) {
         int end = from + 1;
         while (end < text.length && (text[end] != quote || end + 1 < text.length && text[end + 1] == quote)) {
@@ -166,6 +173,10 @@
         }
     }
 
+    /**
+     * Parses a plain decimal number; returns NaN for anything else, such as the exponents that Double.parseDouble
+     * accepts.
+     */
     private static double number(String text) {
         boolean plain = !text.isEmpty() && text.length() < MAX_NUMBER_LENGTH;
         for (int i = 0; plain && i < text.length(); i++) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ResultRow.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ResultRow.java
@@ -1,9 +1,9 @@
 package ploverdale.net.postgres;
 
 /**
- * A complete answer: one column with one value.
+ * The complete result of a request: one row with one column.
  *
- * @param value null for SQL's null
- * @param tag of the CommandComplete message
+ * @param value the value; null for SQL NULL
+ * @param tag the command tag of the CommandComplete message
  */
 public record ResultRow(ServerMessage.RowDescription column, byte[] value, String tag) {}
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessage.java
@@ -1,7 +1,7 @@
 package ploverdale.net.postgres;
 
 /**
- * A message of a database server. A message calls the method of a {@link ServerMessageHandler} that belongs to it, so that a new kind
+ * A decoded message of a database server. Messages dispatch themselves to a {@link ServerMessageHandler}, so a new kind
  * of message does not compile until every handler has a method for it.
  */
 public sealed interface ServerMessage {
@@ -9,7 +9,7 @@
     /** Calls the handler's method for this kind of message. */
     void dispatchTo(ServerMessageHandler handler);
 
-    /** The server accepts the connection without a password. */
+    /** AuthenticationOk: the server accepts the connection without a password. */
     record AuthenticationOk() implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -17,7 +17,10 @@
         }
     }
 
-    /** A named value; may precede, accompany or follow the result of a query. */
+    /**
+     * ParameterStatus: the current value of a server setting. May be sent at any time, also within the result of a
+     * query.
+     */
     record ParameterStatus(String name, String value) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -25,7 +28,7 @@
         }
     }
 
-    /** A message that may be ignored: a notice, a notification, a cancellation key. */
+    /** A message that may be ignored: a notice, a notification or a BackendKeyData. */
     record Ignorable() implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -33,7 +36,10 @@
         }
     }
 
-    /** The one column of a row that follows. */
+    /**
+     * RowDescription of the only column of the rows that follow; the components are its fields in the order of the
+     * protocol.
+     */
     record RowDescription(String name, int table, short number, int type, short size, int modifier, short format)
             implements ServerMessage {
         @Override
@@ -42,7 +48,11 @@
         }
     }
 
-    /** The one value of a row; null for SQL's null. */
+    /**
+     * DataRow with the only value of a row.
+     *
+     * @param bytes the value; null for SQL NULL
+     */
     record DataRow(byte[] bytes) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -50,7 +60,7 @@
         }
     }
 
-    /** The end of a statement that succeeded. */
+    /** CommandComplete: the statement has succeeded. */
     record CommandComplete(String tag) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -58,7 +68,12 @@
         }
     }
 
-    /** The end of a statement, or of the connection, that failed. */
+    /**
+     * ErrorResponse: the statement has failed, or the server refuses the connection.
+     *
+     * @param code SQLSTATE; empty if the server sent none
+     * @param text the message; empty if the server sent none
+     */
     record ErrorResponse(String code, String text) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -66,7 +81,11 @@
         }
     }
 
-    /** The server accepts the next query; idle where no transaction is open. */
+    /**
+     * ReadyForQuery: the server accepts the next query.
+     *
+     * @param idle whether no transaction is open
+     */
     record ReadyForQuery(boolean idle) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
@@ -74,7 +93,11 @@
         }
     }
 
-    /** A message that cannot be read, or is not supported. */
+    /**
+     * A message that cannot be decoded or is not supported.
+     *
+     * @param what description of the fault
+     */
     record Malformed(String what) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageHandler.java
@@ -1,35 +1,41 @@
 package ploverdale.net.postgres;
 
 /**
- * Receives the messages of a database server, one method for each kind of {@link ServerMessage}. Called on the thread that owns the
- * connection, in the order in which the server sent them.
+ * Handles each kind of {@link ServerMessage}. Its methods are called on the thread that owns the connection, in the
+ * order in which the server sent the messages.
  */
 public interface ServerMessageHandler {
 
-    /** The server accepts the connection without a password. */
+    /** Called when the server accepts the connection without a password. */
     void onAuthenticationOk(ServerMessage.AuthenticationOk message);
 
-    /** The server reports a named value. */
+    /** Called when the server reports the value of a setting. */
     void onParameterStatus(ServerMessage.ParameterStatus message);
 
-    /** A notice, a notification or a cancellation key; has no effect on any query, so that a handler may leave it out. */
+    /**
+     * Called for a notice, a notification or a BackendKeyData. These do not affect any query, so the default does
+     * nothing.
+     */
     default void onIgnorable(ServerMessage.Ignorable message) {}
 
-    /** A row with this column follows. */
+    /** Called with the column of the rows that follow. */
     void onRowDescription(ServerMessage.RowDescription message);
 
-    /** The one value of the row. */
+    /** Called with the value of a row. */
     void onDataRow(ServerMessage.DataRow message);
 
-    /** The statement succeeded. */
+    /** Called when the statement has succeeded. */
     void onCommandComplete(ServerMessage.CommandComplete message);
 
-    /** The statement failed, or the server refuses the connection. */
+    /** Called when the statement has failed or the server refuses the connection. */
     void onErrorResponse(ServerMessage.ErrorResponse message);
 
-    /** The server accepts the next query. */
+    /** Called when the server accepts the next query. */
     void onReadyForQuery(ServerMessage.ReadyForQuery message);
 
-    /** The bytes received are no message, or none that is supported. Nothing that follows it can be trusted. */
+    /**
+     * Called when the received bytes are not a supported message. Nothing that follows on the connection can be
+     * trusted.
+     */
     void onMalformed(ServerMessage.Malformed message);
 }
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
@@ -11,24 +11,24 @@
 import ploverdale.net.postgres.ServerMessage.ReadyForQuery;
 import ploverdale.net.postgres.ServerMessage.RowDescription;
 
-/** Decodes what one database server writes. Used by the thread that owns the connection. */
+/** Decodes the byte stream of one server connection into messages. Used only by the thread that owns the connection. */
 public final class ServerMessageReader {
     private static final int MAX_MESSAGE_BYTES = ClientMessageReader.MAX_VALUE_BYTES + 8 * 1024;
     private static final int HEADER_BYTES = 5; // type and length
 
     private final FrameBuffer frames = new FrameBuffer();
 
-    /** Adds bytes that were received. */
+    /** Appends received bytes. */
     public void feed(Buffer more) {
         frames.feed(more);
     }
 
-    /** Number of bytes received and not decoded yet. */
+    /** Returns the number of bytes that have been received but not decoded yet. */
     public int held() {
         return frames.size();
     }
 
-    /** The next message, or null until more bytes have been received. */
+    /** Decodes the next message; returns null if more bytes are needed. */
     public ServerMessage next() {
         if (frames.size() < HEADER_BYTES) {
             return null;
@@ -51,7 +51,7 @@
         if (fields.truncated()) {
             return new Malformed("a message of type " + type + " cut short");
         }
-        // A value that was cut by a spoilt length looks complete but for the bytes that are left behind it.
+        // A value cut short by a corrupt length field looks complete, except that bytes are left over after it.
         if (!(message instanceof Ignorable) && fields.remaining() > 0) {
             return new Malformed("a message of type " + type + " longer than its fields");
         }
--- a/gateway/src/main/java/ploverdale/net/postgres/package-info.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The bytes of version 3 of the PostgreSQL protocol: cuts a stream into messages, decodes each once into a small typed value,
- * and encodes each that is written once. Nothing here touches a socket, holds state of a connection beyond bytes that are not
- * decoded yet, allocates memory for a length that has not been checked, or throws at what it reads.
+ * Codec of version 3 of the PostgreSQL protocol: splits a byte stream into messages, decodes each of them once into a
+ * typed value, and encodes outgoing messages. Nothing here uses a socket, keeps connection state other than the startup
+ * phase and bytes that have not been decoded yet, allocates memory for an unchecked length, or throws on malformed
+ * input.
  */
 package ploverdale.net.postgres;
--- a/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -16,7 +16,7 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** What fits a datagram, and which datagrams are rejected. */
+/** The maximum size of datagrams, the rejection of invalid ones, and the decoding of other versions. */
 class DatagramTest {
     private static final ServerObservation PRIMARY = new ServerObservation(
             Role.PRIMARY,
@@ -28,68 +28,70 @@
             LoadReport.UNKNOWN_TIME,
             LoadReport.UNKNOWN_TIME);
 
-    private static byte[] checked(byte[] b) {
+    /** Replaces the checksum by the correct one. */
+    private static byte[] withChecksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(b, 0, b.length - 4);
-        ByteBuffer.wrap(b).putInt(b.length - 4, (int) crc.getValue());
-        return b;
+        crc.update(bytes, 0, bytes.length - 4);
+        ByteBuffer.wrap(bytes).putInt(bytes.length - 4, (int) crc.getValue());
+        return bytes;
     }
 
     @Test
-    void aFullDatagramFits() {
+    void aDatagramWithTheMaximumNumberOfObservationsFitsTheLimit() {
         Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         for (int i = 0; i < DatagramCodec.MAX_OBSERVATIONS; i++) {
             observations.put(ServerHash.of(new ServerId("s-" + i)), PRIMARY);
         }
-        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations));
-        assertThat(b.length).isLessThanOrEqualTo(256).isGreaterThan(220);
-        assertThat(DatagramCodec.decode(b).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, observations));
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations));
+        assertThat(bytes.length).isLessThanOrEqualTo(256).isGreaterThan(220);
+        assertThat(DatagramCodec.decode(bytes).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, observations));
     }
 
     @Property(seed = "11")
-    void noiseIsRejectedAndNeverThrows(@ForAll byte[] noise) {
-        assertThat(DatagramCodec.decode(noise).datagram()).isNull();
-        if (noise.length > 0) {
-            noise[0] = (byte) 0xB1;
+    void randomBytesAreRejectedWithoutAnException(@ForAll byte[] randomBytes) {
+        assertThat(DatagramCodec.decode(randomBytes).datagram()).isNull();
+        if (randomBytes.length > 0) {
+            randomBytes[0] = (byte) 0xB1;
         }
-        if (noise.length >= 14) {
-            DatagramCodec.DecodeResult read = DatagramCodec.decode(checked(noise)); // with a sound checksum
-            assertThat(read.datagram() == null).isNotEqualTo(read.rejection() == null);
+        if (randomBytes.length >= 14) {
+            // With a valid checksum the content is decoded, so the datagram may or may not be accepted.
+            DatagramCodec.DecodeResult result = DatagramCodec.decode(withChecksum(randomBytes));
+            assertThat(result.datagram() == null).isNotEqualTo(result.rejection() == null);
         }
     }
 
     @Test
-    void truncatedDamagedAndForeignDatagramsAreRejectedWithTheReason() {
-        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
-        for (int n = 0; n < b.length; n++) {
-            assertThat(DatagramCodec.decode(Arrays.copyOf(b, n)).rejection())
+    void truncatedCorruptAndForeignDatagramsAreRejectedWithTheReason() {
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
+        for (int length = 0; length < bytes.length; length++) {
+            assertThat(DatagramCodec.decode(Arrays.copyOf(bytes, length)).rejection())
                     .isIn(RejectionReason.TOO_SHORT, RejectionReason.WRONG_CHECKSUM);
         }
         assertThat(DatagramCodec.decode(new byte[257]).rejection()).isEqualTo(RejectionReason.TOO_LONG);
-        byte[] damaged = b.clone();
-        damaged[15] ^= 1;
-        assertThat(DatagramCodec.decode(damaged).rejection()).isEqualTo(RejectionReason.WRONG_CHECKSUM);
-        byte[] foreign = b.clone();
+        byte[] corrupt = bytes.clone();
+        corrupt[15] ^= 1;
+        assertThat(DatagramCodec.decode(corrupt).rejection()).isEqualTo(RejectionReason.WRONG_CHECKSUM);
+        byte[] foreign = bytes.clone();
         foreign[0] = 'x';
         assertThat(DatagramCodec.decode(foreign).rejection()).isEqualTo(RejectionReason.WRONG_MAGIC);
-        byte[] versionZero = b.clone();
+        byte[] versionZero = bytes.clone();
         versionZero[1] = 0;
-        assertThat(DatagramCodec.decode(checked(versionZero)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
-        byte[] shortEntry = b.clone();
+        assertThat(DatagramCodec.decode(withChecksum(versionZero)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
+        byte[] shortEntry = bytes.clone();
         shortEntry[3] = 5;
-        assertThat(DatagramCodec.decode(checked(shortEntry)).rejection()).isEqualTo(RejectionReason.MALFORMED);
-        byte[] badRole = b.clone();
+        assertThat(DatagramCodec.decode(withChecksum(shortEntry)).rejection()).isEqualTo(RejectionReason.MALFORMED);
+        byte[] badRole = bytes.clone();
         badRole[14] = 3;
-        assertThat(DatagramCodec.decode(checked(badRole)).rejection()).isEqualTo(RejectionReason.MALFORMED);
+        assertThat(DatagramCodec.decode(withChecksum(badRole)).rejection()).isEqualTo(RejectionReason.MALFORMED);
     }
 
     @Test
-    void fieldsThatAnOlderVersionsEntryLacksAreUnknown() {
-        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
-        byte[] older = Arrays.copyOf(b, 10 + 7 + 4); // number, role and its age only
-        older[3] = 7;
+    void fieldsMissingInAnEntryOfAnOlderVersionAreUnknown() {
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
+        byte[] olderVersion = Arrays.copyOf(bytes, 10 + 7 + 4); // hash, role and its age only
+        olderVersion[3] = 7;
         ServerObservation observation =
-                DatagramCodec.decode(checked(older)).datagram().observations().get(7);
+                DatagramCodec.decode(withChecksum(olderVersion)).datagram().observations().get(7);
         assertThat(observation)
                 .isEqualTo(new ServerObservation(
                         Role.PRIMARY,
@@ -103,12 +105,12 @@
     }
 
     @Test
-    void unknownFieldsOfANewerVersionsEntryAreIgnored() {
-        byte[] b = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
-        byte[] newer = Arrays.copyOf(b, b.length + 3);
-        newer[1] = 2;
-        newer[3] += 3;
-        assertThat(DatagramCodec.decode(checked(newer)).datagram().observations())
+    void additionalFieldsInAnEntryOfANewerVersionAreIgnored() {
+        byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
+        byte[] newerVersion = Arrays.copyOf(bytes, bytes.length + 3);
+        newerVersion[1] = 2;
+        newerVersion[3] += 3;
+        assertThat(DatagramCodec.decode(withChecksum(newerVersion)).datagram().observations())
                 .isEqualTo(Map.of(7, PRIMARY));
     }
 }
--- a/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
@@ -20,16 +20,18 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** The bytes of each kind of datagram, and of a whole recorded exchange. Gateways of different versions read each other. */
+/**
+ * The bytes of each kind of datagram, and of a whole recorded exchange. Gateways of different versions read each other.
+ */
 class GossipWireFormatTest {
     private static final long MS = 10;
     private static final long NEVER = LoadReport.UNKNOWN_TIME;
 
     private static Map<Integer, ServerObservation> observations(boolean positionsOnly) {
-        Map<Integer, ServerObservation> all = new LinkedHashMap<>();
+        Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         ServerId primary = new ServerId("primary-1");
         ServerId replica = new ServerId("replica-2");
-        all.put(
+        observations.put(
                 positionsOnly ? ServerHash.shortOf(primary) : ServerHash.of(primary),
                 new ServerObservation(
                         Role.PRIMARY,
@@ -40,11 +42,11 @@
                         NOW - 9000 * MS,
                         NOW - 20_000 * MS,
                         NEVER));
-        all.put(
+        observations.put(
                 positionsOnly ? ServerHash.shortOf(replica) : ServerHash.of(replica),
                 new ServerObservation(
                         Role.REPLICA, NOW - 5000 * MS, NEVER, NEVER, NEVER, NOW - 15 * MS, NEVER, NOW - 333 * MS));
-        return all;
+        return observations;
     }
 
     @ParameterizedTest
@@ -56,7 +58,7 @@
         "POSITIONS_TO_RELAY, true, b1010404019b76daa8009f8f804bc5cb7fff52d67ae9",
         "POSITIONS, true, b1010504019b76daa8009f8f804bc5cb7fffa0da7717",
     })
-    void eachKindHasItsBytes(Kind kind, boolean positionsOnly, String expected) {
+    void theEncodingOfEachKindIsUnchanged(Kind kind, boolean positionsOnly, String expected) {
         byte[] bytes = DatagramCodec.encode(new Datagram(kind, NOW, observations(positionsOnly)));
         assertThat(HexFormat.of().formatHex(bytes)).isEqualTo(expected);
         assertThat(DatagramCodec.decode(bytes).datagram().kind()).isEqualTo(kind);
@@ -66,6 +68,7 @@
                 .containsExactlyElementsOf(decoded(kind, positionsOnly));
     }
 
+    /** The fields of the decoded observations, as {@link #fields} returns them. */
     private static List<List<Object>> decoded(Kind kind, boolean positionsOnly) {
         if (!positionsOnly) {
             return List.of(
@@ -78,7 +81,7 @@
                         List.of(1, 75L, 75L, 75L, 75L, -1L, -1L, -1L), List.of(2, 310L, -1L, -1L, 310L, -1L, -1L, -1L));
     }
 
-    /** The parts of an observation, times as ages in milliseconds; -1 where nothing is known. */
+    /** The fields of an observation, with times as ages in milliseconds; -1 if unknown. */
     private static List<Object> fields(ServerObservation observation) {
         return List.of(
                 observation.role().ordinal(),
@@ -96,16 +99,16 @@
     }
 
     @Test
-    void aRedatedDatagramHasItsBytes() {
+    void theEncodingOfADatagramWithAShiftedSendingTimeIsUnchanged() {
         byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations(false)));
         assertThat(HexFormat.of().formatHex(DatagramCodec.shiftSentAt(bytes, -777 * MS)))
                 .isEqualTo(
                         "b1010114019b76daa4f7ab00348f01000c00004b00040003038407d0ffffc71e02d50201f4ffffffffffffff0002ffff0022f95342a5");
     }
 
-    /** Twenty instances for twenty seconds: lost and late datagrams, role changes, an instance that leaves. */
+    /** Runs 20 gateways for 20 seconds, with lost and late datagrams, role changes, and a gateway that shuts down. */
     @Test
-    void aRecordedExchangeIsTheSameByteForByte() {
+    void aSimulatedExchangeSendsTheSameBytesAsRecorded() {
         Exchange exchange = new Exchange(20);
         for (int step = 0; step < 1000; step++) {
             exchange.step(step);
@@ -114,16 +117,16 @@
         assertThat(Long.toHexString(exchange.checksum.getValue())).isEqualTo("b82dd758");
     }
 
-    /** Instances on a network that loses a tenth of all datagrams; its random draws are its own. */
+    /** Gateways on a network that loses a tenth of all datagrams, with a random generator of its own. */
     private static final class Exchange {
         private record Delivery(int from, int to, byte[] bytes) {}
 
-        private final List<GossipProtocol> instances = new ArrayList<>();
+        private final List<GossipProtocol> gateways = new ArrayList<>();
         private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
         private final List<ServerId> servers = new ArrayList<>();
         private final CRC32C checksum = new CRC32C();
         private final SplittableRandom random = new SplittableRandom(43);
-        private List<Delivery> underway = new ArrayList<>();
+        private List<Delivery> inFlight = new ArrayList<>();
         private int sent;
 
         private Exchange(int size) {
@@ -142,29 +145,29 @@
                         id -> own.getOrDefault(id, ServerObservation.NONE));
                 servers.forEach(protocol::addServer);
                 protocol.start(NOW);
-                instances.add(protocol);
+                gateways.add(protocol);
             }
         }
 
         private void step(int step) {
             long now = NOW + step * 20 * MS;
-            List<Delivery> arriving = underway;
-            underway = new ArrayList<>();
-            for (Delivery delivery : arriving) {
+            List<Delivery> toDeliver = inFlight;
+            inFlight = new ArrayList<>();
+            for (Delivery delivery : toDeliver) {
                 if (random.nextInt(10) != 0) {
                     deliver(now, delivery);
                 }
             }
-            for (int i = 0; i < instances.size(); i++) {
+            for (int i = 0; i < gateways.size(); i++) {
                 observe(now, i);
-                checksum.update(instances.get(i).hasPending(now) ? 1 : 0);
-                send(i, instances.get(i).due(now));
+                checksum.update(gateways.get(i).hasPending(now) ? 1 : 0);
+                send(i, gateways.get(i).due(now));
             }
             disturb(step, now);
         }
 
         private void deliver(long now, Delivery delivery) {
-            GossipProtocol to = instances.get(delivery.to());
+            GossipProtocol to = gateways.get(delivery.to());
             GossipProtocol.ReceivedGossip received = to.onDatagram(now, delivery.from(), delivery.bytes());
             Map<ServerId, ServerObservation> own = known.get(delivery.to());
             received.observations().forEach((id, observation) -> {
@@ -180,7 +183,8 @@
             send(delivery.to(), received.replies());
         }
 
-        private void observe(long now, int instance) {
+        /** With some probability, the gateway observes a random server. */
+        private void observe(long now, int gateway) {
             if (random.nextInt(5) != 0) {
                 return;
             }
@@ -196,30 +200,31 @@
                     silent ? now : NEVER,
                     random.nextInt(20) == 0 ? now : NEVER,
                     random.nextInt(20) == 0 ? now : NEVER);
-            known.get(instance).merge(id, observation, ServerObservation::join);
-            instances.get(instance).onRequest();
-            instances.get(instance).onObservationChanged(now, id);
-            instances.get(instance).onPositionObserved(now, id);
+            known.get(gateway).merge(id, observation, ServerObservation::join);
+            gateways.get(gateway).onRequest();
+            gateways.get(gateway).onObservationChanged(now, id);
+            gateways.get(gateway).onPositionObserved(now, id);
         }
 
+        /** Injects late, early and malformed datagrams, a shutdown, a removed server, and forgotten positions. */
         private void disturb(int step, long now) {
             if (step % 97 == 0) {
                 byte[] late =
                         DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, now - 3000 * MS, observations(false)));
-                underway.add(new Delivery(1, 2, late));
+                inFlight.add(new Delivery(1, 2, late));
                 byte[] ahead =
                         DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, now + 100 * MS, observations(false)));
-                underway.add(new Delivery(3, 2, ahead));
-                underway.add(new Delivery(4, 2, new byte[random.nextInt(20)]));
+                inFlight.add(new Delivery(3, 2, ahead));
+                inFlight.add(new Delivery(4, 2, new byte[random.nextInt(20)]));
             }
             if (step == 400) {
-                send(5, instances.get(5).leave(now));
+                send(5, gateways.get(5).leave(now));
             }
             if (step == 450) {
-                instances.forEach(protocol -> protocol.removeServer(servers.get(0)));
+                gateways.forEach(protocol -> protocol.removeServer(servers.get(0)));
             }
             if (step == 500) {
-                instances.get(6).forgetPositions();
+                gateways.get(6).forgetPositions();
                 send(
                         6,
                         List.of(new OutboundPacket(
@@ -233,7 +238,7 @@
                 checksum.update(from);
                 checksum.update(packet.peer());
                 checksum.update(packet.bytes());
-                underway.add(new Delivery(from, packet.peer(), packet.bytes()));
+                inFlight.add(new Delivery(from, packet.peer(), packet.bytes()));
             }
         }
     }
--- a/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
@@ -18,31 +18,31 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** Positions that few gateways observe reach all. */
+/** Positions that only a few gateways observe reach all gateways. */
 class PositionExchangeTest {
-    private static final ServerId R = new ServerId("r");
+    private static final ServerId SERVER = new ServerId("r");
     private static final long MS = 10;
 
     private record Delivery(int from, OutboundPacket packet) {}
 
-    private final Map<Integer, Map<ServerId, ServerObservation>> known = new HashMap<>();
-    private final List<GossipProtocol> all = new ArrayList<>();
+    private final Map<Integer, Map<ServerId, ServerObservation>> observations = new HashMap<>();
+    private final List<GossipProtocol> gateways = new ArrayList<>();
     private int packets;
     private int bytes;
 
-    private void startGateways(int instances, double requestsPerSecond) {
-        for (int i = 0; i < instances; i++) {
-            Map<ServerId, ServerObservation> mine = new HashMap<>();
-            known.put(i, mine);
+    private void startGateways(int gatewayCount, double requestsPerSecond) {
+        for (int i = 0; i < gatewayCount; i++) {
+            Map<ServerId, ServerObservation> own = new HashMap<>();
+            observations.put(i, own);
             GossipProtocol protocol = new GossipProtocol(
                     i,
-                    instances,
+                    gatewayCount,
                     requestsPerSecond,
                     500 * MS,
                     new SplittableRandom(i),
-                    id -> mine.getOrDefault(id, ServerObservation.NONE));
-            protocol.addServer(R);
-            all.add(protocol);
+                    id -> own.getOrDefault(id, ServerObservation.NONE));
+            protocol.addServer(SERVER);
+            gateways.add(protocol);
         }
     }
 
@@ -60,70 +60,70 @@
 
     private void run(long from, long until, Set<Integer> dead) {
         for (long now = from; now < until; now += 20 * MS) {
-            Deque<Delivery> underway = new ArrayDeque<>();
-            for (int i = 0; i < all.size(); i++) {
-                int me = i;
+            Deque<Delivery> inFlight = new ArrayDeque<>();
+            for (int i = 0; i < gateways.size(); i++) {
+                int sender = i;
                 if (!dead.contains(i)) {
-                    all.get(i).due(now).forEach(l -> underway.add(new Delivery(me, l)));
+                    gateways.get(i).due(now).forEach(packet -> inFlight.add(new Delivery(sender, packet)));
                 }
             }
-            while (!underway.isEmpty()) {
-                Delivery delivery = underway.poll();
+            while (!inFlight.isEmpty()) {
+                Delivery delivery = inFlight.poll();
                 packets++;
                 bytes += delivery.packet().bytes().length;
                 if (!dead.contains(delivery.packet().peer())) {
-                    GossipProtocol.ReceivedGossip received = all.get(
+                    GossipProtocol.ReceivedGossip received = gateways.get(
                                     delivery.packet().peer())
                             .onDatagram(now, delivery.from(), delivery.packet().bytes());
                     received.observations()
-                            .forEach((id, x) ->
-                                    known.get(delivery.packet().peer()).merge(id, x, ServerObservation::join));
+                            .forEach((id, accepted) ->
+                                    observations.get(delivery.packet().peer()).merge(id, accepted, ServerObservation::join));
                     received.replies()
-                            .forEach(l ->
-                                    underway.add(new Delivery(delivery.packet().peer(), l)));
+                            .forEach(packet ->
+                                    inFlight.add(new Delivery(delivery.packet().peer(), packet)));
                 }
             }
         }
     }
 
-    private void observe(int instance, long now) {
-        known.get(instance).merge(R, observation(now, now - 3 * MS), ServerObservation::join);
-        all.get(instance).onPositionObserved(now, R);
+    private void observe(int gateway, long now) {
+        observations.get(gateway).merge(SERVER, observation(now, now - 3 * MS), ServerObservation::join);
+        gateways.get(gateway).onPositionObserved(now, SERVER);
     }
 
-    private long knowing(long position) {
-        return known.values().stream()
-                .filter(m -> m.getOrDefault(R, ServerObservation.NONE).position() >= position)
+    private long countGatewaysWithPosition(long position) {
+        return observations.values().stream()
+                .filter(byServer -> byServer.getOrDefault(SERVER, ServerObservation.NONE).position() >= position)
                 .count();
     }
 
     @Test
-    void aPositionReachesAllGatewaysSoonForAFewBytesEach() {
+    void aPositionReachesAllGatewaysWithin300MsWithAFewBytesEach() {
         startGateways(260, 1);
         observe(7, NOW);
         run(NOW, NOW + 300 * MS, Set.of());
-        assertThat(knowing(NOW - 4 * MS)).isEqualTo(260);
+        assertThat(countGatewaysWithPosition(NOW - 4 * MS)).isEqualTo(260);
         assertThat(packets).isLessThan(2 * 260 + 10);
         assertThat(bytes / 260).isLessThan(2 * 20);
     }
 
     @Test
-    void noRelayedPositionIsFresherThanAtItsSource() {
+    void noRelayedPositionIsNewerThanAtItsSource() {
         startGateways(260, 1);
         observe(7, NOW);
         run(NOW, NOW + 1000 * MS, Set.of());
-        known.forEach((i, m) -> {
+        observations.forEach((i, byServer) -> {
             if (i != 7) {
-                assertThat(m.getOrDefault(R, ServerObservation.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
-                assertThat(m.getOrDefault(R, ServerObservation.NONE).positionAt())
+                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
+                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).positionAt())
                         .isLessThanOrEqualTo(NOW);
-                assertThat(m.getOrDefault(R, ServerObservation.NONE).aliveAt()).isLessThanOrEqualTo(NOW);
+                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).aliveAt()).isLessThanOrEqualTo(NOW);
             }
         });
     }
 
     @Test
-    void aDeadCollectorCostsItsTermOnly() {
+    void positionsReachAllGatewaysAfterTheTermOfADeadCollector() {
         startGateways(20, 1);
         Set<Integer> dead = new HashSet<>(Set.of(new PositionExchange(0, 20).collector(NOW)));
         long next = NOW;
@@ -135,12 +135,12 @@
             observe(observer, now);
             run(now, now + 100 * MS, dead);
         }
-        assertThat(knowing(next)).isGreaterThanOrEqualTo(19);
+        assertThat(countGatewaysWithPosition(next)).isGreaterThanOrEqualTo(19);
         assertThat(next - NOW).isLessThanOrEqualTo(6000 * MS);
     }
 
     @Test
-    void eachGatewayBecomesTheCollectorInTime() {
+    void eachGatewayIsTheCollectorInSomeTerm() {
         Set<Integer> collectors = new HashSet<>();
         for (int term = 0; term < 400; term++) {
             collectors.add(new PositionExchange(0, 20).collector(NOW + term * 2000 * MS));
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void nothingIsSentWhereEachGatewayObservesEnoughItself() {
+    void nothingIsSentIfEachGatewayObservesEnoughPositionsItself() {
         startGateways(3, 900);
         observe(1, NOW);
         run(NOW, NOW + 3000 * MS, Set.of());
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -18,11 +18,11 @@
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
 
-/** Observations in any order, lost and duplicated, join to the same or an older one, never a fresher one. */
+/** Reordered, lost and repeated observations join to the same or an older observation, never a newer one. */
 class ServerObservationTest {
-    static final long NOW = 17_672_256_000_000L; // tenths of a ms, Unix
+    static final long NOW = 17_672_256_000_000L; // Unix time in tenths of a millisecond
 
-    /** A time of the last ten seconds, or unknown. */
+    /** A time within the last ten seconds, or unknown. */
     private static Arbitrary<Long> time() {
         return Arbitraries.longs()
                 .between(NOW - 100_000, NOW)
@@ -51,7 +51,7 @@
     }
 
     @Property(seed = "7")
-    void orderAndRepetitionChangeNothing(
+    void theJoinDoesNotDependOnOrderAndRepetition(
             @ForAll @Size(max = 8) List<@From("observations") ServerObservation> observations, @ForAll Random random) {
         List<ServerObservation> other = new ArrayList<>(observations);
         other.addAll(observations.subList(0, observations.size() / 2));
@@ -61,7 +61,7 @@
     }
 
     @Property(seed = "8")
-    void lossMakesOlderNeverFresher(
+    void aLostObservationMakesTheJoinOlderButNeverNewer(
             @ForAll @Size(min = 1, max = 8) List<@From("observations") ServerObservation> observations) {
         ServerObservation part = all(observations.subList(0, observations.size() - 1));
         assertOlder(part, all(observations));
@@ -94,7 +94,7 @@
     }
 
     @Property(seed = "10")
-    void outdatedFieldsAreDroppedButDrainingAndSlowStart(@ForAll("observations") ServerObservation observation) {
+    void outdatedFieldsAreDroppedExceptDrainingAndSlowStart(@ForAll("observations") ServerObservation observation) {
         ServerObservation later = observation.since(NOW + 1);
         assertThat(later.withRoleOlder(0))
                 .isEqualTo(new ServerObservation(
