--- a/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
@@ -12,7 +12,7 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.ServerId;
 
-/** Datagrams between gateways whose service times differ. Times in tenths of a millisecond. */
+/** Datagrams between gateways whose clocks differ. Times in tenths of a millisecond. */
 class ShiftedDatagramTest {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
-    void aPositionIsTheSameForTheReceiverHoweverFarTheSendersClockIsOff(long senderAhead) {
+    void theReceiverSeesTheSamePositionHoweverFarTheSendersClockIsOff(long senderAhead) {
         long position = NOW - 700 * MS;
         byte[] sent = DatagramCodec.encode(new Datagram(
                 Kind.OBSERVATIONS,
@@ -47,12 +47,12 @@
     }
 
     /**
-     * One whose offset is taken for 0 dates positions by the servers' clock and its sending by its own: they stay
-     * what they are.
+     * A sender that wrongly takes its clock offset for 0 dates positions by the servers' clock, but the sending time by
+     * its own clock. The positions must not become newer for the receiver.
      */
     @ParameterizedTest
     @ValueSource(longs = {400 * MS, -400 * MS, -1900 * MS, 5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND})
-    void aSenderWhoseClockIsOffUnnoticedMakesNoPositionFresher(long senderAhead) {
+    void aSenderWithAnUnnoticedClockOffsetMakesNoPositionNewer(long senderAhead) {
         long position = NOW - 3 * SECOND;
         byte[] sent = DatagramCodec.encode(new Datagram(
                 Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER, observation(position, NOW + senderAhead))));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aDamagedDatagramIsReturnedUnchanged() {
+    void aCorruptDatagramIsReturnedUnchanged() {
         byte[] corrupt = DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, NOW, Map.of()));
         corrupt[5] ^= 1;
         assertThat(DatagramCodec.shiftSentAt(corrupt, SECOND)).isSameAs(corrupt);
@@ -80,10 +80,10 @@
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.addServer(server);
         gossip.start(NOW);
-        ServerObservation drained = // a change, which is passed on
+        ServerObservation draining = // draining is a change that is forwarded
                 new ServerObservation(
                         Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
-        gossip.onDatagram(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, drained))));
+        gossip.onDatagram(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, draining))));
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND))
                 .isNotEmpty()
--- a/gateway/src/test/java/ploverdale/membership/MemberStateTransitionsTest.java
+++ b/gateway/src/test/java/ploverdale/membership/MemberStateTransitionsTest.java
@@ -12,7 +12,7 @@
 import ploverdale.membership.Membership.Change;
 import ploverdale.membership.MembershipMessage.Updates;
 
-/** The rows of the table of {@link MemberState}, and the refutation of updates about oneself. */
+/** The transitions in the table of {@link MemberState}, and the refutation of updates about this gateway itself. */
 class MemberStateTransitionsTest {
     private static final long MS = 10;
     private static final long TICK = 20 * MS;
@@ -40,7 +40,7 @@
         membership.onPart(now, OBSERVER, MembershipCodec.encode(updates), queue);
     }
 
-    /** Ticks with the observer in contact, until the member has the state; fails after the limit. */
+    /** Ticks, with the observer in contact, until the member is in the state. Fails after the time limit. */
     private void awaitState(MemberState state, long limit) {
         for (long end = now + limit; membership.state(MEMBER) != state; now += TICK) {
             assertThat(now).as("still %s", membership.state(MEMBER)).isLessThan(end);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anUnknownMemberIsAliveWithItsFirstPacket() {
+    void anUnknownMemberIsAliveAfterItsFirstPacket() {
         assertThat(membership.state(MEMBER)).isEqualTo(MemberState.UNKNOWN);
         memberSends(INCARNATION);
         assertThat(membership.drainChanges())
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aSuspicionOfAnotherIsConfirmedByAProbeBeforeTheTimeout() {
+    void aReportedSuspicionIsConfirmedByAProbeBeforeTheSuspicionTimeout() {
         memberSends(INCARNATION);
         now += FailureDetector.PROTOCOL_PERIOD;
         observerReports(MEMBER, INCARNATION, MemberState.SUSPECT);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aSuspicionIsIgnoredWithinAPeriodOfContact() {
+    void aReportedSuspicionIsIgnoredWithinAProtocolPeriodAfterContact() {
         memberSends(INCARNATION);
         now += FailureDetector.PROTOCOL_PERIOD - 1;
         observerReports(MEMBER, INCARNATION, MemberState.SUSPECT);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void withinAnIncarnationOnlyAStateOfHigherPrecedenceIsTakenOver() {
+    void withinAnIncarnationOnlyAStateOfHigherPrecedenceIsApplied() {
         memberSends(INCARNATION);
         observerReports(MEMBER, INCARNATION, MemberState.LEAVING);
         observerReports(MEMBER, INCARNATION, MemberState.ALIVE);
@@ -124,14 +124,14 @@
     }
 
     @Test
-    void anUpdateAboutALaterStartOfThisGatewayIsRefutedWithAStartOfItsOwn() {
+    void anUpdateAboutALaterStartOfThisGatewayIsRefutedWithAnEvenLaterStart() {
         long later = Incarnation.first(STARTED_MS + 60_000);
         observerReports(SELF, later, MemberState.ALIVE);
         assertThat(Incarnation.startOf(membership.incarnation())).isGreaterThan(Incarnation.startOf(later));
     }
 
     @Test
-    void aGatewayThatLeavesDoesNotRefuteThat() {
+    void aGatewayThatShutsDownDoesNotRefuteAnUpdateThatItIsDead() {
         membership.leave(now);
         observerReports(SELF, INCARNATION, MemberState.DEAD);
         assertThat(membership.incarnation()).isEqualTo(INCARNATION);
--- a/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
@@ -9,7 +9,9 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of each kind of message, and of a whole recorded exchange. Gateways of different versions read each other. */
+/**
+ * The bytes of each kind of message, and of a whole recorded exchange. Gateways of different versions read each other.
+ */
 class MembershipWireFormatTest {
     private static final long MS = 10;
     private static final long STARTED_MS = 1_700_000_000_000L;
@@ -22,7 +24,7 @@
         return new Node(number, MEMBERS, STARTED_MS + number, now);
     }
 
-    /** One member with its queue. */
+    /** A member with its packet queue. */
     private static final class Node {
         private final int number;
         private final Membership membership;
@@ -81,23 +83,23 @@
     private static final String REFUTATION =
             "0:b201c5e7f315a8800badcafe01040000000104120000c5e7f2b40000010001c5e7f315a88001d0cdcdce";
 
-    /** A packet of a member, by which others know it as alive. */
+    /** The first packet of a member, which makes it ALIVE at the receiver. */
     private byte[] firstPacketOf(int number) {
         return node(number).tick(now).get(0).bytes();
     }
 
     @Test
-    void aPingCarriesItsNumberAndUpdates() {
+    void aPingCarriesItsSequenceNumberAndUpdates() {
         assertThat(hex(node(0).tick(now))).containsExactly(PING);
     }
 
     @Test
-    void anAckCarriesTheNumberOfThePing() {
+    void anAckCarriesTheSequenceNumberOfThePing() {
         assertThat(hex(node(2).receive(now, 0, bytes(PING)))).containsExactly(ACK);
     }
 
     @Test
-    void aPingRequestCarriesTheNumberOfThePingAndItsTarget() {
+    void aPingRequestCarriesTheSequenceNumberOfThePingAndItsTarget() {
         Node origin = node(0);
         origin.tick(now);
         origin.receive(now, 1, firstPacketOf(1));
@@ -105,7 +107,7 @@
     }
 
     @Test
-    void aPingRequestIsRelayedAsAPingAndItsAckUnderTheNumberOfTheOrigin() {
+    void aPingRequestIsRelayedAsAPingAndItsAckCarriesTheSequenceNumberOfTheRequest() {
         Node relay = node(1);
         assertThat(hex(relay.receive(now, 0, bytes(PING_REQUEST)))).containsExactly(RELAYED_PING);
         Node target = node(2);
@@ -129,19 +131,19 @@
     }
 
     @Test
-    void anEarlierStartIsCorrectedAndRefutes() {
-        Node later = new Node(1, MEMBERS, STARTED_MS + 50_000, now);
+    void aStartWithAnEarlierTimeIsCorrectedAndRefutesTheCorrection() {
+        Node laterStart = new Node(1, MEMBERS, STARTED_MS + 50_000, now);
         Node observer = node(0);
-        observer.receive(now, 1, later.tick(now).get(0).bytes());
+        observer.receive(now, 1, laterStart.tick(now).get(0).bytes());
         observer.flush(now);
         assertThat(hex(observer.receive(now, 1, firstPacketOf(1)))).containsExactly(CORRECTION);
-        Node earlier = node(1);
-        earlier.receive(now, 0, bytes(CORRECTION));
-        assertThat(hex(earlier.tick(now))).containsExactly(REFUTATION);
+        Node earlierStart = node(1);
+        earlierStart.receive(now, 0, bytes(CORRECTION));
+        assertThat(hex(earlierStart.tick(now))).containsExactly(REFUTATION);
     }
 
     @Test
-    void partsOfUnknownKindAndLongerPartsAreReadAsFarAsKnown() {
+    void partsOfUnknownKindAndAdditionalBytesInPartsAreIgnored() {
         byte[] ping = new byte[] {0, 0, 0, 9, 1, 2, 3};
         Packet packet = new Packet(
                 STARTED_MS << 7,
@@ -158,9 +160,9 @@
                         "0:b201c5e7f2b401000badcafe02040000000904120000c5e7f2b40000010002c5e7f2b4010001e97f38e4");
     }
 
-    /** Sixteen members for a minute: lost packets, crashes, restarts, one that leaves. Every byte and change counts. */
+    /** Runs 16 members for a minute, with lost packets, crashes, restarts, and a shutdown. Checks all bytes and changes. */
     @Test
-    void aRecordedExchangeIsTheSameByteForByte() {
+    void aSimulatedExchangeSendsTheSameBytesAsRecorded() {
         Exchange exchange = new Exchange(16);
         for (int step = 0; step < 3000; step++) {
             exchange.step(step);
@@ -170,14 +172,14 @@
         assertThat(Long.toHexString(exchange.checksum.getValue())).isEqualTo("39976e6b");
     }
 
-    /** Members on a network that loses a tenth of all packets; its random draws are its own. */
+    /** Members on a network that loses a tenth of all packets, with a random generator of its own. */
     private static final class Exchange {
         private record Delivery(int from, int to, byte[] bytes) {}
 
         private final Node[] nodes;
         private final CRC32C checksum = new CRC32C();
         private final SplittableRandom random = new SplittableRandom(42);
-        private List<Delivery> underway = new ArrayList<>();
+        private List<Delivery> inFlight = new ArrayList<>();
         private int sent;
         private int changes;
 
@@ -195,9 +197,9 @@
         private void step(int step) {
             long now = 1000 * MS + step * 20 * MS;
             disturb(step, now);
-            List<Delivery> arriving = underway;
-            underway = new ArrayList<>();
-            for (Delivery delivery : arriving) {
+            List<Delivery> toDeliver = inFlight;
+            inFlight = new ArrayList<>();
+            for (Delivery delivery : toDeliver) {
                 Node to = nodes[delivery.to()];
                 if (to != null && random.nextInt(10) != 0) {
                     send(to.number, to.receive(now, delivery.from(), delivery.bytes()));
@@ -211,13 +213,14 @@
             }
         }
 
+        /** Stops and restarts members and shuts one down. */
         private void disturb(int step, long now) {
             if (step == 300) {
                 nodes[3] = null;
                 nodes[4] = null;
             }
             if (step == 900) {
-                start(3, STARTED_MS - 5000, now); // by a clock that has stepped back
+                start(3, STARTED_MS - 5000, now); // with a wall clock that was set back
             }
             if (step == 1200) {
                 nodes[7].membership.leave(now);
@@ -236,7 +239,7 @@
                 checksum.update(from);
                 checksum.update(packet.to());
                 checksum.update(packet.bytes());
-                underway.add(new Delivery(from, packet.to(), packet.bytes()));
+                inFlight.add(new Delivery(from, packet.to(), packet.bytes()));
             }
         }
 
--- a/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
+++ b/gateway/src/test/java/ploverdale/membership/RestartedMemberTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A process that is started again under its name while its wall clock is behind that of its earlier start. */
+/** A gateway process that is restarted, also while its wall clock is behind that of its earlier start. */
 class RestartedMemberTest {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
@@ -24,7 +24,7 @@
         return new Membership(me, 2, startedMs, new SplittableRandom(me));
     }
 
-    /** Both tick and receive each other's packets. */
+    /** Both members tick and receive each other's packets. */
     private void exchange() {
         peer.onTick(now, peerQueue);
         restarted.onTick(now, restartedQueue);
@@ -58,7 +58,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {5_000, 3_600_000})
-    void aRestartedMemberIsAliveWithinAPeriodUnderANewStart(long behindMs) {
+    void aRestartedMemberIsAliveWithinASecondWithTheIncarnationOfALaterStart(long behindMs) {
         exchangeFor(3 * SECOND);
         long before = restarted.incarnation();
         assertThat(peer.state(1)).isEqualTo(MemberState.ALIVE);
@@ -72,7 +72,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {5_000, 3_600_000})
-    void aMemberThatLeftIsAliveAgainAfterARestart(long behindMs) {
+    void aMemberThatShutDownIsAliveAgainAfterARestart(long behindMs) {
         exchangeFor(3 * SECOND);
         restarted.leave(now);
         exchangeFor(20 * SECOND);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aDelayedPacketOfAnEarlierStartChangesNothing() {
+    void aDelayedPacketOfAnEarlierStartHasNoEffect() {
         exchangeFor(3 * SECOND);
         restart(STARTED_MS + 60_000);
         exchangeFor(3 * SECOND);
--- a/gateway/src/test/java/ploverdale/net/peer/ReplicationCoordinatorTest.java
+++ b/gateway/src/test/java/ploverdale/net/peer/ReplicationCoordinatorTest.java
@@ -31,7 +31,10 @@
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.JsonFields;
 
-/** What becomes of a write by what is recorded of its earlier submission; with one gateway, which is its own replica. */
+/**
+ * How a resubmitted write is answered, depending on the recorded outcome of its first submission. One gateway, its own
+ * replica.
+ */
 class ReplicationCoordinatorTest {
     private static final int READ = 0;
     private static final int WRITE = 1;
@@ -49,7 +52,7 @@
     private final Vertx vertx = SingleLoopVertx.create();
     private final Clock clock = Clock.system();
     private final List<String> decisions = new ArrayList<>();
-    private long wallOffset = -300_000; // the replica starts 30 s ago, longer than outcomes are kept
+    private long wallOffset = -300_000; // the replica starts 30 s in the past, longer than outcomes are retained
     private final ReplicationCoordinator coordinator = coordinator();
 
     private ReplicationCoordinator coordinator() {
@@ -73,7 +76,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().join();
     }
 
-    private void submit(int requestClass, boolean again) {
+    private void submit(int requestClass, boolean resubmitted) {
         coordinator.onRequestArrived(
                 new RequestArrived(
                         REQUEST,
@@ -81,8 +84,8 @@
                         new TenantId(0),
                         new GroupId(0),
                         null,
-                        clock.now() + 100, // too soon for a second look at an earlier submission
-                        again,
+                        clock.now() + 100, // too early to retry the claim of an earlier submission
+                        resubmitted,
                         0,
                         0),
                 null);
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void aWriteThatRanIsAnsweredAsBeforeAndNotRoutedAgain() {
+    void aResubmittedWriteThatSucceededIsAnsweredAsBeforeAndNotRoutedAgain() {
         submit(WRITE, false);
         attempt(Outcome.SUCCEEDED);
         coordinator.succeeded(REQUEST, ROW, null, SERVER);
@@ -109,7 +112,7 @@
     }
 
     @Test
-    void aWriteThatIsProvenNotToHaveRunIsRoutedAgain() {
+    void aResubmittedWriteThatProvablyDidNotRunIsRoutedAgain() {
         submit(WRITE, false);
         attempt(Outcome.REJECTED);
         coordinator.answered(REQUEST);
@@ -118,7 +121,7 @@
     }
 
     @Test
-    void aWriteThatMayHaveRunFailsWhenItIsSubmittedAgain() {
+    void aResubmittedWriteThatMayHaveRunFails() {
         submit(WRITE, false);
         attempt(Outcome.TIMED_OUT);
         coordinator.answered(REQUEST);
@@ -127,7 +130,7 @@
     }
 
     @Test
-    void aWriteWithAnAttemptInFlightKeepsItsClaim() {
+    void aWriteWithAnAttemptInFlightKeepsItsClaimSoThatItsResubmissionFails() {
         submit(WRITE, false);
         coordinator.attemptStarted(REQUEST);
         coordinator.answered(REQUEST);
@@ -135,7 +138,7 @@
         assertThat(decisions).containsExactly("routed", "failed");
     }
 
-    /** Clients that wait for ever. */
+    /** Records what is done with each request; the clients never disconnect. */
     private final class RecordedRequests implements ClientRequests {
         @Override
         public void route(RequestArrived request) {
--- a/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -11,86 +11,87 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codec alone: no sockets. */
+/** Encoding and decoding of PostgreSQL messages, without sockets. */
 class PostgresMessagesTest {
-    private static final String READ =
+    private static final String READ_QUERY =
             "SELECT val FROM state WHERE uid = 'k''1;/*' /* id=a1,c=page,t=north,d=480,cluster=2 */";
 
     static Buffer query(String text) {
         return MessageWriter.query(text);
     }
 
-    private static Buffer first(int length, int code) {
+    private static Buffer startupPacket(int length, int code) {
         return Buffer.buffer().appendInt(length).appendInt(code);
     }
 
-    private static ClientMessageReader greeted() {
-        ClientMessageReader s = new ClientMessageReader();
-        s.feed(MessageWriter.startup());
-        assertThat(s.next()).isInstanceOf(ClientMessage.Startup.class);
-        return s;
+    private static ClientMessageReader readerAfterStartup() {
+        ClientMessageReader reader = new ClientMessageReader();
+        reader.feed(MessageWriter.startup());
+        assertThat(reader.next()).isInstanceOf(ClientMessage.Startup.class);
+        return reader;
     }
 
-    private static String told(ClientMessage m) {
-        return m instanceof ClientMessage.RequestQuery o
-                ? o.id() + " " + o.key() + " " + new String(o.text(), UTF_8)
-                : String.valueOf(m);
+    private static String describe(ClientMessage message) {
+        return message instanceof ClientMessage.RequestQuery request
+                ? request.id() + " " + request.key() + " " + new String(request.text(), UTF_8)
+                : String.valueOf(message);
     }
 
-    private static List<String> read(Buffer all, int piece) {
-        ClientMessageReader s = new ClientMessageReader();
-        List<String> out = new ArrayList<>();
-        for (int i = 0; i < all.length(); i += piece) {
-            s.feed(all.getBuffer(i, Math.min(all.length(), i + piece)));
-            for (ClientMessage m = s.next(); m != null; m = s.next()) {
-                out.add(told(m));
+    private static List<String> decodeInPieces(Buffer stream, int pieceSize) {
+        ClientMessageReader reader = new ClientMessageReader();
+        List<String> messages = new ArrayList<>();
+        for (int i = 0; i < stream.length(); i += pieceSize) {
+            reader.feed(stream.getBuffer(i, Math.min(stream.length(), i + pieceSize)));
+            for (ClientMessage message = reader.next(); message != null; message = reader.next()) {
+                messages.add(describe(message));
             }
         }
-        return out;
+        return messages;
     }
 
     @Test
-    void aClientsBytesMeanTheSameHoweverTheyAreSplit() {
-        Buffer all = first(8, 80877103)
+    void clientMessagesAreDecodedAlikeHoweverTheStreamIsSplit() {
+        Buffer stream = startupPacket(8, 80877103)
                 .appendBuffer(MessageWriter.startup())
-                .appendBuffer(query(READ))
+                .appendBuffer(query(READ_QUERY))
                 .appendBuffer(query(" ; "))
                 .appendBuffer(query("x".repeat(200_000)))
-                .appendBuffer(query(READ))
+                .appendBuffer(query(READ_QUERY))
                 .appendByte((byte) 'S')
                 .appendInt(4)
                 .appendByte((byte) 'X')
                 .appendInt(4);
-        List<String> whole = read(all, all.length());
-        assertThat(whole).hasSize(8);
-        assertThat(whole.get(2)).isEqualTo("a1 k''1;/* " + READ).isEqualTo(whole.get(5));
-        for (int piece : new int[] {1, 2, 3, 5, 64, 4099}) {
-            assertThat(read(all, piece)).as("in pieces of %d", piece).isEqualTo(whole);
+        List<String> expected = decodeInPieces(stream, stream.length());
+        assertThat(expected).hasSize(8);
+        assertThat(expected.get(2)).isEqualTo("a1 k''1;/* " + READ_QUERY).isEqualTo(expected.get(5));
+        for (int pieceSize : new int[] {1, 2, 3, 5, 64, 4099}) {
+            assertThat(decodeInPieces(stream, pieceSize)).as("in pieces of %d", pieceSize).isEqualTo(expected);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {Integer.MIN_VALUE, -1, 0, 3, 2_000_000, Integer.MAX_VALUE})
-    void aHostileLengthEndsTheConnectionBeforeAnythingIsSetAside(int length) {
+    void aMessageWithAnInvalidLengthIsRejectedBeforeItsBodyArrives(int length) {
         for (char type : new char[] {'Q', 'P', 'X'}) {
-            ClientMessageReader s = greeted();
-            s.feed(Buffer.buffer().appendByte((byte) type).appendInt(length));
-            assertThat(s.next())
+            ClientMessageReader reader = readerAfterStartup();
+            reader.feed(Buffer.buffer().appendByte((byte) type).appendInt(length));
+            assertThat(reader.next())
                     .isInstanceOfSatisfying(
                             ClientMessage.InvalidQuery.class,
-                            b -> assertThat(b.endsConnection()).isTrue());
+                            error -> assertThat(error.endsConnection()).isTrue());
         }
-        ClientMessageReader s = new ClientMessageReader();
-        s.feed(first(length, 196608));
-        assertThat(s.next())
+        ClientMessageReader reader = new ClientMessageReader();
+        reader.feed(startupPacket(length, 196608));
+        assertThat(reader.next())
                 .isInstanceOfSatisfying(
                         ClientMessage.InvalidQuery.class,
-                        b -> assertThat(b.endsConnection()).isTrue());
+                        error -> assertThat(error.endsConnection()).isTrue());
         ServerMessageReader server = new ServerMessageReader();
         server.feed(Buffer.buffer().appendByte((byte) 'D').appendInt(length));
         assertThat(server.next()).isInstanceOf(ServerMessage.Malformed.class);
     }
 
+    /** The SQLSTATE must not be one that tells the client that a retry is safe. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -107,79 +108,79 @@
                 "SELECT 1 /* id=1,c=page,d=5,cluster=x */ | 22023",
                 "SELECT 1 /* id=1,c=page,d=1e99 */ | 22023"
             })
-    void aQueryThatNamesNoOpIsAnsweredWithACodeThatNeverMeansRefused(String text, String code) {
-        ClientMessageReader s = greeted();
-        s.feed(query(text));
-        assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, b -> {
-            assertThat(b.code()).isEqualTo(code);
-            assertThat(b.endsConnection()).isFalse();
+    void aQueryWithoutAValidRequestIsAnsweredWithAnErrorAndTheConnectionIsKept(String text, String code) {
+        ClientMessageReader reader = readerAfterStartup();
+        reader.feed(query(text));
+        assertThat(reader.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, error -> {
+            assertThat(error.code()).isEqualTo(code);
+            assertThat(error.endsConnection()).isFalse();
         });
     }
 
     @Test
-    void aValueOfSixtyFourKiloBytesPassesAndOneByteMoreDoesNot() {
+    void aValueOf64KibibytesIsAcceptedAndOneByteMoreIsRejected() {
         String comment = " /* id=1,c=order,d=5 */";
-        ClientMessageReader s = greeted();
-        s.feed(query("INSERT '\\x" + "ab".repeat(65536) + "'" + comment));
-        assertThat(s.next()).isInstanceOf(ClientMessage.RequestQuery.class);
-        s.feed(query("INSERT '\\x" + "ab".repeat(65537) + "'" + comment));
-        assertThat(s.next())
+        ClientMessageReader reader = readerAfterStartup();
+        reader.feed(query("INSERT '\\x" + "ab".repeat(65536) + "'" + comment));
+        assertThat(reader.next()).isInstanceOf(ClientMessage.RequestQuery.class);
+        reader.feed(query("INSERT '\\x" + "ab".repeat(65537) + "'" + comment));
+        assertThat(reader.next())
                 .isInstanceOfSatisfying(
                         ClientMessage.InvalidQuery.class,
-                        b -> assertThat(b.code()).isEqualTo("54000"));
-        s.feed(query(READ));
-        assertThat(s.next()).isInstanceOf(ClientMessage.RequestQuery.class);
+                        error -> assertThat(error.code()).isEqualTo("54000"));
+        reader.feed(query(READ_QUERY));
+        assertThat(reader.next()).isInstanceOf(ClientMessage.RequestQuery.class);
     }
 
     @Test
-    void theStatementGoesOnUnchangedButForTheWait() {
-        ClientMessageReader s = greeted();
-        s.feed(query(READ));
-        Buffer sent = MessageWriter.request((ClientMessage.RequestQuery) s.next(), 79);
-        assertThat(sent).isEqualTo(query(READ.replace("d=480", "d=79")));
+    void aRequestIsForwardedUnchangedExceptForItsTimeout() {
+        ClientMessageReader reader = readerAfterStartup();
+        reader.feed(query(READ_QUERY));
+        Buffer sent = MessageWriter.request((ClientMessage.RequestQuery) reader.next(), 79);
+        assertThat(sent).isEqualTo(query(READ_QUERY.replace("d=480", "d=79")));
     }
 
     @Test
-    void anOpAskHoldsWhatItsCommentSays() {
-        ClientMessageReader s = greeted();
-        s.feed(query("SELECT 'k' /* id=z, c=page ,t=south,d=12.5,cluster=7,after=1767225600123,r=1 */"));
-        assertThat(s.next()).isInstanceOfSatisfying(ClientMessage.RequestQuery.class, o -> {
-            assertThat(List.of(o.id(), o.requestClass(), o.tenant(), o.key()))
+    void theFieldsOfTheCommentAreDecoded() {
+        ClientMessageReader reader = readerAfterStartup();
+        reader.feed(query("SELECT 'k' /* id=z, c=page ,t=south,d=12.5,cluster=7,after=1767225600123,r=1 */"));
+        assertThat(reader.next()).isInstanceOfSatisfying(ClientMessage.RequestQuery.class, request -> {
+            assertThat(List.of(request.id(), request.requestClass(), request.tenant(), request.key()))
                     .containsExactly("z", "page", "south", "k");
-            assertThat(o.timeoutMs()).isEqualTo(12.5);
-            assertThat(o.group()).isEqualTo(7);
-            assertThat(o.afterMs()).isEqualTo(1767225600123L);
-            assertThat(o.again()).isTrue();
+            assertThat(request.timeoutMs()).isEqualTo(12.5);
+            assertThat(request.group()).isEqualTo(7);
+            assertThat(request.afterMs()).isEqualTo(1767225600123L);
+            assertThat(request.again()).isTrue();
         });
     }
 
     @Test
-    void aServersAnswerMeansTheSameHoweverItIsSplitAndAShortOneIsGarbled() {
+    void aServerResponseIsDecodedAlikeHoweverItIsSplitAndATruncatedValueIsMalformed() {
         byte[] value = "va\0lue".getBytes(UTF_8);
         Buffer answer = MessageWriter.resultRow(new ResultRow(
                 new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
                 value,
                 "SELECT 1"));
-        for (int piece = 1; piece <= answer.length(); piece++) {
-            ServerMessageReader s = new ServerMessageReader();
-            List<ServerMessage> out = new ArrayList<>();
-            for (int i = 0; i < answer.length(); i += piece) {
-                s.feed(answer.getBuffer(i, Math.min(answer.length(), i + piece)));
-                for (ServerMessage m = s.next(); m != null; m = s.next()) {
-                    out.add(m);
+        for (int pieceSize = 1; pieceSize <= answer.length(); pieceSize++) {
+            ServerMessageReader reader = new ServerMessageReader();
+            List<ServerMessage> messages = new ArrayList<>();
+            for (int i = 0; i < answer.length(); i += pieceSize) {
+                reader.feed(answer.getBuffer(i, Math.min(answer.length(), i + pieceSize)));
+                for (ServerMessage message = reader.next(); message != null; message = reader.next()) {
+                    messages.add(message);
                 }
             }
-            assertThat(out).hasSize(4);
-            assertThat(((ServerMessage.DataRow) out.get(1)).bytes()).isEqualTo(value);
-            assertThat(out.get(2)).isEqualTo(new ServerMessage.CommandComplete("SELECT 1"));
-            assertThat(out.get(3)).isEqualTo(new ServerMessage.ReadyForQuery(true));
+            assertThat(messages).hasSize(4);
+            assertThat(((ServerMessage.DataRow) messages.get(1)).bytes()).isEqualTo(value);
+            assertThat(messages.get(2)).isEqualTo(new ServerMessage.CommandComplete("SELECT 1"));
+            assertThat(messages.get(3)).isEqualTo(new ServerMessage.ReadyForQuery(true));
         }
-        ServerMessageReader s = new ServerMessageReader();
-        s.feed(Buffer.buffer()
+        ServerMessageReader reader = new ServerMessageReader();
+        reader.feed(Buffer.buffer()
                 .appendByte((byte) 'D')
                 .appendInt(10)
                 .appendShort((short) 1)
                 .appendInt(70_000));
-        assertThat(s.next()).isInstanceOf(ServerMessage.Malformed.class);
+        assertThat(reader.next()).isInstanceOf(ServerMessage.Malformed.class);
     }
 }
