--- a/gateway/src/main/java/ploverdale/gossip/DatagramCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/DatagramCodec.java
@@ -119,10 +119,10 @@
         if (bytes[VERSION_OFFSET] == 0) {
             return RejectionReason.UNKNOWN_VERSION;
         }
-        return hasSoundEntryLength(bytes) ? null : RejectionReason.MALFORMED;
+        return hasValidEntryLength(bytes) ? null : RejectionReason.MALFORMED;
     }
 
-    private static boolean hasSoundEntryLength(byte[] bytes) {
+    private static boolean hasValidEntryLength(byte[] bytes) {
         int kind = Byte.toUnsignedInt(bytes[KIND_OFFSET]);
         int entryBytes = Byte.toUnsignedInt(bytes[ENTRY_LENGTH_OFFSET]);
         if (kind >= KINDS.length) {
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -54,9 +54,9 @@
     /** Number of peers that the last snapshot of this gateway is sent to when it shuts down. */
     private static final int LEAVE_FANOUT = 3;
 
-    private final Function<ServerId, ServerObservation> own;
-    private final double requestsPerSecondHere;
-    private final double boundSeconds;
+    private final Function<ServerId, ServerObservation> ownObservations;
+    private final double ownRequestsPerSecond;
+    private final double stalenessBoundSeconds;
     private final ServerDirectory servers = new ServerDirectory();
     private final SendBudget budget = new SendBudget();
     private final BootstrapSchedule bootstrap = new BootstrapSchedule();
@@ -70,33 +70,33 @@
     /**
      * Creates the protocol without any server; {@link #addServer} adds the listed ones.
      *
-     * @param me the number of this gateway
-     * @param instances the number of gateways
+     * @param self the number of this gateway
+     * @param gatewayCount the number of gateways
      * @param requestsPerSecond expected request rate of all gateways together. Together with the staleness bound it
      *     decides whether the responses to this gateway's own requests report positions often enough
-     * @param bound the tightest staleness bound, in tenths of a millisecond
+     * @param stalenessBound the tightest staleness bound, in tenths of a millisecond
      * @param random source of random numbers; they are drawn in a fixed order, so that a run can be reproduced
-     * @param own returns this gateway's observation of a server, joined with the accepted gossip; never null
+     * @param ownObservations returns this gateway's observation of a server, joined with the accepted gossip; never null
      */
     public GossipProtocol(
-            int me,
-            int instances,
+            int self,
+            int gatewayCount,
             double requestsPerSecond,
-            long bound,
+            long stalenessBound,
             RandomGenerator random,
-            Function<ServerId, ServerObservation> own) {
-        this.own = own;
-        requestsPerSecondHere = requestsPerSecond / instances;
-        boundSeconds = bound / (1000.0 * MS);
-        trust = new PeerTrust(instances);
-        peers = new PeerSelector(me, instances, random);
-        positions = new PositionExchange(me, instances);
-        rumors = new RumorQueue(own, peers, budget);
-        snapshots = new SnapshotBuilder(servers, own);
+            Function<ServerId, ServerObservation> ownObservations) {
+        this.ownObservations = ownObservations;
+        ownRequestsPerSecond = requestsPerSecond / gatewayCount;
+        stalenessBoundSeconds = stalenessBound / (1000.0 * MS);
+        trust = new PeerTrust(gatewayCount);
+        peers = new PeerSelector(self, gatewayCount, random);
+        positions = new PositionExchange(self, gatewayCount);
+        rumors = new RumorQueue(ownObservations, peers, budget);
+        snapshots = new SnapshotBuilder(servers, ownObservations);
     }
 
     /** Returns one packet for each pair of datagram and receiver. */
-    static List<OutboundPacket> address(List<byte[]> datagrams, List<Integer> receivers) {
+    static List<OutboundPacket> toPackets(List<byte[]> datagrams, List<Integer> receivers) {
         List<OutboundPacket> packets = new ArrayList<>();
         for (byte[] bytes : datagrams) {
             receivers.forEach(receiver -> packets.add(new OutboundPacket(receiver, bytes)));
@@ -141,14 +141,14 @@
     public void onObservationChanged(long now, ServerId id) {
         KnownServer server = servers.find(id);
         if (server != null) {
-            rumors.offer(now, server, own.apply(id), KnownServer.NO_PEER);
+            rumors.offer(now, server, ownObservations.apply(id), KnownServer.NO_PEER);
         }
     }
 
     /** Called when a server's response to this gateway has reported the server's log position. */
     public void onPositionObserved(long now, ServerId id) {
         if (needsPeerPositions() && servers.find(id) != null) {
-            positions.recordOwn(now, id, own.apply(id));
+            positions.recordOwn(now, id, ownObservations.apply(id));
         }
     }
 
@@ -156,13 +156,13 @@
      * Called when a server itself has confirmed or refuted the role that gossip reported. Adjusts the trust in the peer
      * that sent it.
      *
-     * @param right whether the reported role was correct
+     * @param correct whether the reported role was correct
      */
-    public void onRoleVerified(long now, ServerId id, boolean right) {
+    public void onRoleVerified(long now, ServerId id, boolean correct) {
         KnownServer server = servers.find(id);
         int peer = server == null ? KnownServer.NO_PEER : server.takeRolePeer();
         if (peer != KnownServer.NO_PEER) {
-            trust.rate(now, peer, right);
+            trust.rate(now, peer, correct);
         }
     }
 
@@ -173,7 +173,7 @@
         if (snapshot.isEmpty()) {
             snapshot = List.of(DatagramCodec.encode(new Datagram(Kind.LEAVE, now, Map.of())));
         }
-        return address(snapshot, receivers);
+        return toPackets(snapshot, receivers);
     }
 
     // -- Receiving
@@ -258,7 +258,7 @@
         if (!snapshot.isEmpty()) {
             budget.spendSnapshot();
         }
-        return address(snapshot, List.of(peer));
+        return toPackets(snapshot, List.of(peer));
     }
 
     // -- Sending
@@ -268,7 +268,7 @@
      * within the staleness bound.
      */
     public boolean needsPeerPositions() {
-        return requestsPerSecondHere * boundSeconds < servers.all().size();
+        return ownRequestsPerSecond * stalenessBoundSeconds < servers.all().size();
     }
 
     /** Returns whether {@link #due} may return packets soon. */
@@ -281,7 +281,7 @@
         budget.refill(now);
         List<OutboundPacket> packets = new ArrayList<>(requestSnapshots(now));
         if (needsPeerPositions()) {
-            packets.addAll(positions.onTick(now, own));
+            packets.addAll(positions.onTick(now, ownObservations));
         }
         packets.addAll(rumors.onTick(now));
         return packets;
@@ -292,15 +292,15 @@
             return List.of();
         }
         byte[] bytes = DatagramCodec.encode(new Datagram(Kind.SNAPSHOT_REQUEST, now, Map.of()));
-        return address(List.of(bytes), peers.choose(now, SNAPSHOT_REQUEST_FANOUT, KnownServer.NO_PEER));
+        return toPackets(List.of(bytes), peers.choose(now, SNAPSHOT_REQUEST_FANOUT, KnownServer.NO_PEER));
     }
 
     private boolean hasUnknownServer() {
-        return servers.all().stream().anyMatch(server -> own.apply(server.id()).aliveAt() == LoadReport.UNKNOWN_TIME);
+        return servers.all().stream().anyMatch(server -> ownObservations.apply(server.id()).aliveAt() == LoadReport.UNKNOWN_TIME);
     }
 
     /** Returns the trust in the roles that a peer reports, from 0 to 1. */
     double trustIn(long now, int peer) {
-        return trust.at(now, peer);
+        return trust.trustAt(now, peer);
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -12,7 +12,7 @@
 final class PeerSelector {
     private static final long MS = 10;
     /** How long a peer that has shut down is not selected; after this time a new process usually runs in its place. */
-    private static final long DEPARTURE_LASTS = 10_000 * MS;
+    private static final long DEPARTURE_DURATION = 10_000 * MS;
     /**
      * Limit of random draws per peer wanted: enough to find them in most cases, and bounded when nearly all peers have
      * shut down.
@@ -27,12 +27,12 @@
      * Creates a selector for which no peer has shut down.
      *
      * @param self the number of this gateway
-     * @param size the number of gateways
+     * @param gatewayCount the number of gateways
      */
-    PeerSelector(int self, int size, RandomGenerator random) {
+    PeerSelector(int self, int gatewayCount, RandomGenerator random) {
         this.self = self;
         this.random = random;
-        leftAt = new long[size];
+        leftAt = new long[gatewayCount];
         Arrays.fill(leftAt, LoadReport.UNKNOWN_TIME);
     }
 
@@ -63,12 +63,12 @@
      */
     List<Integer> choose(long now, int count, int excluded) {
         List<Integer> chosen = new ArrayList<>();
-        int peers = leftAt.length - 1;
-        int wanted = Math.min(count, peers);
+        int peerCount = leftAt.length - 1;
+        int wanted = Math.min(count, peerCount);
         for (int draws = 0; chosen.size() < wanted && draws < DRAWS_PER_PEER * count; draws++) {
-            int drawn = random.nextInt(peers);
+            int drawn = random.nextInt(peerCount);
             int peer = drawn >= self ? drawn + 1 : drawn;
-            if (peer != excluded && !chosen.contains(peer) && now - leftAt[peer] > DEPARTURE_LASTS) {
+            if (peer != excluded && !chosen.contains(peer) && now - leftAt[peer] > DEPARTURE_DURATION) {
                 chosen.add(peer);
             }
         }
--- a/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
@@ -25,16 +25,16 @@
     /**
      * Starts with full trust in all peers.
      *
-     * @param size the number of gateways
+     * @param gatewayCount the number of gateways
      */
-    PeerTrust(int size) {
-        trust = new double[size];
-        updatedAt = new long[size];
+    PeerTrust(int gatewayCount) {
+        trust = new double[gatewayCount];
+        updatedAt = new long[gatewayCount];
         Arrays.fill(trust, 1);
     }
 
     /** Returns the trust in a peer at a time, from 0 to 1. */
-    double at(long now, int peer) {
+    double trustAt(long now, int peer) {
         double missing = (1 - trust[peer]) * Math.exp(-(now - updatedAt[peer]) / RECOVERY_TIME);
         trust[peer] = 1 - missing;
         updatedAt[peer] = now;
@@ -44,18 +44,18 @@
     /**
      * Called when a server itself has confirmed or refuted a role that the peer reported.
      *
-     * @param right whether the reported role was correct
+     * @param correct whether the reported role was correct
      */
-    void rate(long now, int peer, boolean right) {
-        double before = at(now, peer);
-        trust[peer] = right ? before + REWARD_FRACTION * (1 - before) : before * PENALTY_FACTOR;
+    void rate(long now, int peer, boolean correct) {
+        double previous = trustAt(now, peer);
+        trust[peer] = correct ? previous + REWARD_FRACTION * (1 - previous) : previous * PENALTY_FACTOR;
     }
 
     /** Returns the peer's observation with its role made older by the missing trust, or without its role. */
     ServerObservation discount(long now, int peer, ServerObservation observation) {
-        double current = at(now, peer);
-        return current < MIN_TRUST
+        double currentTrust = trustAt(now, peer);
+        return currentTrust < MIN_TRUST
                 ? observation.withoutRole()
-                : observation.withRoleOlder((long) ((1 - current) * MAX_ROLE_DISCOUNT));
+                : observation.withRoleOlder((long) ((1 - currentTrust) * MAX_ROLE_DISCOUNT));
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
+++ b/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
@@ -47,7 +47,7 @@
     private record PositionRecord(long position, Role role, long recordedAt) {}
 
     private final int self;
-    private final int size;
+    private final int gatewayCount;
     private final Map<ServerId, PositionRecord> positions = new LinkedHashMap<>();
     /** Servers whose position this gateway has observed and not reported yet. */
     private final Set<ServerId> pending = new LinkedHashSet<>();
@@ -59,17 +59,17 @@
      * Creates the exchange without any position.
      *
      * @param self the number of this gateway
-     * @param size the number of gateways
+     * @param gatewayCount the number of gateways
      */
-    PositionExchange(int self, int size) {
+    PositionExchange(int self, int gatewayCount) {
         this.self = self;
-        this.size = size;
+        this.gatewayCount = gatewayCount;
     }
 
     /** Returns the number of the gateway that is the collector at a time. */
     int collector(long now) {
         long term = now / COLLECTOR_TERM;
-        return (int) ((term * TERM_MULTIPLIER >>> TERM_HASH_SHIFT) % size);
+        return (int) ((term * TERM_MULTIPLIER >>> TERM_HASH_SHIFT) % gatewayCount);
     }
 
     /** Returns whether this gateway is the collector at a time. */
@@ -92,15 +92,15 @@
     /**
      * Records a position that a peer has sent.
      *
-     * @param at the time at which the position counts as reported
+     * @param reportedAt the time at which the position counts as reported
      */
-    void recordReported(ServerId id, ServerObservation observation, long at) {
+    void recordReported(ServerId id, ServerObservation observation, long reportedAt) {
         if (observation.position() == LoadReport.UNKNOWN_TIME || observation.role() == Role.UNKNOWN) {
             return;
         }
         PositionRecord known = positions.get(id);
         long position = known == null ? observation.position() : Math.max(known.position, observation.position());
-        positions.put(id, new PositionRecord(position, observation.role(), at));
+        positions.put(id, new PositionRecord(position, observation.role(), reportedAt));
     }
 
     /** Drops the positions of all servers. */
@@ -118,9 +118,9 @@
     /**
      * Returns the packets that are due: a broadcast if this gateway is the collector, or else a report.
      *
-     * @param own returns this gateway's observation of a server
+     * @param ownObservations returns this gateway's observation of a server
      */
-    List<OutboundPacket> onTick(long now, Function<ServerId, ServerObservation> own) {
+    List<OutboundPacket> onTick(long now, Function<ServerId, ServerObservation> ownObservations) {
         if (isCollector(now)) {
             pending.clear();
             return now - lastBroadcastAt < BROADCAST_INTERVAL ? List.of() : broadcast(now);
@@ -128,13 +128,13 @@
         if (pending.isEmpty() || now - lastReportAt < REPORT_INTERVAL) {
             return List.of();
         }
-        return report(now, own);
+        return report(now, ownObservations);
     }
 
-    private List<OutboundPacket> report(long now, Function<ServerId, ServerObservation> own) {
+    private List<OutboundPacket> report(long now, Function<ServerId, ServerObservation> ownObservations) {
         Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         for (ServerId id : pending) {
-            ServerObservation observation = own.apply(id);
+            ServerObservation observation = ownObservations.apply(id);
             if (now - observation.positionAt() <= REPORT_MAX_AGE && observation.role() != Role.UNKNOWN) {
                 observations.put(ServerHash.shortOf(id), observation);
             }
@@ -154,12 +154,12 @@
             return List.of();
         }
         lastBroadcastAt = now;
-        boolean isDirect = size - 1 <= MAX_DIRECT_PEERS;
+        boolean isDirect = gatewayCount - 1 <= MAX_DIRECT_PEERS;
         Kind kind = isDirect ? Kind.POSITIONS : Kind.POSITIONS_TO_RELAY;
         byte[] bytes = DatagramCodec.encode(new Datagram(kind, now, observations));
         List<OutboundPacket> packets = new ArrayList<>();
-        for (int rank = 0; rank < size - 1; rank += isDirect ? 1 : groupSize()) {
-            packets.add(new OutboundPacket(receiverOf(rank, self, now), bytes));
+        for (int rank = 0; rank < gatewayCount - 1; rank += isDirect ? 1 : groupSize()) {
+            packets.add(new OutboundPacket(gatewayAtRank(rank, self, now), bytes));
         }
         return packets;
     }
@@ -179,17 +179,17 @@
      * Returns the gateway at a rank in the order of a broadcast. The order rotates from one broadcast to the next, so
      * that a dead relay does not cut off the same gateways each time.
      */
-    private int receiverOf(int rank, int collector, long sentAt) {
-        return (collector + 1 + (rank + rotation(sentAt)) % (size - 1)) % size;
+    private int gatewayAtRank(int rank, int collector, long sentAt) {
+        return (collector + 1 + (rank + rotation(sentAt)) % (gatewayCount - 1)) % gatewayCount;
     }
 
     private int rotation(long sentAt) {
-        return (int) (sentAt / BROADCAST_INTERVAL % (size - 1));
+        return (int) (sentAt / BROADCAST_INTERVAL % (gatewayCount - 1));
     }
 
     /** Returns the size of a relay's group, the relay included. It about equals the number of relays. */
     private int groupSize() {
-        return (int) Math.ceil(Math.sqrt(size - 1));
+        return (int) Math.ceil(Math.sqrt(gatewayCount - 1));
     }
 
     /**
@@ -198,14 +198,14 @@
      */
     List<OutboundPacket> relay(int collector, Datagram broadcast) {
         long sentAt = broadcast.sentAt();
-        int ownRank = Math.floorMod(Math.floorMod(self - collector - 1, size) - rotation(sentAt), size - 1);
+        int ownRank = Math.floorMod(Math.floorMod(self - collector - 1, gatewayCount) - rotation(sentAt), gatewayCount - 1);
         if (ownRank % groupSize() != 0) {
             return List.of();
         }
         byte[] bytes = DatagramCodec.encode(new Datagram(Kind.POSITIONS, sentAt, broadcast.observations()));
         List<OutboundPacket> packets = new ArrayList<>();
-        for (int rank = ownRank + 1; rank < Math.min(ownRank + groupSize(), size - 1); rank++) {
-            packets.add(new OutboundPacket(receiverOf(rank, collector, sentAt), bytes));
+        for (int rank = ownRank + 1; rank < Math.min(ownRank + groupSize(), gatewayCount - 1); rank++) {
+            packets.add(new OutboundPacket(gatewayAtRank(rank, collector, sentAt), bytes));
         }
         return packets;
     }
--- a/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
+++ b/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
@@ -11,28 +11,28 @@
  */
 final class RejectionLog {
     private static final long MS = 10;
-    private static final long LINE_INTERVAL = 10_000 * MS;
+    private static final long LOG_INTERVAL = 10_000 * MS;
 
     private final Map<RejectionReason, Integer> counts = new EnumMap<>(RejectionReason.class);
-    private long lastLineAt = LoadReport.UNKNOWN_TIME;
+    private long lastLoggedAt = LoadReport.UNKNOWN_TIME;
 
     /**
      * Counts a rejected datagram.
      *
-     * @param from the number of the sender
+     * @param sender the number of the sender
      * @return a log line if one is due, or null
      */
-    String record(long now, int from, RejectionReason reason) {
+    String record(long now, int sender, RejectionReason reason) {
         counts.merge(reason, 1, Integer::sum);
-        if (now - lastLineAt < LINE_INTERVAL) {
+        if (now - lastLoggedAt < LOG_INTERVAL) {
             return null;
         }
-        lastLineAt = now;
-        String all = counts.entrySet().stream()
+        lastLoggedAt = now;
+        String summary = counts.entrySet().stream()
                 .map(entry -> entry.getValue() + " " + entry.getKey().logName())
                 .sorted()
                 .collect(Collectors.joining(", "));
         counts.clear();
-        return "words of instances not read: " + all + ", the last of instance " + from;
+        return "words of instances not read: " + summary + ", the last of instance " + sender;
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
+++ b/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
@@ -36,13 +36,13 @@
     }
 
     private final Map<KnownServer, Rumor> rumors = new LinkedHashMap<>();
-    private final Function<ServerId, ServerObservation> own;
+    private final Function<ServerId, ServerObservation> ownObservations;
     private final PeerSelector peers;
     private final SendBudget budget;
 
-    /** @param own returns this gateway's observation of a server */
-    RumorQueue(Function<ServerId, ServerObservation> own, PeerSelector peers, SendBudget budget) {
-        this.own = own;
+    /** @param ownObservations returns this gateway's observation of a server */
+    RumorQueue(Function<ServerId, ServerObservation> ownObservations, PeerSelector peers, SendBudget budget) {
+        this.ownObservations = ownObservations;
         this.peers = peers;
         this.budget = budget;
     }
@@ -84,7 +84,7 @@
         byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, now, observations));
         budget.spend(length * receivers.size());
         due.forEach(server -> endRound(now, server));
-        return GossipProtocol.address(List.of(bytes), receivers);
+        return GossipProtocol.toPackets(List.of(bytes), receivers);
     }
 
     /** Adds the observations that are due to the map, as many as fit into a datagram, and returns their servers. */
@@ -93,14 +93,14 @@
         rumors.forEach((server, rumor) -> {
             if (now >= rumor.nextRoundAt && observations.size() < DatagramCodec.MAX_OBSERVATIONS) {
                 due.add(server);
-                observations.put(ServerHash.of(server.id()), current(now, server));
+                observations.put(ServerHash.of(server.id()), currentObservation(now, server));
             }
         });
         return due;
     }
 
-    private ServerObservation current(long now, KnownServer server) {
-        return own.apply(server.id()).join(server.disseminated()).withoutOutdated(now);
+    private ServerObservation currentObservation(long now, KnownServer server) {
+        return ownObservations.apply(server.id()).join(server.disseminated()).withoutOutdated(now);
     }
 
     /** Returns the peer that sent all of these rumors, or {@link KnownServer#NO_PEER} if there is no such peer. */
--- a/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
+++ b/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
@@ -17,12 +17,12 @@
     private static final int MAX_SERVERS = 60;
 
     private final ServerDirectory servers;
-    private final Function<ServerId, ServerObservation> own;
+    private final Function<ServerId, ServerObservation> ownObservations;
 
-    /** @param own returns this gateway's observation of a server */
-    SnapshotBuilder(ServerDirectory servers, Function<ServerId, ServerObservation> own) {
+    /** @param ownObservations returns this gateway's observation of a server */
+    SnapshotBuilder(ServerDirectory servers, Function<ServerId, ServerObservation> ownObservations) {
         this.servers = servers;
-        this.own = own;
+        this.ownObservations = ownObservations;
     }
 
     /** Returns the encoded datagrams of the snapshot; none if nothing is known. */
@@ -45,7 +45,7 @@
     private Map<Integer, ServerObservation> collect(long now) {
         Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         for (KnownServer server : servers.all()) {
-            ServerObservation observation = own.apply(server.id()).withoutOutdated(now);
+            ServerObservation observation = ownObservations.apply(server.id()).withoutOutdated(now);
             boolean isSent = !observation.equals(ServerObservation.NONE) && servers.isUnambiguous(server);
             if (isSent && observations.size() < MAX_SERVERS) {
                 observations.put(ServerHash.of(server.id()), observation);
--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -77,7 +77,7 @@
     private final RandomGenerator random;
     private final long suspicionTimeout;
     private final Map<Integer, OutstandingPing> outstanding = new LinkedHashMap<>(); // by sequence number
-    private final List<Integer> round = new ArrayList<>(); // the members that are still to be probed in this round
+    private final List<Integer> remainingInRound = new ArrayList<>(); // the members that are still to be probed in this round
     private int lastSequence;
     private boolean started;
     private long nextProbeAt;
@@ -168,11 +168,11 @@
         // The first period has a random length, so that gateways that start together do not probe in lockstep.
         nextProbeAt = started ? Math.max(now, nextProbeAt + PROTOCOL_PERIOD) : now + random.nextLong(PROTOCOL_PERIOD);
         started = true;
-        if (round.isEmpty()) {
+        if (remainingInRound.isEmpty()) {
             beginRound();
         }
-        if (!round.isEmpty()) {
-            probe(now, round.remove(round.size() - 1), false, out);
+        if (!remainingInRound.isEmpty()) {
+            probe(now, remainingInRound.remove(remainingInRound.size() - 1), false, out);
         }
     }
 
@@ -180,10 +180,10 @@
         for (int i = 0; i < members.size(); i++) {
             boolean absent = members.state(i) == MemberState.DEAD || members.state(i) == MemberState.LEAVING;
             if (i != self && (!absent || random.nextInt(ABSENT_PROBE_ROUNDS) == 0)) {
-                round.add(i);
+                remainingInRound.add(i);
             }
         }
-        shuffle(round);
+        shuffle(remainingInRound);
     }
 
     /** Called when an update has newly reported a member as suspected. Probes the suspect with some probability. */
--- a/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
@@ -45,7 +45,7 @@
     private InetSocketAddress address;
     private DatagramSocket socket; // null while no socket is open
     private long reopenDelayMs = FIRST_REOPEN_DELAY_MS;
-    private boolean received;
+    private boolean gossipReceived;
     private boolean closed;
 
     /**
@@ -159,13 +159,14 @@
         if (firstReader.test(from, bytes)) {
             return;
         }
-        if (canDate()) {
-            received = true;
+        if (canConvertTimes()) {
+            gossipReceived = true;
             events.accept(new Event.GossipReceived(from, toServiceTime(bytes)));
         }
     }
 
-    private boolean canDate() {
+    /** Returns whether the sending times of gossip can be converted now. */
+    private boolean canConvertTimes() {
         return serverClock == null || serverClock.isKnown();
     }
 
@@ -179,12 +180,12 @@
 
     @Override
     public boolean hasReceived() {
-        return received;
+        return gossipReceived;
     }
 
     @Override
     public void sendGossip(Action.SendGossip gossip) {
-        if (canDate()) {
+        if (canConvertTimes()) {
             send(gossip.peer(), toWallTime(gossip.bytes()));
         }
     }
--- a/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
@@ -27,7 +27,7 @@
 
     private static final long TENTHS_PER_MS = 10;
     private static final long NANOS_PER_TENTH_MS = 100_000;
-    private static final long FIGURES_INTERVAL_MS = 60_000;
+    private static final long STATISTICS_INTERVAL_MS = 60_000;
 
     private final Log log;
     private final DatagramSender sender;
@@ -50,7 +50,7 @@
                 () -> clock.clock().nanos() / NANOS_PER_TENTH_MS,
                 clock::wallNow);
         vertx.setPeriodic(QuotaNode.TICK_INTERVAL / TENTHS_PER_MS, x -> onPackets(node.onTick()));
-        vertx.setPeriodic(FIGURES_INTERVAL_MS, x -> log.line(node.statisticsLine()));
+        vertx.setPeriodic(STATISTICS_INTERVAL_MS, x -> log.line(node.statisticsLine()));
         writeLogLines();
     }
 
--- a/gateway/src/main/java/ploverdale/net/peer/PendingWrite.java
+++ b/gateway/src/main/java/ploverdale/net/peer/PendingWrite.java
@@ -8,7 +8,7 @@
 /** A write without a final answer, with what its attempts prove about whether it ran. Used on the event loop only. */
 final class PendingWrite {
     private final RequestArrived request;
-    private final boolean waitsForCopies;
+    private final boolean synchronous;
     private final long arrivedAt;
     private ClaimId claim;
     private int attemptsInFlight;
@@ -17,13 +17,13 @@
     /**
      * Creates a write without a claim and without attempts.
      *
-     * @param waitsForCopies whether the client is answered only after a majority of the replicas has stored the entries
+     * @param synchronous whether the client is answered only after a majority of the replicas has stored the entries
      *     of the write
      * @param arrivedAt when the request arrived, on the servers' wall clock, in tenths of a millisecond
      */
-    PendingWrite(RequestArrived request, boolean waitsForCopies, long arrivedAt) {
+    PendingWrite(RequestArrived request, boolean synchronous, long arrivedAt) {
         this.request = request;
-        this.waitsForCopies = waitsForCopies;
+        this.synchronous = synchronous;
         this.arrivedAt = arrivedAt;
     }
 
@@ -35,8 +35,8 @@
         return request.request();
     }
 
-    boolean waitsForCopies() {
-        return waitsForCopies;
+    boolean isSynchronous() {
+        return synchronous;
     }
 
     long arrivedAt() {
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -31,7 +31,7 @@
  * <p>Used on the event loop only.
  */
 public final class ReplicationCoordinator implements RequestHistory {
-    private static final long DEPARTED_CLIENTS_CHECK_MS = 1000;
+    private static final long DISCONNECTED_CLIENTS_CHECK_INTERVAL_MS = 1000;
     private static final long TENTHS_PER_MS = 10;
 
     private final Vertx vertx;
@@ -62,14 +62,14 @@
         positions = new SessionPositionLookup(log, requests, replicas, clock);
         claims = new WriteClaims(vertx, log, requests, settings, replicas, clock, writes::remove);
         recorder = new WriteRecorder(log, requests, settings, replicas, clock);
-        vertx.setPeriodic(DEPARTED_CLIENTS_CHECK_MS, x -> releaseWritesOfDepartedClients());
+        vertx.setPeriodic(DISCONNECTED_CLIENTS_CHECK_INTERVAL_MS, x -> endWritesOfDisconnectedClients());
     }
 
     /**
      * Ends the writes of clients that have disconnected. A client may disconnect while its write still waits here for a
      * claim; then no attempt is made, whose end would call {@link #attemptEnded}.
      */
-    private void releaseWritesOfDepartedClients() {
+    private void endWritesOfDisconnectedClients() {
         List.copyOf(writes.keySet()).stream()
                 .filter(request -> !requests.isPending(request))
                 .forEach(this::answered);
--- a/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -20,7 +20,7 @@
     private final ReplicaRequests replicas;
     private final ServerClock clock;
     /** The lower 16 bits of the hash of the server at which the last write through this gateway succeeded, by group. */
-    private final Map<GroupId, Integer> lastWriters = new HashMap<>();
+    private final Map<GroupId, Integer> lastWriteServers = new HashMap<>();
 
     SessionPositionLookup(Log log, ClientRequests requests, ReplicaRequests replicas, ServerClock clock) {
         this.log = log;
@@ -43,13 +43,13 @@
      * @param server the lower 16 bits of the server's hash
      */
     void writeSucceeded(GroupId group, int server) {
-        lastWriters.put(group, server);
+        lastWriteServers.put(group, server);
     }
 
     private void onPosition(RequestArrived read, QuorumResult result, long arrivedAt) {
         boolean known = result.status() == Status.POSITION_KNOWN;
-        int lastWriter = lastWriters.getOrDefault(read.group(), result.server());
-        if (known && result.server() >= 0 && result.server() != lastWriter) {
+        int lastWriteServer = lastWriteServers.getOrDefault(read.group(), result.server());
+        if (known && result.server() >= 0 && result.server() != lastWriteServer) {
             log.often(
                     "a session over a takeover",
                     "its last write was acked by another server than the group's last"); // log line: on-call guide
--- a/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -28,10 +28,10 @@
     private final ReplicationSettings settings;
     private final ReplicaRequests replicas;
     private final ServerClock clock;
-    private final Consumer<RequestId> forget;
+    private final Consumer<RequestId> removeWrite;
 
     /**
-     * @param forget is called with the id of each write that is not routed: it is answered here, or its client has
+     * @param removeWrite is called with the id of each write that is not routed: it is answered here, or its client has
      *     disconnected
      */
     WriteClaims(
@@ -41,14 +41,14 @@
             ReplicationSettings settings,
             ReplicaRequests replicas,
             ServerClock clock,
-            Consumer<RequestId> forget) {
+            Consumer<RequestId> removeWrite) {
         this.vertx = vertx;
         this.log = log;
         this.requests = requests;
         this.settings = settings;
         this.replicas = replicas;
         this.clock = clock;
-        this.forget = forget;
+        this.removeWrite = removeWrite;
     }
 
     /** Routes the write when its claim is granted, or answers it with the outcome of its earlier submission. */
@@ -63,13 +63,13 @@
         if (result.status() == Status.GRANTED) {
             onGranted(write, result);
         } else if (!requests.isPending(write.id())) {
-            forget.accept(write.id());
+            removeWrite.accept(write.id());
         } else if (result.status() == Status.ALREADY_EXECUTED) {
-            onRanBefore(write, result.response());
+            onAlreadyExecuted(write, result.response());
         } else if (hasTimeForAnotherClaim(write)) {
             vertx.setTimer(RETRY_INTERVAL_MS, x -> claim(write));
         } else {
-            forget.accept(write.id());
+            removeWrite.accept(write.id());
             requests.failed(write.id());
             log.often("a write submitted before", "errored, since it may have run"); // log line: on-call guide
         }
@@ -81,12 +81,12 @@
             requests.route(write.request());
             return;
         }
-        forget.accept(write.id());
+        removeWrite.accept(write.id());
         release(write); // the client has disconnected, and no attempt was made
     }
 
-    private void onRanBefore(PendingWrite write, byte[] encodedRow) {
-        forget.accept(write.id());
+    private void onAlreadyExecuted(PendingWrite write, byte[] encodedRow) {
+        removeWrite.accept(write.id());
         if (encodedRow.length > 0) {
             requests.succeededBefore(write.id(), encodedRow);
         } else {
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -54,17 +54,17 @@
             log.often("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
             return;
         }
-        CopyWait copies = new CopyWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
-        if (!write.waitsForCopies() || copies.missing == 0) {
+        ReplicationWait replication = new ReplicationWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
+        if (!write.isSynchronous() || replication.pendingEntries == 0) {
             requests.succeeded(write.id(), row);
         }
-        long remaining = write.request().timeoutAt() - clock.now();
-        long timeLimit = Math.max(1, Math.min(settings.synchronousTimeout(), remaining));
+        long remainingTime = write.request().timeoutAt() - clock.now();
+        long timeLimit = Math.max(1, Math.min(settings.synchronousTimeout(), remainingTime));
         if (recordsPosition) {
-            recordPosition(write, session, position(report), server, timeLimit, copies);
+            recordPosition(write, session, position(report), server, timeLimit, replication);
         }
         if (write.hasClaim()) {
-            recordOutcome(write, row, timeLimit, copies);
+            recordOutcome(write, row, timeLimit, replication);
         }
     }
 
@@ -78,7 +78,7 @@
     }
 
     private void recordPosition(
-            PendingWrite write, SessionId session, long position, ServerId server, long timeLimit, CopyWait copies) {
+            PendingWrite write, SessionId session, long position, ServerId server, long timeLimit, ReplicationWait replication) {
         replicas.start(
                 (store, now, packets) -> store.writePosition(
                         now,
@@ -86,12 +86,12 @@
                         position,
                         ServerHash.of(server),
                         timeLimit,
-                        write.waitsForCopies(),
+                        write.isSynchronous(),
                         packets),
-                copies::onCopyEnded);
+                replication::onEntryResult);
     }
 
-    private void recordOutcome(PendingWrite write, ResultRow row, long timeLimit, CopyWait copies) {
+    private void recordOutcome(PendingWrite write, ResultRow row, long timeLimit, ReplicationWait replication) {
         replicas.start(
                 (store, now, packets) -> store.writeOutcome(
                         now,
@@ -100,31 +100,31 @@
                         ClaimState.SUCCEEDED,
                         MessageWriter.resultRow(row).getBytes(),
                         timeLimit,
-                        write.waitsForCopies(),
+                        write.isSynchronous(),
                         packets),
-                copies::onCopyEnded);
+                replication::onEntryResult);
     }
 
     /**
      * Answers the client of a synchronously replicated write when both its position and its outcome have been
      * replicated.
      */
-    private final class CopyWait {
+    private final class ReplicationWait {
         private final PendingWrite write;
         private final ResultRow row;
-        private int missing;
+        private int pendingEntries;
         private boolean failed;
 
-        private CopyWait(PendingWrite write, ResultRow row, int missing) {
+        private ReplicationWait(PendingWrite write, ResultRow row, int pendingEntries) {
             this.write = write;
             this.row = row;
-            this.missing = missing;
+            this.pendingEntries = pendingEntries;
         }
 
-        private void onCopyEnded(QuorumResult result) {
+        private void onEntryResult(QuorumResult result) {
             failed |= result.status() != Status.REPLICATED;
-            missing--;
-            if (missing > 0) {
+            pendingEntries--;
+            if (pendingEntries > 0) {
                 return;
             }
             if (failed) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -31,7 +31,7 @@
     private static final String MESSAGE_TYPES = "QXSPBDECHFdcfp";
 
     private final FrameBuffer frames = new FrameBuffer();
-    private boolean greeted;
+    private boolean startupReceived;
 
     /** Appends received bytes. */
     public void feed(Buffer more) {
@@ -39,8 +39,8 @@
     }
 
     /** Returns whether the startup message has been decoded. */
-    public boolean greeted() {
-        return greeted;
+    public boolean startupReceived() {
+        return startupReceived;
     }
 
     /** Discards all received bytes that have not been decoded yet. */
@@ -61,7 +61,7 @@
      *     of the next message cannot be found
      */
     public boolean skipMessage() {
-        if (!greeted || !frames.skipped() || frames.size() < HEADER_BYTES) {
+        if (!startupReceived || !frames.isSkipComplete() || frames.size() < HEADER_BYTES) {
             return false;
         }
         int length = frames.int32(1);
@@ -74,7 +74,7 @@
 
     /** Decodes the next message; returns null if more bytes are needed. */
     public ClientMessage next() {
-        return greeted ? nextMessage() : nextStartup();
+        return startupReceived ? nextMessage() : nextStartup();
     }
 
     private ClientMessage nextStartup() {
@@ -90,20 +90,20 @@
         }
         int code = frames.int32(4);
         if (code == CANCEL_REQUEST) {
-            return cancelRequest(length);
+            return decodeCancelRequest(length);
         }
         frames.drop(length);
         if (code == SSL_REQUEST || code == GSS_ENCRYPTION_REQUEST) {
             return new EncryptionRequest();
         }
-        greeted = code >> 16 == PROTOCOL_MAJOR_VERSION;
-        if (greeted) {
+        startupReceived = code >> 16 == PROTOCOL_MAJOR_VERSION;
+        if (startupReceived) {
             return new Startup();
         }
         return new InvalidQuery("0A000", "protocol " + (code >> 16) + "." + (code & 0xffff) + " is not spoken", true);
     }
 
-    private ClientMessage cancelRequest(int length) {
+    private ClientMessage decodeCancelRequest(int length) {
         ClientMessage request =
                 length == CANCEL_REQUEST_BYTES ? new CancelRequest(frames.int32(8), frames.int32(12)) : new Terminate();
         frames.drop(length);
@@ -111,7 +111,7 @@
     }
 
     private ClientMessage nextMessage() {
-        if (!frames.skipped() || frames.size() < HEADER_BYTES) {
+        if (!frames.isSkipComplete() || frames.size() < HEADER_BYTES) {
             return null;
         }
         char type = (char) frames.int8(0);
@@ -124,16 +124,16 @@
         }
         if (type != 'Q') {
             frames.skip(1 + length);
-            return withoutQuery(type);
+            return decodeOtherThanQuery(type);
         }
         if (length > MAX_QUERY_BYTES) {
             frames.skip(1 + length);
             return new InvalidQuery("54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
         }
-        return frames.size() < 1 + length ? null : query(length);
+        return frames.size() < 1 + length ? null : decodeQuery(length);
     }
 
-    private static ClientMessage withoutQuery(char type) {
+    private static ClientMessage decodeOtherThanQuery(char type) {
         return switch (type) {
             case 'X' -> new Terminate();
             case 'S' -> new Sync();
@@ -141,11 +141,11 @@
         };
     }
 
-    private ClientMessage query(int length) {
+    private ClientMessage decodeQuery(int length) {
         byte[] text = frames.bytes(HEADER_BYTES, Math.max(0, length - HEADER_BYTES));
-        boolean complete = length >= HEADER_BYTES && frames.int8(length) == 0;
+        boolean terminated = length >= HEADER_BYTES && frames.int8(length) == 0;
         frames.drop(1 + length);
-        if (!complete) {
+        if (!terminated) {
             return new InvalidQuery("08P01", "a query without its closing zero", false);
         }
         return RequestQueryParser.parse(text);
--- a/gateway/src/main/java/ploverdale/net/postgres/FrameBuffer.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/FrameBuffer.java
@@ -16,40 +16,40 @@
     private static final int MAX_IDLE_CAPACITY = 4096;
 
 
-    private byte[] held = new byte[0];
-    private int from;
-    private int to;
+    private byte[] buffer = new byte[0];
+    private int start;
+    private int end;
     private int bytesToSkip;
 
     /** Appends received bytes, except those that are still to be skipped. */
     void feed(Buffer more) {
-        int skippedNow = Math.min(bytesToSkip, more.length());
-        bytesToSkip -= skippedNow;
-        int size = more.length() - skippedNow;
-        if (to + size > held.length) {
-            growFor(size);
+        int skipped = Math.min(bytesToSkip, more.length());
+        bytesToSkip -= skipped;
+        int size = more.length() - skipped;
+        if (end + size > buffer.length) {
+            growBy(size);
         }
-        more.getBytes(skippedNow, more.length(), held, to);
-        to += size;
+        more.getBytes(skipped, more.length(), buffer, end);
+        end += size;
     }
 
-    private void growFor(int size) {
+    private void growBy(int size) {
         int doubled = Math.min(2 * size(), MAX_CAPACITY_AHEAD);
-        byte[] wider = new byte[Math.max(MIN_CAPACITY, Math.max(size() + size, doubled))];
-        System.arraycopy(held, from, wider, 0, size());
-        held = wider;
-        to -= from;
-        from = 0;
+        byte[] larger = new byte[Math.max(MIN_CAPACITY, Math.max(size() + size, doubled))];
+        System.arraycopy(buffer, start, larger, 0, size());
+        buffer = larger;
+        end -= start;
+        start = 0;
     }
 
     /** Returns the number of buffered bytes. */
     int size() {
-        return to - from;
+        return end - start;
     }
 
     /** Returns the unsigned byte at an index from the start of the buffered bytes. */
     int int8(int index) {
-        return held[from + index] & 0xff;
+        return buffer[start + index] & 0xff;
     }
 
     /** Returns the big-endian integer at an index from the start of the buffered bytes. */
@@ -59,28 +59,28 @@
 
     /** Returns a copy of {@code size} bytes from an index on. */
     byte[] bytes(int index, int size) {
-        return Arrays.copyOfRange(held, from + index, from + index + size);
+        return Arrays.copyOfRange(buffer, start + index, start + index + size);
     }
 
     /** Discards the first {@code size} buffered bytes. */
     void drop(int size) {
-        from += size;
-        if (from == to) {
-            from = 0;
-            to = 0;
-            held = held.length > MAX_IDLE_CAPACITY ? new byte[0] : held;
+        start += size;
+        if (start == end) {
+            start = 0;
+            end = 0;
+            buffer = buffer.length > MAX_IDLE_CAPACITY ? new byte[0] : buffer;
         }
     }
 
     /** Discards the next {@code size} bytes, including those that have not been received yet. */
     void skip(int size) {
-        int now = Math.min(size, size());
-        drop(now);
-        bytesToSkip = size - now;
+        int available = Math.min(size, size());
+        drop(available);
+        bytesToSkip = size - available;
     }
 
     /** Returns whether all bytes that are to be skipped have been received. */
-    boolean skipped() {
+    boolean isSkipComplete() {
         return bytesToSkip == 0;
     }
 }
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageFields.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageFields.java
@@ -45,21 +45,21 @@
     }
 
     /** Reads a zero-terminated string. */
-    String text() {
+    String string() {
         int end = position;
         while (end < bytes.length && bytes[end] != 0) {
             end++;
         }
         truncated |= end >= bytes.length;
-        String text = new String(bytes, position, end - position, UTF_8);
+        String value = new String(bytes, position, end - position, UTF_8);
         position = Math.min(bytes.length, end + 1);
-        return text;
+        return value;
     }
 
     /**
      * Reads a value that is preceded by its length in bytes; returns null for the length -1, which stands for SQL NULL.
      */
-    byte[] sizedBytes() {
+    byte[] lengthPrefixedBytes() {
         int size = int32();
         if (size == -1) {
             return null;
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -18,16 +18,16 @@
     /**
      * Encodes the response to a client's startup message.
      *
-     * @param process process id by which a cancel request names the connection
-     * @param secret secret key that a cancel request must repeat
+     * @param processId process id by which a cancel request names the connection
+     * @param secretKey secret key that a cancel request must repeat
      */
-    public static Buffer startupResponse(int process, int secret) {
+    public static Buffer startupResponse(int processId, int secretKey) {
         Buffer buffer = Buffer.buffer(128);
         buffer.appendByte((byte) 'R').appendInt(8).appendInt(0);
         parameterStatus(buffer, "server_version", "15.0");
         parameterStatus(buffer, "client_encoding", "UTF8");
         parameterStatus(buffer, "standard_conforming_strings", "on");
-        buffer.appendByte((byte) 'K').appendInt(12).appendInt(process).appendInt(secret);
+        buffer.appendByte((byte) 'K').appendInt(12).appendInt(processId).appendInt(secretKey);
         return readyForQuery(buffer);
     }
 
@@ -60,9 +60,9 @@
         Buffer buffer = Buffer.buffer(size + name.length + tag.length + 64);
         buffer.appendByte((byte) 'T').appendInt(6 + name.length + 19).appendShort((short) 1);
         buffer.appendBytes(name).appendByte((byte) 0);
-        buffer.appendInt(row.column().table()).appendShort(row.column().number());
-        buffer.appendInt(row.column().type()).appendShort(row.column().size());
-        buffer.appendInt(row.column().modifier()).appendShort(row.column().format());
+        buffer.appendInt(row.column().tableOid()).appendShort(row.column().columnNumber());
+        buffer.appendInt(row.column().typeOid()).appendShort(row.column().typeSize());
+        buffer.appendInt(row.column().typeModifier()).appendShort(row.column().format());
         buffer.appendByte((byte) 'D').appendInt(10 + size).appendShort((short) 1);
         buffer.appendInt(row.value() == null ? -1 : size);
         if (row.value() != null) {
@@ -76,23 +76,23 @@
      * Encodes an ErrorResponse for a client.
      *
      * @param detail the detail field, or null to omit it
-     * @param ends whether the connection is closed after it, which makes the error fatal
-     * @param ready whether to append ReadyForQuery
+     * @param fatal whether the connection is closed after it
+     * @param withReadyForQuery whether a ReadyForQuery message follows
      */
-    public static Buffer errorResponse(String code, String text, String detail, boolean ends, boolean ready) {
-        String severity = ends ? "FATAL" : "ERROR";
+    public static Buffer errorResponse(String code, String message, String detail, boolean fatal, boolean withReadyForQuery) {
+        String severity = fatal ? "FATAL" : "ERROR";
         Buffer fields = Buffer.buffer(128);
         appendField(fields, 'S', severity);
         appendField(fields, 'V', severity);
         appendField(fields, 'C', code);
-        appendField(fields, 'M', text);
+        appendField(fields, 'M', message);
         if (detail != null) {
             appendField(fields, 'D', detail);
         }
         fields.appendByte((byte) 0);
         Buffer buffer = Buffer.buffer(fields.length() + 16);
         buffer.appendByte((byte) 'E').appendInt(4 + fields.length()).appendBuffer(fields);
-        return ready ? readyForQuery(buffer) : buffer;
+        return withReadyForQuery ? readyForQuery(buffer) : buffer;
     }
 
     private static void appendField(Buffer fields, char type, String value) {
@@ -128,10 +128,10 @@
     /**
      * Encodes a health check for a server.
      *
-     * @param forReport whether to ask for the load report
+     * @param requestsLoadReport whether to ask for the load report
      */
-    public static Buffer healthCheck(boolean forReport) {
-        return query(forReport ? "SHOW vitals" : "SELECT 1");
+    public static Buffer healthCheck(boolean requestsLoadReport) {
+        return query(requestsLoadReport ? "SHOW vitals" : "SELECT 1");
     }
 
     /** Encodes a simple query for a server. */
--- a/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
@@ -41,19 +41,19 @@
         if (parser.invalid != null) {
             return parser.invalid;
         }
-        return parser.hasStatement ? parser.requestQuery() : new EmptyQuery();
+        return parser.hasStatement ? parser.toRequestQuery() : new EmptyQuery();
     }
 
     private void scanStatement() {
         for (int i = 0; i < text.length && invalid == null; i++) {
-            byte b = text[i];
-            if (b == '/' && i + 1 < text.length && text[i + 1] == '*') {
+            byte current = text[i];
+            if (current == '/' && i + 1 < text.length && text[i + 1] == '*') {
                 i = scanComment(i);
-            } else if (b == 0) {
+            } else if (current == 0) {
                 invalid = new InvalidQuery("42601", "a zero byte within a query", false);
-            } else if (b == ';') {
+            } else if (current == ';') {
                 statementEnded = hasStatement;
-            } else if (b > ' ' || b < 0) {
+            } else if (current > ' ' || current < 0) {
                 i = scanStatementByte(i);
             }
         }
@@ -65,8 +65,8 @@
             invalid = new InvalidQuery("42601", "more than one statement in a query", false);
         }
         hasStatement = true;
-        byte b = text[from];
-        return b == '\'' || b == '"' ? scanQuoted(from, b) : from;
+        byte first = text[from];
+        return first == '\'' || first == '"' ? scanQuoted(from, first) : from;
     }
 
     /** Returns the index of the last byte of the comment. */
@@ -104,7 +104,7 @@
         return end;
     }
 
-    private ClientMessage requestQuery() {
+    private ClientMessage toRequestQuery() {
         if (commentFrom < 0) {
             return new InvalidQuery("42601", "a query without the comment that names its op", false);
         }
@@ -114,10 +114,10 @@
                 return new InvalidQuery("22023", "a comment without " + name, false);
             }
         }
-        double timeoutMs = number(fields.get("d"));
-        double group = number(fields.getOrDefault("cluster", "0"));
-        double after = number(fields.getOrDefault("after", "0"));
-        if (Double.isNaN(timeoutMs) || Double.isNaN(group) || Double.isNaN(after)) {
+        double timeoutMs = parseNumber(fields.get("d"));
+        double group = parseNumber(fields.getOrDefault("cluster", "0"));
+        double minPositionMs = parseNumber(fields.getOrDefault("after", "0"));
+        if (Double.isNaN(timeoutMs) || Double.isNaN(group) || Double.isNaN(minPositionMs)) {
             return new InvalidQuery("22023", "a number that is none", false);
         }
         if (timeoutMs <= 0 || timeoutMs > MAX_TIMEOUT_MS) {
@@ -131,7 +131,7 @@
                 key,
                 timeoutMs,
                 fields.getOrDefault("r", "0").equals("1"),
-                (long) after,
+                (long) minPositionMs,
                 text,
                 timeoutFrom,
                 timeoutTo);
@@ -177,13 +177,13 @@
      * Parses a plain decimal number; returns NaN for anything else, such as the exponents that Double.parseDouble
      * accepts.
      */
-    private static double number(String text) {
-        boolean plain = !text.isEmpty() && text.length() < MAX_NUMBER_LENGTH;
-        for (int i = 0; plain && i < text.length(); i++) {
-            plain = NUMBER_CHARACTERS.indexOf(text.charAt(i)) >= 0;
+    private static double parseNumber(String text) {
+        boolean isPlainDecimal = !text.isEmpty() && text.length() < MAX_NUMBER_LENGTH;
+        for (int i = 0; isPlainDecimal && i < text.length(); i++) {
+            isPlainDecimal = NUMBER_CHARACTERS.indexOf(text.charAt(i)) >= 0;
         }
         try {
-            return plain ? Double.parseDouble(text) : Double.NaN;
+            return isPlainDecimal ? Double.parseDouble(text) : Double.NaN;
         } catch (NumberFormatException e) {
             return Double.NaN;
         }
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
@@ -43,11 +43,11 @@
         }
         byte[] body = frames.bytes(HEADER_BYTES, length - 4);
         frames.drop(1 + length);
-        return message(type, new MessageFields(body));
+        return decodeMessage(type, new MessageFields(body));
     }
 
-    private static ServerMessage message(char type, MessageFields fields) {
-        ServerMessage message = decode(type, fields);
+    private static ServerMessage decodeMessage(char type, MessageFields fields) {
+        ServerMessage message = decodeFields(type, fields);
         if (fields.truncated()) {
             return new Malformed("a message of type " + type + " cut short");
         }
@@ -58,15 +58,15 @@
         return message;
     }
 
-    private static ServerMessage decode(char type, MessageFields fields) {
+    private static ServerMessage decodeFields(char type, MessageFields fields) {
         return switch (type) {
             case 'R' -> fields.int32() == 0 ? new AuthenticationOk() : new Malformed("a password asked for");
-            case 'S' -> new ParameterStatus(fields.text(), fields.text());
-            case 'T' -> rowDescription(fields);
+            case 'S' -> new ParameterStatus(fields.string(), fields.string());
+            case 'T' -> decodeRowDescription(fields);
             case 'D' ->
-                fields.int16() == 1 ? new DataRow(fields.sizedBytes()) : new Malformed("a row that has not one value");
-            case 'C' -> new CommandComplete(fields.text());
-            case 'E' -> errorResponse(fields);
+                fields.int16() == 1 ? new DataRow(fields.lengthPrefixedBytes()) : new Malformed("a row that has not one value");
+            case 'C' -> new CommandComplete(fields.string());
+            case 'E' -> decodeErrorResponse(fields);
             case 'Z' -> new ReadyForQuery(fields.int8() == 'I');
             case 'N', 'K', 'A' -> new Ignorable();
             case 'I' -> new CommandComplete("");
@@ -74,12 +74,12 @@
         };
     }
 
-    private static ServerMessage rowDescription(MessageFields fields) {
+    private static ServerMessage decodeRowDescription(MessageFields fields) {
         if (fields.int16() != 1) {
             return new Malformed("a row that has not one column");
         }
         return new RowDescription(
-                fields.text(),
+                fields.string(),
                 fields.int32(),
                 fields.int16(),
                 fields.int32(),
@@ -88,17 +88,17 @@
                 fields.int16());
     }
 
-    private static ServerMessage errorResponse(MessageFields fields) {
+    private static ServerMessage decodeErrorResponse(MessageFields fields) {
         String code = "";
-        String text = "";
+        String message = "";
         for (int field = fields.int8(); field != 0 && !fields.truncated(); field = fields.int8()) {
-            String value = fields.text();
+            String value = fields.string();
             if (field == 'C') {
                 code = value;
             } else if (field == 'M') {
-                text = value;
+                message = value;
             }
         }
-        return new ErrorResponse(code, text);
+        return new ErrorResponse(code, message);
     }
 }
