--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -121,7 +121,7 @@
                 new GroupId(query.group()),
                 session(query, requestClass.consistency()),
                 timeoutAt,
-                query.again(),
+                query.resubmitted(),
                 0,
                 tokenAge(query, arrivedAt));
     }
@@ -133,7 +133,7 @@
     }
 
     private long tokenAge(ClientMessage.RequestQuery query, long arrivedAt) {
-        return query.afterMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.afterMs() * TICKS_PER_MS);
+        return query.minPositionMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.minPositionMs() * TICKS_PER_MS);
     }
 
     private void pass(Event.RequestArrived arrival, String key) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
@@ -75,8 +75,8 @@
      * @param group number of the replica group
      * @param key the first text literal of the statement, or null if it has none
      * @param timeoutMs how long the client waits for the answer, in milliseconds
-     * @param again whether the client has submitted the request before
-     * @param afterMs the position that a read must reach, in Unix milliseconds; 0 or less if there is none
+     * @param resubmitted whether the client has submitted the request before
+     * @param minPositionMs the position that a read must reach, in Unix milliseconds; 0 or less if there is none
      * @param text the query string as received, without the terminating zero; not copied
      * @param timeoutFrom index of the first byte of the timeout in the text
      * @param timeoutTo index after the last byte of the timeout in the text
@@ -88,8 +88,8 @@
             long group,
             String key,
             double timeoutMs,
-            boolean again,
-            long afterMs,
+            boolean resubmitted,
+            long minPositionMs,
             byte[] text,
             int timeoutFrom,
             int timeoutTo)
--- a/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -149,8 +149,8 @@
                     .containsExactly("z", "page", "south", "k");
             assertThat(request.timeoutMs()).isEqualTo(12.5);
             assertThat(request.group()).isEqualTo(7);
-            assertThat(request.afterMs()).isEqualTo(1767225600123L);
-            assertThat(request.again()).isTrue();
+            assertThat(request.minPositionMs()).isEqualTo(1767225600123L);
+            assertThat(request.resubmitted()).isTrue();
         });
     }
 
