--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -121,7 +121,7 @@
         QueuedInput next = new QueuedInput.Message(message);
         boolean overloaded = queue.isOverReadAhead() || runtime.memory().isExhausted();
         queue.add(overloaded ? next.rejectedIfRequest(RequestRejection.OVERLOADED) : next);
-        if (message.endsConnection()) {
+        if (message.closesConnection()) {
             endInput();
         }
     }
--- a/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
+++ b/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
@@ -67,7 +67,7 @@
     boolean countRequestsAfterEnd() {
         ClientMessage message = reader.next();
         while (message != null) {
-            if (message.endsConnection()) {
+            if (message.closesConnection()) {
                 if (!reader.skipMessage()) {
                     return false;
                 }
--- a/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
+++ b/gateway/src/main/java/ploverdale/net/client/RefusedConnection.java
@@ -70,7 +70,7 @@
     private int countRequests() {
         int requests = 0;
         ClientMessage message = reader.next();
-        while (message != null && requests < MAX_REQUESTS_ANSWERED && !message.endsConnection()) {
+        while (message != null && requests < MAX_REQUESTS_ANSWERED && !message.closesConnection()) {
             if (message.expectsQueryResponse()) {
                 requests++;
             }
--- a/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
@@ -118,7 +118,7 @@
 
     @Override
     public void onInvalidQuery(ClientMessage.InvalidQuery query) {
-        if (query.endsConnection()) {
+        if (query.closesConnection()) {
             session.rejectAndClose(query.code(), query.text());
         } else if (!skippingToSync) {
             session.rejectInvalidQuery(query.code(), query.text());
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
@@ -12,7 +12,7 @@
     }
 
     /** Returns whether the connection is closed after this message. */
-    default boolean endsConnection() {
+    default boolean closesConnection() {
         return false;
     }
 
@@ -130,9 +130,9 @@
      *
      * @param code SQLSTATE of the error response
      * @param text message of the error response
-     * @param endsConnection whether the connection is closed after the error response
+     * @param closesConnection whether the connection is closed after the error response
      */
-    record InvalidQuery(String code, String text, boolean endsConnection) implements ClientMessage {
+    record InvalidQuery(String code, String text, boolean closesConnection) implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
             handler.onInvalidQuery(this);
@@ -140,7 +140,7 @@
 
         @Override
         public boolean expectsQueryResponse() {
-            return !endsConnection;
+            return !closesConnection;
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -78,14 +78,14 @@
             assertThat(reader.next())
                     .isInstanceOfSatisfying(
                             ClientMessage.InvalidQuery.class,
-                            error -> assertThat(error.endsConnection()).isTrue());
+                            error -> assertThat(error.closesConnection()).isTrue());
         }
         ClientMessageReader reader = new ClientMessageReader();
         reader.feed(startupPacket(length, 196608));
         assertThat(reader.next())
                 .isInstanceOfSatisfying(
                         ClientMessage.InvalidQuery.class,
-                        error -> assertThat(error.endsConnection()).isTrue());
+                        error -> assertThat(error.closesConnection()).isTrue());
         ServerMessageReader server = new ServerMessageReader();
         server.feed(Buffer.buffer().appendByte((byte) 'D').appendInt(length));
         assertThat(server.next()).isInstanceOf(ServerMessage.Malformed.class);
@@ -113,7 +113,7 @@
         reader.feed(query(text));
         assertThat(reader.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, error -> {
             assertThat(error.code()).isEqualTo(code);
-            assertThat(error.endsConnection()).isFalse();
+            assertThat(error.closesConnection()).isFalse();
         });
     }
 
