--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -331,7 +331,7 @@
         if (state == SessionState.INPUT_UNREADABLE) {
             decoder.clear();
         }
-        queue.add(new QueuedInput.Message(new ClientMessage.InvalidQuery(sqlState, message, true)));
+        queue.add(new QueuedInput.Message(new ClientMessage.InvalidMessage(sqlState, message, true)));
         runQueued();
     }
 
--- a/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
@@ -117,11 +117,11 @@
     }
 
     @Override
-    public void onInvalidQuery(ClientMessage.InvalidQuery query) {
-        if (query.closesConnection()) {
-            session.rejectAndClose(query.code(), query.text());
+    public void onInvalidMessage(ClientMessage.InvalidMessage message) {
+        if (message.closesConnection()) {
+            session.rejectAndClose(message.code(), message.message());
         } else if (!skippingToSync) {
-            session.rejectInvalidQuery(query.code(), query.text());
+            session.rejectInvalidQuery(message.code(), message.message());
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
@@ -129,13 +129,13 @@
      * A message or query that is rejected because it is malformed, too long or not supported.
      *
      * @param code SQLSTATE of the error response
-     * @param text message of the error response
+     * @param message message of the error response
      * @param closesConnection whether the connection is closed after the error response
      */
-    record InvalidQuery(String code, String text, boolean closesConnection) implements ClientMessage {
+    record InvalidMessage(String code, String message, boolean closesConnection) implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
-            handler.onInvalidQuery(this);
+            handler.onInvalidMessage(this);
         }
 
         @Override
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageHandler.java
@@ -28,5 +28,5 @@
     void onSync(ClientMessage.Sync sync);
 
     /** Called for a message or query that is rejected. */
-    void onInvalidQuery(ClientMessage.InvalidQuery query);
+    void onInvalidMessage(ClientMessage.InvalidMessage message);
 }
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -3,7 +3,7 @@
 import io.vertx.core.buffer.Buffer;
 import ploverdale.net.postgres.ClientMessage.CancelRequest;
 import ploverdale.net.postgres.ClientMessage.EncryptionRequest;
-import ploverdale.net.postgres.ClientMessage.InvalidQuery;
+import ploverdale.net.postgres.ClientMessage.InvalidMessage;
 import ploverdale.net.postgres.ClientMessage.Startup;
 import ploverdale.net.postgres.ClientMessage.Sync;
 import ploverdale.net.postgres.ClientMessage.Terminate;
@@ -83,7 +83,7 @@
         }
         int length = frames.int32(0);
         if (length < MIN_STARTUP_BYTES || length > MAX_STARTUP_BYTES) {
-            return new InvalidQuery("08P01", "a first message of " + length + " bytes", true);
+            return new InvalidMessage("08P01", "a first message of " + length + " bytes", true);
         }
         if (frames.size() < length) {
             return null;
@@ -100,7 +100,7 @@
         if (startupReceived) {
             return new Startup();
         }
-        return new InvalidQuery("0A000", "protocol " + (code >> 16) + "." + (code & 0xffff) + " is not spoken", true);
+        return new InvalidMessage("0A000", "protocol " + (code >> 16) + "." + (code & 0xffff) + " is not spoken", true);
     }
 
     private ClientMessage decodeCancelRequest(int length) {
@@ -117,10 +117,10 @@
         char type = (char) frames.int8(0);
         int length = frames.int32(1);
         if (MESSAGE_TYPES.indexOf(type) < 0) {
-            return new InvalidQuery("08P01", "an unknown message type " + (int) type, true);
+            return new InvalidMessage("08P01", "an unknown message type " + (int) type, true);
         }
         if (length < 4 || length > MAX_SKIPPED_BYTES) {
-            return new InvalidQuery("08P01", "a message of " + length + " bytes", true);
+            return new InvalidMessage("08P01", "a message of " + length + " bytes", true);
         }
         if (type != 'Q') {
             frames.skip(1 + length);
@@ -128,7 +128,7 @@
         }
         if (length > MAX_QUERY_BYTES) {
             frames.skip(1 + length);
-            return new InvalidQuery("54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
+            return new InvalidMessage("54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
         }
         return frames.size() < 1 + length ? null : decodeQuery(length);
     }
@@ -146,7 +146,7 @@
         boolean terminated = length >= HEADER_BYTES && frames.int8(length) == 0;
         frames.drop(1 + length);
         if (!terminated) {
-            return new InvalidQuery("08P01", "a query without its closing zero", false);
+            return new InvalidMessage("08P01", "a query without its closing zero", false);
         }
         return RequestQueryParser.parse(text);
     }
--- a/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import ploverdale.net.postgres.ClientMessage.EmptyQuery;
-import ploverdale.net.postgres.ClientMessage.InvalidQuery;
+import ploverdale.net.postgres.ClientMessage.InvalidMessage;
 import ploverdale.net.postgres.ClientMessage.RequestQuery;
 
 /** Parses a query string: one statement and the comment that describes the request. */
@@ -24,7 +24,7 @@
     private String key;
     private boolean hasStatement;
     private boolean statementEnded;
-    private InvalidQuery invalid;
+    private InvalidMessage invalid;
 
     private RequestQueryParser(byte[] text) {
         this.text = text;
@@ -33,7 +33,7 @@
     /**
      * Parses a query string.
      *
-     * @return a {@link RequestQuery}, an {@link EmptyQuery} or an {@link InvalidQuery}
+     * @return a {@link RequestQuery}, an {@link EmptyQuery} or an {@link InvalidMessage}
      */
     static ClientMessage parse(byte[] text) {
         RequestQueryParser parser = new RequestQueryParser(text);
@@ -50,7 +50,7 @@
             if (current == '/' && i + 1 < text.length && text[i + 1] == '*') {
                 i = scanComment(i);
             } else if (current == 0) {
-                invalid = new InvalidQuery("42601", "a zero byte within a query", false);
+                invalid = new InvalidMessage("42601", "a zero byte within a query", false);
             } else if (current == ';') {
                 statementEnded = hasStatement;
             } else if (current > ' ' || current < 0) {
@@ -62,7 +62,7 @@
     /** Scans the token that begins at an index, a quoted value or a single byte. Returns the index of its last byte. */
     private int scanStatementByte(int from) {
         if (statementEnded) {
-            invalid = new InvalidQuery("42601", "more than one statement in a query", false);
+            invalid = new InvalidMessage("42601", "more than one statement in a query", false);
         }
         hasStatement = true;
         byte first = text[from];
@@ -76,7 +76,7 @@
             end++;
         }
         if (end + 1 >= text.length) {
-            invalid = new InvalidQuery("42601", "a comment that does not end", false);
+            invalid = new InvalidMessage("42601", "a comment that does not end", false);
             return text.length;
         }
         commentFrom = from + 2;
@@ -94,10 +94,10 @@
         boolean hex = end - from > 2 && text[from + 1] == '\\' && text[from + 2] == 'x';
         int maxLength = hex ? 2 + 2 * ClientMessageReader.MAX_VALUE_BYTES : ClientMessageReader.MAX_VALUE_BYTES;
         if (end >= text.length) {
-            invalid = new InvalidQuery("42601", "a quoted text that does not end", false);
+            invalid = new InvalidMessage("42601", "a quoted text that does not end", false);
         } else if (length > maxLength) {
             invalid =
-                    new InvalidQuery("54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
+                    new InvalidMessage("54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
         } else if (quote == '\'' && !hex && key == null) {
             key = new String(text, from + 1, length, UTF_8);
         }
@@ -106,22 +106,22 @@
 
     private ClientMessage toRequestQuery() {
         if (commentFrom < 0) {
-            return new InvalidQuery("42601", "a query without the comment that names its op", false);
+            return new InvalidMessage("42601", "a query without the comment that names its op", false);
         }
         parseComment();
         for (String name : REQUIRED_FIELDS) {
             if (fields.getOrDefault(name, "").isEmpty()) {
-                return new InvalidQuery("22023", "a comment without " + name, false);
+                return new InvalidMessage("22023", "a comment without " + name, false);
             }
         }
         double timeoutMs = parseNumber(fields.get("d"));
         double group = parseNumber(fields.getOrDefault("cluster", "0"));
         double minPositionMs = parseNumber(fields.getOrDefault("after", "0"));
         if (Double.isNaN(timeoutMs) || Double.isNaN(group) || Double.isNaN(minPositionMs)) {
-            return new InvalidQuery("22023", "a number that is none", false);
+            return new InvalidMessage("22023", "a number that is none", false);
         }
         if (timeoutMs <= 0 || timeoutMs > MAX_TIMEOUT_MS) {
-            return new InvalidQuery("22023", "a wait of " + timeoutMs + " ms", false);
+            return new InvalidMessage("22023", "a wait of " + timeoutMs + " ms", false);
         }
         return new RequestQuery(
                 fields.get("id"),
--- a/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -77,14 +77,14 @@
             reader.feed(Buffer.buffer().appendByte((byte) type).appendInt(length));
             assertThat(reader.next())
                     .isInstanceOfSatisfying(
-                            ClientMessage.InvalidQuery.class,
+                            ClientMessage.InvalidMessage.class,
                             error -> assertThat(error.closesConnection()).isTrue());
         }
         ClientMessageReader reader = new ClientMessageReader();
         reader.feed(startupPacket(length, 196608));
         assertThat(reader.next())
                 .isInstanceOfSatisfying(
-                        ClientMessage.InvalidQuery.class,
+                        ClientMessage.InvalidMessage.class,
                         error -> assertThat(error.closesConnection()).isTrue());
         ServerMessageReader server = new ServerMessageReader();
         server.feed(Buffer.buffer().appendByte((byte) 'D').appendInt(length));
@@ -111,7 +111,7 @@
     void aQueryWithoutAValidRequestIsAnsweredWithAnErrorAndTheConnectionIsKept(String text, String code) {
         ClientMessageReader reader = readerAfterStartup();
         reader.feed(query(text));
-        assertThat(reader.next()).isInstanceOfSatisfying(ClientMessage.InvalidQuery.class, error -> {
+        assertThat(reader.next()).isInstanceOfSatisfying(ClientMessage.InvalidMessage.class, error -> {
             assertThat(error.code()).isEqualTo(code);
             assertThat(error.closesConnection()).isFalse();
         });
@@ -126,7 +126,7 @@
         reader.feed(query("INSERT '\\x" + "ab".repeat(65537) + "'" + comment));
         assertThat(reader.next())
                 .isInstanceOfSatisfying(
-                        ClientMessage.InvalidQuery.class,
+                        ClientMessage.InvalidMessage.class,
                         error -> assertThat(error.code()).isEqualTo("54000"));
         reader.feed(query(READ_QUERY));
         assertThat(reader.next()).isInstanceOf(ClientMessage.RequestQuery.class);
