--- a/gateway/src/main/java/ploverdale/dev/DevClient.java
+++ b/gateway/src/main/java/ploverdale/dev/DevClient.java
@@ -74,9 +74,9 @@
                 answer.append("refused or failed: ")
                         .append(p.code())
                         .append(' ')
-                        .append(p.text());
+                        .append(p.message());
             } else if (m instanceof ServerMessage.Malformed g) {
-                waiting.poll().tryFail("cannot be read: " + g.what());
+                waiting.poll().tryFail("cannot be read: " + g.description());
                 socket.close();
                 return;
             } else if (m instanceof ServerMessage.ReadyForQuery) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessage.java
@@ -72,9 +72,9 @@
      * ErrorResponse: the statement has failed, or the server refuses the connection.
      *
      * @param code SQLSTATE; empty if the server sent none
-     * @param text the message; empty if the server sent none
+     * @param message the message; empty if the server sent none
      */
-    record ErrorResponse(String code, String text) implements ServerMessage {
+    record ErrorResponse(String code, String message) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
             handler.onErrorResponse(this);
@@ -96,9 +96,9 @@
     /**
      * A message that cannot be decoded or is not supported.
      *
-     * @param what description of the fault
+     * @param description what is wrong with the message
      */
-    record Malformed(String what) implements ServerMessage {
+    record Malformed(String description) implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
             handler.onMalformed(this);
--- a/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
@@ -94,7 +94,7 @@
 
     @Override
     public void onMalformed(ServerMessage.Malformed message) {
-        listener.onOutOfOrder(message.what());
+        listener.onOutOfOrder(message.description());
     }
 
     @Override
