--- a/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
+++ b/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
@@ -33,12 +33,12 @@
 
     /** Whether the startup message has been read. */
     boolean isStarted() {
-        return reader.greeted();
+        return reader.startupReceived();
     }
 
     /** Whether bytes have been received that are not decoded yet. */
     boolean hasUndecodedBytes() {
-        return reader.held() > 0;
+        return reader.bufferedBytes() > 0;
     }
 
     /** Bytes that the memory budget counts for this decoder. */
@@ -48,8 +48,8 @@
 
     /** Brings the memory budget up to date with the bytes that are not decoded yet. */
     void countBytes() {
-        memory.reserve(reader.held() - countedBytes);
-        countedBytes = reader.held();
+        memory.reserve(reader.bufferedBytes() - countedBytes);
+        countedBytes = reader.bufferedBytes();
     }
 
     /** Counts nothing in the memory budget until {@link #countBytes} is called again. */
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns the number of bytes that have been received but not decoded yet. */
-    public int held() {
+    public int bufferedBytes() {
         return frames.size();
     }
 
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns the number of bytes that have been received but not decoded yet. */
-    public int held() {
+    public int bufferedBytes() {
         return frames.size();
     }
 
--- a/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
@@ -69,7 +69,7 @@
 
     /** Whether part of a message is left that is not complete yet. */
     boolean hasUndecodedBytes() {
-        return reader.held() > 0;
+        return reader.bufferedBytes() > 0;
     }
 
     @Override
