--- a/gateway/src/main/java/ploverdale/net/client/CancelRegistry.java
+++ b/gateway/src/main/java/ploverdale/net/client/CancelRegistry.java
@@ -33,7 +33,7 @@
 
     /** Cancels the requests of the session that the message names, if there is one. */
     void cancel(ClientMessage.CancelRequest request) {
-        ClientSession session = sessions.get(new BackendKey(request.process(), request.secret()));
+        ClientSession session = sessions.get(new BackendKey(request.processId(), request.secretKey()));
         if (session != null) {
             session.cancelRequests();
         }
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
@@ -43,10 +43,10 @@
     /**
      * Cancels the requests of another connection.
      *
-     * @param process process id from that connection's BackendKeyData
-     * @param secret secret key from that connection's BackendKeyData
+     * @param processId process id from that connection's BackendKeyData
+     * @param secretKey secret key from that connection's BackendKeyData
      */
-    record CancelRequest(int process, int secret) implements ClientMessage {
+    record CancelRequest(int processId, int secretKey) implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
             handler.onCancelRequest(this);
