--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -129,7 +129,7 @@
         List<InetSocketAddress> addresses = options.configuration().peers();
         GossipTransport transport = new GossipTransport(vertx, log, loop::enqueue, addresses);
         transport.setServerClock(serverClock);
-        membership.ifPresent(present -> transport.setFirstReader(present::receive));
+        membership.ifPresent(present -> transport.setDatagramInterceptor(present::receive));
         return transport;
     }
 
@@ -149,7 +149,7 @@
                 replicas,
                 serverClock);
         clients.useHistory(coordinator);
-        transport.whenReceived(replicas::runCallbacks);
+        transport.setReceiveListener(replicas::runCallbacks);
         return coordinator;
     }
 
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -112,7 +112,7 @@
     }
 
     private boolean serversAreKnown(long sinceMs) {
-        if (peers.hasReceived()) {
+        if (peers.hasReceivedGossip()) {
             return actions.healthChecksEnded() > 0;
         }
         boolean gossipMayArrive = peers.isEnabled() && clock.monotonicMs() - sinceMs <= FIRST_GOSSIP_WAIT_MS;
--- a/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
@@ -37,8 +37,8 @@
     private final Consumer<Event> events;
     private final List<InetSocketAddress> peers;
     private final Map<String, Integer> peerNumbers = new HashMap<>(); // by "host:port"
-    /** Handles the datagrams of other protocols; see {@link #setFirstReader}. */
-    private BiPredicate<Integer, byte[]> firstReader = (from, datagram) -> false;
+    /** Handles the datagrams of other protocols; see {@link #setDatagramInterceptor}. */
+    private BiPredicate<Integer, byte[]> datagramInterceptor = (from, datagram) -> false;
     /** Null if gossip needs no conversion of times. */
     private ServerClock serverClock;
 
@@ -73,8 +73,8 @@
      * Sets the reader that sees each datagram before it is treated as gossip. It is called with the number of the
      * sender and the bytes, and returns true if it has handled the datagram.
      */
-    public void setFirstReader(BiPredicate<Integer, byte[]> reader) {
-        firstReader = reader;
+    public void setDatagramInterceptor(BiPredicate<Integer, byte[]> interceptor) {
+        datagramInterceptor = interceptor;
     }
 
     /**
@@ -156,7 +156,7 @@
             return;
         }
         byte[] bytes = datagram.data().getBytes();
-        if (firstReader.test(from, bytes)) {
+        if (datagramInterceptor.test(from, bytes)) {
             return;
         }
         if (canConvertTimes()) {
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public boolean hasReceived() {
+    public boolean hasReceivedGossip() {
         return gossipReceived;
     }
 
--- a/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
@@ -63,7 +63,7 @@
      * Sets a listener that runs after each datagram and each tick, either of which may complete requests to the
      * replicas.
      */
-    public void whenReceived(Runnable listener) {
+    public void setReceiveListener(Runnable listener) {
         receiveListener = listener;
     }
 
--- a/gateway/src/main/java/ploverdale/net/peer/PeerTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/PeerTransport.java
@@ -19,7 +19,7 @@
         }
 
         @Override
-        public boolean hasReceived() {
+        public boolean hasReceivedGossip() {
             return false;
         }
 
@@ -43,7 +43,7 @@
     Future<Void> listen(InetSocketAddress address);
 
     /** Returns whether gossip from any other gateway has been received. */
-    boolean hasReceived();
+    boolean hasReceivedGossip();
 
     /**
      * Sends gossip with its sending time on the servers' wall clock; sends nothing while the offset of that clock is
--- a/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -43,7 +43,7 @@
                         List.of(
                                 at,
                                 new InetSocketAddress(HERE, other.localAddress().port())));
-                side.setFirstReader((from, bytes) -> heard.complete(bytes));
+                side.setDatagramInterceptor((from, bytes) -> heard.complete(bytes));
                 side.send(1, new byte[] {1});
                 vertx.setTimer(
                         20, y -> side.listen(at).onSuccess(z -> other.send(Buffer.buffer(new byte[] {7}), port, HERE)));
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -66,7 +66,7 @@
             side = new GossipTransport(
                     vertx, new Log(new PrintStream(lines, true)), null, List.of(at, (InetSocketAddress)
                             other.getLocalSocketAddress()));
-            side.setFirstReader((from, bytes) -> received.add(bytes));
+            side.setDatagramInterceptor((from, bytes) -> received.add(bytes));
             side.listen(at).onComplete(y -> listened.complete(null));
         });
         listened.get(PATIENCE_S, TimeUnit.SECONDS);
