--- a/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
@@ -37,9 +37,9 @@
         putPositionAge(buffer, observation.position(), sentAt);
         putAge(buffer, observation.positionAt(), sentAt);
         putAge(buffer, observation.aliveAt(), sentAt);
-        putAge(buffer, observation.silentAt(), sentAt);
-        putAge(buffer, observation.coldSince(), sentAt);
-        putAge(buffer, observation.drainAt(), sentAt);
+        putAge(buffer, observation.unresponsiveAt(), sentAt);
+        putAge(buffer, observation.slowStartAt(), sentAt);
+        putAge(buffer, observation.drainingAt(), sentAt);
     }
 
     private static void putAge(ByteBuffer buffer, long time, long sentAt) {
@@ -75,9 +75,9 @@
         long position = getPosition(entry, sentAt);
         long positionAt = getTime(entry, sentAt);
         long aliveAt = getTime(entry, sentAt);
-        long silentAt = getTime(entry, sentAt);
-        long coldSince = getTime(entry, sentAt);
-        long drainAt = getTime(entry, sentAt);
+        long unresponsiveAt = getTime(entry, sentAt);
+        long slowStartAt = getTime(entry, sentAt);
+        long drainingAt = getTime(entry, sentAt);
         boolean hasRole = role != Role.UNKNOWN.ordinal() && roleAt != LoadReport.UNKNOWN_TIME;
         boolean hasPosition = position != LoadReport.UNKNOWN_TIME && positionAt != LoadReport.UNKNOWN_TIME;
         return new ServerObservation(
@@ -86,9 +86,9 @@
                 hasPosition ? position : LoadReport.UNKNOWN_TIME,
                 hasPosition ? positionAt : LoadReport.UNKNOWN_TIME,
                 aliveAt,
-                silentAt,
-                coldSince,
-                drainAt);
+                unresponsiveAt,
+                slowStartAt,
+                drainingAt);
     }
 
     private static long getTime(ByteBuffer entry, long sentAt) {
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -16,9 +16,9 @@
  * @param position a log position up to which the server had applied the log, as wall-clock time
  * @param positionAt when the position was observed
  * @param aliveAt when the server last responded to anyone
- * @param silentAt when a gateway last found the server unresponsive
- * @param coldSince when the last slow start of the server began
- * @param drainAt when the endpoint list named the server as draining
+ * @param unresponsiveAt when a gateway last found the server unresponsive
+ * @param slowStartAt when the last slow start of the server began
+ * @param drainingAt when the endpoint list named the server as draining
  */
 public record ServerObservation(
         Role role,
@@ -26,9 +26,9 @@
         long position,
         long positionAt,
         long aliveAt,
-        long silentAt,
-        long coldSince,
-        long drainAt) {
+        long unresponsiveAt,
+        long slowStartAt,
+        long drainingAt) {
 
     /** An observation in which nothing is known. */
     public static final ServerObservation NONE = new ServerObservation(
@@ -72,9 +72,9 @@
                 Math.max(position, other.position),
                 Math.max(positionAt, other.positionAt),
                 Math.max(aliveAt, other.aliveAt),
-                Math.max(silentAt, other.silentAt),
-                Math.max(coldSince, other.coldSince),
-                Math.max(drainAt, other.drainAt));
+                Math.max(unresponsiveAt, other.unresponsiveAt),
+                Math.max(slowStartAt, other.slowStartAt),
+                Math.max(drainingAt, other.drainingAt));
     }
 
     /** Returns this observation without the fields that are outdated at a time. Draining and slow start are kept. */
@@ -92,9 +92,9 @@
                 hasPosition ? position : LoadReport.UNKNOWN_TIME,
                 hasPosition ? positionAt : LoadReport.UNKNOWN_TIME,
                 aliveAt >= time ? aliveAt : LoadReport.UNKNOWN_TIME,
-                silentAt >= time ? silentAt : LoadReport.UNKNOWN_TIME,
-                coldSince,
-                drainAt);
+                unresponsiveAt >= time ? unresponsiveAt : LoadReport.UNKNOWN_TIME,
+                slowStartAt,
+                drainingAt);
     }
 
     /** Returns this observation with all observation times limited to a time, for a sender whose clock is ahead. */
@@ -105,33 +105,33 @@
                 position,
                 Math.min(positionAt, time),
                 Math.min(aliveAt, time),
-                Math.min(silentAt, time),
-                Math.min(coldSince, time),
-                Math.min(drainAt, time));
+                Math.min(unresponsiveAt, time),
+                Math.min(slowStartAt, time),
+                Math.min(drainingAt, time));
     }
 
     /** Returns this observation with an unknown role. */
     ServerObservation withoutRole() {
         return new ServerObservation(
-                Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
+                Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
     }
 
     /** Returns this observation with an unknown position. */
     ServerObservation withoutPosition() {
         return new ServerObservation(
-                role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, silentAt, coldSince, drainAt);
+                role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
     }
 
     /** Returns this observation with the observation time of the role moved into the past. */
     ServerObservation withRoleOlder(long by) {
         return by == 0 || roleAt == LoadReport.UNKNOWN_TIME
                 ? this
-                : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt, silentAt, coldSince, drainAt);
+                : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
     }
 
     /** Returns whether a gateway found the server unresponsive and no gateway has had a response since. */
-    public boolean silent() {
-        return silentAt != LoadReport.UNKNOWN_TIME && silentAt > aliveAt;
+    public boolean isUnresponsive() {
+        return unresponsiveAt != LoadReport.UNKNOWN_TIME && unresponsiveAt > aliveAt;
     }
 
     /** Returns whether this observation has a role that was observed later than that of the other. */
@@ -152,14 +152,14 @@
     }
 
     private boolean changesLiveness(ServerObservation older) {
-        return silent() != older.silent() && Math.max(silentAt, aliveAt) > Math.max(older.silentAt, older.aliveAt);
+        return isUnresponsive() != older.isUnresponsive() && Math.max(unresponsiveAt, aliveAt) > Math.max(older.unresponsiveAt, older.aliveAt);
     }
 
     private boolean beginsDraining(ServerObservation older) {
-        return drainAt > older.drainAt && older.drainAt == LoadReport.UNKNOWN_TIME;
+        return drainingAt > older.drainingAt && older.drainingAt == LoadReport.UNKNOWN_TIME;
     }
 
     private boolean beginsSlowStart(ServerObservation older) {
-        return coldSince > older.coldSince + SAME_SLOW_START;
+        return slowStartAt > older.slowStartAt + SAME_SLOW_START;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -46,14 +46,14 @@
 
     /** Takes over another gateway's observation of a server. */
     void merge(ServerState server, ServerObservation observation) {
-        endpoints.learnReportedDrain(server, observation.drainAt());
-        server.slowStart().recordColdStart(observation.coldSince());
+        endpoints.learnReportedDrain(server, observation.drainingAt());
+        server.slowStart().recordColdStart(observation.slowStartAt());
         server.replication().mergePosition(observation.position(), observation.positionAt());
         Ejection ejection = server.ejection();
         if (ejection.isEjected() && observation.aliveAt() > ejection.ejectedAt()) {
             ejection.recheckNotAfter(context.now());
         }
-        server.liveness().mergeObservation(observation.aliveAt(), observation.silentAt());
+        server.liveness().mergeObservation(observation.aliveAt(), observation.unresponsiveAt());
         if (observation.roleAt() > server.replication().roleReportedAt()) {
             roles.learnRole(server, observation.role(), observation.roleAt());
         }
@@ -66,11 +66,11 @@
      */
     private void mergeLiveness(ServerState server, ServerObservation observation) {
         Liveness liveness = server.liveness();
-        if (observation.silentAt() > liveness.aliveAt()) {
+        if (observation.unresponsiveAt() > liveness.aliveAt()) {
             boolean neverAlive = liveness.aliveAt() == LoadReport.UNKNOWN_TIME;
             liveness.expireConfirmation(context.now());
             server.ejection()
-                    .recheckNotBefore(neverAlive ? observation.silentAt() + OutlierDetector.LONGEST_BACKOFF : 0);
+                    .recheckNotBefore(neverAlive ? observation.unresponsiveAt() + OutlierDetector.LONGEST_BACKOFF : 0);
             return;
         }
         long knownAt = Math.max(liveness.confirmedAt(), server.connections().connectFailedAt());
--- a/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipWireFormatTest.java
@@ -89,9 +89,9 @@
                 ageMs(observation.position()),
                 ageMs(observation.positionAt()),
                 ageMs(observation.aliveAt()),
-                ageMs(observation.silentAt()),
-                ageMs(observation.coldSince()),
-                ageMs(observation.drainAt()));
+                ageMs(observation.unresponsiveAt()),
+                ageMs(observation.slowStartAt()),
+                ageMs(observation.drainingAt()));
     }
 
     private static long ageMs(long time) {
@@ -190,14 +190,14 @@
             }
             ServerId id = servers.get(random.nextInt(servers.size()));
             Role role = random.nextInt(10) == 0 ? Role.PRIMARY : Role.REPLICA;
-            boolean silent = random.nextInt(10) == 0;
+            boolean unresponsive = random.nextInt(10) == 0;
             ServerObservation observation = new ServerObservation(
                     role,
                     now,
                     now - random.nextInt(100) * MS,
                     now,
-                    silent ? NEVER : now,
-                    silent ? now : NEVER,
+                    unresponsive ? NEVER : now,
+                    unresponsive ? now : NEVER,
                     random.nextInt(20) == 0 ? now : NEVER,
                     random.nextInt(20) == 0 ? now : NEVER);
             known.get(gateway).merge(id, observation, ServerObservation::join);
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -34,7 +34,7 @@
     static Arbitrary<ServerObservation> observations() {
         Arbitrary<ServerObservation> known = Combinators.combine(
                         Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(), time(), time(), time())
-                .as((role, roleAt, positionAt, alive, silent, cold, drain) -> new ServerObservation(
+                .as((role, roleAt, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt) -> new ServerObservation(
                         roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
                         roleAt,
                         positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
@@ -88,9 +88,9 @@
         assertThat(older.position()).isLessThanOrEqualTo(newer.position());
         assertThat(older.positionAt()).isLessThanOrEqualTo(newer.positionAt());
         assertThat(older.aliveAt()).isLessThanOrEqualTo(newer.aliveAt());
-        assertThat(older.silentAt()).isLessThanOrEqualTo(newer.silentAt());
-        assertThat(older.coldSince()).isLessThanOrEqualTo(newer.coldSince());
-        assertThat(older.drainAt()).isLessThanOrEqualTo(newer.drainAt());
+        assertThat(older.unresponsiveAt()).isLessThanOrEqualTo(newer.unresponsiveAt());
+        assertThat(older.slowStartAt()).isLessThanOrEqualTo(newer.slowStartAt());
+        assertThat(older.drainingAt()).isLessThanOrEqualTo(newer.drainingAt());
     }
 
     @Property(seed = "10")
@@ -104,8 +104,8 @@
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
-                        observation.coldSince(),
-                        observation.drainAt()));
+                        observation.slowStartAt(),
+                        observation.drainingAt()));
         assertThat(observation.since(NOW - 200_000)).isEqualTo(observation);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -322,7 +322,7 @@
                         .datagram()
                         .observations()
                         .getOrDefault(ServerHash.of(new ServerId("r1")), ServerObservation.NONE)
-                        .silent());
+                        .isUnresponsive());
         driver.actions.clear();
         driver.deliver(new Event.ShutdownBegun());
         assertThat(sentGossip())
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -132,7 +132,7 @@
         startBytes = passed == 2000 * MS ? bytes : startBytes;
         if (lost != null && reached < 0) {
             long silent = known.stream()
-                    .filter(m -> m.getOrDefault(lost, ServerObservation.NONE).silent())
+                    .filter(m -> m.getOrDefault(lost, ServerObservation.NONE).isUnresponsive())
                     .count();
             reached = silent >= INSTANCES * TOLD ? (passed - SILENT_AT) / MS : -1;
         }
