--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -32,40 +32,40 @@
 
     @Provide
     static Arbitrary<ServerObservation> observations() {
-        Arbitrary<ServerObservation> known = Combinators.combine(
+        Arbitrary<ServerObservation> observations = Combinators.combine(
                         Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(), time(), time(), time())
                 .as((role, roleAt, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt) -> new ServerObservation(
                         roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
                         roleAt,
                         positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
                         positionAt,
-                        alive,
-                        silent,
-                        cold,
-                        drain));
-        return known;
+                        aliveAt,
+                        unresponsiveAt,
+                        slowStartAt,
+                        drainingAt));
+        return observations;
     }
 
-    private static ServerObservation all(List<ServerObservation> observations) {
+    private static ServerObservation joinAll(List<ServerObservation> observations) {
         return observations.stream().reduce(ServerObservation.NONE, ServerObservation::join);
     }
 
     @Property(seed = "7")
     void theJoinDoesNotDependOnOrderAndRepetition(
             @ForAll @Size(max = 8) List<@From("observations") ServerObservation> observations, @ForAll Random random) {
-        List<ServerObservation> other = new ArrayList<>(observations);
-        other.addAll(observations.subList(0, observations.size() / 2));
-        Collections.shuffle(other, random);
-        assertThat(all(other)).isEqualTo(all(observations));
-        assertThat(all(observations).join(all(observations))).isEqualTo(all(observations));
+        List<ServerObservation> reordered = new ArrayList<>(observations);
+        reordered.addAll(observations.subList(0, observations.size() / 2));
+        Collections.shuffle(reordered, random);
+        assertThat(joinAll(reordered)).isEqualTo(joinAll(observations));
+        assertThat(joinAll(observations).join(joinAll(observations))).isEqualTo(joinAll(observations));
     }
 
     @Property(seed = "8")
     void aLostObservationMakesTheJoinOlderButNeverNewer(
             @ForAll @Size(min = 1, max = 8) List<@From("observations") ServerObservation> observations) {
-        ServerObservation part = all(observations.subList(0, observations.size() - 1));
-        assertOlder(part, all(observations));
-        assertThat(part.join(all(observations))).isEqualTo(all(observations));
+        ServerObservation withoutLast = joinAll(observations.subList(0, observations.size() - 1));
+        assertNotNewer(withoutLast, joinAll(observations));
+        assertThat(withoutLast.join(joinAll(observations))).isEqualTo(joinAll(observations));
     }
 
     @Property(seed = "9")
@@ -75,7 +75,7 @@
                 .datagram()
                 .observations()
                 .get(5);
-        assertOlder(decoded, observation);
+        assertNotNewer(decoded, observation);
         assertThat(decoded.role()).isEqualTo(observation.role());
         if (observation.position() != LoadReport.UNKNOWN_TIME) {
             assertThat(observation.position() - decoded.position()).isBetween(0L, 9L);
@@ -83,7 +83,7 @@
         }
     }
 
-    private static void assertOlder(ServerObservation older, ServerObservation newer) {
+    private static void assertNotNewer(ServerObservation older, ServerObservation newer) {
         assertThat(older.roleAt()).isLessThanOrEqualTo(newer.roleAt());
         assertThat(older.position()).isLessThanOrEqualTo(newer.position());
         assertThat(older.positionAt()).isLessThanOrEqualTo(newer.positionAt());
@@ -95,8 +95,8 @@
 
     @Property(seed = "10")
     void outdatedFieldsAreDroppedExceptDrainingAndSlowStart(@ForAll("observations") ServerObservation observation) {
-        ServerObservation later = observation.since(NOW + 1);
-        assertThat(later.withRoleOlder(0))
+        ServerObservation outdated = observation.since(NOW + 1);
+        assertThat(outdated.withRoleOlder(0))
                 .isEqualTo(new ServerObservation(
                         Role.UNKNOWN,
                         LoadReport.UNKNOWN_TIME,
