--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -76,7 +76,8 @@
      *     decides whether the responses to this gateway's own requests report positions often enough
      * @param stalenessBound the tightest staleness bound, in tenths of a millisecond
      * @param random source of random numbers; they are drawn in a fixed order, so that a run can be reproduced
-     * @param ownObservations returns this gateway's observation of a server, joined with the accepted gossip; never null
+     * @param ownObservations returns this gateway's observation of a server, joined with the accepted gossip; never
+     *     null
      */
     public GossipProtocol(
             int self,
--- a/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
+++ b/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
@@ -20,7 +20,7 @@
     private static final int FANOUT = 3;
     /** Number of rounds of a rumor; more than one because datagrams get lost. */
     private static final int ROUNDS = 2;
-
+    /** Time between two rounds of a rumor. */
     private static final long ROUND_INTERVAL = 150 * MS;
 
     /** The state of a server's change that is being disseminated. */
--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -77,7 +77,9 @@
     private final RandomGenerator random;
     private final long suspicionTimeout;
     private final Map<Integer, OutstandingPing> outstanding = new LinkedHashMap<>(); // by sequence number
-    private final List<Integer> remainingInRound = new ArrayList<>(); // the members that are still to be probed in this round
+    /** The members that are still to be probed in this round, in reverse order. */
+    private final List<Integer> remainingInRound = new ArrayList<>();
+
     private int lastSequence;
     private boolean started;
     private long nextProbeAt;
--- a/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
@@ -105,7 +105,7 @@
         try {
             opening = vertx.createDatagramSocket(new DatagramSocketOptions());
         } catch (RuntimeException failure) {
-            // broad catch: Vert.x wraps the failure of the system call in various exceptions
+            // broad catch: the type of the exception depends on the system call that failed
             reopenLater("cannot be opened: " + failure);
             return Future.succeededFuture();
         }
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicaRequests.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicaRequests.java
@@ -13,9 +13,11 @@
  * only.
  */
 public final class ReplicaRequests {
-    /** Runs an action that queues packets for other gateways, and sends these packets. */
+    /** Access to the queue of packets for other gateways. */
     public interface PacketExchange {
         /**
+         * Runs the action and sends the packets that it queues.
+         *
          * @param action is called with the queue and the current time, in tenths of a millisecond of a monotonic clock
          */
         void exchange(ObjLongConsumer<PacketQueue> action);
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Ends the writes of clients that have disconnected. A client may disconnect while its write still waits here for a
-     * claim; then no attempt is made, whose end would call {@link #attemptEnded}.
+     * Ends the writes of clients that have disconnected. If a client disconnects while its write still waits for a
+     * claim, no attempt is made, and so {@link #attemptEnded} is never called for the write.
      */
     private void endWritesOfDisconnectedClients() {
         List.copyOf(writes.keySet()).stream()
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -21,7 +21,10 @@
     private static final ServerId OTHER_SERVER = new ServerId("r");
     private static final long MS = 10;
 
-    /** Gateways and their observations. Each gateway joins the observations that it accepts with its own, as the router does. */
+    /**
+     * Gateways and their observations. Each gateway joins the observations that it accepts with its own, as the router
+     * does.
+     */
     private static final class GatewayCluster {
         private final List<GossipProtocol> gateways = new ArrayList<>();
         private final List<Map<ServerId, ServerObservation>> knownObservations = new ArrayList<>();
--- a/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
@@ -17,7 +17,7 @@
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long NOW = 1_700_000_000L * SECOND;
-    private static final int SERVER = ServerHash.of(new ServerId("r1"));
+    private static final int SERVER_HASH = ServerHash.of(new ServerId("r1"));
 
     private static ServerObservation observation(long position, long at) {
         return new ServerObservation(
@@ -38,12 +38,12 @@
         byte[] sent = DatagramCodec.encode(new Datagram(
                 Kind.OBSERVATIONS,
                 NOW + senderAhead,
-                Map.of(SERVER, observation(position + senderAhead, NOW + senderAhead))));
+                Map.of(SERVER_HASH, observation(position + senderAhead, NOW + senderAhead))));
         Datagram read = DatagramCodec.decode(DatagramCodec.shiftSentAt(sent, -senderAhead))
                 .datagram();
         assertThat(read.sentAt()).isEqualTo(NOW);
-        assertThat(read.observations().get(SERVER).position()).isEqualTo(position);
-        assertThat(read.observations().get(SERVER).positionAt()).isEqualTo(NOW);
+        assertThat(read.observations().get(SERVER_HASH).position()).isEqualTo(position);
+        assertThat(read.observations().get(SERVER_HASH).positionAt()).isEqualTo(NOW);
     }
 
     /**
@@ -55,7 +55,7 @@
     void aSenderWithAnUnnoticedClockOffsetMakesNoPositionNewer(long senderAhead) {
         long position = NOW - 3 * SECOND;
         byte[] sent = DatagramCodec.encode(new Datagram(
-                Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER, observation(position, NOW + senderAhead))));
+                Kind.OBSERVATIONS, NOW + senderAhead, Map.of(SERVER_HASH, observation(position, NOW + senderAhead))));
         GossipProtocol gossip =
                 new GossipProtocol(0, 3, 100, 5000, new SplittableRandom(1), id -> ServerObservation.NONE);
         gossip.addServer(new ServerId("r1"));
@@ -83,7 +83,7 @@
         ServerObservation draining = // draining is a change that is forwarded
                 new ServerObservation(
                         Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
-        gossip.onDatagram(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER, draining))));
+        gossip.onDatagram(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER_HASH, draining))));
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND))
                 .isNotEmpty()
--- a/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
@@ -160,7 +160,9 @@
                         "0:b201c5e7f2b401000badcafe02040000000904120000c5e7f2b40000010002c5e7f2b4010001e97f38e4");
     }
 
-    /** Runs 16 members for a minute, with lost packets, crashes, restarts, and a shutdown. Checks all bytes and changes. */
+    /**
+     * Runs 16 members for a minute, with lost packets, crashes, restarts, and a shutdown. Checks all bytes and changes.
+     */
     @Test
     void aSimulatedExchangeSendsTheSameBytesAsRecorded() {
         Exchange exchange = new Exchange(16);
