--- a/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
@@ -20,19 +20,19 @@
 
     private long now = 1000 * MS;
 
-    private Node node(int number) {
-        return new Node(number, MEMBERS, STARTED_MS + number, now);
+    private Member member(int number) {
+        return new Member(number, MEMBERS, STARTED_MS + number, now);
     }
 
     /** A member with its packet queue. */
-    private static final class Node {
+    private static final class Member {
         private final int number;
         private final Membership membership;
         private final PacketQueue queue;
 
-        private Node(int number, int members, long startedMs, long now) {
+        private Member(int number, int memberCount, long startedMs, long now) {
             this.number = number;
-            membership = new Membership(number, members, startedMs, new SplittableRandom(number));
+            membership = new Membership(number, memberCount, startedMs, new SplittableRandom(number));
             queue = new PacketQueue(100_000, now);
         }
 
@@ -85,22 +85,22 @@
 
     /** The first packet of a member, which makes it ALIVE at the receiver. */
     private byte[] firstPacketOf(int number) {
-        return node(number).tick(now).get(0).bytes();
+        return member(number).tick(now).get(0).bytes();
     }
 
     @Test
     void aPingCarriesItsSequenceNumberAndUpdates() {
-        assertThat(hex(node(0).tick(now))).containsExactly(PING);
+        assertThat(hex(member(0).tick(now))).containsExactly(PING);
     }
 
     @Test
     void anAckCarriesTheSequenceNumberOfThePing() {
-        assertThat(hex(node(2).receive(now, 0, bytes(PING)))).containsExactly(ACK);
+        assertThat(hex(member(2).receive(now, 0, bytes(PING)))).containsExactly(ACK);
     }
 
     @Test
     void aPingRequestCarriesTheSequenceNumberOfThePingAndItsTarget() {
-        Node origin = node(0);
+        Member origin = member(0);
         origin.tick(now);
         origin.receive(now, 1, firstPacketOf(1));
         assertThat(hex(origin.tick(now + 160 * MS))).containsExactly(PING_REQUEST);
@@ -108,16 +108,16 @@
 
     @Test
     void aPingRequestIsRelayedAsAPingAndItsAckCarriesTheSequenceNumberOfTheRequest() {
-        Node relay = node(1);
+        Member relay = member(1);
         assertThat(hex(relay.receive(now, 0, bytes(PING_REQUEST)))).containsExactly(RELAYED_PING);
-        Node target = node(2);
+        Member target = member(2);
         List<PacketQueue.OutboundPacket> ack = target.receive(now, 1, bytes(RELAYED_PING));
         assertThat(hex(relay.receive(now, 2, ack.get(0).bytes()))).containsExactly(RELAYED_ACK);
     }
 
     @Test
     void updatesCarryMemberIncarnationAndState() {
-        Node observer = node(0);
+        Member observer = member(0);
         observer.receive(now, 1, firstPacketOf(1));
         observer.receive(now, 2, firstPacketOf(2));
         List<String> sent = new ArrayList<>();
@@ -125,19 +125,19 @@
             sent.addAll(hex(observer.tick(at)));
         }
         assertThat(sent).contains(SUSPECT, DEAD);
-        Node leaving = node(2);
+        Member leaving = member(2);
         leaving.membership.leave(now);
         assertThat(hex(leaving.tick(now))).containsExactly(LEAVING);
     }
 
     @Test
     void aStartWithAnEarlierTimeIsCorrectedAndRefutesTheCorrection() {
-        Node laterStart = new Node(1, MEMBERS, STARTED_MS + 50_000, now);
-        Node observer = node(0);
+        Member laterStart = new Member(1, MEMBERS, STARTED_MS + 50_000, now);
+        Member observer = member(0);
         observer.receive(now, 1, laterStart.tick(now).get(0).bytes());
         observer.flush(now);
         assertThat(hex(observer.receive(now, 1, firstPacketOf(1)))).containsExactly(CORRECTION);
-        Node earlierStart = node(1);
+        Member earlierStart = member(1);
         earlierStart.receive(now, 0, bytes(CORRECTION));
         assertThat(hex(earlierStart.tick(now))).containsExactly(REFUTATION);
     }
@@ -155,7 +155,7 @@
                         new Packet.Part(2, new byte[3]),
                         new Packet.Part(3, new byte[1]),
                         new Packet.Part(4, new byte[8])));
-        assertThat(hex(node(2).receive(now, 0, PacketCodec.encode(packet))))
+        assertThat(hex(member(2).receive(now, 0, PacketCodec.encode(packet))))
                 .containsExactly(
                         "0:b201c5e7f2b401000badcafe02040000000904120000c5e7f2b40000010002c5e7f2b4010001e97f38e4");
     }
@@ -178,22 +178,22 @@
     private static final class Exchange {
         private record Delivery(int from, int to, byte[] bytes) {}
 
-        private final Node[] nodes;
+        private final Member[] members;
         private final CRC32C checksum = new CRC32C();
         private final SplittableRandom random = new SplittableRandom(42);
         private List<Delivery> inFlight = new ArrayList<>();
         private int sent;
         private int changes;
 
-        private Exchange(int members) {
-            nodes = new Node[members];
-            for (int i = 0; i < members; i++) {
+        private Exchange(int memberCount) {
+            members = new Member[memberCount];
+            for (int i = 0; i < memberCount; i++) {
                 start(i, STARTED_MS, 0);
             }
         }
 
         private void start(int number, long startedMs, long now) {
-            nodes[number] = new Node(number, nodes.length, startedMs, now);
+            members[number] = new Member(number, members.length, startedMs, now);
         }
 
         private void step(int step) {
@@ -202,15 +202,15 @@
             List<Delivery> toDeliver = inFlight;
             inFlight = new ArrayList<>();
             for (Delivery delivery : toDeliver) {
-                Node to = nodes[delivery.to()];
+                Member to = members[delivery.to()];
                 if (to != null && random.nextInt(10) != 0) {
                     send(to.number, to.receive(now, delivery.from(), delivery.bytes()));
                 }
             }
-            for (Node node : nodes) {
-                if (node != null) {
-                    send(node.number, node.tick(now));
-                    record(node);
+            for (Member member : members) {
+                if (member != null) {
+                    send(member.number, member.tick(now));
+                    record(member);
                 }
             }
         }
@@ -218,17 +218,17 @@
         /** Stops and restarts members and shuts one down. */
         private void disturb(int step, long now) {
             if (step == 300) {
-                nodes[3] = null;
-                nodes[4] = null;
+                members[3] = null;
+                members[4] = null;
             }
             if (step == 900) {
                 start(3, STARTED_MS - 5000, now); // with a wall clock that was set back
             }
             if (step == 1200) {
-                nodes[7].membership.leave(now);
+                members[7].membership.leave(now);
             }
             if (step == 1300) {
-                nodes[7] = null;
+                members[7] = null;
             }
             if (step == 2000) {
                 start(4, STARTED_MS + 40_000, now);
@@ -245,10 +245,10 @@
             }
         }
 
-        private void record(Node node) {
-            for (Membership.Change change : node.membership.drainChanges()) {
+        private void record(Member member) {
+            for (Membership.Change change : member.membership.drainChanges()) {
                 changes++;
-                checksum.update(node.number);
+                checksum.update(member.number);
                 checksum.update(change.member());
                 checksum.update(change.previous().ordinal());
                 checksum.update(change.current().ordinal());
