--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -297,7 +297,8 @@
     }
 
     private boolean hasUnknownServer() {
-        return servers.all().stream().anyMatch(server -> ownObservations.apply(server.id()).aliveAt() == LoadReport.UNKNOWN_TIME);
+        return servers.all().stream()
+                .anyMatch(server -> ownObservations.apply(server.id()).aliveAt() == LoadReport.UNKNOWN_TIME);
     }
 
     /** Returns the trust in the roles that a peer reports, from 0 to 1. */
--- a/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
+++ b/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
@@ -198,7 +198,8 @@
      */
     List<OutboundPacket> relay(int collector, Datagram broadcast) {
         long sentAt = broadcast.sentAt();
-        int ownRank = Math.floorMod(Math.floorMod(self - collector - 1, gatewayCount) - rotation(sentAt), gatewayCount - 1);
+        int ownRank =
+                Math.floorMod(Math.floorMod(self - collector - 1, gatewayCount) - rotation(sentAt), gatewayCount - 1);
         if (ownRank % groupSize() != 0) {
             return List.of();
         }
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -113,20 +113,35 @@
     /** Returns this observation with an unknown role. */
     ServerObservation withoutRole() {
         return new ServerObservation(
-                Role.UNKNOWN, LoadReport.UNKNOWN_TIME, position, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
+                Role.UNKNOWN,
+                LoadReport.UNKNOWN_TIME,
+                position,
+                positionAt,
+                aliveAt,
+                unresponsiveAt,
+                slowStartAt,
+                drainingAt);
     }
 
     /** Returns this observation with an unknown position. */
     ServerObservation withoutPosition() {
         return new ServerObservation(
-                role, roleAt, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
+                role,
+                roleAt,
+                LoadReport.UNKNOWN_TIME,
+                LoadReport.UNKNOWN_TIME,
+                aliveAt,
+                unresponsiveAt,
+                slowStartAt,
+                drainingAt);
     }
 
     /** Returns this observation with the observation time of the role moved into the past. */
     ServerObservation withRoleOlder(long by) {
         return by == 0 || roleAt == LoadReport.UNKNOWN_TIME
                 ? this
-                : new ServerObservation(role, roleAt - by, position, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
+                : new ServerObservation(
+                        role, roleAt - by, position, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt);
     }
 
     /** Returns whether a gateway found the server unresponsive and no gateway has had a response since. */
@@ -152,7 +167,8 @@
     }
 
     private boolean changesLiveness(ServerObservation older) {
-        return isUnresponsive() != older.isUnresponsive() && Math.max(unresponsiveAt, aliveAt) > Math.max(older.unresponsiveAt, older.aliveAt);
+        return isUnresponsive() != older.isUnresponsive()
+                && Math.max(unresponsiveAt, aliveAt) > Math.max(older.unresponsiveAt, older.aliveAt);
     }
 
     private boolean beginsDraining(ServerObservation older) {
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -54,7 +54,8 @@
             log.often("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
             return;
         }
-        ReplicationWait replication = new ReplicationWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
+        ReplicationWait replication =
+                new ReplicationWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
         if (!write.isSynchronous() || replication.pendingEntries == 0) {
             requests.succeeded(write.id(), row);
         }
@@ -78,7 +79,12 @@
     }
 
     private void recordPosition(
-            PendingWrite write, SessionId session, long position, ServerId server, long timeLimit, ReplicationWait replication) {
+            PendingWrite write,
+            SessionId session,
+            long position,
+            ServerId server,
+            long timeLimit,
+            ReplicationWait replication) {
         replicas.start(
                 (store, now, packets) -> store.writePosition(
                         now,
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -128,7 +128,8 @@
         }
         if (length > MAX_QUERY_BYTES) {
             frames.skip(1 + length);
-            return new InvalidMessage("54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
+            return new InvalidMessage(
+                    "54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
         }
         return frames.size() < 1 + length ? null : decodeQuery(length);
     }
--- a/gateway/src/main/java/ploverdale/net/postgres/FrameBuffer.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/FrameBuffer.java
@@ -15,7 +15,6 @@
     /** A larger array is released once it is empty, to save memory on idle connections. */
     private static final int MAX_IDLE_CAPACITY = 4096;
 
-
     private byte[] buffer = new byte[0];
     private int start;
     private int end;
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -79,7 +79,8 @@
      * @param fatal whether the connection is closed after it
      * @param withReadyForQuery whether a ReadyForQuery message follows
      */
-    public static Buffer errorResponse(String code, String message, String detail, boolean fatal, boolean withReadyForQuery) {
+    public static Buffer errorResponse(
+            String code, String message, String detail, boolean fatal, boolean withReadyForQuery) {
         String severity = fatal ? "FATAL" : "ERROR";
         Buffer fields = Buffer.buffer(128);
         appendField(fields, 'S', severity);
--- a/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
@@ -96,8 +96,8 @@
         if (end >= text.length) {
             invalid = new InvalidMessage("42601", "a quoted text that does not end", false);
         } else if (length > maxLength) {
-            invalid =
-                    new InvalidMessage("54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
+            invalid = new InvalidMessage(
+                    "54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
         } else if (quote == '\'' && !hex && key == null) {
             key = new String(text, from + 1, length, UTF_8);
         }
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessage.java
@@ -40,7 +40,8 @@
      * RowDescription of the only column of the rows that follow; the components are its fields in the order of the
      * protocol.
      */
-    record RowDescription(String name, int tableOid, short columnNumber, int typeOid, short typeSize, int typeModifier, short format)
+    record RowDescription(
+            String name, int tableOid, short columnNumber, int typeOid, short typeSize, int typeModifier, short format)
             implements ServerMessage {
         @Override
         public void dispatchTo(ServerMessageHandler handler) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ServerMessageReader.java
@@ -64,7 +64,9 @@
             case 'S' -> new ParameterStatus(fields.string(), fields.string());
             case 'T' -> decodeRowDescription(fields);
             case 'D' ->
-                fields.int16() == 1 ? new DataRow(fields.lengthPrefixedBytes()) : new Malformed("a row that has not one value");
+                fields.int16() == 1
+                        ? new DataRow(fields.lengthPrefixedBytes())
+                        : new Malformed("a row that has not one value");
             case 'C' -> new CommandComplete(fields.string());
             case 'E' -> decodeErrorResponse(fields);
             case 'Z' -> new ReadyForQuery(fields.int8() == 'I');
--- a/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/DatagramTest.java
@@ -44,7 +44,8 @@
         }
         byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, observations));
         assertThat(bytes.length).isLessThanOrEqualTo(256).isGreaterThan(220);
-        assertThat(DatagramCodec.decode(bytes).datagram()).isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, observations));
+        assertThat(DatagramCodec.decode(bytes).datagram())
+                .isEqualTo(new Datagram(Kind.OBSERVATIONS, NOW, observations));
     }
 
     @Property(seed = "11")
@@ -76,7 +77,8 @@
         assertThat(DatagramCodec.decode(foreign).rejection()).isEqualTo(RejectionReason.WRONG_MAGIC);
         byte[] versionZero = bytes.clone();
         versionZero[1] = 0;
-        assertThat(DatagramCodec.decode(withChecksum(versionZero)).rejection()).isEqualTo(RejectionReason.UNKNOWN_VERSION);
+        assertThat(DatagramCodec.decode(withChecksum(versionZero)).rejection())
+                .isEqualTo(RejectionReason.UNKNOWN_VERSION);
         byte[] shortEntry = bytes.clone();
         shortEntry[3] = 5;
         assertThat(DatagramCodec.decode(withChecksum(shortEntry)).rejection()).isEqualTo(RejectionReason.MALFORMED);
@@ -90,8 +92,10 @@
         byte[] bytes = DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(7, PRIMARY)));
         byte[] olderVersion = Arrays.copyOf(bytes, 10 + 7 + 4); // hash, role and its age only
         olderVersion[3] = 7;
-        ServerObservation observation =
-                DatagramCodec.decode(withChecksum(olderVersion)).datagram().observations().get(7);
+        ServerObservation observation = DatagramCodec.decode(withChecksum(olderVersion))
+                .datagram()
+                .observations()
+                .get(7);
         assertThat(observation)
                 .isEqualTo(new ServerObservation(
                         Role.PRIMARY,
--- a/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/GossipProtocolTest.java
@@ -51,11 +51,13 @@
         private ReceivedGossip deliver(long now, int receiver, int from, byte[] bytes) {
             ReceivedGossip received = gateways.get(receiver).onDatagram(now, from, bytes);
             received.observations()
-                    .forEach((id, observation) -> knownObservations.get(receiver).merge(id, observation, ServerObservation::join));
+                    .forEach((id, observation) ->
+                            knownObservations.get(receiver).merge(id, observation, ServerObservation::join));
             return received;
         }
 
-        private void deliverAll(long now, int from, List<OutboundPacket> packetsToDeliver, double loss, SplittableRandom random) {
+        private void deliverAll(
+                long now, int from, List<OutboundPacket> packetsToDeliver, double loss, SplittableRandom random) {
             for (OutboundPacket packet : packetsToDeliver) {
                 packets++;
                 bytes += packet.bytes().length;
@@ -86,7 +88,8 @@
 
         private long countGatewaysWithRole(ServerId id, Role role) {
             return knownObservations.stream()
-                    .filter(byServer -> byServer.getOrDefault(id, ServerObservation.NONE).role() == role)
+                    .filter(byServer ->
+                            byServer.getOrDefault(id, ServerObservation.NONE).role() == role)
                     .count();
         }
     }
@@ -189,9 +192,15 @@
         long now = NOW + 3000 * MS;
         assertThat(cluster.gateways.get(0).trustIn(now, 1)).isLessThan(0.2);
         byte[] datagram = datagram(now, SERVER, role(Role.PRIMARY, now));
-        assertThat(cluster.deliver(now, 0, 1, datagram).observations().get(SERVER).role())
+        assertThat(cluster.deliver(now, 0, 1, datagram)
+                        .observations()
+                        .get(SERVER)
+                        .role())
                 .isEqualTo(Role.UNKNOWN);
-        assertThat(cluster.deliver(now, 0, 2, datagram).observations().get(SERVER).role())
+        assertThat(cluster.deliver(now, 0, 2, datagram)
+                        .observations()
+                        .get(SERVER)
+                        .role())
                 .isEqualTo(Role.PRIMARY);
         assertThat(cluster.gateways.get(0).trustIn(NOW + 180_000 * MS, 1)).isGreaterThan(0.9);
     }
@@ -201,7 +210,8 @@
         GatewayCluster cluster = new GatewayCluster(3);
         cluster.deliver(NOW, 0, 1, datagram(NOW, SERVER, role(Role.PRIMARY, NOW)));
         cluster.gateways.get(0).onRoleVerified(NOW, SERVER, false);
-        ServerObservation observation = cluster.deliver(NOW + MS, 0, 1, datagram(NOW + MS, SERVER, role(Role.PRIMARY, NOW)))
+        ServerObservation observation = cluster.deliver(
+                        NOW + MS, 0, 1, datagram(NOW + MS, SERVER, role(Role.PRIMARY, NOW)))
                 .observations()
                 .get(SERVER);
         assertThat(observation.roleAt()).isBetween(NOW - 520 * MS, NOW - 480 * MS);
--- a/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/PositionExchangeTest.java
@@ -76,8 +76,9 @@
                                     delivery.packet().peer())
                             .onDatagram(now, delivery.from(), delivery.packet().bytes());
                     received.observations()
-                            .forEach((id, accepted) ->
-                                    observations.get(delivery.packet().peer()).merge(id, accepted, ServerObservation::join));
+                            .forEach((id, accepted) -> observations
+                                    .get(delivery.packet().peer())
+                                    .merge(id, accepted, ServerObservation::join));
                     received.replies()
                             .forEach(packet ->
                                     inFlight.add(new Delivery(delivery.packet().peer(), packet)));
@@ -93,7 +94,8 @@
 
     private long countGatewaysWithPosition(long position) {
         return observations.values().stream()
-                .filter(byServer -> byServer.getOrDefault(SERVER, ServerObservation.NONE).position() >= position)
+                .filter(byServer ->
+                        byServer.getOrDefault(SERVER, ServerObservation.NONE).position() >= position)
                 .count();
     }
 
@@ -114,10 +116,12 @@
         run(NOW, NOW + 1000 * MS, Set.of());
         observations.forEach((i, byServer) -> {
             if (i != 7) {
-                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).position()).isLessThanOrEqualTo(NOW - 3 * MS);
+                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).position())
+                        .isLessThanOrEqualTo(NOW - 3 * MS);
                 assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).positionAt())
                         .isLessThanOrEqualTo(NOW);
-                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).aliveAt()).isLessThanOrEqualTo(NOW);
+                assertThat(byServer.getOrDefault(SERVER, ServerObservation.NONE).aliveAt())
+                        .isLessThanOrEqualTo(NOW);
             }
         });
     }
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -34,15 +34,16 @@
     static Arbitrary<ServerObservation> observations() {
         Arbitrary<ServerObservation> observations = Combinators.combine(
                         Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(), time(), time(), time())
-                .as((role, roleAt, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt) -> new ServerObservation(
-                        roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
-                        roleAt,
-                        positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
-                        positionAt,
-                        aliveAt,
-                        unresponsiveAt,
-                        slowStartAt,
-                        drainingAt));
+                .as((role, roleAt, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt) ->
+                        new ServerObservation(
+                                roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
+                                roleAt,
+                                positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
+                                positionAt,
+                                aliveAt,
+                                unresponsiveAt,
+                                slowStartAt,
+                                drainingAt));
         return observations;
     }
 
--- a/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ShiftedDatagramTest.java
@@ -83,7 +83,8 @@
         ServerObservation draining = // draining is a change that is forwarded
                 new ServerObservation(
                         Role.REPLICA, NOW, NOW, NOW, NOW, LoadReport.UNKNOWN_TIME, LoadReport.UNKNOWN_TIME, NOW);
-        gossip.onDatagram(NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER_HASH, draining))));
+        gossip.onDatagram(
+                NOW, 1, DatagramCodec.encode(new Datagram(Kind.OBSERVATIONS, NOW, Map.of(SERVER_HASH, draining))));
         gossip.forgetPositions();
         assertThat(gossip.due(NOW + SECOND))
                 .isNotEmpty()
--- a/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
+++ b/gateway/src/test/java/ploverdale/net/postgres/PostgresMessagesTest.java
@@ -65,7 +65,9 @@
         assertThat(expected).hasSize(8);
         assertThat(expected.get(2)).isEqualTo("a1 k''1;/* " + READ_QUERY).isEqualTo(expected.get(5));
         for (int pieceSize : new int[] {1, 2, 3, 5, 64, 4099}) {
-            assertThat(decodeInPieces(stream, pieceSize)).as("in pieces of %d", pieceSize).isEqualTo(expected);
+            assertThat(decodeInPieces(stream, pieceSize))
+                    .as("in pieces of %d", pieceSize)
+                    .isEqualTo(expected);
         }
     }
 
