--- a/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
@@ -5,20 +5,20 @@
 import ploverdale.model.LoadReport.Role;
 
 /**
- * The bytes of one entry of a datagram of observations:
+ * Encodes and decodes an entry of a datagram that holds observations. Sizes in bytes:
  *
  * <pre>
- * hash of the server (4), role (1, its two lowest bits), age of the role (2),
- * age of the position (3, ms), then the ages of its observation, of the last response, of the last silence, of the start of
- * slow start and of draining (2 each)
+ * hash of the server (4), role (1, only the lowest two bits are used), age of the role (2),
+ * age of the position (3, ms), age of the observation of the position (2), age of the last response (2),
+ * time since the server was last found unresponsive (2), time since slow start began (2), time since draining began (2)
  * </pre>
  *
- * <p>Ages count units of 10 ms but for that of the position, and are rounded up: a relayed observation never becomes newer
- * than it was at its source.
+ * <p>The age of the position is in milliseconds, all others in units of 10 ms. Those are rounded up, so that a relayed
+ * observation never becomes newer than it was at its source.
  */
 final class ObservationCodec {
     static final int ENTRY_BYTES = 20;
-    /** The entry of the oldest version: hash, role, and age of the role. */
+    /** Length of an entry of the oldest version, which holds only the hash, the role and the age of the role. */
     static final int MIN_ENTRY_BYTES = 7;
 
     private static final int ROLE_MASK = 3;
@@ -30,16 +30,16 @@
 
     private ObservationCodec() {}
 
-    /** Appends an entry. */
+    /** Appends an entry to the buffer. */
     static void encode(ByteBuffer buffer, int hash, ServerObservation observation, long sentAt) {
         buffer.putInt(hash).put((byte) observation.role().ordinal());
         putAge(buffer, observation.roleAt(), sentAt);
         putPositionAge(buffer, observation.position(), sentAt);
         putAge(buffer, observation.positionAt(), sentAt);
         putAge(buffer, observation.aliveAt(), sentAt);
-        putAge(buffer, observation.silentAt(), sentAt);
-        putAge(buffer, observation.coldSince(), sentAt);
-        putAge(buffer, observation.drainAt(), sentAt);
+        putAge(buffer, observation.unresponsiveAt(), sentAt);
+        putAge(buffer, observation.slowStartAt(), sentAt);
+        putAge(buffer, observation.drainingAt(), sentAt);
     }
 
     private static void putAge(ByteBuffer buffer, long time, long sentAt) {
@@ -58,12 +58,14 @@
         buffer.put((byte) (age >> Short.SIZE)).putShort((short) age);
     }
 
-    /** Reads the hash of an entry. */
+    /** Reads the hash at the start of an entry. */
     static int decodeHash(ByteBuffer entry) {
         return entry.getInt();
     }
 
-    /** Reads what follows the hash; null where the role is impossible. Fields that the entry lacks are unknown. */
+    /**
+     * Reads the fields after the hash. Returns null if the role is invalid; fields missing in the entry are unknown.
+     */
     static ServerObservation decode(ByteBuffer entry, long sentAt) {
         int role = entry.get() & ROLE_MASK;
         if (role >= Role.values().length) {
@@ -73,9 +75,9 @@
         long position = getPosition(entry, sentAt);
         long positionAt = getTime(entry, sentAt);
         long aliveAt = getTime(entry, sentAt);
-        long silentAt = getTime(entry, sentAt);
-        long coldSince = getTime(entry, sentAt);
-        long drainAt = getTime(entry, sentAt);
+        long unresponsiveAt = getTime(entry, sentAt);
+        long slowStartAt = getTime(entry, sentAt);
+        long drainingAt = getTime(entry, sentAt);
         boolean hasRole = role != Role.UNKNOWN.ordinal() && roleAt != LoadReport.UNKNOWN_TIME;
         boolean hasPosition = position != LoadReport.UNKNOWN_TIME && positionAt != LoadReport.UNKNOWN_TIME;
         return new ServerObservation(
@@ -84,9 +86,9 @@
                 hasPosition ? position : LoadReport.UNKNOWN_TIME,
                 hasPosition ? positionAt : LoadReport.UNKNOWN_TIME,
                 aliveAt,
-                silentAt,
-                coldSince,
-                drainAt);
+                unresponsiveAt,
+                slowStartAt,
+                drainingAt);
     }
 
     private static long getTime(ByteBuffer entry, long sentAt) {
--- a/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
+++ b/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
@@ -5,26 +5,34 @@
 import java.util.stream.Collectors;
 import ploverdale.model.LoadReport;
 
-/** Counts rejected datagrams, and makes a log line of the counts from time to time. Times in tenths of a millisecond. */
+/**
+ * Counts rejected datagrams and reports the counts in a log line at most every ten seconds. Times in tenths of a
+ * millisecond.
+ */
 final class RejectionLog {
     private static final long MS = 10;
-    private static final long LINE_INTERVAL = 10_000 * MS;
+    private static final long LOG_INTERVAL = 10_000 * MS;
 
     private final Map<RejectionReason, Integer> counts = new EnumMap<>(RejectionReason.class);
-    private long lastLineAt = LoadReport.UNKNOWN_TIME;
+    private long lastLoggedAt = LoadReport.UNKNOWN_TIME;
 
-    /** Counts a datagram. Returns the line that is due, or null. */
-    String record(long now, int from, RejectionReason reason) {
+    /**
+     * Counts a rejected datagram.
+     *
+     * @param sender the number of the sender
+     * @return a log line if one is due, or null
+     */
+    String record(long now, int sender, RejectionReason reason) {
         counts.merge(reason, 1, Integer::sum);
-        if (now - lastLineAt < LINE_INTERVAL) {
+        if (now - lastLoggedAt < LOG_INTERVAL) {
             return null;
         }
-        lastLineAt = now;
-        String all = counts.entrySet().stream()
+        lastLoggedAt = now;
+        String summary = counts.entrySet().stream()
                 .map(entry -> entry.getValue() + " " + entry.getKey().logName())
                 .sorted()
                 .collect(Collectors.joining(", "));
         counts.clear();
-        return "words of instances not read: " + all + ", the last of instance " + from;
+        return "words of instances not read: " + summary + ", the last of instance " + sender;
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
+++ b/gateway/src/main/java/ploverdale/gossip/SnapshotBuilder.java
@@ -8,21 +8,24 @@
 import ploverdale.gossip.Datagram.Kind;
 import ploverdale.model.ServerId;
 
-/** Builds the datagrams that hold all that this gateway knows, for a peer that starts or those that stay behind. */
+/**
+ * Builds the datagrams with all that this gateway knows, for a peer that starts, or for some peers when this gateway
+ * shuts down.
+ */
 final class SnapshotBuilder {
-    /** Servers in a snapshot; bounds the burst that one request causes. */
+    /** Maximum number of servers in a snapshot; bounds the burst of datagrams that a request causes. */
     private static final int MAX_SERVERS = 60;
 
     private final ServerDirectory servers;
-    private final Function<ServerId, ServerObservation> own;
+    private final Function<ServerId, ServerObservation> ownObservations;
 
-    /** @param own this gateway's knowledge of a server */
-    SnapshotBuilder(ServerDirectory servers, Function<ServerId, ServerObservation> own) {
+    /** @param ownObservations returns this gateway's observation of a server */
+    SnapshotBuilder(ServerDirectory servers, Function<ServerId, ServerObservation> ownObservations) {
         this.servers = servers;
-        this.own = own;
+        this.ownObservations = ownObservations;
     }
 
-    /** The encoded datagrams; none where nothing is known. */
+    /** Returns the encoded datagrams of the snapshot; none if nothing is known. */
     List<byte[]> build(long now, Kind kind) {
         List<byte[]> datagrams = new ArrayList<>();
         Map<Integer, ServerObservation> chunk = new LinkedHashMap<>();
@@ -42,7 +45,7 @@
     private Map<Integer, ServerObservation> collect(long now) {
         Map<Integer, ServerObservation> observations = new LinkedHashMap<>();
         for (KnownServer server : servers.all()) {
-            ServerObservation observation = own.apply(server.id()).withoutOutdated(now);
+            ServerObservation observation = ownObservations.apply(server.id()).withoutOutdated(now);
             boolean isSent = !observation.equals(ServerObservation.NONE) && servers.isUnambiguous(server);
             if (isSent && observations.size() < MAX_SERVERS) {
                 observations.put(ServerHash.of(server.id()), observation);
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -121,7 +121,7 @@
         QueuedInput next = new QueuedInput.Message(message);
         boolean overloaded = queue.isOverReadAhead() || runtime.memory().isExhausted();
         queue.add(overloaded ? next.rejectedIfRequest(RequestRejection.OVERLOADED) : next);
-        if (message.endsConnection()) {
+        if (message.closesConnection()) {
             endInput();
         }
     }
@@ -331,7 +331,7 @@
         if (state == SessionState.INPUT_UNREADABLE) {
             decoder.clear();
         }
-        queue.add(new QueuedInput.Message(new ClientMessage.InvalidQuery(sqlState, message, true)));
+        queue.add(new QueuedInput.Message(new ClientMessage.InvalidMessage(sqlState, message, true)));
         runQueued();
     }
 
--- a/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
+++ b/gateway/src/main/java/ploverdale/net/client/MessageDecoder.java
@@ -33,12 +33,12 @@
 
     /** Returns whether the startup message has been read. */
     boolean isStarted() {
-        return reader.greeted();
+        return reader.startupReceived();
     }
 
     /** Returns whether received bytes are waiting to be decoded. */
     boolean hasUndecodedBytes() {
-        return reader.held() > 0;
+        return reader.bufferedBytes() > 0;
     }
 
     /** Returns the number of bytes that the memory budget counts for this decoder. */
@@ -48,8 +48,8 @@
 
     /** Updates the memory budget to the number of bytes that have not been decoded yet. */
     void countBytes() {
-        memory.reserve(reader.held() - countedBytes);
-        countedBytes = reader.held();
+        memory.reserve(reader.bufferedBytes() - countedBytes);
+        countedBytes = reader.bufferedBytes();
     }
 
     /** Removes this decoder's bytes from the memory budget until {@link #countBytes} is called again. */
@@ -75,7 +75,7 @@
     boolean countRequestsAfterEnd() {
         ClientMessage message = reader.next();
         while (message != null) {
-            if (message.endsConnection()) {
+            if (message.closesConnection()) {
                 if (!reader.skipMessage()) {
                     return false;
                 }
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -121,7 +121,7 @@
                 new GroupId(query.group()),
                 sessionOf(query, requestClass.consistency()),
                 timeoutAt,
-                query.again(),
+                query.resubmitted(),
                 0,
                 tokenAge(query, arrivedAt));
     }
@@ -134,7 +134,7 @@
 
     /** Returns the age of the log position that the request must observe, or {@link #NO_TOKEN}. */
     private long tokenAge(ClientMessage.RequestQuery query, long arrivedAt) {
-        return query.afterMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.afterMs() * TICKS_PER_MS);
+        return query.minPositionMs() <= 0 ? NO_TOKEN : clock.tokenAge(arrivedAt, query.minPositionMs() * TICKS_PER_MS);
     }
 
     /** Passes a request to the lookup of its history, if there is one, otherwise to the router. */
--- a/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
@@ -12,21 +12,22 @@
 import ploverdale.quota.QuotaSettings;
 
 /**
- * Drives a {@link QuotaNode}: gives it a monotonic clock and a periodic tick, hands it the datagrams that are its own,
- * sends the packets that it returns, and logs its lines. Decides neither who is alive nor who holds which quota.
+ * Connects a {@link QuotaNode} to the event loop: supplies the clock and the periodic tick, passes it the datagrams of
+ * its protocols, sends the packets that it returns, and writes its log lines. Decides neither which members are alive
+ * nor which gateway holds which quota.
  *
  * <p>Used on the event loop only.
  */
 public final class MembershipTransport implements PeerCoordination {
     /** Sends a datagram to another gateway. */
     public interface DatagramSender {
-        /** @param to the receiver's number */
+        /** @param to the number of the receiving gateway */
         void send(int to, byte[] datagram);
     }
 
     private static final long TENTHS_PER_MS = 10;
     private static final long NANOS_PER_TENTH_MS = 100_000;
-    private static final long FIGURES_INTERVAL_MS = 60_000;
+    private static final long STATISTICS_INTERVAL_MS = 60_000;
 
     private final Log log;
     private final DatagramSender sender;
@@ -49,21 +50,24 @@
                 () -> clock.clock().nanos() / NANOS_PER_TENTH_MS,
                 clock::wallNow);
         vertx.setPeriodic(QuotaNode.TICK_INTERVAL / TENTHS_PER_MS, x -> onPackets(node.onTick()));
-        vertx.setPeriodic(FIGURES_INTERVAL_MS, x -> log.line(node.statisticsLine()));
+        vertx.setPeriodic(STATISTICS_INTERVAL_MS, x -> log.line(node.statisticsLine()));
         writeLogLines();
     }
 
-    /** The quota that the router may spend, and the replicas. */
+    /** Returns the node, which holds the quota of this gateway and the replicated entries. */
     public QuotaNode node() {
         return node;
     }
 
-    /** Sets what is run after each datagram and each tick: requests to the replicas may have ended by then. */
-    public void whenReceived(Runnable listener) {
+    /**
+     * Sets a listener that runs after each datagram and each tick, either of which may complete requests to the
+     * replicas.
+     */
+    public void setReceiveListener(Runnable listener) {
         receiveListener = listener;
     }
 
-    /** Runs something that asks or informs the replicas, and sends the packets that it queues. */
+    /** Runs an action that queues packets for other gateways, and sends these packets. */
     public void exchange(ObjLongConsumer<PacketQueue> action) {
         send(node.runAndDrain(action));
         writeLogLines();
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -15,9 +15,9 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * Records a write that has succeeded: the position that later reads of its session must reach, and its outcome under its
- * id. Answers the client, at once or, for classes that wait for copies, when a majority of the replicas has them. Used on
- * the event loop only.
+ * Records a write that has succeeded: the position that later reads of its session must reach, and the outcome of the
+ * write under its id. Answers the client at once or, for synchronously replicated classes, when a majority of the
+ * replicas has stored both entries. Used on the event loop only.
  */
 final class WriteRecorder {
     private static final long TENTHS_PER_MS = 10;
@@ -41,30 +41,37 @@
         this.clock = clock;
     }
 
-    /** @param report what the server reported with the row, or null */
+    /**
+     * Records the write and answers its client.
+     *
+     * @param report the load report that came with the row, or null
+     */
     void record(PendingWrite write, ResultRow row, LoadReport report, ServerId server) {
         SessionId session = write.request().session();
         boolean recordsPosition = settings.replicatesSessions() && session != null;
         if (recordsPosition && !clock.isKnown()) {
-            requests.failed(write.id()); // its position cannot be dated, and so cannot be guaranteed to the session
+            requests.failed(write.id()); // without a time for its position, later reads of the session could miss it
             log.often("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
             return;
         }
-        CopyWait copies = new CopyWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
-        if (!write.waitsForCopies() || copies.missing == 0) {
+        ReplicationWait replication =
+                new ReplicationWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
+        if (!write.isSynchronous() || replication.pendingEntries == 0) {
             requests.succeeded(write.id(), row);
         }
-        long remaining = write.request().timeoutAt() - clock.now();
-        long timeLimit = Math.max(1, Math.min(settings.synchronousTimeout(), remaining));
+        long remainingTime = write.request().timeoutAt() - clock.now();
+        long timeLimit = Math.max(1, Math.min(settings.synchronousTimeout(), remainingTime));
         if (recordsPosition) {
-            recordPosition(write, session, position(report), server, timeLimit, copies);
+            recordPosition(write, session, position(report), server, timeLimit, replication);
         }
         if (write.hasClaim()) {
-            recordOutcome(write, row, timeLimit, copies);
+            recordOutcome(write, row, timeLimit, replication);
         }
     }
 
-    /** The position of the write on the servers' wall clock; the present where the server did not report it. */
+    /**
+     * Returns the position of the write on the servers' wall clock; the current time if the server did not report it.
+     */
     private long position(LoadReport report) {
         return report != null && report.position() != LoadReport.UNKNOWN_TIME
                 ? clock.toWall(report.position())
@@ -72,7 +79,12 @@
     }
 
     private void recordPosition(
-            PendingWrite write, SessionId session, long position, ServerId server, long timeLimit, CopyWait copies) {
+            PendingWrite write,
+            SessionId session,
+            long position,
+            ServerId server,
+            long timeLimit,
+            ReplicationWait replication) {
         replicas.start(
                 (store, now, packets) -> store.writePosition(
                         now,
@@ -80,12 +92,12 @@
                         position,
                         ServerHash.of(server),
                         timeLimit,
-                        write.waitsForCopies(),
+                        write.isSynchronous(),
                         packets),
-                copies::onCopyEnded);
+                replication::onEntryResult);
     }
 
-    private void recordOutcome(PendingWrite write, ResultRow row, long timeLimit, CopyWait copies) {
+    private void recordOutcome(PendingWrite write, ResultRow row, long timeLimit, ReplicationWait replication) {
         replicas.start(
                 (store, now, packets) -> store.writeOutcome(
                         now,
@@ -94,32 +106,35 @@
                         ClaimState.SUCCEEDED,
                         MessageWriter.resultRow(row).getBytes(),
                         timeLimit,
-                        write.waitsForCopies(),
+                        write.isSynchronous(),
                         packets),
-                copies::onCopyEnded);
+                replication::onEntryResult);
     }
 
-    /** Answers the client of a write that waits for copies once both its position and its outcome are copied. */
-    private final class CopyWait {
+    /**
+     * Answers the client of a synchronously replicated write when both its position and its outcome have been
+     * replicated.
+     */
+    private final class ReplicationWait {
         private final PendingWrite write;
         private final ResultRow row;
-        private int missing;
+        private int pendingEntries;
         private boolean failed;
 
-        private CopyWait(PendingWrite write, ResultRow row, int missing) {
+        private ReplicationWait(PendingWrite write, ResultRow row, int pendingEntries) {
             this.write = write;
             this.row = row;
-            this.missing = missing;
+            this.pendingEntries = pendingEntries;
         }
 
-        private void onCopyEnded(QuorumResult result) {
+        private void onEntryResult(QuorumResult result) {
             failed |= result.status() != Status.REPLICATED;
-            missing--;
-            if (missing > 0) {
+            pendingEntries--;
+            if (pendingEntries > 0) {
                 return;
             }
             if (failed) {
-                requests.failed(write.id()); // nothing is guaranteed of it
+                requests.failed(write.id()); // a later read or resubmission might not see the write
                 long waitedMs = settings.synchronousTimeout() / TENTHS_PER_MS;
                 String outcome = "errored after " + waitedMs + " ms"; // log line: on-call guide
                 log.often("an acked write without copies", outcome); // log line: on-call guide
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageReader.java
@@ -3,20 +3,24 @@
 import io.vertx.core.buffer.Buffer;
 import ploverdale.net.postgres.ClientMessage.CancelRequest;
 import ploverdale.net.postgres.ClientMessage.EncryptionRequest;
-import ploverdale.net.postgres.ClientMessage.InvalidQuery;
+import ploverdale.net.postgres.ClientMessage.InvalidMessage;
 import ploverdale.net.postgres.ClientMessage.Startup;
 import ploverdale.net.postgres.ClientMessage.Sync;
 import ploverdale.net.postgres.ClientMessage.Terminate;
 import ploverdale.net.postgres.ClientMessage.UnsupportedMessage;
 
-/** Decodes what one client writes. Used by the thread that owns the connection. */
+/** Decodes the byte stream of one client connection into messages. Used only by the thread that owns the connection. */
 public final class ClientMessageReader {
-    /** The longest value that a request may carry or a server may answer, in bytes. */
+    /** Maximum size in bytes of a value in a request or in a server's row. */
     public static final int MAX_VALUE_BYTES = 64 * 1024;
 
     private static final int MAX_STARTUP_BYTES = 10_000;
-    private static final int MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 8 * 1024; // hex takes two characters a byte
-    private static final int MAX_SKIPPED_BYTES = 1024 * 1024; // a longer message ends the connection unread
+    /** A value in hex takes two characters per byte. */
+    private static final int MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 8 * 1024;
+
+    /** A longer message closes the connection. */
+    private static final int MAX_SKIPPED_BYTES = 1024 * 1024;
+
     private static final int MIN_STARTUP_BYTES = 8;
     private static final int CANCEL_REQUEST_BYTES = 16;
     private static final int HEADER_BYTES = 5; // type and length
@@ -27,34 +31,37 @@
     private static final String MESSAGE_TYPES = "QXSPBDECHFdcfp";
 
     private final FrameBuffer frames = new FrameBuffer();
-    private boolean greeted;
+    private boolean startupReceived;
 
-    /** Adds bytes that were received. */
+    /** Appends received bytes. */
     public void feed(Buffer more) {
         frames.feed(more);
     }
 
-    /** Whether the startup message has been read. */
-    public boolean greeted() {
-        return greeted;
+    /** Returns whether the startup message has been decoded. */
+    public boolean startupReceived() {
+        return startupReceived;
     }
 
-    /** Discards the bytes that are not decoded yet. */
+    /** Discards all received bytes that have not been decoded yet. */
     public void clear() {
         frames.drop(frames.size());
     }
 
-    /** Number of bytes received and not decoded yet. */
-    public int held() {
+    /** Returns the number of bytes that have been received but not decoded yet. */
+    public int bufferedBytes() {
         return frames.size();
     }
 
     /**
-     * Skips the message at the head of the stream, which is incomplete or unacceptable; false, with nothing skipped, where its
-     * header is missing or its length cannot be believed, so that no later message can be found.
+     * Skips the incomplete or unacceptable message at the head of the stream, including the part that is still to be
+     * received.
+     *
+     * @return false, with nothing skipped, if the header is incomplete or the length is out of range, so that the start
+     *     of the next message cannot be found
      */
     public boolean skipMessage() {
-        if (!greeted || !frames.skipped() || frames.size() < HEADER_BYTES) {
+        if (!startupReceived || !frames.isSkipComplete() || frames.size() < HEADER_BYTES) {
             return false;
         }
         int length = frames.int32(1);
@@ -65,9 +72,9 @@
         return true;
     }
 
-    /** The next message, or null until more bytes have been received. */
+    /** Decodes the next message; returns null if more bytes are needed. */
     public ClientMessage next() {
-        return greeted ? nextMessage() : nextStartup();
+        return startupReceived ? nextMessage() : nextStartup();
     }
 
     private ClientMessage nextStartup() {
@@ -76,27 +83,27 @@
         }
         int length = frames.int32(0);
         if (length < MIN_STARTUP_BYTES || length > MAX_STARTUP_BYTES) {
-            return new InvalidQuery("08P01", "a first message of " + length + " bytes", true);
+            return new InvalidMessage("08P01", "a first message of " + length + " bytes", true);
         }
         if (frames.size() < length) {
             return null;
         }
         int code = frames.int32(4);
         if (code == CANCEL_REQUEST) {
-            return cancelRequest(length);
+            return decodeCancelRequest(length);
         }
         frames.drop(length);
         if (code == SSL_REQUEST || code == GSS_ENCRYPTION_REQUEST) {
             return new EncryptionRequest();
         }
-        greeted = code >> 16 == PROTOCOL_MAJOR_VERSION;
-        if (greeted) {
+        startupReceived = code >> 16 == PROTOCOL_MAJOR_VERSION;
+        if (startupReceived) {
             return new Startup();
         }
-        return new InvalidQuery("0A000", "protocol " + (code >> 16) + "." + (code & 0xffff) + " is not spoken", true);
+        return new InvalidMessage("0A000", "protocol " + (code >> 16) + "." + (code & 0xffff) + " is not spoken", true);
     }
 
-    private ClientMessage cancelRequest(int length) {
+    private ClientMessage decodeCancelRequest(int length) {
         ClientMessage request =
                 length == CANCEL_REQUEST_BYTES ? new CancelRequest(frames.int32(8), frames.int32(12)) : new Terminate();
         frames.drop(length);
@@ -104,29 +111,30 @@
     }
 
     private ClientMessage nextMessage() {
-        if (!frames.skipped() || frames.size() < HEADER_BYTES) {
+        if (!frames.isSkipComplete() || frames.size() < HEADER_BYTES) {
             return null;
         }
         char type = (char) frames.int8(0);
         int length = frames.int32(1);
         if (MESSAGE_TYPES.indexOf(type) < 0) {
-            return new InvalidQuery("08P01", "an unknown message type " + (int) type, true);
+            return new InvalidMessage("08P01", "an unknown message type " + (int) type, true);
         }
         if (length < 4 || length > MAX_SKIPPED_BYTES) {
-            return new InvalidQuery("08P01", "a message of " + length + " bytes", true);
+            return new InvalidMessage("08P01", "a message of " + length + " bytes", true);
         }
         if (type != 'Q') {
             frames.skip(1 + length);
-            return withoutQuery(type);
+            return decodeOtherThanQuery(type);
         }
         if (length > MAX_QUERY_BYTES) {
             frames.skip(1 + length);
-            return new InvalidQuery("54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
+            return new InvalidMessage(
+                    "54000", "a query of " + length + " bytes, " + MAX_QUERY_BYTES + " at most", false);
         }
-        return frames.size() < 1 + length ? null : query(length);
+        return frames.size() < 1 + length ? null : decodeQuery(length);
     }
 
-    private static ClientMessage withoutQuery(char type) {
+    private static ClientMessage decodeOtherThanQuery(char type) {
         return switch (type) {
             case 'X' -> new Terminate();
             case 'S' -> new Sync();
@@ -134,12 +142,12 @@
         };
     }
 
-    private ClientMessage query(int length) {
+    private ClientMessage decodeQuery(int length) {
         byte[] text = frames.bytes(HEADER_BYTES, Math.max(0, length - HEADER_BYTES));
-        boolean complete = length >= HEADER_BYTES && frames.int8(length) == 0;
+        boolean terminated = length >= HEADER_BYTES && frames.int8(length) == 0;
         frames.drop(1 + length);
-        if (!complete) {
-            return new InvalidQuery("08P01", "a query without its closing zero", false);
+        if (!terminated) {
+            return new InvalidMessage("08P01", "a query without its closing zero", false);
         }
         return RequestQueryParser.parse(text);
     }
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageFields.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageFields.java
@@ -4,7 +4,10 @@
 
 import java.util.Arrays;
 
-/** Reads the fields of one message in order; past its end all are empty and the message counts as truncated. */
+/**
+ * Reads the fields of one message in order. A read past the end returns an empty value and marks the message as
+ * truncated.
+ */
 final class MessageFields {
     private final byte[] bytes;
     private int position;
@@ -14,15 +17,17 @@
         this.bytes = bytes;
     }
 
-    /** Whether a field was read that the message did not hold completely. */
+    /** Returns whether a field that was read extends past the end of the message. */
     boolean truncated() {
         return truncated;
     }
 
+    /** Returns the number of bytes that have not been read. */
     int remaining() {
         return bytes.length - position;
     }
 
+    /** Reads an unsigned byte. */
     int int8() {
         if (position >= bytes.length) {
             truncated = true;
@@ -39,20 +44,22 @@
         return int8() << 24 | int8() << 16 | int8() << 8 | int8();
     }
 
-    /** Text up to a zero byte. */
-    String text() {
+    /** Reads a zero-terminated string. */
+    String string() {
         int end = position;
         while (end < bytes.length && bytes[end] != 0) {
             end++;
         }
         truncated |= end >= bytes.length;
-        String text = new String(bytes, position, end - position, UTF_8);
+        String value = new String(bytes, position, end - position, UTF_8);
         position = Math.min(bytes.length, end + 1);
-        return text;
+        return value;
     }
 
-    /** Bytes behind their number; null for the number -1. */
-    byte[] sizedBytes() {
+    /**
+     * Reads a value that is preceded by its length in bytes; returns null for the length -1, which stands for SQL NULL.
+     */
+    byte[] lengthPrefixedBytes() {
         int size = int32();
         if (size == -1) {
             return null;
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -4,29 +4,34 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Encodes what is written to clients and to database servers. */
+/** Encodes the messages to clients and to database servers. */
 public final class MessageWriter {
     private static final int PROTOCOL_VERSION = 3 << 16;
 
     private MessageWriter() {}
 
-    /** To a client: the answer to its startup message, with a BackendKeyData that no cancel request is matched with. */
+    /** Encodes the response to a client's startup message, with a BackendKeyData that no cancel request matches. */
     public static Buffer startupResponse() {
         return startupResponse(0, 0);
     }
 
-    /** To a client: the answer to its startup message; a cancel request names the connection by these two numbers. */
-    public static Buffer startupResponse(int process, int secret) {
+    /**
+     * Encodes the response to a client's startup message.
+     *
+     * @param processId process id by which a cancel request names the connection
+     * @param secretKey secret key that a cancel request must repeat
+     */
+    public static Buffer startupResponse(int processId, int secretKey) {
         Buffer buffer = Buffer.buffer(128);
         buffer.appendByte((byte) 'R').appendInt(8).appendInt(0);
         parameterStatus(buffer, "server_version", "15.0");
         parameterStatus(buffer, "client_encoding", "UTF8");
         parameterStatus(buffer, "standard_conforming_strings", "on");
-        buffer.appendByte((byte) 'K').appendInt(12).appendInt(process).appendInt(secret);
+        buffer.appendByte((byte) 'K').appendInt(12).appendInt(processId).appendInt(secretKey);
         return readyForQuery(buffer);
     }
 
-    /** Appends a ParameterStatus message of ASCII text. */
+    /** Appends a ParameterStatus message. Name and value must be ASCII. */
     public static void parameterStatus(Buffer buffer, String name, String value) {
         buffer.appendByte((byte) 'S').appendInt(6 + name.length() + value.length());
         buffer.appendString(name).appendByte((byte) 0);
@@ -37,17 +42,17 @@
         return buffer.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
     }
 
-    /** To a client: the answer to a Sync. */
+    /** Encodes the response to a client's Sync. */
     public static Buffer readyForQuery() {
         return readyForQuery(Buffer.buffer(6));
     }
 
-    /** To a client: the answer to an empty query. */
+    /** Encodes the response to a client's empty query. */
     public static Buffer emptyQueryResponse() {
         return readyForQuery(Buffer.buffer(11).appendByte((byte) 'I').appendInt(4));
     }
 
-    /** To a client: the row as the database server gave it. */
+    /** Encodes a result for a client, with the row unchanged from the database server. */
     public static Buffer resultRow(ResultRow row) {
         int size = row.value() == null ? 0 : row.value().length;
         byte[] name = row.column().name().getBytes(UTF_8);
@@ -55,9 +60,9 @@
         Buffer buffer = Buffer.buffer(size + name.length + tag.length + 64);
         buffer.appendByte((byte) 'T').appendInt(6 + name.length + 19).appendShort((short) 1);
         buffer.appendBytes(name).appendByte((byte) 0);
-        buffer.appendInt(row.column().table()).appendShort(row.column().number());
-        buffer.appendInt(row.column().type()).appendShort(row.column().size());
-        buffer.appendInt(row.column().modifier()).appendShort(row.column().format());
+        buffer.appendInt(row.column().tableOid()).appendShort(row.column().columnNumber());
+        buffer.appendInt(row.column().typeOid()).appendShort(row.column().typeSize());
+        buffer.appendInt(row.column().typeModifier()).appendShort(row.column().format());
         buffer.appendByte((byte) 'D').appendInt(10 + size).appendShort((short) 1);
         buffer.appendInt(row.value() == null ? -1 : size);
         if (row.value() != null) {
@@ -68,33 +73,34 @@
     }
 
     /**
-     * To a client: an ErrorResponse.
+     * Encodes an ErrorResponse for a client.
      *
-     * @param detail may be null
-     * @param ends whether the connection ends with it
-     * @param ready whether ReadyForQuery follows
+     * @param detail the detail field, or null to omit it
+     * @param fatal whether the connection is closed after it
+     * @param withReadyForQuery whether a ReadyForQuery message follows
      */
-    public static Buffer errorResponse(String code, String text, String detail, boolean ends, boolean ready) {
-        String severity = ends ? "FATAL" : "ERROR";
+    public static Buffer errorResponse(
+            String code, String message, String detail, boolean fatal, boolean withReadyForQuery) {
+        String severity = fatal ? "FATAL" : "ERROR";
         Buffer fields = Buffer.buffer(128);
         appendField(fields, 'S', severity);
         appendField(fields, 'V', severity);
         appendField(fields, 'C', code);
-        appendField(fields, 'M', text);
+        appendField(fields, 'M', message);
         if (detail != null) {
             appendField(fields, 'D', detail);
         }
         fields.appendByte((byte) 0);
         Buffer buffer = Buffer.buffer(fields.length() + 16);
         buffer.appendByte((byte) 'E').appendInt(4 + fields.length()).appendBuffer(fields);
-        return ready ? readyForQuery(buffer) : buffer;
+        return withReadyForQuery ? readyForQuery(buffer) : buffer;
     }
 
     private static void appendField(Buffer fields, char type, String value) {
         fields.appendByte((byte) type).appendString(value).appendByte((byte) 0);
     }
 
-    /** To a server: the startup message. */
+    /** Encodes the startup message to a server. */
     public static Buffer startup() {
         Buffer buffer = Buffer.buffer(48);
         buffer.appendInt(0).appendInt(PROTOCOL_VERSION);
@@ -105,7 +111,11 @@
         return buffer.setInt(0, buffer.length());
     }
 
-    /** To a server: the request's statement as it came, but for the time that the server has for it. */
+    /**
+     * Encodes a request for a server: the client's query unchanged, except that its timeout is replaced.
+     *
+     * @param timeoutMs how long the server may take, in milliseconds
+     */
     public static Buffer request(ClientMessage.RequestQuery query, long timeoutMs) {
         byte[] timeout = Long.toString(timeoutMs).getBytes(UTF_8);
         int size = query.text().length - (query.timeoutTo() - query.timeoutFrom()) + timeout.length;
@@ -116,12 +126,16 @@
         return buffer.appendByte((byte) 0);
     }
 
-    /** To a server: a health check, which asks for the load report where there is one. */
-    public static Buffer healthCheck(boolean forReport) {
-        return query(forReport ? "SHOW vitals" : "SELECT 1");
+    /**
+     * Encodes a health check for a server.
+     *
+     * @param requestsLoadReport whether to ask for the load report
+     */
+    public static Buffer healthCheck(boolean requestsLoadReport) {
+        return query(requestsLoadReport ? "SHOW vitals" : "SELECT 1");
     }
 
-    /** To a server: a query with this text. */
+    /** Encodes a simple query for a server. */
     public static Buffer query(String text) {
         byte[] bytes = text.getBytes(UTF_8);
         Buffer buffer = Buffer.buffer(bytes.length + 6);
--- a/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/RequestQueryParser.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 import ploverdale.net.postgres.ClientMessage.EmptyQuery;
-import ploverdale.net.postgres.ClientMessage.InvalidQuery;
+import ploverdale.net.postgres.ClientMessage.InvalidMessage;
 import ploverdale.net.postgres.ClientMessage.RequestQuery;
 
-/** Parses the one statement of a query and the comment behind it, which describes the request. */
+/** Parses a query string: one statement and the comment that describes the request. */
 final class RequestQueryParser {
     private static final String[] REQUIRED_FIELDS = {"id", "c", "d"};
     private static final double MAX_TIMEOUT_MS = 1e9;
@@ -24,53 +24,59 @@
     private String key;
     private boolean hasStatement;
     private boolean statementEnded;
-    private InvalidQuery invalid;
+    private InvalidMessage invalid;
 
     private RequestQueryParser(byte[] text) {
         this.text = text;
     }
 
+    /**
+     * Parses a query string.
+     *
+     * @return a {@link RequestQuery}, an {@link EmptyQuery} or an {@link InvalidMessage}
+     */
     static ClientMessage parse(byte[] text) {
         RequestQueryParser parser = new RequestQueryParser(text);
         parser.scanStatement();
         if (parser.invalid != null) {
             return parser.invalid;
         }
-        return parser.hasStatement ? parser.requestQuery() : new EmptyQuery();
+        return parser.hasStatement ? parser.toRequestQuery() : new EmptyQuery();
     }
 
     private void scanStatement() {
         for (int i = 0; i < text.length && invalid == null; i++) {
-            byte b = text[i];
-            if (b == '/' && i + 1 < text.length && text[i + 1] == '*') {
+            byte current = text[i];
+            if (current == '/' && i + 1 < text.length && text[i + 1] == '*') {
                 i = scanComment(i);
-            } else if (b == 0) {
-                invalid = new InvalidQuery("42601", "a zero byte within a query", false);
-            } else if (b == ';') {
+            } else if (current == 0) {
+                invalid = new InvalidMessage("42601", "a zero byte within a query", false);
+            } else if (current == ';') {
                 statementEnded = hasStatement;
-            } else if (b > ' ' || b < 0) {
+            } else if (current > ' ' || current < 0) {
                 i = scanStatementByte(i);
             }
         }
     }
 
-    /** Returns the index of the last byte that belongs to what begins at the given index. */
+    /** Scans the token that begins at an index, a quoted value or a single byte. Returns the index of its last byte. */
     private int scanStatementByte(int from) {
         if (statementEnded) {
-            invalid = new InvalidQuery("42601", "more than one statement in a query", false);
+            invalid = new InvalidMessage("42601", "more than one statement in a query", false);
         }
         hasStatement = true;
-        byte b = text[from];
-        return b == '\'' || b == '"' ? scanQuoted(from, b) : from;
+        byte first = text[from];
+        return first == '\'' || first == '"' ? scanQuoted(from, first) : from;
     }
 
+    /** Returns the index of the last byte of the comment. */
     private int scanComment(int from) {
         int end = from + 2;
         while (end + 1 < text.length && !(text[end] == '*' && text[end + 1] == '/')) {
             end++;
         }
         if (end + 1 >= text.length) {
-            invalid = new InvalidQuery("42601", "a comment that does not end", false);
+            invalid = new InvalidMessage("42601", "a comment that does not end", false);
             return text.length;
         }
         commentFrom = from + 2;
@@ -78,6 +84,7 @@
         return end + 1;
     }
 
+    /** Returns the index of the closing quote. */
     private int scanQuoted(int from, byte quote) {
         int end = from + 1;
         while (end < text.length && (text[end] != quote || end + 1 < text.length && text[end + 1] == quote)) {
@@ -87,34 +94,34 @@
         boolean hex = end - from > 2 && text[from + 1] == '\\' && text[from + 2] == 'x';
         int maxLength = hex ? 2 + 2 * ClientMessageReader.MAX_VALUE_BYTES : ClientMessageReader.MAX_VALUE_BYTES;
         if (end >= text.length) {
-            invalid = new InvalidQuery("42601", "a quoted text that does not end", false);
+            invalid = new InvalidMessage("42601", "a quoted text that does not end", false);
         } else if (length > maxLength) {
-            invalid =
-                    new InvalidQuery("54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
+            invalid = new InvalidMessage(
+                    "54000", "a value over " + ClientMessageReader.MAX_VALUE_BYTES + " bytes", false);
         } else if (quote == '\'' && !hex && key == null) {
             key = new String(text, from + 1, length, UTF_8);
         }
         return end;
     }
 
-    private ClientMessage requestQuery() {
+    private ClientMessage toRequestQuery() {
         if (commentFrom < 0) {
-            return new InvalidQuery("42601", "a query without the comment that names its op", false);
+            return new InvalidMessage("42601", "a query without the comment that names its op", false);
         }
         parseComment();
         for (String name : REQUIRED_FIELDS) {
             if (fields.getOrDefault(name, "").isEmpty()) {
-                return new InvalidQuery("22023", "a comment without " + name, false);
+                return new InvalidMessage("22023", "a comment without " + name, false);
             }
         }
-        double timeoutMs = number(fields.get("d"));
-        double group = number(fields.getOrDefault("cluster", "0"));
-        double after = number(fields.getOrDefault("after", "0"));
-        if (Double.isNaN(timeoutMs) || Double.isNaN(group) || Double.isNaN(after)) {
-            return new InvalidQuery("22023", "a number that is none", false);
+        double timeoutMs = parseNumber(fields.get("d"));
+        double group = parseNumber(fields.getOrDefault("cluster", "0"));
+        double minPositionMs = parseNumber(fields.getOrDefault("after", "0"));
+        if (Double.isNaN(timeoutMs) || Double.isNaN(group) || Double.isNaN(minPositionMs)) {
+            return new InvalidMessage("22023", "a number that is none", false);
         }
         if (timeoutMs <= 0 || timeoutMs > MAX_TIMEOUT_MS) {
-            return new InvalidQuery("22023", "a wait of " + timeoutMs + " ms", false);
+            return new InvalidMessage("22023", "a wait of " + timeoutMs + " ms", false);
         }
         return new RequestQuery(
                 fields.get("id"),
@@ -124,7 +131,7 @@
                 key,
                 timeoutMs,
                 fields.getOrDefault("r", "0").equals("1"),
-                (long) after,
+                (long) minPositionMs,
                 text,
                 timeoutFrom,
                 timeoutTo);
@@ -166,13 +173,17 @@
         }
     }
 
-    private static double number(String text) {
-        boolean plain = !text.isEmpty() && text.length() < MAX_NUMBER_LENGTH;
-        for (int i = 0; plain && i < text.length(); i++) {
-            plain = NUMBER_CHARACTERS.indexOf(text.charAt(i)) >= 0;
+    /**
+     * Parses a plain decimal number; returns NaN for anything else, such as the exponents that Double.parseDouble
+     * accepts.
+     */
+    private static double parseNumber(String text) {
+        boolean isPlainDecimal = !text.isEmpty() && text.length() < MAX_NUMBER_LENGTH;
+        for (int i = 0; isPlainDecimal && i < text.length(); i++) {
+            isPlainDecimal = NUMBER_CHARACTERS.indexOf(text.charAt(i)) >= 0;
         }
         try {
-            return plain ? Double.parseDouble(text) : Double.NaN;
+            return isPlainDecimal ? Double.parseDouble(text) : Double.NaN;
         } catch (NumberFormatException e) {
             return Double.NaN;
         }
--- a/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
+++ b/gateway/src/test/java/ploverdale/gossip/ServerObservationTest.java
@@ -18,11 +18,11 @@
 import ploverdale.model.LoadReport;
 import ploverdale.model.LoadReport.Role;
 
-/** Observations in any order, lost and duplicated, join to the same or an older one, never a fresher one. */
+/** Reordered, lost and repeated observations join to the same or an older observation, never a newer one. */
 class ServerObservationTest {
-    static final long NOW = 17_672_256_000_000L; // tenths of a ms, Unix
+    static final long NOW = 17_672_256_000_000L; // Unix time in tenths of a millisecond
 
-    /** A time of the last ten seconds, or unknown. */
+    /** A time within the last ten seconds, or unknown. */
     private static Arbitrary<Long> time() {
         return Arbitraries.longs()
                 .between(NOW - 100_000, NOW)
@@ -32,40 +32,41 @@
 
     @Provide
     static Arbitrary<ServerObservation> observations() {
-        Arbitrary<ServerObservation> known = Combinators.combine(
+        Arbitrary<ServerObservation> observations = Combinators.combine(
                         Arbitraries.of(Role.PRIMARY, Role.REPLICA), time(), time(), time(), time(), time(), time())
-                .as((role, roleAt, positionAt, alive, silent, cold, drain) -> new ServerObservation(
-                        roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
-                        roleAt,
-                        positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
-                        positionAt,
-                        alive,
-                        silent,
-                        cold,
-                        drain));
-        return known;
+                .as((role, roleAt, positionAt, aliveAt, unresponsiveAt, slowStartAt, drainingAt) ->
+                        new ServerObservation(
+                                roleAt == LoadReport.UNKNOWN_TIME ? Role.UNKNOWN : role,
+                                roleAt,
+                                positionAt == LoadReport.UNKNOWN_TIME ? positionAt : positionAt - 500,
+                                positionAt,
+                                aliveAt,
+                                unresponsiveAt,
+                                slowStartAt,
+                                drainingAt));
+        return observations;
     }
 
-    private static ServerObservation all(List<ServerObservation> observations) {
+    private static ServerObservation joinAll(List<ServerObservation> observations) {
         return observations.stream().reduce(ServerObservation.NONE, ServerObservation::join);
     }
 
     @Property(seed = "7")
-    void orderAndRepetitionChangeNothing(
+    void theJoinDoesNotDependOnOrderAndRepetition(
             @ForAll @Size(max = 8) List<@From("observations") ServerObservation> observations, @ForAll Random random) {
-        List<ServerObservation> other = new ArrayList<>(observations);
-        other.addAll(observations.subList(0, observations.size() / 2));
-        Collections.shuffle(other, random);
-        assertThat(all(other)).isEqualTo(all(observations));
-        assertThat(all(observations).join(all(observations))).isEqualTo(all(observations));
+        List<ServerObservation> reordered = new ArrayList<>(observations);
+        reordered.addAll(observations.subList(0, observations.size() / 2));
+        Collections.shuffle(reordered, random);
+        assertThat(joinAll(reordered)).isEqualTo(joinAll(observations));
+        assertThat(joinAll(observations).join(joinAll(observations))).isEqualTo(joinAll(observations));
     }
 
     @Property(seed = "8")
-    void lossMakesOlderNeverFresher(
+    void aLostObservationMakesTheJoinOlderButNeverNewer(
             @ForAll @Size(min = 1, max = 8) List<@From("observations") ServerObservation> observations) {
-        ServerObservation part = all(observations.subList(0, observations.size() - 1));
-        assertOlder(part, all(observations));
-        assertThat(part.join(all(observations))).isEqualTo(all(observations));
+        ServerObservation withoutLast = joinAll(observations.subList(0, observations.size() - 1));
+        assertNotNewer(withoutLast, joinAll(observations));
+        assertThat(withoutLast.join(joinAll(observations))).isEqualTo(joinAll(observations));
     }
 
     @Property(seed = "9")
@@ -75,7 +76,7 @@
                 .datagram()
                 .observations()
                 .get(5);
-        assertOlder(decoded, observation);
+        assertNotNewer(decoded, observation);
         assertThat(decoded.role()).isEqualTo(observation.role());
         if (observation.position() != LoadReport.UNKNOWN_TIME) {
             assertThat(observation.position() - decoded.position()).isBetween(0L, 9L);
@@ -83,20 +84,20 @@
         }
     }
 
-    private static void assertOlder(ServerObservation older, ServerObservation newer) {
+    private static void assertNotNewer(ServerObservation older, ServerObservation newer) {
         assertThat(older.roleAt()).isLessThanOrEqualTo(newer.roleAt());
         assertThat(older.position()).isLessThanOrEqualTo(newer.position());
         assertThat(older.positionAt()).isLessThanOrEqualTo(newer.positionAt());
         assertThat(older.aliveAt()).isLessThanOrEqualTo(newer.aliveAt());
-        assertThat(older.silentAt()).isLessThanOrEqualTo(newer.silentAt());
-        assertThat(older.coldSince()).isLessThanOrEqualTo(newer.coldSince());
-        assertThat(older.drainAt()).isLessThanOrEqualTo(newer.drainAt());
+        assertThat(older.unresponsiveAt()).isLessThanOrEqualTo(newer.unresponsiveAt());
+        assertThat(older.slowStartAt()).isLessThanOrEqualTo(newer.slowStartAt());
+        assertThat(older.drainingAt()).isLessThanOrEqualTo(newer.drainingAt());
     }
 
     @Property(seed = "10")
-    void outdatedFieldsAreDroppedButDrainingAndSlowStart(@ForAll("observations") ServerObservation observation) {
-        ServerObservation later = observation.since(NOW + 1);
-        assertThat(later.withRoleOlder(0))
+    void outdatedFieldsAreDroppedExceptDrainingAndSlowStart(@ForAll("observations") ServerObservation observation) {
+        ServerObservation outdated = observation.since(NOW + 1);
+        assertThat(outdated.withRoleOlder(0))
                 .isEqualTo(new ServerObservation(
                         Role.UNKNOWN,
                         LoadReport.UNKNOWN_TIME,
@@ -104,8 +105,8 @@
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
                         LoadReport.UNKNOWN_TIME,
-                        observation.coldSince(),
-                        observation.drainAt()));
+                        observation.slowStartAt(),
+                        observation.drainingAt()));
         assertThat(observation.since(NOW - 200_000)).isEqualTo(observation);
     }
 }
--- a/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/membership/MembershipWireFormatTest.java
@@ -9,7 +9,9 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of each kind of message, and of a whole recorded exchange. Gateways of different versions read each other. */
+/**
+ * The bytes of each kind of message, and of a whole recorded exchange. Gateways of different versions read each other.
+ */
 class MembershipWireFormatTest {
     private static final long MS = 10;
     private static final long STARTED_MS = 1_700_000_000_000L;
@@ -18,19 +20,19 @@
 
     private long now = 1000 * MS;
 
-    private Node node(int number) {
-        return new Node(number, MEMBERS, STARTED_MS + number, now);
+    private Member member(int number) {
+        return new Member(number, MEMBERS, STARTED_MS + number, now);
     }
 
-    /** One member with its queue. */
-    private static final class Node {
+    /** A member with its packet queue. */
+    private static final class Member {
         private final int number;
         private final Membership membership;
         private final PacketQueue queue;
 
-        private Node(int number, int members, long startedMs, long now) {
+        private Member(int number, int memberCount, long startedMs, long now) {
             this.number = number;
-            membership = new Membership(number, members, startedMs, new SplittableRandom(number));
+            membership = new Membership(number, memberCount, startedMs, new SplittableRandom(number));
             queue = new PacketQueue(100_000, now);
         }
 
@@ -81,41 +83,41 @@
     private static final String REFUTATION =
             "0:b201c5e7f315a8800badcafe01040000000104120000c5e7f2b40000010001c5e7f315a88001d0cdcdce";
 
-    /** A packet of a member, by which others know it as alive. */
+    /** The first packet of a member, which makes it ALIVE at the receiver. */
     private byte[] firstPacketOf(int number) {
-        return node(number).tick(now).get(0).bytes();
+        return member(number).tick(now).get(0).bytes();
     }
 
     @Test
-    void aPingCarriesItsNumberAndUpdates() {
-        assertThat(hex(node(0).tick(now))).containsExactly(PING);
+    void aPingCarriesItsSequenceNumberAndUpdates() {
+        assertThat(hex(member(0).tick(now))).containsExactly(PING);
     }
 
     @Test
-    void anAckCarriesTheNumberOfThePing() {
-        assertThat(hex(node(2).receive(now, 0, bytes(PING)))).containsExactly(ACK);
+    void anAckCarriesTheSequenceNumberOfThePing() {
+        assertThat(hex(member(2).receive(now, 0, bytes(PING)))).containsExactly(ACK);
     }
 
     @Test
-    void aPingRequestCarriesTheNumberOfThePingAndItsTarget() {
-        Node origin = node(0);
+    void aPingRequestCarriesTheSequenceNumberOfThePingAndItsTarget() {
+        Member origin = member(0);
         origin.tick(now);
         origin.receive(now, 1, firstPacketOf(1));
         assertThat(hex(origin.tick(now + 160 * MS))).containsExactly(PING_REQUEST);
     }
 
     @Test
-    void aPingRequestIsRelayedAsAPingAndItsAckUnderTheNumberOfTheOrigin() {
-        Node relay = node(1);
+    void aPingRequestIsRelayedAsAPingAndItsAckCarriesTheSequenceNumberOfTheRequest() {
+        Member relay = member(1);
         assertThat(hex(relay.receive(now, 0, bytes(PING_REQUEST)))).containsExactly(RELAYED_PING);
-        Node target = node(2);
+        Member target = member(2);
         List<PacketQueue.OutboundPacket> ack = target.receive(now, 1, bytes(RELAYED_PING));
         assertThat(hex(relay.receive(now, 2, ack.get(0).bytes()))).containsExactly(RELAYED_ACK);
     }
 
     @Test
     void updatesCarryMemberIncarnationAndState() {
-        Node observer = node(0);
+        Member observer = member(0);
         observer.receive(now, 1, firstPacketOf(1));
         observer.receive(now, 2, firstPacketOf(2));
         List<String> sent = new ArrayList<>();
@@ -123,25 +125,25 @@
             sent.addAll(hex(observer.tick(at)));
         }
         assertThat(sent).contains(SUSPECT, DEAD);
-        Node leaving = node(2);
+        Member leaving = member(2);
         leaving.membership.leave(now);
         assertThat(hex(leaving.tick(now))).containsExactly(LEAVING);
     }
 
     @Test
-    void anEarlierStartIsCorrectedAndRefutes() {
-        Node later = new Node(1, MEMBERS, STARTED_MS + 50_000, now);
-        Node observer = node(0);
-        observer.receive(now, 1, later.tick(now).get(0).bytes());
+    void aStartWithAnEarlierTimeIsCorrectedAndRefutesTheCorrection() {
+        Member laterStart = new Member(1, MEMBERS, STARTED_MS + 50_000, now);
+        Member observer = member(0);
+        observer.receive(now, 1, laterStart.tick(now).get(0).bytes());
         observer.flush(now);
         assertThat(hex(observer.receive(now, 1, firstPacketOf(1)))).containsExactly(CORRECTION);
-        Node earlier = node(1);
-        earlier.receive(now, 0, bytes(CORRECTION));
-        assertThat(hex(earlier.tick(now))).containsExactly(REFUTATION);
+        Member earlierStart = member(1);
+        earlierStart.receive(now, 0, bytes(CORRECTION));
+        assertThat(hex(earlierStart.tick(now))).containsExactly(REFUTATION);
     }
 
     @Test
-    void partsOfUnknownKindAndLongerPartsAreReadAsFarAsKnown() {
+    void partsOfUnknownKindAndAdditionalBytesInPartsAreIgnored() {
         byte[] ping = new byte[] {0, 0, 0, 9, 1, 2, 3};
         Packet packet = new Packet(
                 STARTED_MS << 7,
@@ -153,14 +155,16 @@
                         new Packet.Part(2, new byte[3]),
                         new Packet.Part(3, new byte[1]),
                         new Packet.Part(4, new byte[8])));
-        assertThat(hex(node(2).receive(now, 0, PacketCodec.encode(packet))))
+        assertThat(hex(member(2).receive(now, 0, PacketCodec.encode(packet))))
                 .containsExactly(
                         "0:b201c5e7f2b401000badcafe02040000000904120000c5e7f2b40000010002c5e7f2b4010001e97f38e4");
     }
 
-    /** Sixteen members for a minute: lost packets, crashes, restarts, one that leaves. Every byte and change counts. */
+    /**
+     * Runs 16 members for a minute, with lost packets, crashes, restarts, and a shutdown. Checks all bytes and changes.
+     */
     @Test
-    void aRecordedExchangeIsTheSameByteForByte() {
+    void aSimulatedExchangeSendsTheSameBytesAsRecorded() {
         Exchange exchange = new Exchange(16);
         for (int step = 0; step < 3000; step++) {
             exchange.step(step);
@@ -170,60 +174,61 @@
         assertThat(Long.toHexString(exchange.checksum.getValue())).isEqualTo("39976e6b");
     }
 
-    /** Members on a network that loses a tenth of all packets; its random draws are its own. */
+    /** Members on a network that loses a tenth of all packets, with a random generator of its own. */
     private static final class Exchange {
         private record Delivery(int from, int to, byte[] bytes) {}
 
-        private final Node[] nodes;
+        private final Member[] members;
         private final CRC32C checksum = new CRC32C();
         private final SplittableRandom random = new SplittableRandom(42);
-        private List<Delivery> underway = new ArrayList<>();
+        private List<Delivery> inFlight = new ArrayList<>();
         private int sent;
         private int changes;
 
-        private Exchange(int members) {
-            nodes = new Node[members];
-            for (int i = 0; i < members; i++) {
+        private Exchange(int memberCount) {
+            members = new Member[memberCount];
+            for (int i = 0; i < memberCount; i++) {
                 start(i, STARTED_MS, 0);
             }
         }
 
         private void start(int number, long startedMs, long now) {
-            nodes[number] = new Node(number, nodes.length, startedMs, now);
+            members[number] = new Member(number, members.length, startedMs, now);
         }
 
         private void step(int step) {
             long now = 1000 * MS + step * 20 * MS;
             disturb(step, now);
-            List<Delivery> arriving = underway;
-            underway = new ArrayList<>();
-            for (Delivery delivery : arriving) {
-                Node to = nodes[delivery.to()];
+            List<Delivery> toDeliver = inFlight;
+            inFlight = new ArrayList<>();
+            for (Delivery delivery : toDeliver) {
+                Member to = members[delivery.to()];
                 if (to != null && random.nextInt(10) != 0) {
                     send(to.number, to.receive(now, delivery.from(), delivery.bytes()));
                 }
             }
-            for (Node node : nodes) {
-                if (node != null) {
-                    send(node.number, node.tick(now));
-                    record(node);
+            for (Member member : members) {
+                if (member != null) {
+                    send(member.number, member.tick(now));
+                    record(member);
                 }
             }
         }
 
+        /** Stops and restarts members and shuts one down. */
         private void disturb(int step, long now) {
             if (step == 300) {
-                nodes[3] = null;
-                nodes[4] = null;
+                members[3] = null;
+                members[4] = null;
             }
             if (step == 900) {
-                start(3, STARTED_MS - 5000, now); // by a clock that has stepped back
+                start(3, STARTED_MS - 5000, now); // with a wall clock that was set back
             }
             if (step == 1200) {
-                nodes[7].membership.leave(now);
+                members[7].membership.leave(now);
             }
             if (step == 1300) {
-                nodes[7] = null;
+                members[7] = null;
             }
             if (step == 2000) {
                 start(4, STARTED_MS + 40_000, now);
@@ -236,14 +241,14 @@
                 checksum.update(from);
                 checksum.update(packet.to());
                 checksum.update(packet.bytes());
-                underway.add(new Delivery(from, packet.to(), packet.bytes()));
+                inFlight.add(new Delivery(from, packet.to(), packet.bytes()));
             }
         }
 
-        private void record(Node node) {
-            for (Membership.Change change : node.membership.drainChanges()) {
+        private void record(Member member) {
+            for (Membership.Change change : member.membership.drainChanges()) {
                 changes++;
-                checksum.update(node.number);
+                checksum.update(member.number);
                 checksum.update(change.member());
                 checksum.update(change.previous().ordinal());
                 checksum.update(change.current().ordinal());
