--- a/gateway/src/main/java/ploverdale/net/server/Attempt.java
+++ b/gateway/src/main/java/ploverdale/net/server/Attempt.java
@@ -8,10 +8,10 @@
 import ploverdale.net.postgres.ResultRow;
 
 /**
- * One use of a server connection, by an attempt at a request or by a health check: its deadline, how far its bytes have come, its
- * result. Whoever learns the result first completes it, which is the connection, the pool or the deadline; later calls have no effect,
- * so that the listener is called exactly once. Giving an attempt up closes the connection that carries it, and no other. Used on the
- * event loop only.
+ * One use of a server connection, by an attempt at a request or by a health check: holds its deadline, its delivery
+ * state and its result. The connection, the pool or the deadline timer completes it, whichever learns the result first;
+ * later completions have no effect, so that the listener is called exactly once. Abandoning an attempt closes the
+ * connection that carries it, and no other. Used on the event loop only.
  */
 final class Attempt {
     private static final int MAX_CONNECT_RETRIES = 10;
@@ -33,17 +33,17 @@
     private long idleTimeBeforeMove = NOT_MOVED;
 
     /**
-     * What an attempt does once a connection is ready; nothing in it is null.
+     * What an attempt writes once a connection is ready, and who receives its result. No component is null.
      *
-     * @param mayWrite asked right before the bytes are written; where it is false, the attempt ends as never sent
+     * @param mayWrite evaluated right before the bytes are written; if it returns false, the attempt ends as never sent
      */
     record Work(BooleanSupplier mayWrite, RequestEncoder encoder, AttemptListener listener) {}
 
     /**
-     * Creates an attempt whose time runs from now on.
+     * Creates an attempt whose time limit counts from now on.
      *
-     * @param request null for a health check
-     * @param timeLimit in tenths of a millisecond
+     * @param request the request that this is an attempt at; null for a health check
+     * @param timeLimit the time limit, in tenths of a millisecond
      */
     Attempt(
             PoolContext context,
@@ -61,85 +61,89 @@
         startedAt = context.now();
     }
 
-    /** Starts the timer that gives the attempt up. */
+    /** Starts the timer that abandons the attempt at its deadline. */
     void startDeadline() {
         long limitMs = Math.max(1, PoolContext.toMsRoundedUp(timeLimit));
         deadlineTimer = context.vertx().setTimer(limitMs, timer -> giveUp(Outcome.TIMED_OUT));
     }
 
-    /** The request that this is an attempt at; null for a health check. */
+    /** Returns the request that this is an attempt at; null for a health check. */
     RequestId request() {
         return request;
     }
 
-    /** Whether this is a health check. */
+    /** Returns whether this is a health check. */
     boolean isHealthCheck() {
         return request == null;
     }
 
-    /** The server, never null. */
+    /** Returns the server that the attempt goes to; never null. */
     PooledServer server() {
         return server;
     }
 
-    /** Whether the result is known. */
+    /** Returns whether the result is known. */
     boolean isCompleted() {
         return completed;
     }
 
-    /** Whether it has neither a result nor a connection yet. */
+    /** Returns whether the attempt has neither a result nor a connection yet. */
     boolean needsConnection() {
         return !completed && connection == null;
     }
 
-    /** The connection that carries it, or null. */
+    /** Returns the connection that carries the attempt, or null if it has none. */
     ServerConnection connection() {
         return connection;
     }
 
-    /** How far its bytes have come, never null. */
+    /** Returns how far the bytes of the attempt have been written; never null. */
     DeliveryState deliveryState() {
         return deliveryState;
     }
 
     // -- Writing
 
-    /** Assigns the connection that carries it. */
+    /** Sets the connection that carries the attempt. */
     void assignTo(ServerConnection connection) {
         this.connection = connection;
     }
 
     /**
-     * The time that is left until the deadline, in milliseconds; rounded down, since the server must not be given more time than the
-     * client has left.
+     * Returns the time left until the deadline, in milliseconds. It is rounded down, since the server must not be given
+     * more time than the client has left.
      */
     long remainingMs() {
         return PoolContext.toMsRoundedDown(timeLimit - (context.now() - startedAt));
     }
 
-    /** Whether it is still wanted, as of now. */
+    /** Returns whether the bytes of the attempt may still be written. */
     boolean mayWrite() {
         return work.mayWrite().getAsBoolean();
     }
 
-    /** The bytes to write, never null. */
+    /**
+     * Returns the bytes to write; never null.
+     *
+     * @param timeoutMs the time that the server has for the request, in milliseconds
+     */
     Buffer encode(long timeoutMs) {
         return work.encoder().encode(timeoutMs);
     }
 
-    /** Its bytes are handed to the socket. */
+    /** Called when the bytes of the attempt are handed to the socket. */
     void onWriteStarted() {
         deliveryState = DeliveryState.IN_DOUBT;
     }
 
-    /** The socket has taken all bytes, or failed before that. */
+    /** Called when the socket has taken all bytes, or has failed before that. */
     void onWriteEnded(boolean succeeded) {
         deliveryState = succeeded ? DeliveryState.WRITTEN : DeliveryState.NOT_WRITTEN;
     }
 
     // -- Connecting
 
-    /** Uses up one of the retries for its connection; false where none is left. */
+    /** Uses up one of the connect retries of the attempt; returns false if none is left. */
     boolean takeConnectRetry() {
         if (connectRetriesLeft == 0) {
             return false;
@@ -148,12 +152,15 @@
         return true;
     }
 
-    /** Sets whether its last connect failed for lack of descriptors, ports or the like on this machine. */
+    /** Sets whether the last connect failed because this machine lacked descriptors, ports or other resources. */
     void setFailedLocally(boolean failedLocally) {
         this.failedLocally = failedLocally;
     }
 
-    /** Takes a health check off a connection that has been idle for long, so that it gets another one. */
+    /**
+     * Detaches a health check from a connection that had been idle for long and did not answer, so that the pool can
+     * assign another connection to it.
+     */
     void moveOff(ServerConnection silentConnection) {
         idleTimeBeforeMove = silentConnection.idleTimeBeforeAttempt();
         connection = null;
@@ -161,19 +168,27 @@
         connectRetriesLeft = MAX_CONNECT_RETRIES;
     }
 
-    /** Whether it was moved to another connection; done once at most. */
+    /** Returns whether the health check was moved to another connection, which happens at most once. */
     boolean wasMoved() {
         return idleTimeBeforeMove != NOT_MOVED;
     }
 
-    /** For how long the connection that it was moved off had been idle, in tenths of a millisecond. */
+    /**
+     * Returns how long the connection from which the health check was moved had been idle, in tenths of a millisecond;
+     * below 0 if it was not moved.
+     */
     long idleTimeBeforeMove() {
         return idleTimeBeforeMove;
     }
 
     // -- Result
 
-    /** Stops waiting for the answer, and closes the connection that carries the attempt, if one does. */
+    /**
+     * Stops waiting for the answer, and closes the connection that carries the attempt, if there is one. Does nothing
+     * if the attempt has been completed.
+     *
+     * @param outcome the outcome if the server may have received the request
+     */
     void giveUp(Outcome outcome) {
         if (completed) {
             return;
@@ -184,25 +199,25 @@
         complete(deliveryState.mayHaveArrived() ? outcome : unsentOutcome(outcome));
     }
 
-    /** No connection could be opened. */
+    /** Completes the attempt, for which no connection could be opened. */
     void failToConnect() {
         complete(unsentOutcome(Outcome.CONNECT_FAILED));
     }
 
     /**
-     * The outcome where nothing was written. A request was never sent, whatever the cause; a health check says nothing about its server
-     * only where the cause was a local one.
+     * Returns the outcome of an attempt of which nothing was written. A request was never sent, whatever the cause. A
+     * failed health check counts against its server unless the cause was a local one.
      */
     private Outcome unsentOutcome(Outcome ofServer) {
         return !isHealthCheck() || failedLocally ? Outcome.NEVER_SENT : ofServer;
     }
 
-    /** Ends the attempt without an answer that can be used. */
+    /** Completes the attempt without a usable answer. */
     void complete(Outcome outcome) {
         complete(outcome, null, null, null);
     }
 
-    /** Ends the attempt; row and reports may be null. Does nothing where it has ended before. */
+    /** Completes the attempt; row and reports may be null. Does nothing if it has been completed before. */
     void complete(Outcome outcome, ResultRow row, LoadReport answerReport, LoadReport loadReport) {
         if (completed) {
             return;
--- a/gateway/src/main/java/ploverdale/net/server/AttemptListener.java
+++ b/gateway/src/main/java/ploverdale/net/server/AttemptListener.java
@@ -1,9 +1,12 @@
 package ploverdale.net.server;
 
-/** Receives the result of an attempt or a health check, exactly once, on the event loop; possibly before the call that started it returns. */
+/**
+ * Receives the result of an attempt or a health check. Called exactly once, on the event loop, possibly before the call
+ * that started the attempt returns.
+ */
 @FunctionalInterface
 public interface AttemptListener {
 
-    /** The attempt has ended and uses its connection no more. */
+    /** Called when the attempt has ended and no longer uses its connection. */
     void onAttemptEnded(AttemptResult result);
 }
--- a/gateway/src/main/java/ploverdale/net/server/AttemptResult.java
+++ b/gateway/src/main/java/ploverdale/net/server/AttemptResult.java
@@ -5,13 +5,13 @@
 import ploverdale.net.postgres.ResultRow;
 
 /**
- * How an attempt or a health check ended.
+ * The result of an attempt or a health check.
  *
  * @param outcome never null
- * @param row the answer to a request that succeeded, else null
- * @param answerReport role and position that the answer carried, or null
- * @param loadReport the server's load report that came with the answer, or null
- * @param duration from the start of the attempt, in tenths of a millisecond, rounded up
+ * @param row the answer to a request that succeeded; null otherwise
+ * @param answerReport the role and position that the answer carried, or null
+ * @param loadReport the server's load report that arrived with the answer, or null
+ * @param duration the time since the start of the attempt, in tenths of a millisecond, rounded up
  */
 public record AttemptResult(
         Outcome outcome, ResultRow row, LoadReport answerReport, LoadReport loadReport, long duration) {}
--- a/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
+++ b/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
@@ -7,26 +7,33 @@
 import ploverdale.model.Event.Outcome;
 
 /**
- * Why a connection could not be made, or a request not be written to it, as far as the failed system call shows. Opens and closes
- * nothing; may be used on any thread.
+ * Classifies why a connection could not be established, or a request not be written to it, by the exception of the
+ * failed system call. May be used on any thread.
  *
- * <p>The JDK maps an errno to an exception class and puts the system's text for it into the message: ECONNREFUSED and ETIMEDOUT
- * become a {@link ConnectException}, EADDRNOTAVAIL a {@link BindException}, EHOSTUNREACH a {@code NoRouteToHostException}; most
- * others share {@code SocketException} or {@code IOException}, so that only the text tells them apart. Netty adds the address
- * behind the text, keeps the original exception as the cause, and throws a {@link ChannelException} where no socket could be
- * made or set up. A text that is not known here, for instance a translated one, counts as {@link #CONNECT_INTERRUPTED}.
+ * <p>The JDK maps an errno to an exception class and puts the system's error message into the exception: ECONNREFUSED
+ * and ETIMEDOUT become a {@link ConnectException}, EADDRNOTAVAIL a {@link BindException}, EHOSTUNREACH a {@code
+ * NoRouteToHostException}. Most others share {@code SocketException} or {@code IOException} and can be told apart by
+ * the message only. Netty appends the address to the message, keeps the original exception as the cause, and throws a
+ * {@link ChannelException} if no socket could be created or configured. A message that is not known here, for instance
+ * a translated one, counts as {@link #CONNECT_INTERRUPTED}.
  */
 public enum ConnectFailure {
-    /** This machine lacked descriptors, ports, buffers, memory or the permission; says nothing about the server. */
+    /**
+     *  This machine lacked descriptors, ports, buffers, memory or a permission; the failure says nothing about the
+     *  server.
+     */
     LOCAL(Outcome.NEVER_SENT, true),
-    /** No route from here at this moment: the network's fault, perhaps for longer. */
+    /** This machine has no route to the server at the moment. This is a network failure, and it may last. */
     NO_ROUTE(Outcome.CONNECT_INTERRUPTED, true),
-    /** The server refused the connection, or nothing answered. */
+    /** The server refused the connection, or did not answer. */
     REFUSED(Outcome.CONNECT_FAILED, false),
-    /** The connection ended while it was being made; by the server or the network, which is not known. */
+    /**
+     *  The connection was closed while it was being established; it is not known whether by the server or by the
+     *  network.
+     */
     CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
-    // EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM, EACCES as the C library words them.
+    // The C library's messages for EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM and EACCES.
     private static final List<String> LOCAL_TEXTS = List.of(
             "Too many open files",
             "No buffer space available",
@@ -35,7 +42,7 @@
             "Resource temporarily unavailable",
             "Operation not permitted",
             "Permission denied");
-    // ENETUNREACH, ENETDOWN
+    // The C library's messages for ENETUNREACH and ENETDOWN.
     private static final List<String> NO_ROUTE_TEXTS = List.of("Network is unreachable", "Network is down");
 
     private final Outcome outcome;
@@ -46,17 +53,17 @@
         this.transientFailure = transientFailure;
     }
 
-    /** The outcome of an attempt of which not everything was written. */
+    /** Returns the outcome of an attempt whose bytes were not all written because of this failure. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** Whether the same call may well succeed a few milliseconds later. */
+    /** Returns whether the same call is likely to succeed a few milliseconds later. */
     public boolean isTransient() {
         return transientFailure;
     }
 
-    /** Classifies what a failed connect, or a failed write, was completed with. */
+    /** Returns the class of the exception of a failed connect or write; never null. */
     public static ConnectFailure of(Throwable failure) {
         String text = String.valueOf(failure.getMessage());
         if (failure instanceof ChannelException
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
@@ -1,22 +1,27 @@
 package ploverdale.net.server;
 
 /**
- * Estimates how often a reused connection turns out to be lost, as a function of how long it was idle before: an exponentially
- * weighted moving average for each power of two of the idle time. Firewalls and proxies silently drop connections after an idle time of
- * their own; the estimate finds that time, so that the pool stops reusing such connections. Opens and closes
- * nothing itself. Used on the event loop only.
+ * Estimates how often a reused connection turns out to be lost, as a function of how long it was idle before. Keeps an
+ * exponentially weighted moving average for each power of two of the idle time. Firewalls and proxies silently drop
+ * connections after an idle time of their own; the estimate finds that time, so that the pool stops reusing such
+ * connections. Used on the event loop only.
  */
 final class IdleConnectionLossRate {
-    private static final long FIRST_BUCKET_IDLE = 500; // 50 ms in tenths; after shorter idle times nothing is forgotten
-    private static final int BUCKETS = 24; // the last one begins after 58 hours
+    private static final long FIRST_BUCKET_IDLE = 500; // 50 ms; nothing drops connections after shorter idle times
+    private static final int BUCKETS = 24; // the last one begins at an idle time of 58 hours
     private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
-    private static final double MAX_LOSS_RATE = 0.3; // more than occasional resets cause
-    private static final double DECAY_TIME = 100_000; // 10 s in tenths; afterwards such connections are tried again
+    private static final double MAX_LOSS_RATE = 0.3; // higher than the rate that occasional resets cause
+    private static final double DECAY_TIME = 100_000; // 10 s; after that, such connections are tried again
 
     private final double[] lossRates = new double[BUCKETS];
     private final long[] updatedAt = new long[BUCKETS];
 
-    /** Whether connections that were idle for this long are lost too often to be reused. */
+    /**
+     * Returns whether connections that were idle for this long are lost too often to be reused.
+     *
+     * @param idleTime in tenths of a millisecond
+     * @param now service time
+     */
     boolean isTooHigh(long idleTime, long now) {
         int bucket = bucket(idleTime);
         return bucket > 0 && decayed(bucket, now) > MAX_LOSS_RATE;
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
@@ -5,23 +5,30 @@
 import java.util.Set;
 
 /**
- * The idle connections to all servers: picks the one to reuse, and evicts those that are idle for too long, too many, or likely to be
- * lost. Closes idle connections only; one that carries an attempt is closed by itself or by that attempt. Used on the event loop only.
+ * Holds the idle connections to all servers: picks the one to reuse, and evicts those that have been idle for too long,
+ * exceed the number needed, or are probably lost. Closes idle connections only; a connection that carries an attempt is
+ * closed by itself or by that attempt. Used on the event loop only.
  */
 final class IdleConnections {
     /**
-     * Idle time from which on a connection may have been forgotten by the server or the network, in tenths of a millisecond: as long as
-     * a server counts as observed, after which a health check precedes the next request.
+     * Idle time after which the server or the network may have dropped a connection, in tenths of a millisecond (2 s).
+     * It equals the time for which an observation of a server is valid; after that, a health check precedes the next
+     * request.
      */
     static final long LONG_IDLE = 20_000;
 
-    /** A server that closes a connection right after an answer has done so by then, in tenths of a millisecond. */
+    /**
+     * Idle time after which a connection is preferred for reuse, in tenths of a millisecond (5 ms). A server that
+     * closes a connection right after an answer has done so by then.
+     */
     private static final long MIN_IDLE_BEFORE_REUSE = 50;
 
-    /** A connection is closed when a fifth of the server's own idle timeout is left, so that the server never closes it first. */
+    /** A connection is closed a fifth of the server's idle timeout early, so that the server never closes it first. */
     private static final int IDLE_TIMEOUT_MARGIN_DIVISOR = 5;
 
-    /** While another connection to the same server is idle, the longest idle one is kept for an eighth of the usual time. */
+    /**
+     *  While a server has several idle connections, the one idle longest is kept for an eighth of the usual time only.
+     */
     private static final int SURPLUS_IDLE_DIVISOR = 8;
 
     private final PoolContext context;
@@ -39,16 +46,17 @@
         longestIdleFirst.add(connection);
     }
 
-    /** Removes a connection; does nothing where it is not idle. */
+    /** Removes a connection; does nothing if it is not idle. */
     void remove(ServerConnection connection) {
         connection.server().removeIdle(connection);
         longestIdleFirst.remove(connection);
     }
 
     /**
-     * Removes and returns the connection that the next attempt uses, or null. Prefers the last used one of those that have been idle for
-     * a moment, since some servers close a connection right after an answer; after a rejection that moment is required. Closes
-     * connections that have been idle for as long as many that were lost when they were reused.
+     * Removes and returns the idle connection that the next attempt to the server uses, or null if there is none.
+     * Prefers the most recently used connection among those that have been idle for at least 5 ms, since some servers
+     * close a connection right after an answer; a connection on which the last attempt was rejected is not reused
+     * earlier. Closes connections whose idle time has a high loss rate.
      */
     ServerConnection take(PooledServer server) {
         long now = context.now();
@@ -72,7 +80,7 @@
         server.idleConnections().forEach(ServerConnection::close);
     }
 
-    /** Closes the connection that has been idle longest, of all servers; false where none is idle. */
+    /** Closes the connection to any server that has been idle longest; returns false if no connection is idle. */
     boolean closeLongestIdle() {
         if (longestIdleFirst.isEmpty()) {
             return false;
@@ -81,7 +89,10 @@
         return true;
     }
 
-    /** Closes connections that the server would soon close, and surplus ones sooner, so that other gateways find a place. */
+    /**
+     * Closes connections that the server would soon close. Closes surplus connections earlier, so that the server has
+     * capacity for connections of other gateways.
+     */
     void closeExpired(Collection<PooledServer> servers) {
         long serverTimeout = context.settings().idleLimit();
         long maxIdleTime = serverTimeout - serverTimeout / IDLE_TIMEOUT_MARGIN_DIVISOR;
@@ -104,12 +115,15 @@
         return longestIdleFirst.iterator().next();
     }
 
-    /** A connection answered after this idle time. */
+    /** Called when a connection that was reused after this idle time has received an answer. */
     void onReuseSucceeded(long idleTime) {
         lossRate.record(idleTime, false, context.now());
     }
 
-    /** A connection was lost after this idle time though its server lives; closes the server's others that were idle for as long. */
+    /**
+     * Called when a connection that was reused after this idle time was lost although its server is reachable. If the
+     * idle time was long, closes the server's connections that have been idle for at least as long.
+     */
     void onReuseFailed(PooledServer server, long idleTime) {
         long now = context.now();
         lossRate.record(idleTime, true, now);
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -12,17 +12,18 @@
 import ploverdale.settings.GatewaySettings;
 
 /**
- * Reads what servers report of themselves beside their answers, and dates it as service time. A report that could mislead counts as
- * none: one with a malformed value, of the future, or from before the server's first position. Each position also goes to the
- * {@link ServerClock}, which learns the servers' wall clock from it. Holds no connection and closes none. Used on the event loop only.
+ * Parses the roles, positions and load reports that servers send with their answers, and converts their times to
+ * service time. A report with a malformed value, or with a position in the future or before the server's first
+ * position, is ignored, since it could mislead the router. Passes each position to the {@link ServerClock}, which
+ * estimates the servers' wall clock from it. Used on the event loop only.
  */
 final class LoadReportReader {
     private static final int MAX_REPORT_BYTES = 1024;
-    private static final int MAX_NUMBER_CHARACTERS = 24; // as long as a double is written
-    private static final double MAX_NUMBER = 1e14; // below it, milliseconds and their tenths fit into a long
+    private static final int MAX_NUMBER_CHARACTERS = 24; // the longest decimal notation of a double
+    private static final double MAX_NUMBER = 1e14; // milliseconds below it fit into a long as tenths, too
     private static final int TENTHS_PER_MS = 10;
 
-    // Names and values on the wire.
+    // Names and values on the wire
     private static final String ROLE_PARAMETER = "rank";
     private static final String PRIMARY_ROLE = "source";
     private static final String REPLICA_ROLE = "copy";
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Role and position that an answer's parameters name, or null.
+     * Returns the role and position that an answer's parameters contain, or null if they contain neither.
      *
-     * @param writtenAt when the request was written
+     * @param writtenAt service time at which the request was written
      */
     LoadReport roleAndPosition(ServerId server, Map<String, String> parameters, long writtenAt) {
         Role role = role(parameters.get(ROLE_PARAMETER));
@@ -66,12 +67,18 @@
         return REPLICA_ROLE.equals(name) ? Role.REPLICA : Role.UNKNOWN;
     }
 
-    /** The load report among an answer's parameters, or null; null, too, where the settings expect none there. */
+    /**
+     * Returns the load report in an answer's parameters. Returns null if there is no valid one, or if the settings
+     * expect none there.
+     */
     LoadReport reportInAnswer(ServerId server, Map<String, String> parameters, long writtenAt) {
         return settings.reportsInAnswers() ? parse(server, parameters.get(REPORT_PARAMETER), writtenAt) : null;
     }
 
-    /** The load report that answers a health check, or null; null, too, where the settings expect none there. */
+    /**
+     * Returns the load report in the row that answers a health check. Returns null if there is no valid one, or if the
+     * settings expect none there.
+     */
     LoadReport reportInHealthCheck(ServerId server, byte[] value, long writtenAt) {
         if (!settings.reportsInHealthChecks() || value == null || value.length > MAX_REPORT_BYTES) {
             return null;
@@ -95,7 +102,7 @@
     }
 
     private LoadReport dated(ServerId server, LoadReport report, long writtenAt) {
-        // Not a present position, also of a primary: the report was made some time before it was sent.
+        // The position is not current, even that of a primary: the report was made some time before it was sent.
         clock.observePosition(server, report.position(), writtenAt, false);
         if (clock.isAhead(report.position())) {
             return null;
@@ -103,7 +110,7 @@
         return new LoadReport(report.role(), clock.position(report.position()), report.busy());
     }
 
-    /** The values of {@code name=number,name=number}; empty where one is malformed or negative. */
+    /** Parses {@code name=number,name=number}; returns an empty result if a field is malformed or negative. */
     private static Optional<Map<String, Double>> fields(String text) {
         Map<String, Double> values = new HashMap<>();
         for (String field : text.split(",")) {
@@ -126,7 +133,7 @@
         return positionPlausible && rolePlausible;
     }
 
-    /** The number, or NaN where the text is null, too long or no number of a plausible size. */
+    /** Parses a number; returns NaN if the text is null or too long, or is not a number of a plausible size. */
     private static double number(String text) {
         if (text == null || text.length() > MAX_NUMBER_CHARACTERS) {
             return Double.NaN;
--- a/gateway/src/main/java/ploverdale/net/server/PoolContext.java
+++ b/gateway/src/main/java/ploverdale/net/server/PoolContext.java
@@ -5,16 +5,19 @@
 import ploverdale.log.Log;
 import ploverdale.settings.GatewaySettings;
 
-/** What the parts of a {@link ServerConnectionPool} share; nothing in it is null. Used on the event loop only. */
+/**
+ *  The objects that the parts of a {@link ServerConnectionPool} share. No component is null. Used on the event loop
+ *  only.
+ */
 record PoolContext(Vertx vertx, Log log, GatewaySettings settings, ServerClock clock) {
     private static final int TENTHS_PER_MS = 10;
 
-    /** Service time, in tenths of a millisecond. */
+    /** Returns the service time, in tenths of a millisecond. */
     long now() {
         return clock.now();
     }
 
-    /** Converts tenths of a millisecond to the milliseconds of a timer, rounded up so that it never fires early. */
+    /** Converts tenths of a millisecond to milliseconds for a timer, rounded up so that the timer never fires early. */
     static long toMsRoundedUp(long tenths) {
         return (tenths + TENTHS_PER_MS - 1) / TENTHS_PER_MS;
     }
--- a/gateway/src/main/java/ploverdale/net/server/PooledServer.java
+++ b/gateway/src/main/java/ploverdale/net/server/PooledServer.java
@@ -9,12 +9,12 @@
 import ploverdale.model.ServerId;
 
 /**
- * One server's address, idle connections and waiting attempts, as the pool keeps them. Closes and completes nothing itself. Used on
- * the event loop only.
+ * The pool's record of one server: its address, its idle connections and the attempts that wait for a connection.
+ * Closes no connection and completes no attempt itself. Used on the event loop only.
  */
 final class PooledServer {
     private final ServerId id;
-    private final Deque<ServerConnection> idleConnections = new ArrayDeque<>(); // the one idle longest first
+    private final Deque<ServerConnection> idleConnections = new ArrayDeque<>(); // longest idle first
     private final Set<Attempt> waitingAttempts = new LinkedHashSet<>(); // in order of arrival
     private InetSocketAddress address;
 
@@ -22,32 +22,35 @@
         this.id = id;
     }
 
-    /** The server's id, never null. */
+    /** Returns the server's id; never null. */
     ServerId id() {
         return id;
     }
 
-    /** Where new connections go; null until the endpoint list names an address. */
+    /** Returns the address for new connections; null until the endpoint list contains one. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Sets where new connections go. */
+    /** Sets the address for new connections. */
     void setAddress(InetSocketAddress address) {
         this.address = address;
     }
 
-    /** A copy, the one idle longest first; connections may be closed while it is iterated over. */
+    /**
+     * Returns a copy of the idle connections, longest idle first. The copy may be iterated over while connections are
+     * closed.
+     */
     List<ServerConnection> idleConnections() {
         return List.copyOf(idleConnections);
     }
 
-    /** Number of idle connections. */
+    /** Returns the number of idle connections. */
     int idleCount() {
         return idleConnections.size();
     }
 
-    /** The connection that has been idle longest, or null. */
+    /** Returns the connection that has been idle longest, or null if none is idle. */
     ServerConnection longestIdle() {
         return idleConnections.peekFirst();
     }
@@ -57,22 +60,22 @@
         idleConnections.addLast(connection);
     }
 
-    /** Removes a connection; does nothing where it is not idle. */
+    /** Removes a connection; does nothing if it is not idle. */
     void removeIdle(ServerConnection connection) {
         idleConnections.remove(connection);
     }
 
-    /** Adds an attempt that found no idle connection. */
+    /** Adds an attempt for which there was no idle connection. */
     void addWaiting(Attempt attempt) {
         waitingAttempts.add(attempt);
     }
 
-    /** Removes an attempt; does nothing where it does not wait. */
+    /** Removes an attempt; does nothing if it is not waiting. */
     void removeWaiting(Attempt attempt) {
         waitingAttempts.remove(attempt);
     }
 
-    /** The attempt that has waited longest, or null. */
+    /** Returns the attempt that has waited longest, or null if none is waiting. */
     Attempt firstWaiting() {
         return waitingAttempts.stream().findFirst().orElse(null);
     }
--- a/gateway/src/main/java/ploverdale/net/server/RequestEncoder.java
+++ b/gateway/src/main/java/ploverdale/net/server/RequestEncoder.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Encodes what an attempt writes, once its connection is ready. */
+/** Encodes the message that an attempt writes once its connection is ready. */
 @FunctionalInterface
 public interface RequestEncoder {
 
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -12,10 +12,11 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * One connection to a database server, which carries one attempt at a time; {@link ConnectionState} has its states. It closes itself
- * when it is lost, not ready in time, or receives a message out of order. The attempt that it carries closes it by
- * {@link #abandonAttempt}; the pool closes it while it carries none. Closing is idempotent, and when the connection closes itself it
- * completes the attempt, or has the pool move a health check to a new connection. Used on the event loop only.
+ * One connection to a database server, which carries one attempt at a time; see {@link ConnectionState} for its states.
+ * It closes itself when it is lost, is not ready in time, or receives an unexpected message. The attempt that it
+ * carries closes it with {@link #abandonAttempt}; the pool closes it while it carries no attempt. Closing is
+ * idempotent. A connection that closes itself completes its attempt, or has the pool move a health check to a new
+ * connection. Used on the event loop only.
  */
 final class ServerConnection implements ServerProtocol.Listener {
     private static final long NEVER_IDLE = -1;
@@ -29,8 +30,8 @@
     private final ServerProtocol protocol = new ServerProtocol(this);
     private ConnectionState state = ConnectionState.CONNECTING;
     private long connectTimer;
-    private NetSocket socket; // null while connecting
-    private Attempt attempt; // null unless it awaits an answer
+    private NetSocket socket; // null until the TCP connection is established
+    private Attempt attempt; // null unless the connection awaits an answer
     private long writtenAt;
     private long idleSince = NEVER_IDLE;
     private long idleTimeBeforeAttempt = NEVER_IDLE;
@@ -39,7 +40,8 @@
     /**
      * Creates a connection that is not open yet.
      *
-     * @param opener the attempt that it is opened for, which it serves first unless another connection did
+     * @param opener the attempt that the connection is opened for; it is carried first, unless another connection has
+     *     been assigned to it by then
      */
     ServerConnection(PoolContext context, ServerConnectionPool pool, LoadReportReader loadReports, Attempt opener) {
         this.context = context;
@@ -50,39 +52,45 @@
         address = server.address();
     }
 
-    /** The server that it leads to, never null. */
+    /** Returns the server at the other end; never null. */
     PooledServer server() {
         return server;
     }
 
-    /** Where it leads to; the server's address when it was opened. */
+    /** Returns the address that the server had when the connection was opened. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** The attempt that it was opened for, never null. */
+    /** Returns the attempt that the connection was opened for; never null. */
     Attempt opener() {
         return opener;
     }
 
     // -- Idle time
 
-    /** It becomes idle now. */
+    /** Called when the connection becomes idle. */
     void startIdling(long now) {
         idleSince = now;
     }
 
-    /** For how long it has been idle, in tenths of a millisecond. */
+    /** Returns how long the connection has been idle, in tenths of a millisecond. */
     long idleTime(long now) {
         return now - idleSince;
     }
 
-    /** For how long it had been idle before the attempt that it carries or carried last; below 0 where it is the first. */
+    /**
+     * Returns how long the connection had been idle before its current or most recent attempt, in tenths of a
+     * millisecond; below 0 if that attempt is its first.
+     */
     long idleTimeBeforeAttempt() {
         return idleTimeBeforeAttempt;
     }
 
-    /** Whether the server or the network may have forgotten it before the attempt that it carries or carried last. */
+    /**
+     * Returns whether the connection was idle for so long before its current or most recent attempt that the server or
+     * the network may have dropped it.
+     */
     boolean wasLongIdle() {
         return idleTimeBeforeAttempt >= IdleConnections.LONG_IDLE;
     }
@@ -91,20 +99,20 @@
         return idleTimeBeforeAttempt >= 0;
     }
 
-    /** Whether the server rejected the last attempt, perhaps since it has too many connections. */
+    /** Returns whether the server rejected the last attempt, possibly because it has too many connections. */
     boolean wasRejected() {
         return protocol.response().isRejection();
     }
 
     /**
-     * Whether a turn of the event loop has passed since the last answer, so that a surplus answer that came behind it in a segment of
-     * its own would have been read.
+     * Returns whether a turn of the event loop has passed since the last answer. By then, a surplus answer that
+     * followed in a TCP segment of its own would have been read.
      */
     boolean hasTurnPassedSinceAnswer() {
         return turnPassedSinceAnswer;
     }
 
-    /** Offers itself to the pool again in the next turn of the event loop. */
+    /** Returns the connection to the pool in the next turn of the event loop. */
     void releaseInNextTurn() {
         turnPassedSinceAnswer = true;
         context.vertx().runOnContext(turn -> {
@@ -116,7 +124,7 @@
 
     // -- Opening
 
-    /** Connects, and offers itself to the pool once the handshake is complete. */
+    /** Connects, and hands the connection to the pool once the handshake is complete. */
     void open(NetClient client) {
         long timeoutMs = PoolContext.toMsRoundedUp(context.settings().connectLimit());
         connectTimer = context.vertx().setTimer(timeoutMs, timer -> onLost("not up in time", Outcome.CONNECT_FAILED));
@@ -130,13 +138,13 @@
             return;
         }
         state = ConnectionState.HANDSHAKE;
-        socket.exceptionHandler(failure -> {}); // the close handler follows
+        socket.exceptionHandler(failure -> {}); // the close handler is called next
         socket.closeHandler(closed -> onLost("closed by the server", Outcome.CONNECT_INTERRUPTED));
         socket.handler(this::onBytes);
         socket.write(MessageWriter.startup()).onFailure(this::onConnectFailed);
     }
 
-    /** Only a connection that was refused or took too long counts against the server; a transient failure is retried first. */
+    /** Retries after a transient failure. Only a refused connection or a timeout counts against the server. */
     private void onConnectFailed(Throwable cause) {
         ConnectFailure failure = ConnectFailure.of(cause);
         opener.setFailedLocally(failure == ConnectFailure.LOCAL);
@@ -154,7 +162,10 @@
 
     // -- Writing
 
-    /** Writes the attempt, or ends it as never sent where it is not wanted any more. The connection carries no other. */
+    /**
+     * Writes the attempt, or completes it as never sent if it is no longer wanted. To be called only while the
+     * connection carries no attempt.
+     */
     void write(Attempt next) {
         long timeoutMs = next.remainingMs();
         boolean wanted = timeoutMs > 0 && next.mayWrite();
@@ -180,7 +191,10 @@
         onLost("not written whole", ConnectFailure.of(cause).outcome());
     }
 
-    /** Hands the message handlers what the operating system has received; the process may have been paused since. */
+    /**
+     * Processes at once what the operating system has already received on this connection. Such bytes may be unread if
+     * the process was paused.
+     */
     void readNow() {
         NioSockets.readNow(socket);
     }
@@ -191,7 +205,7 @@
         try {
             decode(bytes);
         } catch (RuntimeException fault) {
-            // broad catch: a fault while one connection is read must end that connection only
+            // broad catch: an exception while reading one connection must close that connection only
             context.log().fault("server connection fault", fault);
             onLost("fault", Outcome.CONNECT_INTERRUPTED);
         }
@@ -235,7 +249,7 @@
         }
     }
 
-    /** The answer is complete: the attempt ends with it. */
+    /** Completes the attempt with the answer that has been received. */
     private void completeAttempt() {
         Attempt answered = attempt;
         ServerResponse response = protocol.response();
@@ -264,7 +278,11 @@
 
     // -- Closing
 
-    /** The attempt fails, since the server lives and may have run the statement; nothing of the answer is used. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The attempt fails, since the server is running and may have run the statement. Nothing of the answer is used.
+     */
     @Override
     public void onOutOfOrder(String reason) {
         context.log().often("server out of order", server.id().text() + ": " + reason);
@@ -276,7 +294,12 @@
         attempt.complete(Outcome.FAILED);
     }
 
-    /** The connection has ended, and the attempt that depends on it with the outcome given, unless its bytes may have arrived. */
+    /**
+     * Called when the connection is lost. Closes it, and completes the attempt that depends on it or moves a health
+     * check to a new connection.
+     *
+     * @param outcomeIfUnwritten the outcome of the attempt if the server cannot have received its bytes
+     */
     private void onLost(String reason, Outcome outcomeIfUnwritten) {
         if (state == ConnectionState.CLOSED) {
             return;
@@ -307,13 +330,16 @@
         interrupted.complete(mayHaveArrived ? Outcome.CONNECTION_LOST : outcomeIfUnwritten);
     }
 
-    /** Closes the connection without completing the attempt that it carries; for whoever completes or moves that. */
+    /** Closes the connection without completing its attempt; the caller completes the attempt or moves it. */
     void abandonAttempt() {
         attempt = null;
         close();
     }
 
-    /** Closes the connection; does nothing where it is closed. The caller completes or moves the attempt that it carries, if any. */
+    /**
+     * Closes the connection; does nothing if it is closed. If the connection carries an attempt, the caller completes
+     * or moves that attempt.
+     */
     void close() {
         if (state == ConnectionState.CLOSED) {
             return;
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -17,24 +17,24 @@
 import ploverdale.settings.GatewaySettings;
 
 /**
- * Connections to all servers: gives each attempt and each health check an idle connection or a new one. The pool may close idle
- * connections, by {@link IdleConnections}; a connection that carries an attempt is closed by itself or by that attempt. Whatever ends an
- * attempt, its listener is called exactly once. Used on the event loop only.
+ * The connections to all servers: assigns an idle or a new connection to each attempt and each health check. The pool
+ * closes idle connections only, through {@link IdleConnections}; a connection that carries an attempt is closed by
+ * itself or by that attempt. However an attempt ends, its listener is called exactly once. Used on the event loop only.
  */
 public final class ServerConnectionPool {
-    /** Idle connections are looked through this often in the time for which a server keeps one. */
+    /** Number of times that idle connections are checked for eviction within the servers' idle timeout. */
     private static final int EVICTION_RUNS_PER_IDLE_TIMEOUT = 50;
 
     private static final long MIN_EVICTION_PERIOD_MS = 10;
 
     /**
-     * How long a health check on a connection that was idle for long may take: many times what it usually takes, and short beside the
-     * time of a request. Then it is repeated on a new connection.
+     * Timeout of a health check on a connection that was idle for long, after which it is repeated on a new connection.
+     * It is many times the usual duration of a health check, and short compared with the timeout of a request.
      */
     private static final long LONG_IDLE_HEALTH_CHECK_TIMEOUT_MS = 100;
 
-    private static final long CONNECT_RETRY_DELAY_MS = 2; // until another connection has given its descriptor back
-    private static final long DESCRIPTOR_RELEASE_DELAY_MS = 1; // until the event loop has closed the socket
+    private static final long CONNECT_RETRY_DELAY_MS = 2; // time for another connection to release its descriptor
+    private static final long DESCRIPTOR_RELEASE_DELAY_MS = 1; // time for the event loop to close the socket
 
     private final PoolContext context;
     private final LoadReportReader loadReports;
@@ -43,13 +43,13 @@
     private final NetClient client;
     private final IdleConnections idleConnections;
     private final Map<ServerId, PooledServer> servers = new HashMap<>();
-    private final Map<RequestId, Attempt> attempts = new HashMap<>(); // the current one of each request
+    private final Map<RequestId, Attempt> attempts = new HashMap<>(); // the attempt in flight of each request
 
     /**
      * Creates a pool without connections.
      *
-     * @param limits counts the connections
-     * @param makeRoom evicts connections to make room for one more; false where none may be opened now
+     * @param limits counts the open connections
+     * @param makeRoom evicts connections until the limits allow one more; returns false if none may be opened now
      */
     public ServerConnectionPool(
             Vertx vertx,
@@ -72,7 +72,10 @@
         vertx.setPeriodic(evictionPeriodMs, timer -> idleConnections.closeExpired(servers.values()));
     }
 
-    /** Sets a server's address. Idle connections to an older one are closed now, others when they become idle. */
+    /**
+     * Sets a server's address. Idle connections to its previous address are closed at once, the others when they become
+     * idle.
+     */
     public void setAddress(ServerId id, InetSocketAddress address) {
         PooledServer server = server(id);
         if (!address.equals(server.address())) {
@@ -82,10 +85,10 @@
     }
 
     /**
-     * Starts an attempt at a request. At most one attempt at a request may be in progress.
+     * Starts an attempt at a request. At most one attempt at a request may be in flight.
      *
-     * @param timeLimit in tenths of a millisecond, from now on
-     * @param mayWrite asked right before the bytes are written; where it is false, the attempt ends as never sent
+     * @param timeLimit the time limit, in tenths of a millisecond from now
+     * @param mayWrite evaluated right before the bytes are written; if it returns false, the attempt ends as never sent
      */
     public void startAttempt(
             RequestId request,
@@ -101,7 +104,7 @@
         assign(attempt);
     }
 
-    /** Gives up the attempt at the request, which ends as cancelled; does nothing where none is in progress. */
+    /** Cancels the attempt at the request; does nothing if none is in flight. */
     public void cancelAttempt(RequestId request) {
         Attempt attempt = attempts.get(request);
         if (attempt != null) {
@@ -110,10 +113,12 @@
     }
 
     /**
-     * Starts a health check, which may take as long as a connection may take to be made. On a connection that has been idle for long it
-     * gets less time, and is repeated once on a new connection: the server or the network may have forgotten the old one.
+     * Starts a health check, with the connect timeout as its time limit. On a connection that has been idle for long it
+     * gets less time and is then repeated once on a new connection, since the server or the network may have dropped
+     * the old one.
      *
-     * @param mayWrite asked right before the bytes are written; where it is false, the health check ends as never sent
+     * @param mayWrite evaluated right before the bytes are written; if it returns false, the health check ends as never
+     *     sent
      */
     public void startHealthCheck(ServerId id, BooleanSupplier mayWrite, AttemptListener listener) {
         GatewaySettings settings = context.settings();
@@ -130,7 +135,7 @@
 
     private void moveIfUnanswered(Attempt healthCheck) {
         if (isUnansweredOnFirstConnection(healthCheck)) {
-            healthCheck.connection().readNow(); // the answer may have come while this process was paused
+            healthCheck.connection().readNow(); // the answer may have arrived while this process was paused
         }
         if (isUnansweredOnFirstConnection(healthCheck)) {
             moveToNewConnection(healthCheck);
@@ -141,7 +146,7 @@
         return !healthCheck.isCompleted() && healthCheck.connection() != null && !healthCheck.wasMoved();
     }
 
-    /** Closes the connection of a health check, and opens a new one for it. */
+    /** Closes the connection of a health check and opens a new one for it. */
     void moveToNewConnection(Attempt healthCheck) {
         ServerConnection silent = healthCheck.connection();
         silent.abandonAttempt();
@@ -158,7 +163,7 @@
         }
     }
 
-    /** Closes the connection that has been idle longest; false where none is idle. */
+    /** Closes the connection that has been idle longest; returns false if none is idle. */
     public boolean closeLongestIdle() {
         return idleConnections.closeLongestIdle();
     }
@@ -179,7 +184,10 @@
         openOrRetryLater(attempt);
     }
 
-    /** Opens a connection, or tries to a little later, when others have given back their descriptors. */
+    /**
+     * Opens a connection for the attempt. If that is not possible now, tries again a little later, when other
+     * connections may have released their descriptors.
+     */
     private void openOrRetryLater(Attempt attempt) {
         if (!attempt.needsConnection() || open(attempt)) {
             return;
@@ -205,7 +213,12 @@
         return true;
     }
 
-    /** Opens a connection a little later, unless another one is assigned by then; false where that was done often enough. */
+    /**
+     * Schedules another try to open a connection for the attempt, which is skipped if a connection has been assigned by
+     * then.
+     *
+     * @return false, with nothing scheduled, if the attempt has used up its connect retries
+     */
     boolean connectAgainLater(Attempt attempt) {
         if (!attempt.takeConnectRetry()) {
             return false;
@@ -214,7 +227,10 @@
         return true;
     }
 
-    /** Gives a connection that carries no attempt its next one, the one that it was opened for first, or keeps it as idle. */
+    /**
+     * Takes back a connection that carries no attempt. Assigns it to the attempt that it was opened for, or else to the
+     * one that has waited longest; keeps it as idle if no attempt is waiting.
+     */
     void release(ServerConnection connection) {
         PooledServer server = connection.server();
         Attempt opener = connection.opener();
@@ -244,12 +260,12 @@
 
     // -- Calls of attempts and connections
 
-    /** The idle connections, never null. */
+    /** Returns the idle connections; never null. */
     IdleConnections idleConnections() {
         return idleConnections;
     }
 
-    /** Forgets an attempt that has ended. */
+    /** Called when an attempt has ended; removes it. */
     void onAttemptCompleted(Attempt attempt) {
         attempt.server().removeWaiting(attempt);
         if (!attempt.isHealthCheck()) {
@@ -257,7 +273,7 @@
         }
     }
 
-    /** Forgets a connection that is being closed; its descriptor counts a moment longer. */
+    /** Called when a connection is being closed; removes it. Its descriptor is counted until the socket is closed. */
     void onConnectionClosed(ServerConnection connection) {
         limits.released();
         context.vertx().setTimer(DESCRIPTOR_RELEASE_DELAY_MS, timer -> limits.closed());
--- a/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
@@ -6,32 +6,35 @@
 import ploverdale.net.postgres.ServerMessageReader;
 
 /**
- * The order of messages on one connection: decodes what the server sends, checks that each message may come in the connection's
- * present state, and collects the answer. Reports what it finds to its {@link Listener}; closes nothing itself, and decodes nothing more
- * once the listener's state is CLOSED. Used on the event loop only.
+ * The client side of the PostgreSQL protocol on one connection: decodes what the server sends, checks that each message
+ * is allowed in the connection's current state, and collects the answer. Reports the results to its {@link Listener}.
+ * Closes nothing itself, and stops decoding once the listener's state is CLOSED. Used on the event loop only.
  */
 final class ServerProtocol implements ServerMessageHandler {
 
     /** The connection that the messages belong to. */
     interface Listener {
 
-        /** The connection's present state, never null. */
+        /** Returns the connection's current state; never null. */
         ConnectionState state();
 
-        /** The server accepted the connection. */
+        /** Called when the server has accepted the connection. */
         void onHandshakeCompleted();
 
-        /** The server refused the connection with this SQLSTATE. */
+        /** Called when the server has refused the connection with this SQLSTATE. */
         void onHandshakeRefused(String sqlState);
 
         /**
-         * The answer that the connection waited for is complete.
+         * Called when the awaited answer is complete.
          *
-         * @param idle whether the server has left no transaction open
+         * @param idle whether the server has no transaction open on the connection
          */
         void onAnswerCompleted(boolean idle);
 
-        /** Nothing that the server sends on this connection can be trusted any more. */
+        /**
+         * Called when the server has sent a message that is malformed or not allowed in the current state. Nothing that
+         * it sends on this connection can be trusted any more.
+         */
         void onOutOfOrder(String reason);
     }
 
@@ -43,17 +46,17 @@
         this.listener = listener;
     }
 
-    /** A request is about to be written; what comes from now on belongs to its answer. */
+    /** Called before a request is written; messages received from now on belong to its answer. */
     void startResponse() {
         response = new ServerResponse();
     }
 
-    /** What has come since the last request was written, never null. */
+    /** Returns what has been received since the last request was written; never null. */
     ServerResponse response() {
         return response;
     }
 
-    /** Decodes the bytes and reports each message that is complete with them. */
+    /** Decodes the bytes and handles each message that is complete with them. */
     void decode(Buffer bytes) {
         reader.feed(bytes);
         ServerMessage message = nextMessage();
@@ -67,7 +70,7 @@
         return listener.state() == ConnectionState.CLOSED ? null : reader.next();
     }
 
-    /** Whether part of a message is left that is not complete yet. */
+    /** Returns whether part of an incomplete message is buffered. */
     boolean hasUndecodedBytes() {
         return reader.held() > 0;
     }
@@ -149,7 +152,10 @@
         return listener.state() == ConnectionState.AWAITING_ANSWER;
     }
 
-    /** Part of an answer is out of order, or no attempt waits for one: it must not reach the next attempt. */
+    /**
+     *  Reports a message of an answer that is out of order, or that no attempt awaits. It must not reach the next
+     *  attempt.
+     */
     private void rejectAnswer() {
         listener.onOutOfOrder(
                 switch (listener.state()) {
--- a/gateway/src/main/java/ploverdale/net/server/ServerResponse.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerResponse.java
@@ -7,20 +7,22 @@
 import ploverdale.net.postgres.ServerMessage;
 
 /**
- * Collects the messages of one answer, and those that precede it, within fixed bounds of memory. An {@code accept} method returns
- * false, and keeps nothing, where the message is out of order. Holds no connection and closes none. Used on the event loop only.
+ * Collects the messages of one answer, and those that precede it, in bounded memory. An {@code accept} method returns
+ * false, and stores nothing, if the message is out of order. Used on the event loop only.
  */
 final class ServerResponse {
-    /** Bound on notices and values received with one answer, or between two: a server that sends ever more is disconnected. */
+    /**
+     * Maximum number of notices and parameters from one request to the next. A server that sends more is disconnected.
+     */
     static final int MAX_ASYNCHRONOUS_MESSAGES = 1000;
 
-    /** Bound on the names of values received with one answer; servers send a few. */
+    /** Maximum number of parameters from one request to the next; servers normally send a few. */
     static final int MAX_PARAMETERS = 64;
 
-    private static final String READ_ONLY_TRANSACTION = "25006"; // a write that reached a replica
-    private static final String TOO_MANY_CONNECTIONS = "53300"; // also: queue full, draining
-    private static final String CANNOT_CONNECT_NOW = "57P03"; // starting up, or in recovery
-    private static final String SNAPSHOT_TOO_OLD = "72000"; // a replica that is too far behind
+    private static final String READ_ONLY_TRANSACTION = "25006"; // a write has reached a replica
+    private static final String TOO_MANY_CONNECTIONS = "53300"; // also sent by a server that is overloaded or draining
+    private static final String CANNOT_CONNECT_NOW = "57P03"; // the server is starting up or in recovery
+    private static final String SNAPSHOT_TOO_OLD = "72000"; // the replica is too far behind
 
     private final Map<String, String> parameters = new HashMap<>();
     private int asynchronousMessages;
@@ -29,13 +31,13 @@
     private ServerMessage.CommandComplete completion;
     private ServerMessage.ErrorResponse error;
 
-    /** Counts a message that may come at any time; false once there are too many. */
+    /** Counts a message that the server may send at any time; returns false if there have been too many. */
     boolean acceptAsynchronousMessage() {
         asynchronousMessages++;
         return asynchronousMessages <= MAX_ASYNCHRONOUS_MESSAGES;
     }
 
-    /** Keeps a named value; false where there are too many. */
+    /** Stores a parameter; returns false if there have been too many. */
     boolean accept(ServerMessage.ParameterStatus message) {
         if (parameters.size() >= MAX_PARAMETERS) {
             return false;
@@ -44,7 +46,7 @@
         return true;
     }
 
-    /** Keeps the column. */
+    /** Stores the description of the column. */
     boolean accept(ServerMessage.RowDescription message) {
         if (column != null || isEnded()) {
             return false;
@@ -53,7 +55,7 @@
         return true;
     }
 
-    /** Keeps the value. */
+    /** Stores the row, which has one value. */
     boolean accept(ServerMessage.DataRow message) {
         if (column == null || value != null || completion != null) {
             return false;
@@ -62,7 +64,7 @@
         return true;
     }
 
-    /** Keeps the end of a statement that succeeded. */
+    /** Stores the completion of a statement that succeeded. */
     boolean accept(ServerMessage.CommandComplete message) {
         if (isEnded()) {
             return false;
@@ -71,7 +73,7 @@
         return true;
     }
 
-    /** Keeps the end of a statement that failed. */
+    /** Stores the error of a statement that failed. */
     boolean accept(ServerMessage.ErrorResponse message) {
         if (isEnded()) {
             return false;
@@ -80,52 +82,58 @@
         return true;
     }
 
-    /** Whether the statement has ended, so that ReadyForQuery may follow. */
+    /** Returns whether the statement has ended, so that ReadyForQuery may follow. */
     boolean isEnded() {
         return completion != null || error != null;
     }
 
-    /** Whether the result is known, also if the connection is lost before ReadyForQuery. */
+    /**
+     *  Returns whether the result is complete, so that it can be used even if the connection is lost before
+     *  ReadyForQuery.
+     */
     boolean isConclusive() {
         return error != null || completion != null && value != null;
     }
 
-    /** Whether a column has been received. */
+    /** Returns whether the description of the column has been received. */
     boolean hasColumn() {
         return column != null;
     }
 
-    /** Whether a row has been received. */
+    /** Returns whether a row has been received. */
     boolean hasRow() {
         return value != null;
     }
 
-    /** The value of the row, which must have been received; null for SQL's null. */
+    /** Returns the value in the row, which must have been received; null for an SQL NULL. */
     byte[] value() {
         return value.bytes();
     }
 
-    /** The row of a statement that succeeded. */
+    /** Returns the row of a statement that succeeded. The row must have been received. */
     ResultRow row() {
         return new ResultRow(column, value.bytes(), completion.tag());
     }
 
-    /** The values by name, never null; to be read only. */
+    /** Returns the parameters by name; never null. To be read only. */
     Map<String, String> parameters() {
         return parameters;
     }
 
-    /** Whether the statement failed. */
+    /** Returns whether the statement failed. */
     boolean hasError() {
         return error != null;
     }
 
-    /** Whether the server rejected the statement for lack of capacity, perhaps of connections. */
+    /**
+     *  Returns whether the server rejected the statement for lack of capacity, possibly because it has too many
+     *  connections.
+     */
     boolean isRejection() {
         return error != null && TOO_MANY_CONNECTIONS.equals(error.code());
     }
 
-    /** The outcome that belongs to the error, which must have been received. */
+    /** Returns the outcome for the error, which must have been received. */
     Outcome errorOutcome(boolean healthCheck) {
         return switch (error.code()) {
             case TOO_MANY_CONNECTIONS -> Outcome.REJECTED;
--- a/gateway/src/test/java/ploverdale/net/server/IdleConnectionLossRateTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/IdleConnectionLossRateTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When connections are not reused any more, by how long they were idle. Times are tenths of a millisecond. */
+/**
+ * Checks which idle times the loss rate excludes from reuse. A connection that the network dropped while it was idle
+ * costs an attempt; excluding idle times without need costs new connections. Times are tenths of a millisecond.
+ */
 class IdleConnectionLossRateTest {
     private static final long SECOND = 10_000;
     private static final long NOW = 1000 * SECOND;
--- a/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
@@ -34,11 +34,11 @@
 import ploverdale.settings.GatewaySettings;
 import ploverdale.settings.JsonFields;
 
-/** Each attempt ends exactly once, whatever becomes of its connection. */
+/** Checks that each attempt ends exactly once, whatever happens to its connection, and that no connection leaks. */
 class ServerConnectionPoolTest {
     private static final long PATIENCE_S = 30;
-    private static final long LATER_RESULTS_MS = 300; // in which a second result of an attempt would come
-    private static final long NO_TIMEOUT = 300_000; // 30 s in tenths
+    private static final long LATER_RESULTS_MS = 300; // time for a second result of an attempt to arrive
+    private static final long NO_TIMEOUT = 300_000; // 30 s, longer than any test
     private static final ServerId SERVER = new ServerId("s1");
     private static final RequestId REQUEST = new RequestId("r1");
     private static final Buffer ROW = MessageWriter.resultRow(new ResultRow(
@@ -59,7 +59,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    /** Runs it on the event loop, and returns once it has run. */
+    /** Runs the step on the event loop, and returns once it has run. */
     private void onEventLoop(Runnable step) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(turn -> {
@@ -80,7 +80,7 @@
                 vertx, log, settings, limits, limits::mayOpen, new ServerClock(log::line, Clock.system())));
     }
 
-    /** A server that completes each handshake and has each query answered by this. */
+    /** Creates a pool and a server that completes each handshake and calls the handler for each query. */
     private void createPoolWithServer(Consumer<NetSocket> onQuery) throws Exception {
         createPool();
         CompletableFuture<NetServer> listening = new CompletableFuture<>();
--- a/gateway/src/test/java/ploverdale/net/server/ServerProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerProtocolTest.java
@@ -11,7 +11,7 @@
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
 
-/** Which messages a connection accepts in which state; no sockets. */
+/** Checks which messages a connection accepts in which state, without sockets. */
 class ServerProtocolTest {
     private static final ServerMessage.RowDescription COLUMN =
             new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1);
@@ -26,7 +26,7 @@
     private final RecordingConnection connection = new RecordingConnection();
     private final ServerProtocol protocol = new ServerProtocol(connection);
 
-    /** Takes the state that it is given, and records what is reported to it. */
+    /** A connection whose state the test sets, and which records what is reported to it. */
     private static final class RecordingConnection implements ServerProtocol.Listener {
         private final List<String> reported = new ArrayList<>();
         private ConnectionState state = ConnectionState.HANDSHAKE;
