--- a/gateway/src/main/java/ploverdale/net/eventloop/AcceptRetry.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/AcceptRetry.java
@@ -7,15 +7,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts again a few milliseconds after a failed accept, on a listening channel's event loop.
+ * Resumes accepting connections a few milliseconds after a failed accept. Runs on the event loop of the listening
+ * channel.
  *
- * <p>EMFILE, ENFILE, ENOBUFS and ENOMEM leave the connection in the system's queue, so the socket stays readable and accepting at
- * once would fail in a busy loop. Netty's own acceptor therefore stops accepting for a whole second, longer than many
- * requests may take. This handler comes before it and stops accepting first, which leaves the acceptor nothing to do.
+ * <p>After EMFILE, ENFILE, ENOBUFS or ENOMEM, the connection stays in the kernel's accept queue and the socket stays
+ * readable, so accepting again at once would fail in a busy loop. Netty's acceptor therefore stops accepting for a
+ * second, which is longer than the timeout of many requests. This handler precedes it in the pipeline and stops
+ * accepting for less time, so that the acceptor finds nothing left to do.
  */
 @ChannelHandler.Sharable
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
-    /** Some 200 failing calls a second while the lack lasts; short beside the shortest deadlines of requests. */
+    /**
+     * Delay before accepting again: at most 200 failing calls per second while resources are lacking, and short
+     * compared with the shortest timeouts of requests.
+     */
     static final long RETRY_AFTER_MS = 5;
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/eventloop/LoopActionHandler.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/LoopActionHandler.java
@@ -10,8 +10,8 @@
 import ploverdale.model.OutboundActionHandler;
 
 /**
- * Carries out the actions that concern the event loop itself, timers and log lines, and hands all others on. Used on the event
- * loop only.
+ * Carries out the actions that concern the event loop itself, which are timers and log lines, and passes all others on.
+ * Used on the event loop only.
  */
 final class LoopActionHandler implements ActionHandler {
     private static final long TENTHS_PER_MS = 10;
@@ -23,8 +23,8 @@
     private final Consumer<Event> events;
 
     /**
-     * @param outbound carries out what reaches outside the gateway
-     * @param events takes the event of each timer that has fired
+     * @param outbound carries out all other actions
+     * @param events receives an event for each timer that has fired
      */
     LoopActionHandler(Vertx vertx, Log log, Clock clock, OutboundActionHandler outbound, Consumer<Event> events) {
         this.vertx = vertx;
@@ -37,8 +37,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>Vert.x timers count by another clock than the router. One that fires early is set again, since the router sets each
-     * timer once.
+     * <p>Vert.x timers use another clock than the router. A timer that fires early by the router's clock is set again,
+     * since the router sets each timer only once.
      */
     @Override
     public void setTimer(Action.SetTimer timer) {
--- a/gateway/src/main/java/ploverdale/net/eventloop/NioSockets.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/NioSockets.java
@@ -8,16 +8,17 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * Operations on a socket that take effect within the current turn of the event loop, where Vert.x leaves them to later turns.
- * All are to be called on the socket's event loop.
+ * Operations on a socket that take effect within the current turn of the event loop, whereas Vert.x defers them to
+ * later turns. All methods are to be called on the socket's event loop.
  */
 public final class NioSockets {
     private NioSockets() {}
 
     /**
-     * Hands the socket's handler what the operating system has buffered for it, a few buffers at most. The event loop reads its
-     * sockets first and runs its timers after that, so a process that was paused between the two runs timers while requests
-     * from during the pause are still unread. Call this before a connection is closed as idle.
+     * Reads what the operating system has buffered for the socket, a few buffers at most, and passes it to the socket's
+     * handler. The event loop reads its sockets before it runs its timers. If the process is paused between the two,
+     * timers run while requests that arrived during the pause are still unread. So call this before closing a
+     * connection as idle.
      */
     public static void readNow(NetSocket socket) {
         Channel channel = channel(socket);
@@ -26,20 +27,20 @@
         }
     }
 
-    /** Whether the connection is still open as far as this process has read it; false right after its end was read. */
+    /** Returns whether the connection is open; false as soon as its end has been read, before Vert.x reports that. */
     public static boolean isOpen(NetSocket socket) {
         return channel(socket).isOpen();
     }
 
-    /** Leaves what arrives from now on unread, in the operating system. */
+    /** Stops reading: what arrives from now on stays in the operating system's buffer. */
     public static void stopReading(NetSocket socket) {
         channel(socket).config().setAutoRead(false);
     }
 
     /**
-     * Shuts the output down at once.
+     * Shuts down the output at once.
      *
-     * @return false, with nothing done, where earlier output has not been taken by the operating system
+     * @return false, with nothing done, if the operating system has not accepted all earlier output yet
      */
     public static boolean shutdownOutputNow(NetSocket socket) {
         Channel channel = channel(socket);
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -16,27 +16,36 @@
 import ploverdale.routing.Router;
 
 /**
- * The only caller of the {@link Router}: takes events from a queue, hands each to the router with the current time and has the
- * returned actions carried out in order. Never chooses, drops or reorders anything, and never lets the router see the clock go
- * back or a timer fire early. Times are tenths of a millisecond unless a name says otherwise. All methods but {@link #execute}
- * are to be called on the event loop.
+ * The only caller of the {@link Router}: takes events from a queue, passes each to the router with the current time,
+ * and has the returned actions carried out in order. Makes no decisions, and never drops or reorders events or
+ * actions. The
+ * router never sees the clock go back or a timer fire early. Times are tenths of a millisecond unless a name states
+ * another unit. All methods except {@link #execute} are to be called on the event loop.
  */
 public final class RouterEventLoop {
     private static final long TENTHS_PER_MS = 10;
 
-    /** From an event to its turn; usually it takes a small part of this. */
+    /**
+     * Maximum time from queueing an event to draining the queue, 20 ms; if it takes longer, the loop has been delayed
+     * and reads again first. It usually takes a small part of this.
+     */
     private static final long DRAIN_LATE = 200;
 
-    /** Between the turns of the loop that read on after a pause. */
+    /** Time between the turns of the loop in which it reads again after a pause. */
     private static final long READ_ON_MS = 1;
 
-    /** Turns that read on after a pause: one to accept the connection of a cancel request, one to read it. */
+    /**
+     * Number of timers that the loop runs before it drains the queue after a pause. The first may fire in the same
+     * turn; then one turn accepts the connection of a cancel request, and one reads it.
+     */
     private static final int READ_ON_TURNS = 3;
 
-    /** Shorter pauses make no health check fail, so the router need not know of them. */
+    /** Shorter pauses make no health check fail, so they are not reported to the router. */
     private static final long REPORTED_PAUSE_MS = 50;
 
-    /** A pause of the loop that is logged: half of what answers may be late. */
+    /**
+     *  Longer intervals between two runs of the timer are logged. It is half of the time by which answers may be late.
+     */
     private static final long LOGGED_PAUSE_MS = 250;
 
     private final Vertx vertx;
@@ -47,16 +56,16 @@
     private final LoopLag loopLag;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean drainScheduled;
-    private boolean lagBeforeFirst; // the loop was late before the first event in the queue was read
+    private boolean lagBeforeFirst; // whether the loop lagged before it read the first event in the queue
     private long firstQueuedAt;
     private long decidedAt;
     private OutboundActionHandler outbound;
     private ActionHandler actionHandler;
 
     /**
-     * A loop that still needs {@link #setActionHandler}.
+     * Creates a loop that still needs {@link #setActionHandler}.
      *
-     * @param quota what the router may spend of the limits that belong to all gateways, or null where there are none
+     * @param quota this gateway's part of the limits that all gateways share; null if there are none
      */
     public RouterEventLoop(Vertx vertx, Context context, Log log, Quota quota, Clock clock) {
         this.vertx = vertx;
@@ -69,8 +78,9 @@
     }
 
     /**
-     * Sets who carries out what reaches outside the gateway. To be called once, in the turn of the event loop in which this loop
-     * was created: its parts need the loop, and the loop hands no event to the router before its next turn.
+     * Sets the handler of the actions that reach outside the gateway. To be called once, in the turn of the event loop
+     * in which this object was created. The handler cannot be passed to the constructor, since its components need this
+     * object; no event reaches the router before the next turn.
      */
     public void setActionHandler(OutboundActionHandler outbound) {
         this.outbound = outbound;
@@ -87,17 +97,17 @@
     }
 
     /**
-     * For how long this loop has not run, 0 where it is on time. What is read after a pause may have arrived at its beginning,
-     * and a client counts its timeout from its own sending.
+     * Returns the lag of the loop; 0 if it is on time. A request that is read after a pause may have arrived when the
+     * pause began, and its client counts the timeout from when it sent the request.
      */
     public long lag() {
         return loopLag.lag();
     }
 
     /**
-     * Queues an event; the router gets it right after what is being read now. Where the loop was late before that reading, or
-     * becomes late between it and the router's turn, the loop reads on first: a request is read before the close or the cancel
-     * request of its client, and no attempt may begin for a client that left meanwhile.
+     * Queues an event for the router, which receives it after the current read. If the loop lagged before this read, or
+     * lags before the queue is drained, the loop reads its sockets again first. A request is read before its client's
+     * disconnect or cancel request, and no attempt may start for a client that has disconnected or cancelled meanwhile.
      */
     public void enqueue(Event event) {
         queue.add(event);
@@ -118,7 +128,7 @@
         }
     }
 
-    /** Drains the queue after that many timers, the first of which may fire in this very turn of the loop. */
+    /** Drains the queue after this number of timers; the first of them may fire in the current turn of the loop. */
     private void readOn(int turns) {
         if (turns == 0) {
             drain();
@@ -127,12 +137,17 @@
         }
     }
 
-    /** Whether requests may still be written to this server; for attempts that had to wait for their connection. */
+    /**
+     *  Returns whether requests may be written to the server. Checked again for attempts that waited for a connection.
+     */
     public boolean mayReceive(ServerId server) {
         return router.mayReceive(server);
     }
 
-    /** When the router decided on the action that is being carried out; time limits in it count from then. */
+    /**
+     *  Returns when the router decided on the action that is being carried out; time limits in the action count from
+     *  then.
+     */
     public long decidedAt() {
         return decidedAt;
     }
@@ -142,12 +157,15 @@
         context.runOnContext(ignored -> task.run());
     }
 
-    /** Whether the router has been handed all events. */
+    /** Returns whether the router has received all queued events. */
     public boolean isQueueEmpty() {
         return queue.isEmpty();
     }
 
-    /** Has the router learn, before all that is queued, that this loop did not run from one time to the other. */
+    /**
+     *  If the loop did not run for long between the two times, queues an event that reports the pause before all
+     *  others.
+     */
     private void reportPause(long lastRun, long now) {
         if (now - lastRun > (LoopLag.TICK_MS + REPORTED_PAUSE_MS) * TENTHS_PER_MS) {
             queue.addFirst(new Event.LoopDelayed(lastRun, now));
@@ -170,9 +188,9 @@
                 action.dispatchTo(actionHandler);
             }
         } catch (RuntimeException fault) {
-            // broad catch: a fault in one decision must not end service for all other requests
+            // broad catch: an exception in one decision must not stop service for all other requests
             log.fault("module fault on " + event.getClass().getSimpleName(), fault);
-            if (event instanceof Event.RequestArrived arrival) { // an accepted request is answered all the same
+            if (event instanceof Event.RequestArrived arrival) { // an accepted request must be answered
                 outbound.failRequest(new Action.FailRequest(arrival.request()));
             }
         }
--- a/gateway/src/main/java/ploverdale/net/eventloop/SingleLoopVertx.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SingleLoopVertx.java
@@ -11,13 +11,15 @@
 
     private SingleLoopVertx() {}
 
-    /** One event loop for all sockets and timers; looks up no names and caches no files. */
+    /**
+     *  Returns a new instance with one event loop for all sockets and timers, without a DNS resolver and a file cache.
+     */
     public static Vertx create() {
         return create(new SleepingTransport());
     }
 
     /**
-     * The same on another NIO transport, for tests in which system calls fail.
+     * Returns a new instance as {@link #create()} does, on another NIO transport; for tests in which system calls fail.
      *
      * @param nio creates the channels and the selector
      */
--- a/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
@@ -14,35 +14,40 @@
 import ploverdale.clock.Clock;
 
 /**
- * The NIO transport with another way to wait for timers. Netty's NIO selector waits for whole milliseconds and rounds them to
- * the nearest, so it polls without blocking for up to half a millisecond before each timer: some hundred useless system calls a
- * second, and far more where a clock is slow. Here each wait is rounded up; a timer fires up to a millisecond later. Tasks and
- * bytes that arrive end a wait as before.
+ * The NIO transport with two changes: it sleeps until timers are due instead of polling, and reads again after a pause.
  *
- * <p>The event loop reads its sockets and then runs its timers. When the process is paused in between, or while it waits (the
- * wait then ends as timed out, with nothing to read), timers that came due during the pause would run before the bytes that
- * arrived during it are read: an answer that is there would count as missing, a connection with a request in it would be closed
- * as idle. So a turn of the loop that took too long reads once more.
+ * <p>Netty's NIO selector rounds its wait to the nearest millisecond, so it may poll without blocking for up to half a
+ * millisecond before each timer. That costs some hundred useless system calls per second, and far more if reading the
+ * clock is slow. This transport rounds each wait up, so that a timer fires up to a millisecond later. Tasks and bytes
+ * that arrive end a wait as usual.
+ *
+ * <p>The event loop reads its sockets and then runs its timers. If the process is paused between the two, or during the
+ * wait (which then ends by its timeout with nothing to read), timers that became due during the pause would run before
+ * the bytes that arrived during it are read: an answer that has arrived would count as missing, and a connection with
+ * an unread request would be closed as idle. So a turn of the loop that took too long reads again before timers run.
  */
 final class SleepingTransport implements io.vertx.core.transport.Transport, Transport {
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** Longer than a wait and the reading after it usually take beyond the requested wait. */
+    /** A turn that exceeds its requested wait by more than this was delayed; the reads of a turn usually take less. */
     private static final long LATE_NANOS = 5 * NANOS_PER_MS;
 
-    /** In one turn of the loop, so that a flood of input cannot keep timers from running. */
+    /**
+     *  Maximum number of extra reads in one turn of the loop, so that a flood of input cannot delay timers
+     *  indefinitely.
+     */
     private static final int MAX_EXTRA_READS = 2;
 
     private final AcceptRetry acceptRetry = new AcceptRetry();
     private final Transport nio;
 
-    /** Uses the NIO transport of Vert.x. */
+    /** Creates a transport on the NIO transport of Vert.x. */
     SleepingTransport() {
         this(io.vertx.core.transport.Transport.NIO.implementation());
     }
 
     /**
-     * Uses another NIO transport.
+     * Creates a transport on another NIO transport.
      *
      * @param nio creates the channels and the selector
      */
@@ -101,14 +106,17 @@
         };
     }
 
-    /** The wait for a timer that is due in that many nanoseconds: rounded up to whole milliseconds, unchanged where there is none. */
+    /**
+     * Returns the wait for a timer that is due in so many nanoseconds, rounded up to whole milliseconds. A value of 0
+     * or less (the timer is due) and a value too large to round (there is no timer) are returned unchanged.
+     */
     static long roundUpToMs(long nanos) {
         return nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MS
                 ? nanos
                 : (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS * NANOS_PER_MS;
     }
 
-    /** Rounds the waits of another handler up and has it read once more after a pause. */
+    /** Rounds up the waits of another handler, and has it read again after a pause. */
     record SleepingIoHandler(IoHandler inner) implements IoHandler {
         @Override
         public int run(IoHandlerContext loop) {
@@ -154,11 +162,11 @@
         }
     }
 
-    /** The context of a turn of the loop, with its wait rounded up and, for an extra read, without one. */
+    /** The context of one turn of the loop, with its wait rounded up; for an extra read, without a wait. */
     private record RoundedUpContext(IoHandlerContext loop, boolean mayBlock) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
-            return mayBlock && loop.canBlock(); // not cached: another thread may add a task at any time
+            return mayBlock && loop.canBlock(); // evaluated on each call: another thread may add a task at any time
         }
 
         @Override
--- a/gateway/src/main/java/ploverdale/net/eventloop/package-info.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Owns the one thread that runs a gateway: how its event loop waits ({@link ploverdale.net.eventloop.SleepingTransport}), the
- * queue of events that it hands to the router and the order in which actions are carried out ({@link
- * ploverdale.net.eventloop.RouterEventLoop}), and what it can do to a socket within the current turn of the loop ({@link
- * ploverdale.net.eventloop.NioSockets}). Never decides about a request or a server, and knows no connection by itself. Runs on
- * the event loop, except where a doc comment says otherwise.
+ * Owns the event loop that runs a gateway: how it waits ({@link ploverdale.net.eventloop.SleepingTransport}), how it
+ * passes queued events to the router and has the actions carried out in order ({@link
+ * ploverdale.net.eventloop.RouterEventLoop}), and which socket operations take effect within the current turn of the
+ * loop ({@link ploverdale.net.eventloop.NioSockets}). Never decides about a request or a server, and keeps no
+ * connections. Runs on the event loop, unless a doc comment says otherwise.
  */
 package ploverdale.net.eventloop;
--- a/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
@@ -5,7 +5,10 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.clock.Clock;
 
-/** How late the event loop is, by a timer of 10 ms; times are tenths of a millisecond. */
+/**
+ * Checks the lag of the event loop as measured by a timer of 10 ms. If a pause went unnoticed, requests that arrived
+ * during it would be routed as if they were new. Times are tenths of a millisecond.
+ */
 class LoopLagTest {
     private final ManualClock clock = new ManualClock();
     private final LoopLag lag = new LoopLag(clock);
@@ -44,7 +47,7 @@
         assertThat(lag.lag()).isZero();
     }
 
-    /** A clock that stands where the test puts it. */
+    /** A clock that shows the time that the test sets. */
     private static final class ManualClock implements Clock {
         private long now;
 
--- a/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
@@ -12,14 +12,17 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
-/** The selector sleeps up to its timers, and reads what came during a pause before timers run. */
+/**
+ * Checks that the selector sleeps until the next timer instead of polling, and that after a pause the loop reads what
+ * has arrived before timers run.
+ */
 class SleepingTransportTest {
     @Test
     void aWaitForATimerIsRoundedUpSoThatNothingIsPolledBeforeIt() {
-        assertThat(SleepingTransport.roundUpToMs(400_000))
-                .isEqualTo(1_000_000); // the selector would make this 0, a poll
+        // Netty would round 0.4 ms down to 0 and poll, and round 9.4 ms down to 9 ms and then poll.
+        assertThat(SleepingTransport.roundUpToMs(400_000)).isEqualTo(1_000_000);
         assertThat(SleepingTransport.roundUpToMs(1)).isEqualTo(1_000_000);
-        assertThat(SleepingTransport.roundUpToMs(9_400_000)).isEqualTo(10_000_000); // and this 9, and a poll
+        assertThat(SleepingTransport.roundUpToMs(9_400_000)).isEqualTo(10_000_000);
         assertThat(SleepingTransport.roundUpToMs(9_000_000)).isEqualTo(9_000_000);
     }
 
@@ -46,7 +49,7 @@
         assertThat(turns.mayBlock).containsExactly(true);
     }
 
-    /** Stands in for the selector: its first turn takes so long, the others no time. */
+    /** A fake selector whose first turn takes a given time, and whose other turns take none. */
     private static final class Turns implements IoHandler {
         private final long firstTakesMs;
         private final List<Boolean> mayBlock = new ArrayList<>();
@@ -79,7 +82,7 @@
         }
     }
 
-    /** A loop whose next timer is due after so many nanoseconds. */
+    /** A fake loop whose next timer is due after the given number of nanoseconds. */
     private record Loop(long delay) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
