--- a/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
@@ -15,38 +15,38 @@
 import ploverdale.settings.InvalidSettingsException;
 
 /**
- * Follows the endpoint list of the discovery agent: fetches the complete list, then watches it by long polls, one after
- * the other, at the address that the configuration named last. Calls are retried with a randomized backoff.
+ * Follows the endpoint list of the discovery agent: fetches the complete list, then watches it by consecutive long
+ * polls, at the address in the current configuration. Failed calls are retried after a randomized backoff.
  *
  * <table>
  *   <caption>Transitions of {@link State}</caption>
  *   <tr><th>from</th><th>event</th><th>to</th></tr>
  *   <tr><td>LISTING, WATCHING, LOST</td><td>list or update received</td><td>WATCHING</td></tr>
- *   <tr><td>LISTING, WATCHING, LOST</td><td>update received that does not continue the known revision</td>
- *       <td>LISTING</td></tr>
+ *   <tr><td>LISTING, WATCHING, LOST</td><td>update received that does not continue the known revision</td> <td>LISTING</td></tr>
  *   <tr><td>LISTING, WATCHING</td><td>latest call failed or is overdue</td><td>LOST</td></tr>
  *   <tr><td>WATCHING</td><td>{@link #follow()}</td><td>LISTING</td></tr>
  * </table>
  *
- * <p>Keeps no list, judges no server, and never calls again without a delay after a failure. Used on the event loop only.
+ * <p>Keeps no list, makes no decision about a server, and never retries a failed call without a delay. Used on the
+ * event loop only.
  */
 public final class Discovery {
-    /** What the next call is for. */
+    /** The purpose of the next call. */
     private enum State {
-        /** No revision is known: the complete list is fetched. */
+        /** No revision is known; the complete list is fetched. */
         LISTING,
-        /** Updates since the known revision are awaited by long polls. */
+        /** A revision is known; updates since then are awaited by long polls. */
         WATCHING,
-        /** The latest call brought no answer: short calls are made until one is answered, for a list or for updates. */
+        /** The latest call was not answered; calls that do not wait for an update are made until one is answered. */
         LOST
     }
 
     private static final String PATH = "/registry/instances";
-    // An update counts as delivered 6 s after the agent had it and could be reached, whatever became of a call. Within
-    // that time a watch without an answer is abandoned and a few further calls may fail: 2 + 1.2 s, then 1.2 s each.
+    // An update must arrive within 6 s from when the agent has it and can be reached, even if calls fail. In that time,
+    // a watch without an answer can be abandoned (after 2 + 1.2 s) and a few further calls can fail (1.2 s each).
     private static final long LONG_POLL_MS = 2000;
-    private static final long OVERDUE_AFTER_MS = 1200; // beyond the long poll, or the whole of a call without one
-    private static final long FIRST_BACKOFF_MS = 100; // doubled each time, and up to half as much more at random
+    private static final long OVERDUE_AFTER_MS = 1200; // in addition to the long poll, if there is one
+    private static final long FIRST_BACKOFF_MS = 100; // doubled after each failure, plus up to half of it at random
     private static final long MAX_BACKOFF_MS = 400;
     private static final long NO_REVISION = -1;
 
@@ -57,19 +57,26 @@
     private final DiscoveryClient client;
     private final RandomGenerator random;
     private final Clock clock;
-    private final Deque<Poll> openPolls = new ArrayDeque<>(); // the latest last
-    private final Deque<Poll> supersededPolls = new ArrayDeque<>(); // of former agents, until the present one answers
+    /** Calls in flight to the current agent, latest last. */
+    private final Deque<Poll> openPolls = new ArrayDeque<>();
+
+    /** Calls in flight to previous agents; kept until the current agent answers. */
+    private final Deque<Poll> supersededPolls = new ArrayDeque<>();
+
     private InetSocketAddress address;
     private State state = State.LISTING;
     private long revision = NO_REVISION;
     private long nextPollTimer = -1;
     private long backoffMs = FIRST_BACKOFF_MS;
-    private long lostAtMs; // monotonic; while LOST
+    private long lostAtMs; // monotonic time; valid while LOST
     private boolean stopped;
 
     /**
-     * @param listener receives each complete list, and each update that is not empty or has another revision
-     * @param random spreads the retries of gateways that lost the agent at the same moment
+     * Creates an instance that makes no call before {@link #follow()}.
+     *
+     * @param address the address of the discovery agent
+     * @param listener receives each complete list, and each update that has entries or a new revision
+     * @param random spreads the retries of gateways that lost the agent at the same time
      */
     public Discovery(
             Vertx vertx,
@@ -89,7 +96,7 @@
         client = new DiscoveryClient(vertx, OVERDUE_AFTER_MS);
     }
 
-    /** Fetches the complete list, and its updates from then on; calls in flight are ended. */
+    /** Fetches the complete list and then its updates. Cancels the calls in flight. */
     public void follow() {
         revision = NO_REVISION;
         if (state == State.WATCHING) {
@@ -100,8 +107,9 @@
     }
 
     /**
-     * Follows the list at another address from now on. What the former agent answers to a call that is open still counts as told, so
-     * such calls are ended only once the new agent has answered or they are overdue.
+     * Follows the list of another agent from now on. An answer of the previous agent to a call in flight still applies,
+     * so such calls are cancelled only when the new agent has answered, when they are overdue, or when there are too
+     * many of them.
      */
     public void follow(InetSocketAddress newAddress) {
         address = newAddress;
@@ -114,7 +122,7 @@
         follow();
     }
 
-    /** Ends the calls in flight and schedules no further one. */
+    /** Cancels the calls in flight and makes no further ones. */
     public void stop() {
         stopped = true;
         endOpenPolls();
@@ -140,7 +148,7 @@
         if (openPolls.size() >= DiscoveryClient.MAX_CONNECTIONS) {
             openPolls.peekFirst().end();
         }
-        // After a loss the first call has to show soon whether the agent is back, so it does not wait for an update.
+        // While LOST, a call has to show soon whether the agent is reachable again, so it does not wait for an update.
         long holdMs = state == State.WATCHING ? LONG_POLL_MS : 0;
         String uri = revision < 0 ? PATH : PATH + "?from=" + revision + "&hold_ms=" + holdMs;
         Poll poll = new Poll(holdMs > 0);
@@ -149,7 +157,7 @@
         poll.call.start(address, uri);
     }
 
-    /** One call and the timer by which its answer is due. */
+    /** One call, with the timer that fires when its answer is overdue. */
     private final class Poll implements DiscoveryClient.Listener {
         private final DiscoveryClient.Call call = client.newCall(this);
         private final InetSocketAddress agent = address;
@@ -168,8 +176,9 @@
         }
 
         /**
-         * Another call is made soon, and whichever is answered first counts: the agent may be slow rather than down. A
-         * watch without an answer is broken.
+         * Called when the answer is overdue. Schedules another call. An overdue list call stays in flight, and the
+         * first answer counts, since the agent may be slow rather than down; an overdue watch has failed and is
+         * cancelled.
          */
         private void onOverdue() {
             boolean superseded = isSuperseded();
@@ -189,7 +198,7 @@
         public void onFailure(String reason) {
             boolean latest = this == openPolls.peekLast();
             end();
-            if (latest) { // otherwise a later call is in flight already
+            if (latest) { // otherwise a later call is already in flight
                 retryAfterBackoff(reason);
             }
         }
@@ -200,7 +209,7 @@
             try {
                 list = EndpointListReader.parse(body, settings);
             } catch (InvalidSettingsException invalid) {
-                onFailure(invalid.getMessage()); // changes nothing
+                onFailure(invalid.getMessage()); // the list in force stays
                 return;
             }
             if (isSuperseded()) {
@@ -209,7 +218,7 @@
                 return;
             }
             end();
-            endOpenPolls(); // their answers would be as old, or older
+            endOpenPolls(); // their answers cannot be newer
             endSupersededPolls();
             onAnswer(list);
         }
@@ -225,7 +234,7 @@
             log.often("list entries left out", String.join(", ", list.leftOut()));
         }
         if (!continuesKnownRevision(list)) {
-            putInForce(list, address); // its drains and removals bind all the same
+            putInForce(list, address); // its drains and removals apply nevertheless
             log.line("discovery went back from revision " + revision + " to " + list.revision() + ": asks for all");
             revision = NO_REVISION;
             state = reachableState();
@@ -251,7 +260,10 @@
         return revision < 0 ? State.LISTING : State.WATCHING;
     }
 
-    /** An agent that was restarted counts anew: its updates do not apply to the list that was received before. */
+    /**
+     * Returns whether the list is complete or an update of the known revision. An agent that has restarted counts its
+     * revisions from the start, so its updates do not apply to the list that was received before.
+     */
     private boolean continuesKnownRevision(EndpointList list) {
         return list.complete() || revision >= 0 && list.revision() >= revision;
     }
--- a/gateway/src/main/java/ploverdale/net/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/DiscoveryClient.java
@@ -13,23 +13,24 @@
 import java.net.InetSocketAddress;
 
 /**
- * Makes HTTP calls to the discovery agent over a small pool of connections. Sets no timer, repeats no call and does
- * not read what an answer says. Used on the event loop only.
+ * Makes HTTP calls to the discovery agent over a small pool of connections. Sets no timers, retries no calls and does
+ * not parse answers. Used on the event loop only.
  */
 final class DiscoveryClient {
     /**
-     * Calls that may be open at once. A connection that is not established must not delay a later call, and a call that
-     * is overdue keeps its connection until a later one is answered or needs it.
+     * Maximum number of calls in flight. There is more than one connection so that one that cannot be established does
+     * not delay a later call; an overdue call keeps its connection until a later call is answered or needs the
+     * connection.
      */
     static final int MAX_CONNECTIONS = 3;
 
-    private static final int KEEP_ALIVE_SECONDS = 2; // of an idle connection; longer than the longest backoff
+    private static final int KEEP_ALIVE_SECONDS = 2; // for idle connections; longer than the maximum backoff
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
     private static final int STATUS_OK = 200;
 
     private final HttpClient http;
 
-    /** @param connectTimeoutMs within which a connection has to be established, in milliseconds */
+    /** @param connectTimeoutMs the connect timeout, in milliseconds */
     DiscoveryClient(Vertx vertx, long connectTimeoutMs) {
         http = vertx.createHttpClient(
                 new HttpClientOptions()
@@ -39,24 +40,26 @@
                 new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS).setMaxWaitQueueSize(MAX_CONNECTIONS));
     }
 
-    /** What came of a call; at most one of the two is called, and none once the call has been ended. */
+    /**
+     *  Receives the result of a call. At most one of the methods is called, and none once the call has been cancelled.
+     */
     interface Listener {
-        /** The agent answered with status 200. */
+        /** Called with the body when the agent has answered with status 200. */
         void onBody(String body);
 
-        /** The call failed, or the agent answered with another status. */
+        /** Called when the call has failed, or the agent has answered with another status. */
         void onFailure(String reason);
     }
 
-    /** A call that has not been started yet. */
+    /** Returns a call that has not been started yet. */
     Call newCall(Listener listener) {
         return new Call(listener);
     }
 
-    /** One GET, from its start to its answer, its failure, or the moment at which its answer is no longer wanted. */
+    /** One HTTP GET, from its start until it is answered, fails or is cancelled. */
     final class Call {
         private final Listener listener;
-        private HttpClientRequest request; // null while there is no connection, and once the answer is complete
+        private HttpClientRequest request; // null before a connection is assigned, and after the answer is complete
         private boolean ended;
 
         private Call(Listener listener) {
@@ -79,7 +82,7 @@
             });
         }
 
-        /** Resets the request if it is open; the listener is not called any more. */
+        /** Cancels the call: resets the request if it is in flight. The listener is not called any more. */
         void end() {
             ended = true;
             if (request != null) {
@@ -89,7 +92,7 @@
 
         private Future<HttpClientResponse> send(HttpClientRequest connected) {
             if (ended) {
-                connected.reset(); // a later call has taken its place
+                connected.reset(); // the call was cancelled while it waited for a connection
                 return Future.failedFuture("not wanted any more");
             }
             request = connected;
@@ -110,7 +113,7 @@
         }
 
         private void complete(int status, Buffer body) {
-            request = null; // complete: there is nothing to reset, and its connection is free for the next call
+            request = null; // there is nothing left to reset; the connection is available to the next call
             if (status != STATUS_OK) {
                 fail("status " + status);
             } else if (!ended) {
--- a/gateway/src/main/java/ploverdale/net/discovery/package-info.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The conversation with the discovery agent: {@link ploverdale.net.discovery.DiscoveryClient} makes one HTTP call,
- * {@link ploverdale.net.discovery.Discovery} decides when the next one is due and hands on each endpoint list and each of
- * its updates. It keeps no list of its own and never judges a server. Everything here runs on the event loop.
+ * Follows the endpoint list of the discovery agent: {@link ploverdale.net.discovery.DiscoveryClient} makes HTTP calls,
+ * and {@link ploverdale.net.discovery.Discovery} decides when to make the next one and passes each endpoint list and
+ * update to its listener. The package keeps no list and makes no decision about a server. Everything runs on the event
+ * loop.
  */
 package ploverdale.net.discovery;
