--- a/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -15,40 +15,43 @@
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.peer.GossipTransport;
 
-/** The socket to other instances. */
+/** Checks the datagram socket to the peers. A gateway may have something to send before its socket is listening. */
 class GossipTransportTest {
-    private static final String HERE = "127.0.0.1";
+    private static final String LOOPBACK = "127.0.0.1";
 
     @Test
-    void aWordBeforeItListensLeavesItAbleToHear() throws Exception {
+    void sendingBeforeListeningDoesNotPreventReceivingLater() throws Exception {
         Vertx vertx = SingleLoopVertx.create();
         try {
-            DatagramSocket other = vertx.createDatagramSocket();
-            other.listen(0, HERE).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-            DatagramSocket free = vertx.createDatagramSocket();
-            int port = free.listen(0, HERE)
+            DatagramSocket peer = vertx.createDatagramSocket();
+            peer.listen(0, LOOPBACK).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+            DatagramSocket portFinder = vertx.createDatagramSocket();
+            int port = portFinder
+                    .listen(0, LOOPBACK)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .get(20, TimeUnit.SECONDS)
                     .localAddress()
                     .port();
-            free.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-            InetSocketAddress at = new InetSocketAddress(HERE, port);
-            CompletableFuture<byte[]> heard = new CompletableFuture<>();
-            vertx.runOnContext(x -> {
-                GossipTransport side = new GossipTransport(
+            portFinder.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+            InetSocketAddress address = new InetSocketAddress(LOOPBACK, port);
+            CompletableFuture<byte[]> received = new CompletableFuture<>();
+            vertx.runOnContext(ignored -> {
+                GossipTransport transport = new GossipTransport(
                         vertx,
                         new Log(new PrintStream(System.err)),
                         null,
                         List.of(
-                                at,
-                                new InetSocketAddress(HERE, other.localAddress().port())));
-                side.setFirstReader((from, bytes) -> heard.complete(bytes));
-                side.send(1, new byte[] {1});
-                vertx.setTimer(
-                        20, y -> side.listen(at).onSuccess(z -> other.send(Buffer.buffer(new byte[] {7}), port, HERE)));
+                                address,
+                                new InetSocketAddress(
+                                        LOOPBACK, peer.localAddress().port())));
+                transport.setFirstReader((from, bytes) -> received.complete(bytes));
+                transport.send(1, new byte[] {1});
+                vertx.setTimer(20, timer -> transport
+                        .listen(address)
+                        .onSuccess(listening -> peer.send(Buffer.buffer(new byte[] {7}), port, LOOPBACK)));
             });
-            assertThat(heard.get(20, TimeUnit.SECONDS)).containsExactly(7);
+            assertThat(received.get(20, TimeUnit.SECONDS)).containsExactly(7);
         } finally {
             vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         }
--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
@@ -30,115 +30,122 @@
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.peer.GossipTransport;
 
-/** The socket to other instances, whose system calls fail. */
+/**
+ * Checks the datagram socket to the peers while its system calls fail. A single failed call must not cut the gateway
+ * off from its peers until it is restarted.
+ */
 @Timeout(60)
 class PeerSideFailuresTest {
-    private static final long PATIENCE_S = 20;
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final long TIMEOUT_S = 20;
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    private final FaultyTransport system = new FaultyTransport();
-    private final Vertx vertx = SingleLoopVertx.create(system);
+    private final FaultyTransport systemCalls = new FaultyTransport();
+    private final Vertx vertx = SingleLoopVertx.create(systemCalls);
     private final BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
-    private DatagramSocket other;
-    private InetSocketAddress at;
-    private GossipTransport side;
+    private DatagramSocket peer;
+    private InetSocketAddress address;
+    private GossipTransport transport;
 
     @BeforeEach
-    void addresses() throws IOException {
-        other = new DatagramSocket(0, HERE);
-        other.setSoTimeout(50);
-        try (DatagramSocket free = new DatagramSocket(0, HERE)) {
-            at = new InetSocketAddress(HERE, free.getLocalPort());
+    void openPeerSocketAndChooseAddress() throws IOException {
+        peer = new DatagramSocket(0, LOOPBACK);
+        peer.setSoTimeout(50);
+        try (DatagramSocket portFinder = new DatagramSocket(0, LOOPBACK)) {
+            address = new InetSocketAddress(LOOPBACK, portFinder.getLocalPort());
         }
     }
 
     @AfterEach
     void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
-        other.close();
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
+        peer.close();
     }
 
-    /** Done when its first attempt to listen is over. */
+    /** Creates the transport and listens; returns when the first attempt to listen has succeeded or failed. */
     private void listen() throws Exception {
         CompletableFuture<Void> listened = new CompletableFuture<>();
-        vertx.runOnContext(x -> {
-            side = new GossipTransport(
-                    vertx, new Log(new PrintStream(lines, true)), null, List.of(at, (InetSocketAddress)
-                            other.getLocalSocketAddress()));
-            side.setFirstReader((from, bytes) -> received.add(bytes));
-            side.listen(at).onComplete(y -> listened.complete(null));
+        vertx.runOnContext(ignored -> {
+            transport = new GossipTransport(
+                    vertx, new Log(new PrintStream(lines, true)), null, List.of(address, (InetSocketAddress)
+                            peer.getLocalSocketAddress()));
+            transport.setFirstReader((from, bytes) -> received.add(bytes));
+            transport.listen(address).onComplete(result -> listened.complete(null));
         });
-        listened.get(PATIENCE_S, TimeUnit.SECONDS);
+        listened.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private void receives(int what) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    /**
+     *  Sends this payload from the peer until the transport receives it, since a datagram may be lost while a call
+     *  fails.
+     */
+    private void assertReceives(int payload) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         byte[] bytes = null;
-        while (bytes == null || bytes[0] != what) {
+        while (bytes == null || bytes[0] != payload) {
             assertThat(System.nanoTime()).as(lines.toString()).isLessThan(end);
-            other.send(new DatagramPacket(new byte[] {(byte) what}, 1, at)); // one that comes meanwhile is lost
+            peer.send(new DatagramPacket(new byte[] {(byte) payload}, 1, address));
             bytes = received.poll(20, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void send(int what) {
-        vertx.runOnContext(x -> side.send(1, new byte[] {(byte) what}));
+    private void send(int payload) {
+        vertx.runOnContext(ignored -> transport.send(1, new byte[] {(byte) payload}));
     }
 
-    /** Whether the other instance gets this one, sent until then. */
-    private void onRequestArrived(int what) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        DatagramPacket got = new DatagramPacket(new byte[1], 1);
+    /** Sends this payload through the transport until the peer receives it. */
+    private void assertSends(int payload) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        DatagramPacket packet = new DatagramPacket(new byte[1], 1);
         do {
             assertThat(System.nanoTime()).as(lines.toString()).isLessThan(end);
-            send(what);
+            send(payload);
             try {
-                other.receive(got);
-            } catch (SocketTimeoutException e) {
-                got.setData(new byte[] {-1}); // and sends again
+                peer.receive(packet);
+            } catch (SocketTimeoutException timeout) {
+                packet.setData(new byte[] {-1}); // no payload; the loop sends again
             }
-        } while (got.getData()[0] != what);
+        } while (packet.getData()[0] != payload);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENOBUFS", "ENOMEM", "ECONNREFUSED", "EHOSTUNREACH"})
-    void aReceiveThatFailsDoesNotEndReceivingForGood(Errno errno) throws Exception {
+    void receivingResumesAfterAFailedReceive(Errno errno) throws Exception {
         listen();
-        receives(1);
-        Fault fault = system.fail(Call.RECEIVE, errno, 2);
-        receives(2);
+        assertReceives(1);
+        Fault fault = systemCalls.fail(Call.RECEIVE, errno, 2);
+        assertReceives(2);
         assertThat(fault.failed()).isEqualTo(2);
-        onRequestArrived(3);
+        assertSends(3);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENOBUFS", "EPERM", "ENETUNREACH", "ECONNREFUSED", "EHOSTUNREACH", "EINVAL"})
-    void aSendThatFailsCostsThatDatagramAlone(Errno errno) throws Exception {
+    void aFailedSendLosesOnlyThatDatagram(Errno errno) throws Exception {
         listen();
-        Fault fault = system.fail(Call.SEND, errno, 2);
-        onRequestArrived(1);
+        Fault fault = systemCalls.fail(Call.SEND, errno, 2);
+        assertSends(1);
         assertThat(fault.failed()).isEqualTo(2);
-        receives(2);
+        assertReceives(2);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
-    void aSocketThatCannotBeOpenedAtFirstIsOpenedLater(Errno errno) throws Exception {
-        Fault fault = system.fail(Call.DATAGRAM_SOCKET, errno, 3);
+    void aSocketThatCouldNotBeOpenedIsOpenedLater(Errno errno) throws Exception {
+        Fault fault = systemCalls.fail(Call.DATAGRAM_SOCKET, errno, 3);
         listen();
-        receives(1);
+        assertReceives(1);
         assertThat(fault.failed()).isEqualTo(3);
-        onRequestArrived(2);
+        assertSends(2);
     }
 
     @Test
-    void aSocketWhoseAddressIsTakenAtFirstIsBoundOnceItIsFree() throws Exception {
-        DatagramSocket taken = new DatagramSocket(at);
+    void aSocketWhoseAddressWasInUseIsBoundOnceTheAddressIsFree() throws Exception {
+        DatagramSocket addressHolder = new DatagramSocket(address);
         listen();
         assertThat(lines.toString()).contains("no words with other instances");
-        taken.close();
-        receives(1);
-        onRequestArrived(2);
+        addressHolder.close();
+        assertReceives(1);
+        assertSends(2);
     }
 }
