--- a/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
+++ b/gateway/src/main/java/ploverdale/net/ConfigurationReload.java
@@ -9,8 +9,8 @@
 import ploverdale.settings.ConfigurationFile;
 
 /**
- * Owns the configuration in force and replaces it while the gateway serves. The address of discovery and the limit of
- * descriptors change at once; what the router and the listening socket were started with stays until a restart.
+ * Owns the configuration in force and replaces it while the gateway serves. A new address of discovery and a new limit
+ * on descriptors take effect at once; changes of the router's settings and of the listening address need a restart.
  */
 final class ConfigurationReload {
     private final Log log;
@@ -28,24 +28,24 @@
         current = initial;
     }
 
-    /** The configuration in force. To be called on the event loop. */
+    /** Returns the configuration in force; never null. To be called on the event loop. */
     ConfigurationFile current() {
         return current;
     }
 
     /**
-     * Reads a file and puts it in force; one that cannot be read changes nothing. Blocks while it reads, so it may be called on
-     * any thread but the event loop's.
+     * Reads a configuration file and puts it in force. A file that is invalid or cannot be read changes nothing. Blocks
+     * while it reads, so it may be called on any thread except the event loop's.
      *
-     * <p>Synchronized, since each signal has a thread of its own: a call that reads for longer must not put its older
-     * configuration in force after a later one.
+     * <p>Synchronized, since each SIGHUP is handled on a thread of its own: a call that takes longer to read must not
+     * replace a newer configuration with its older one.
      */
     synchronized void reload(Path path) {
         ConfigurationFile next;
         try {
             next = ConfigurationFile.read(path);
-        } catch (RuntimeException invalid) { // broad catch: whatever is wrong with the file, service goes on
-            log.line("new configuration not taken, all goes on as before: " + invalid.getMessage());
+        } catch (RuntimeException invalid) { // broad catch: no error in the file may interrupt service
+            log.line("new configuration not taken, the current one stays in force: " + invalid.getMessage());
             return;
         }
         loop.execute(() -> apply(next));
@@ -58,7 +58,7 @@
         InetSocketAddress agent = next.discovery();
         log.line("new configuration: discovery at " + agent.getAddress().getHostAddress() + ":" + agent.getPort() + ", "
                 + next.sockets() + " descriptors"
-                + (needsRestart(previous, next) ? "; what else it says needs a restart" : ""));
+                + (needsRestart(previous, next) ? "; its other changes take effect after a restart" : ""));
         discovery.follow(agent);
     }
 
--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -16,8 +16,8 @@
 import ploverdale.settings.EndpointList.Entry;
 
 /**
- * Turns endpoint lists into events for the router and addresses for the server connections. Converts the start of each server
- * from the wall clock to service time, once for each start. Used on the event loop only.
+ * Converts endpoint lists to events for the router and to addresses for the connection pool. Converts the start time of
+ * each server from wall-clock time to service time, once per start. Used on the event loop only.
  */
 final class EndpointUpdates {
     private final RouterEventLoop loop;
@@ -26,10 +26,18 @@
     private final Map<ServerId, StartTime> startTimes = new HashMap<>();
     private final RemovedStartTimes removedStartTimes = new RemovedStartTimes();
 
-    /** When a server last started: in milliseconds of the wall clock, as listed, and as service time. */
+    /**
+     * The time at which a server last started.
+     *
+     * @param wall as listed, in milliseconds of the wall clock
+     * @param serviceTime as service time, in tenths of a millisecond
+     */
     private record StartTime(long wall, long serviceTime) {}
 
-    /** Of the servers removed last, so that an older list that still names one does not seem to name a later start. */
+    /**
+     * The start times of the servers removed most recently. Without them, an older list that still contains such a
+     * server would seem to report a new start of it.
+     */
     private static final class RemovedStartTimes extends LinkedHashMap<ServerId, StartTime> {
         private static final int MAX_SERVERS = 1000;
         private static final long serialVersionUID = 1;
@@ -46,7 +54,7 @@
         this.serverClock = serverClock;
     }
 
-    /** Takes a complete list, or the changes of one. */
+    /** Handles a complete endpoint list or an update of one. */
     void onList(EndpointList list) {
         if (list.complete()) {
             Set<ServerId> listed = serverIds(list);
@@ -78,7 +86,7 @@
         }
     }
 
-    /** The endpoint with its start as service time, the same each time that the same start is listed. */
+    /** Returns the endpoint with its start as service time, which is the same whenever the same start is listed. */
     private Endpoint withStartTime(Endpoint endpoint) {
         StartTime removed = removedStartTimes.remove(endpoint.server());
         StartTime startTime = startTimes.getOrDefault(endpoint.server(), removed);
@@ -103,7 +111,10 @@
         removedStartTimes.put(server, startTimes.remove(server));
     }
 
-    /** Converts all starts anew, since the offset between wall clock and service time has changed. */
+    /**
+     * Called when the offset between the wall clock and service time has changed. Converts all start times again and
+     * reports them to the router.
+     */
     void onClockOffsetChanged() {
         Map<ServerId, Long> startedAt = new HashMap<>();
         for (Map<ServerId, StartTime> starts : List.of(removedStartTimes, startTimes)) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -34,9 +34,9 @@
 import ploverdale.settings.GatewaySettings;
 
 /**
- * One running gateway: creates its parts, connects them, and is the handle by which the process controls it. Never decides
- * about a request or a server. Its parts belong to the event loop; methods may be called on that loop only, unless they say
- * otherwise.
+ * One running gateway: creates its components and connects them, and lets the process control it. Never decides about a
+ * request or a server. The components belong to the event loop; methods may be called on that loop only, unless their
+ * documentation says otherwise.
  */
 public final class Gateway {
     private static final long TENTHS_PER_MS = 10;
@@ -56,9 +56,13 @@
     private final RequestHistory history;
     private final GatewayStartup startup;
     private final ConfigurationReload reload;
-    private NetServer listener; // null before the start is complete; referenced, since Vert.x may close one that is not
+    /**
+     * Null until the start is complete. The field keeps the server reachable: Vert.x may close one that is no longer
+     * referenced.
+     */
+    private NetServer listener;
 
-    /** The order in which parts are created is the order of their timers. */
+    /** Creates all components. The order of creation matters: it determines the order in which their timers fire. */
     private Gateway(GatewayOptions options) {
         vertx = options.vertx();
         log = options.log();
@@ -88,12 +92,16 @@
         reload = new ConfigurationReload(log, loop, limits, discovery, configuration);
     }
 
-    /** Starts to describe a gateway. May be called on any thread. */
+    /** Returns a builder for a gateway. May be called on any thread. */
     public static GatewayBuilder builder(Vertx vertx, Log log, ConfigurationFile configuration) {
         return new GatewayBuilder(vertx, log, configuration);
     }
 
-    /** Starts a gateway without a warm-up. May be called on any thread. */
+    /**
+     * Starts a gateway without a warm-up. May be called on any thread.
+     *
+     * @return completes when the gateway serves, and fails if it cannot listen
+     */
     static Future<Gateway> start(GatewayOptions options) {
         Promise<Gateway> started = Promise.promise();
         options.context().runOnContext(ignored -> new Gateway(options).start(started));
@@ -157,7 +165,10 @@
         peers.send(peer, datagram);
     }
 
-    /** The router's settings; where gateways replicate sessions, each request brings how fresh its reads must be. */
+    /**
+     * Returns the router's settings. If the gateways replicate sessions, the guarantees of replicas are adapted, since
+     * each request then states how recent its reads must be.
+     */
     private Event.Started startedEvent() {
         Event.Started settings = reload.current().settings().started();
         return new Event.Started(
@@ -173,7 +184,7 @@
                 settings.me());
     }
 
-    /** The endpoint lists of the start. */
+    /** The endpoint lists that this gateway starts with, from discovery or from the configuration. */
     private final class StartupDiscovery implements GatewayStartup.EndpointLists {
         @Override
         public void request() {
@@ -200,9 +211,9 @@
     }
 
     /**
-     * Evicts until one more connection to a server may be opened.
+     * Evicts connections until the limits allow one more connection to a server.
      *
-     * @return whether it may be opened now; an evicted connection may take a moment to close
+     * @return whether it may be opened now; false if an evicted connection has not closed yet, or none could be evicted
      */
     private boolean makeRoomForServer() {
         while (!limits.serverFits()) {
@@ -217,13 +228,13 @@
         return limits.mayOpen();
     }
 
-    /** The port on which it accepts clients. May be called on any thread. */
+    /** Returns the port on which the gateway accepts clients. May be called on any thread. */
     public int port() {
         return listener.actualPort();
     }
 
     /**
-     * Begins a graceful shutdown.
+     * Begins a graceful shutdown now.
      *
      * @param finished counted down when the process may exit
      */
@@ -232,9 +243,9 @@
     }
 
     /**
-     * Begins a graceful shutdown whose times count from a signal, which this loop may act on late.
+     * Begins a graceful shutdown whose time limits count from the arrival of a signal, which may precede this call.
      *
-     * @param signalNanos when the signal arrived, by {@link Clock#nanos}
+     * @param signalNanos when the signal arrived, in nanoseconds of {@link Clock#nanos}
      * @param finished counted down when the process may exit
      */
     public void shutdownGracefully(long signalNanos, CountDownLatch finished) {
@@ -251,12 +262,15 @@
         return longest / TENTHS_PER_MS;
     }
 
-    /** Reads the configuration again, see {@link ConfigurationReload#reload}. May be called on any thread but the loop's. */
+    /**
+     * Reads the configuration again; see {@link ConfigurationReload#reload}. May be called on any thread except the
+     * event loop's.
+     */
     public void reloadConfiguration(Path path) {
         reload.reload(path);
     }
 
-    /** Stops to follow the endpoint list. */
+    /** Stops following the endpoint list of discovery. */
     void stopDiscovery() {
         discovery.stop();
     }
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -18,8 +18,8 @@
 import ploverdale.net.server.ServerConnectionPool;
 
 /**
- * Carries out the router's actions on clients, servers, discovery and peers, and queues their outcomes as events. Never decides
- * anything about a request or a server. Used on the event loop only.
+ * Carries out the router's actions on clients, servers, discovery and peers, and queues their results as events. Never
+ * decides about a request or a server. Used on the event loop only.
  */
 final class GatewayActions implements OutboundActionHandler {
     private final Log log;
@@ -52,12 +52,12 @@
         this.serverClock = serverClock;
     }
 
-    /** Health checks whose end is not known yet. */
+    /** Returns the number of health checks in flight. */
     int healthChecksInFlight() {
         return healthChecksInFlight;
     }
 
-    /** Health checks that have ended since the start, whatever their outcome. */
+    /** Returns the number of health checks that have ended since the start, whatever their outcome. */
     int healthChecksEnded() {
         return healthChecksEnded;
     }
@@ -73,7 +73,7 @@
         int number = accepted.nextAttemptNumber();
         int clockChanges = serverClock.changes();
         history.attemptStarted(request);
-        // The process may have been paused since the router read the clock; the time limit counts from then.
+        // The time limit counts from when the router read the clock; the process may have been paused since.
         long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
         servers.startAttempt(
                 request,
@@ -84,7 +84,7 @@
                 end -> onAttemptEnded(request, number, attempt.server(), end));
     }
 
-    /** The client has left while the router was deciding. */
+    /** Ends an attempt whose client disconnected while the router was deciding. */
     private void endWithoutClient(Action.StartAttempt attempt) {
         Event.Outcome outcome = Event.Outcome.NEVER_SENT;
         loop.enqueue(new Event.AttemptEnded(attempt.request(), 0, attempt.server(), outcome, 0, true, null, null));
@@ -92,8 +92,9 @@
     }
 
     /**
-     * Whether the attempt may still be written. It may have waited for its connection: by now its client may have left, the
-     * position it relies on may be too old or void, or its server may be draining.
+     * Returns whether the attempt may still be written. It may have waited for a connection. Meanwhile its client may
+     * have disconnected, its server may be draining, or the server's position that the router relied on may have become
+     * too old, or invalid by a correction of the clock.
      */
     private boolean mayBeWritten(Action.StartAttempt attempt, AcceptedRequest accepted, int clockChanges) {
         if (!clients.isAwaited(accepted) || !mayReceive(attempt.server())) {
@@ -119,8 +120,8 @@
         if (hasRow) {
             history.succeeded(request, end.row(), end.answerReport(), server);
         }
-        boolean settled =
-                hasRow || clients.requestInFlight(request) == null; // its answer may still wait to be replicated
+        // Without a row, a request in flight is not settled: its answer may still be waiting to be replicated.
+        boolean settled = hasRow || clients.requestInFlight(request) == null;
         loop.enqueue(new Event.AttemptEnded(
                 request, number, server, end.outcome(), end.duration(), settled, end.answerReport(), end.loadReport()));
     }
--- a/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
@@ -9,7 +9,7 @@
 import ploverdale.quota.QuotaSettings;
 import ploverdale.settings.ConfigurationFile;
 
-/** Collects what a gateway is started with and starts it. Not thread-safe. */
+/** Collects the options of a gateway and starts it. Not thread-safe. */
 public final class GatewayBuilder {
     private final Vertx vertx;
     private final Log log;
@@ -25,31 +25,38 @@
         this.configuration = configuration;
     }
 
-    /** The limits that belong to all gateways; empty by default, which switches quota, membership and replication off. */
+    /**
+     * Sets the limits that all gateways share. The default is empty, which switches quota, membership and replication
+     * off.
+     */
     public GatewayBuilder quotaSettings(Optional<QuotaSettings> quotaSettings) {
         this.quotaSettings = quotaSettings;
         return this;
     }
 
-    /** The clock that the gateway reads; by default the system's. */
+    /** Sets the clock that the gateway reads; the default is the system's. */
     public GatewayBuilder clock(Clock clock) {
         this.clock = clock;
         return this;
     }
 
-    /** The context of the event loop to run on; by default the current one, or a new one of the Vert.x instance. */
+    /** Sets the context to run on; the default is the current one, or a new one of the Vert.x instance. */
     public GatewayBuilder context(Context context) {
         this.context = context;
         return this;
     }
 
-    /** Starts without the warm-up, where this process has done it before. */
+    /** Omits the warm-up, for a process that has already done it. */
     public GatewayBuilder withoutWarmUp() {
         warmUp = false;
         return this;
     }
 
-    /** Starts the gateway; the future completes when it listens, and fails when it cannot. May be called on any thread. */
+    /**
+     * Starts the gateway. May be called on any thread.
+     *
+     * @return completes when the gateway serves, and fails if it cannot listen
+     */
     public Future<Gateway> start() {
         Context runsOn = context == null ? vertx.getOrCreateContext() : context;
         GatewayOptions options = new GatewayOptions(vertx, runsOn, log, configuration, quotaSettings, clock);
--- a/gateway/src/main/java/ploverdale/net/GatewayOptions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayOptions.java
@@ -9,10 +9,10 @@
 import ploverdale.settings.ConfigurationFile;
 
 /**
- * What one gateway is started with; see {@link GatewayBuilder}. No component is null.
+ * The options of one gateway; see {@link GatewayBuilder}. No component is null.
  *
- * @param context of the event loop that the gateway runs on
- * @param quotaSettings the limits that belong to all gateways; optional, so that without them their classes are not loaded
+ * @param context the context of the event loop that the gateway runs on
+ * @param quotaSettings the limits that all gateways share; optional, so that their classes are not loaded without them
  */
 record GatewayOptions(
         Vertx vertx,
@@ -22,7 +22,7 @@
         Optional<QuotaSettings> quotaSettings,
         Clock clock) {
 
-    /** Whether the gateway exchanges datagrams with other gateways. */
+    /** Returns whether the gateway exchanges datagrams with peers. */
     boolean hasPeers() {
         return configuration.peerListen() != null;
     }
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -13,26 +13,28 @@
 import ploverdale.settings.ConfigurationFile;
 
 /**
- * The steps from created parts to service, so that no first health check and no first request is late because this process is:
+ * The start sequence of a gateway whose components have been created. Its order ensures that neither the first health
+ * checks nor the first requests are late because this process is still busy starting:
  *
  * <ol>
- *   <li>ask discovery for the endpoint list and wait for it: what discovery told before the start binds from the first request;
- *   <li>listen for clients, whose connections queue, and for peers;
- *   <li>wait until the event loop is on time;
+ *   <li>request the endpoint list from discovery and wait for it, since drains and removals that discovery reported
+ *       before the start apply from the first request on;
+ *   <li>listen for clients, whose connections queue for now, and for peers;
+ *   <li>wait until the event loop has no lag;
  *   <li>load the endpoint list, which starts the first health checks;
- *   <li>wait until these have ended, or the first of them where a peer has sent its observations;
+ *   <li>wait until these have ended; if a peer has sent its observations, wait for the first of them only;
  *   <li>serve.
  * </ol>
  *
- * <p>No wait can keep service from beginning: each has a limit. Used on the event loop only, and once.
+ * <p>Each wait has a limit, so none can prevent the gateway from serving. Used once, on the event loop only.
  */
 final class GatewayStartup {
     private static final long TENTHS_PER_MS = 10;
     private static final long POLL_MS = 10;
-    private static final int ON_TIME_POLLS = 5; // with the loop on time, before the endpoint list is loaded
+    private static final int ON_TIME_POLLS = 5; // required without lag before the endpoint list is loaded
     private static final int MAX_ON_TIME_POLLS = 50;
-    private static final long FIRST_GOSSIP_WAIT_MS = 100; // then service begins without observations of peers
-    private static final long FIRST_LIST_WAIT_MS = 5000; // so that a start whose agent is silent takes less than 10 s
+    private static final long FIRST_GOSSIP_WAIT_MS = 100; // after that, serves without observations of peers
+    private static final long FIRST_LIST_WAIT_MS = 5000; // a start takes less than 10 s even if the agent is silent
 
     private final Vertx vertx;
     private final ConfigurationFile configuration;
@@ -45,13 +47,13 @@
 
     /** The endpoint lists that a gateway starts with. */
     interface EndpointLists {
-        /** Asks discovery for its list. */
+        /** Requests the list from discovery. */
         void request();
 
-        /** Whether discovery has answered. */
+        /** Returns whether discovery has answered. */
         boolean areKnown();
 
-        /** Puts the lists in force, the configured one where discovery has not answered. */
+        /** Puts the lists in force; the configured one if discovery has not answered. */
         void load();
     }
 
@@ -75,8 +77,8 @@
      * Runs all steps.
      *
      * @param settings the router's first event
-     * @param lists the endpoint lists that the router gets first
-     * @return completes with the listening socket when the gateway serves, and fails when it cannot listen
+     * @param lists the first endpoint lists for the router
+     * @return completes with the listening socket when the gateway serves, and fails if it cannot listen
      */
     Future<NetServer> run(Event.Started settings, EndpointLists lists) {
         Promise<NetServer> serving = Promise.promise();
@@ -119,7 +121,10 @@
         return firstHealthChecksEnded() && !gossipMayArrive;
     }
 
-    /** Also that the router has been handed all their ends, after which it may have started further ones. */
+    /**
+     * Returns whether no health check is in flight and the router has handled the results of all, after which it may
+     * have started further ones.
+     */
     private boolean firstHealthChecksEnded() {
         return actions.healthChecksInFlight() == 0 && loop.isQueueEmpty();
     }
@@ -133,7 +138,10 @@
         serving.complete(listener);
     }
 
-    /** Runs the next step once a condition was true at that many polls, or after the most polls. */
+    /**
+     *  Runs the next step once the condition was true at the required number of polls, or after the maximum number of
+     *  polls.
+     */
     private void poll(BooleanSupplier condition, int maxPolls, int requiredPolls, Runnable next) {
         if (requiredPolls == 0 || maxPolls == 0) {
             next.run();
--- a/gateway/src/main/java/ploverdale/net/InitialEndpoints.java
+++ b/gateway/src/main/java/ploverdale/net/InitialEndpoints.java
@@ -6,21 +6,21 @@
 import ploverdale.settings.EndpointList;
 
 /**
- * Holds back all endpoint lists until the first of a start may be put in force. The configured list may be older than what discovery
- * told before this process started, so it is put in force only where discovery has not answered in time, or where its answer
- * continues it. Used on the event loop only.
+ * Buffers the endpoint lists that arrive during the start until they may be put in force. The configured list may be
+ * older than what discovery reported before this process started, so it is put in force only if discovery has not
+ * answered in time, or if the answer is at most one revision newer. Used on the event loop only.
  */
 final class InitialEndpoints {
     private final Consumer<EndpointList> updates;
     private final List<EndpointList> heldBack = new ArrayList<>();
     private boolean released;
 
-    /** @param updates receives the lists that are in force, in their order */
+    /** @param updates receives the lists that are in force, in order */
     InitialEndpoints(Consumer<EndpointList> updates) {
         this.updates = updates;
     }
 
-    /** Takes a list of discovery, or an update of one. */
+    /** Handles a list from discovery, or an update of one. */
     void onList(EndpointList list) {
         if (released) {
             updates.accept(list);
@@ -29,12 +29,16 @@
         }
     }
 
-    /** Whether discovery has answered with its complete list. */
+    /** Returns whether discovery has answered with a complete list. */
     boolean hasAnswer() {
         return released || heldBack.stream().anyMatch(EndpointList::complete);
     }
 
-    /** Puts in force what discovery has answered so far, and from now on each list at once. */
+    /**
+     * Puts the lists received so far in force, and from now on each list as it arrives.
+     *
+     * @param configured the list of the configuration, which comes first unless discovery's list replaces it
+     */
     void release(EndpointList configured) {
         released = true;
         boolean isReplaced =
--- a/gateway/src/main/java/ploverdale/net/ListeningSocket.java
+++ b/gateway/src/main/java/ploverdale/net/ListeningSocket.java
@@ -12,7 +12,7 @@
 
 /** Opens the socket on which clients connect. Used on the event loop only. */
 final class ListeningSocket {
-    private static final int MAX_ATTEMPTS = 50; // 5 s, half of what a restart may take
+    private static final int MAX_ATTEMPTS = 50; // 5 s in total, half of the time that a restart may take
     private static final long RETRY_AFTER_MS = 100;
     private static final int ACCEPT_BACKLOG = 1024;
 
@@ -26,7 +26,10 @@
         this.clients = clients;
     }
 
-    /** Listens; retries where this machine lacks descriptors or buffers, and fails where the address cannot be used. */
+    /**
+     * Listens on the address. Retries if this machine lacks descriptors or buffers, and fails if the address cannot be
+     * used.
+     */
     Future<NetServer> listen(InetSocketAddress address) {
         return listen(address, MAX_ATTEMPTS);
     }
@@ -42,7 +45,7 @@
     }
 
     private Future<NetServer> retry(InetSocketAddress address, int attemptsLeft, Throwable failure) {
-        // The address is in use, not this machine's, or not allowed: a retry would not help.
+        // The address is in use, not local, or not permitted; a retry would not help.
         boolean addressAtFault = failure instanceof BindException;
         if (attemptsLeft <= 1 || addressAtFault || ConnectFailure.of(failure) != ConnectFailure.LOCAL) {
             return Future.failedFuture(failure);
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -24,41 +24,45 @@
 import ploverdale.settings.EndpointList;
 
 /**
- * The warm-up before service: runs requests through a second gateway between a stand-in client, server and discovery, on free
- * ports of the gateway's address, so that classes are loaded and methods compiled before a client waits for them. It reaches no
- * other process, leaves nothing behind, and cannot keep service from beginning.
+ * The warm-up before the gateway serves: runs requests through a second gateway, with a fake client, server and
+ * discovery agent on free ports of the gateway's address, so that classes are loaded and methods compiled before
+ * clients send requests. It communicates with no other process and closes all that it opened; its failure does not
+ * prevent the gateway from serving.
  */
 final class StartupWarmUp {
-    /** Hot methods are called at least twice for each request, and are compiled after 200 calls. */
+    /**
+     *  Enough requests to have hot methods compiled: they are called at least twice per request, and compiled after 200
+     *  calls.
+     */
     private static final int MAX_REQUESTS = 120;
 
-    /** After these all classes are loaded. */
+    /** The number of requests after which all classes are loaded. */
     private static final int MIN_REQUESTS = 24;
 
     /**
-     * Of the requests a second that are agreed for one gateway. What is compiled for a higher load is needed late, and nobody
-     * serves during the warm-up.
+     * The warm-up sends as many requests as one gateway's agreed traffic has in this time. A gateway with less traffic
+     * needs compiled methods later, and it does not serve during the warm-up.
      */
     private static final double SECONDS_OF_AGREED_LOAD = 0.5;
 
-    /** The warm-up fails after this, and service begins all the same. */
+    /** The warm-up is stopped after this time, and the gateway starts to serve without it. */
     private static final long TIMEOUT_MS = 5000;
 
     private static final List<String> SERVER_NAMES = List.of("a", "b", "c");
 
     private StartupWarmUp() {}
 
-    /** Warms up. The future completes when all that it opened is closed again, and never fails. */
+    /** Runs the warm-up. The future completes when all sockets of the warm-up are closed, and never fails. */
     static Future<Void> run(Vertx vertx, Log log, ConfigurationFile configuration, Clock clock) {
         long beganAtMs = clock.monotonicMs();
         return vertx.deployVerticle(new WarmUpVerticle(configuration, clock))
                 .compose(vertx::undeploy)
                 .otherwise(failure -> {
-                    log.line("service begins without practice: " + failure.getMessage());
+                    log.line("warm-up failed, the gateway starts without it: " + failure.getMessage());
                     return null;
                 })
                 .onSuccess(ignored -> log.line(
-                        "practised for " + (clock.monotonicMs() - beganAtMs) + " ms")); // log line: on-call guide
+                        "warm-up took " + (clock.monotonicMs() - beganAtMs) + " ms")); // log line: on-call guide
     }
 
     /** Owns all sockets and timers of the warm-up; undeploying it closes them. */
@@ -125,7 +129,7 @@
                 entries.add(new EndpointList.Entry(endpoint(name), server));
             }
             return new ConfigurationFile(
-                    "practice",
+                    "warm-up",
                     address(0),
                     discovery,
                     configuration.seed(),
--- a/gateway/src/main/java/ploverdale/net/WarmUpClient.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUpClient.java
@@ -16,12 +16,15 @@
 import ploverdale.net.postgres.ServerMessageReader;
 import ploverdale.settings.GatewaySettings;
 
-/** The stand-in client of the warm-up: sends one request after another, each on a connection of its own. */
+/** The fake client of the warm-up: sends one request after another, each on a connection of its own. */
 final class WarmUpClient {
-    /** On a slow machine fewer requests must do: after a restart nobody may serve meanwhile. */
+    /**
+     * No further request is sent after this time, so that a slow machine sends fewer: during a restart there may be no
+     * other gateway that serves.
+     */
     private static final long ENOUGH_MS = 3000;
 
-    /** Of the server's ReadyForQuery messages on a connection: one ends the start-up, one the request. */
+    /** Number of ReadyForQuery messages on a connection: one ends its start-up, one ends its request. */
     private static final int READY_MESSAGES = 2;
 
     private static final int DISTINCT_KEYS = 9;
@@ -31,7 +34,7 @@
     private final Clock clock;
     private final long beganAtMs;
 
-    /** @param beganAtMs when the warm-up began, by {@link Clock#monotonicMs} */
+    /** @param beganAtMs when the warm-up began, in milliseconds of {@link Clock#monotonicMs} */
     WarmUpClient(Vertx vertx, GatewaySettings settings, Clock clock, long beganAtMs) {
         client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
         this.settings = settings;
@@ -39,7 +42,12 @@
         this.beganAtMs = beganAtMs;
     }
 
-    /** Sends that many requests, or fewer when time is up; completes when the last connection is closed. */
+    /**
+     * Sends the requests one after another.
+     *
+     * @param requests the number of requests; fewer are sent if that takes too long
+     * @return completes when the last connection is closed, and fails if one cannot be opened
+     */
     Future<Void> run(InetSocketAddress gateway, int requests) {
         Promise<Void> finished = Promise.promise();
         sendFrom(0, requests, gateway, finished);
--- a/gateway/src/main/java/ploverdale/net/WarmUpDiscovery.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUpDiscovery.java
@@ -5,11 +5,14 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The stand-in discovery of the warm-up: answers the first call on a connection and leaves the watch after it pending. */
+/**
+ *  The fake discovery agent of the warm-up: answers the first call on a connection and leaves the watch after it
+ *  pending.
+ */
 final class WarmUpDiscovery {
     private WarmUpDiscovery() {}
 
-    /** Serves a connection with an endpoint list of these servers, all of which are at one address. */
+    /** Serves a connection with an endpoint list in which all servers have the same address. */
     static void accept(NetSocket socket, List<String> servers, InetSocketAddress address) {
         String members = servers.stream().map(server -> member(server, address)).collect(Collectors.joining(","));
         String body = "{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}";
--- a/gateway/src/main/java/ploverdale/net/WarmUpServer.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUpServer.java
@@ -11,15 +11,15 @@
 import ploverdale.net.postgres.ServerMessage;
 
 /**
- * The stand-in database server of the warm-up: answers each query with a load report as its row, and closes a connection after
- * a few answers, so that opening connections is warmed up, too.
+ * The fake database server of the warm-up: answers each query with a load report as its row, and closes each connection
+ * after a few answers, so that opening connections is warmed up as well.
  */
 final class WarmUpServer {
-    /** The column of the row. */
+    /** The name of the column of each answer. */
     static final String COLUMN = "val";
 
     private static final int ANSWERS_PER_CONNECTION = 2;
-    private static final int BYTEA_TYPE = 17; // the type's number in PostgreSQL
+    private static final int BYTEA_TYPE = 17; // the type's OID in PostgreSQL
     private static final long MS_PER_SECOND = 1000;
 
     private final Clock clock;
@@ -34,7 +34,7 @@
     }
 
     private Buffer answer() {
-        long nowMs = clock.now() / 10; // this server's wall clock equals service time
+        long nowMs = clock.now() / 10; // this server's wall clock shows service time
         String fraction = ("" + (MS_PER_SECOND + nowMs % MS_PER_SECOND)).substring(1);
         String loadReport = "x0=" + nowMs / MS_PER_SECOND + "." + fraction + ",x1=1,util=0.1";
         Buffer answer = Buffer.buffer();
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -147,7 +147,7 @@
             net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these are in
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
-                gateway.line("practised for");
+                gateway.line("warm-up took");
                 Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
                 gateway.hangUp();
                 net.servers.get("p").holdsProbes.countDown();
