--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -39,7 +39,7 @@
  * documentation says otherwise.
  */
 public final class Gateway {
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Vertx vertx;
     private final Log log;
@@ -76,7 +76,7 @@
         Quota quota = membership.isPresent() ? membership.get().node().quota() : null;
         loop = new RouterEventLoop(vertx, options.context(), log, quota, clock);
         clients = new ClientConnections(vertx, log, loop, settings, limits, serverClock);
-        servers = new ServerConnectionPool(vertx, log, settings, limits, this::makeRoomForServer, serverClock);
+        servers = new ServerConnectionPool(vertx, log, settings, limits, this::ensureServerCapacity, serverClock);
         peers = peers(options, serverClock);
         history = history(options, serverClock);
         endpoints = new EndpointUpdates(loop, servers, serverClock);
@@ -215,7 +215,7 @@
      *
      * @return whether it may be opened now; false if an evicted connection has not closed yet, or none could be evicted
      */
-    private boolean makeRoomForServer() {
+    private boolean ensureServerCapacity() {
         while (!limits.serverFits()) {
             ConnectionLimits.Eviction<ClientSession> eviction = limits.wayForServer(clock.monotonicMs());
             if (eviction != null) {
@@ -259,7 +259,7 @@
                 .mapToLong(RequestClass::timeout)
                 .max()
                 .orElse(0);
-        return longest / TENTHS_PER_MS;
+        return longest / TICKS_PER_MS;
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -29,7 +29,7 @@
  * <p>Each wait has a limit, so none can prevent the gateway from serving. Used once, on the event loop only.
  */
 final class GatewayStartup {
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final long POLL_MS = 10;
     private static final int ON_TIME_POLLS = 5; // required without lag before the endpoint list is loaded
     private static final int MAX_ON_TIME_POLLS = 50;
@@ -108,7 +108,7 @@
 
     private void awaitFirstHealthChecks(Runnable serve) {
         long sinceMs = clock.monotonicMs();
-        long maxWaitMs = configuration.settings().connectLimit() / TENTHS_PER_MS;
+        long maxWaitMs = configuration.settings().connectLimit() / TICKS_PER_MS;
         int maxPolls = (int) (maxWaitMs / POLL_MS) + 1;
         poll(() -> serversAreKnown(sinceMs), maxPolls, 1, serve);
     }
--- a/gateway/src/main/java/ploverdale/net/eventloop/LoopActionHandler.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/LoopActionHandler.java
@@ -14,7 +14,7 @@
  * Used on the event loop only.
  */
 final class LoopActionHandler implements ActionHandler {
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Vertx vertx;
     private final Log log;
@@ -42,7 +42,7 @@
      */
     @Override
     public void setTimer(Action.SetTimer timer) {
-        long delayMs = Math.max(1, (timer.at() - clock.now() + TENTHS_PER_MS - 1) / TENTHS_PER_MS);
+        long delayMs = Math.max(1, (timer.at() - clock.now() + TICKS_PER_MS - 1) / TICKS_PER_MS);
         vertx.setTimer(delayMs, id -> {
             if (clock.now() < timer.at()) {
                 setTimer(timer);
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -23,7 +23,7 @@
  * another unit. All methods except {@link #execute} are to be called on the event loop.
  */
 public final class RouterEventLoop {
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     /**
      * Maximum time from queueing an event to draining the queue, 20 ms; if it takes longer, the loop has been delayed
@@ -90,9 +90,9 @@
     private void onTick() {
         loopLag.onTick();
         reportPause(loopLag.previousTick(), loopLag.lastTick());
-        if (loopLag.lastInterval() > LOGGED_PAUSE_MS * TENTHS_PER_MS) {
+        if (loopLag.lastInterval() > LOGGED_PAUSE_MS * TICKS_PER_MS) {
             log.often(
-                    "stood still", "for " + loopLag.lastInterval() / TENTHS_PER_MS + " ms"); // log line: on-call guide
+                    "stood still", "for " + loopLag.lastInterval() / TICKS_PER_MS + " ms"); // log line: on-call guide
         }
     }
 
@@ -167,7 +167,7 @@
      *  others.
      */
     private void reportPause(long lastRun, long now) {
-        if (now - lastRun > (LoopLag.TICK_MS + REPORTED_PAUSE_MS) * TENTHS_PER_MS) {
+        if (now - lastRun > (LoopLag.TICK_MS + REPORTED_PAUSE_MS) * TICKS_PER_MS) {
             queue.addFirst(new Event.LoopDelayed(lastRun, now));
         }
     }
--- a/gateway/src/main/java/ploverdale/net/server/Attempt.java
+++ b/gateway/src/main/java/ploverdale/net/server/Attempt.java
@@ -64,7 +64,7 @@
     /** Starts the timer that abandons the attempt at its deadline. */
     void startDeadline() {
         long limitMs = Math.max(1, PoolContext.toMsRoundedUp(timeLimit));
-        deadlineTimer = context.vertx().setTimer(limitMs, timer -> giveUp(Outcome.TIMED_OUT));
+        deadlineTimer = context.vertx().setTimer(limitMs, timer -> abandon(Outcome.TIMED_OUT));
     }
 
     /** Returns the request that this is an attempt at; null for a health check. */
@@ -161,8 +161,8 @@
      * Detaches a health check from a connection that had been idle for long and did not answer, so that the pool can
      * assign another connection to it.
      */
-    void moveOff(ServerConnection silentConnection) {
-        idleTimeBeforeMove = silentConnection.idleTimeBeforeAttempt();
+    void detachFrom(ServerConnection unresponsiveConnection) {
+        idleTimeBeforeMove = unresponsiveConnection.idleTimeBeforeAttempt();
         connection = null;
         deliveryState = DeliveryState.NO_CONNECTION;
         connectRetriesLeft = MAX_CONNECT_RETRIES;
@@ -189,7 +189,7 @@
      *
      * @param outcome the outcome if the server may have received the request
      */
-    void giveUp(Outcome outcome) {
+    void abandon(Outcome outcome) {
         if (completed) {
             return;
         }
--- a/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
+++ b/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
@@ -34,7 +34,7 @@
     CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
     // The C library's messages for EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EPERM and EACCES.
-    private static final List<String> LOCAL_TEXTS = List.of(
+    private static final List<String> LOCAL_MESSAGES = List.of(
             "Too many open files",
             "No buffer space available",
             "Cannot allocate memory",
@@ -43,7 +43,7 @@
             "Operation not permitted",
             "Permission denied");
     // The C library's messages for ENETUNREACH and ENETDOWN.
-    private static final List<String> NO_ROUTE_TEXTS = List.of("Network is unreachable", "Network is down");
+    private static final List<String> NO_ROUTE_MESSAGES = List.of("Network is unreachable", "Network is down");
 
     private final Outcome outcome;
     private final boolean transientFailure;
@@ -65,20 +65,20 @@
 
     /** Returns the class of the exception of a failed connect or write; never null. */
     public static ConnectFailure of(Throwable failure) {
-        String text = String.valueOf(failure.getMessage());
+        String message = String.valueOf(failure.getMessage());
         if (failure instanceof ChannelException
                 || failure instanceof BindException
                 || failure.getCause() instanceof BindException
-                || startsWithAny(text, LOCAL_TEXTS)) {
+                || startsWithAny(message, LOCAL_MESSAGES)) {
             return LOCAL;
         }
-        if (startsWithAny(text, NO_ROUTE_TEXTS)) {
+        if (startsWithAny(message, NO_ROUTE_MESSAGES)) {
             return NO_ROUTE;
         }
         return failure instanceof ConnectException ? REFUSED : CONNECT_INTERRUPTED;
     }
 
-    private static boolean startsWithAny(String text, List<String> beginnings) {
-        return beginnings.stream().anyMatch(text::startsWith);
+    private static boolean startsWithAny(String message, List<String> prefixes) {
+        return prefixes.stream().anyMatch(message::startsWith);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
@@ -7,11 +7,11 @@
  * connections. Used on the event loop only.
  */
 final class IdleConnectionLossRate {
-    private static final long FIRST_BUCKET_IDLE = 500; // 50 ms; nothing drops connections after shorter idle times
+    private static final long FIRST_BUCKET_IDLE_TICKS = 500; // 50 ms; nothing drops connections after shorter idle times
     private static final int BUCKETS = 24; // the last one begins at an idle time of 58 hours
     private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
     private static final double MAX_LOSS_RATE = 0.3; // higher than the rate that occasional resets cause
-    private static final double DECAY_TIME = 100_000; // 10 s; after that, such connections are tried again
+    private static final double DECAY_TICKS = 100_000; // 10 s; after that, such connections are tried again
 
     private final double[] lossRates = new double[BUCKETS];
     private final long[] updatedAt = new long[BUCKETS];
@@ -37,11 +37,11 @@
     }
 
     private double decayed(int bucket, long now) {
-        return lossRates[bucket] * Math.exp(-(now - updatedAt[bucket]) / DECAY_TIME);
+        return lossRates[bucket] * Math.exp(-(now - updatedAt[bucket]) / DECAY_TICKS);
     }
 
     private static int bucket(long idleTime) {
-        int bucket = Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, idleTime / FIRST_BUCKET_IDLE));
+        int bucket = Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, idleTime / FIRST_BUCKET_IDLE_TICKS));
         return Math.min(bucket, BUCKETS - 1);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
@@ -15,13 +15,13 @@
      * It equals the time for which an observation of a server is valid; after that, a health check precedes the next
      * request.
      */
-    static final long LONG_IDLE = 20_000;
+    static final long LONG_IDLE_TICKS = 20_000;
 
     /**
      * Idle time after which a connection is preferred for reuse, in tenths of a millisecond (5 ms). A server that
      * closes a connection right after an answer has done so by then.
      */
-    private static final long MIN_IDLE_BEFORE_REUSE = 50;
+    private static final long MIN_IDLE_BEFORE_REUSE_TICKS = 50;
 
     /** A connection is closed a fifth of the server's idle timeout early, so that the server never closes it first. */
     private static final int IDLE_TIMEOUT_MARGIN_DIVISOR = 5;
@@ -65,7 +65,7 @@
             long idleTime = connection.idleTime(now);
             if (lossRate.isTooHigh(idleTime, now)) {
                 connection.close();
-            } else if (best == null && !connection.wasRejected() || idleTime >= MIN_IDLE_BEFORE_REUSE) {
+            } else if (best == null && !connection.wasRejected() || idleTime >= MIN_IDLE_BEFORE_REUSE_TICKS) {
                 best = connection;
             }
         }
@@ -128,7 +128,7 @@
         long now = context.now();
         lossRate.record(idleTime, true, now);
         for (ServerConnection connection : server.idleConnections()) {
-            if (idleTime >= LONG_IDLE && connection.idleTime(now) >= idleTime) {
+            if (idleTime >= LONG_IDLE_TICKS && connection.idleTime(now) >= idleTime) {
                 connection.close();
             }
         }
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -21,7 +21,7 @@
     private static final int MAX_REPORT_BYTES = 1024;
     private static final int MAX_NUMBER_CHARACTERS = 24; // the longest decimal notation of a double
     private static final double MAX_NUMBER = 1e14; // milliseconds below it fit into a long as tenths, too
-    private static final int TENTHS_PER_MS = 10;
+    private static final int TICKS_PER_MS = 10;
 
     // Names and values on the wire
     private static final String ROLE_PARAMETER = "rank";
@@ -52,7 +52,7 @@
         double positionMs = number(parameters.get(POSITION_PARAMETER));
         long position = LoadReport.UNKNOWN_TIME;
         if (!Double.isNaN(positionMs)) {
-            long wallPosition = (long) Math.floor(positionMs) * TENTHS_PER_MS;
+            long wallPosition = (long) Math.floor(positionMs) * TICKS_PER_MS;
             clock.observePosition(server, wallPosition, writtenAt, role == Role.PRIMARY);
             position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.position(wallPosition);
         }
@@ -98,10 +98,10 @@
         Double position = values.get(POSITION_FIELD);
         Double utilization = values.getOrDefault(UTILIZATION_FIELD, values.get(OLDER_UTILIZATION_FIELD));
         LoadReport report = GatewaySettings.report(position, values.get(ROLE_FIELD), utilization, 0);
-        return position == null ? report : dated(server, report, writtenAt);
+        return position == null ? report : withServiceTime(server, report, writtenAt);
     }
 
-    private LoadReport dated(ServerId server, LoadReport report, long writtenAt) {
+    private LoadReport withServiceTime(ServerId server, LoadReport report, long writtenAt) {
         // The position is not current, even that of a primary: the report was made some time before it was sent.
         clock.observePosition(server, report.position(), writtenAt, false);
         if (clock.isAhead(report.position())) {
--- a/gateway/src/main/java/ploverdale/net/server/PoolContext.java
+++ b/gateway/src/main/java/ploverdale/net/server/PoolContext.java
@@ -10,20 +10,20 @@
  *  only.
  */
 record PoolContext(Vertx vertx, Log log, GatewaySettings settings, ServerClock clock) {
-    private static final int TENTHS_PER_MS = 10;
+    private static final int TICKS_PER_MS = 10;
 
     /** Returns the service time, in tenths of a millisecond. */
     long now() {
         return clock.now();
     }
 
-    /** Converts tenths of a millisecond to milliseconds for a timer, rounded up so that the timer never fires early. */
-    static long toMsRoundedUp(long tenths) {
-        return (tenths + TENTHS_PER_MS - 1) / TENTHS_PER_MS;
+    /** Converts ticks to milliseconds for a timer, rounded up so that the timer never fires early. */
+    static long toMsRoundedUp(long ticks) {
+        return (ticks + TICKS_PER_MS - 1) / TICKS_PER_MS;
     }
 
-    /** Converts tenths of a millisecond to milliseconds, rounded towards zero. */
-    static long toMsRoundedDown(long tenths) {
-        return tenths / TENTHS_PER_MS;
+    /** Converts ticks to milliseconds, rounded towards zero. */
+    static long toMsRoundedDown(long ticks) {
+        return ticks / TICKS_PER_MS;
     }
 }
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -92,7 +92,7 @@
      * the network may have dropped it.
      */
     boolean wasLongIdle() {
-        return idleTimeBeforeAttempt >= IdleConnections.LONG_IDLE;
+        return idleTimeBeforeAttempt >= IdleConnections.LONG_IDLE_TICKS;
     }
 
     private boolean wasReused() {
@@ -218,7 +218,7 @@
         }
         state = ConnectionState.READY;
         if (protocol.hasUndecodedBytes()) {
-            onOutOfOrder("noise behind an answer");
+            onProtocolViolation("noise behind an answer");
         } else {
             pool.release(this);
         }
@@ -284,7 +284,7 @@
      * <p>The attempt fails, since the server is running and may have run the statement. Nothing of the answer is used.
      */
     @Override
-    public void onOutOfOrder(String reason) {
+    public void onProtocolViolation(String reason) {
         context.log().often("server out of order", server.id().text() + ": " + reason);
         if (attempt == null) {
             onLost(reason, Outcome.CONNECT_INTERRUPTED);
@@ -307,9 +307,9 @@
         boolean established = state.isEstablished();
         close();
         Attempt interrupted = established ? attempt : opener;
-        boolean affected =
+        boolean attemptAffected =
                 interrupted != null && !interrupted.isCompleted() && (established || interrupted.connection() == null);
-        if (!affected) {
+        if (!attemptAffected) {
             return;
         }
         DeliveryState delivery = established ? interrupted.deliveryState() : DeliveryState.NO_CONNECTION;
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -39,7 +39,7 @@
     private final PoolContext context;
     private final LoadReportReader loadReports;
     private final ConnectionLimits<?> limits;
-    private final BooleanSupplier makeRoom;
+    private final BooleanSupplier ensureCapacity;
     private final NetClient client;
     private final IdleConnections idleConnections;
     private final Map<ServerId, PooledServer> servers = new HashMap<>();
@@ -49,19 +49,19 @@
      * Creates a pool without connections.
      *
      * @param limits counts the open connections
-     * @param makeRoom evicts connections until the limits allow one more; returns false if none may be opened now
+     * @param ensureCapacity evicts connections until the limits allow one more; returns false if none may be opened now
      */
     public ServerConnectionPool(
             Vertx vertx,
             Log log,
             GatewaySettings settings,
             ConnectionLimits<?> limits,
-            BooleanSupplier makeRoom,
+            BooleanSupplier ensureCapacity,
             ServerClock clock) {
         context = new PoolContext(vertx, log, settings, clock);
         loadReports = new LoadReportReader(settings, clock);
         this.limits = limits;
-        this.makeRoom = makeRoom;
+        this.ensureCapacity = ensureCapacity;
         idleConnections = new IdleConnections(context);
         client = vertx.createNetClient(new NetClientOptions()
                 .setConnectTimeout((int) PoolContext.toMsRoundedUp(settings.connectLimit()))
@@ -108,7 +108,7 @@
     public void cancelAttempt(RequestId request) {
         Attempt attempt = attempts.get(request);
         if (attempt != null) {
-            attempt.giveUp(Outcome.CANCELLED);
+            attempt.abandon(Outcome.CANCELLED);
         }
     }
 
@@ -148,9 +148,9 @@
 
     /** Closes the connection of a health check and opens a new one for it. */
     void moveToNewConnection(Attempt healthCheck) {
-        ServerConnection silent = healthCheck.connection();
-        silent.abandonAttempt();
-        healthCheck.moveOff(silent);
+        ServerConnection unresponsive = healthCheck.connection();
+        unresponsive.abandonAttempt();
+        healthCheck.detachFrom(unresponsive);
         healthCheck.server().addWaiting(healthCheck);
         openOrRetryLater(healthCheck);
     }
@@ -198,13 +198,13 @@
         if (hasAddress && connectAgainLater(attempt)) {
             return;
         }
-        String text = "to server " + server.id().text() + ", " + limits.servers() + " to servers";
-        context.log().often("no room for a connection", text);
+        String details = "to server " + server.id().text() + ", " + limits.servers() + " to servers";
+        context.log().often("no room for a connection", details);
         attempt.failToConnect();
     }
 
     private boolean open(Attempt attempt) {
-        if (attempt.server().address() == null || !makeRoom.getAsBoolean()) {
+        if (attempt.server().address() == null || !ensureCapacity.getAsBoolean()) {
             return false;
         }
         attempt.setFailedLocally(false);
--- a/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
@@ -35,7 +35,7 @@
          * Called when the server has sent a message that is malformed or not allowed in the current state. Nothing that
          * it sends on this connection can be trusted any more.
          */
-        void onOutOfOrder(String reason);
+        void onProtocolViolation(String reason);
     }
 
     private final Listener listener;
@@ -83,48 +83,48 @@
     @Override
     public void onParameterStatus(ServerMessage.ParameterStatus message) {
         if (countAsynchronousMessage() && !response.accept(message)) {
-            listener.onOutOfOrder(ServerResponse.MAX_PARAMETERS + " values told before an answer");
+            listener.onProtocolViolation(ServerResponse.MAX_PARAMETERS + " values told before an answer");
         }
     }
 
     private boolean countAsynchronousMessage() {
         boolean accepted = response.acceptAsynchronousMessage();
         if (!accepted) {
-            listener.onOutOfOrder(ServerResponse.MAX_ASYNCHRONOUS_MESSAGES + " values and notices beside an answer");
+            listener.onProtocolViolation(ServerResponse.MAX_ASYNCHRONOUS_MESSAGES + " values and notices beside an answer");
         }
         return accepted;
     }
 
     @Override
     public void onMalformed(ServerMessage.Malformed message) {
-        listener.onOutOfOrder(message.what());
+        listener.onProtocolViolation(message.what());
     }
 
     @Override
     public void onAuthenticationOk(ServerMessage.AuthenticationOk message) {
         if (listener.state() != ConnectionState.HANDSHAKE) {
-            rejectAnswer();
+            reportUnexpectedMessage();
         }
     }
 
     @Override
     public void onRowDescription(ServerMessage.RowDescription message) {
         if (!isAnswerExpected() || !response.accept(message)) {
-            rejectAnswer();
+            reportUnexpectedMessage();
         }
     }
 
     @Override
     public void onDataRow(ServerMessage.DataRow message) {
         if (!isAnswerExpected() || !response.accept(message)) {
-            rejectAnswer();
+            reportUnexpectedMessage();
         }
     }
 
     @Override
     public void onCommandComplete(ServerMessage.CommandComplete message) {
         if (!isAnswerExpected() || !response.accept(message)) {
-            rejectAnswer();
+            reportUnexpectedMessage();
         }
     }
 
@@ -133,7 +133,7 @@
         if (listener.state() == ConnectionState.HANDSHAKE) {
             listener.onHandshakeRefused(message.code());
         } else if (!isAnswerExpected() || !response.accept(message)) {
-            rejectAnswer();
+            reportUnexpectedMessage();
         }
     }
 
@@ -144,7 +144,7 @@
         } else if (isAnswerExpected() && response.isEnded()) {
             listener.onAnswerCompleted(message.idle());
         } else {
-            rejectAnswer();
+            reportUnexpectedMessage();
         }
     }
 
@@ -156,8 +156,8 @@
      *  Reports a message of an answer that is out of order, or that no attempt awaits. It must not reach the next
      *  attempt.
      */
-    private void rejectAnswer() {
-        listener.onOutOfOrder(
+    private void reportUnexpectedMessage() {
+        listener.onProtocolViolation(
                 switch (listener.state()) {
                     case HANDSHAKE -> "an answer before any query";
                     case AWAITING_ANSWER -> "an answer out of order";
--- a/gateway/src/test/java/ploverdale/net/server/IdleConnectionLossRateTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/IdleConnectionLossRateTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void withoutLossesNothingIsTooHigh() {
+    void withoutLossesNoRateIsTooHigh() {
         for (long idleTime = 0; idleTime < 100_000 * SECOND; idleTime = idleTime * 2 + 1) {
             assertThat(rate.isTooHigh(idleTime, NOW))
                     .as("idle for %d", idleTime)
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void lossesAfterLessThanFiftyMillisecondsAreNotCounted() {
+    void lossesAfterIdleTimesBelowFiftyMillisecondsAreIgnored() {
         recordLosses(499, 100);
         assertThat(rate.isTooHigh(499, NOW)).isFalse();
     }
--- a/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
@@ -36,9 +36,9 @@
 
 /** Checks that each attempt ends exactly once, whatever happens to its connection, and that no connection leaks. */
 class ServerConnectionPoolTest {
-    private static final long PATIENCE_S = 30;
-    private static final long LATER_RESULTS_MS = 300; // time for a second result of an attempt to arrive
-    private static final long NO_TIMEOUT = 300_000; // 30 s, longer than any test
+    private static final long TIMEOUT_S = 30;
+    private static final long DUPLICATE_RESULT_WAIT_MS = 300; // time for a second result of an attempt to arrive
+    private static final long LONG_TIMEOUT_TICKS = 300_000; // 30 s, longer than any test
     private static final ServerId SERVER = new ServerId("s1");
     private static final RequestId REQUEST = new RequestId("r1");
     private static final Buffer ROW = MessageWriter.resultRow(new ResultRow(
@@ -47,16 +47,16 @@
             "SELECT 1"));
 
     private final Vertx vertx = SingleLoopVertx.create();
-    private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final List<Outcome> outcomes = new CopyOnWriteArrayList<>();
     private final CompletableFuture<Outcome> firstOutcome = new CompletableFuture<>();
-    private final CompletableFuture<Void> serverSawClose = new CompletableFuture<>();
+    private final CompletableFuture<Void> closedAtServer = new CompletableFuture<>();
     private final ConnectionLimits<Object> limits = new ConnectionLimits<>(256);
     private ServerConnectionPool pool;
 
     @AfterEach
     void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** Runs the step on the event loop, and returns once it has run. */
@@ -70,11 +70,11 @@
                 done.completeExceptionally(failure);
             }
         });
-        done.get(PATIENCE_S, TimeUnit.SECONDS);
+        done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private void createPool() throws Exception {
-        Log log = new Log(new PrintStream(lines, true, UTF_8));
+        Log log = new Log(new PrintStream(logOutput, true, UTF_8));
         GatewaySettings settings = new GatewaySettings(1, new JsonFields("settings", Map.of()));
         onEventLoop(() -> pool = new ServerConnectionPool(
                 vertx, log, settings, limits, limits::mayOpen, new ServerClock(log::line, Clock.system())));
@@ -89,14 +89,14 @@
                 .listen(0, "127.0.0.1")
                 .onSuccess(listening::complete)
                 .onFailure(listening::completeExceptionally));
-        int port = listening.get(PATIENCE_S, TimeUnit.SECONDS).actualPort();
+        int port = listening.get(TIMEOUT_S, TimeUnit.SECONDS).actualPort();
         onEventLoop(() -> pool.setAddress(SERVER, new InetSocketAddress("127.0.0.1", port)));
     }
 
     private void serve(NetSocket socket, Consumer<NetSocket> onQuery) {
         ClientMessageReader reader = new ClientMessageReader();
         socket.exceptionHandler(failure -> {});
-        socket.closeHandler(closed -> serverSawClose.complete(null));
+        socket.closeHandler(closed -> closedAtServer.complete(null));
         socket.handler(bytes -> {
             reader.feed(bytes);
             for (ClientMessage message = reader.next(); message != null; message = reader.next()) {
@@ -118,70 +118,70 @@
     }
 
     private void assertEndsOnceAs(Outcome expected) throws Exception {
-        assertThat(firstOutcome.get(PATIENCE_S, TimeUnit.SECONDS))
-                .as(lines::toString)
+        assertThat(firstOutcome.get(TIMEOUT_S, TimeUnit.SECONDS))
+                .as(logOutput::toString)
                 .isEqualTo(expected);
-        Thread.sleep(LATER_RESULTS_MS);
+        Thread.sleep(DUPLICATE_RESULT_WAIT_MS);
         onEventLoop(() -> pool.cancelAttempt(REQUEST));
-        assertThat(outcomes).as(lines::toString).containsExactly(expected);
+        assertThat(outcomes).as(logOutput::toString).containsExactly(expected);
     }
 
     private int openConnections() throws Exception {
         CompletableFuture<Integer> count = new CompletableFuture<>();
         onEventLoop(() -> count.complete(limits.servers()));
-        return count.get(PATIENCE_S, TimeUnit.SECONDS);
+        return count.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Test
-    void anAnswerEndsTheAttemptAndKeepsTheConnection() throws Exception {
+    void anAnsweredAttemptSucceedsAndItsConnectionIsKept() throws Exception {
         createPoolWithServer(socket -> socket.write(ROW));
-        startAttempt(NO_TIMEOUT, true);
+        startAttempt(LONG_TIMEOUT_TICKS, true);
         assertEndsOnceAs(Outcome.SUCCEEDED);
         assertThat(openConnections()).isEqualTo(1);
     }
 
     @Test
-    void cancellingClosesTheConnection() throws Exception {
+    void cancellingAnAttemptClosesItsConnection() throws Exception {
         CompletableFuture<Void> queried = new CompletableFuture<>();
         createPoolWithServer(socket -> queried.complete(null));
-        startAttempt(NO_TIMEOUT, true);
-        queried.get(PATIENCE_S, TimeUnit.SECONDS);
+        startAttempt(LONG_TIMEOUT_TICKS, true);
+        queried.get(TIMEOUT_S, TimeUnit.SECONDS);
         onEventLoop(() -> pool.cancelAttempt(REQUEST));
         assertEndsOnceAs(Outcome.CANCELLED);
-        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        closedAtServer.get(TIMEOUT_S, TimeUnit.SECONDS);
         assertThat(openConnections()).isZero();
     }
 
     @Test
-    void theDeadlineClosesTheConnection() throws Exception {
+    void anAttemptAtItsDeadlineTimesOutAndClosesItsConnection() throws Exception {
         createPoolWithServer(socket -> {});
         startAttempt(2000, true);
         assertEndsOnceAs(Outcome.TIMED_OUT);
-        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        closedAtServer.get(TIMEOUT_S, TimeUnit.SECONDS);
         assertThat(openConnections()).isZero();
     }
 
     @Test
-    void aConnectionThatIsLostEndsItsAttempt() throws Exception {
+    void anAttemptWhoseConnectionIsLostEndsAsConnectionLost() throws Exception {
         createPoolWithServer(NetSocket::close);
-        startAttempt(NO_TIMEOUT, true);
+        startAttempt(LONG_TIMEOUT_TICKS, true);
         assertEndsOnceAs(Outcome.CONNECTION_LOST);
         assertThat(openConnections()).isZero();
     }
 
     @Test
-    void anAnswerOutOfOrderEndsTheAttemptAndTheConnection() throws Exception {
+    void aProtocolViolationFailsTheAttemptAndClosesTheConnection() throws Exception {
         createPoolWithServer(socket -> socket.write(MessageWriter.readyForQuery()));
-        startAttempt(NO_TIMEOUT, true);
+        startAttempt(LONG_TIMEOUT_TICKS, true);
         assertEndsOnceAs(Outcome.FAILED);
-        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        closedAtServer.get(TIMEOUT_S, TimeUnit.SECONDS);
         assertThat(openConnections()).isZero();
     }
 
     @Test
-    void anAttemptThatIsNotWantedAnyMoreIsNeverSentAndKeepsTheConnection() throws Exception {
+    void anAttemptThatMayNotBeWrittenIsNeverSentAndItsConnectionIsKept() throws Exception {
         createPoolWithServer(socket -> socket.write(ROW));
-        startAttempt(NO_TIMEOUT, false);
+        startAttempt(LONG_TIMEOUT_TICKS, false);
         assertEndsOnceAs(Outcome.NEVER_SENT);
         assertThat(openConnections()).isEqualTo(1);
     }
@@ -189,7 +189,7 @@
     @Test
     void anAttemptAtAServerWithoutAddressIsNeverSent() throws Exception {
         createPool();
-        startAttempt(NO_TIMEOUT, true);
+        startAttempt(LONG_TIMEOUT_TICKS, true);
         assertEndsOnceAs(Outcome.NEVER_SENT);
         assertThat(openConnections()).isZero();
     }
@@ -197,13 +197,13 @@
     @Test
     void closingIdleConnectionsTwiceCountsThemOnce() throws Exception {
         createPoolWithServer(socket -> socket.write(ROW));
-        startAttempt(NO_TIMEOUT, true);
+        startAttempt(LONG_TIMEOUT_TICKS, true);
         assertEndsOnceAs(Outcome.SUCCEEDED);
         onEventLoop(() -> {
             pool.closeIdleConnections(SERVER);
             pool.closeIdleConnections(SERVER);
         });
-        serverSawClose.get(PATIENCE_S, TimeUnit.SECONDS);
+        closedAtServer.get(TIMEOUT_S, TimeUnit.SECONDS);
         assertThat(openConnections()).isZero();
     }
 }
--- a/gateway/src/test/java/ploverdale/net/server/ServerProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerProtocolTest.java
@@ -20,7 +20,7 @@
     private static final Buffer NOTICE = message('N', Buffer.buffer().appendByte((byte) 0));
     private static final Buffer COMMAND_COMPLETE =
             message('C', Buffer.buffer("SELECT 1").appendByte((byte) 0));
-    private static final Buffer ONE_COLUMN_OF_ONE_BYTE =
+    private static final Buffer DATA_ROW =
             message('D', Buffer.buffer().appendShort((short) 1).appendInt(1).appendByte((byte) 'v'));
 
     private final RecordingConnection connection = new RecordingConnection();
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void onOutOfOrder(String reason) {
+        public void onProtocolViolation(String reason) {
             reported.add(reason);
             state = ConnectionState.CLOSED;
         }
@@ -90,13 +90,13 @@
     }
 
     @Test
-    void aHandshakeMayBeRefused() {
+    void anErrorDuringTheHandshakeRefusesTheConnection() {
         protocol.decode(MessageWriter.errorResponse("57P03", "starting up", null, true, false));
         assertThat(connection.reported).containsExactly("refused with 57P03");
     }
 
     @Test
-    void aRowBeforeTheHandshakeIsOutOfOrder() {
+    void aRowDuringTheHandshakeIsAProtocolViolation() {
         protocol.decode(ROW);
         assertThat(connection.reported).containsExactly("an answer before any query");
     }
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void anErrorEndsAnAnswer() {
+    void anErrorCompletesTheAnswer() {
         awaitAnswer();
         protocol.decode(MessageWriter.errorResponse("53300", "queue full", null, false, true));
         assertThat(connection.reported).containsExactly("answered, idle true");
@@ -128,42 +128,42 @@
     }
 
     @Test
-    void anAnswerThatNobodyWaitsForIsOutOfOrder() {
+    void anAnswerThatNoAttemptAwaitsIsAProtocolViolation() {
         connection.state = ConnectionState.READY;
         protocol.decode(ROW);
         assertThat(connection.reported).containsExactly("an answer without a query");
     }
 
     @Test
-    void aSecondAnswerBehindTheFirstIsOutOfOrder() {
+    void aSecondAnswerAfterTheFirstIsAProtocolViolation() {
         awaitAnswer();
         protocol.decode(ROW.copy().appendBuffer(ROW));
         assertThat(connection.reported).containsExactly("answered, idle true", "an answer without a query");
     }
 
     @Test
-    void aValueWithoutColumnIsOutOfOrder() {
+    void aRowWithoutColumnDescriptionIsAProtocolViolation() {
         awaitAnswer();
-        protocol.decode(ONE_COLUMN_OF_ONE_BYTE);
+        protocol.decode(DATA_ROW);
         assertThat(connection.reported).containsExactly("an answer out of order");
     }
 
     @Test
-    void twoEndsOfOneStatementAreOutOfOrder() {
+    void twoCompletionsOfOneStatementAreAProtocolViolation() {
         awaitAnswer();
         protocol.decode(COMMAND_COMPLETE.copy().appendBuffer(COMMAND_COMPLETE));
         assertThat(connection.reported).containsExactly("an answer out of order");
     }
 
     @Test
-    void readyForQueryBeforeTheEndOfTheStatementIsOutOfOrder() {
+    void readyForQueryBeforeTheStatementHasEndedIsAProtocolViolation() {
         awaitAnswer();
         protocol.decode(readyForQuery('I'));
         assertThat(connection.reported).containsExactly("an answer out of order");
     }
 
     @Test
-    void noticesAreBoundedBetweenTwoRequests() {
+    void theNumberOfNoticesBetweenTwoRequestsIsLimited() {
         awaitAnswer();
         for (int i = 0; i < 1000; i++) {
             protocol.decode(NOTICE);
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void valuesAreBoundedBetweenTwoRequests() {
+    void theNumberOfParametersBetweenTwoRequestsIsLimited() {
         awaitAnswer();
         for (int i = 0; i < 64; i++) {
             protocol.decode(parameter(i));
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void theBoundsBeginAnewWithEachRequest() {
+    void theLimitsApplyToEachRequestAnew() {
         for (int request = 0; request < 3; request++) {
             awaitAnswer();
             for (int i = 0; i < 64; i++) {
