--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -29,10 +29,10 @@
     /**
      * The time at which a server last started.
      *
-     * @param wall as listed, in milliseconds of the wall clock
+     * @param wallMs as listed, in milliseconds of the wall clock
      * @param serviceTime as service time, in tenths of a millisecond
      */
-    private record StartTime(long wall, long serviceTime) {}
+    private record StartTime(long wallMs, long serviceTime) {}
 
     /**
      * The start times of the servers removed most recently. Without them, an older list that still contains such a
@@ -91,7 +91,7 @@
         StartTime removed = removedStartTimes.remove(endpoint.server());
         StartTime startTime = startTimes.getOrDefault(endpoint.server(), removed);
         boolean isRemoved = endpoint.state() == Endpoint.EndpointState.GONE;
-        if (startTime == null || !isRemoved && startTime.wall() != endpoint.startedAt()) {
+        if (startTime == null || !isRemoved && startTime.wallMs() != endpoint.startedAt()) {
             startTime = new StartTime(endpoint.startedAt(), serverClock.start(endpoint.startedAt()));
         }
         startTimes.put(endpoint.server(), startTime);
@@ -118,7 +118,7 @@
     void onClockOffsetChanged() {
         Map<ServerId, Long> startedAt = new HashMap<>();
         for (Map<ServerId, StartTime> starts : List.of(removedStartTimes, startTimes)) {
-            starts.replaceAll((server, start) -> new StartTime(start.wall(), serverClock.start(start.wall())));
+            starts.replaceAll((server, start) -> new StartTime(start.wallMs(), serverClock.start(start.wallMs())));
             starts.forEach((server, start) -> startedAt.put(server, start.serviceTime()));
         }
         loop.enqueue(new Event.ClockOffsetChanged(startedAt));
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -109,7 +109,7 @@
     }
 
     private void start(Promise<Gateway> started) {
-        startup.run(startedEvent(), new StartupDiscovery())
+        startup.run(startedEvent(), new StartupEndpointLists())
                 .onSuccess(server -> {
                     listener = server;
                     started.complete(this);
@@ -185,23 +185,23 @@
     }
 
     /** The endpoint lists that this gateway starts with, from discovery or from the configuration. */
-    private final class StartupDiscovery implements GatewayStartup.EndpointLists {
+    private final class StartupEndpointLists implements GatewayStartup.EndpointLists {
         @Override
         public void request() {
             discovery.follow();
         }
 
         @Override
-        public boolean areKnown() {
-            return initialEndpoints.hasAnswer();
+        public boolean hasDiscoveryAnswered() {
+            return initialEndpoints.hasDiscoveryAnswered();
         }
 
         @Override
         public void load() {
-            if (!initialEndpoints.hasAnswer()) {
+            if (!initialEndpoints.hasDiscoveryAnswered()) {
                 log.line("discovery has not answered: starts with the configured list");
             }
-            initialEndpoints.release(reload.current().known());
+            initialEndpoints.load(reload.current().known());
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -67,10 +67,10 @@
         RequestId request = attempt.request();
         AcceptedRequest accepted = clients.requestInFlight(request);
         if (accepted == null) {
-            endWithoutClient(attempt);
+            endForDisconnectedClient(attempt);
             return;
         }
-        int number = accepted.nextAttemptNumber();
+        int attemptNumber = accepted.nextAttemptNumber();
         int clockChanges = serverClock.changes();
         history.attemptStarted(request);
         // The time limit counts from when the router read the clock; the process may have been paused since.
@@ -81,11 +81,11 @@
                 timeLeft,
                 () -> mayBeWritten(attempt, accepted, clockChanges),
                 waitMs -> MessageWriter.request(accepted.query(), waitMs),
-                end -> onAttemptEnded(request, number, attempt.server(), end));
+                result -> onAttemptEnded(request, attemptNumber, attempt.server(), result));
     }
 
     /** Ends an attempt whose client disconnected while the router was deciding. */
-    private void endWithoutClient(Action.StartAttempt attempt) {
+    private void endForDisconnectedClient(Action.StartAttempt attempt) {
         Event.Outcome outcome = Event.Outcome.NEVER_SENT;
         loop.enqueue(new Event.AttemptEnded(attempt.request(), 0, attempt.server(), outcome, 0, true, null, null));
         history.answered(attempt.request());
@@ -114,16 +114,16 @@
         return isActive;
     }
 
-    private void onAttemptEnded(RequestId request, int number, ServerId server, AttemptResult end) {
-        boolean hasRow = end.row() != null;
-        history.attemptEnded(request, end.outcome(), hasRow);
+    private void onAttemptEnded(RequestId request, int attemptNumber, ServerId server, AttemptResult result) {
+        boolean hasRow = result.row() != null;
+        history.attemptEnded(request, result.outcome(), hasRow);
         if (hasRow) {
-            history.succeeded(request, end.row(), end.answerReport(), server);
+            history.succeeded(request, result.row(), result.answerReport(), server);
         }
         // Without a row, a request in flight is not settled: its answer may still be waiting to be replicated.
         boolean settled = hasRow || clients.requestInFlight(request) == null;
         loop.enqueue(new Event.AttemptEnded(
-                request, number, server, end.outcome(), end.duration(), settled, end.answerReport(), end.loadReport()));
+                request, attemptNumber, server, result.outcome(), result.duration(), settled, result.answerReport(), result.loadReport()));
     }
 
     @Override
@@ -147,13 +147,13 @@
     public void checkHealth(Action.CheckHealth check) {
         healthChecksInFlight++;
         ServerId server = check.server();
-        servers.startHealthCheck(server, () -> mayReceive(server), end -> onHealthCheckEnded(server, end));
+        servers.startHealthCheck(server, () -> mayReceive(server), result -> onHealthCheckEnded(server, result));
     }
 
-    private void onHealthCheckEnded(ServerId server, AttemptResult end) {
+    private void onHealthCheckEnded(ServerId server, AttemptResult result) {
         healthChecksInFlight--;
         healthChecksEnded++;
-        loop.enqueue(new Event.HealthCheckEnded(server, end.outcome(), end.loadReport()));
+        loop.enqueue(new Event.HealthCheckEnded(server, result.outcome(), result.loadReport()));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayBuilder.java
@@ -58,8 +58,8 @@
      * @return completes when the gateway serves, and fails if it cannot listen
      */
     public Future<Gateway> start() {
-        Context runsOn = context == null ? vertx.getOrCreateContext() : context;
-        GatewayOptions options = new GatewayOptions(vertx, runsOn, log, configuration, quotaSettings, clock);
+        Context chosenContext = context == null ? vertx.getOrCreateContext() : context;
+        GatewayOptions options = new GatewayOptions(vertx, chosenContext, log, configuration, quotaSettings, clock);
         if (!warmUp) {
             return Gateway.start(options);
         }
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -51,7 +51,7 @@
         void request();
 
         /** Returns whether discovery has answered. */
-        boolean areKnown();
+        boolean hasDiscoveryAnswered();
 
         /** Puts the lists in force; the configured one if discovery has not answered. */
         void load();
@@ -87,19 +87,19 @@
         awaitLists(lists)
                 .compose(ignored -> new ListeningSocket(vertx, options.log(), clients).listen(configuration.listen()))
                 .compose(listener -> peers.listen(configuration.peerListen()).map(listener))
-                .onSuccess(listener -> awaitLoop(lists, () -> serve(listener, serving)))
+                .onSuccess(listener -> awaitLoopWithoutLag(lists, () -> serve(listener, serving)))
                 .onFailure(serving::fail);
         return serving.future();
     }
 
     private Future<Void> awaitLists(EndpointLists lists) {
         Promise<Void> known = Promise.promise();
-        long untilMs = clock.monotonicMs() + FIRST_LIST_WAIT_MS;
-        poll(() -> lists.areKnown() || clock.monotonicMs() >= untilMs, Integer.MAX_VALUE, 1, known::complete);
+        long deadlineMs = clock.monotonicMs() + FIRST_LIST_WAIT_MS;
+        poll(() -> lists.hasDiscoveryAnswered() || clock.monotonicMs() >= deadlineMs, Integer.MAX_VALUE, 1, known::complete);
         return known.future();
     }
 
-    private void awaitLoop(EndpointLists lists, Runnable serve) {
+    private void awaitLoopWithoutLag(EndpointLists lists, Runnable serve) {
         poll(() -> loop.lag() == 0, MAX_ON_TIME_POLLS, ON_TIME_POLLS, () -> {
             lists.load();
             awaitFirstHealthChecks(serve);
@@ -110,10 +110,10 @@
         long sinceMs = clock.monotonicMs();
         long maxWaitMs = configuration.settings().connectLimit() / TICKS_PER_MS;
         int maxPolls = (int) (maxWaitMs / POLL_MS) + 1;
-        poll(() -> serversAreKnown(sinceMs), maxPolls, 1, serve);
+        poll(() -> isServerHealthKnown(sinceMs), maxPolls, 1, serve);
     }
 
-    private boolean serversAreKnown(long sinceMs) {
+    private boolean isServerHealthKnown(long sinceMs) {
         if (peers.hasReceived()) {
             return actions.healthChecksEnded() > 0;
         }
--- a/gateway/src/main/java/ploverdale/net/InitialEndpoints.java
+++ b/gateway/src/main/java/ploverdale/net/InitialEndpoints.java
@@ -12,8 +12,8 @@
  */
 final class InitialEndpoints {
     private final Consumer<EndpointList> updates;
-    private final List<EndpointList> heldBack = new ArrayList<>();
-    private boolean released;
+    private final List<EndpointList> buffered = new ArrayList<>();
+    private boolean loaded;
 
     /** @param updates receives the lists that are in force, in order */
     InitialEndpoints(Consumer<EndpointList> updates) {
@@ -22,16 +22,16 @@
 
     /** Handles a list from discovery, or an update of one. */
     void onList(EndpointList list) {
-        if (released) {
+        if (loaded) {
             updates.accept(list);
         } else {
-            heldBack.add(list);
+            buffered.add(list);
         }
     }
 
     /** Returns whether discovery has answered with a complete list. */
-    boolean hasAnswer() {
-        return released || heldBack.stream().anyMatch(EndpointList::complete);
+    boolean hasDiscoveryAnswered() {
+        return loaded || buffered.stream().anyMatch(EndpointList::complete);
     }
 
     /**
@@ -39,14 +39,14 @@
      *
      * @param configured the list of the configuration, which comes first unless discovery's list replaces it
      */
-    void release(EndpointList configured) {
-        released = true;
+    void load(EndpointList configured) {
+        loaded = true;
         boolean isReplaced =
-                heldBack.stream().anyMatch(list -> list.complete() && list.revision() > configured.revision() + 1);
+                buffered.stream().anyMatch(list -> list.complete() && list.revision() > configured.revision() + 1);
         if (!isReplaced) {
             updates.accept(configured);
         }
-        heldBack.forEach(updates);
-        heldBack.clear();
+        buffered.forEach(updates);
+        buffered.clear();
     }
 }
--- a/gateway/src/main/java/ploverdale/net/ListeningSocket.java
+++ b/gateway/src/main/java/ploverdale/net/ListeningSocket.java
@@ -13,7 +13,7 @@
 /** Opens the socket on which clients connect. Used on the event loop only. */
 final class ListeningSocket {
     private static final int MAX_ATTEMPTS = 50; // 5 s in total, half of the time that a restart may take
-    private static final long RETRY_AFTER_MS = 100;
+    private static final long RETRY_DELAY_MS = 100;
     private static final int ACCEPT_BACKLOG = 1024;
 
     private final Vertx vertx;
@@ -46,11 +46,11 @@
 
     private Future<NetServer> retry(InetSocketAddress address, int attemptsLeft, Throwable failure) {
         // The address is in use, not local, or not permitted; a retry would not help.
-        boolean addressAtFault = failure instanceof BindException;
-        if (attemptsLeft <= 1 || addressAtFault || ConnectFailure.of(failure) != ConnectFailure.LOCAL) {
+        boolean isAddressUnusable = failure instanceof BindException;
+        if (attemptsLeft <= 1 || isAddressUnusable || ConnectFailure.of(failure) != ConnectFailure.LOCAL) {
             return Future.failedFuture(failure);
         }
         log.often("cannot listen yet", String.valueOf(failure.getMessage()));
-        return vertx.timer(RETRY_AFTER_MS).compose(ignored -> listen(address, attemptsLeft - 1));
+        return vertx.timer(RETRY_DELAY_MS).compose(ignored -> listen(address, attemptsLeft - 1));
     }
 }
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -43,7 +43,7 @@
      * The warm-up sends as many requests as one gateway's agreed traffic has in this time. A gateway with less traffic
      * needs compiled methods later, and it does not serve during the warm-up.
      */
-    private static final double SECONDS_OF_AGREED_LOAD = 0.5;
+    private static final double SECONDS_OF_AGREED_TRAFFIC = 0.5;
 
     /** The warm-up is stopped after this time, and the gateway starts to serve without it. */
     private static final long TIMEOUT_MS = 5000;
@@ -54,7 +54,7 @@
 
     /** Runs the warm-up. The future completes when all sockets of the warm-up are closed, and never fails. */
     static Future<Void> run(Vertx vertx, Log log, ConfigurationFile configuration, Clock clock) {
-        long beganAtMs = clock.monotonicMs();
+        long startedAtMs = clock.monotonicMs();
         return vertx.deployVerticle(new WarmUpVerticle(configuration, clock))
                 .compose(vertx::undeploy)
                 .otherwise(failure -> {
@@ -62,24 +62,24 @@
                     return null;
                 })
                 .onSuccess(ignored -> log.line(
-                        "warm-up took " + (clock.monotonicMs() - beganAtMs) + " ms")); // log line: on-call guide
+                        "warm-up took " + (clock.monotonicMs() - startedAtMs) + " ms")); // log line: on-call guide
     }
 
     /** Owns all sockets and timers of the warm-up; undeploying it closes them. */
     private static final class WarmUpVerticle extends VerticleBase {
         private final ConfigurationFile configuration;
         private final Clock clock;
-        private final long beganAtMs;
+        private final long startedAtMs;
 
         private WarmUpVerticle(ConfigurationFile configuration, Clock clock) {
             this.configuration = configuration;
             this.clock = clock;
-            beganAtMs = clock.monotonicMs();
+            startedAtMs = clock.monotonicMs();
         }
 
         @Override
         public Future<?> start() {
-            WarmUpClient client = new WarmUpClient(vertx, configuration.settings(), clock, beganAtMs);
+            WarmUpClient client = new WarmUpClient(vertx, configuration.settings(), clock, startedAtMs);
             WarmUpServer server = new WarmUpServer(clock);
             return listen(server::accept)
                     .compose(serverAddress -> listen(
@@ -98,8 +98,8 @@
             if (agreedPerSecond == 0) {
                 return MAX_REQUESTS;
             }
-            double wanted = agreedPerSecond * SECONDS_OF_AGREED_LOAD;
-            return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, wanted));
+            double requestsInThatTime = agreedPerSecond * SECONDS_OF_AGREED_TRAFFIC;
+            return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, requestsInThatTime));
         }
 
         private InetSocketAddress address(int port) {
@@ -115,8 +115,8 @@
         }
 
         private Future<Gateway> startGateway(InetSocketAddress server, InetSocketAddress discovery) {
-            Log discarded = new Log(new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
-            return Gateway.builder(vertx, discarded, warmUpConfiguration(server, discovery))
+            Log discardingLog = new Log(new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
+            return Gateway.builder(vertx, discardingLog, warmUpConfiguration(server, discovery))
                     .context(context)
                     .clock(clock)
                     .withoutWarmUp()
--- a/gateway/src/main/java/ploverdale/net/WarmUpClient.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUpClient.java
@@ -22,24 +22,24 @@
      * No further request is sent after this time, so that a slow machine sends fewer: during a restart there may be no
      * other gateway that serves.
      */
-    private static final long ENOUGH_MS = 3000;
+    private static final long MAX_SENDING_MS = 3000;
 
     /** Number of ReadyForQuery messages on a connection: one ends its start-up, one ends its request. */
-    private static final int READY_MESSAGES = 2;
+    private static final int READY_MESSAGES_PER_CONNECTION = 2;
 
     private static final int DISTINCT_KEYS = 9;
 
     private final NetClient client;
     private final GatewaySettings settings;
     private final Clock clock;
-    private final long beganAtMs;
+    private final long startedAtMs;
 
-    /** @param beganAtMs when the warm-up began, in milliseconds of {@link Clock#monotonicMs} */
-    WarmUpClient(Vertx vertx, GatewaySettings settings, Clock clock, long beganAtMs) {
+    /** @param startedAtMs when the warm-up began, in milliseconds of {@link Clock#monotonicMs} */
+    WarmUpClient(Vertx vertx, GatewaySettings settings, Clock clock, long startedAtMs) {
         client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
         this.settings = settings;
         this.clock = clock;
-        this.beganAtMs = beganAtMs;
+        this.startedAtMs = startedAtMs;
     }
 
     /**
@@ -55,7 +55,7 @@
     }
 
     private void sendFrom(int index, int requests, InetSocketAddress gateway, Promise<Void> finished) {
-        if (index == requests || clock.monotonicMs() - beganAtMs >= ENOUGH_MS) {
+        if (index == requests || clock.monotonicMs() - startedAtMs >= MAX_SENDING_MS) {
             finished.tryComplete();
             return;
         }
@@ -93,7 +93,7 @@
         private void onBytes(Buffer bytes) {
             reader.feed(bytes);
             for (ServerMessage message = reader.next(); message != null; message = reader.next()) {
-                if (message instanceof ServerMessage.ReadyForQuery && ++readyMessages == READY_MESSAGES) {
+                if (message instanceof ServerMessage.ReadyForQuery && ++readyMessages == READY_MESSAGES_PER_CONNECTION) {
                     socket.close();
                 }
             }
