--- a/gateway/src/main/java/ploverdale/net/eventloop/AcceptRetry.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/AcceptRetry.java
@@ -21,7 +21,7 @@
      * Delay before accepting again: at most 200 failing calls per second while resources are lacking, and short
      * compared with the shortest timeouts of requests.
      */
-    static final long RETRY_AFTER_MS = 5;
+    static final long RETRY_DELAY_MS = 5;
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
@@ -29,7 +29,7 @@
         if (listener.config().isAutoRead()) {
             listener.config().setAutoRead(false);
             listener.eventLoop()
-                    .schedule(() -> listener.config().setAutoRead(true), RETRY_AFTER_MS, TimeUnit.MILLISECONDS);
+                    .schedule(() -> listener.config().setAutoRead(true), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
         context.fireExceptionCaught(failure);
     }
--- a/gateway/src/main/java/ploverdale/net/eventloop/LoopLag.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/LoopLag.java
@@ -7,41 +7,41 @@
  * on the event loop only.
  */
 final class LoopLag {
-    /** The interval of the timer that calls {@link #onTick}, in milliseconds. */
-    static final long TICK_MS = 10;
+    /** The interval of the timer that calls {@link #onTimer}, in milliseconds. */
+    static final long SAMPLING_INTERVAL_MS = 10;
 
-    private static final long TICK = TICK_MS * 10;
-    private static final long TOLERATED_TICKS = 3; // shorter delays are ordinary jitter
+    private static final long SAMPLING_INTERVAL_TICKS = SAMPLING_INTERVAL_MS * 10;
+    private static final long TOLERATED_INTERVALS = 3; // shorter delays are ordinary jitter
 
     private final Clock clock;
-    private long lastTick;
-    private long previousTick;
+    private long lastFiredAt;
+    private long previousFiredAt;
 
     LoopLag(Clock clock) {
         this.clock = clock;
-        lastTick = clock.now();
-        previousTick = lastTick;
+        lastFiredAt = clock.now();
+        previousFiredAt = lastFiredAt;
     }
 
     /** Called when the timer fires. */
-    void onTick() {
-        previousTick = lastTick;
-        lastTick = clock.now();
+    void onTimer() {
+        previousFiredAt = lastFiredAt;
+        lastFiredAt = clock.now();
     }
 
     /** Returns when the timer fired last; the time of creation if it has not fired yet. */
-    long lastTick() {
-        return lastTick;
+    long lastFiredAt() {
+        return lastFiredAt;
     }
 
     /** Returns the time between the last two times that the timer fired. */
     long lastInterval() {
-        return lastTick - previousTick;
+        return lastFiredAt - previousFiredAt;
     }
 
     /** Returns when the timer fired the last time but one; the time of creation if it has not fired twice yet. */
-    long previousTick() {
-        return previousTick;
+    long previousFiredAt() {
+        return previousFiredAt;
     }
 
     /**
@@ -49,6 +49,6 @@
      * since after a pause the loop runs its timers once before it reads what arrived during the pause.
      */
     long lag() {
-        return Math.max(0, clock.now() - previousTick - TOLERATED_TICKS * TICK);
+        return Math.max(0, clock.now() - previousFiredAt - TOLERATED_INTERVALS * SAMPLING_INTERVAL_TICKS);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -29,16 +29,16 @@
      * Maximum time from queueing an event to draining the queue, 20 ms; if it takes longer, the loop has been delayed
      * and reads again first. It usually takes a small part of this.
      */
-    private static final long DRAIN_LATE = 200;
+    private static final long MAX_DRAIN_DELAY_TICKS = 200;
 
     /** Time between the turns of the loop in which it reads again after a pause. */
-    private static final long READ_ON_MS = 1;
+    private static final long READ_AGAIN_INTERVAL_MS = 1;
 
     /**
      * Number of timers that the loop runs before it drains the queue after a pause. The first may fire in the same
      * turn; then one turn accepts the connection of a cancel request, and one reads it.
      */
-    private static final int READ_ON_TURNS = 3;
+    private static final int READ_AGAIN_TIMERS = 3;
 
     /** Shorter pauses make no health check fail, so they are not reported to the router. */
     private static final long REPORTED_PAUSE_MS = 50;
@@ -56,7 +56,7 @@
     private final LoopLag loopLag;
     private final Deque<Event> queue = new ArrayDeque<>();
     private boolean drainScheduled;
-    private boolean lagBeforeFirst; // whether the loop lagged before it read the first event in the queue
+    private boolean laggedBeforeFirstEvent; // whether the loop lagged before it read the first event in the queue
     private long firstQueuedAt;
     private long decidedAt;
     private OutboundActionHandler outbound;
@@ -74,7 +74,7 @@
         this.clock = clock;
         loopLag = new LoopLag(clock);
         router = new Router(quota);
-        vertx.setPeriodic(LoopLag.TICK_MS, id -> onTick());
+        vertx.setPeriodic(LoopLag.SAMPLING_INTERVAL_MS, id -> onLagTimer());
     }
 
     /**
@@ -87,9 +87,9 @@
         actionHandler = new LoopActionHandler(vertx, log, clock, outbound, this::enqueue);
     }
 
-    private void onTick() {
-        loopLag.onTick();
-        reportPause(loopLag.previousTick(), loopLag.lastTick());
+    private void onLagTimer() {
+        loopLag.onTimer();
+        reportPause(loopLag.previousFiredAt(), loopLag.lastFiredAt());
         if (loopLag.lastInterval() > LOGGED_PAUSE_MS * TICKS_PER_MS) {
             log.often(
                     "stood still", "for " + loopLag.lastInterval() / TICKS_PER_MS + " ms"); // log line: on-call guide
@@ -115,25 +115,25 @@
             return;
         }
         drainScheduled = true;
-        lagBeforeFirst = lag() > 0;
+        laggedBeforeFirstEvent = lag() > 0;
         firstQueuedAt = clock.now();
-        context.runOnContext(ignored -> drainOrReadOn());
+        context.runOnContext(ignored -> drainOrReadAgain());
     }
 
-    private void drainOrReadOn() {
-        if (lagBeforeFirst || clock.now() - firstQueuedAt > DRAIN_LATE) {
-            readOn(READ_ON_TURNS);
+    private void drainOrReadAgain() {
+        if (laggedBeforeFirstEvent || clock.now() - firstQueuedAt > MAX_DRAIN_DELAY_TICKS) {
+            readAgain(READ_AGAIN_TIMERS);
         } else {
             drain();
         }
     }
 
     /** Drains the queue after this number of timers; the first of them may fire in the current turn of the loop. */
-    private void readOn(int turns) {
-        if (turns == 0) {
+    private void readAgain(int timersLeft) {
+        if (timersLeft == 0) {
             drain();
         } else {
-            vertx.setTimer(READ_ON_MS, id -> readOn(turns - 1));
+            vertx.setTimer(READ_AGAIN_INTERVAL_MS, id -> readAgain(timersLeft - 1));
         }
     }
 
@@ -167,14 +167,14 @@
      *  others.
      */
     private void reportPause(long lastRun, long now) {
-        if (now - lastRun > (LoopLag.TICK_MS + REPORTED_PAUSE_MS) * TICKS_PER_MS) {
+        if (now - lastRun > (LoopLag.SAMPLING_INTERVAL_MS + REPORTED_PAUSE_MS) * TICKS_PER_MS) {
             queue.addFirst(new Event.LoopDelayed(lastRun, now));
         }
     }
 
     private void drain() {
         drainScheduled = false;
-        reportPause(loopLag.lastTick(), clock.now());
+        reportPause(loopLag.lastFiredAt(), clock.now());
         for (Event event = queue.poll(); event != null; event = queue.poll()) {
             handle(event);
         }
--- a/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
@@ -13,24 +13,24 @@
     private final ManualClock clock = new ManualClock();
     private final LoopLag lag = new LoopLag(clock);
 
-    private void tickAt(long time) {
+    private void fireTimerAt(long time) {
         clock.now = time;
-        lag.onTick();
+        lag.onTimer();
     }
 
     @Test
     void aLoopWhoseTimerFiresOnTimeHasNoLag() {
-        tickAt(100);
-        tickAt(200);
+        fireTimerAt(100);
+        fireTimerAt(200);
         clock.now = 299;
         assertThat(lag.lag()).isZero();
         assertThat(lag.lastInterval()).isEqualTo(100);
     }
 
     @Test
-    void threeIntervalsSinceTheTickBeforeTheLastAreTolerated() {
-        tickAt(100);
-        tickAt(200);
+    void threeIntervalsSinceThePreviousFiringAreTolerated() {
+        fireTimerAt(100);
+        fireTimerAt(200);
         clock.now = 400;
         assertThat(lag.lag()).isZero();
         clock.now = 401;
@@ -38,12 +38,12 @@
     }
 
     @Test
-    void theLagOfAPauseLastsThroughTheFirstTickAfterIt() {
-        tickAt(100);
-        tickAt(5100);
+    void theLagOfAPauseLastsUntilTheSecondFiringAfterIt() {
+        fireTimerAt(100);
+        fireTimerAt(5100);
         assertThat(lag.lag()).isEqualTo(4700);
         assertThat(lag.lastInterval()).isEqualTo(5000);
-        tickAt(5200);
+        fireTimerAt(5200);
         assertThat(lag.lag()).isZero();
     }
 
--- a/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
@@ -18,7 +18,7 @@
  */
 class SleepingTransportTest {
     @Test
-    void aWaitForATimerIsRoundedUpSoThatNothingIsPolledBeforeIt() {
+    void aWaitForATimerIsRoundedUpToWholeMilliseconds() {
         // Netty would round 0.4 ms down to 0 and poll, and round 9.4 ms down to 9 ms and then poll.
         assertThat(SleepingTransport.roundUpToMs(400_000)).isEqualTo(1_000_000);
         assertThat(SleepingTransport.roundUpToMs(1)).isEqualTo(1_000_000);
@@ -27,40 +27,40 @@
     }
 
     @Test
-    void whatIsDueAndWhatNeverIsStayAsTheyAre() {
+    void dueTimersAndTheAbsenceOfATimerAreNotRounded() {
         assertThat(SleepingTransport.roundUpToMs(0)).isZero();
         assertThat(SleepingTransport.roundUpToMs(-5)).isEqualTo(-5);
         assertThat(SleepingTransport.roundUpToMs(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
-    void aTurnThatWasPausedReadsOnceMoreBeforeAnyTimerRuns() {
-        Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.SleepingIoHandler(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10))))
+    void aTurnDelayedByAPauseReadsAgainBeforeTimersRun() {
+        FakeSelector selector = new FakeSelector(50);
+        assertThat(new SleepingTransport.SleepingIoHandler(selector).run(new FakeLoop(TimeUnit.MILLISECONDS.toNanos(10))))
                 .isEqualTo(2);
-        assertThat(turns.mayBlock).containsExactly(true, false);
+        assertThat(selector.mayBlock).containsExactly(true, false);
     }
 
     @Test
-    void aTurnThatOnlyWaitedForItsTimerDoesNot() {
-        Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.SleepingIoHandler(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30))))
+    void aTurnThatOnlyWaitedForItsTimerReadsOnce() {
+        FakeSelector selector = new FakeSelector(50);
+        assertThat(new SleepingTransport.SleepingIoHandler(selector).run(new FakeLoop(TimeUnit.SECONDS.toNanos(30))))
                 .isEqualTo(1);
-        assertThat(turns.mayBlock).containsExactly(true);
+        assertThat(selector.mayBlock).containsExactly(true);
     }
 
     /** A fake selector whose first turn takes a given time, and whose other turns take none. */
-    private static final class Turns implements IoHandler {
-        private final long firstTakesMs;
+    private static final class FakeSelector implements IoHandler {
+        private final long firstTurnMs;
         private final List<Boolean> mayBlock = new ArrayList<>();
 
-        private Turns(long firstTakesMs) {
-            this.firstTakesMs = firstTakesMs;
+        private FakeSelector(long firstTurnMs) {
+            this.firstTurnMs = firstTurnMs;
         }
 
         @Override
         public int run(IoHandlerContext loop) {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mayBlock.isEmpty() ? firstTakesMs : 0);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mayBlock.isEmpty() ? firstTurnMs : 0);
             mayBlock.add(loop.canBlock());
             while (System.nanoTime() < end) {
                 LockSupport.parkNanos(end - System.nanoTime());
@@ -83,7 +83,7 @@
     }
 
     /** A fake loop whose next timer is due after the given number of nanoseconds. */
-    private record Loop(long delay) implements IoHandlerContext {
+    private record FakeLoop(long nanosUntilTimer) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return true;
@@ -91,12 +91,12 @@
 
         @Override
         public long delayNanos(long now) {
-            return delay;
+            return nanosUntilTimer;
         }
 
         @Override
         public long deadlineNanos() {
-            return delay;
+            return nanosUntilTimer;
         }
     }
 }
