--- a/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
@@ -102,7 +102,7 @@
         if (state == State.WATCHING) {
             state = State.LISTING;
         }
-        endOpenPolls();
+        cancelOpenPolls();
         poll();
     }
 
@@ -117,7 +117,7 @@
         supersededPolls.addAll(openPolls);
         openPolls.clear();
         while (supersededPolls.size() > DiscoveryClient.MAX_CONNECTIONS) {
-            supersededPolls.peekFirst().end();
+            supersededPolls.peekFirst().cancel();
         }
         follow();
     }
@@ -125,35 +125,35 @@
     /** Cancels the calls in flight and makes no further ones. */
     public void stop() {
         stopped = true;
-        endOpenPolls();
-        endSupersededPolls();
+        cancelOpenPolls();
+        cancelSupersededPolls();
         vertx.cancelTimer(nextPollTimer);
     }
 
     private void schedulePoll(long delayMs) {
         vertx.cancelTimer(nextPollTimer);
-        nextPollTimer = stopped ? -1 : vertx.setTimer(delayMs, x -> poll());
+        nextPollTimer = stopped ? -1 : vertx.setTimer(delayMs, ignored -> poll());
     }
 
-    private void endOpenPolls() {
-        List.copyOf(openPolls).forEach(Poll::end);
+    private void cancelOpenPolls() {
+        List.copyOf(openPolls).forEach(Poll::cancel);
     }
 
-    private void endSupersededPolls() {
-        List.copyOf(supersededPolls).forEach(Poll::end);
+    private void cancelSupersededPolls() {
+        List.copyOf(supersededPolls).forEach(Poll::cancel);
     }
 
     private void poll() {
         vertx.cancelTimer(nextPollTimer);
         if (openPolls.size() >= DiscoveryClient.MAX_CONNECTIONS) {
-            openPolls.peekFirst().end();
+            openPolls.peekFirst().cancel();
         }
         // While LOST, a call has to show soon whether the agent is reachable again, so it does not wait for an update.
         long holdMs = state == State.WATCHING ? LONG_POLL_MS : 0;
         String uri = revision < 0 ? PATH : PATH + "?from=" + revision + "&hold_ms=" + holdMs;
         Poll poll = new Poll(holdMs > 0);
         openPolls.addLast(poll);
-        poll.overdueTimer = vertx.setTimer(holdMs + OVERDUE_AFTER_MS, x -> poll.onOverdue());
+        poll.overdueTimer = vertx.setTimer(holdMs + OVERDUE_AFTER_MS, ignored -> poll.onOverdue());
         poll.call.start(address, uri);
     }
 
@@ -161,18 +161,18 @@
     private final class Poll implements DiscoveryClient.Listener {
         private final DiscoveryClient.Call call = client.newCall(this);
         private final InetSocketAddress agent = address;
-        private final boolean watch;
+        private final boolean isWatch;
         private long overdueTimer;
 
-        private Poll(boolean watch) {
-            this.watch = watch;
+        private Poll(boolean isWatch) {
+            this.isWatch = isWatch;
         }
 
-        private void end() {
+        private void cancel() {
             openPolls.remove(this);
             supersededPolls.remove(this);
             vertx.cancelTimer(overdueTimer);
-            call.end();
+            call.cancel();
         }
 
         /**
@@ -182,8 +182,8 @@
          */
         private void onOverdue() {
             boolean superseded = isSuperseded();
-            if (watch || superseded) {
-                end();
+            if (isWatch || superseded) {
+                cancel();
             }
             if (!superseded) {
                 retryAfterBackoff("no answer");
@@ -197,7 +197,7 @@
         @Override
         public void onFailure(String reason) {
             boolean latest = this == openPolls.peekLast();
-            end();
+            cancel();
             if (latest) { // otherwise a later call is already in flight
                 retryAfterBackoff(reason);
             }
@@ -213,13 +213,13 @@
                 return;
             }
             if (isSuperseded()) {
-                end();
+                cancel();
                 putInForce(list, agent);
                 return;
             }
-            end();
-            endOpenPolls(); // their answers cannot be newer
-            endSupersededPolls();
+            cancel();
+            cancelOpenPolls(); // their answers cannot be newer
+            cancelSupersededPolls();
             onAnswer(list);
         }
     }
--- a/gateway/src/main/java/ploverdale/net/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/DiscoveryClient.java
@@ -60,7 +60,7 @@
     final class Call {
         private final Listener listener;
         private HttpClientRequest request; // null before a connection is assigned, and after the answer is complete
-        private boolean ended;
+        private boolean cancelled;
 
         private Call(Listener listener) {
             this.listener = listener;
@@ -83,15 +83,15 @@
         }
 
         /** Cancels the call: resets the request if it is in flight. The listener is not called any more. */
-        void end() {
-            ended = true;
+        void cancel() {
+            cancelled = true;
             if (request != null) {
                 request.reset();
             }
         }
 
         private Future<HttpClientResponse> send(HttpClientRequest connected) {
-            if (ended) {
+            if (cancelled) {
                 connected.reset(); // the call was cancelled while it waited for a connection
                 return Future.failedFuture("not wanted any more");
             }
@@ -109,20 +109,20 @@
                 }
             });
             response.exceptionHandler(failure -> fail("broken off: " + failure.getMessage()));
-            response.endHandler(x -> complete(response.statusCode(), body));
+            response.endHandler(ignored -> complete(response.statusCode(), body));
         }
 
         private void complete(int status, Buffer body) {
             request = null; // there is nothing left to reset; the connection is available to the next call
             if (status != STATUS_OK) {
                 fail("status " + status);
-            } else if (!ended) {
+            } else if (!cancelled) {
                 listener.onBody(body.toString());
             }
         }
 
         private void fail(String reason) {
-            if (!ended) {
+            if (!cancelled) {
                 listener.onFailure(reason);
             }
         }
