--- a/gateway/src/test/java/ploverdale/net/PeerSideFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportFailuresTest.java
@@ -35,7 +35,7 @@
  * off from its peers until it is restarted.
  */
 @Timeout(60)
-class PeerSideFailuresTest {
+class GossipTransportFailuresTest {
     private static final long TIMEOUT_S = 20;
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
