--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     *  Runs the next step once the condition was true at the required number of polls, or after the maximum number of
-     *  polls.
+     * Runs the next step once the condition was true at the required number of polls, or after the maximum number of
+     * polls.
      */
     private void poll(BooleanSupplier condition, int maxPolls, int requiredPolls, Runnable next) {
         if (requiredPolls == 0 || maxPolls == 0) {
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -31,8 +31,8 @@
  */
 final class StartupWarmUp {
     /**
-     *  Enough requests to have hot methods compiled: they are called at least twice per request, and compiled after 200
-     *  calls.
+     * Enough requests to have hot methods compiled: they are called at least twice per request, and compiled after 200
+     * calls.
      */
     private static final int MAX_REQUESTS = 120;
 
--- a/gateway/src/main/java/ploverdale/net/WarmUpDiscovery.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUpDiscovery.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 
 /**
- *  The fake discovery agent of the warm-up: answers the first call on a connection and leaves the watch after it
- *  pending.
+ * The fake discovery agent of the warm-up: answers the first call on a connection and leaves the watch after it
+ * pending.
  */
 final class WarmUpDiscovery {
     private WarmUpDiscovery() {}
--- a/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
@@ -22,7 +22,8 @@
  *   <caption>Transitions of {@link State}</caption>
  *   <tr><th>from</th><th>event</th><th>to</th></tr>
  *   <tr><td>LISTING, WATCHING, LOST</td><td>list or update received</td><td>WATCHING</td></tr>
- *   <tr><td>LISTING, WATCHING, LOST</td><td>update received that does not continue the known revision</td> <td>LISTING</td></tr>
+ *   <tr><td>LISTING, WATCHING, LOST</td><td>update received that does not continue the known revision</td>
+ *       <td>LISTING</td></tr>
  *   <tr><td>LISTING, WATCHING</td><td>latest call failed or is overdue</td><td>LOST</td></tr>
  *   <tr><td>WATCHING</td><td>{@link #follow()}</td><td>LISTING</td></tr>
  * </table>
@@ -57,6 +58,7 @@
     private final DiscoveryClient client;
     private final RandomGenerator random;
     private final Clock clock;
+
     /** Calls in flight to the current agent, latest last. */
     private final Deque<Poll> openPolls = new ArrayDeque<>();
 
@@ -168,6 +170,7 @@
             this.isWatch = isWatch;
         }
 
+        /** Forgets the call, and cancels it if it is still in flight. */
         private void cancel() {
             openPolls.remove(this);
             supersededPolls.remove(this);
--- a/gateway/src/main/java/ploverdale/net/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/DiscoveryClient.java
@@ -41,7 +41,7 @@
     }
 
     /**
-     *  Receives the result of a call. At most one of the methods is called, and none once the call has been cancelled.
+     * Receives the result of a call. At most one of the methods is called, and none once the call has been cancelled.
      */
     interface Listener {
         /** Called with the body when the agent has answered with status 200. */
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -17,9 +17,8 @@
 
 /**
  * The only caller of the {@link Router}: takes events from a queue, passes each to the router with the current time,
- * and has the returned actions carried out in order. Makes no decisions, and never drops or reorders events or
- * actions. The
- * router never sees the clock go back or a timer fire early. Times are tenths of a millisecond unless a name states
+ * and has the returned actions carried out in order. Makes no decisions, and never drops or reorders events or actions.
+ * The router never sees the clock go back or a timer fire early. Times are tenths of a millisecond unless a name states
  * another unit. All methods except {@link #execute} are to be called on the event loop.
  */
 public final class RouterEventLoop {
@@ -44,7 +43,7 @@
     private static final long REPORTED_PAUSE_MS = 50;
 
     /**
-     *  Longer intervals between two runs of the timer are logged. It is half of the time by which answers may be late.
+     * Longer intervals between two runs of the timer are logged. It is half of the time by which answers may be late.
      */
     private static final long LOGGED_PAUSE_MS = 250;
 
@@ -138,15 +137,15 @@
     }
 
     /**
-     *  Returns whether requests may be written to the server. Checked again for attempts that waited for a connection.
+     * Returns whether requests may be written to the server. Checked again for attempts that waited for a connection.
      */
     public boolean mayReceive(ServerId server) {
         return router.mayReceive(server);
     }
 
     /**
-     *  Returns when the router decided on the action that is being carried out; time limits in the action count from
-     *  then.
+     * Returns when the router decided on the action that is being carried out; time limits in the action count from
+     * then.
      */
     public long decidedAt() {
         return decidedAt;
@@ -163,8 +162,8 @@
     }
 
     /**
-     *  If the loop did not run for long between the two times, queues an event that reports the pause before all
-     *  others.
+     * If the loop did not run for long between the two times, queues an event that reports the pause before all
+     * others.
      */
     private void reportPause(long lastRun, long now) {
         if (now - lastRun > (LoopLag.SAMPLING_INTERVAL_MS + REPORTED_PAUSE_MS) * TICKS_PER_MS) {
--- a/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
@@ -33,8 +33,8 @@
     private static final long PAUSE_THRESHOLD_NANOS = 5 * NANOS_PER_MS;
 
     /**
-     *  Maximum number of extra reads in one turn of the loop, so that a flood of input cannot delay timers
-     *  indefinitely.
+     * Maximum number of extra reads in one turn of the loop, so that a flood of input cannot delay timers
+     * indefinitely.
      */
     private static final int MAX_EXTRA_READS = 2;
 
--- a/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
+++ b/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
@@ -19,8 +19,8 @@
  */
 public enum ConnectFailure {
     /**
-     *  This machine lacked descriptors, ports, buffers, memory or a permission; the failure says nothing about the
-     *  server.
+     * This machine lacked descriptors, ports, buffers, memory or a permission; the failure says nothing about the
+     * server.
      */
     LOCAL(Outcome.NEVER_SENT, true),
     /** This machine has no route to the server at the moment. This is a network failure, and it may last. */
@@ -28,8 +28,8 @@
     /** The server refused the connection, or did not answer. */
     REFUSED(Outcome.CONNECT_FAILED, false),
     /**
-     *  The connection was closed while it was being established; it is not known whether by the server or by the
-     *  network.
+     * The connection was closed while it was being established; it is not known whether by the server or by the
+     * network.
      */
     CONNECT_INTERRUPTED(Outcome.CONNECT_INTERRUPTED, false);
 
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnections.java
@@ -27,7 +27,7 @@
     private static final int IDLE_TIMEOUT_MARGIN_DIVISOR = 5;
 
     /**
-     *  While a server has several idle connections, the one idle longest is kept for an eighth of the usual time only.
+     * While a server has several idle connections, the one idle longest is kept for an eighth of the usual time only.
      */
     private static final int SURPLUS_IDLE_DIVISOR = 8;
 
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -20,7 +20,7 @@
 final class LoadReportReader {
     private static final int MAX_REPORT_BYTES = 1024;
     private static final int MAX_NUMBER_CHARACTERS = 24; // the longest decimal notation of a double
-    private static final double MAX_NUMBER = 1e14; // milliseconds below it fit into a long as tenths, too
+    private static final double MAX_NUMBER = 1e14; // milliseconds below it fit into a long when converted to ticks
     private static final int TICKS_PER_MS = 10;
 
     // Names and values on the wire
--- a/gateway/src/main/java/ploverdale/net/server/PoolContext.java
+++ b/gateway/src/main/java/ploverdale/net/server/PoolContext.java
@@ -6,8 +6,8 @@
 import ploverdale.settings.GatewaySettings;
 
 /**
- *  The objects that the parts of a {@link ServerConnectionPool} share. No component is null. Used on the event loop
- *  only.
+ * The objects that the parts of a {@link ServerConnectionPool} share. No component is null. Used on the event loop
+ * only.
  */
 record PoolContext(Vertx vertx, Log log, GatewaySettings settings, ServerClock clock) {
     private static final int TICKS_PER_MS = 10;
--- a/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
@@ -153,8 +153,8 @@
     }
 
     /**
-     *  Reports a message of an answer that is out of order, or that no attempt awaits. It must not reach the next
-     *  attempt.
+     * Reports a message of an answer that is out of order, or that no attempt awaits. It must not reach the next
+     * attempt.
      */
     private void reportUnexpectedMessage() {
         listener.onProtocolViolation(
--- a/gateway/src/main/java/ploverdale/net/server/ServerResponse.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerResponse.java
@@ -88,8 +88,8 @@
     }
 
     /**
-     *  Returns whether the result is complete, so that it can be used even if the connection is lost before
-     *  ReadyForQuery.
+     * Returns whether the result is complete, so that it can be used even if the connection is lost before
+     * ReadyForQuery.
      */
     boolean isConclusive() {
         return error != null || completion != null && value != null;
@@ -126,8 +126,8 @@
     }
 
     /**
-     *  Returns whether the server rejected the statement for lack of capacity, possibly because it has too many
-     *  connections.
+     * Returns whether the server rejected the statement for lack of capacity, possibly because it has too many
+     * connections.
      */
     boolean isRejection() {
         return error != null && TOO_MANY_CONNECTIONS.equals(error.code());
--- a/gateway/src/test/java/ploverdale/net/GossipTransportFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportFailuresTest.java
@@ -76,8 +76,8 @@
     }
 
     /**
-     *  Sends this payload from the peer until the transport receives it, since a datagram may be lost while a call
-     *  fails.
+     * Sends this payload from the peer until the transport receives it, since a datagram may be lost while a call
+     * fails.
      */
     private void assertReceives(int payload) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
