--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -18,8 +18,8 @@
 import ploverdale.net.server.ServerConnectionPool;
 
 /**
- * Carries out the router's actions on clients, servers, discovery and peers, and queues their outcomes as events. Never decides
- * anything about a request or a server. Used on the event loop only.
+ * Carries out the router's actions on clients, servers, discovery and peers, and queues their results as events. Never
+ * decides about a request or a server. Used on the event loop only.
  */
 final class GatewayActions implements OutboundActionHandler {
     private final Log log;
@@ -52,12 +52,12 @@
         this.serverClock = serverClock;
     }
 
-    /** Health checks whose end is not known yet. */
+    /** Returns the number of health checks in flight. */
     int healthChecksInFlight() {
         return healthChecksInFlight;
     }
 
-    /** Health checks that have ended since the start, whatever their outcome. */
+    /** Returns the number of health checks that have ended since the start, whatever their outcome. */
     int healthChecksEnded() {
         return healthChecksEnded;
     }
@@ -67,13 +67,13 @@
         RequestId request = attempt.request();
         AcceptedRequest accepted = clients.requestInFlight(request);
         if (accepted == null) {
-            endWithoutClient(attempt);
+            endForDisconnectedClient(attempt);
             return;
         }
-        int number = accepted.nextAttemptNumber();
+        int attemptNumber = accepted.nextAttemptNumber();
         int clockChanges = serverClock.changes();
         history.attemptStarted(request);
-        // The process may have been paused since the router read the clock; the time limit counts from then.
+        // The time limit counts from when the router read the clock; the process may have been paused since.
         long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
         servers.startAttempt(
                 request,
@@ -81,19 +81,20 @@
                 timeLeft,
                 () -> mayBeWritten(attempt, accepted, clockChanges),
                 waitMs -> MessageWriter.request(accepted.query(), waitMs),
-                end -> onAttemptEnded(request, number, attempt.server(), end));
+                result -> onAttemptEnded(request, attemptNumber, attempt.server(), result));
     }
 
-    /** The client has left while the router was deciding. */
-    private void endWithoutClient(Action.StartAttempt attempt) {
+    /** Ends an attempt whose client disconnected while the router was deciding. */
+    private void endForDisconnectedClient(Action.StartAttempt attempt) {
         Event.Outcome outcome = Event.Outcome.NEVER_SENT;
         loop.enqueue(new Event.AttemptEnded(attempt.request(), 0, attempt.server(), outcome, 0, true, null, null));
         history.answered(attempt.request());
     }
 
     /**
-     * Whether the attempt may still be written. It may have waited for its connection: by now its client may have left, the
-     * position it relies on may be too old or void, or its server may be draining.
+     * Returns whether the attempt may still be written. It may have waited for a connection. Meanwhile its client may
+     * have disconnected, its server may be draining, or the server's position that the router relied on may have become
+     * too old, or invalid by a correction of the clock.
      */
     private boolean mayBeWritten(Action.StartAttempt attempt, AcceptedRequest accepted, int clockChanges) {
         if (!clients.isAwaited(accepted) || !mayReceive(attempt.server())) {
@@ -113,16 +114,16 @@
         return isActive;
     }
 
-    private void onAttemptEnded(RequestId request, int number, ServerId server, AttemptResult end) {
-        boolean hasRow = end.row() != null;
-        history.attemptEnded(request, end.outcome(), hasRow);
+    private void onAttemptEnded(RequestId request, int attemptNumber, ServerId server, AttemptResult result) {
+        boolean hasRow = result.row() != null;
+        history.attemptEnded(request, result.outcome(), hasRow);
         if (hasRow) {
-            history.succeeded(request, end.row(), end.answerReport(), server);
+            history.succeeded(request, result.row(), result.answerReport(), server);
         }
-        boolean settled =
-                hasRow || clients.requestInFlight(request) == null; // its answer may still wait to be replicated
+        // Without a row, a request in flight is not settled: its answer may still be waiting to be replicated.
+        boolean settled = hasRow || clients.requestInFlight(request) == null;
         loop.enqueue(new Event.AttemptEnded(
-                request, number, server, end.outcome(), end.duration(), settled, end.answerReport(), end.loadReport()));
+                request, attemptNumber, server, result.outcome(), result.duration(), settled, result.answerReport(), result.loadReport()));
     }
 
     @Override
@@ -146,13 +147,13 @@
     public void checkHealth(Action.CheckHealth check) {
         healthChecksInFlight++;
         ServerId server = check.server();
-        servers.startHealthCheck(server, () -> mayReceive(server), end -> onHealthCheckEnded(server, end));
+        servers.startHealthCheck(server, () -> mayReceive(server), result -> onHealthCheckEnded(server, result));
     }
 
-    private void onHealthCheckEnded(ServerId server, AttemptResult end) {
+    private void onHealthCheckEnded(ServerId server, AttemptResult result) {
         healthChecksInFlight--;
         healthChecksEnded++;
-        loop.enqueue(new Event.HealthCheckEnded(server, end.outcome(), end.loadReport()));
+        loop.enqueue(new Event.HealthCheckEnded(server, result.outcome(), result.loadReport()));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/InitialEndpoints.java
+++ b/gateway/src/main/java/ploverdale/net/InitialEndpoints.java
@@ -6,43 +6,47 @@
 import ploverdale.settings.EndpointList;
 
 /**
- * Holds back all endpoint lists until the first of a start may be put in force. The configured list may be older than what discovery
- * told before this process started, so it is put in force only where discovery has not answered in time, or where its answer
- * continues it. Used on the event loop only.
+ * Buffers the endpoint lists that arrive during the start until they may be put in force. The configured list may be
+ * older than what discovery reported before this process started, so it is put in force only if discovery has not
+ * answered in time, or if the answer is at most one revision newer. Used on the event loop only.
  */
 final class InitialEndpoints {
     private final Consumer<EndpointList> updates;
-    private final List<EndpointList> heldBack = new ArrayList<>();
-    private boolean released;
+    private final List<EndpointList> buffered = new ArrayList<>();
+    private boolean loaded;
 
-    /** @param updates receives the lists that are in force, in their order */
+    /** @param updates receives the lists that are in force, in order */
     InitialEndpoints(Consumer<EndpointList> updates) {
         this.updates = updates;
     }
 
-    /** Takes a list of discovery, or an update of one. */
+    /** Handles a list from discovery, or an update of one. */
     void onList(EndpointList list) {
-        if (released) {
+        if (loaded) {
             updates.accept(list);
         } else {
-            heldBack.add(list);
+            buffered.add(list);
         }
     }
 
-    /** Whether discovery has answered with its complete list. */
-    boolean hasAnswer() {
-        return released || heldBack.stream().anyMatch(EndpointList::complete);
+    /** Returns whether discovery has answered with a complete list. */
+    boolean hasDiscoveryAnswered() {
+        return loaded || buffered.stream().anyMatch(EndpointList::complete);
     }
 
-    /** Puts in force what discovery has answered so far, and from now on each list at once. */
-    void release(EndpointList configured) {
-        released = true;
+    /**
+     * Puts the lists received so far in force, and from now on each list as it arrives.
+     *
+     * @param configured the list of the configuration, which comes first unless discovery's list replaces it
+     */
+    void load(EndpointList configured) {
+        loaded = true;
         boolean isReplaced =
-                heldBack.stream().anyMatch(list -> list.complete() && list.revision() > configured.revision() + 1);
+                buffered.stream().anyMatch(list -> list.complete() && list.revision() > configured.revision() + 1);
         if (!isReplaced) {
             updates.accept(configured);
         }
-        heldBack.forEach(updates);
-        heldBack.clear();
+        buffered.forEach(updates);
+        buffered.clear();
     }
 }
--- a/gateway/src/main/java/ploverdale/net/eventloop/LoopLag.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/LoopLag.java
@@ -3,52 +3,52 @@
 import ploverdale.clock.Clock;
 
 /**
- * Measures by how much the event loop is late, from a timer that fires at a fixed interval. Times are tenths of a
- * millisecond. Used on the event loop only.
+ * Measures the lag of the event loop by a timer that fires at a fixed interval. Times are tenths of a millisecond. Used
+ * on the event loop only.
  */
 final class LoopLag {
-    /** The interval of the timer that is to call {@link #onTick}, in milliseconds. */
-    static final long TICK_MS = 10;
+    /** The interval of the timer that calls {@link #onTimer}, in milliseconds. */
+    static final long SAMPLING_INTERVAL_MS = 10;
 
-    private static final long TICK = TICK_MS * 10;
-    private static final long TOLERATED_TICKS = 3; // since the tick before the last; fewer are ordinary jitter
+    private static final long SAMPLING_INTERVAL_TICKS = SAMPLING_INTERVAL_MS * 10;
+    private static final long TOLERATED_INTERVALS = 3; // shorter delays are ordinary jitter
 
     private final Clock clock;
-    private long lastTick;
-    private long previousTick;
+    private long lastFiredAt;
+    private long previousFiredAt;
 
     LoopLag(Clock clock) {
         this.clock = clock;
-        lastTick = clock.now();
-        previousTick = lastTick;
+        lastFiredAt = clock.now();
+        previousFiredAt = lastFiredAt;
     }
 
-    /** Takes note that the timer has fired. */
-    void onTick() {
-        previousTick = lastTick;
-        lastTick = clock.now();
+    /** Called when the timer fires. */
+    void onTimer() {
+        previousFiredAt = lastFiredAt;
+        lastFiredAt = clock.now();
     }
 
-    /** When the timer fired last, or the time of creation. */
-    long lastTick() {
-        return lastTick;
+    /** Returns when the timer fired last; the time of creation if it has not fired yet. */
+    long lastFiredAt() {
+        return lastFiredAt;
     }
 
-    /** The time from the tick before the last to the last one. */
+    /** Returns the time between the last two times that the timer fired. */
     long lastInterval() {
-        return lastTick - previousTick;
+        return lastFiredAt - previousFiredAt;
     }
 
-    /** When the timer fired the time before the last, or the time of creation. */
-    long previousTick() {
-        return previousTick;
+    /** Returns when the timer fired the last time but one; the time of creation if it has not fired twice yet. */
+    long previousFiredAt() {
+        return previousFiredAt;
     }
 
     /**
-     * For how long the loop did not run, 0 where it is on time. It counts from the tick before the last, since after a pause
-     * the loop runs its timers once before it reads what arrived during the pause.
+     * Returns the lag of the loop; 0 if it is on time. It is measured from the last time but one that the timer fired,
+     * since after a pause the loop runs its timers once before it reads what arrived during the pause.
      */
     long lag() {
-        return Math.max(0, clock.now() - previousTick - TOLERATED_TICKS * TICK);
+        return Math.max(0, clock.now() - previousFiredAt - TOLERATED_INTERVALS * SAMPLING_INTERVAL_TICKS);
     }
 }
--- a/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/LoopLagTest.java
@@ -5,29 +5,32 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.clock.Clock;
 
-/** How late the event loop is, by a timer of 10 ms; times are tenths of a millisecond. */
+/**
+ * Checks the lag of the event loop as measured by a timer of 10 ms. If a pause went unnoticed, requests that arrived
+ * during it would be routed as if they were new. Times are tenths of a millisecond.
+ */
 class LoopLagTest {
     private final ManualClock clock = new ManualClock();
     private final LoopLag lag = new LoopLag(clock);
 
-    private void tickAt(long time) {
+    private void fireTimerAt(long time) {
         clock.now = time;
-        lag.onTick();
+        lag.onTimer();
     }
 
     @Test
     void aLoopWhoseTimerFiresOnTimeHasNoLag() {
-        tickAt(100);
-        tickAt(200);
+        fireTimerAt(100);
+        fireTimerAt(200);
         clock.now = 299;
         assertThat(lag.lag()).isZero();
         assertThat(lag.lastInterval()).isEqualTo(100);
     }
 
     @Test
-    void threeIntervalsSinceTheTickBeforeTheLastAreTolerated() {
-        tickAt(100);
-        tickAt(200);
+    void threeIntervalsSinceThePreviousFiringAreTolerated() {
+        fireTimerAt(100);
+        fireTimerAt(200);
         clock.now = 400;
         assertThat(lag.lag()).isZero();
         clock.now = 401;
@@ -35,16 +38,16 @@
     }
 
     @Test
-    void theLagOfAPauseLastsThroughTheFirstTickAfterIt() {
-        tickAt(100);
-        tickAt(5100);
+    void theLagOfAPauseLastsUntilTheSecondFiringAfterIt() {
+        fireTimerAt(100);
+        fireTimerAt(5100);
         assertThat(lag.lag()).isEqualTo(4700);
         assertThat(lag.lastInterval()).isEqualTo(5000);
-        tickAt(5200);
+        fireTimerAt(5200);
         assertThat(lag.lag()).isZero();
     }
 
-    /** A clock that stands where the test puts it. */
+    /** A clock that shows the time that the test sets. */
     private static final class ManualClock implements Clock {
         private long now;
 
--- a/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
@@ -12,52 +12,55 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
-/** The selector sleeps up to its timers, and reads what came during a pause before timers run. */
+/**
+ * Checks that the selector sleeps until the next timer instead of polling, and that after a pause the loop reads what
+ * has arrived before timers run.
+ */
 class SleepingTransportTest {
     @Test
-    void aWaitForATimerIsRoundedUpSoThatNothingIsPolledBeforeIt() {
-        assertThat(SleepingTransport.roundUpToMs(400_000))
-                .isEqualTo(1_000_000); // the selector would make this 0, a poll
+    void aWaitForATimerIsRoundedUpToWholeMilliseconds() {
+        // Netty would round 0.4 ms down to 0 and poll, and round 9.4 ms down to 9 ms and then poll.
+        assertThat(SleepingTransport.roundUpToMs(400_000)).isEqualTo(1_000_000);
         assertThat(SleepingTransport.roundUpToMs(1)).isEqualTo(1_000_000);
-        assertThat(SleepingTransport.roundUpToMs(9_400_000)).isEqualTo(10_000_000); // and this 9, and a poll
+        assertThat(SleepingTransport.roundUpToMs(9_400_000)).isEqualTo(10_000_000);
         assertThat(SleepingTransport.roundUpToMs(9_000_000)).isEqualTo(9_000_000);
     }
 
     @Test
-    void whatIsDueAndWhatNeverIsStayAsTheyAre() {
+    void dueTimersAndTheAbsenceOfATimerAreNotRounded() {
         assertThat(SleepingTransport.roundUpToMs(0)).isZero();
         assertThat(SleepingTransport.roundUpToMs(-5)).isEqualTo(-5);
         assertThat(SleepingTransport.roundUpToMs(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
-    void aTurnThatWasPausedReadsOnceMoreBeforeAnyTimerRuns() {
-        Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.SleepingIoHandler(turns).run(new Loop(TimeUnit.MILLISECONDS.toNanos(10))))
+    void aTurnDelayedByAPauseReadsAgainBeforeTimersRun() {
+        FakeSelector selector = new FakeSelector(50);
+        assertThat(new SleepingTransport.SleepingIoHandler(selector).run(new FakeLoop(TimeUnit.MILLISECONDS.toNanos(10))))
                 .isEqualTo(2);
-        assertThat(turns.mayBlock).containsExactly(true, false);
+        assertThat(selector.mayBlock).containsExactly(true, false);
     }
 
     @Test
-    void aTurnThatOnlyWaitedForItsTimerDoesNot() {
-        Turns turns = new Turns(50);
-        assertThat(new SleepingTransport.SleepingIoHandler(turns).run(new Loop(TimeUnit.SECONDS.toNanos(30))))
+    void aTurnThatOnlyWaitedForItsTimerReadsOnce() {
+        FakeSelector selector = new FakeSelector(50);
+        assertThat(new SleepingTransport.SleepingIoHandler(selector).run(new FakeLoop(TimeUnit.SECONDS.toNanos(30))))
                 .isEqualTo(1);
-        assertThat(turns.mayBlock).containsExactly(true);
+        assertThat(selector.mayBlock).containsExactly(true);
     }
 
-    /** Stands in for the selector: its first turn takes so long, the others no time. */
-    private static final class Turns implements IoHandler {
-        private final long firstTakesMs;
+    /** A fake selector whose first turn takes a given time, and whose other turns take none. */
+    private static final class FakeSelector implements IoHandler {
+        private final long firstTurnMs;
         private final List<Boolean> mayBlock = new ArrayList<>();
 
-        private Turns(long firstTakesMs) {
-            this.firstTakesMs = firstTakesMs;
+        private FakeSelector(long firstTurnMs) {
+            this.firstTurnMs = firstTurnMs;
         }
 
         @Override
         public int run(IoHandlerContext loop) {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mayBlock.isEmpty() ? firstTakesMs : 0);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mayBlock.isEmpty() ? firstTurnMs : 0);
             mayBlock.add(loop.canBlock());
             while (System.nanoTime() < end) {
                 LockSupport.parkNanos(end - System.nanoTime());
@@ -79,8 +82,8 @@
         }
     }
 
-    /** A loop whose next timer is due after so many nanoseconds. */
-    private record Loop(long delay) implements IoHandlerContext {
+    /** A fake loop whose next timer is due after the given number of nanoseconds. */
+    private record FakeLoop(long nanosUntilTimer) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return true;
@@ -88,12 +91,12 @@
 
         @Override
         public long delayNanos(long now) {
-            return delay;
+            return nanosUntilTimer;
         }
 
         @Override
         public long deadlineNanos() {
-            return delay;
+            return nanosUntilTimer;
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/net/server/IdleConnectionLossRateTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/IdleConnectionLossRateTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When connections are not reused any more, by how long they were idle. Times are tenths of a millisecond. */
+/**
+ * Checks which idle times the loss rate excludes from reuse. A connection that the network dropped while it was idle
+ * costs an attempt; excluding idle times without need costs new connections. Times are tenths of a millisecond.
+ */
 class IdleConnectionLossRateTest {
     private static final long SECOND = 10_000;
     private static final long NOW = 1000 * SECOND;
@@ -18,7 +21,7 @@
     }
 
     @Test
-    void withoutLossesNothingIsTooHigh() {
+    void withoutLossesNoRateIsTooHigh() {
         for (long idleTime = 0; idleTime < 100_000 * SECOND; idleTime = idleTime * 2 + 1) {
             assertThat(rate.isTooHigh(idleTime, NOW))
                     .as("idle for %d", idleTime)
@@ -49,7 +52,7 @@
     }
 
     @Test
-    void lossesAfterLessThanFiftyMillisecondsAreNotCounted() {
+    void lossesAfterIdleTimesBelowFiftyMillisecondsAreIgnored() {
         recordLosses(499, 100);
         assertThat(rate.isTooHigh(499, NOW)).isFalse();
     }
