--- a/gateway/src/main/java/ploverdale/model/Action.java
+++ b/gateway/src/main/java/ploverdale/model/Action.java
@@ -1,8 +1,8 @@
 package ploverdale.model;
 
 /**
- * All that a gateway can do. Times are tenths of a millisecond. An action calls the method of an {@link ActionHandler} that
- * belongs to it.
+ * An action that the router decides on and its host carries out. Times are {@link Ticks}. Each action dispatches itself
+ * to the {@link ActionHandler} method for its kind.
  */
 public sealed interface Action {
 
@@ -12,8 +12,9 @@
     /**
      * Forward a request to a server.
      *
-     * @param timeLimit how long to wait for the answer
-     * @param writeBy the request is not written after this time, where a connection has to be made first
+     * @param timeLimit how long to wait for the answer, from now
+     * @param writeBy the latest time at which the request may be written to the server; matters if a connection has to
+     *     be established first
      */
     record StartAttempt(RequestId request, ServerId server, long timeLimit, long writeBy) implements Action {
         @Override
@@ -22,7 +23,7 @@
         }
     }
 
-    /** Give up waiting for an attempt. */
+    /** Cancel an attempt in flight; {@code attempt} counts the attempts of the request from 0. */
     record CancelAttempt(RequestId request, int attempt) implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
@@ -30,7 +31,11 @@
         }
     }
 
-    /** Reject the request, which promises that it did not run or may safely be repeated; a retry-after of 0 names no time. */
+    /**
+     * Reject a request. Tells the client that the request did not run or may safely be repeated.
+     *
+     * @param retryAfter after how long the client may submit the request again; 0 to state no time
+     */
     record RejectRequest(RequestId request, long retryAfter) implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
@@ -38,7 +43,7 @@
         }
     }
 
-    /** Report the request as failed, which promises nothing. */
+    /** Fail a request. Tells the client nothing about whether the request ran. */
     record FailRequest(RequestId request) implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
@@ -46,7 +51,11 @@
         }
     }
 
-    /** Have {@link Event.TimerFired} come at this time, with this mark. */
+    /**
+     * Deliver {@link Event.TimerFired} at a given time.
+     *
+     * @param mark returned in the event
+     */
     record SetTimer(long at, long mark) implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
@@ -70,7 +79,7 @@
         }
     }
 
-    /** Watch the endpoint list from now on. */
+    /** Start watching the endpoint list. */
     record WatchEndpoints() implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
@@ -78,7 +87,7 @@
         }
     }
 
-    /** Send another gateway a gossip datagram. */
+    /** Send a gossip datagram to the gateway with this index. */
     record SendGossip(int peer, byte[] bytes) implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
--- a/gateway/src/main/java/ploverdale/model/Capabilities.java
+++ b/gateway/src/main/java/ploverdale/model/Capabilities.java
@@ -1,13 +1,13 @@
 package ploverdale.model;
 
 /**
- * What the platform permits a gateway. Times are {@link Ticks}.
+ * What the deployment's settings permit a gateway to do. Times are {@link Ticks}.
  *
- * @param attemptsPerRequest how many attempts a request may have in all
+ * @param attemptsPerRequest the maximum number of attempts of a request, the first included
  * @param cancel whether attempts in flight may be cancelled
- * @param healthChecks whether servers may be sent health checks
- * @param retryAfterAllowed whether a rejection may say when to try again
- * @param longestRetryAfter the longest time that it may name
+ * @param healthChecks whether the gateway may send health checks to servers
+ * @param retryAfterAllowed whether a rejection may state after what time to submit the request again
+ * @param longestRetryAfter the longest time that a rejection may state
  * @param peerMessages whether gateways may send each other datagrams
  */
 public record Capabilities(
--- a/gateway/src/main/java/ploverdale/model/Endpoint.java
+++ b/gateway/src/main/java/ploverdale/model/Endpoint.java
@@ -1,20 +1,20 @@
 package ploverdale.model;
 
 /**
- * One server in the endpoint list.
+ * A server in the endpoint list.
  *
- * @param zone where the server runs
- * @param primary whether the list takes the server for its group's primary
- * @param startedAt when the server started; 0 for long ago
+ * @param zone the zone in which the server runs
+ * @param primary whether the endpoint list names the server as the primary of its group
+ * @param startedAt when the server started, in {@link Ticks}; 0 if that was long ago
  */
 public record Endpoint(
         ServerId server, GroupId group, ZoneId zone, EndpointState state, boolean primary, long startedAt) {
 
-    /** Whether a server may get requests; the names stand in log lines. */
+    /** The listed state of a server. The names of the constants are written to log lines. */
     public enum EndpointState {
         /** In service. */
         IN,
-        /** Finishes what it has and takes nothing new. */
+        /** Finishes the requests that it has and must not get new ones. */
         DRAINING,
         /** Removed from the list. */
         GONE
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -4,15 +4,27 @@
 import java.util.Map;
 
 /**
- * All that can happen to a gateway. Times are tenths of a millisecond. An event calls the method of an {@link EventHandler} that
- * belongs to it, so that a new kind of event does not compile until every handler has a method for it.
+ * An event that the router decides on. Times are {@link Ticks}. Each event dispatches itself to the
+ * {@link EventHandler} method for its kind, so that a new kind of event does not compile until every handler has a
+ * method for it.
  */
 public sealed interface Event {
 
     /** Calls the handler's method for this kind of event. */
     void dispatchTo(EventHandler handler);
 
-    /** The gateway starts and knows nothing but these settings; {@code me} is its number among the gateways. */
+    /**
+     * The gateway starts. These settings are all that the router knows at that time.
+     *
+     * @param seed the seed of the router's random numbers
+     * @param gateways the number of gateways in the deployment
+     * @param requestClasses all request classes, by their index
+     * @param tenants all tenants, by their index
+     * @param beyondShareValue the value of a request beyond its tenant's agreed traffic, as a fraction of its class's
+     *     value
+     * @param listOnDemand whether the endpoint list is watched only after {@link Action.WatchEndpoints}
+     * @param me the index of this gateway among all gateways
+     */
     record Started(
             long seed,
             int gateways,
@@ -32,15 +44,17 @@
     }
 
     /**
-     * The endpoint list, whole or its changes; failed where discovery returned none.
+     * Discovery returned the endpoint list or its changes, or failed to.
      *
-     * @param revision discovery's count of changes up to this list, or {@link #UNKNOWN_REVISION}
+     * @param whole whether {@code endpoints} is the complete list, rather than only its changes
+     * @param failed whether the call to discovery failed
+     * @param revision discovery's revision of this list, or {@link #UNKNOWN_REVISION}
      */
     record EndpointUpdate(boolean whole, boolean failed, long revision, List<Endpoint> endpoints) implements Event {
-        /** Of a list that does not name its revision; it counts as newer than all before it. */
+        /** The revision of an update that does not state one; such an update counts as newer than all earlier ones. */
         public static final long UNKNOWN_REVISION = -1;
 
-        /** A list that does not name its revision. */
+        /** Creates an update that does not state its revision. */
         public EndpointUpdate(boolean whole, boolean failed, List<Endpoint> endpoints) {
             this(whole, failed, UNKNOWN_REVISION, endpoints);
         }
@@ -54,9 +68,11 @@
     /**
      * A client sent a request.
      *
-     * @param resubmitted whether the client sent the same request before
-     * @param sessionWriteAge how long ago the session's last write was committed; 0 where it has none, below 0 where the write is
-     *     dated a little later than now
+     * @param timeoutAt when the client stops waiting for the answer
+     * @param resubmitted whether the client submitted the same request before
+     * @param expectedWork the work that the client expects, in units of {@link RequestClass#objectivePerWork}
+     * @param sessionWriteAge how long ago the session's last write was committed; 0 if it has none, negative if the
+     *     commit time is slightly later than now
      */
     record RequestArrived(
             RequestId request,
@@ -86,9 +102,10 @@
     /**
      * An attempt has ended.
      *
-     * @param requestSettled whether the request has its final answer with it
-     * @param answerReport role and position that the answer carried, or null
-     * @param loadReport the server's load report that came with it, or null
+     * @param duration how long the attempt was in flight
+     * @param requestSettled whether this attempt gave the request its final answer
+     * @param answerReport the role and position that the answer carried, or null
+     * @param loadReport the load report that the server sent with the answer, or null
      */
     record AttemptEnded(
             RequestId request,
@@ -114,7 +131,7 @@
         }
     }
 
-    /** A timer that was set by {@link Action.SetTimer}. */
+    /** A timer set by {@link Action.SetTimer} expired; has the mark of that action. */
     record TimerFired(long mark) implements Event {
         @Override
         public void dispatchTo(EventHandler handler) {
@@ -122,7 +139,7 @@
         }
     }
 
-    /** The event loop did not run in this span: nothing was read, written or timed. */
+    /** The event loop did not run during this interval: nothing was read or written, and no timer fired. */
     record LoopDelayed(long from, long until) implements Event {
         @Override
         public void dispatchTo(EventHandler handler) {
@@ -130,7 +147,7 @@
         }
     }
 
-    /** A health check has ended; the report may be null. */
+    /** A health check has ended; {@code loadReport} is null if the server sent none. */
     record HealthCheckEnded(ServerId server, Outcome outcome, LoadReport loadReport) implements Event {
         @Override
         public void dispatchTo(EventHandler handler) {
@@ -138,7 +155,7 @@
         }
     }
 
-    /** A gossip datagram of another gateway. */
+    /** A gossip datagram arrived from the gateway with this index. */
     record GossipReceived(int from, byte[] bytes) implements Event {
         @Override
         public void dispatchTo(EventHandler handler) {
@@ -154,7 +171,9 @@
         }
     }
 
-    /** The process ends in a moment: each request in flight gets its final answer now, whatever its own timeout. */
+    /**
+     * The process is about to exit: each request in flight gets its final answer now, regardless of its own timeout.
+     */
     record ShutdownDeadline() implements Event {
         @Override
         public void dispatchTo(EventHandler handler) {
@@ -163,8 +182,11 @@
     }
 
     /**
-     * The offset between the servers' wall clock and this gateway's time has changed or become unknown: positions reported before
-     * count as unknown. Has the start times of the servers whose start the endpoint list names.
+     * The offset between the servers' wall clock and this gateway's clock has changed or become unknown. Positions
+     * reported before count as unknown.
+     *
+     * @param startedAt the start times of the servers for which the endpoint list states one, converted with the new
+     *     offset
      */
     record ClockOffsetChanged(Map<ServerId, Long> startedAt) implements Event {
         @Override
@@ -181,19 +203,19 @@
         FAILED(false, true),
         /** The server refused for lack of capacity. */
         REJECTED(true, true),
-        /** No answer came in time. */
+        /** No answer arrived in time. */
         TIMED_OUT(false, false),
-        /** The connection was refused or not made in time. */
+        /** The connection was refused or not established in time. */
         CONNECT_FAILED(true, false),
-        /** The connection was lost while it was being made, by whose doing is not known. */
+        /** The connection was lost while it was being established; it is not known what caused that. */
         CONNECT_INTERRUPTED(true, false),
         /** The connection was lost after the request had been written. */
         CONNECTION_LOST(false, false),
-        /** The gateway gave the attempt up. */
+        /** The gateway cancelled the attempt. */
         CANCELLED(false, false),
-        /** Nothing was written, for a reason on this machine. */
+        /** Nothing was written, for a reason local to this gateway. */
         NEVER_SENT(true, false),
-        /** The server has not the role or the position that the request needs. */
+        /** The server does not have the role or the log position that the request needs. */
         MISDIRECTED(true, true);
 
         private final boolean provesNotRun;
@@ -204,17 +226,17 @@
             this.reportedByServer = reportedByServer;
         }
 
-        /** Whether this proves that the request did not run. */
+        /** Whether this outcome proves that the request did not run. */
         public boolean provesNotRun() {
             return provesNotRun;
         }
 
-        /** Whether the server itself reported this. */
+        /** Whether this outcome comes from a response of the server, which shows that the server is alive. */
         public boolean reportedByServer() {
             return reportedByServer;
         }
 
-        /** Whether the connection was lost or never made. */
+        /** Whether the connection was lost or could not be established. */
         public boolean isConnectionFailure() {
             return this == CONNECT_FAILED || this == CONNECT_INTERRUPTED || this == CONNECTION_LOST;
         }
--- a/gateway/src/main/java/ploverdale/model/EventHandler.java
+++ b/gateway/src/main/java/ploverdale/model/EventHandler.java
@@ -1,44 +1,44 @@
 package ploverdale.model;
 
-/** Takes each kind of {@link Event}; called by {@link Event#dispatchTo}. */
+/** Handles each kind of {@link Event}; called by {@link Event#dispatchTo}. */
 public interface EventHandler {
 
-    /** The gateway starts. */
+    /** Called once, when the gateway starts. */
     void onStarted(Event.Started started);
 
-    /** Discovery returned the endpoint list or its changes. */
+    /** Called when discovery returned the endpoint list or its changes, or failed to. */
     void onEndpointUpdate(Event.EndpointUpdate update);
 
-    /** A client sent a request. */
+    /** Called when a client sent a request. */
     void onRequestArrived(Event.RequestArrived arrival);
 
-    /** A streamed response has begun. */
+    /** Called when the first part of a streamed response has arrived. */
     void onResponseStarted(Event.ResponseStarted response);
 
-    /** An attempt at a server has ended. */
+    /** Called when an attempt at a server has ended. */
     void onAttemptEnded(Event.AttemptEnded end);
 
-    /** The client of a request has gone. */
+    /** Called when the client of a request closed its connection or cancelled the request. */
     void onClientDisconnected(Event.ClientDisconnected disconnect);
 
-    /** A timer that was set has expired. */
+    /** Called when a timer has expired. */
     void onTimerFired(Event.TimerFired timer);
 
-    /** The event loop was held up. */
+    /** Called when the event loop runs again after a delay. */
     void onLoopDelayed(Event.LoopDelayed delay);
 
-    /** A health check has ended. */
+    /** Called when a health check has ended. */
     void onHealthCheckEnded(Event.HealthCheckEnded end);
 
-    /** A datagram of another gateway has arrived. */
+    /** Called when a gossip datagram of another gateway has arrived. */
     void onGossipReceived(Event.GossipReceived gossip);
 
-    /** The graceful shutdown begins. */
+    /** Called when the graceful shutdown begins. */
     void onShutdownBegun(Event.ShutdownBegun shutdown);
 
-    /** Every request in flight has to be answered now. */
+    /** Called when every request in flight has to be answered at once, because the process is about to exit. */
     void onShutdownDeadline(Event.ShutdownDeadline deadline);
 
-    /** The servers' wall clock has another offset. */
+    /** Called when the offset of the servers' wall clock has changed or become unknown. */
     void onClockOffsetChanged(Event.ClockOffsetChanged change);
 }
--- a/gateway/src/main/java/ploverdale/model/GroupId.java
+++ b/gateway/src/main/java/ploverdale/model/GroupId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The number of a replica group: one primary and its replicas. */
+/** Identifies a replica group, which is a primary and its replicas. */
 public record GroupId(long number) {}
--- a/gateway/src/main/java/ploverdale/model/LoadReport.java
+++ b/gateway/src/main/java/ploverdale/model/LoadReport.java
@@ -1,18 +1,21 @@
 package ploverdale.model;
 
 /**
- * What a server reported of itself.
+ * What a server reported about itself.
  *
- * @param position the log position that it has applied, as the commit time of the last write it includes; or
- *     {@link #UNKNOWN_TIME}
- * @param busy the busy part of its cores; NaN where it is not reported
+ * @param position the log position up to which the server has applied writes, as the commit time of the last applied
+ *     write in {@link Ticks}; {@link #UNKNOWN_TIME} if not reported
+ * @param busy the CPU utilization: the fraction of the server's cores that is busy; NaN if not reported
  */
 public record LoadReport(Role role, long position, double busy) {
 
-    /** Stands for a time that is not known: so long ago that it is too old for every bound. */
+    /**
+     * Represents an unknown time, in {@link Ticks}: so long ago that it is too old for every bound, yet differences
+     * from it do not overflow.
+     */
     public static final long UNKNOWN_TIME = Long.MIN_VALUE / 4;
 
-    /** A report without utilization. */
+    /** Creates a report without utilization. */
     public LoadReport(Role role, long position) {
         this(role, position, Double.NaN);
     }
@@ -21,7 +24,7 @@
     public enum Role {
         /** Not reported. */
         UNKNOWN,
-        /** Takes writes. */
+        /** Accepts writes. */
         PRIMARY,
         /** Applies the primary's log. */
         REPLICA
--- a/gateway/src/main/java/ploverdale/model/OutboundActionHandler.java
+++ b/gateway/src/main/java/ploverdale/model/OutboundActionHandler.java
@@ -1,12 +1,12 @@
 package ploverdale.model;
 
-/** Carries out the actions that reach a client, a server, discovery or another gateway; part of {@link ActionHandler}. */
+/** Carries out the actions that send something to a client, a server, discovery or another gateway. */
 public interface OutboundActionHandler {
 
     /** Forwards a request to a server. */
     void startAttempt(Action.StartAttempt attempt);
 
-    /** Gives up waiting for an attempt. */
+    /** Cancels an attempt in flight. */
     void cancelAttempt(Action.CancelAttempt cancellation);
 
     /** Answers a request with a rejection. */
@@ -21,9 +21,9 @@
     /** Closes the idle connections to a server. */
     void closeIdleConnections(Action.CloseIdleConnections close);
 
-    /** Watches the endpoint list. */
+    /** Starts watching the endpoint list. */
     void watchEndpoints(Action.WatchEndpoints watch);
 
-    /** Sends a datagram to another gateway. */
+    /** Sends a gossip datagram to another gateway. */
     void sendGossip(Action.SendGossip gossip);
 }
--- a/gateway/src/main/java/ploverdale/model/Quota.java
+++ b/gateway/src/main/java/ploverdale/model/Quota.java
@@ -1,48 +1,61 @@
 package ploverdale.model;
 
 /**
- * This gateway's units of the limits that belong to all gateways together. The router acquires a unit before it spends it; who
- * holds which units is decided elsewhere. Not thread-safe.
+ * This gateway's units of the limits that all gateways share. The router acquires a unit before it uses it;
+ * implementations decide how the units are divided among the gateways. Times are {@link Ticks}. Not thread-safe.
  */
 public interface Quota {
     /** Why a health check is sent. */
     enum HealthCheckReason {
-        /** Its time has come. */
+        /** A periodic health check is due. */
         PERIODIC,
-        /** A request waits for its result. */
+        /** A request is waiting for the result. */
         ON_DEMAND,
-        /** Something suggests a fault. */
+        /** Missing answers or failed attempts suggest that the server is faulty. */
         SUSPICION
     }
 
     /**
-     * Acquires one request of a tenant's agreed traffic; false where none is to be had now.
+     * Acquires one request of a tenant's agreed traffic.
      *
-     * @param now the router's time, in tenths of a millisecond
+     * @param now the router's current time
+     * @return false if the tenant has none left at this time
      */
     boolean tryAcquireRequest(long now, TenantId tenant);
 
-    /** After how long a request of this tenant may be acquired again, in tenths of a millisecond; 0 where it is not known. */
+    /** Returns after how long a request of this tenant can be acquired again; 0 if that is not known. */
     long retryAfter(long now, TenantId tenant);
 
-    /** Whether attempts in flight at a server are limited by quota; then a gateway's own limit need not be a part of a whole. */
+    /**
+     * Whether this quota limits the attempts in flight at a server over all gateways. If so, a gateway's own
+     * concurrency limit need not be divided by the number of gateways.
+     */
     boolean limitsAttempts();
 
-    /** Whether a further attempt at this server could be acquired now. */
+    /** Whether {@link #tryAcquireAttempt} would succeed now. */
     boolean hasAttempt(ServerId server, boolean inSlowStart);
 
-    /** Acquires an attempt, to be returned by {@link #releaseAttempt}; false, and nothing to return, where none is to be had. */
+    /**
+     * Acquires an attempt at a server. It must be returned with {@link #releaseAttempt} when the attempt has ended.
+     *
+     * @param inSlowStart whether the server is in slow start
+     * @return false if no attempt is available; nothing must be returned then
+     */
     boolean tryAcquireAttempt(ServerId server, boolean inSlowStart);
 
-    /** Returns an attempt that has ended; in slow start as it was when acquired. */
+    /**
+     * Returns an attempt that has ended.
+     *
+     * @param inSlowStart the value that was passed to {@link #tryAcquireAttempt}
+     */
     void releaseAttempt(ServerId server, boolean inSlowStart);
 
-    /** Whether a retry could be acquired now, beside so many that are reserved. */
+    /** Whether a retry could be acquired now in addition to {@code reserved} retries that are not acquired yet. */
     boolean hasRetry(int reserved);
 
-    /** Acquires a retry; false where none is to be had now. */
+    /** Acquires a retry; returns false if none is available now. */
     boolean tryAcquireRetry();
 
-    /** Acquires a health check; false where none is to be had now. */
+    /** Acquires a health check; returns false if none is available now. */
     boolean tryAcquireHealthCheck(HealthCheckReason reason);
 }
--- a/gateway/src/main/java/ploverdale/model/RequestClass.java
+++ b/gateway/src/main/java/ploverdale/model/RequestClass.java
@@ -1,19 +1,19 @@
 package ploverdale.model;
 
 /**
- * A class of requests: what it promises its clients and needs of the servers. Times are {@link Ticks}.
+ * The properties that all requests of a class share. Times are {@link Ticks}.
  *
  * @param latencyObjective the latency up to which an answer has its full value
- * @param objectivePerWork what each unit of expected work adds to the objective
- * @param timeout after which the client no longer waits
- * @param idempotence whether and how a request may run twice
- * @param idempotencyScope which servers recognize a repeat by its key
- * @param idempotencyWindow for how long they do
+ * @param objectivePerWork how much each unit of expected work adds to the latency objective
+ * @param timeout how long the client waits for the answer
+ * @param idempotence whether a request may run more than once
+ * @param idempotencyScope which servers recognize a repeated request by its idempotency key
+ * @param idempotencyWindow for how long they recognize it
  * @param value the priority weight of a request
- * @param lateValueShare the part of its value that an answer beyond the objective still has
+ * @param lateValueShare the fraction of its value that an answer has after the latency objective
  * @param streamed whether the response is streamed
  * @param consistency how recent the data must be
- * @param stalenessBound how old it may be, for {@link Consistency#BOUNDED}
+ * @param stalenessBound the maximum age of the data, for {@link Consistency#BOUNDED}
  */
 public record RequestClass(
         long latencyObjective,
@@ -28,37 +28,37 @@
         Consistency consistency,
         long stalenessBound) {
 
-    /** What may happen when a request runs again. */
+    /** Whether a request may run more than once. */
     public enum Idempotence {
-        /** Nothing. */
+        /** Running the request again has no further effect. */
         IDEMPOTENT,
-        /** Nothing, at servers that recognize its idempotency key. */
+        /** Running the request again has no further effect at servers that recognize its idempotency key. */
         WITH_IDEMPOTENCY_KEY,
-        /** A second effect. */
+        /** Running the request again would apply its effect a second time. */
         NOT_IDEMPOTENT
     }
 
-    /** Which servers recognize the repeat of a request by its idempotency key. */
+    /** Which servers recognize a repeated request by its idempotency key. */
     public enum Scope {
         /** All servers. */
         ALL,
-        /** Those of the zone in which it ran first. */
+        /** The servers in the zone where the request ran first. */
         ZONE,
-        /** Those of the group in which it ran first. */
+        /** The servers of the replica group where the request ran first. */
         GROUP
     }
 
     /** How recent the data must be. */
     public enum Consistency {
-        /** A write, at the primary. */
+        /** A write; only the primary accepts it. */
         WRITE,
-        /** A read of the latest data, at the primary. */
+        /** A read of the latest data; only the primary has it. */
         FRESH,
-        /** A read that includes the session's last write. */
+        /** A read whose data must include the session's last write. */
         SESSION,
-        /** A read of data no older than the staleness bound. */
+        /** A read whose data may be no older than the staleness bound. */
         BOUNDED,
-        /** A read of data of any age. */
+        /** A read whose data may have any age. */
         UNBOUNDED
     }
 }
--- a/gateway/src/main/java/ploverdale/model/RequestClassId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestClassId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The index of a request class in the list of the settings. */
+/** Identifies a request class by its index in the list of the settings. */
 public record RequestClassId(int index) {}
--- a/gateway/src/main/java/ploverdale/model/RequestId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The name of one submission of a request, as its client sent it. */
+/** Identifies one submission of a request; the text is the one that the client sent. */
 public record RequestId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/ServerGuarantees.java
+++ b/gateway/src/main/java/ploverdale/model/ServerGuarantees.java
@@ -1,14 +1,15 @@
 package ploverdale.model;
 
 /**
- * What the contract between the operator and its databases guarantees. Times are {@link Ticks}.
+ * What the settings guarantee about the database servers and discovery. Times are {@link Ticks}.
  *
- * @param startCapacity the part of its capacity that a server has right after its start
- * @param slowStartDuration until it has its full capacity
- * @param overloadMultiple of the mean traffic, which a server bears in a window
- * @param overloadWindow the window in which requests at a recovering server are counted
- * @param removalBinds whether a server that the list no longer names is out of service even without a drain before it
- * @param askListWithin how soon a failed list call is to be repeated
+ * @param startCapacity the fraction of its full capacity that a server has right after its start
+ * @param slowStartDuration how long after its start a server reaches its full capacity
+ * @param overloadMultiple how many times its mean traffic a server withstands within an overload window
+ * @param overloadWindow the length of the window in which the requests at a recovering server are counted
+ * @param removalBinds whether a server that is missing from the endpoint list is out of service even if it was not
+ *     drained before
+ * @param askListWithin how soon a failed call for the endpoint list has to be repeated
  */
 public record ServerGuarantees(
         double startCapacity,
--- a/gateway/src/main/java/ploverdale/model/ServerId.java
+++ b/gateway/src/main/java/ploverdale/model/ServerId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The name of a database server. */
+/** Identifies a database server by its name in the endpoint list. */
 public record ServerId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/SessionId.java
+++ b/gateway/src/main/java/ploverdale/model/SessionId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The name of a client's session. */
+/** Identifies a session by the session key that the client sends with its requests. */
 public record SessionId(String text) {}
--- a/gateway/src/main/java/ploverdale/model/Tenant.java
+++ b/gateway/src/main/java/ploverdale/model/Tenant.java
@@ -1,4 +1,8 @@
 package ploverdale.model;
 
-/** A tenant's agreed traffic over all gateways. */
+/**
+ * A tenant.
+ *
+ * @param requestsPerSecond the tenant's agreed traffic, over all gateways
+ */
 public record Tenant(double requestsPerSecond) {}
--- a/gateway/src/main/java/ploverdale/model/TenantId.java
+++ b/gateway/src/main/java/ploverdale/model/TenantId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The index of a tenant in the list of the settings. */
+/** Identifies a tenant by its index in the list of the settings. */
 public record TenantId(int index) {}
--- a/gateway/src/main/java/ploverdale/model/ZoneId.java
+++ b/gateway/src/main/java/ploverdale/model/ZoneId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** The number of a zone in which servers run. */
+/** Identifies a zone, which is a failure domain in which servers run. */
 public record ZoneId(int number) {}
