--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -8,24 +8,31 @@
 import ploverdale.state.ServerState;
 
 /**
- * Outlier detection: ejects servers whose answers are missing, whose health checks are missed, or whose attempts fail, and
- * readmits them after a growing backoff. Silence that this gateway itself or a common cause explains better
- * ({@link LocalHealth}) makes a server only suspect, which is checked before it gets a new request.
+ * Outlier detection: ejects servers that do not answer attempts or health checks or whose attempts fail, and readmits
+ * them after a growing backoff. If a silence of the server (a time without any answer) is better explained by a delay
+ * of this gateway or by a common cause ({@link LocalHealth}), the server is not ejected but only suspected: it gets no
+ * new request until it has answered a health check. Not thread-safe. Times are {@link Ticks}.
  */
 final class OutlierDetector {
-    /** Missed health checks in a row before an ejection; one may be chance. */
+    /** Consecutive missed health checks after which a server is ejected; a single one may be lost by chance. */
     static final int CHECKS_MISSED = 2;
-    /** Longer than short pauses of a server. */
+    /** The shortest silence for which a server is ejected or suspected; longer than usual short pauses of a server. */
     static final long SHORTEST_SILENCE = Ticks.ofMillis(400);
-    /** A server that was away for less did not restart; one that fails again this soon after its return fails its trial. */
+    /**
+     * The shortest time that a restart takes: a server that was unresponsive for less has not restarted. If a server is
+     * ejected again this soon after its readmission, its backoff doubles.
+     */
     static final long SHORTEST_RESTART = Ticks.ofMillis(1500);
-    /** The longest backoff of an ejected server. */
+    /** The maximum backoff before the next health check of an ejected server. */
     static final long LONGEST_BACKOFF = Ticks.ofMillis(8000);
-    /** Share of failed attempts from which a server is ejected. */
+    /** The fraction of failed attempts from which on a server is ejected. */
     static final double FAILURE_SHARE = 0.3;
 
     private static final long FIRST_BACKOFF = Ticks.ofMillis(300);
-    /** Answers that must be missing; with fewer, chance has it so once in thousands of times. */
+    /**
+     * A server is silent if more than this number of expected answers is missing. A healthy server misses as many by
+     * chance only once in thousands of cases.
+     */
     private static final double ANSWERS_MISSING = 8;
 
     private final DecisionContext context;
@@ -50,7 +57,10 @@
         this.canceller = canceller;
     }
 
-    /** Ejects or suspects a server that sent far fewer answers than its attempts should have brought: dead, hung or cut off. */
+    /**
+     * Ejects or suspects a server that has not answered for so long that many answers to its attempts are missing,
+     * because it is dead, hung or unreachable. Called periodically.
+     */
     void checkForSilence(ServerState server) {
         long now = context.now();
         List<PendingRequest> attempts = server.attemptsSinceReadmission();
@@ -77,7 +87,7 @@
                 + server.load().attemptsInFlight() + " out";
     }
 
-    /** How many answers should have come by now, by the latency that the requests usually have. */
+    /** Returns how many answers were expected by now, given the usual latency of the requests in flight. */
     private double missingAnswers(ServerState server, List<PendingRequest> attempts, long silence) {
         double inflation = Math.max(1, server.load().measuredInflation());
         return attempts.stream()
@@ -86,7 +96,10 @@
                 .sum();
     }
 
-    /** A gateway with few requests would take a slow server for dead while others get answers from it. */
+    /**
+     * Whether a peer received a report from the server during the silence. A gateway with few requests would otherwise
+     * take a slow server for dead while other gateways get answers from it.
+     */
     private boolean isReportedByOthersWithin(ServerState server, long silence) {
         return gossip.isNeededForPositions() && server.replication().positionReportAge(context.now()) < silence;
     }
@@ -97,10 +110,13 @@
                 || localHealth.commonSilence(now, server, now - silence, directory.servers());
     }
 
-    /** As {@link #suspect}; requests that may be repeated go where answers have come meanwhile. */
+    /**
+     * Suspects a server that has been silent since this time. If another member of its group has answered since, the
+     * requests in flight that may be retried are cancelled, so that they are retried there.
+     */
     private void suspectSilent(ServerState server, long since) {
         suspect(server);
-        server.ejection().countAtLeast(CHECKS_MISSED - 1); // missing answers and one more missed check are enough
+        server.ejection().countAtLeast(CHECKS_MISSED - 1); // so that one missed health check is enough for an ejection
         boolean othersAnswer = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
@@ -110,7 +126,7 @@
         }
     }
 
-    /** No verdict: the server gets nothing new until a further health check is answered. */
+    /** Suspects a server without ejecting it: it gets no new request until it has answered another health check. */
     void suspect(ServerState server) {
         long now = context.now();
         long respondedAt = server.liveness().respondedAt();
@@ -123,8 +139,8 @@
     }
 
     /**
-     * Ejects a replica too many of whose attempts fail, which would draw traffic by failing fast, where its group has enough other
-     * servers.
+     * Ejects a replica if too many of its attempts fail and at least half of its group would remain in service. A
+     * replica that fails fast has a low latency and would otherwise attract traffic.
      */
     void ejectIfFailing(ServerState server) {
         Ejection ejection = server.ejection();
@@ -140,7 +156,11 @@
         }
     }
 
-    /** Ejects a server, unless it is ejected already. */
+    /**
+     * Ejects a server, unless it is ejected already.
+     *
+     * @param reason for the log
+     */
     void eject(ServerState server, String reason) {
         if (server.ejection().isEjected()) {
             return;
@@ -163,8 +183,8 @@
     }
 
     /**
-     * Whether the server was probably listed without ever being up. Not so where no server was confirmed: then this gateway, or
-     * all servers, start slowly.
+     * Whether the server is listed but was probably never up. False while no server at all was ever confirmed, since
+     * then this gateway or all servers may be starting slowly.
      */
     boolean wasNeverThere(ServerState server) {
         return !server.liveness().wasEverConfirmed()
@@ -172,7 +192,10 @@
                 && directory.servers().stream().anyMatch(ServerState::isConfirmedServing);
     }
 
-    /** Readmits a server that answered an attempt from before its ejection, so that it has not restarted since. */
+    /**
+     * Readmits an ejected server that answered an attempt. The attempt began before the ejection, so the server has not
+     * restarted since.
+     */
     void readmitAfterAnswer(ServerState server) {
         if (server.ejection().isEjected() && server.ejection().failureShare() < FAILURE_SHARE) {
             readmit(server, context.now(), "answers");
@@ -180,10 +203,11 @@
     }
 
     /**
-     * Readmits a server. One that may have restarted meanwhile, though no list says so yet, is taken for cold; one that may hang
-     * gets one request at a time.
+     * Readmits a server. If it may have restarted meanwhile, it begins slow start, even though the endpoint list does
+     * not state a restart yet. If it may still be hung, it gets one request at a time.
      *
      * @param aliveBefore when the server was last known to be alive
+     * @param reason for the log
      */
     void readmit(ServerState server, long aliveBefore, String reason) {
         long now = context.now();
--- a/gateway/src/main/java/ploverdale/routing/PeerGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/PeerGossip.java
@@ -5,44 +5,57 @@
 import ploverdale.gossip.GossipProtocol.ReceivedGossip;
 import ploverdale.model.ServerId;
 
-/** What the router exchanges with other gateways about servers; {@link DisabledGossip} where they may not talk. */
+/**
+ * The router's exchange of server observations with peers. {@link EnabledGossip} runs the gossip protocol;
+ * {@link DisabledGossip} does nothing and is used if gateways may not send each other datagrams.
+ */
 interface PeerGossip {
-    /** Whether gateways may talk at all. */
+    /** Whether gateways may send each other datagrams. */
     boolean isEnabled();
 
-    /** Whether own answers come so seldom that the positions which others report are needed between them. */
+    /**
+     * Whether this gateway gets answers from the servers so rarely that it also needs the log positions that peers
+     * report.
+     */
     boolean isNeededForPositions();
 
-    /** The endpoint list names this server. */
+    /** Called when the endpoint list names a server that it did not name before. */
     void serverListed(ServerId server);
 
-    /** The endpoint list no longer names this server. */
+    /** Called when the endpoint list no longer names a server. */
     void serverRemoved(ServerId server);
 
-    /** Positions so far cannot be compared with later ones. */
+    /**
+     * Discards all log positions; called when they cannot be compared with later ones, since the clock offset has
+     * changed.
+     */
     void forgetPositions();
 
-    /** A request has arrived, which pays for gossip. */
+    /** Called when a request has arrived. The bandwidth for gossip is limited in proportion to the requests. */
     void requestArrived();
 
-    /** The server reported its position to this gateway. */
+    /** Called when a server reported its log position to this gateway. */
     void positionReported(long now, ServerId server);
 
-    /** What this gateway knows of the server may have changed. */
+    /** Called when this gateway's observation of a server may have changed. */
     void serverObserved(long now, ServerId server);
 
-    /** Whether others were right about the primary has turned out at the server itself. */
+    /**
+     * Called when a write has shown whether a server is the primary.
+     *
+     * @param right whether it is
+     */
     void primaryVerified(long now, ServerId server, boolean right);
 
-    /** Whether something waits to be sent. */
+    /** Whether datagrams may have to be sent soon. */
     boolean hasPending(long now);
 
-    /** What is to be sent by now. */
+    /** Returns the datagrams that are due to be sent now. */
     List<OutboundPacket> due(long now);
 
-    /** What is to be sent as this gateway shuts down. */
+    /** Returns the datagrams that tell peers that this gateway shuts down. */
     List<OutboundPacket> shutdown(long now);
 
-    /** Takes a datagram of another gateway. */
+    /** Processes a datagram that arrived from the peer with this index. */
     ReceivedGossip receive(long now, int peer, byte[] datagram);
 }
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -16,7 +16,7 @@
 import ploverdale.state.ReplicaGroup;
 import ploverdale.state.ServerState;
 
-/** Takes each request from its arrival through its attempts to its one final answer. */
+/** Takes each request from its arrival through its attempts to its final answer; every request gets exactly one. */
 final class RequestDispatcher {
     private final DecisionContext context;
     private final RoutingSettings settings;
@@ -31,7 +31,7 @@
     private final AttemptCanceller canceller;
     private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
 
-    /** The parts that a request's course depends on. */
+    /** The collaborators of the dispatcher. */
     record Dependencies(
             DecisionContext context,
             RoutingSettings settings,
@@ -59,7 +59,7 @@
         canceller = dependencies.canceller;
     }
 
-    /** Takes a new request; it is dispatched by the caller. */
+    /** Registers a new request. The caller must then {@link #dispatch} it. */
     PendingRequest accept(RequestArrived arrival) {
         long now = context.now();
         RequestClass requestClass = settings.requestClass(arrival.type());
@@ -76,7 +76,10 @@
         return request;
     }
 
-    /** The latency objective, less what the client spent on an earlier submission. */
+    /**
+     * Returns the latency objective as a point in time. For a resubmitted request the time that the client is assumed
+     * to have spent on the earlier submission is subtracted.
+     */
     private long objectiveAt(RequestArrived arrival, RequestClass requestClass) {
         long objective =
                 requestClass.latencyObjective() + (long) (requestClass.objectivePerWork() * arrival.expectedWork());
@@ -84,20 +87,20 @@
         return context.now() + objective - spent;
     }
 
-    /** The request of this name, if it has no final answer yet. */
+    /** Returns the request with this id, if it has no final answer yet. */
     Optional<PendingRequest> find(RequestId id) {
         return Optional.ofNullable(requests.get(id));
     }
 
-    /** Whether no request is pending. */
+    /** Whether no request is waiting or in flight. */
     boolean isIdle() {
         return requests.isEmpty();
     }
 
     /**
-     * Has the request attempted, wait, or be answered with a rejection or failure.
+     * Starts an attempt of the request, lets it wait for a server, or answers it with a rejection or failure.
      *
-     * @return false where it waits
+     * @return false if the request waits
      */
     boolean dispatch(PendingRequest request) {
         ReplicaGroup group = directory.group(request.arrival().group());
@@ -141,14 +144,21 @@
         slowStart.attempted(server, request.usualLatency(), now);
     }
 
-    /** A position ages while a connection is made, so a bounded read has a time to be written by, unless the replica checks it. */
+    /**
+     * Returns the latest time at which the request may be written to the server. A bounded read has such a time, since
+     * the replica's known position ages while a connection is established; it has none if replicas check the staleness
+     * themselves.
+     */
     private long writeBy(PendingRequest request, ServerState server) {
         boolean ages =
                 request.consistency() == Consistency.BOUNDED && !server.isPrimary() && !settings.replicasCheckReads();
         return ages ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
     }
 
-    /** An attempt has ended without a final answer of the request: it is attempted again, if it may be, or finished. */
+    /**
+     * Called when an attempt has ended without giving the request its final answer. The request is dispatched again if
+     * it may be retried; otherwise it is rejected or failed.
+     */
     void continueAfter(PendingRequest request, ServerState server, Outcome outcome) {
         request.endAttempt();
         retryPolicy.recordOutcome(request, server, outcome);
@@ -159,18 +169,18 @@
         }
     }
 
-    /** The request has its final answer. */
+    /** Called when the request has got its final answer. */
     void complete(PendingRequest request) {
         requests.remove(request.id());
     }
 
-    /** The client has gone: no answer is owed. */
+    /** Called when the client has disconnected. The request gets no answer, and its attempt in flight is cancelled. */
     void abandon(PendingRequest request) {
         requests.remove(request.id());
         canceller.cancel(request);
     }
 
-    /** Answers each pending request now. */
+    /** Rejects or fails all requests that are waiting or in flight, and cancels their attempts. */
     void finishAll() {
         for (PendingRequest request : List.copyOf(requests.values())) {
             canceller.cancel(request);
@@ -187,7 +197,10 @@
                 isSafe ? new Action.RejectRequest(request.id(), retryAfter) : new Action.FailRequest(request.id()));
     }
 
-    /** Dispatches the group's waiting requests anew, until one of each class has to wait on. */
+    /**
+     * Dispatches the group's waiting requests again. As soon as one request of a class has to keep waiting, the others
+     * of that class keep waiting, too, except those whose time to wait is over.
+     */
     void release(ReplicaGroup group) {
         if (group.waiting().isEmpty()) {
             return;
@@ -203,7 +216,10 @@
         }
     }
 
-    /** The servers' wall clock has another offset: required positions are dated anew. */
+    /**
+     * Called when the offset of the servers' wall clock has changed. Log positions that requests require are replaced
+     * by the current time, which is at least as late.
+     */
     void redateRequiredPositions() {
         requests.values().forEach(request -> request.redateRequiredPosition(context.now()));
     }
--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -11,12 +11,15 @@
 import ploverdale.state.ServerState;
 
 /**
- * Decides whether and where a request may be attempted again, which attempts end early so that a retry is in time, and what a
- * request that ends without success may promise its client. Retries are a small part of all attempts (a retry budget), so that
- * they cannot become a storm.
+ * Decides whether and at which servers a request may be retried, which attempts get an early timeout so that a retry is
+ * in time, and whether the client of an unsuccessful request may submit it again. A retry budget keeps retries to a
+ * small fraction of all attempts, which prevents retry storms.
  */
 final class RetryPolicy {
-    /** Of the latency objective, after which a rejected request may be submitted again; later would be in vain. */
+    /**
+     * Fraction of the latency objective after which a client may submit a rejected request again. After a longer delay
+     * the answer would hardly meet the objective.
+     */
     static final double RESUBMIT_AFTER = 0.25;
 
     private final DecisionContext context;
@@ -30,7 +33,7 @@
         this.quota = quota;
     }
 
-    /** Whether the request may be attempted, for the first time or again. */
+    /** Whether the request may have a first or a further attempt now. */
     boolean mayAttempt(PendingRequest request) {
         if (request.attempts() >= capabilities.attemptsPerRequest()) {
             return false;
@@ -39,7 +42,10 @@
                 || request.idempotence() != Idempotence.NOT_IDEMPOTENT && context.now() < request.retryUntil();
     }
 
-    /** Whether the server would recognize a repeat: a request with an idempotency key that may have run goes nowhere else. */
+    /**
+     * Whether an attempt at this server is safe with regard to earlier attempts. A request with an idempotency key that
+     * may have run must only be retried at servers that recognize its key.
+     */
     boolean recognizesRepeat(PendingRequest request, ServerState server) {
         if (!request.mayHaveRun() || request.idempotence() != Idempotence.WITH_IDEMPOTENCY_KEY) {
             return true;
@@ -52,7 +58,7 @@
         };
     }
 
-    /** Takes note of an attempt's end that does not prove that the request did not run. */
+    /** Records the outcome of an attempt, if it leaves open whether the request ran. */
     void recordOutcome(PendingRequest request, ServerState server, Outcome outcome) {
         if (outcome.provesNotRun() || request.mayHaveRun()) {
             return;
@@ -63,21 +69,24 @@
         request.recordPossibleRun(server, hasKey ? windowEnd : Long.MAX_VALUE);
     }
 
-    /** Whether the retry budget has a retry; a write that met a server which is not the primary needs none. */
+    /**
+     * Acquires a retry from the retry budget; returns false if it has none. A write that was sent to a server that is
+     * not the primary is retried without using the budget.
+     */
     boolean tryAcquireRetry(PendingRequest request, Outcome outcome) {
         boolean wrongPrimary = outcome == Outcome.MISDIRECTED && request.isWrite();
         return wrongPrimary || quota.tryAcquireRetry();
     }
 
-    /** When an attempt that begins now at this server is given up early, in favour of a retry. */
+    /** Returns when an attempt that begins now at this server times out, if it gets an early timeout. */
     long earlyTimeoutAt(PendingRequest request, ServerState server) {
         double inflation = server.load().inflation(context.now());
         return context.now() + (long) (LatencyEstimate.RARELY_EXCEEDED * request.usualLatency() * inflation);
     }
 
     /**
-     * Whether an attempt at this server is to end early: the server's answers often get lost, and a retry may follow, can be paid
-     * for, and would still be in time.
+     * Whether an attempt at this server gets an early timeout. It does if the server's answers often get lost, and a
+     * retry is permitted, is within the retry budget, and would still be in time.
      */
     boolean endsEarly(PendingRequest request, ServerState server) {
         boolean retryFollows =
@@ -89,12 +98,12 @@
         return RequestDeadlines.valuableUntil(request) - earlyTimeoutAt(request, server) > expected;
     }
 
-    /** Reserves the retry that follows an attempt which ends early. */
+    /** Reserves a retry for an attempt with an early timeout. */
     void reserveRetry() {
         reservedRetries++;
     }
 
-    /** Releases the retry that was reserved for the request's attempt, if one was. */
+    /** Releases the retry that is reserved for the request's attempt, if any. */
     void releaseRetry(PendingRequest request) {
         if (request.hasEarlyTimeout()) {
             reservedRetries--;
@@ -102,7 +111,7 @@
         }
     }
 
-    /** Whether the client may submit the request again without the risk of a second effect. */
+    /** Whether the client may submit the request again without the risk that it takes effect twice. */
     boolean isSafeToResubmit(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
         return !request.mayHaveRun()
@@ -111,7 +120,9 @@
                         && requestClass.idempotencyScope() == Scope.ALL;
     }
 
-    /** After how long the client may submit the request again; 0 where it may not be told. */
+    /**
+     * Returns after how long the client may submit the request again; 0 if the settings do not permit to state that.
+     */
     long retryAfter(PendingRequest request) {
         long quotaPause = request.isBeyondShare()
                 ? quota.retryAfter(context.now(), request.arrival().tenant())
--- a/gateway/src/main/java/ploverdale/routing/RoleTracker.java
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -7,9 +7,12 @@
 import ploverdale.state.ReplicationStatus;
 import ploverdale.state.ServerState;
 
-/** Learns roles and log positions from what servers report of themselves, and with them which server is a group's primary. */
+/**
+ * Learns roles and log positions from the reports of the servers, and from the roles which server is the primary of
+ * each group. Times are {@link Ticks}.
+ */
 final class RoleTracker {
-    /** How old a load report may be when it arrives. */
+    /** The maximum age of a load report when it arrives. */
     static final long REPORT_AGE = Ticks.ofMillis(300);
 
     private final DecisionContext context;
@@ -21,10 +24,10 @@
     }
 
     /**
-     * Takes over a load report, which may have been made a while ago. A primary's position tells when it was made, so that an old
-     * report does not revive a role that was lost since.
+     * Learns from a load report, which may be outdated when it arrives. The position in a primary's report shows when
+     * the report was made, so that an outdated report does not restore a role that the server has lost since.
      *
-     * @param report null where there is none
+     * @param report the report, or null if there is none
      */
     void learnLoadReport(ServerState server, LoadReport report) {
         if (report == null) {
@@ -35,9 +38,9 @@
     }
 
     /**
-     * Takes over what was reported at this time: the latest report of a role wins, and a position never goes back.
+     * Learns from a report that was made at this time. The latest report of a role wins; a position never decreases.
      *
-     * @param report null where there is none
+     * @param report the report, or null if there is none
      */
     void learnReport(ServerState server, LoadReport report, long reportedAt) {
         if (report == null) {
@@ -51,7 +54,7 @@
         learnRole(server, report.role(), reportedAt);
     }
 
-    /** Takes over a role that was reported at this time, unless a later report is known. */
+    /** Learns a role that was reported at this time, unless a later report is known. */
     void learnRole(ServerState server, Role role, long reportedAt) {
         if (!server.replication().recordRole(role, reportedAt)) {
             return;
--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -9,12 +9,14 @@
 import ploverdale.state.SessionWrites;
 
 /**
- * The entry point of all decisions of one gateway. The host hands each {@link Event} to {@link #on} with the time and carries out
- * the returned {@link Action}s in their order. The method is described in docs/design.md; {@link EventDecisions} shows which part
- * takes which event. Not thread-safe: it belongs to one event loop. Times are {@link ploverdale.model.Ticks}.
+ * The entry point of all routing decisions of a gateway. The host (an event loop or a simulator) passes each
+ * {@link Event} to {@link #on} with the current time and carries out the returned {@link Action}s in order.
+ * docs/design.md describes how the router decides; {@link EventDecisions} shows which class handles which event. Not
+ * thread-safe: a router belongs to one event loop. Times are {@link ploverdale.model.Ticks}.
  */
 public final class Router {
-    private static final int SESSIONS_KEPT = 50_000; // some megabytes
+    /** The maximum number of sessions whose last write is remembered; takes some megabytes. */
+    private static final int SESSIONS_KEPT = 50_000;
 
     private final DecisionContext context = new DecisionContext();
     private final ServerDirectory directory = new ServerDirectory();
@@ -22,7 +24,7 @@
     private final SessionWrites sessionWrites = new SessionWrites(SESSIONS_KEPT);
     private EventHandler handler;
 
-    /** @param quota of what all gateways share, or null: each takes its part of the whole */
+    /** @param quota the quota of the shared limits, or null if each gateway takes a fixed, equal part of them */
     public Router(Quota quota) {
         handler = new BeforeStart(
                 localHealth,
@@ -31,10 +33,10 @@
     }
 
     /**
-     * Decides on an event.
+     * Handles an event.
      *
-     * @param time the current time, which never goes back
-     * @return what is to be done, in this order
+     * @param time the current time; never less than in an earlier call
+     * @return the actions to be carried out, in this order
      */
     public List<Action> on(long time, Event event) {
         context.begin(time);
@@ -42,7 +44,7 @@
         return context.actions();
     }
 
-    /** Whether requests may still be written to this server: not once it is known to drain or to be removed. */
+    /** Whether requests may be written to this server; false once it is known to be draining or removed. */
     public boolean mayReceive(ServerId server) {
         return directory.isActive(server);
     }
--- a/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -8,7 +8,7 @@
 import ploverdale.quota.StaticQuota;
 import ploverdale.state.SessionWrites;
 
-/** Builds the parts of a router from what the gateway is started with. Decides nothing. */
+/** Creates the objects of a router from the settings with which the gateway is started, and connects them. */
 final class RouterAssembly {
     private final DecisionContext context;
     private final ServerDirectory directory;
@@ -29,7 +29,7 @@
     private final RetryPolicy retryPolicy;
     private final StalenessFilter stalenessFilter;
 
-    /** @param sharedQuota of what all gateways share, or null: each takes its part of the whole */
+    /** @param sharedQuota the quota of the shared limits, or null if each gateway takes a fixed, equal part of them */
     RouterAssembly(
             DecisionContext context,
             ServerDirectory directory,
@@ -73,7 +73,7 @@
         return new EnabledGossip(protocol);
     }
 
-    /** Puts the parts together and has maintenance begin. */
+    /** Creates the event handler of the router and starts the periodic maintenance. */
     EventDecisions assemble() {
         EndpointRegistry endpoints = new EndpointRegistry(context, settings, directory, gossip, healthChecker, random);
         EndpointWatch endpointWatch = new EndpointWatch(context, random);
--- a/gateway/src/main/java/ploverdale/routing/RoutingDecision.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingDecision.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 import ploverdale.state.ServerState;
 
-/** Where a request goes now. */
+/** The decision on a request: forward it to a server, let it wait, or reject it. */
 sealed interface RoutingDecision {
-    /** No server may take the request now, but one may before its time is up. */
+    /** No server may take the request now, but one may before the request times out. */
     RoutingDecision WAIT = new Wait();
     /** No server may take the request, and waiting will not change that. */
     RoutingDecision REJECT = new Reject();
 
-    /** The server that the request goes to, if there is one. */
+    /** Returns the server to which the request is to be forwarded; empty if it waits or is rejected. */
     Optional<ServerState> server();
 
-    /** Whether the request waits for a server. */
+    /** Whether the request is to wait for a server. */
     boolean isWait();
 
-    /** The request goes to this server, if admission agrees. */
+    /** Returns the decision to forward the request to this server, if admission control admits it. */
     static RoutingDecision forwardTo(ServerState server) {
         return new Forward(server);
     }
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -12,17 +12,22 @@
 import ploverdale.model.Tenant;
 import ploverdale.model.Ticks;
 
-/** What the gateway was started with, and what follows from it for every decision. Immutable. */
+/**
+ * The settings with which the gateway was started, and values derived from them. Immutable. Times are {@link Ticks}.
+ */
 final class RoutingSettings {
-    /** Attempts in flight, or first health checks, a server, over all gateways. */
+    /**
+     * Initial concurrency limit of a newly listed server, and expected number of its first health checks, over all
+     * gateways.
+     */
     private static final double FIRST_LIMIT = 24;
-    /** Attempts in flight a server at the least, over all gateways. */
+    /** Minimum concurrency limit of a server, over all gateways. */
     private static final double LEAST_LIMIT = 8;
-    /** The most that the part of one gateway in {@link #LEAST_LIMIT} may be. */
+    /** Maximum of one gateway's part of {@link #LEAST_LIMIT}. */
     private static final double LEAST_LIMIT_OF_ONE_GATEWAY = 2;
-    /** The time between health checks where no read has a staleness bound, so that only roles can change. */
+    /** Interval of health checks if no read has a staleness bound, so that they only have to notice changed roles. */
     private static final long LONGEST_CHECK_INTERVAL = Ticks.ofMillis(1000);
-    /** Health checks in the time of the tightest staleness bound, so that a position is fresh when a read comes. */
+    /** Health checks per tightest staleness bound, so that the known position is fresh enough when a read arrives. */
     private static final int CHECKS_PER_STALENESS_BOUND = 3;
 
     private final Event.Started started;
@@ -32,7 +37,10 @@
     private final long tightestBound;
     private final long checkInterval;
 
-    /** @param quotaLimitsAttempts whether attempts are limited over all gateways by quota, so that a gateway needs no part of its own */
+    /**
+     * @param quotaLimitsAttempts whether the quota limits the attempts in flight over all gateways, so that the minimum
+     *     concurrency limit need not be divided by the number of gateways
+     */
     RoutingSettings(Event.Started started, boolean quotaLimitsAttempts) {
         this.started = started;
         gateways = Math.max(1, started.gateways());
@@ -48,77 +56,80 @@
         checkInterval = Math.min(LONGEST_CHECK_INTERVAL, tightestBound / CHECKS_PER_STALENESS_BOUND);
     }
 
-    /** How many gateways share the servers, at least one. */
+    /** Returns the number of gateways that share the servers, at least 1. */
     int gateways() {
         return gateways;
     }
 
-    /** All request classes, by their index. */
+    /** Returns all request classes, by their index. */
     List<RequestClass> requestClasses() {
         return started.requestClasses();
     }
 
-    /** The request class of this id. */
+    /** Returns the request class with this id. */
     RequestClass requestClass(RequestClassId id) {
         return started.requestClasses().get(id.index());
     }
 
-    /** What a request beyond its tenant's agreed traffic is worth, as a part of its class's value. */
+    /** Returns the value of a request beyond its tenant's agreed traffic, as a fraction of its class's value. */
     double valueBeyondShare() {
         return started.beyondShareValue();
     }
 
-    /** What the servers guarantee. */
+    /** Returns what the servers and discovery guarantee. */
     ServerGuarantees guarantees() {
         return started.guarantees();
     }
 
-    /** What this gateway may do. */
+    /** Returns what this gateway is permitted to do. */
     Capabilities capabilities() {
         return started.capabilities();
     }
 
-    /** How replicas follow and what they say of it. */
+    /** Returns what replicas guarantee about the freshness of reads. */
     ReplicaGuarantees replicaGuarantees() {
         return started.replicaGuarantees();
     }
 
-    /** Whether replicas check by themselves whether a read is too fresh for them. */
+    /** Whether replicas themselves check that their data is recent enough for a read. */
     boolean replicasCheckReads() {
         return started.replicaGuarantees().stalenessCheck() != StalenessCheck.NONE;
     }
 
-    /** The tightest staleness bound of all classes, or the largest number where none has one. */
+    /** Returns the tightest staleness bound of all request classes; {@link Long#MAX_VALUE} if none has a bound. */
     long tightestBound() {
         return tightestBound;
     }
 
-    /** The time between periodic health checks of a server. */
+    /** Returns the interval between periodic health checks of a server. */
     long checkInterval() {
         return checkInterval;
     }
 
-    /** How many attempts may be in flight at a newly listed server. */
+    /** Returns the initial concurrency limit: how many attempts may be in flight at a newly listed server. */
     double initialLimit() {
         return Math.max(leastLimit, firstLimit);
     }
 
-    /** The chance that this gateway checks a newly listed server at once, so that a few of all gateways do. */
+    /**
+     * Returns the probability (1 or more for certainty) with which this gateway checks the health of a newly listed
+     * server at once. It is such that only a limited number of all gateways do.
+     */
     double firstCheckProbability() {
         return firstLimit;
     }
 
-    /** How many attempts may be in flight at any server at least. */
+    /** Returns the minimum concurrency limit: how many attempts may always be in flight at a server. */
     double leastLimit() {
         return leastLimit;
     }
 
-    /** The agreed traffic of all tenants in the contract's overload window. */
+    /** Returns the agreed traffic of all tenants at all gateways, in requests per overload window. */
     double requestsPerOverloadWindow() {
         return agreedRequestsPerSecond() * started.guarantees().overloadWindow() / Ticks.PER_SECOND;
     }
 
-    /** The agreed traffic of all tenants at all gateways. */
+    /** Returns the agreed traffic of all tenants at all gateways, in requests per second. */
     double agreedRequestsPerSecond() {
         return started.tenants().stream().mapToDouble(Tenant::requestsPerSecond).sum();
     }
--- a/gateway/src/main/java/ploverdale/routing/ServerDirectory.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerDirectory.java
@@ -10,32 +10,36 @@
 import ploverdale.state.ReplicaGroup;
 import ploverdale.state.ServerState;
 
-/** All servers and replica groups that were ever listed, in the order in which they were. */
+/** All servers and replica groups that were ever listed, in the order in which they were first listed. */
 final class ServerDirectory {
     private final Map<ServerId, ServerState> servers = new LinkedHashMap<>();
     private final Map<GroupId, ReplicaGroup> groups = new LinkedHashMap<>();
 
-    /** The server of this name, if it was ever listed. */
+    /** Returns the server with this id, if it was ever listed. */
     Optional<ServerState> find(ServerId id) {
         return Optional.ofNullable(servers.get(id));
     }
 
-    /** All servers. */
+    /** Returns all servers that were ever listed, in the order in which they were first listed. */
     Collection<ServerState> servers() {
         return Collections.unmodifiableCollection(servers.values());
     }
 
-    /** The group of this name, which is made where it is not known yet. */
+    /** Returns the group with this id, which is created if it is not known yet. */
     ReplicaGroup group(GroupId id) {
         return groups.computeIfAbsent(id, ReplicaGroup::new);
     }
 
-    /** All groups. */
+    /** Returns all known groups. */
     Collection<ReplicaGroup> groups() {
         return Collections.unmodifiableCollection(groups.values());
     }
 
-    /** Adds a server to its group. */
+    /**
+     * Adds a newly listed server.
+     *
+     * @param limit its initial concurrency limit
+     */
     ServerState add(ServerId id, GroupId group, double limit) {
         ServerState server = new ServerState(id, group(group), limit);
         servers.put(id, server);
@@ -43,7 +47,7 @@
         return server;
     }
 
-    /** Whether the server may get new requests as far as its lifecycle is concerned: not once it drains or is removed. */
+    /** Whether the server is known and neither draining nor removed. */
     boolean isActive(ServerId id) {
         ServerState server = servers.get(id);
         return server != null && server.lifecycle().isActive();
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -11,8 +11,9 @@
 import ploverdale.state.ServerState;
 
 /**
- * What this gateway says of servers to others, and what it takes over of theirs: own answers win over observations of the same
- * time, and nothing gets newer than it was at its source.
+ * Creates this gateway's observations of servers, which it sends to peers, and merges the observations that it receives
+ * from them. Answers that this gateway received itself win over observations of the same time. Times are passed on as
+ * they were at the gateway that made the observation, so that no information appears newer than it is.
  */
 final class ServerObservations {
     private final DecisionContext context;
@@ -25,7 +26,7 @@
         this.endpoints = endpoints;
     }
 
-    /** What this gateway knows of a server, in the form in which gateways exchange it. */
+    /** Returns this gateway's observation of a server, in the form in which gateways exchange it. */
     static ServerObservation observe(
             DecisionContext context, ServerDirectory directory, SlowStart slowStart, ServerId id) {
         ServerState server = directory.find(id).orElseThrow();
@@ -44,7 +45,7 @@
                 lifecycle.isDraining() ? lifecycle.drainReportedAt() : LoadReport.UNKNOWN_TIME);
     }
 
-    /** Takes over another gateway's observation of a server. */
+    /** Merges a peer's observation of a server. */
     void merge(ServerState server, ServerObservation observation) {
         endpoints.learnReportedDrain(server, observation.drainAt());
         server.slowStart().recordColdStart(observation.coldSince());
@@ -61,8 +62,10 @@
     }
 
     /**
-     * A server that others found unresponsive is checked before its next request. One that answers them counts as confirmed, but
-     * a primary is confirmed by this gateway itself once, before its first write: others may not know that it is unresponsive.
+     * Merges what a peer observed of a server's liveness. A server that peers found unresponsive gets a health check
+     * before its next request. A server that answers peers counts as confirmed, except that this gateway must itself
+     * have confirmed a primary at least once before the first write, since peers may not have noticed yet that it is
+     * unresponsive.
      */
     private void mergeLiveness(ServerState server, ServerObservation observation) {
         Liveness liveness = server.liveness();
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -11,28 +11,37 @@
 import ploverdale.state.ServerState;
 
 /**
- * Chooses the server of a request: writes and fresh reads go to the primary, other reads to the replica of least cost that the
- * {@link StalenessFilter} admits, and to the primary where none does and its latency permits. Cost is least outstanding requests,
- * weighted by latency inflation, utilization and slow start.
+ * Chooses the server of a request. Writes and fresh reads go to the primary. Other reads go to the replica with the
+ * lowest cost that the {@link StalenessFilter} admits, or to the primary if no replica is admitted and the primary's
+ * latency permits. The cost is the number of attempts in flight (least outstanding requests), weighted by latency
+ * inflation, utilization and slow start. Not thread-safe. Times are {@link Ticks}.
  */
 final class ServerSelector {
-    /** Reported utilization from which a primary gets no reads; it has the same effect as {@link #REPLICA_SATURATED}. */
+    /** Reported utilization from which on a primary gets no reads; the counterpart of {@link #REPLICA_SATURATED}. */
     private static final double PRIMARY_SATURATED = 0.95;
-    /** Reported utilization from which a replica gets no reads; queues grow from 0.8 on. */
+    /** Reported utilization from which on a replica gets no reads; queues grow from 0.8 on. */
     private static final double REPLICA_SATURATED = 1.05;
-    /** Below the utilization from which none is admitted, over which ever fewer reads are. */
+    /**
+     * Width of the range of utilization below {@link #PRIMARY_SATURATED} and {@link #REPLICA_SATURATED} in which the
+     * fraction of admitted reads falls from all to none.
+     */
     private static final double SATURATION_BAND = 0.25;
-    /** Part of the primary's limit that reads may use; the rest is kept for writes. */
+    /** Fraction of the primary's concurrency limit that reads may use; the rest is reserved for writes. */
     private static final double PRIMARY_READ_SHARE = 0.7;
-    /** Part of the primary's limit that writes may use; late writes still have a value. */
+    /** Multiple of the primary's concurrency limit that writes may use, since a late write still has a value. */
     private static final double WRITE_SHARE = 2;
-    /** Cost factor of the server of the failed attempt before, and of each rank among the servers of long reads. */
+    /** Cost factor of the server of the previous attempt, and of each rank among the servers of long reads. */
     private static final double AVOIDANCE_FACTOR = 3;
-    /** A replica that turned a read away is tried again after this, since that costs a wait and another attempt. */
+    /**
+     * After a replica rejected a read as too stale, another read is sent to it only after this time, since each further
+     * rejection costs a wait and another attempt.
+     */
     private static final long GUESS_INTERVAL = Ticks.ofMillis(1000);
-    /** A replica is ranked by its reported utilization as if this part of its capacity were left at least. */
+    /** Minimum of the spare capacity (1 minus the reported utilization) with which a replica's cost is calculated. */
     private static final double LEAST_HEADROOM = 0.1;
-    /** Random part of the cost, so that gateways do not all choose the same of several equal servers. */
+    /**
+     * Divisor of the random part of the cost, which keeps gateways from all choosing the same of several equal servers.
+     */
     private static final double COST_JITTER = 10;
 
     private final DecisionContext context;
@@ -47,7 +56,7 @@
     private final RetryPolicy retryPolicy;
     private final RandomGenerator random;
 
-    /** The parts that a choice depends on. */
+    /** The collaborators of the selector. */
     record Dependencies(
             DecisionContext context,
             RoutingSettings settings,
@@ -95,7 +104,11 @@
         return admitted ? RoutingDecision.forwardTo(primary) : RoutingDecision.WAIT;
     }
 
-    /** Asks the known primary; where none is known, also the members whose role nobody reported lately. */
+    /**
+     * Starts a health check to confirm or find the group's primary: of the known primary or, if it is unknown or not
+     * serving, of any member. If peers report positions, other members than the primary are checked only if no gateway
+     * has reported on them recently.
+     */
     private void checkForPrimary(ReplicaGroup group, ServerState primary, boolean isKnown) {
         boolean othersReport = gossip.isNeededForPositions();
         healthChecker.checkOneOf(
@@ -120,14 +133,17 @@
         }
         ServerState guess = guessReplica(request, group);
         if (guess != null) {
-            guess.replication().recordMisdirected(context.now()); // until it answers
+            guess.replication().recordMisdirected(context.now()); // no other read is sent until it reports its position
             return RoutingDecision.forwardTo(guess);
         }
         boolean worthWaiting = healthChecker.awaitsConfirmation(group) || mayGetCapacity(request, group);
         return worthWaiting ? RoutingDecision.WAIT : RoutingDecision.REJECT;
     }
 
-    /** The best replica that is surely fresh enough; where replicas check reads, else the best of those that probably are. */
+    /**
+     * Returns the replica with the lowest cost that is certainly fresh enough, or null. If there is none and replicas
+     * check reads themselves, returns the one with the lowest cost that is probably fresh enough.
+     */
     private ServerState selectReplica(PendingRequest request, ReplicaGroup group) {
         long now = context.now();
         ServerState admitted = leastCost(request, group, server -> stalenessFilter.admits(server, request, now));
@@ -137,7 +153,10 @@
         return leastCost(request, group, server -> stalenessFilter.mayBeFreshEnough(server, request, now));
     }
 
-    /** Whether a health check may make the server usable for the read: it is not confirmed, or its position is outdated. */
+    /**
+     * Whether a health check may make the server usable for the read, because the server is unconfirmed or its known
+     * position is outdated.
+     */
     private boolean mayBecomeUsable(ServerState server, PendingRequest request) {
         if (!healthChecker.isConfirmed(server)) {
             return true;
@@ -148,7 +167,10 @@
                 && isReportOutdated(server);
     }
 
-    /** The primary takes reads while its latency permits, also while the admitted replicas are full. */
+    /**
+     * Whether the primary may take a read that no replica can take. It may as long as its latency and utilization
+     * permit.
+     */
     private boolean primaryAdmitsRead(ServerState primary, PendingRequest request) {
         return primary.isServing()
                 && healthChecker.isConfirmed(primary)
@@ -158,7 +180,11 @@
                 && slowStartAdmits(primary, request);
     }
 
-    /** Where replicas check reads, reports may be outdated: one read a second tries each of them instead of being rejected. */
+    /**
+     * Returns a replica that may take the read although its last report says that it is too stale, or null. Only if
+     * replicas check reads themselves; the report may be outdated, so each replica gets one such read per
+     * {@link #GUESS_INTERVAL} instead of the read being rejected.
+     */
     private ServerState guessReplica(PendingRequest request, ReplicaGroup group) {
         if (!settings.replicasCheckReads()) {
             return null;
@@ -170,7 +196,10 @@
                         && server.replication().sinceMisdirected(context.now()) > GUESS_INTERVAL);
     }
 
-    /** Whether a replica is only full, or too old by a report that is itself old enough to be renewed. */
+    /**
+     * Whether a replica may take the read later: it lacks only capacity now, or may be fresh enough when it reports
+     * again.
+     */
     private boolean mayGetCapacity(PendingRequest request, ReplicaGroup group) {
         return group.members().stream()
                 .anyMatch(server -> !server.isPrimary()
@@ -213,8 +242,9 @@
     }
 
     /**
-     * Thins reads out at a busy server by chance, so that many gateways with few requests do not crowd one together. Own latencies,
-     * where they are newer than any report, say more than the report.
+     * Whether a busy server may take a read. Rejects a random fraction of the reads, which grows with the reported
+     * utilization, so that many gateways with few requests each do not overload a server together. If this gateway
+     * measured the server's latency more recently than a report can be, the report is ignored.
      */
     private boolean isAdmittedByUtilization(ServerState server, double saturated) {
         return hasRecentLatency(server)
@@ -225,7 +255,7 @@
         return server.load().inflationAge(context.now()) < RoleTracker.REPORT_AGE;
     }
 
-    /** Whether a server in slow start may have the request. */
+    /** Whether the server may take the request as far as slow start is concerned. */
     private boolean slowStartAdmits(ServerState server, PendingRequest request) {
         long now = context.now();
         if (!slowStart.isWarmingUp(server, now)) {
@@ -252,8 +282,9 @@
     }
 
     /**
-     * The server's rank by name, the same at every gateway. Reads that take longer than the tightest staleness bound may stop a
-     * replica's apply, so all gateways put them on the same few replicas and the others stay fresh.
+     * Returns the server's rank among the serving replicas of its group by name, which is the same at every gateway.
+     * Reads that take longer than the tightest staleness bound may keep a replica from applying the log, so all
+     * gateways send them to the same few replicas and the others stay fresh.
      */
     private static long rankForLongReads(ServerState server) {
         return server.group().members().stream()
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -9,31 +9,37 @@
 import ploverdale.state.SlowStartProgress;
 
 /**
- * Slow start: limits what this gateway sends to a recovering server, so that all gateways together stay within what the contract
- * lets the server bear in each window. No gateway knows what the others send. Each spends only its own part of that budget, as a
- * token bucket in units of work. A gateway whose part is less than one request plays a lottery for a whole one (as in lottery
- * scheduling, Waldspurger and Weihl 1994), since the saved-up parts of a hundred gateways would be a hundred requests at once. Not
- * thread-safe. Times and work are {@link Ticks}.
+ * Slow start: limits what this gateway sends to a recovering server, so that the load from all gateways together stays
+ * within the server's budget in each overload window. The budget is {@link ServerGuarantees#overloadMultiple} times the
+ * usual traffic of a server, reduced in proportion to the server's present capacity. Gateways do not know what the
+ * others send; each uses only its own part of the budget, in a token bucket that counts units of work. If the part of a
+ * gateway is less than one request, it takes part in a lottery for a whole request (as in lottery scheduling,
+ * Waldspurger and Weihl 1994): if each of a hundred gateways saved tokens until they suffice for a request, they could
+ * send a hundred requests at once. Not thread-safe. Times and work are {@link Ticks}.
  */
 final class SlowStart {
     /**
-     * Part of the budget that is planned for. A full bucket and a window's refill may meet in one window: together
-     * BUDGET_SHARE * (1 + BURST) of the budget; the rest is for servers that are slower than their peers.
+     * Fraction of the budget that the token buckets are refilled with in a window. A full bucket and the refill of a
+     * whole window can be used in one window: together BUDGET_SHARE * (1 + BURST) of the budget. The rest is left for
+     * servers that are slower than others.
      */
     private static final double BUDGET_SHARE = 0.6;
-    /** Part of a window's refill, which the bucket holds at most. */
+    /** Size of a bucket as a fraction of a window's refill, apart from its part of the slack. */
     private static final double BURST = 0.25;
-    /** Part of the rule's slack, which the bucket holds besides; the rest is for chance. */
+    /** Fraction of the slack by which the buckets are larger; the rest covers random variation. */
     private static final double SLACK_SHARE = 0.4;
-    /** How long a ticket that was won admits a request, in windows. */
+    /** How long a ticket won in the lottery admits a request, in windows. */
     private static final double TICKET_LASTS = 0.5;
-    /** Part of the equal part that is kept where peers take less; most of the budget goes by use. */
+    /**
+     * Minimum of a gateway's part, as a fraction of an equal part of the agreed traffic; applies if servers past slow
+     * start get less from this gateway. Most of the budget follows the actual use.
+     */
     private static final double AGREED_SHARE = 0.5;
-    /** Requests a window and server, over all gateways, where the settings name none. */
+    /** Requests per window and server, over all gateways, that are assumed if the settings state no agreed traffic. */
     private static final double DEFAULT_AGREED = 24;
-    /** How often the work of peers is measured, which changes over a window. */
+    /** How often per window the work at servers past slow start is measured; it changes in the course of a window. */
     private static final double UPDATES_PER_WINDOW = 50;
-    /** Budgets of fewer requests have the larger slack. */
+    /** Budgets of fewer requests have a larger slack. */
     private static final double SMALL_BUDGET = 30;
 
     private final ServerGuarantees contract;
@@ -47,8 +53,8 @@
     private long workOfPeersAt = LoadReport.UNKNOWN_TIME;
 
     /**
-     * @param gateways that share the servers
-     * @param requestsPerWindow of all tenants at all servers, as agreed, in the contract's overload window
+     * @param gateways the number of gateways that share the servers
+     * @param requestsPerWindow the agreed traffic of all tenants at all servers, in requests per overload window
      */
     SlowStart(ServerGuarantees contract, int gateways, double requestsPerWindow, RandomGenerator random) {
         this.contract = contract;
@@ -57,25 +63,27 @@
         this.random = random;
     }
 
-    /** The part of its capacity that a server has by the contract, from its start capacity up to 1. */
+    /**
+     * Returns the fraction of its full capacity that the server is guaranteed to have, from the start capacity up to 1.
+     */
     double slowStartFraction(ServerState server, long now) {
         double share = Math.max(
                 0, (now - server.slowStart().coldSince()) / (double) Math.max(1, contract.slowStartDuration()));
         return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
     }
 
-    /** Whether the server has not yet reached its full capacity. */
+    /** Whether the server is in slow start, that is, has not reached its full capacity yet. */
     boolean isWarmingUp(ServerState server, long now) {
         return slowStartFraction(server, now) < 1;
     }
 
     /**
-     * Whether a request may go to the server now. A ticket that was won stays valid for a moment, for the case that another server is
-     * chosen.
+     * Whether a request may be sent to the server now. A lottery ticket that was won stays valid for a while, in case
+     * the request is sent to another server after all.
      *
-     * @param work that the request is expected to take
-     * @param meanWork of a request
-     * @param servers all that are known
+     * @param work the expected work of the request
+     * @param meanWork the mean work of all requests
+     * @param servers all known servers
      */
     boolean admits(ServerState server, double work, double meanWork, Collection<ServerState> servers, long now) {
         if (!isWarmingUp(server, now)) {
@@ -106,10 +114,11 @@
     }
 
     /**
-     * This gateway's part of the planned work at the server in a window. Of a warm server's capacity it has as much as a warm
-     * peer took from it lately, so that the sum over the gateways is what peers take in all; and, for idle peers and idle
-     * gateways, a share of the equal part of the agreed traffic, for which the servers are taken to be enough. Without a warm
-     * peer there is only the equal part.
+     * Returns the work that this gateway's bucket for the server is refilled with in a window. It is proportional to
+     * the work that a server past slow start answered this gateway recently, so that the sum over all gateways follows
+     * what such a server gets in total. If that is little, because the servers or this gateway are idle, it is
+     * proportional to a fraction of an equal part of the agreed traffic, for which the servers' capacity is assumed to
+     * suffice. If no server is past slow start, the whole equal part counts.
      */
     private double refillPerWindow(ServerState server, double meanWork, Collection<ServerState> servers, long now) {
         measurePeers(servers, now);
@@ -118,12 +127,15 @@
         return BUDGET_SHARE * contract.overloadMultiple() * slowStartFraction(server, now) * part;
     }
 
-    /** Requests a window, at a warm server. */
+    /** Returns the agreed traffic at a server past slow start, in requests per window over all gateways. */
     private double agreedPerServer() {
         return agreedPerWindow > 0 ? agreedPerWindow / mostActiveServers : DEFAULT_AGREED;
     }
 
-    /** What the rule allows beyond the budget of a window, for chance, in requests: less of it, the larger the budget. */
+    /**
+     * Returns the number of requests by which the load of a server in a window may exceed its budget, to allow for
+     * random variation: three standard deviations of the number of requests for a small budget, two for a larger one.
+     */
     private double slack(ServerState server, long now) {
         double budget = contract.overloadMultiple() * slowStartFraction(server, now) * agreedPerServer();
         return budget < SMALL_BUDGET ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
@@ -144,28 +156,44 @@
                 sum += recentWork(server, now);
             }
         }
-        mostActiveServers = Math.max(mostActiveServers, listed); // those of a lost zone come back
+        mostActiveServers = Math.max(mostActiveServers, listed); // servers of a failed zone will be listed again
         hasWarmPeers = warm > 0;
         workOfPeers = sum / Math.max(1, warm);
     }
 
-    /** The work that the server has answered in the last window, with older answers fading out. */
+    /**
+     * Returns the work of the server's answers to this gateway in about the last window; older answers have less
+     * weight.
+     */
     double recentWork(ServerState server, long now) {
         return server.slowStart().recentWork(window(), now);
     }
 
-    /** An attempt was answered, which takes this work as a rule. */
+    /**
+     * Called when the server answered an attempt.
+     *
+     * @param work the usual work of such a request
+     */
     void answered(ServerState server, double work, long now) {
         server.slowStart().addWork(work, window(), now);
     }
 
-    /** An attempt goes to the server, first or further. */
+    /**
+     * Called when an attempt at the server begins, whether it is a first attempt or a retry.
+     *
+     * @param work the usual work of such a request
+     */
     void attempted(ServerState server, double work, long now) {
         charge(server, work, now);
         server.slowStart().useTicket(now);
     }
 
-    /** A health check was answered. None takes more work than the shortest one took time. */
+    /**
+     * Called when the server answered a health check. The work of a health check is taken to be the shortest time in
+     * which one was answered, since longer times include waiting.
+     *
+     * @param took how long the health check took
+     */
     void healthCheckAnswered(ServerState server, long took, long now) {
         shortestCheck = Math.min(shortestCheck, took);
         charge(server, shortestCheck, now);
--- a/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
+++ b/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
@@ -11,11 +11,12 @@
 import ploverdale.state.SessionWrites;
 
 /**
- * The staleness filter of docs/design.md: a replica may answer a read only when its last known log position fits what the read
- * needs; an unknown position is too stale.
+ * Decides which replicas are fresh enough for a read (see docs/design.md): a replica may answer a read only if its last
+ * known log position meets the read's consistency requirement. A replica with an unknown position is too stale for
+ * every requirement. Times are {@link Ticks}.
  */
 final class StalenessFilter {
-    /** Where replicas check reads, a report of the position up to this age may lead to a try. */
+    /** Maximum age of a position report due to which a read may be sent to a replica that checks reads itself. */
     private static final long REPORT_USABLE = Ticks.ofMillis(4000);
 
     private final RoutingSettings settings;
@@ -26,7 +27,7 @@
         this.sessionWrites = sessionWrites;
     }
 
-    /** Whether the replica's last known position fits the request. */
+    /** Whether the replica is fresh enough for the request by its last known position. */
     boolean admits(ServerState replica, PendingRequest request, long now) {
         ReplicationStatus replication = replica.replication();
         Consistency consistency = request.consistency();
@@ -39,7 +40,10 @@
         return consistency == Consistency.UNBOUNDED;
     }
 
-    /** Where replicas check reads, one that lagged little by a recent report may be tried, until it turns a read away. */
+    /**
+     * Whether a replica that checks reads itself is probably fresh enough: by a recent report it lagged little, and it
+     * has not rejected a read since.
+     */
     boolean mayBeFreshEnough(ServerState replica, PendingRequest request, long now) {
         ReplicationStatus replication = replica.replication();
         return replication.isReportedSinceMisdirected()
@@ -48,14 +52,20 @@
                 && replication.lagAtReport() <= request.requestClass().stalenessBound();
     }
 
-    /** Whether a replica that is a little too old for the request may turn out fresh enough when it reports again. */
+    /**
+     * Whether a replica that is slightly too stale for the request may be fresh enough when it reports its position
+     * again.
+     */
     boolean mayBecomeFreshEnough(ServerState replica, PendingRequest request, long now) {
         return request.consistency() == Consistency.BOUNDED
                 && !settings.replicasCheckReads()
                 && replica.replication().isWithin(2 * request.requestClass().stalenessBound(), now);
     }
 
-    /** The position of the session's last write, which its reads must include; unknown where they need none. */
+    /**
+     * Returns the log position that a replica must have reached for the request: that of the session's last write for a
+     * session read, if there is one, and {@link LoadReport#UNKNOWN_TIME} otherwise.
+     */
     long requiredPosition(RequestArrived arrival, RequestClass requestClass, long now) {
         if (requestClass.consistency() != Consistency.SESSION) {
             return LoadReport.UNKNOWN_TIME;
--- a/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
@@ -14,7 +14,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** Which faults eject a server or close its idle connections, and how it is readmitted, as seen through the router. */
+/** Tests through the router which faults eject a server or close its idle connections, and how it is readmitted. */
 class OutlierDetectionTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
@@ -48,7 +48,7 @@
             value = Outcome.class,
             names = {"CONNECT_INTERRUPTED", "CONNECT_FAILED", "CONNECTION_LOST"})
     void sporadicResetsNeitherLowerAServersLimitNorEjectIt(Outcome outcome) {
-        for (int i = 0; i < 60; i++) { // one op in eight at every server, as on a bad network
+        for (int i = 0; i < 60; i++) { // one request in eight fails, at any server, as on an unreliable network
             for (int j = 0; j < 8; j++) {
                 RequestId read = driver.request(TestRouterSettings.UNBOUNDED_READ);
                 if (j == 0) {
@@ -133,7 +133,7 @@
         assertThat(driver.attempts(held)).containsExactly("p");
         driver.request(TestRouterSettings.WRITE);
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE)))
-                .as("writes may be two at once")
+                .as("at most two writes in flight")
                 .isEmpty();
     }
 
--- a/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
@@ -12,7 +12,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** Time limits of attempts, queued requests and the shutdown, as seen through the router. */
+/** Tests through the router the time limits of attempts and queued requests, and the shutdown deadline. */
 class RequestDeadlinesTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
@@ -51,9 +51,9 @@
         RequestId held = driver.request(TestRouterSettings.WRITE);
         assertThat(driver.attempts(held)).isEmpty();
         driver.deliver(new Event.ShutdownDeadline());
-        assertThat(driver.rejections(read)).isEqualTo(1); // may be repeated
+        assertThat(driver.rejections(read)).isEqualTo(1); // idempotent
         assertThat(driver.failures(write)).isEqualTo(1); // may have run
-        assertThat(driver.rejections(held)).isEqualTo(1); // was never sent
+        assertThat(driver.rejections(held)).isEqualTo(1); // never attempted
         assertThat(driver.cancelled(write)).isTrue();
         driver.attemptEnded(write, 0, "p", Outcome.CANCELLED, null);
         driver.advance(3000);
--- a/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
@@ -8,7 +8,7 @@
 import ploverdale.model.Event.Outcome;
 import ploverdale.model.RequestId;
 
-/** When a failed attempt is retried, and when its request fails, as seen through the router. */
+/** Tests through the router when a failed attempt is retried and when its request fails. */
 class RetryPolicyTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
@@ -22,7 +22,7 @@
         assertThat(driver.actions)
                 .anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE)))
-                .as("and its limit is kept")
+                .as("the concurrency limit of the primary has not shrunk")
                 .containsExactly("p");
     }
 
@@ -40,14 +40,14 @@
         RequestId write = driver.request(TestRouterSettings.WRITE);
         driver.attemptEnded(write, 0, "p", Outcome.REJECTED, null);
         assertThat(driver.attempts(write))
-                .as("not at once, while it is as full")
+                .as("not retried at once")
                 .containsExactly("p");
         assertThat(driver.rejections(write)).isZero();
         driver.advance(120);
         assertThat(driver.attempts(write)).containsExactly("p", "p");
         driver.attemptEnded(write, 1, "p", Outcome.REJECTED, null);
         driver.advance(120);
-        assertThat(driver.attempts(write)).as("ever more seldom").hasSize(2);
+        assertThat(driver.attempts(write)).as("the backoff has grown").hasSize(2);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/RoleTrackingTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RoleTrackingTest.java
@@ -7,7 +7,7 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.RequestId;
 
-/** Which member of a group is taken for its primary, as seen through the router. */
+/** Tests through the router which member of a group is taken for its primary. */
 class RoleTrackingTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
@@ -32,7 +32,7 @@
                 0,
                 "p",
                 Outcome.SUCCEEDED,
-                RouterDriver.report(Role.PRIMARY, driver.nowMs)); // as it still calls itself
+                RouterDriver.report(Role.PRIMARY, driver.nowMs)); // the server still reports its former role
         assertThat(driver.attempts(write)).containsExactly("p");
         driver.nowMs += 150;
         driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
--- a/gateway/src/test/java/ploverdale/routing/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterTest.java
@@ -10,7 +10,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** The router as a whole: deterministic, and unaffected by events about unknown subjects. */
+/** Tests that the router is deterministic and ignores events about unknown servers and requests. */
 class RouterTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
--- a/gateway/src/test/java/ploverdale/routing/ServerSelectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ServerSelectionTest.java
@@ -8,7 +8,7 @@
 import ploverdale.model.RequestId;
 import ploverdale.model.ServerId;
 
-/** Which server gets a request, as seen through the router. */
+/** Tests through the router which server gets a request. */
 class ServerSelectionTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
--- a/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
@@ -3,10 +3,14 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** The slow start rule: what a recovering server can do, and what it may get within a window. Times in tenths of a millisecond. */
+/**
+ * Computes the capacity of a recovering server and the load that it may get within an overload window. Times are
+ * {@link ploverdale.model.Ticks}.
+ */
 final class SlowStartBudget {
     private static final long MS = 10;
-    private static final double RECOVERING_SPEED = 0.8; // of the mean server's, since servers differ
+    /** Capacity of a recovering server as a fraction of other servers' capacity, since servers differ. */
+    private static final double RECOVERING_SPEED = 0.8;
 
     private final SlowStartDeployment deployment;
     private final long restartedAt;
@@ -16,7 +20,7 @@
         this.restartedAt = restartedAt;
     }
 
-    /** The part of its warm capacity that the server has at this time. */
+    /** Returns the fraction of its full capacity that the server has at this time. */
     double warmth(SimulatedServer server, long time) {
         double warmed = (time - restartedAt) / (double) (deployment.coldMs() * MS);
         return server.restarted
@@ -24,12 +28,14 @@
                 : 1;
     }
 
-    /** The server's warm capacity, in requests per second. */
+    /** Returns the server's full capacity, in requests per second. */
     double capacity(SimulatedServer server) {
         return server.restarts ? RECOVERING_SPEED * deployment.capacity() : deployment.capacity();
     }
 
-    /** The most that reached the server in any window, as a part of what the rule allows then. */
+    /**
+     * Returns the maximum load that reached the server in any window, as a fraction of the load allowed in that window.
+     */
     double worstLoad(SimulatedServer server) {
         long window = deployment.windowMs() * MS;
         Queue<SimulatedServer.Arrival> within = new ArrayDeque<>();
@@ -46,12 +52,13 @@
         return worst;
     }
 
+    /** Returns the load allowed in a window, in requests: the budget and an allowance for random variation. */
     private double budget(double capacity) {
         double n = deployment.multiple() * capacity * deployment.windowMs() / 1000;
         return n < 30 ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
     }
 
-    /** What a recovering server can answer between these times, in requests of mean work. */
+    /** Returns how much a recovering server can answer between these times, in requests of mean work. */
     double possibleAnswers(long from, long until) {
         double seconds = (until - from) / (1000.0 * MS);
         double middle = (from + until) / 2 - restartedAt;
--- a/gateway/src/test/java/ploverdale/routing/SlowStartDeployment.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartDeployment.java
@@ -1,14 +1,15 @@
 package ploverdale.routing;
 
 /**
- * A deployment's servers and its contract of slow start.
+ * The servers of a simulated deployment and what they guarantee about slow start.
  *
- * @param startCapacity part of the warm capacity that a server has right after its start
- * @param coldMs how long a server takes to warm up
- * @param multiple of its capacity that a server bears within a window
- * @param windowMs length of that window
- * @param cores of a server
- * @param capacity true capacity of a warm server, in requests per second
+ * @param name printed with the results
+ * @param startCapacity the fraction of its full capacity that a server has right after its start
+ * @param coldMs how long after its start a server reaches its full capacity
+ * @param multiple how many times its capacity a server withstands within an overload window
+ * @param windowMs the length of the overload window
+ * @param cores the number of cores of a server
+ * @param capacity the full capacity of a server, in requests per second
  */
 record SlowStartDeployment(
         String name, double startCapacity, long coldMs, double multiple, long windowMs, int cores, double capacity) {}
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -20,34 +20,37 @@
 import ploverdale.model.ZoneId;
 
 /**
- * A fleet of routers on one simulated clock, sending to the same simulated database servers, some of which restart and come
- * back to warm up. Adds up what reaches each of them against the budget of the slow start rule. One seed, one course of events.
- * Times in tenths of a millisecond, work in requests of mean work.
+ * Simulates a fleet of routers, with a simulated clock, that send requests to the same database servers. Some of the
+ * servers restart and go through slow start. Compares the load of each of them with its budget. The same seed gives the
+ * same run. Times are {@link ploverdale.model.Ticks}; the unit of work is the mean work of a request.
  */
 final class SlowStartFleet {
     /**
-     * What one run showed.
+     * The results of a run.
      *
-     * @param worstLoad the most that reached a warming server within a window, as a part of what the rule allows
-     * @param served requests answered within their latency target after the restart, as a part of all
-     * @param coldServed requests that the warming servers answered, as a part of what they could have
+     * @param worstLoad the maximum load of a recovering server within a window, as a fraction of the load that is
+     *     allowed
+     * @param served the fraction of the requests after the restart that were answered within their latency objective
+     * @param coldServed the work that the recovering servers answered, as a fraction of what they could have answered
      */
     record Result(double worstLoad, double served, double coldServed) {}
 
     private static final long MS = 10;
-    private static final long START = 17_000_000_000_000L; // a Unix time to begin with
+    private static final long START = 17_000_000_000_000L; // a Unix time
     private static final long DOWN_AT = START + 2000 * MS;
     private static final long RESTARTED_AT = START + 3500 * MS;
-    private static final long UP_AT = RESTARTED_AT + 100 * MS; // all gateways have been notified of the start by then
+    private static final long UP_AT = RESTARTED_AT + 100 * MS; // when all gateways have been notified of the restart
     private static final long BURST_AT = UP_AT + 2500 * MS;
     private static final long BURST_LASTS = 2000 * MS;
     private static final long END = START + 9500 * MS;
     private static final int GROUPS = 4;
     private static final int GROUP = 3;
     static final int SERVERS = GROUPS * GROUP;
-    private static final double LOAD = 0.6; // of the warm servers' capacity
+    /** The offered load, as a fraction of the full capacity of all servers. */
+    private static final double LOAD = 0.6;
     private static final double HEALTH_CHECK_WORK = 0.005;
-    private static final double FAILURES = 0.15; // of attempts, where attempts fail at once
+    /** Fraction of failed attempts at restarted servers in {@link SlowStartScenario#ALL_SERVERS_AND_FAILURES}. */
+    private static final double FAILURES = 0.15;
     private static final int VIEW = 0;
     private static final int HISTORY = 1;
     private static final int SUBMIT = 2;
@@ -83,6 +86,7 @@
         trafficUpTo = new double[gateways];
     }
 
+    /** Runs the simulation and returns its results. */
     static Result run(
             int gateways, SlowStartScenario scenario, boolean gossip, SlowStartDeployment deployment, long seed) {
         return new SlowStartFleet(gateways, scenario, gossip, deployment, seed).play();
@@ -117,7 +121,7 @@
     private void createRouters() {
         double total = 0;
         for (int i = 0; i < gateways; i++) {
-            total += 0.3 - Math.log(1 - random.nextDouble()); // some see several times the mean
+            total += 0.3 - Math.log(1 - random.nextDouble()); // some gateways get several times the mean traffic
             trafficUpTo[i] = total;
             Router router = new Router(null);
             routers.add(router);
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
@@ -10,8 +10,8 @@
 import ploverdale.routing.SlowStartFleet.Result;
 
 /**
- * What all routers of a fleet together send a recovering server, against the budget of the slow start rule. Prints a row for
- * each run. Runs more seeds with {@code -Dslowstart.seeds=N}.
+ * Tests that all routers of a fleet together keep within the budget of each recovering server and still use it. Prints
+ * a row for each run. {@code -Dslowstart.seeds=N} runs N seeds instead of one.
  */
 class SlowStartFleetTest {
     private static final List<SlowStartDeployment> DEPLOYMENTS = List.of(
@@ -43,17 +43,17 @@
                             .mapToDouble(Result::served)
                             .average()
                             .orElseThrow())
-                    .as("served in the mean, %s", scenario)
+                    .as("mean fraction of requests answered in time, %s", scenario)
                     .isGreaterThan(scenario.leastServed);
             floors.assertThat(results.stream()
                             .mapToDouble(Result::coldServed)
                             .average()
                             .orElseThrow())
-                    .as("part of the recovering servers' capacity used, %s", scenario)
+                    .as("mean fraction of the recovering servers' capacity that was used, %s", scenario)
                     .isGreaterThan(scenario.leastColdServed);
         }
         assertThat(overloaded)
-                .as("recovering servers that got more than their budget")
+                .as("runs in which a recovering server got more than its budget")
                 .isEmpty();
         floors.assertAll();
     }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
@@ -8,7 +8,7 @@
 import ploverdale.model.LoadReport.Role;
 import ploverdale.model.RequestId;
 
-/** Slow start of a server that restarted, as seen through the router. */
+/** Tests through the router the slow start of a server that restarted. */
 class SlowStartInRouterTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
--- a/gateway/src/test/java/ploverdale/routing/SlowStartSettings.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartSettings.java
@@ -10,15 +10,17 @@
 import ploverdale.model.ServerGuarantees;
 import ploverdale.model.Tenant;
 
-/** The settings of the gateways of a {@link SlowStartFleet}. Times in tenths of a millisecond. */
+/** Creates the settings of the gateways of a {@link SlowStartFleet}. Times are {@link ploverdale.model.Ticks}. */
 final class SlowStartSettings {
     private static final long MS = 10;
-    private static final double AGREED_PART = 0.82; // of the warm servers' capacity
-    private static final long BOUND = 1000 * MS; // staleness of bounded reads
+    /** The agreed traffic, as a fraction of the full capacity of all servers. */
+    private static final double AGREED_PART = 0.82;
+    /** The staleness bound of bounded reads. */
+    private static final long BOUND = 1000 * MS;
 
     private SlowStartSettings() {}
 
-    /** The start of one gateway of so many. */
+    /** Returns the event that starts the gateway with the index {@code gateway} in a fleet of {@code gateways}. */
     static Event.Started started(long seed, int gateway, int gateways, boolean gossip, SlowStartDeployment deployment) {
         List<RequestClass> requestClasses = List.of(
                 requestClass(2000 * MS, Idempotence.IDEMPOTENT, 2, 0, Consistency.BOUNDED),
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -14,20 +14,23 @@
 import ploverdale.state.ReplicaGroup;
 import ploverdale.state.ServerState;
 
-/** Slow start of one server among warm ones or alone, over many gateways. */
+/** Tests {@link SlowStart} of one recovering server, alone or with servers past slow start, over many gateways. */
 class SlowStartTest {
     private static final long MS = 10;
     private static final long WINDOW = 1000 * MS;
     private static final double WORK = 80 * MS;
-    private static final double BUDGET = 20; // requests a window that the contract lets the server bear at its start
+    /** Requests per window that the server withstands right after its start. */
+    private static final double BUDGET = 20;
     private static final double ALLOWED = BUDGET + 3 * Math.sqrt(BUDGET) + 3;
-    private static final double AGREED_PER_SERVER = 40; // a window; what a warm server can do
+    /** Agreed requests per window and server. */
+    private static final double AGREED_PER_SERVER = 40;
+    /** Slow start lasts so long that the server's capacity hardly changes during a test. */
     private static final ServerGuarantees CONTRACT =
-            new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0); // hardly warms up
+            new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0);
     private static final long STARTED = 100 * WINDOW;
     private static final long SEED = 11;
 
-    /** A gateway with one recovering server and as many warm peers as told. */
+    /** The slow start of one gateway, which knows a recovering server and a given number of servers past slow start. */
     private static final class Gateway {
         final List<ServerState> servers = new ArrayList<>();
         final ServerState recovering =
@@ -44,7 +47,7 @@
             slowStart = new SlowStart(CONTRACT, gateways, agreed, new SplittableRandom(SEED + number));
         }
 
-        /** Sends as many requests as are admitted, of so many that come at once. */
+        /** Tries to send a number of requests at the same time and returns how many were admitted. */
         int send(int requests, long now) {
             int sent = 0;
             for (int i = 0; i < requests; i++) {
@@ -66,7 +69,7 @@
         return fleet;
     }
 
-    /** Requests that the fleet sends within one window in which all gateways ask for all that they can get. */
+    /** Returns how many requests the fleet sends in a window if every gateway tries to send as many as it can. */
     private static int sentInAWindow(List<Gateway> fleet, long from) {
         int sent = 0;
         for (long now = from; now < from + WINDOW; now += 20 * MS) {
@@ -131,7 +134,7 @@
     void aNewStartNeitherAddsToTheBucketNorForgivesWhatWasSent() {
         Gateway gateway = new Gateway(1, 1, 0);
         int sent = gateway.send(100, STARTED + WINDOW);
-        gateway.recovering.slowStart().recordColdStart(STARTED + WINDOW + MS); // as another gateway dated it
+        gateway.recovering.slowStart().recordColdStart(STARTED + WINDOW + MS); // a peer dated the start later
         assertThat(sent).isPositive();
         assertThat(gateway.send(100, STARTED + WINDOW + 2 * MS)).isZero();
     }
--- a/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
@@ -9,7 +9,7 @@
 import ploverdale.model.ReplicaGuarantees;
 import ploverdale.model.RequestId;
 
-/** Which replicas are current enough for a read, as seen through the router. */
+/** Tests through the router which replicas are fresh enough for a read. */
 class StalenessFilterTest {
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
@@ -90,7 +90,7 @@
     @Test
     void aBoundedReadAtAReplicaMustBeWrittenWhileThePositionFitsItsBound() {
         RouterDriver h = RouterDriver.withCaughtUpReplicas();
-        h.advance(100); // r1 and r2 stand where they stood then, but for what a probe told since
+        h.advance(100); // r1 and r2 have reported nothing since
         RequestId read = h.request(TestRouterSettings.BOUNDED_READ);
         Action.StartAttempt s = h.actions.stream()
                 .filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
