--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -26,14 +26,14 @@
     /** The maximum backoff before the next health check of an ejected server. */
     static final long LONGEST_BACKOFF = Ticks.ofMillis(8000);
     /** The fraction of failed attempts from which on a server is ejected. */
-    static final double FAILURE_SHARE = 0.3;
+    static final double EJECTION_FAILURE_SHARE = 0.3;
 
-    private static final long FIRST_BACKOFF = Ticks.ofMillis(300);
+    private static final long INITIAL_BACKOFF = Ticks.ofMillis(300);
     /**
      * A server is silent if more than this number of expected answers is missing. A healthy server misses as many by
      * chance only once in thousands of cases.
      */
-    private static final double ANSWERS_MISSING = 8;
+    private static final double MAX_MISSING_ANSWERS = 8;
 
     private final DecisionContext context;
     private final ServerDirectory directory;
@@ -66,23 +66,23 @@
         List<PendingRequest> attempts = server.attemptsSinceReadmission();
         long oldestAttempt = attempts.isEmpty() ? now : attempts.get(0).attemptStartedAt();
         long silence = now - Math.max(server.liveness().attemptAnsweredAt(), oldestAttempt);
-        if (silence < SHORTEST_SILENCE || missingAnswers(server, attempts, silence) <= ANSWERS_MISSING) {
+        if (silence < SHORTEST_SILENCE || missingAnswers(server, attempts, silence) <= MAX_MISSING_ANSWERS) {
             return;
         }
-        if (isReportedByOthersWithin(server, silence)) {
+        if (isReportedByPeersWithin(server, silence)) {
             if (now - server.healthCheck().sentAt() > silence) {
                 healthChecker.check(server, HealthCheckReason.SUSPICION);
             }
             return;
         }
         if (isExplainedOtherwise(server, silence)) {
-            suspectSilent(server, now - silence);
+            suspectAfterSilence(server, now - silence);
         } else {
-            eject(server, silenceText(server, silence));
+            eject(server, silenceReason(server, silence));
         }
     }
 
-    private static String silenceText(ServerState server, long silence) {
+    private static String silenceReason(ServerState server, long silence) {
         return "quiet " + silence / Ticks.PER_MILLISECOND + " ms with "
                 + server.load().attemptsInFlight() + " out";
     }
@@ -100,7 +100,7 @@
      * Whether a peer received a report from the server during the silence. A gateway with few requests would otherwise
      * take a slow server for dead while other gateways get answers from it.
      */
-    private boolean isReportedByOthersWithin(ServerState server, long silence) {
+    private boolean isReportedByPeersWithin(ServerState server, long silence) {
         return gossip.isNeededForPositions() && server.replication().positionReportAge(context.now()) < silence;
     }
 
@@ -114,14 +114,14 @@
      * Suspects a server that has been silent since this time. If another member of its group has answered since, the
      * requests in flight that may be retried are cancelled, so that they are retried there.
      */
-    private void suspectSilent(ServerState server, long since) {
+    private void suspectAfterSilence(ServerState server, long since) {
         suspect(server);
         server.ejection().countAtLeast(CHECKS_MISSED - 1); // so that one missed health check is enough for an ejection
-        boolean othersAnswer = server.group().members().stream()
+        boolean otherMemberAnswered = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
                         && other.liveness().respondedAt() >= since);
-        if (othersAnswer) {
+        if (otherMemberAnswered) {
             canceller.cancelRetryable(server);
         }
     }
@@ -144,14 +144,14 @@
      */
     void ejectIfFailing(ServerState server) {
         Ejection ejection = server.ejection();
-        if (ejection.failureShare() < FAILURE_SHARE || server.isPrimary()) {
+        if (ejection.failureShare() < EJECTION_FAILURE_SHARE || server.isPrimary()) {
             return;
         }
         List<ServerState> members = server.group().members();
-        long others = members.stream()
+        long othersServing = members.stream()
                 .filter(other -> other != server && other.isServing())
                 .count();
-        if (others * 2 >= members.size()) {
+        if (othersServing * 2 >= members.size()) {
             eject(server, "fails " + Math.round(ejection.failureShare() * 100) + " %");
         }
     }
@@ -166,12 +166,12 @@
             return;
         }
         context.log("server " + server.id().text() + " silent: " + reason);
-        server.ejection().eject(context.now(), firstBackoff(server));
+        server.ejection().eject(context.now(), initialBackoff(server));
         server.liveness().recordUnresponsive(context.now());
         canceller.cancelRetryable(server);
     }
 
-    private long firstBackoff(ServerState server) {
+    private long initialBackoff(ServerState server) {
         if (wasNeverThere(server)) {
             return LONGEST_BACKOFF;
         }
@@ -179,7 +179,7 @@
         if (context.now() - ejection.readmittedAt() < SHORTEST_RESTART) {
             return Math.min(LONGEST_BACKOFF, ejection.backoff() * 2);
         }
-        return FIRST_BACKOFF;
+        return INITIAL_BACKOFF;
     }
 
     /**
@@ -197,7 +197,7 @@
      * restarted since.
      */
     void readmitAfterAnswer(ServerState server) {
-        if (server.ejection().isEjected() && server.ejection().failureShare() < FAILURE_SHARE) {
+        if (server.ejection().isEjected() && server.ejection().failureShare() < EJECTION_FAILURE_SHARE) {
             readmit(server, context.now(), "answers");
         }
     }
@@ -206,19 +206,19 @@
      * Readmits a server. If it may have restarted meanwhile, it begins slow start, even though the endpoint list does
      * not state a restart yet. If it may still be hung, it gets one request at a time.
      *
-     * @param aliveBefore when the server was last known to be alive
+     * @param lastAliveAt when the server was last known to be alive
      * @param reason for the log
      */
-    void readmit(ServerState server, long aliveBefore, String reason) {
+    void readmit(ServerState server, long lastAliveAt, String reason) {
         long now = context.now();
-        long away = now - server.ejection().ejectedAt();
-        context.log("server " + server.id().text() + " returns: " + reason + " after " + away / Ticks.PER_MILLISECOND
+        long outage = now - server.ejection().ejectedAt();
+        context.log("server " + server.id().text() + " returns: " + reason + " after " + outage / Ticks.PER_MILLISECOND
                 + " ms");
-        server.ejection().readmit(now, FAILURE_SHARE / 2);
-        if (now - aliveBefore >= SHORTEST_RESTART) {
+        server.ejection().readmit(now, EJECTION_FAILURE_SHARE / 2);
+        if (now - lastAliveAt >= SHORTEST_RESTART) {
             server.slowStart().restart(now);
         }
-        boolean keepsLimit = aliveBefore == now && away < SHORTEST_RESTART;
+        boolean keepsLimit = lastAliveAt == now && outage < SHORTEST_RESTART;
         if (!keepsLimit) {
             server.load().limitTo(1);
         }
--- a/gateway/src/main/java/ploverdale/routing/PeerGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/PeerGossip.java
@@ -43,9 +43,9 @@
     /**
      * Called when a write has shown whether a server is the primary.
      *
-     * @param right whether it is
+     * @param isPrimary whether the server is the primary
      */
-    void primaryVerified(long now, ServerId server, boolean right);
+    void primaryVerified(long now, ServerId server, boolean isPrimary);
 
     /** Whether datagrams may have to be sent soon. */
     boolean hasPending(long now);
--- a/gateway/src/main/java/ploverdale/routing/RequestDeadlines.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDeadlines.java
@@ -12,13 +12,13 @@
     /** Interval at which waiting requests are dispatched again; short compared with any latency objective. */
     static final long MAINTENANCE_INTERVAL = Ticks.ofMillis(20);
     /** Time that is left before a deadline, so that the resolution of the clock does not make an answer late. */
-    static final long MARGIN = Ticks.ofMillis(10);
+    static final long DEADLINE_MARGIN = Ticks.ofMillis(10);
 
     /**
      * Fraction of a request's timeout that is reserved for the transfer of the answer to the client and for delays of
      * this process; otherwise the answer could arrive after the timeout.
      */
-    private static final double ANSWER_MARGIN = 0.02;
+    private static final double ANSWER_MARGIN_SHARE = 0.02;
     /**
      * Fraction of the usual latency that must be left for an attempt to be worthwhile; many requests take less than
      * usual.
@@ -30,7 +30,7 @@
     /** Returns the time by which the request must have its final answer. */
     static long answerBy(PendingRequest request) {
         long timeout = request.timeoutAt() - request.arrivedAt();
-        return request.timeoutAt() - (long) (ANSWER_MARGIN * timeout);
+        return request.timeoutAt() - (long) (ANSWER_MARGIN_SHARE * timeout);
     }
 
     /**
@@ -40,7 +40,7 @@
     static long valuableUntil(PendingRequest request) {
         boolean hasValueWhenLate = request.requestClass().lateValueShare() > 0;
         long objective = hasValueWhenLate ? Long.MAX_VALUE : request.objectiveAt();
-        return Math.min(answerBy(request), objective) - MARGIN;
+        return Math.min(answerBy(request), objective) - DEADLINE_MARGIN;
     }
 
     /**
@@ -57,11 +57,11 @@
      * another gateway.
      */
     static long waitUntil(PendingRequest request) {
-        long end = Math.min(valuableUntil(request), request.retryUntil());
-        long half = request.mayHaveRun() ? end : (request.arrivedAt() + request.timeoutAt()) / 2 - MARGIN;
+        long latest = Math.min(valuableUntil(request), request.retryUntil());
+        long waitLimit = request.mayHaveRun() ? latest : (request.arrivedAt() + request.timeoutAt()) / 2 - DEADLINE_MARGIN;
         boolean hasValueWhenLate = request.requestClass().lateValueShare() > 0;
-        long attemptTime = hasValueWhenLate ? 0 : (long) (LatencyEstimate.RARELY_EXCEEDED * request.usualLatency());
-        long shortWait = request.arrivedAt() + 2 * HealthChecker.PROMPT_ANSWER;
-        return Math.min(Math.min(end, half), Math.max(end - attemptTime, shortWait)) - MAINTENANCE_INTERVAL;
+        long attemptDuration = hasValueWhenLate ? 0 : (long) (LatencyEstimate.RARELY_EXCEEDED * request.usualLatency());
+        long shortWaitUntil = request.arrivedAt() + 2 * HealthChecker.PROMPT_ANSWER;
+        return Math.min(Math.min(latest, waitLimit), Math.max(latest - attemptDuration, shortWaitUntil)) - MAINTENANCE_INTERVAL;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -83,7 +83,7 @@
     private long objectiveAt(RequestArrived arrival, RequestClass requestClass) {
         long objective =
                 requestClass.latencyObjective() + (long) (requestClass.objectivePerWork() * arrival.expectedWork());
-        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_AFTER * requestClass.latencyObjective()) : 0;
+        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_DELAY_SHARE * requestClass.latencyObjective()) : 0;
         return context.now() + objective - spent;
     }
 
@@ -129,17 +129,17 @@
 
     private void startAttempt(PendingRequest request, ServerState server) {
         long now = context.now();
-        boolean endsEarly = retryPolicy.endsEarly(request, server);
-        long until = request.idempotence() == Idempotence.IDEMPOTENT
+        boolean needsEarlyTimeout = retryPolicy.needsEarlyTimeout(request, server);
+        long attemptUntil = request.idempotence() == Idempotence.IDEMPOTENT
                 ? RequestDeadlines.valuableUntil(request)
                 : RequestDeadlines.answerBy(request);
-        if (endsEarly) {
+        if (needsEarlyTimeout) {
             retryPolicy.reserveRetry();
-            until = Math.min(until, retryPolicy.earlyTimeoutAt(request, server));
+            attemptUntil = Math.min(attemptUntil, retryPolicy.earlyTimeoutAt(request, server));
         }
-        long timeLimit = Math.max(1, until - now);
+        long timeLimit = Math.max(1, attemptUntil - now);
         context.emit(new Action.StartAttempt(request.id(), server.id(), timeLimit, writeBy(request, server)));
-        request.startAttempt(server, endsEarly, now);
+        request.startAttempt(server, needsEarlyTimeout, now);
         server.load().attemptStarted(request);
         slowStart.attempted(server, request.usualLatency(), now);
     }
@@ -150,9 +150,9 @@
      * themselves.
      */
     private long writeBy(PendingRequest request, ServerState server) {
-        boolean ages =
+        boolean positionAges =
                 request.consistency() == Consistency.BOUNDED && !server.isPrimary() && !settings.replicasCheckReads();
-        return ages ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
+        return positionAges ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -20,7 +20,7 @@
      * Fraction of the latency objective after which a client may submit a rejected request again. After a longer delay
      * the answer would hardly meet the objective.
      */
-    static final double RESUBMIT_AFTER = 0.25;
+    static final double RESUBMIT_DELAY_SHARE = 0.25;
 
     private final DecisionContext context;
     private final Capabilities capabilities;
@@ -65,7 +65,7 @@
         }
         boolean hasKey = request.idempotence() == Idempotence.WITH_IDEMPOTENCY_KEY;
         long windowEnd =
-                request.attemptStartedAt() + request.requestClass().idempotencyWindow() - RequestDeadlines.MARGIN;
+                request.attemptStartedAt() + request.requestClass().idempotencyWindow() - RequestDeadlines.DEADLINE_MARGIN;
         request.recordPossibleRun(server, hasKey ? windowEnd : Long.MAX_VALUE);
     }
 
@@ -88,14 +88,14 @@
      * Whether an attempt at this server gets an early timeout. It does if the server's answers often get lost, and a
      * retry is permitted, is within the retry budget, and would still be in time.
      */
-    boolean endsEarly(PendingRequest request, ServerState server) {
+    boolean needsEarlyTimeout(PendingRequest request, ServerState server) {
         boolean retryFollows =
                 request.attempts() + 1 < capabilities.attemptsPerRequest() && quota.hasRetry(reservedRetries);
         if (!retryFollows || !server.answerLoss().isNotable() || request.idempotence() == Idempotence.NOT_IDEMPOTENT) {
             return false;
         }
-        double expected = request.usualLatency() * server.load().inflation(context.now());
-        return RequestDeadlines.valuableUntil(request) - earlyTimeoutAt(request, server) > expected;
+        double expectedLatency = request.usualLatency() * server.load().inflation(context.now());
+        return RequestDeadlines.valuableUntil(request) - earlyTimeoutAt(request, server) > expectedLatency;
     }
 
     /** Reserves a retry for an attempt with an early timeout. */
@@ -124,11 +124,11 @@
      * Returns after how long the client may submit the request again; 0 if the settings do not permit to state that.
      */
     long retryAfter(PendingRequest request) {
-        long quotaPause = request.isBeyondShare()
+        long quotaRetryAfter = request.isBeyondShare()
                 ? quota.retryAfter(context.now(), request.arrival().tenant())
                 : 0;
-        long pause = (long) (RESUBMIT_AFTER * request.requestClass().latencyObjective());
-        long longest = Math.min(Math.max(pause, quotaPause), capabilities.longestRetryAfter());
-        return capabilities.retryAfterAllowed() ? longest : 0;
+        long resubmitDelay = (long) (RESUBMIT_DELAY_SHARE * request.requestClass().latencyObjective());
+        long delay = Math.min(Math.max(resubmitDelay, quotaRetryAfter), capabilities.longestRetryAfter());
+        return capabilities.retryAfterAllowed() ? delay : 0;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RoleTracker.java
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -60,25 +60,25 @@
             return;
         }
         ReplicaGroup group = server.group();
-        ServerState before = group.primary();
+        ServerState previous = group.primary();
         if (role == Role.PRIMARY) {
-            if (replacesPrimary(before, reportedAt)) {
+            if (replacesPrimary(previous, reportedAt)) {
                 group.setPrimary(server);
             }
-        } else if (before == server) {
+        } else if (previous == server) {
             group.setPrimary(null);
         }
-        if (group.primary() != before) {
+        if (group.primary() != previous) {
             String change = group.primary() == server ? " primary " : " primary no longer ";
             context.log("group " + group.id().number() + change + server.id().text());
         }
     }
 
-    private static boolean replacesPrimary(ServerState before, long reportedAt) {
-        if (before == null) {
+    private static boolean replacesPrimary(ServerState previous, long reportedAt) {
+        if (previous == null) {
             return true;
         }
-        ReplicationStatus known = before.replication();
-        return known.role() != Role.PRIMARY || known.roleReportedAt() < reportedAt;
+        ReplicationStatus previousStatus = previous.replication();
+        return previousStatus.role() != Role.PRIMARY || previousStatus.roleReportedAt() < reportedAt;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/Router.java
+++ b/gateway/src/main/java/ploverdale/routing/Router.java
@@ -16,12 +16,12 @@
  */
 public final class Router {
     /** The maximum number of sessions whose last write is remembered; takes some megabytes. */
-    private static final int SESSIONS_KEPT = 50_000;
+    private static final int MAX_SESSIONS = 50_000;
 
     private final DecisionContext context = new DecisionContext();
     private final ServerDirectory directory = new ServerDirectory();
     private final LocalHealth localHealth = new LocalHealth();
-    private final SessionWrites sessionWrites = new SessionWrites(SESSIONS_KEPT);
+    private final SessionWrites sessionWrites = new SessionWrites(MAX_SESSIONS);
     private EventHandler handler;
 
     /** @param quota the quota of the shared limits, or null if each gateway takes a fixed, equal part of them */
--- a/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -48,7 +48,7 @@
         latencies = new LatencyEstimates(settings.requestClasses());
         slowStart =
                 new SlowStart(settings.guarantees(), settings.gateways(), settings.requestsPerOverloadWindow(), random);
-        gossip = gossip();
+        gossip = createGossip();
         healthChecker = new HealthChecker(context, settings, quota, gossip, random);
         canceller = new AttemptCanceller(context, settings.capabilities(), directory);
         outlierDetector = new OutlierDetector(context, directory, localHealth, healthChecker, gossip, canceller);
@@ -58,7 +58,7 @@
         stalenessFilter = new StalenessFilter(settings, sessionWrites);
     }
 
-    private PeerGossip gossip() {
+    private PeerGossip createGossip() {
         if (!settings.capabilities().peerMessages() || settings.gateways() < 2) {
             return new DisabledGossip();
         }
@@ -78,7 +78,7 @@
         EndpointRegistry endpoints = new EndpointRegistry(context, settings, directory, gossip, healthChecker, random);
         EndpointWatch endpointWatch = new EndpointWatch(context, random);
         ConnectionScarcity scarcity = new ConnectionScarcity();
-        RequestDispatcher dispatcher = dispatcher();
+        RequestDispatcher dispatcher = createDispatcher();
         Maintenance maintenance = new Maintenance(new Maintenance.Dependencies(
                 context,
                 directory,
@@ -106,15 +106,15 @@
                 roles,
                 new ServerObservations(context, roles, endpoints),
                 healthChecker,
-                healthCheckEvaluator(scarcity),
-                attemptEvaluator(),
+                createHealthCheckEvaluator(scarcity),
+                createAttemptEvaluator(),
                 scarcity,
                 retryPolicy,
                 dispatcher,
                 maintenance));
     }
 
-    private RequestDispatcher dispatcher() {
+    private RequestDispatcher createDispatcher() {
         return new RequestDispatcher(new RequestDispatcher.Dependencies(
                 context,
                 settings,
@@ -122,14 +122,14 @@
                 quota,
                 latencies,
                 stalenessFilter,
-                selector(),
+                createSelector(),
                 new AdmissionController(settings),
                 retryPolicy,
                 slowStart,
                 canceller));
     }
 
-    private ServerSelector selector() {
+    private ServerSelector createSelector() {
         return new ServerSelector(new ServerSelector.Dependencies(
                 context,
                 settings,
@@ -144,12 +144,12 @@
                 random));
     }
 
-    private AttemptEvaluator attemptEvaluator() {
+    private AttemptEvaluator createAttemptEvaluator() {
         return new AttemptEvaluator(
                 context, localHealth, healthChecker, outlierDetector, limiter, slowStart, roles, gossip);
     }
 
-    private HealthCheckEvaluator healthCheckEvaluator(ConnectionScarcity scarcity) {
+    private HealthCheckEvaluator createHealthCheckEvaluator(ConnectionScarcity scarcity) {
         return new HealthCheckEvaluator(
                 context, directory, localHealth, healthChecker, outlierDetector, roles, slowStart, scarcity, gossip);
     }
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -20,19 +20,19 @@
      * Initial concurrency limit of a newly listed server, and expected number of its first health checks, over all
      * gateways.
      */
-    private static final double FIRST_LIMIT = 24;
+    private static final double INITIAL_LIMIT = 24;
     /** Minimum concurrency limit of a server, over all gateways. */
-    private static final double LEAST_LIMIT = 8;
-    /** Maximum of one gateway's part of {@link #LEAST_LIMIT}. */
-    private static final double LEAST_LIMIT_OF_ONE_GATEWAY = 2;
+    private static final double MIN_LIMIT = 8;
+    /** Maximum of one gateway's part of {@link #MIN_LIMIT}. */
+    private static final double MIN_LIMIT_CAP_PER_GATEWAY = 2;
     /** Interval of health checks if no read has a staleness bound, so that they only have to notice changed roles. */
-    private static final long LONGEST_CHECK_INTERVAL = Ticks.ofMillis(1000);
+    private static final long MAX_CHECK_INTERVAL = Ticks.ofMillis(1000);
     /** Health checks per tightest staleness bound, so that the known position is fresh enough when a read arrives. */
     private static final int CHECKS_PER_STALENESS_BOUND = 3;
 
     private final Event.Started started;
     private final int gateways;
-    private final double firstLimit;
+    private final double initialLimitPerGateway;
     private final double leastLimit;
     private final long tightestBound;
     private final long checkInterval;
@@ -44,16 +44,16 @@
     RoutingSettings(Event.Started started, boolean quotaLimitsAttempts) {
         this.started = started;
         gateways = Math.max(1, started.gateways());
-        firstLimit = FIRST_LIMIT / gateways;
+        initialLimitPerGateway = INITIAL_LIMIT / gateways;
         leastLimit = quotaLimitsAttempts
-                ? LEAST_LIMIT
-                : Math.min(LEAST_LIMIT_OF_ONE_GATEWAY, Math.max(1, LEAST_LIMIT / gateways));
+                ? MIN_LIMIT
+                : Math.min(MIN_LIMIT_CAP_PER_GATEWAY, Math.max(1, MIN_LIMIT / gateways));
         tightestBound = started.requestClasses().stream()
                 .filter(requestClass -> requestClass.consistency() == Consistency.BOUNDED)
                 .mapToLong(RequestClass::stalenessBound)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        checkInterval = Math.min(LONGEST_CHECK_INTERVAL, tightestBound / CHECKS_PER_STALENESS_BOUND);
+        checkInterval = Math.min(MAX_CHECK_INTERVAL, tightestBound / CHECKS_PER_STALENESS_BOUND);
     }
 
     /** Returns the number of gateways that share the servers, at least 1. */
@@ -108,7 +108,7 @@
 
     /** Returns the initial concurrency limit: how many attempts may be in flight at a newly listed server. */
     double initialLimit() {
-        return Math.max(leastLimit, firstLimit);
+        return Math.max(leastLimit, initialLimitPerGateway);
     }
 
     /**
@@ -116,7 +116,7 @@
      * server at once. It is such that only a limited number of all gateways do.
      */
     double firstCheckProbability() {
-        return firstLimit;
+        return initialLimitPerGateway;
     }
 
     /** Returns the minimum concurrency limit: how many attempts may always be in flight at a server. */
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -17,32 +17,32 @@
  * inflation, utilization and slow start. Not thread-safe. Times are {@link Ticks}.
  */
 final class ServerSelector {
-    /** Reported utilization from which on a primary gets no reads; the counterpart of {@link #REPLICA_SATURATED}. */
-    private static final double PRIMARY_SATURATED = 0.95;
+    /** Reported utilization from which on a primary gets no reads; the counterpart of {@link #REPLICA_SATURATION}. */
+    private static final double PRIMARY_SATURATION = 0.95;
     /** Reported utilization from which on a replica gets no reads; queues grow from 0.8 on. */
-    private static final double REPLICA_SATURATED = 1.05;
+    private static final double REPLICA_SATURATION = 1.05;
     /**
-     * Width of the range of utilization below {@link #PRIMARY_SATURATED} and {@link #REPLICA_SATURATED} in which the
+     * Width of the range of utilization below {@link #PRIMARY_SATURATION} and {@link #REPLICA_SATURATION} in which the
      * fraction of admitted reads falls from all to none.
      */
     private static final double SATURATION_BAND = 0.25;
     /** Fraction of the primary's concurrency limit that reads may use; the rest is reserved for writes. */
-    private static final double PRIMARY_READ_SHARE = 0.7;
+    private static final double READ_LIMIT_SHARE = 0.7;
     /** Multiple of the primary's concurrency limit that writes may use, since a late write still has a value. */
-    private static final double WRITE_SHARE = 2;
+    private static final double WRITE_LIMIT_SHARE = 2;
     /** Cost factor of the server of the previous attempt, and of each rank among the servers of long reads. */
     private static final double AVOIDANCE_FACTOR = 3;
     /**
      * After a replica rejected a read as too stale, another read is sent to it only after this time, since each further
      * rejection costs a wait and another attempt.
      */
-    private static final long GUESS_INTERVAL = Ticks.ofMillis(1000);
+    private static final long UNVERIFIED_READ_INTERVAL = Ticks.ofMillis(1000);
     /** Minimum of the spare capacity (1 minus the reported utilization) with which a replica's cost is calculated. */
-    private static final double LEAST_HEADROOM = 0.1;
+    private static final double MIN_HEADROOM = 0.1;
     /**
      * Divisor of the random part of the cost, which keeps gateways from all choosing the same of several equal servers.
      */
-    private static final double COST_JITTER = 10;
+    private static final double COST_JITTER_DIVISOR = 10;
 
     private final DecisionContext context;
     private final RoutingSettings settings;
@@ -92,14 +92,14 @@
 
     private RoutingDecision selectPrimary(PendingRequest request, ReplicaGroup group) {
         ServerState primary = group.primary();
-        boolean isKnown = primary != null && primary.isServing();
-        if (!isKnown || !healthChecker.isConfirmed(primary)) {
-            checkForPrimary(group, primary, isKnown);
+        boolean hasServingPrimary = primary != null && primary.isServing();
+        if (!hasServingPrimary || !healthChecker.isConfirmed(primary)) {
+            checkForPrimary(group, primary, hasServingPrimary);
         }
-        boolean admitted = isKnown
+        boolean admitted = hasServingPrimary
                 && healthChecker.isConfirmed(primary)
                 && retryPolicy.recognizesRepeat(request, primary)
-                && limiter.hasCapacity(primary, WRITE_SHARE)
+                && limiter.hasCapacity(primary, WRITE_LIMIT_SHARE)
                 && slowStartAdmits(primary, request);
         return admitted ? RoutingDecision.forwardTo(primary) : RoutingDecision.WAIT;
     }
@@ -109,10 +109,10 @@
      * serving, of any member. If peers report positions, other members than the primary are checked only if no gateway
      * has reported on them recently.
      */
-    private void checkForPrimary(ReplicaGroup group, ServerState primary, boolean isKnown) {
-        boolean othersReport = gossip.isNeededForPositions();
+    private void checkForPrimary(ReplicaGroup group, ServerState primary, boolean hasServingPrimary) {
+        boolean peersReport = gossip.isNeededForPositions();
         healthChecker.checkOneOf(
-                group, server -> server == primary || !isKnown && (!othersReport || isReportOutdated(server)));
+                group, server -> server == primary || !hasServingPrimary && (!peersReport || isReportOutdated(server)));
     }
 
     private boolean isReportOutdated(ServerState server) {
@@ -131,12 +131,13 @@
         if (primary != null && primaryAdmitsRead(primary, request)) {
             return RoutingDecision.forwardTo(primary);
         }
-        ServerState guess = guessReplica(request, group);
-        if (guess != null) {
-            guess.replication().recordMisdirected(context.now()); // no other read is sent until it reports its position
-            return RoutingDecision.forwardTo(guess);
+        ServerState unverified = selectUnverifiedReplica(request, group);
+        if (unverified != null) {
+            // No other such read is sent to the replica until it has reported its position.
+            unverified.replication().recordMisdirected(context.now());
+            return RoutingDecision.forwardTo(unverified);
         }
-        boolean worthWaiting = healthChecker.awaitsConfirmation(group) || mayGetCapacity(request, group);
+        boolean worthWaiting = healthChecker.awaitsConfirmation(group) || hasReplicaThatMayServeLater(request, group);
         return worthWaiting ? RoutingDecision.WAIT : RoutingDecision.REJECT;
     }
 
@@ -174,18 +175,18 @@
     private boolean primaryAdmitsRead(ServerState primary, PendingRequest request) {
         return primary.isServing()
                 && healthChecker.isConfirmed(primary)
-                && limiter.hasCapacity(primary, PRIMARY_READ_SHARE)
+                && limiter.hasCapacity(primary, READ_LIMIT_SHARE)
                 && primary.load().inflation(context.now()) <= LatencyEstimate.RARELY_EXCEEDED
-                && isAdmittedByUtilization(primary, PRIMARY_SATURATED)
+                && isAdmittedByUtilization(primary, PRIMARY_SATURATION)
                 && slowStartAdmits(primary, request);
     }
 
     /**
      * Returns a replica that may take the read although its last report says that it is too stale, or null. Only if
      * replicas check reads themselves; the report may be outdated, so each replica gets one such read per
-     * {@link #GUESS_INTERVAL} instead of the read being rejected.
+     * {@link #UNVERIFIED_READ_INTERVAL} instead of the read being rejected.
      */
-    private ServerState guessReplica(PendingRequest request, ReplicaGroup group) {
+    private ServerState selectUnverifiedReplica(PendingRequest request, ReplicaGroup group) {
         if (!settings.replicasCheckReads()) {
             return null;
         }
@@ -193,19 +194,19 @@
                 request,
                 group,
                 server -> server != request.lastServer()
-                        && server.replication().sinceMisdirected(context.now()) > GUESS_INTERVAL);
+                        && server.replication().sinceMisdirected(context.now()) > UNVERIFIED_READ_INTERVAL);
     }
 
     /**
      * Whether a replica may take the read later: it lacks only capacity now, or may be fresh enough when it reports
      * again.
      */
-    private boolean mayGetCapacity(PendingRequest request, ReplicaGroup group) {
+    private boolean hasReplicaThatMayServeLater(PendingRequest request, ReplicaGroup group) {
         return group.members().stream()
                 .anyMatch(server -> !server.isPrimary()
                         && server.isServing()
                         && healthChecker.isConfirmed(server)
-                        && server.load().utilization() < REPLICA_SATURATED - SATURATION_BAND
+                        && server.load().utilization() < REPLICA_SATURATION - SATURATION_BAND
                         && mayServeLater(server, request));
     }
 
@@ -237,7 +238,7 @@
                 && retryPolicy.recognizesRepeat(request, replica)
                 && limiter.hasCapacity(replica, 1)
                 && eligible.test(replica)
-                && isAdmittedByUtilization(replica, REPLICA_SATURATED)
+                && isAdmittedByUtilization(replica, REPLICA_SATURATION)
                 && slowStartAdmits(replica, request);
     }
 
@@ -246,9 +247,9 @@
      * utilization, so that many gateways with few requests each do not overload a server together. If this gateway
      * measured the server's latency more recently than a report can be, the report is ignored.
      */
-    private boolean isAdmittedByUtilization(ServerState server, double saturated) {
+    private boolean isAdmittedByUtilization(ServerState server, double saturation) {
         return hasRecentLatency(server)
-                || random.nextDouble() < (saturated - server.load().utilization()) / SATURATION_BAND;
+                || random.nextDouble() < (saturation - server.load().utilization()) / SATURATION_BAND;
     }
 
     private boolean hasRecentLatency(ServerState server) {
@@ -261,7 +262,7 @@
         if (!slowStart.isWarmingUp(server, now)) {
             return true;
         }
-        return server.load().utilization() < REPLICA_SATURATED - SATURATION_BAND
+        return server.load().utilization() < REPLICA_SATURATION - SATURATION_BAND
                 && slowStart.admits(server, request.usualLatency(), latencies.mean(), directory.servers(), now);
     }
 
@@ -272,13 +273,13 @@
         if (request.isUnboundedReadLongerThan(settings.tightestBound())) {
             avoidance *= Math.pow(AVOIDANCE_FACTOR, rankForLongReads(server));
         }
-        double headroom = hasRecentLatency(server) ? 1 : Math.max(LEAST_HEADROOM, 1 - load.utilization());
+        double headroom = hasRecentLatency(server) ? 1 : Math.max(MIN_HEADROOM, 1 - load.utilization());
         return avoidance
                 * load.inflation(now)
                 * (load.attemptsInFlight() + 1)
                 / headroom
                 / slowStart.slowStartFraction(server, now)
-                * (1 + random.nextDouble() / COST_JITTER);
+                * (1 + random.nextDouble() / COST_JITTER_DIVISOR);
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -20,46 +20,46 @@
 final class SlowStart {
     /**
      * Fraction of the budget that the token buckets are refilled with in a window. A full bucket and the refill of a
-     * whole window can be used in one window: together BUDGET_SHARE * (1 + BURST) of the budget. The rest is left for
-     * servers that are slower than others.
+     * whole window can be used in one window: together BUDGET_SHARE * (1 + BURST_SHARE) of the budget. The rest is left
+     * for servers that are slower than others.
      */
     private static final double BUDGET_SHARE = 0.6;
     /** Size of a bucket as a fraction of a window's refill, apart from its part of the slack. */
-    private static final double BURST = 0.25;
+    private static final double BURST_SHARE = 0.25;
     /** Fraction of the slack by which the buckets are larger; the rest covers random variation. */
     private static final double SLACK_SHARE = 0.4;
     /** How long a ticket won in the lottery admits a request, in windows. */
-    private static final double TICKET_LASTS = 0.5;
+    private static final double TICKET_VALIDITY_WINDOWS = 0.5;
     /**
      * Minimum of a gateway's part, as a fraction of an equal part of the agreed traffic; applies if servers past slow
      * start get less from this gateway. Most of the budget follows the actual use.
      */
-    private static final double AGREED_SHARE = 0.5;
+    private static final double GUARANTEED_SHARE = 0.5;
     /** Requests per window and server, over all gateways, that are assumed if the settings state no agreed traffic. */
-    private static final double DEFAULT_AGREED = 24;
+    private static final double DEFAULT_REQUESTS_PER_WINDOW = 24;
     /** How often per window the work at servers past slow start is measured; it changes in the course of a window. */
     private static final double UPDATES_PER_WINDOW = 50;
     /** Budgets of fewer requests have a larger slack. */
-    private static final double SMALL_BUDGET = 30;
+    private static final double SMALL_BUDGET_REQUESTS = 30;
 
-    private final ServerGuarantees contract;
+    private final ServerGuarantees guarantees;
     private final int gateways;
-    private final double agreedPerWindow;
+    private final double agreedRequestsPerWindow;
     private final RandomGenerator random;
-    private double shortestCheck = Double.MAX_VALUE;
-    private int mostActiveServers = 1;
-    private double workOfPeers;
-    private boolean hasWarmPeers;
-    private long workOfPeersAt = LoadReport.UNKNOWN_TIME;
+    private double shortestCheckDuration = Double.MAX_VALUE;
+    private int maxActiveServers = 1;
+    private double meanWorkPastSlowStart;
+    private boolean hasServerPastSlowStart;
+    private long meanWorkMeasuredAt = LoadReport.UNKNOWN_TIME;
 
     /**
      * @param gateways the number of gateways that share the servers
      * @param requestsPerWindow the agreed traffic of all tenants at all servers, in requests per overload window
      */
-    SlowStart(ServerGuarantees contract, int gateways, double requestsPerWindow, RandomGenerator random) {
-        this.contract = contract;
+    SlowStart(ServerGuarantees guarantees, int gateways, double requestsPerWindow, RandomGenerator random) {
+        this.guarantees = guarantees;
         this.gateways = gateways;
-        this.agreedPerWindow = requestsPerWindow;
+        this.agreedRequestsPerWindow = requestsPerWindow;
         this.random = random;
     }
 
@@ -67,9 +67,9 @@
      * Returns the fraction of its full capacity that the server is guaranteed to have, from the start capacity up to 1.
      */
     double slowStartFraction(ServerState server, long now) {
-        double share = Math.max(
-                0, (now - server.slowStart().coldSince()) / (double) Math.max(1, contract.slowStartDuration()));
-        return Math.min(1, contract.startCapacity() + (1 - contract.startCapacity()) * share);
+        double elapsedFraction = Math.max(
+                0, (now - server.slowStart().coldSince()) / (double) Math.max(1, guarantees.slowStartDuration()));
+        return Math.min(1, guarantees.startCapacity() + (1 - guarantees.startCapacity()) * elapsedFraction);
     }
 
     /** Whether the server is in slow start, that is, has not reached its full capacity yet. */
@@ -95,7 +95,7 @@
             return true;
         }
         double refill = refillPerWindow(server, meanWork, servers, now);
-        double bucketSize = refill * BURST + SLACK_SHARE * slack(server, now) * meanWork / gateways;
+        double bucketSize = refill * BURST_SHARE + SLACK_SHARE * slack(server, now) * meanWork / gateways;
         progress.refill(refill, bucketSize, window(), now);
         return bucketSize >= work ? progress.credit() >= work : playLottery(progress, work, now);
     }
@@ -106,7 +106,7 @@
         }
         boolean won = random.nextDouble() < progress.credit() / work;
         if (won) {
-            progress.winTicket(work, now + (long) (TICKET_LASTS * window()));
+            progress.winTicket(work, now + (long) (TICKET_VALIDITY_WINDOWS * window()));
         } else {
             progress.loseLottery();
         }
@@ -121,15 +121,15 @@
      * suffice. If no server is past slow start, the whole equal part counts.
      */
     private double refillPerWindow(ServerState server, double meanWork, Collection<ServerState> servers, long now) {
-        measurePeers(servers, now);
-        double equalPart = agreedPerServer() * meanWork / gateways;
-        double part = hasWarmPeers ? Math.max(workOfPeers, AGREED_SHARE * equalPart) : equalPart;
-        return BUDGET_SHARE * contract.overloadMultiple() * slowStartFraction(server, now) * part;
+        measureServersPastSlowStart(servers, now);
+        double equalShare = agreedRequestsPerServer() * meanWork / gateways;
+        double gatewayShare = hasServerPastSlowStart ? Math.max(meanWorkPastSlowStart, GUARANTEED_SHARE * equalShare) : equalShare;
+        return BUDGET_SHARE * guarantees.overloadMultiple() * slowStartFraction(server, now) * gatewayShare;
     }
 
     /** Returns the agreed traffic at a server past slow start, in requests per window over all gateways. */
-    private double agreedPerServer() {
-        return agreedPerWindow > 0 ? agreedPerWindow / mostActiveServers : DEFAULT_AGREED;
+    private double agreedRequestsPerServer() {
+        return agreedRequestsPerWindow > 0 ? agreedRequestsPerWindow / maxActiveServers : DEFAULT_REQUESTS_PER_WINDOW;
     }
 
     /**
@@ -137,28 +137,28 @@
      * random variation: three standard deviations of the number of requests for a small budget, two for a larger one.
      */
     private double slack(ServerState server, long now) {
-        double budget = contract.overloadMultiple() * slowStartFraction(server, now) * agreedPerServer();
-        return budget < SMALL_BUDGET ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
+        double budget = guarantees.overloadMultiple() * slowStartFraction(server, now) * agreedRequestsPerServer();
+        return budget < SMALL_BUDGET_REQUESTS ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
     }
 
-    private void measurePeers(Collection<ServerState> servers, long now) {
-        if (now - workOfPeersAt < window() / UPDATES_PER_WINDOW) {
+    private void measureServersPastSlowStart(Collection<ServerState> servers, long now) {
+        if (now - meanWorkMeasuredAt < window() / UPDATES_PER_WINDOW) {
             return;
         }
-        workOfPeersAt = now;
-        int listed = 0;
-        int warm = 0;
-        double sum = 0;
+        meanWorkMeasuredAt = now;
+        int activeServers = 0;
+        int pastSlowStart = 0;
+        double totalWork = 0;
         for (ServerState server : servers) {
-            listed += server.lifecycle().isActive() ? 1 : 0;
+            activeServers += server.lifecycle().isActive() ? 1 : 0;
             if (server.isServing() && !isWarmingUp(server, now)) {
-                warm++;
-                sum += recentWork(server, now);
+                pastSlowStart++;
+                totalWork += recentWork(server, now);
             }
         }
-        mostActiveServers = Math.max(mostActiveServers, listed); // servers of a failed zone will be listed again
-        hasWarmPeers = warm > 0;
-        workOfPeers = sum / Math.max(1, warm);
+        maxActiveServers = Math.max(maxActiveServers, activeServers); // servers of a failed zone will be listed again
+        hasServerPastSlowStart = pastSlowStart > 0;
+        meanWorkPastSlowStart = totalWork / Math.max(1, pastSlowStart);
     }
 
     /**
@@ -192,11 +192,11 @@
      * Called when the server answered a health check. The work of a health check is taken to be the shortest time in
      * which one was answered, since longer times include waiting.
      *
-     * @param took how long the health check took
+     * @param duration how long the health check took
      */
-    void healthCheckAnswered(ServerState server, long took, long now) {
-        shortestCheck = Math.min(shortestCheck, took);
-        charge(server, shortestCheck, now);
+    void healthCheckAnswered(ServerState server, long duration, long now) {
+        shortestCheckDuration = Math.min(shortestCheckDuration, duration);
+        charge(server, shortestCheckDuration, now);
     }
 
     private void charge(ServerState server, double work, long now) {
@@ -206,6 +206,6 @@
     }
 
     private long window() {
-        return Math.max(1, contract.overloadWindow());
+        return Math.max(1, guarantees.overloadWindow());
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
+++ b/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
@@ -17,7 +17,7 @@
  */
 final class StalenessFilter {
     /** Maximum age of a position report due to which a read may be sent to a replica that checks reads itself. */
-    private static final long REPORT_USABLE = Ticks.ofMillis(4000);
+    private static final long MAX_USABLE_REPORT_AGE = Ticks.ofMillis(4000);
 
     private final RoutingSettings settings;
     private final SessionWrites sessionWrites;
@@ -48,7 +48,7 @@
         ReplicationStatus replication = replica.replication();
         return replication.isReportedSinceMisdirected()
                 && replica != request.lastServer()
-                && replication.positionReportAge(now) < REPORT_USABLE
+                && replication.positionReportAge(now) < MAX_USABLE_REPORT_AGE
                 && replication.lagAtReport() <= request.requestClass().stalenessBound();
     }
 
