--- a/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
@@ -32,11 +32,11 @@
     @Test
     void consecutiveRefusedConnectionsAtALiveServerCloseIdleConnections() {
         RequestId write = driver.request(TestRouterSettings.WRITE);
-        for (int send = 0; send < 2; send++) {
+        for (int attempt = 0; attempt < 2; attempt++) {
             assertThat(driver.actions).noneMatch(Action.CloseIdleConnections.class::isInstance);
             driver.deliver(new Event.AttemptEnded(
-                    write, send, new ServerId("p"), Outcome.CONNECT_FAILED, 10, false, null, null));
-            assertThat(driver.healthChecks("p")).isEqualTo(2 + send);
+                    write, attempt, new ServerId("p"), Outcome.CONNECT_FAILED, 10, false, null, null));
+            assertThat(driver.healthChecks("p")).isEqualTo(2 + attempt);
             driver.healthCheckSucceeded("p", Role.PRIMARY, driver.nowMs);
         }
         driver.attemptEnded(write, 2, "p", Outcome.SUCCEEDED, null);
@@ -55,22 +55,22 @@
                     driver.deliver(new Event.AttemptEnded(
                             read, 0, new ServerId(driver.attempts(read).get(0)), outcome, 100, false, null, null));
                 }
-                int last = driver.attempts(read).size() - 1;
+                int lastAttempt = driver.attempts(read).size() - 1;
                 driver.attemptEnded(
                         read,
-                        last,
-                        driver.attempts(read).get(last),
+                        lastAttempt,
+                        driver.attempts(read).get(lastAttempt),
                         Outcome.SUCCEEDED,
                         RouterDriver.report(Role.REPLICA, driver.nowMs));
                 driver.advance(100);
                 driver.catchUp("p", "r1", "r2");
             }
         }
-        List<RequestId> many = new ArrayList<>();
+        List<RequestId> reads = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            many.add(driver.request(TestRouterSettings.UNBOUNDED_READ));
+            reads.add(driver.request(TestRouterSettings.UNBOUNDED_READ));
         }
-        assertThat(many).allMatch(request -> driver.attempts(request).size() == 1);
+        assertThat(reads).allMatch(read -> driver.attempts(read).size() == 1);
         assertThat(driver.logged("silent")).isFalse();
         assertThat(driver.actions).noneMatch(Action.CloseIdleConnections.class::isInstance);
     }
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void anUnresponsiveReplicasReadsMoveToAnotherAndItIsReadmittedGradually() {
+    void readsAtAnUnresponsiveReplicaAreRetriedAtAnotherAndItIsReadmittedGradually() {
         RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
         String first = driver.attempts(read).get(0);
         String other = first.equals("r1") ? "r2" : "r1";
@@ -113,24 +113,24 @@
         driver.request(TestRouterSettings.BOUNDED_READ);
         driver.request(TestRouterSettings.BOUNDED_READ);
         assertThat(driver.actions.stream()
-                        .filter(a -> a instanceof Action.StartAttempt s
-                                && s.server().text().equals(first))
+                        .filter(action -> action instanceof Action.StartAttempt start
+                                && start.server().text().equals(first))
                         .count())
                 .isLessThanOrEqualTo(2);
     }
 
     @Test
-    void aReadmittedPrimaryGetsATrialWriteWhileOldWritesAreStillInFlight() {
+    void aReadmittedPrimaryGetsAtMostTwoWritesWhileEarlierWritesAreStillInFlight() {
         for (int i = 0; i < 10; i++) {
             driver.request(TestRouterSettings.WRITE);
         }
         driver.advance(700);
         assertThat(driver.logged("server p silent")).isTrue();
-        RequestId held = driver.request(TestRouterSettings.WRITE);
-        assertThat(driver.attempts(held)).isEmpty();
+        RequestId queued = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(queued)).isEmpty();
         driver.advance(400);
         driver.catchUp("p", "r1", "r2");
-        assertThat(driver.attempts(held)).containsExactly("p");
+        assertThat(driver.attempts(queued)).containsExactly("p");
         driver.request(TestRouterSettings.WRITE);
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE)))
                 .as("at most two writes in flight")
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void aServerWithoutTheExpectedResponsesIsEjected() {
+    void aServerThatDoesNotAnswerItsAttemptsIsEjected() {
         for (int i = 0; i < 8; i++) {
             driver.request(TestRouterSettings.UNBOUNDED_READ);
         }
@@ -150,10 +150,14 @@
     void aReplicaThatFailsFastIsEjected() {
         for (int i = 0; i < 12; i++) {
             RequestId read = driver.request(TestRouterSettings.UNBOUNDED_READ);
-            for (int s = 0; s < driver.attempts(read).size() && s < 4; s++) {
-                boolean bad = driver.attempts(read).get(s).equals("r1");
+            for (int attempt = 0; attempt < driver.attempts(read).size() && attempt < 4; attempt++) {
+                boolean fails = driver.attempts(read).get(attempt).equals("r1");
                 driver.attemptEnded(
-                        read, s, driver.attempts(read).get(s), bad ? Outcome.FAILED : Outcome.SUCCEEDED, null);
+                        read,
+                        attempt,
+                        driver.attempts(read).get(attempt),
+                        fails ? Outcome.FAILED : Outcome.SUCCEEDED,
+                        null);
             }
         }
         assertThat(driver.logged("server r1 silent: fails")).isTrue();
--- a/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RequestDeadlinesTest.java
@@ -20,15 +20,15 @@
     void requestsThatArriveWhenTheMaintenanceTimerIsDueDoNotPostponeIt() {
         driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
         RequestId write = driver.request(TestRouterSettings.WRITE);
-        List<Long> wakes = new ArrayList<>();
+        List<Long> timers = new ArrayList<>();
         for (int i = 0; i < 600 && driver.rejections(write) == 0; i++) {
             driver.nowMs += 5;
             driver.actions.stream()
                     .filter(Action.SetTimer.class::isInstance)
-                    .forEach(a -> wakes.add(((Action.SetTimer) a).at()));
+                    .forEach(action -> timers.add(((Action.SetTimer) action).at()));
             driver.actions.removeIf(Action.SetTimer.class::isInstance);
             driver.request(TestRouterSettings.WRITE);
-            if (wakes.removeIf(at -> at <= driver.nowMs * 10 - 10)) {
+            if (timers.removeIf(at -> at <= driver.nowMs * 10 - 10)) {
                 driver.deliver(new Event.TimerFired(0));
             }
         }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void atTheShutdownDeadlineEachPendingRequestIsAnsweredOnceByItsProvenOutcome() {
+    void atTheShutdownDeadlineEachPendingRequestIsAnsweredOnceAndFailsOnlyIfItMayHaveRun() {
         RequestId read = driver.request(TestRouterSettings.BOUNDED_READ);
         RequestId write = driver.request(TestRouterSettings.WRITE);
         driver.deliver(new Event.AttemptEnded(
@@ -48,12 +48,12 @@
                 false,
                 RouterDriver.report(Role.REPLICA, driver.nowMs),
                 null));
-        RequestId held = driver.request(TestRouterSettings.WRITE);
-        assertThat(driver.attempts(held)).isEmpty();
+        RequestId queued = driver.request(TestRouterSettings.WRITE);
+        assertThat(driver.attempts(queued)).isEmpty();
         driver.deliver(new Event.ShutdownDeadline());
         assertThat(driver.rejections(read)).isEqualTo(1); // idempotent
         assertThat(driver.failures(write)).isEqualTo(1); // may have run
-        assertThat(driver.rejections(held)).isEqualTo(1); // never attempted
+        assertThat(driver.rejections(queued)).isEqualTo(1); // never attempted
         assertThat(driver.cancelled(write)).isTrue();
         driver.attemptEnded(write, 0, "p", Outcome.CANCELLED, null);
         driver.advance(3000);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aQueuedWriteIsRejectedAfterHalfItsTimeWhenNoPrimaryAppears() {
+    void aQueuedWriteIsRejectedAfterHalfItsTimeoutWhenNoPrimaryAppears() {
         driver.attemptEnded(driver.request(TestRouterSettings.WRITE), 0, "p", Outcome.MISDIRECTED, null);
         RequestId write = driver.request(TestRouterSettings.WRITE);
         driver.advance(1400);
@@ -74,12 +74,12 @@
 
     @Test
     void aWritesAttemptTimesOutBeforeTheRequestsDeadline() {
-        RouterDriver h = RouterDriver.withCaughtUpReplicas();
-        RequestId write = h.request(TestRouterSettings.WRITE);
-        assertThat(h.actions.stream()
-                        .filter(a -> a instanceof Action.StartAttempt x
-                                && x.request().equals(write))
-                        .map(a -> ((Action.StartAttempt) a).timeLimit()))
+        RouterDriver freshDriver = RouterDriver.withCaughtUpReplicas();
+        RequestId write = freshDriver.request(TestRouterSettings.WRITE);
+        assertThat(freshDriver.actions.stream()
+                        .filter(action -> action instanceof Action.StartAttempt start
+                                && start.request().equals(write))
+                        .map(action -> ((Action.StartAttempt) action).timeLimit()))
                 .containsExactly(30_000L - 30_000 / 50);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
@@ -13,14 +13,16 @@
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
-    void whereSomeResponsesAreLostAnAttemptTimesOutBeforeTheLatencyObjective() {
+    void ifSomeResponsesAreLostAnAttemptTimesOutBeforeTheLatencyObjective() {
         for (int i = 0; i < 40; i++) {
             RequestId request = driver.request(TestRouterSettings.WRITE);
             driver.attemptEnded(request, 0, "p", i % 4 == 0 ? Outcome.TIMED_OUT : Outcome.SUCCEEDED, null);
         }
         RequestId read = driver.request(TestRouterSettings.FRESH_READ);
         assertThat(driver.actions)
-                .anyMatch(a -> a instanceof Action.StartAttempt s && s.request().equals(read) && s.timeLimit() < 3500);
+                .anyMatch(action -> action instanceof Action.StartAttempt start
+                        && start.request().equals(read)
+                        && start.timeLimit() < 3500);
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE)))
                 .as("the concurrency limit of the primary has not shrunk")
                 .containsExactly("p");
--- a/gateway/src/test/java/ploverdale/routing/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterTest.java
@@ -19,22 +19,24 @@
         int before = driver.actions.size();
         driver.deliver(new Event.GossipReceived(3, new byte[] {104, 105}));
         driver.deliver(new Event.HealthCheckEnded(
-                new ServerId("stranger"), Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, driver.nowMs)));
-        driver.attemptEnded(new RequestId("none"), 0, "stranger", Outcome.SUCCEEDED, null);
-        driver.deliver(new Event.ClientDisconnected(new RequestId("none")));
+                new ServerId("unknown"), Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, driver.nowMs)));
+        driver.attemptEnded(new RequestId("unknown"), 0, "unknown", Outcome.SUCCEEDED, null);
+        driver.deliver(new Event.ClientDisconnected(new RequestId("unknown")));
         assertThat(driver.actions).hasSize(before);
         assertThat(driver.attempts(driver.request(TestRouterSettings.WRITE))).containsExactly("p");
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        List<RouterDriver> twins = List.of(RouterDriver.withCaughtUpReplicas(), RouterDriver.withCaughtUpReplicas());
-        for (RouterDriver twin : twins) {
+        List<RouterDriver> drivers = List.of(RouterDriver.withCaughtUpReplicas(), RouterDriver.withCaughtUpReplicas());
+        for (RouterDriver eachDriver : drivers) {
             for (int i = 0; i < 20; i++) {
-                twin.request(i % 6);
+                eachDriver.request(i % 6);
             }
-            twin.advance(500);
+            eachDriver.advance(500);
         }
-        assertThat(twins.get(0).actions).hasSizeGreaterThan(20).isEqualTo(twins.get(1).actions);
+        assertThat(drivers.get(0).actions)
+                .hasSizeGreaterThan(20)
+                .isEqualTo(drivers.get(1).actions);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/ServerSelectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ServerSelectionTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void aListedServerWithoutAnyObservationGetsNoRequest() {
-        driver.updateEndpoints(false, "ghost");
+        driver.updateEndpoints(false, "unobserved");
         for (int i = 0; i < 5; i++) {
             assertThat(driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ)))
                     .isSubsetOf("r1", "r2")
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void whileEligibleReplicasAreSaturatedThePrimaryTakesReads() {
+    void whileTheReplicasHaveNoCapacityThePrimaryTakesReads() {
         int atPrimary = 0;
         for (int i = 0; i < 60; i++) {
             atPrimary += driver.attempts(driver.request(TestRouterSettings.BOUNDED_READ))
@@ -46,10 +46,10 @@
     @Test
     void readsLongerThanTheTightestBoundGoToTheFirstReplicaById() {
         for (int i = 0; i < 25; i++) {
-            RequestId scan = driver.request(TestRouterSettings.LONG_READ);
+            RequestId read = driver.request(TestRouterSettings.LONG_READ);
             driver.nowMs += 100;
             driver.deliver(new Event.AttemptEnded(
-                    scan, 0, new ServerId(driver.attempts(scan).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
+                    read, 0, new ServerId(driver.attempts(read).get(0)), Outcome.SUCCEEDED, 9000, true, null, null));
         }
         driver.catchUp("p", "r1", "r2");
         assertThat(driver.attempts(driver.request(TestRouterSettings.LONG_READ)))
--- a/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
@@ -13,64 +13,64 @@
     private final RouterDriver driver = RouterDriver.withCaughtUpReplicas();
 
     @Test
-    void manySmallGatewaysTogetherSendAWarmingServerOnlyItsPart() {
-        int cold = 0;
+    void manyGatewaysWithFewRequestsEachTogetherSendARecoveringServerFewRequests() {
+        int readsAtRecovering = 0;
         for (int i = 0; i < 100; i++) {
-            RouterDriver small = new RouterDriver(new TestRouterSettings().gateways(100 + i));
-            small.updateEndpoints(true, "r1", "r2");
-            small.catchUp("r1", "r2");
-            small.attemptEnded(small.request(TestRouterSettings.UNBOUNDED_READ), 0, "r2", Outcome.SUCCEEDED, null);
-            small.updateEndpoint("r1", EndpointState.IN, small.nowMs);
-            for (int s = 0; s < 4; s++) {
-                RequestId read = small.request(TestRouterSettings.UNBOUNDED_READ);
-                cold += small.attempts(read).contains("r1") ? 1 : 0;
-                small.nowMs += 250;
+            RouterDriver gateway = new RouterDriver(new TestRouterSettings().gateways(100 + i));
+            gateway.updateEndpoints(true, "r1", "r2");
+            gateway.catchUp("r1", "r2");
+            gateway.attemptEnded(gateway.request(TestRouterSettings.UNBOUNDED_READ), 0, "r2", Outcome.SUCCEEDED, null);
+            gateway.updateEndpoint("r1", EndpointState.IN, gateway.nowMs);
+            for (int j = 0; j < 4; j++) {
+                RequestId read = gateway.request(TestRouterSettings.UNBOUNDED_READ);
+                readsAtRecovering += gateway.attempts(read).contains("r1") ? 1 : 0;
+                gateway.nowMs += 250;
             }
         }
-        assertThat(cold).isBetween(1, 50);
+        assertThat(readsAtRecovering).isBetween(1, 50);
     }
 
     @Test
-    void aWarmingServerGetsFewRequests() {
+    void aRecoveringServerGetsFewRequests() {
         driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
-        int cold = 0;
+        int readsAtRecovering = 0;
         for (int i = 0; i < 12; i++) {
-            cold += driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ))
+            readsAtRecovering += driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ))
                             .contains("r1")
                     ? 1
                     : 0;
         }
-        assertThat(cold).isLessThanOrEqualTo(4);
+        assertThat(readsAtRecovering).isLessThanOrEqualTo(4);
     }
 
     @Test
-    void aServerReadmittedAfterALongOutageIsWarmingUpBeforeTheEndpointListSaysSo() {
+    void aServerReadmittedAfterALongOutageIsInSlowStartBeforeTheEndpointListStatesARestart() {
         driver.healthCheckTimedOut("r1");
         driver.healthCheckTimedOut("r1");
         driver.nowMs += 5000;
         driver.catchUp("p", "r1", "r2");
-        int cold = 0;
+        int readsAtRecovering = 0;
         for (int i = 0; i < 12; i++) {
-            cold += driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ))
+            readsAtRecovering += driver.attempts(driver.request(TestRouterSettings.UNBOUNDED_READ))
                             .contains("r1")
                     ? 1
                     : 0;
         }
-        assertThat(cold).isLessThanOrEqualTo(1);
+        assertThat(readsAtRecovering).isLessThanOrEqualTo(1);
     }
 
     @Test
-    void aServerFirstSeenLateIsWarmWhereTheEndpointListSaysThatItStartedLongAgo() {
-        RouterDriver fresh = new RouterDriver();
-        fresh.updateEndpoints(true, "r1");
-        fresh.healthCheckTimedOut("r1");
-        fresh.healthCheckTimedOut("r1");
-        fresh.nowMs += 5000;
-        fresh.healthCheckSucceeded("r1", Role.REPLICA, fresh.nowMs);
+    void aServerFirstConfirmedLateIsPastSlowStartIfTheEndpointListSaysThatItStartedLongAgo() {
+        RouterDriver freshDriver = new RouterDriver();
+        freshDriver.updateEndpoints(true, "r1");
+        freshDriver.healthCheckTimedOut("r1");
+        freshDriver.healthCheckTimedOut("r1");
+        freshDriver.nowMs += 5000;
+        freshDriver.healthCheckSucceeded("r1", Role.REPLICA, freshDriver.nowMs);
         for (int i = 0; i < 12; i++) {
-            RequestId read = fresh.request(TestRouterSettings.UNBOUNDED_READ);
-            assertThat(fresh.attempts(read)).as("read " + i).containsExactly("r1");
-            fresh.attemptEnded(read, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, fresh.nowMs));
+            RequestId read = freshDriver.request(TestRouterSettings.UNBOUNDED_READ);
+            assertThat(freshDriver.attempts(read)).as("read " + i).containsExactly("r1");
+            freshDriver.attemptEnded(read, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, freshDriver.nowMs));
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
@@ -27,39 +27,39 @@
     }
 
     @Test
-    void whereReplicasCheckStalenessASlightlyLaggingOneIsPreferredUntilItRejectsARead() {
-        RouterDriver checked =
+    void ifReplicasCheckStalenessASlightlyLaggingOneIsPreferredUntilItRejectsARead() {
+        RouterDriver checkingDriver =
                 new RouterDriver(new TestRouterSettings().stalenessCheck(ReplicaGuarantees.StalenessCheck.WAITS));
-        checked.updateEndpoints(true, "p", "r1");
-        checked.catchUp("p", "r1");
-        checked.nowMs += 560;
-        RequestId read = checked.request(TestRouterSettings.BOUNDED_READ);
-        checked.nowMs += 50;
-        checked.attemptEnded(
-                read, 0, "r1", Outcome.MISDIRECTED, RouterDriver.report(Role.REPLICA, checked.nowMs - 700));
-        assertThat(checked.attempts(read)).startsWith("r1");
-        assertThat(checked.attempts(checked.request(TestRouterSettings.BOUNDED_READ)))
+        checkingDriver.updateEndpoints(true, "p", "r1");
+        checkingDriver.catchUp("p", "r1");
+        checkingDriver.nowMs += 560;
+        RequestId read = checkingDriver.request(TestRouterSettings.BOUNDED_READ);
+        checkingDriver.nowMs += 50;
+        checkingDriver.attemptEnded(
+                read, 0, "r1", Outcome.MISDIRECTED, RouterDriver.report(Role.REPLICA, checkingDriver.nowMs - 700));
+        assertThat(checkingDriver.attempts(read)).startsWith("r1");
+        assertThat(checkingDriver.attempts(checkingDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("p");
     }
 
     @Test
-    void whereReplicasCheckStalenessOneReadASecondIsSentDespiteOutdatedReports() {
-        RouterDriver checked =
+    void ifReplicasCheckStalenessOneReadPerSecondIsSentDespiteOutdatedReports() {
+        RouterDriver checkingDriver =
                 new RouterDriver(new TestRouterSettings().stalenessCheck(ReplicaGuarantees.StalenessCheck.WAITS));
-        checked.updateEndpoints(true, "r1");
-        checked.healthCheckSucceeded("r1", Role.REPLICA, checked.nowMs - 5200);
-        RequestId guess = checked.request(TestRouterSettings.BOUNDED_READ);
-        assertThat(checked.attempts(guess)).containsExactly("r1");
-        assertThat(checked.rejections(checked.request(TestRouterSettings.BOUNDED_READ)))
+        checkingDriver.updateEndpoints(true, "r1");
+        checkingDriver.healthCheckSucceeded("r1", Role.REPLICA, checkingDriver.nowMs - 5200);
+        RequestId unverified = checkingDriver.request(TestRouterSettings.BOUNDED_READ);
+        assertThat(checkingDriver.attempts(unverified)).containsExactly("r1");
+        assertThat(checkingDriver.rejections(checkingDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .isEqualTo(1);
-        checked.nowMs += 50;
-        checked.attemptEnded(guess, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, checked.nowMs - 10));
-        assertThat(checked.attempts(checked.request(TestRouterSettings.BOUNDED_READ)))
+        checkingDriver.nowMs += 50;
+        checkingDriver.attemptEnded(unverified, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, checkingDriver.nowMs - 10));
+        assertThat(checkingDriver.attempts(checkingDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
     }
 
     @Test
-    void sessionReadsSeeTheSessionsWrites() {
+    void sessionReadsGoOnlyToServersThatHaveTheSessionsLastWrite() {
         RequestId write = driver.request(TestRouterSettings.WRITE, "s", 0);
         driver.nowMs += 100;
         driver.attemptEnded(write, 0, "p", Outcome.SUCCEEDED, RouterDriver.report(Role.PRIMARY, driver.nowMs));
@@ -74,36 +74,38 @@
     }
 
     @Test
-    void aSessionTokenSetsTheBoundAndAZeroTokenAdmitsAnyReplica() {
-        RouterDriver carried = new RouterDriver(new TestRouterSettings().sessionTokens());
-        carried.updateEndpoints(true, "p", "r1");
-        carried.catchUp("p", "r1");
-        carried.nowMs += 100;
-        assertThat(carried.attempts(carried.request(TestRouterSettings.SESSION_READ, "s", 50)))
+    void aSessionTokenSetsTheRequiredPositionAndAZeroTokenAdmitsAnyReplica() {
+        RouterDriver tokenDriver = new RouterDriver(new TestRouterSettings().sessionTokens());
+        tokenDriver.updateEndpoints(true, "p", "r1");
+        tokenDriver.catchUp("p", "r1");
+        tokenDriver.nowMs += 100;
+        assertThat(tokenDriver.attempts(tokenDriver.request(TestRouterSettings.SESSION_READ, "s", 50)))
                 .containsExactly("p");
-        assertThat(carried.attempts(carried.request(TestRouterSettings.SESSION_READ, "s", 0)))
+        assertThat(tokenDriver.attempts(tokenDriver.request(TestRouterSettings.SESSION_READ, "s", 0)))
                 .containsExactly("r1");
-        assertThat(carried.attempts(carried.request(TestRouterSettings.SESSION_READ, "s", 200)))
+        assertThat(tokenDriver.attempts(tokenDriver.request(TestRouterSettings.SESSION_READ, "s", 200)))
                 .containsExactly("r1");
     }
 
     @Test
-    void aBoundedReadAtAReplicaMustBeWrittenWhileThePositionFitsItsBound() {
-        RouterDriver h = RouterDriver.withCaughtUpReplicas();
-        h.advance(100); // r1 and r2 have reported nothing since
-        RequestId read = h.request(TestRouterSettings.BOUNDED_READ);
-        Action.StartAttempt s = h.actions.stream()
-                .filter(a -> a instanceof Action.StartAttempt x && x.request().equals(read))
-                .map(a -> (Action.StartAttempt) a)
+    void aBoundedReadMustBeWrittenToAReplicaBeforeItsKnownPositionIsTooOld() {
+        RouterDriver freshDriver = RouterDriver.withCaughtUpReplicas();
+        freshDriver.advance(100); // r1 and r2 have reported nothing since
+        RequestId read = freshDriver.request(TestRouterSettings.BOUNDED_READ);
+        Action.StartAttempt readAttempt = freshDriver.actions.stream()
+                .filter(action -> action instanceof Action.StartAttempt start
+                        && start.request().equals(read))
+                .map(action -> (Action.StartAttempt) action)
                 .findFirst()
                 .orElseThrow();
-        assertThat(s.server().text()).startsWith("r");
-        assertThat(s.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000); // a position is rounded down by a millisecond
-        RequestId write = h.request(TestRouterSettings.WRITE);
-        assertThat(h.actions.stream()
-                        .filter(a -> a instanceof Action.StartAttempt x
-                                && x.request().equals(write))
-                        .map(a -> ((Action.StartAttempt) a).writeBy()))
+        assertThat(readAttempt.server().text()).startsWith("r");
+        // The router takes a position to be up to a millisecond earlier than reported.
+        assertThat(readAttempt.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000);
+        RequestId write = freshDriver.request(TestRouterSettings.WRITE);
+        assertThat(freshDriver.actions.stream()
+                        .filter(action -> action instanceof Action.StartAttempt start
+                                && start.request().equals(write))
+                        .map(action -> ((Action.StartAttempt) action).writeBy()))
                 .containsExactly(Long.MAX_VALUE);
     }
 }
