--- a/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
@@ -8,9 +8,9 @@
  * {@link ploverdale.model.Ticks}.
  */
 final class SlowStartBudget {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /** Capacity of a recovering server as a fraction of other servers' capacity, since servers differ. */
-    private static final double RECOVERING_SPEED = 0.8;
+    private static final double RECOVERING_CAPACITY_SHARE = 0.8;
 
     private final SlowStartDeployment deployment;
     private final long restartedAt;
@@ -21,49 +21,51 @@
     }
 
     /** Returns the fraction of its full capacity that the server has at this time. */
-    double warmth(SimulatedServer server, long time) {
-        double warmed = (time - restartedAt) / (double) (deployment.coldMs() * MS);
+    double capacityFraction(SimulatedServer server, long time) {
+        double elapsedFraction = (time - restartedAt) / (double) (deployment.slowStartMs() * TICKS_PER_MS);
         return server.restarted
-                ? Math.min(1, deployment.startCapacity() + (1 - deployment.startCapacity()) * Math.max(0, warmed))
+                ? Math.min(1, deployment.startCapacity() + (1 - deployment.startCapacity()) * Math.max(0, elapsedFraction))
                 : 1;
     }
 
     /** Returns the server's full capacity, in requests per second. */
     double capacity(SimulatedServer server) {
-        return server.restarts ? RECOVERING_SPEED * deployment.capacity() : deployment.capacity();
+        return server.restarts ? RECOVERING_CAPACITY_SHARE * deployment.capacity() : deployment.capacity();
     }
 
     /**
      * Returns the maximum load that reached the server in any window, as a fraction of the load allowed in that window.
      */
-    double worstLoad(SimulatedServer server) {
-        long window = deployment.windowMs() * MS;
-        Queue<SimulatedServer.Arrival> within = new ArrayDeque<>();
-        double sum = 0;
-        double worst = 0;
+    double maxLoad(SimulatedServer server) {
+        long window = deployment.overloadWindowMs() * TICKS_PER_MS;
+        Queue<SimulatedServer.Arrival> arrivalsInWindow = new ArrayDeque<>();
+        double load = 0;
+        double maxShare = 0;
         for (SimulatedServer.Arrival arrival : server.coldArrivals) {
-            within.add(arrival);
-            sum += arrival.work();
-            while (within.peek().at() <= arrival.at() - window) {
-                sum -= within.remove().work();
+            arrivalsInWindow.add(arrival);
+            load += arrival.work();
+            while (arrivalsInWindow.peek().at() <= arrival.at() - window) {
+                load -= arrivalsInWindow.remove().work();
             }
-            worst = Math.max(worst, sum / budget(capacity(server) * warmth(server, arrival.at() - window / 2)));
+            maxShare = Math.max(maxShare, load / allowedLoad(capacity(server) * capacityFraction(server, arrival.at() - window / 2)));
         }
-        return worst;
+        return maxShare;
     }
 
     /** Returns the load allowed in a window, in requests: the budget and an allowance for random variation. */
-    private double budget(double capacity) {
-        double n = deployment.multiple() * capacity * deployment.windowMs() / 1000;
-        return n < 30 ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
+    private double allowedLoad(double capacity) {
+        double requests = deployment.overloadMultiple() * capacity * deployment.overloadWindowMs() / 1000;
+        return requests < 30
+                ? requests + 3 * Math.sqrt(requests) + 3
+                : requests + 2 * Math.sqrt(requests) + 2;
     }
 
     /** Returns how much a recovering server can answer between these times, in requests of mean work. */
     double possibleAnswers(long from, long until) {
-        double seconds = (until - from) / (1000.0 * MS);
-        double middle = (from + until) / 2 - restartedAt;
-        double warmth =
-                deployment.startCapacity() + (1 - deployment.startCapacity()) * middle / (deployment.coldMs() * MS);
-        return seconds * warmth * deployment.capacity() * RECOVERING_SPEED;
+        double seconds = (until - from) / (1000.0 * TICKS_PER_MS);
+        double midpoint = (from + until) / 2 - restartedAt;
+        double capacityFraction =
+                deployment.startCapacity() + (1 - deployment.startCapacity()) * midpoint / (deployment.slowStartMs() * TICKS_PER_MS);
+        return seconds * capacityFraction * deployment.capacity() * RECOVERING_CAPACITY_SHARE;
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -28,34 +28,34 @@
     /**
      * The results of a run.
      *
-     * @param worstLoad the maximum load of a recovering server within a window, as a fraction of the load that is
+     * @param maxLoad the maximum load of a recovering server within a window, as a fraction of the load that is
      *     allowed
      * @param served the fraction of the requests after the restart that were answered within their latency objective
-     * @param coldServed the work that the recovering servers answered, as a fraction of what they could have answered
+     * @param usedCapacity the work that the recovering servers answered, as a fraction of what they could have answered
      */
-    record Result(double worstLoad, double served, double coldServed) {}
+    record Result(double maxLoad, double served, double usedCapacity) {}
 
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final long START = 17_000_000_000_000L; // a Unix time
-    private static final long DOWN_AT = START + 2000 * MS;
-    private static final long RESTARTED_AT = START + 3500 * MS;
-    private static final long UP_AT = RESTARTED_AT + 100 * MS; // when all gateways have been notified of the restart
-    private static final long BURST_AT = UP_AT + 2500 * MS;
-    private static final long BURST_LASTS = 2000 * MS;
-    private static final long END = START + 9500 * MS;
+    private static final long DOWN_AT = START + 2000 * TICKS_PER_MS;
+    private static final long RESTARTED_AT = START + 3500 * TICKS_PER_MS;
+    private static final long UP_AT = RESTARTED_AT + 100 * TICKS_PER_MS; // after all gateways were notified
+    private static final long BURST_AT = UP_AT + 2500 * TICKS_PER_MS;
+    private static final long BURST_DURATION = 2000 * TICKS_PER_MS;
+    private static final long END_AT = START + 9500 * TICKS_PER_MS;
     private static final int GROUPS = 4;
-    private static final int GROUP = 3;
-    static final int SERVERS = GROUPS * GROUP;
+    private static final int GROUP_SIZE = 3;
+    static final int SERVERS = GROUPS * GROUP_SIZE;
     /** The offered load, as a fraction of the full capacity of all servers. */
-    private static final double LOAD = 0.6;
+    private static final double OFFERED_LOAD = 0.6;
     private static final double HEALTH_CHECK_WORK = 0.005;
     /** Fraction of failed attempts at restarted servers in {@link SlowStartScenario#ALL_SERVERS_AND_FAILURES}. */
-    private static final double FAILURES = 0.15;
-    private static final int VIEW = 0;
-    private static final int HISTORY = 1;
-    private static final int SUBMIT = 2;
+    private static final double FAILURE_SHARE = 0.15;
+    private static final int BOUNDED_READ = 0;
+    private static final int UNBOUNDED_READ = 1;
+    private static final int WRITE = 2;
 
-    private record Request(int gateway, int type, int group, int tries, long targetAt) {}
+    private record Request(int gateway, int requestClass, int group, int resubmissions, long objectiveAt) {}
 
     private final int gateways;
     private final SlowStartScenario scenario;
@@ -64,14 +64,14 @@
     private final SplittableRandom random;
     private final List<Router> routers = new ArrayList<>();
     private final List<SimulatedServer> servers = new ArrayList<>();
-    private final Map<ServerId, SimulatedServer> byId = new HashMap<>();
+    private final Map<ServerId, SimulatedServer> serversById = new HashMap<>();
     private final VirtualTime time = new VirtualTime(START);
     private final SlowStartBudget budget;
     private final Map<RequestId, Request> requests = new HashMap<>();
     private final Map<RequestId, Integer> attempts = new HashMap<>();
     private final Map<RequestId, SimulatedAttempt> inFlight = new HashMap<>();
-    private final double[] trafficUpTo;
-    private int names;
+    private final double[] cumulativeTraffic;
+    private int submissions;
     private int requestsAfterRestart;
     private int served;
 
@@ -83,46 +83,47 @@
         this.deployment = deployment;
         budget = new SlowStartBudget(deployment, RESTARTED_AT);
         random = new SplittableRandom(seed);
-        trafficUpTo = new double[gateways];
+        cumulativeTraffic = new double[gateways];
     }
 
     /** Runs the simulation and returns its results. */
     static Result run(
             int gateways, SlowStartScenario scenario, boolean gossip, SlowStartDeployment deployment, long seed) {
-        return new SlowStartFleet(gateways, scenario, gossip, deployment, seed).play();
+        return new SlowStartFleet(gateways, scenario, gossip, deployment, seed).simulate();
     }
 
-    private Result play() {
+    private Result simulate() {
         createServers();
         createRouters();
-        at(DOWN_AT, () -> restarting().forEach(this::goDown));
+        at(DOWN_AT, () -> restartingServers().forEach(this::stopServer));
         at(RESTARTED_AT, this::notifyOfRestart);
-        at(UP_AT, () -> restarting().forEach(this::comeUp));
-        at(time.now(), this::nextRequest);
-        time.runUntil(END);
-        double worst =
-                restarting().stream().mapToDouble(budget::worstLoad).max().orElseThrow();
-        double answers = restarting().stream().mapToDouble(s -> s.coldAnswers).sum();
+        at(UP_AT, () -> restartingServers().forEach(this::startServer));
+        at(time.now(), this::submitNextRequest);
+        time.runUntil(END_AT);
+        double maxLoad =
+                restartingServers().stream().mapToDouble(budget::maxLoad).max().orElseThrow();
+        double answeredWork =
+                restartingServers().stream().mapToDouble(server -> server.coldAnswers).sum();
         return new Result(
-                worst,
+                maxLoad,
                 served / (double) requestsAfterRestart,
-                answers / (restarting().size() * budget.possibleAnswers(UP_AT, END)));
+                answeredWork / (restartingServers().size() * budget.possibleAnswers(UP_AT, END_AT)));
     }
 
     private void createServers() {
         for (int i = 0; i < SERVERS; i++) {
-            SimulatedServer server = new SimulatedServer(i, deployment.cores(), GROUP, START);
-            server.restarts = scenario.restarts(i, GROUP);
+            SimulatedServer server = new SimulatedServer(i, deployment.cores(), GROUP_SIZE, START);
+            server.restarts = scenario.restarts(i, GROUP_SIZE);
             servers.add(server);
-            byId.put(server.id, server);
+            serversById.put(server.id, server);
         }
     }
 
     private void createRouters() {
-        double total = 0;
+        double totalTraffic = 0;
         for (int i = 0; i < gateways; i++) {
-            total += 0.3 - Math.log(1 - random.nextDouble()); // some gateways get several times the mean traffic
-            trafficUpTo[i] = total;
+            totalTraffic += 0.3 - Math.log(1 - random.nextDouble()); // some gateways get several times the mean traffic
+            cumulativeTraffic[i] = totalTraffic;
             Router router = new Router(null);
             routers.add(router);
             deliver(i, SlowStartSettings.started(random.nextLong(), i, gateways, gossip, deployment));
@@ -131,22 +132,22 @@
                     new Event.EndpointUpdate(
                             true,
                             false,
-                            servers.stream().map(s -> listing(s, 0)).toList()));
+                            servers.stream().map(server -> endpoint(server, 0)).toList()));
         }
     }
 
-    private static Endpoint listing(SimulatedServer server, long startedAt) {
+    private static Endpoint endpoint(SimulatedServer server, long startedAt) {
         return new Endpoint(
                 server.id,
-                new GroupId(server.number / GROUP),
+                new GroupId(server.number / GROUP_SIZE),
                 new ZoneId(0),
                 Endpoint.EndpointState.IN,
                 server.primary(),
                 startedAt);
     }
 
-    private List<SimulatedServer> restarting() {
-        return servers.stream().filter(s -> s.restarts).toList();
+    private List<SimulatedServer> restartingServers() {
+        return servers.stream().filter(server -> server.restarts).toList();
     }
 
     private void at(long at, Runnable action) {
@@ -155,56 +156,57 @@
 
     // -- Clients
 
-    private void nextRequest() {
-        boolean bursting = time.now() >= BURST_AT && time.now() < BURST_AT + BURST_LASTS;
+    private void submitNextRequest() {
+        boolean bursting = time.now() >= BURST_AT && time.now() < BURST_AT + BURST_DURATION;
         double burst = bursting ? 1.5 : 1;
-        double rate = burst * LOAD * SERVERS * deployment.capacity() / (1000 * MS);
-        double draw = random.nextDouble();
-        int type = draw < 0.4 ? VIEW : draw < 0.6 ? HISTORY : SUBMIT;
-        long targetAt = time.now() + 500 * MS;
+        double rate = burst * OFFERED_LOAD * SERVERS * deployment.capacity() / (1000 * TICKS_PER_MS);
+        double sample = random.nextDouble();
+        int requestClass = sample < 0.4 ? BOUNDED_READ : sample < 0.6 ? UNBOUNDED_READ : WRITE;
+        long objectiveAt = time.now() + 500 * TICKS_PER_MS;
         requestsAfterRestart += time.now() >= UP_AT ? 1 : 0;
-        send(new Request(pickGateway(), type, pickGroup(bursting), 0, targetAt));
-        at(time.now() + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate)), this::nextRequest);
+        submit(new Request(pickGateway(), requestClass, pickGroup(bursting), 0, objectiveAt));
+        at(time.now() + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate)), this::submitNextRequest);
     }
 
     private int pickGroup(boolean bursting) {
-        double first = scenario != SlowStartScenario.QUIET_GROUP_THEN_BURST ? 1.0 / GROUPS : bursting ? 0.7 : 0.01;
-        return random.nextDouble() < first ? 0 : 1 + random.nextInt(GROUPS - 1);
+        double firstGroupShare = scenario != SlowStartScenario.QUIET_GROUP_THEN_BURST ? 1.0 / GROUPS : bursting ? 0.7 : 0.01;
+        return random.nextDouble() < firstGroupShare ? 0 : 1 + random.nextInt(GROUPS - 1);
     }
 
     private int pickGateway() {
-        double draw = random.nextDouble() * trafficUpTo[gateways - 1];
+        double sample = random.nextDouble() * cumulativeTraffic[gateways - 1];
         int gateway = 0;
-        while (trafficUpTo[gateway] < draw) {
+        while (cumulativeTraffic[gateway] < sample) {
             gateway++;
         }
         return gateway;
     }
 
-    private void send(Request request) {
-        RequestId id = new RequestId("op" + names++);
+    private void submit(Request request) {
+        RequestId id = new RequestId("op" + submissions++);
         requests.put(id, request);
-        long timeout = request.type == VIEW ? 2000 * MS : request.type == HISTORY ? 1000 * MS : 3000 * MS;
+        long timeout = request.requestClass == BOUNDED_READ ? 2000 * TICKS_PER_MS : request.requestClass == UNBOUNDED_READ ? 1000 * TICKS_PER_MS : 3000 * TICKS_PER_MS;
         deliver(
                 request.gateway,
                 new Event.RequestArrived(
                         id,
-                        new RequestClassId(request.type),
+                        new RequestClassId(request.requestClass),
                         new TenantId(0),
                         new GroupId(request.group),
                         new SessionId("c"),
                         time.now() + timeout,
-                        request.tries > 0,
+                        request.resubmissions > 0,
                         0,
                         0));
     }
 
-    private void rejected(RequestId request) {
-        Request r = requests.remove(request);
-        attempts.remove(request);
-        if (r != null && r.tries < 2 && random.nextDouble() < 0.6) {
-            Request again = new Request(pickGateway(), r.type, r.group, r.tries + 1, r.targetAt);
-            at(time.now() + (100 + random.nextInt(300)) * MS, () -> send(again));
+    private void onRejected(RequestId id) {
+        Request rejected = requests.remove(id);
+        attempts.remove(id);
+        if (rejected != null && rejected.resubmissions < 2 && random.nextDouble() < 0.6) {
+            Request resubmitted =
+                    new Request(pickGateway(), rejected.requestClass, rejected.group, rejected.resubmissions + 1, rejected.objectiveAt);
+            at(time.now() + (100 + random.nextInt(300)) * TICKS_PER_MS, () -> submit(resubmitted));
         }
     }
 
@@ -217,40 +219,40 @@
     }
 
     private void carryOut(int gateway, Action action) {
-        if (action instanceof Action.StartAttempt send) {
-            begin(gateway, send);
+        if (action instanceof Action.StartAttempt start) {
+            startAttempt(gateway, start);
         } else if (action instanceof Action.CheckHealth check) {
-            at(time.now() + 3 + random.nextInt(7), () -> checkHealth(gateway, byId.get(check.server())));
+            at(time.now() + 3 + random.nextInt(7), () -> checkHealth(gateway, serversById.get(check.server())));
         } else if (action instanceof Action.SetTimer timer) {
             at(timer.at(), () -> deliver(gateway, new Event.TimerFired(timer.mark())));
         } else if (action instanceof Action.SendGossip gossipSent) {
             at(
-                    time.now() + (2 + random.nextInt(20)) * MS,
+                    time.now() + (2 + random.nextInt(20)) * TICKS_PER_MS,
                     () -> deliver(gossipSent.peer(), new Event.GossipReceived(gateway, gossipSent.bytes())));
-        } else if (action instanceof Action.RejectRequest reply) {
-            at(time.now(), () -> rejected(reply.request()));
-        } else if (action instanceof Action.FailRequest reply) {
-            requests.remove(reply.request());
-            attempts.remove(reply.request());
+        } else if (action instanceof Action.RejectRequest rejection) {
+            at(time.now(), () -> onRejected(rejection.request()));
+        } else if (action instanceof Action.FailRequest failure) {
+            requests.remove(failure.request());
+            attempts.remove(failure.request());
         } else if (action instanceof Action.CancelAttempt cancel) {
             SimulatedAttempt attempt = inFlight.get(cancel.request());
             if (attempt != null && attempt.number == cancel.attempt()) {
-                at(time.now(), () -> end(attempt, Outcome.CANCELLED));
+                at(time.now(), () -> endAttempt(attempt, Outcome.CANCELLED));
             }
         }
     }
 
-    private void begin(int gateway, Action.StartAttempt send) {
-        int number = attempts.merge(send.request(), 1, Integer::sum) - 1;
+    private void startAttempt(int gateway, Action.StartAttempt start) {
+        int number = attempts.merge(start.request(), 1, Integer::sum) - 1;
         double work = -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
         SimulatedAttempt attempt =
-                new SimulatedAttempt(gateway, send.request(), number, byId.get(send.server()), time.now(), work);
-        inFlight.put(send.request(), attempt);
-        at(time.now() + 3 + random.nextInt(7), () -> arrive(attempt));
-        at(time.now() + send.timeLimit(), () -> end(attempt, Outcome.TIMED_OUT));
+                new SimulatedAttempt(gateway, start.request(), number, serversById.get(start.server()), time.now(), work);
+        inFlight.put(start.request(), attempt);
+        at(time.now() + 3 + random.nextInt(7), () -> deliverToServer(attempt));
+        at(time.now() + start.timeLimit(), () -> endAttempt(attempt, Outcome.TIMED_OUT));
     }
 
-    private void end(SimulatedAttempt attempt, Outcome outcome) {
+    private void endAttempt(SimulatedAttempt attempt, Outcome outcome) {
         if (attempt.ended) {
             return;
         }
@@ -262,7 +264,7 @@
         if (succeeded && request != null) {
             requests.remove(attempt.request);
             attempts.remove(attempt.request);
-            served += time.now() <= request.targetAt && request.targetAt - 500 * MS >= UP_AT ? 1 : 0;
+            served += time.now() <= request.objectiveAt && request.objectiveAt - 500 * TICKS_PER_MS >= UP_AT ? 1 : 0;
         }
         boolean answered = succeeded || outcome == Outcome.FAILED;
         deliver(
@@ -280,46 +282,46 @@
 
     // -- Servers
 
-    private void goDown(SimulatedServer server) {
+    private void stopServer(SimulatedServer server) {
         server.up = false;
         server.incarnation++;
         List<SimulatedAttempt> lost = new ArrayList<>(server.running);
         lost.addAll(server.queue);
         server.running.clear();
         server.queue.clear();
-        lost.forEach(a -> end(a, Outcome.CONNECTION_LOST));
+        lost.forEach(attempt -> endAttempt(attempt, Outcome.CONNECTION_LOST));
     }
 
     private void notifyOfRestart() {
         List<Endpoint> restarted =
-                restarting().stream().map(s -> listing(s, RESTARTED_AT)).toList();
+                restartingServers().stream().map(server -> endpoint(server, RESTARTED_AT)).toList();
         for (int i = 0; i < gateways; i++) {
             int gateway = i;
             at(
-                    time.now() + random.nextInt((int) (90 * MS)),
+                    time.now() + random.nextInt((int) (90 * TICKS_PER_MS)),
                     () -> deliver(gateway, new Event.EndpointUpdate(false, false, restarted)));
         }
     }
 
-    private void comeUp(SimulatedServer server) {
+    private void startServer(SimulatedServer server) {
         server.up = true;
         server.restarted = true;
     }
 
-    private void arrive(SimulatedAttempt attempt) {
+    private void deliverToServer(SimulatedAttempt attempt) {
         SimulatedServer server = attempt.server;
         if (!server.up) {
-            end(attempt, Outcome.CONNECT_FAILED);
+            endAttempt(attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        count(server, attempt.work);
+        recordLoad(server, attempt.work);
         if (attempt.ended) {
             return;
         }
         if (scenario == SlowStartScenario.ALL_SERVERS_AND_FAILURES
                 && server.restarted
-                && random.nextDouble() < FAILURES) {
-            at(time.now() + 3, () -> end(attempt, Outcome.FAILED));
+                && random.nextDouble() < FAILURE_SHARE) {
+            at(time.now() + 3, () -> endAttempt(attempt, Outcome.FAILED));
             return;
         }
         server.queue.add(attempt);
@@ -333,8 +335,8 @@
             server.running.add(attempt);
             int incarnation = server.incarnation;
             double seconds =
-                    attempt.work * deployment.cores() / (budget.capacity(server) * budget.warmth(server, time.now()));
-            at(time.now() + Math.max(1, (long) (seconds * 1000 * MS)), () -> finish(attempt, incarnation));
+                    attempt.work * deployment.cores() / (budget.capacity(server) * budget.capacityFraction(server, time.now()));
+            at(time.now() + Math.max(1, (long) (seconds * 1000 * TICKS_PER_MS)), () -> finish(attempt, incarnation));
         }
     }
 
@@ -346,18 +348,18 @@
         server.updateBusy(time.now());
         server.running.remove(attempt);
         server.coldAnswers += server.restarted && !attempt.ended ? attempt.work : 0;
-        end(attempt, Outcome.SUCCEEDED);
+        endAttempt(attempt, Outcome.SUCCEEDED);
         startNext(server);
     }
 
     private void checkHealth(int gateway, SimulatedServer server) {
         if (!server.up) {
             at(
-                    time.now() + 250 * MS,
+                    time.now() + 250 * TICKS_PER_MS,
                     () -> deliver(gateway, new Event.HealthCheckEnded(server.id, Outcome.TIMED_OUT, null)));
             return;
         }
-        count(server, HEALTH_CHECK_WORK);
+        recordLoad(server, HEALTH_CHECK_WORK);
         at(
                 time.now() + 10 + random.nextInt(20),
                 () -> deliver(gateway, new Event.HealthCheckEnded(server.id, Outcome.SUCCEEDED, report(server))));
@@ -367,11 +369,11 @@
         server.updateBusy(time.now());
         return new LoadReport(
                 server.primary() ? Role.PRIMARY : Role.REPLICA,
-                server.primary() ? time.now() : time.now() - 5 * MS,
+                server.primary() ? time.now() : time.now() - 5 * TICKS_PER_MS,
                 server.busy);
     }
 
-    private void count(SimulatedServer server, double work) {
+    private void recordLoad(SimulatedServer server, double work) {
         if (server.restarted) {
             server.coldArrivals.add(new SimulatedServer.Arrival(time.now(), work));
         }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
@@ -23,7 +23,7 @@
     @ValueSource(ints = {1, 2, 6, 30, 100})
     void theFleetKeepsTheBudgetOfEachRecoveringServerAndStillUsesIt(int gateways) {
         List<String> overloaded = new ArrayList<>();
-        SoftAssertions floors = new SoftAssertions();
+        SoftAssertions minimums = new SoftAssertions();
         for (SlowStartScenario scenario : SlowStartScenario.values()) {
             List<Result> results = new ArrayList<>();
             for (SlowStartDeployment deployment : DEPLOYMENTS) {
@@ -34,28 +34,28 @@
                     results.add(result);
                     String row = row(gateways, scenario, deployment, gossip, seed, result);
                     System.out.println(row);
-                    if (result.worstLoad() > 1) {
+                    if (result.maxLoad() > 1) {
                         overloaded.add(row);
                     }
                 }
             }
-            floors.assertThat(results.stream()
+            minimums.assertThat(results.stream()
                             .mapToDouble(Result::served)
                             .average()
                             .orElseThrow())
                     .as("mean fraction of requests answered in time, %s", scenario)
-                    .isGreaterThan(scenario.leastServed);
-            floors.assertThat(results.stream()
-                            .mapToDouble(Result::coldServed)
+                    .isGreaterThan(scenario.minServed);
+            minimums.assertThat(results.stream()
+                            .mapToDouble(Result::usedCapacity)
                             .average()
                             .orElseThrow())
                     .as("mean fraction of the recovering servers' capacity that was used, %s", scenario)
-                    .isGreaterThan(scenario.leastColdServed);
+                    .isGreaterThan(scenario.minUsedCapacity);
         }
         assertThat(overloaded)
                 .as("runs in which a recovering server got more than its budget")
                 .isEmpty();
-        floors.assertAll();
+        minimums.assertAll();
     }
 
     private static String row(
@@ -72,8 +72,8 @@
                 deployment.name(),
                 gossip,
                 seed,
-                result.worstLoad(),
+                result.maxLoad(),
                 result.served(),
-                result.coldServed());
+                result.usedCapacity());
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartScenario.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartScenario.java
@@ -14,14 +14,14 @@
     QUIET_GROUP_THEN_BURST(0.52, 0.12);
 
     /** Minimum of the mean of {@link SlowStartFleet.Result#served}, for fleets of any size. */
-    final double leastServed;
+    final double minServed;
 
-    /** Minimum of the mean of {@link SlowStartFleet.Result#coldServed}, for fleets of any size. */
-    final double leastColdServed;
+    /** Minimum of the mean of {@link SlowStartFleet.Result#usedCapacity}, for fleets of any size. */
+    final double minUsedCapacity;
 
-    SlowStartScenario(double leastServed, double leastColdServed) {
-        this.leastServed = leastServed;
-        this.leastColdServed = leastColdServed;
+    SlowStartScenario(double minServed, double minUsedCapacity) {
+        this.minServed = minServed;
+        this.minUsedCapacity = minUsedCapacity;
     }
 
     /** Whether the server with this number restarts. The servers of a group have consecutive numbers. */
