--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -77,7 +77,7 @@
         long now = context.now();
         server.ejection().clearMissedChecks();
         server.liveness().recordCheckAnswered(now);
-        if (server.connections().isRefusing(OutlierDetector.SHORTEST_RESTART, now)) {
+        if (server.connections().isRefusing(OutlierDetector.MIN_RESTART_DURATION, now)) {
             scarcity.begin(now);
             context.log("connections scarce: " + server.id().text() + " answers probes but refuses connections");
         }
@@ -98,7 +98,7 @@
             extendEjection(server, waited);
             return;
         }
-        boolean answersAttempts = now - server.liveness().attemptAnsweredAt() <= OutlierDetector.SHORTEST_SILENCE;
+        boolean answersAttempts = now - server.liveness().attemptAnsweredAt() <= OutlierDetector.MIN_SILENCE;
         if (answersAttempts) {
             return;
         }
@@ -112,7 +112,7 @@
 
     private boolean isConclusive(ServerState server) {
         Liveness liveness = server.liveness();
-        return server.ejection().countMissedCheck() >= OutlierDetector.CHECKS_MISSED
+        return server.ejection().countMissedCheck() >= OutlierDetector.MAX_MISSED_CHECKS
                 || !liveness.wasEverConfirmed() && !liveness.hasInconclusiveChecks();
     }
 
@@ -126,11 +126,11 @@
 
     /** A server that never was up is checked rarely, and even more so where another gateway would report that it is. */
     private long nextBackoff(ServerState server) {
-        if (!outlierDetector.wasNeverThere(server)) {
+        if (!outlierDetector.wasNeverUp(server)) {
             return Math.min(
-                    OutlierDetector.LONGEST_BACKOFF / 4, server.ejection().backoff() * 2);
+                    OutlierDetector.MAX_BACKOFF / 4, server.ejection().backoff() * 2);
         }
-        return gossip.isNeededForPositions() ? 4 * OutlierDetector.LONGEST_BACKOFF : OutlierDetector.LONGEST_BACKOFF;
+        return gossip.isNeededForPositions() ? 4 * OutlierDetector.MAX_BACKOFF : OutlierDetector.MAX_BACKOFF;
     }
 
     /** Where checks are inconclusive again and again, what they waited without another explanation adds up to a verdict. */
@@ -142,6 +142,6 @@
         if (inconclusive) {
             server.liveness().recordInconclusiveCheck(now - sentAt - localHealth.explainedIn(sentAt, now));
         }
-        return inconclusive && server.liveness().inconclusiveWait() < OutlierDetector.SHORTEST_SILENCE;
+        return inconclusive && server.liveness().inconclusiveWait() < OutlierDetector.MIN_SILENCE;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -25,7 +25,7 @@
 final class LocalHealth {
     /**
      * How long the silence of nearly all servers is put down to a common cause. Together with the silence before it is noticed
-     * (100 ms) and the one that is needed again after it (400 ms, {@link OutlierDetector#SHORTEST_SILENCE}) it is shorter than any
+     * (100 ms) and the one that is needed again after it (400 ms, {@link OutlierDetector#MIN_SILENCE}) it is shorter than any
      * restart of a server (1.5 s).
      */
     static final long LONGEST_COMMON_CAUSE = Ticks.ofMillis(500);
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -15,16 +15,16 @@
  */
 final class OutlierDetector {
     /** Consecutive missed health checks after which a server is ejected; a single one may be lost by chance. */
-    static final int CHECKS_MISSED = 2;
+    static final int MAX_MISSED_CHECKS = 2;
     /** The shortest silence for which a server is ejected or suspected; longer than usual short pauses of a server. */
-    static final long SHORTEST_SILENCE = Ticks.ofMillis(400);
+    static final long MIN_SILENCE = Ticks.ofMillis(400);
     /**
      * The shortest time that a restart takes: a server that was unresponsive for less has not restarted. If a server is
      * ejected again this soon after its readmission, its backoff doubles.
      */
-    static final long SHORTEST_RESTART = Ticks.ofMillis(1500);
+    static final long MIN_RESTART_DURATION = Ticks.ofMillis(1500);
     /** The maximum backoff before the next health check of an ejected server. */
-    static final long LONGEST_BACKOFF = Ticks.ofMillis(8000);
+    static final long MAX_BACKOFF = Ticks.ofMillis(8000);
     /** The fraction of failed attempts from which on a server is ejected. */
     static final double EJECTION_FAILURE_SHARE = 0.3;
 
@@ -66,7 +66,7 @@
         List<PendingRequest> attempts = server.attemptsSinceReadmission();
         long oldestAttempt = attempts.isEmpty() ? now : attempts.get(0).attemptStartedAt();
         long silence = now - Math.max(server.liveness().attemptAnsweredAt(), oldestAttempt);
-        if (silence < SHORTEST_SILENCE || missingAnswers(server, attempts, silence) <= MAX_MISSING_ANSWERS) {
+        if (silence < MIN_SILENCE || missingAnswers(server, attempts, silence) <= MAX_MISSING_ANSWERS) {
             return;
         }
         if (isReportedByPeersWithin(server, silence)) {
@@ -106,7 +106,7 @@
 
     private boolean isExplainedOtherwise(ServerState server, long silence) {
         long now = context.now();
-        return silence - localHealth.explainedIn(now - silence, now) < SHORTEST_SILENCE
+        return silence - localHealth.explainedIn(now - silence, now) < MIN_SILENCE
                 || localHealth.commonSilence(now, server, now - silence, directory.servers());
     }
 
@@ -116,7 +116,7 @@
      */
     private void suspectAfterSilence(ServerState server, long since) {
         suspect(server);
-        server.ejection().countAtLeast(CHECKS_MISSED - 1); // so that one missed health check is enough for an ejection
+        server.ejection().countAtLeast(MAX_MISSED_CHECKS - 1); // so that one missed health check is enough for an ejection
         boolean otherMemberAnswered = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
@@ -172,12 +172,12 @@
     }
 
     private long initialBackoff(ServerState server) {
-        if (wasNeverThere(server)) {
-            return LONGEST_BACKOFF;
+        if (wasNeverUp(server)) {
+            return MAX_BACKOFF;
         }
         Ejection ejection = server.ejection();
-        if (context.now() - ejection.readmittedAt() < SHORTEST_RESTART) {
-            return Math.min(LONGEST_BACKOFF, ejection.backoff() * 2);
+        if (context.now() - ejection.readmittedAt() < MIN_RESTART_DURATION) {
+            return Math.min(MAX_BACKOFF, ejection.backoff() * 2);
         }
         return INITIAL_BACKOFF;
     }
@@ -186,7 +186,7 @@
      * Whether the server is listed but was probably never up. False while no server at all was ever confirmed, since
      * then this gateway or all servers may be starting slowly.
      */
-    boolean wasNeverThere(ServerState server) {
+    boolean wasNeverUp(ServerState server) {
         return !server.liveness().wasEverConfirmed()
                 && !localHealth.explainedLately(context.now())
                 && directory.servers().stream().anyMatch(ServerState::isConfirmedServing);
@@ -215,10 +215,10 @@
         context.log("server " + server.id().text() + " returns: " + reason + " after " + outage / Ticks.PER_MILLISECOND
                 + " ms");
         server.ejection().readmit(now, EJECTION_FAILURE_SHARE / 2);
-        if (now - lastAliveAt >= SHORTEST_RESTART) {
+        if (now - lastAliveAt >= MIN_RESTART_DURATION) {
             server.slowStart().restart(now);
         }
-        boolean keepsLimit = lastAliveAt == now && outage < SHORTEST_RESTART;
+        boolean keepsLimit = lastAliveAt == now && outage < MIN_RESTART_DURATION;
         if (!keepsLimit) {
             server.load().limitTo(1);
         }
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -73,7 +73,7 @@
             boolean neverAlive = liveness.aliveAt() == LoadReport.UNKNOWN_TIME;
             liveness.expireConfirmation(context.now());
             server.ejection()
-                    .recheckNotBefore(neverAlive ? observation.silentAt() + OutlierDetector.LONGEST_BACKOFF : 0);
+                    .recheckNotBefore(neverAlive ? observation.silentAt() + OutlierDetector.MAX_BACKOFF : 0);
             return;
         }
         long knownAt = Math.max(liveness.confirmedAt(), server.connections().connectFailedAt());
