--- a/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
@@ -89,7 +89,7 @@
     private void adjustLimit(ServerState server) {
         Load load = server.load();
         if (load.pressure() > PRESSURE_GOAL) {
-            load.limitTo(Math.max(settings.leastLimit(), load.limit() - LIMIT_STEP));
+            load.limitTo(Math.max(settings.minLimit(), load.limit() - LIMIT_STEP));
             return;
         }
         boolean isUsed = load.attemptsInFlight() + 1 >= load.limit() * USED_SHARE;
@@ -126,6 +126,6 @@
 
     private void limitToInFlight(ServerState server) {
         Load load = server.load();
-        load.limitTo(Math.max(settings.leastLimit(), Math.min(load.limit(), load.attemptsInFlight())));
+        load.limitTo(Math.max(settings.minLimit(), Math.min(load.limit(), load.attemptsInFlight())));
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RoleTracker.java
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -13,7 +13,7 @@
  */
 final class RoleTracker {
     /** The maximum age of a load report when it arrives. */
-    static final long REPORT_AGE = Ticks.ofMillis(300);
+    static final long MAX_REPORT_AGE = Ticks.ofMillis(300);
 
     private final DecisionContext context;
     private final PeerGossip gossip;
@@ -34,7 +34,7 @@
             return;
         }
         boolean isDated = report.role() == Role.PRIMARY && report.position() != LoadReport.UNKNOWN_TIME;
-        learnReport(server, report, isDated ? report.position() : context.now() - REPORT_AGE);
+        learnReport(server, report, isDated ? report.position() : context.now() - MAX_REPORT_AGE);
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -33,7 +33,7 @@
     private final Event.Started started;
     private final int gateways;
     private final double initialLimitPerGateway;
-    private final double leastLimit;
+    private final double minLimit;
     private final long tightestBound;
     private final long checkInterval;
 
@@ -45,7 +45,7 @@
         this.started = started;
         gateways = Math.max(1, started.gateways());
         initialLimitPerGateway = INITIAL_LIMIT / gateways;
-        leastLimit = quotaLimitsAttempts
+        minLimit = quotaLimitsAttempts
                 ? MIN_LIMIT
                 : Math.min(MIN_LIMIT_CAP_PER_GATEWAY, Math.max(1, MIN_LIMIT / gateways));
         tightestBound = started.requestClasses().stream()
@@ -108,7 +108,7 @@
 
     /** Returns the initial concurrency limit: how many attempts may be in flight at a newly listed server. */
     double initialLimit() {
-        return Math.max(leastLimit, initialLimitPerGateway);
+        return Math.max(minLimit, initialLimitPerGateway);
     }
 
     /**
@@ -120,8 +120,8 @@
     }
 
     /** Returns the minimum concurrency limit: how many attempts may always be in flight at a server. */
-    double leastLimit() {
-        return leastLimit;
+    double minLimit() {
+        return minLimit;
     }
 
     /** Returns the agreed traffic of all tenants at all gateways, in requests per overload window. */
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -253,7 +253,7 @@
     }
 
     private boolean hasRecentLatency(ServerState server) {
-        return server.load().inflationAge(context.now()) < RoleTracker.REPORT_AGE;
+        return server.load().inflationAge(context.now()) < RoleTracker.MAX_REPORT_AGE;
     }
 
     /** Whether the server may take the request as far as slow start is concerned. */
