--- a/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
@@ -59,7 +59,7 @@
         long now = context.now();
         return server.connections().isPastRejection(now)
                 && server.countAttemptsSinceReadmission() < server.load().limit() * share
-                && quota.hasAttempt(server.id(), slowStart.isWarmingUp(server, now));
+                && quota.hasAttempt(server.id(), slowStart.isInSlowStart(server, now));
     }
 
     /** A request was answered, or waited for as long without an answer. */
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -56,7 +56,7 @@
     private void chargeToSlowStart(ServerState server, Outcome outcome) {
         if (server.healthCheck().isInFlight() && outcome == Outcome.SUCCEEDED) {
             long now = context.now();
-            slowStart.healthCheckAnswered(server, now - server.healthCheck().sentAt(), now);
+            slowStart.recordHealthCheckAnswer(server, now - server.healthCheck().sentAt(), now);
         }
     }
 
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -123,7 +123,7 @@
                 || !RequestDeadlines.isWorthAttempt(request, server.load().measuredInflation(), now)) {
             return false;
         }
-        request.setAttemptInSlowStart(slowStart.isWarmingUp(server, now));
+        request.setAttemptInSlowStart(slowStart.isInSlowStart(server, now));
         return quota.tryAcquireAttempt(server.id(), request.isAttemptInSlowStart());
     }
 
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -41,7 +41,7 @@
                 replication.positionReportedAt(),
                 server.liveness().aliveAt(),
                 server.liveness().unresponsiveAt(),
-                slowStart.isWarmingUp(server, now) ? server.slowStart().coldSince() : LoadReport.UNKNOWN_TIME,
+                slowStart.isInSlowStart(server, now) ? server.slowStart().coldSince() : LoadReport.UNKNOWN_TIME,
                 lifecycle.isDraining() ? lifecycle.drainReportedAt() : LoadReport.UNKNOWN_TIME);
     }
 
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -259,7 +259,7 @@
     /** Whether the server may take the request as far as slow start is concerned. */
     private boolean slowStartAdmits(ServerState server, PendingRequest request) {
         long now = context.now();
-        if (!slowStart.isWarmingUp(server, now)) {
+        if (!slowStart.isInSlowStart(server, now)) {
             return true;
         }
         return server.load().utilization() < REPLICA_SATURATION - SATURATION_BAND
@@ -278,7 +278,7 @@
                 * load.inflation(now)
                 * (load.attemptsInFlight() + 1)
                 / headroom
-                / slowStart.slowStartFraction(server, now)
+                / slowStart.capacityFraction(server, now)
                 * (1 + random.nextDouble() / COST_JITTER_DIVISOR);
     }
 
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -66,15 +66,15 @@
     /**
      * Returns the fraction of its full capacity that the server is guaranteed to have, from the start capacity up to 1.
      */
-    double slowStartFraction(ServerState server, long now) {
+    double capacityFraction(ServerState server, long now) {
         double elapsedFraction = Math.max(
                 0, (now - server.slowStart().coldSince()) / (double) Math.max(1, guarantees.slowStartDuration()));
         return Math.min(1, guarantees.startCapacity() + (1 - guarantees.startCapacity()) * elapsedFraction);
     }
 
     /** Whether the server is in slow start, that is, has not reached its full capacity yet. */
-    boolean isWarmingUp(ServerState server, long now) {
-        return slowStartFraction(server, now) < 1;
+    boolean isInSlowStart(ServerState server, long now) {
+        return capacityFraction(server, now) < 1;
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param servers all known servers
      */
     boolean admits(ServerState server, double work, double meanWork, Collection<ServerState> servers, long now) {
-        if (!isWarmingUp(server, now)) {
+        if (!isInSlowStart(server, now)) {
             return true;
         }
         SlowStartProgress progress = server.slowStart();
@@ -124,7 +124,7 @@
         measureServersPastSlowStart(servers, now);
         double equalShare = agreedRequestsPerServer() * meanWork / gateways;
         double gatewayShare = hasServerPastSlowStart ? Math.max(meanWorkPastSlowStart, GUARANTEED_SHARE * equalShare) : equalShare;
-        return BUDGET_SHARE * guarantees.overloadMultiple() * slowStartFraction(server, now) * gatewayShare;
+        return BUDGET_SHARE * guarantees.overloadMultiple() * capacityFraction(server, now) * gatewayShare;
     }
 
     /** Returns the agreed traffic at a server past slow start, in requests per window over all gateways. */
@@ -137,7 +137,7 @@
      * random variation: three standard deviations of the number of requests for a small budget, two for a larger one.
      */
     private double slack(ServerState server, long now) {
-        double budget = guarantees.overloadMultiple() * slowStartFraction(server, now) * agreedRequestsPerServer();
+        double budget = guarantees.overloadMultiple() * capacityFraction(server, now) * agreedRequestsPerServer();
         return budget < SMALL_BUDGET_REQUESTS ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2;
     }
 
@@ -151,7 +151,7 @@
         double totalWork = 0;
         for (ServerState server : servers) {
             activeServers += server.lifecycle().isActive() ? 1 : 0;
-            if (server.isServing() && !isWarmingUp(server, now)) {
+            if (server.isServing() && !isInSlowStart(server, now)) {
                 pastSlowStart++;
                 totalWork += recentWork(server, now);
             }
@@ -194,13 +194,13 @@
      *
      * @param duration how long the health check took
      */
-    void healthCheckAnswered(ServerState server, long duration, long now) {
+    void recordHealthCheckAnswer(ServerState server, long duration, long now) {
         shortestCheckDuration = Math.min(shortestCheckDuration, duration);
         charge(server, shortestCheckDuration, now);
     }
 
     private void charge(ServerState server, double work, long now) {
-        if (isWarmingUp(server, now)) {
+        if (isInSlowStart(server, now)) {
             server.slowStart().charge(work);
         }
     }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -124,7 +124,7 @@
         charged.send(1, STARTED_AT + WINDOW);
         charged.slowStart.attempted(charged.recovering, 3 * WORK, STARTED_AT + WINDOW);
         for (int i = 0; i < 4; i++) {
-            charged.slowStart.healthCheckAnswered(charged.recovering, (long) WORK / 4, STARTED_AT + WINDOW);
+            charged.slowStart.recordHealthCheckAnswer(charged.recovering, (long) WORK / 4, STARTED_AT + WINDOW);
         }
         int sentByUncharged = sentInAWindow(List.of(uncharged), STARTED_AT + WINDOW);
         assertThat(sentInAWindow(List.of(charged), STARTED_AT + WINDOW)).isBetween(sentByUncharged - 5, sentByUncharged - 3);
