--- a/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
@@ -86,7 +86,7 @@
     private void learnSuccess(ServerState server, PendingRequest request, long latency) {
         verifyPrimary(server, request, true);
         server.connections().clearRejection();
-        slowStart.answered(server, request.usualLatency(), context.now());
+        slowStart.recordAnswer(server, request.usualLatency(), context.now());
         server.answerLoss().recordAnswer(latency / request.usualLatency());
         limiter.learnLatency(server, request, latency);
         server.ejection().recordSuccess();
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -112,7 +112,7 @@
 
     private boolean isConclusive(ServerState server) {
         Liveness liveness = server.liveness();
-        return server.ejection().countMissedCheck() >= OutlierDetector.MAX_MISSED_CHECKS
+        return server.ejection().countMissedCheck() >= OutlierDetector.MISSED_CHECKS_TO_EJECT
                 || !liveness.wasEverConfirmed() && !liveness.hasInconclusiveChecks();
     }
 
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -15,7 +15,7 @@
  */
 final class OutlierDetector {
     /** Consecutive missed health checks after which a server is ejected; a single one may be lost by chance. */
-    static final int MAX_MISSED_CHECKS = 2;
+    static final int MISSED_CHECKS_TO_EJECT = 2;
     /** The shortest silence for which a server is ejected or suspected; longer than usual short pauses of a server. */
     static final long MIN_SILENCE = Ticks.ofMillis(400);
     /**
@@ -116,7 +116,7 @@
      */
     private void suspectAfterSilence(ServerState server, long since) {
         suspect(server);
-        server.ejection().countAtLeast(MAX_MISSED_CHECKS - 1); // so that one missed health check is enough for an ejection
+        server.ejection().countAtLeast(MISSED_CHECKS_TO_EJECT - 1); // so that one missed health check is enough for an ejection
         boolean otherMemberAnswered = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -141,7 +141,7 @@
         context.emit(new Action.StartAttempt(request.id(), server.id(), timeLimit, writeBy(request, server)));
         request.startAttempt(server, needsEarlyTimeout, now);
         server.load().attemptStarted(request);
-        slowStart.attempted(server, request.usualLatency(), now);
+        slowStart.recordAttempt(server, request.usualLatency(), now);
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -174,7 +174,7 @@
      *
      * @param work the usual work of such a request
      */
-    void answered(ServerState server, double work, long now) {
+    void recordAnswer(ServerState server, double work, long now) {
         server.slowStart().addWork(work, window(), now);
     }
 
@@ -183,7 +183,7 @@
      *
      * @param work the usual work of such a request
      */
-    void attempted(ServerState server, double work, long now) {
+    void recordAttempt(ServerState server, double work, long now) {
         charge(server, work, now);
         server.slowStart().useTicket(now);
     }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -52,7 +52,7 @@
             int sent = 0;
             for (int i = 0; i < requests; i++) {
                 if (slowStart.admits(recovering, WORK, WORK, servers, now)) {
-                    slowStart.attempted(recovering, WORK, now);
+                    slowStart.recordAttempt(recovering, WORK, now);
                     sent++;
                 }
             }
@@ -110,7 +110,7 @@
         Gateway busy = new Gateway(1, 6, 2);
         Gateway idle = new Gateway(1, 6, 2);
         for (ServerState server : busy.servers.subList(1, 3)) {
-            busy.slowStart.answered(server, AGREED_PER_SERVER * WORK / 2, STARTED_AT + 5 * WINDOW);
+            busy.slowStart.recordAnswer(server, AGREED_PER_SERVER * WORK / 2, STARTED_AT + 5 * WINDOW);
         }
         int sentByBusy = sentInAWindow(List.of(busy), STARTED_AT + 5 * WINDOW);
         assertThat(sentByBusy).isGreaterThan(2 * sentInAWindow(List.of(idle), STARTED_AT + 5 * WINDOW));
@@ -122,7 +122,7 @@
         Gateway charged = new Gateway(1, 1, 0);
         uncharged.send(1, STARTED_AT + WINDOW);
         charged.send(1, STARTED_AT + WINDOW);
-        charged.slowStart.attempted(charged.recovering, 3 * WORK, STARTED_AT + WINDOW);
+        charged.slowStart.recordAttempt(charged.recovering, 3 * WORK, STARTED_AT + WINDOW);
         for (int i = 0; i < 4; i++) {
             charged.slowStart.recordHealthCheckAnswer(charged.recovering, (long) WORK / 4, STARTED_AT + WINDOW);
         }
