--- a/gateway/src/main/java/ploverdale/routing/EventDecisions.java
+++ b/gateway/src/main/java/ploverdale/routing/EventDecisions.java
@@ -112,7 +112,7 @@
             learnFromAttempt(server, attempted, end);
         }
         dispatcher.find(end.request()).ifPresent(pending -> proceed(server, pending, end));
-        dispatcher.release(server.group());
+        dispatcher.dispatchWaiting(server.group());
         if (scarcity.isActive(context.now()) && server.load().inFlight().isEmpty()) {
             context.emit(new Action.CloseIdleConnections(server.id()));
         }
@@ -133,7 +133,7 @@
         if (end.requestSettled()) {
             dispatcher.complete(request);
         } else if (request.isInFlight(end.attempt())) {
-            dispatcher.continueAfter(request, server, end.outcome());
+            dispatcher.retryOrFinish(request, server, end.outcome());
         }
     }
 
@@ -156,7 +156,7 @@
     public void onHealthCheckEnded(Event.HealthCheckEnded end) {
         directory.find(end.server()).ifPresent(server -> {
             healthCheckEvaluator.learn(server, end);
-            dispatcher.release(server.group());
+            dispatcher.dispatchWaiting(server.group());
             healthChecker.checkQueued();
         });
     }
@@ -167,7 +167,7 @@
         received.observations().forEach((id, observation) -> {
             ServerState server = directory.find(id).orElseThrow();
             observations.merge(server, observation);
-            dispatcher.release(server.group());
+            dispatcher.dispatchWaiting(server.group());
         });
         maintenance.send(received.replies());
         Optional.ofNullable(received.logLine()).ifPresent(context::log);
--- a/gateway/src/main/java/ploverdale/routing/Maintenance.java
+++ b/gateway/src/main/java/ploverdale/routing/Maintenance.java
@@ -63,7 +63,7 @@
         endpointWatch.watchIfDue();
         localHealth.observe(now, directory.servers());
         checkServers(now);
-        directory.groups().forEach(dispatcher::release);
+        directory.groups().forEach(dispatcher::dispatchWaiting);
         send(gossip.due(now));
     }
 
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -159,7 +159,7 @@
      * Called when an attempt has ended without giving the request its final answer. The request is dispatched again if
      * it may be retried; otherwise it is rejected or failed.
      */
-    void continueAfter(PendingRequest request, ServerState server, Outcome outcome) {
+    void retryOrFinish(PendingRequest request, ServerState server, Outcome outcome) {
         request.endAttempt();
         retryPolicy.recordOutcome(request, server, outcome);
         if (retryPolicy.tryAcquireRetry(request, outcome)) {
@@ -201,7 +201,7 @@
      * Dispatches the group's waiting requests again. As soon as one request of a class has to keep waiting, the others
      * of that class keep waiting, too, except those whose time to wait is over.
      */
-    void release(ReplicaGroup group) {
+    void dispatchWaiting(ReplicaGroup group) {
         if (group.waiting().isEmpty()) {
             return;
         }
