--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -46,17 +46,17 @@
     /**
      * Discovery returned the endpoint list or its changes, or failed to.
      *
-     * @param whole whether {@code endpoints} is the complete list, rather than only its changes
+     * @param complete whether {@code endpoints} is the complete list, rather than only its changes
      * @param failed whether the call to discovery failed
      * @param revision discovery's revision of this list, or {@link #UNKNOWN_REVISION}
      */
-    record EndpointUpdate(boolean whole, boolean failed, long revision, List<Endpoint> endpoints) implements Event {
+    record EndpointUpdate(boolean complete, boolean failed, long revision, List<Endpoint> endpoints) implements Event {
         /** The revision of an update that does not state one; such an update counts as newer than all earlier ones. */
         public static final long UNKNOWN_REVISION = -1;
 
         /** Creates an update that does not state its revision. */
-        public EndpointUpdate(boolean whole, boolean failed, List<Endpoint> endpoints) {
-            this(whole, failed, UNKNOWN_REVISION, endpoints);
+        public EndpointUpdate(boolean complete, boolean failed, List<Endpoint> endpoints) {
+            this(complete, failed, UNKNOWN_REVISION, endpoints);
         }
 
         @Override
--- a/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -48,7 +48,7 @@
     void update(EndpointUpdate update) {
         mayHideDrains = skipsRevisions(update.revision());
         lastRevision = update.revision();
-        Set<ServerState> unlisted = new LinkedHashSet<>(update.whole() ? directory.servers() : List.of());
+        Set<ServerState> unlisted = new LinkedHashSet<>(update.complete() ? directory.servers() : List.of());
         for (Endpoint entry : update.endpoints()) {
             ServerState server = directory.find(entry.server()).orElseGet(() -> register(entry));
             unlisted.remove(server);
