--- a/gateway/src/main/java/ploverdale/cli/CheckCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/CheckCommand.java
@@ -31,8 +31,8 @@
         for (int limit = 0; limit < allocation.limits().size(); limit++) {
             System.out.println("  " + allocation.limits().get(limit).name() + ": "
                     + allocation.limits().get(limit).capacity() + " in all, "
-                    + allocation.entitlement(settings.me(), limit) + " here by right, of them "
-                    + allocation.guaranteedUnits(settings.me(), limit) + " as floor");
+                    + allocation.entitlement(settings.gatewayIndex(), limit) + " here by right, of them "
+                    + allocation.guaranteedUnits(settings.gatewayIndex(), limit) + " as floor");
         }
         if (quotaSettings.replication() != null) {
             System.out.println("  kept by " + quotaSettings.replication().replicationFactor() + ": "
--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -23,7 +23,7 @@
      * @param beyondShareValue the value of a request beyond its tenant's agreed traffic, as a fraction of its class's
      *     value
      * @param listOnDemand whether the endpoint list is watched only after {@link Action.WatchEndpoints}
-     * @param me the index of this gateway among all gateways
+     * @param gatewayIndex the index of this gateway among all gateways
      */
     record Started(
             long seed,
@@ -35,7 +35,7 @@
             Capabilities capabilities,
             ReplicaGuarantees replicaGuarantees,
             boolean listOnDemand,
-            int me)
+            int gatewayIndex)
             implements Event {
         @Override
         public void dispatchTo(EventHandler handler) {
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -170,7 +170,7 @@
                 settings.capabilities(),
                 history.replicaGuarantees(settings.replicaGuarantees()),
                 settings.listOnDemand(),
-                settings.me());
+                settings.gatewayIndex());
     }
 
     /** The endpoint lists of the start. */
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -48,7 +48,7 @@
             QuotaSettings settings, Started configuration, long startedMs, LongSupplier clock, LongSupplier wallClock) {
         this.clock = clock;
         allocation = settings.allocation(configuration);
-        int self = configuration.me();
+        int self = configuration.gatewayIndex();
         int gateways = configuration.gateways();
         SplittableRandom random = new SplittableRandom(configuration.seed() ^ RANDOM_STREAM);
         long now = clock.getAsLong();
--- a/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -63,7 +63,7 @@
             return new DisabledGossip();
         }
         GossipProtocol protocol = new GossipProtocol(
-                started.me(),
+                started.gatewayIndex(),
                 settings.gateways(),
                 settings.agreedRequestsPerSecond(),
                 settings.tightestBound(),
