--- a/gateway/src/main/java/ploverdale/model/Capabilities.java
+++ b/gateway/src/main/java/ploverdale/model/Capabilities.java
@@ -7,13 +7,13 @@
  * @param cancel whether attempts in flight may be cancelled
  * @param healthChecks whether the gateway may send health checks to servers
  * @param retryAfterAllowed whether a rejection may state after what time to submit the request again
- * @param longestRetryAfter the longest time that a rejection may state
+ * @param maxRetryAfter the longest time that a rejection may state
  * @param peerMessages whether gateways may send each other datagrams
  */
 public record Capabilities(
         int attemptsPerRequest,
-        boolean cancel,
-        boolean healthChecks,
+        boolean cancelAllowed,
+        boolean healthChecksAllowed,
         boolean retryAfterAllowed,
-        long longestRetryAfter,
-        boolean peerMessages) {}
+        long maxRetryAfter,
+        boolean peerMessagesAllowed) {}
--- a/gateway/src/main/java/ploverdale/routing/AttemptCanceller.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptCanceller.java
@@ -21,7 +21,7 @@
     /** Has the request wait no longer, and its attempt in flight given up where that is allowed. */
     void cancel(PendingRequest request) {
         directory.group(request.arrival().group()).dequeue(request);
-        if (capabilities.cancel() && request.requestCancel()) {
+        if (capabilities.cancelAllowed() && request.requestCancel()) {
             context.emit(new Action.CancelAttempt(request.id(), request.attemptInFlight()));
         }
     }
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -43,7 +43,7 @@
 
     /** Sends a health check, unless one is in flight or none may be sent; returns whether it was sent. */
     boolean check(ServerState server, HealthCheckReason reason) {
-        boolean sent = capabilities.healthChecks()
+        boolean sent = capabilities.healthChecksAllowed()
                 && !server.healthCheck().isInFlight()
                 && quota.tryAcquireHealthCheck(reason);
         if (sent) {
@@ -77,7 +77,7 @@
 
     /** Whether the server is known to be alive, so that a request is not lost on a dead one; always where no check may tell. */
     boolean isConfirmed(ServerState server) {
-        return server.liveness().isConfirmed(context.now()) || !capabilities.healthChecks();
+        return server.liveness().isConfirmed(context.now()) || !capabilities.healthChecksAllowed();
     }
 
     /** How long after a report another one may tell something new; where gossip brings positions, that is as good as waiting. */
--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -128,7 +128,7 @@
                 ? quota.retryAfter(context.now(), request.arrival().tenant())
                 : 0;
         long resubmitDelay = (long) (RESUBMIT_DELAY_SHARE * request.requestClass().latencyObjective());
-        long delay = Math.min(Math.max(resubmitDelay, quotaRetryAfter), capabilities.longestRetryAfter());
+        long delay = Math.min(Math.max(resubmitDelay, quotaRetryAfter), capabilities.maxRetryAfter());
         return capabilities.retryAfterAllowed() ? delay : 0;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -59,7 +59,7 @@
     }
 
     private PeerGossip createGossip() {
-        if (!settings.capabilities().peerMessages() || settings.gateways() < 2) {
+        if (!settings.capabilities().peerMessagesAllowed() || settings.gateways() < 2) {
             return new DisabledGossip();
         }
         GossipProtocol protocol = new GossipProtocol(
--- a/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
@@ -87,7 +87,7 @@
     private static InetSocketAddress peerListen(JsonFields fields, GatewaySettings settings) {
         boolean enabled = fields.has("peer_listen")
                 && fields.list("peers").size() > 1
-                && settings.started().capabilities().peerMessages();
+                && settings.started().capabilities().peerMessagesAllowed();
         return enabled ? address("peer_listen", fields.text("peer_listen")) : null;
     }
 
