--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -76,7 +76,7 @@
      */
     record RequestArrived(
             RequestId request,
-            RequestClassId type,
+            RequestClassId requestClass,
             TenantId tenant,
             GroupId group,
             SessionId session,
--- a/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -60,7 +60,7 @@
     private static RequestArrived withTokenAge(RequestArrived read, long tokenAge) {
         return new RequestArrived(
                 read.request(),
-                read.type(),
+                read.requestClass(),
                 read.tenant(),
                 read.group(),
                 read.session(),
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -62,11 +62,11 @@
     /** Registers a new request. The caller must then {@link #dispatch} it. */
     PendingRequest accept(RequestArrived arrival) {
         long now = context.now();
-        RequestClass requestClass = settings.requestClass(arrival.type());
+        RequestClass requestClass = settings.requestClass(arrival.requestClass());
         PendingRequest request = new PendingRequest(
                 arrival,
                 requestClass,
-                latencies.of(arrival.type()),
+                latencies.of(arrival.requestClass()),
                 now,
                 Math.min(objectiveAt(arrival, requestClass), now + requestClass.timeout()),
                 stalenessFilter.requiredPosition(arrival, requestClass, now),
@@ -207,7 +207,7 @@
         }
         boolean[] classWaits = new boolean[settings.requestClasses().size()];
         for (PendingRequest request : admission.releaseOrder(group)) {
-            int classIndex = request.arrival().type().index();
+            int classIndex = request.arrival().requestClass().index();
             boolean isOverdue = context.now() >= RequestDeadlines.waitUntil(request);
             if (isOverdue || !classWaits[classIndex]) {
                 boolean dispatched = dispatch(request);
