--- a/gateway/src/main/java/ploverdale/model/LoadReport.java
+++ b/gateway/src/main/java/ploverdale/model/LoadReport.java
@@ -5,9 +5,9 @@
  *
  * @param position the log position up to which the server has applied writes, as the commit time of the last applied
  *     write in {@link Ticks}; {@link #UNKNOWN_TIME} if not reported
- * @param busy the CPU utilization: the fraction of the server's cores that is busy; NaN if not reported
+ * @param utilization the CPU utilization: the fraction of the server's cores that is busy; NaN if not reported
  */
-public record LoadReport(Role role, long position, double busy) {
+public record LoadReport(Role role, long position, double utilization) {
 
     /**
      * Represents an unknown time, in {@link Ticks}: so long ago that it is too old for every bound, yet differences
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -100,7 +100,7 @@
         if (clock.isAhead(report.position())) {
             return null;
         }
-        return new LoadReport(report.role(), clock.position(report.position()), report.busy());
+        return new LoadReport(report.role(), clock.position(report.position()), report.utilization());
     }
 
     /** The values of {@code name=number,name=number}; empty where one is malformed or negative. */
--- a/gateway/src/main/java/ploverdale/routing/RoleTracker.java
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -46,7 +46,7 @@
         if (report == null) {
             return;
         }
-        server.load().recordUtilization(report.busy());
+        server.load().recordUtilization(report.utilization());
         if (report.position() != LoadReport.UNKNOWN_TIME) {
             server.replication().recordPosition(report.position(), context.now());
             gossip.positionReported(context.now(), server.id());
