--- a/gateway/src/main/java/ploverdale/model/ServerGuarantees.java
+++ b/gateway/src/main/java/ploverdale/model/ServerGuarantees.java
@@ -9,7 +9,7 @@
  * @param overloadWindow the length of the window in which the requests at a recovering server are counted
  * @param removalBinds whether a server that is missing from the endpoint list is out of service even if it was not
  *     drained before
- * @param askListWithin how soon a failed call for the endpoint list has to be repeated
+ * @param maxListRetryDelay how soon a failed call for the endpoint list has to be repeated
  */
 public record ServerGuarantees(
         double startCapacity,
@@ -17,4 +17,4 @@
         double overloadMultiple,
         long overloadWindow,
         boolean removalBinds,
-        long askListWithin) {}
+        long maxListRetryDelay) {}
