--- a/gateway/src/main/java/ploverdale/benchlink/Writer.java
+++ b/gateway/src/main/java/ploverdale/benchlink/Writer.java
@@ -43,16 +43,16 @@
     @Override
     public void startAttempt(Action.StartAttempt attempt) {
         object("ROUTE", () -> {
-            json.writeStringField("ref", attempt.request().text());
+            json.writeStringField("ref", attempt.request().value());
             tenths("capMs", attempt.timeLimit());
-            json.writeStringField("server", attempt.server().text());
+            json.writeStringField("server", attempt.server().value());
         });
     }
 
     @Override
     public void cancelAttempt(Action.CancelAttempt cancellation) {
         object("ABANDON", () -> {
-            json.writeStringField("ref", cancellation.request().text());
+            json.writeStringField("ref", cancellation.request().value());
             json.writeNumberField("roundNo", cancellation.attempt());
         });
     }
@@ -60,14 +60,14 @@
     @Override
     public void rejectRequest(Action.RejectRequest rejection) {
         object("BOUNCE", () -> {
-            json.writeStringField("ref", rejection.request().text());
+            json.writeStringField("ref", rejection.request().value());
             tenths("notBeforeForMs", rejection.retryAfter());
         });
     }
 
     @Override
     public void failRequest(Action.FailRequest failure) {
-        object("ABORT", () -> json.writeStringField("ref", failure.request().text()));
+        object("ABORT", () -> json.writeStringField("ref", failure.request().value()));
     }
 
     @Override
@@ -80,14 +80,14 @@
 
     @Override
     public void checkHealth(Action.CheckHealth check) {
-        object("TOUCH", () -> json.writeStringField("server", check.server().text()));
+        object("TOUCH", () -> json.writeStringField("server", check.server().value()));
     }
 
     @Override
     public void closeIdleConnections(Action.CloseIdleConnections close) {
         object(
                 "DROP_CONNS",
-                () -> json.writeStringField("server", close.server().text()));
+                () -> json.writeStringField("server", close.server().value()));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -81,7 +81,7 @@
                 .onSuccess(s -> {
                     up.add(s);
                     entries.add(new EndpointList.Entry(e.endpoint(), new InetSocketAddress(host, s.actualPort())));
-                    members.add("{\"id\":\"" + e.endpoint().server().text() + "\",\"host_port\":\"" + host + ":"
+                    members.add("{\"id\":\"" + e.endpoint().server().value() + "\",\"host_port\":\"" + host + ":"
                             + s.actualPort() + "\",\"cell\":"
                             + e.endpoint().group().number()
                             + ",\"phase\":\"SERVING\",\"up_since_ms\":0}");
--- a/gateway/src/main/java/ploverdale/gossip/ServerHash.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerHash.java
@@ -16,7 +16,7 @@
     /** The 32-bit hash, as in an observation. */
     public static int of(ServerId server) {
         CRC32C crc = new CRC32C();
-        crc.update(server.text().getBytes(StandardCharsets.UTF_8));
+        crc.update(server.value().getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
 
--- a/gateway/src/main/java/ploverdale/model/RequestId.java
+++ b/gateway/src/main/java/ploverdale/model/RequestId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
-/** Identifies one submission of a request; the text is the one that the client sent. */
-public record RequestId(String text) {}
+/** Identifies one submission of a request; its value is the one that the client sent. */
+public record RequestId(String value) {}
--- a/gateway/src/main/java/ploverdale/model/SessionId.java
+++ b/gateway/src/main/java/ploverdale/model/SessionId.java
@@ -1,4 +1,4 @@
 package ploverdale.model;
 
 /** Identifies a session by the session key that the client sends with its requests. */
-public record SessionId(String text) {}
+public record SessionId(String value) {}
--- a/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -115,6 +115,6 @@
 
     /** The key by which the replicas know the outcome of the write. */
     static long idempotencyKey(PendingWrite write) {
-        return Replicas.key(false, write.id().text());
+        return Replicas.key(false, write.id().value());
     }
 }
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -76,7 +76,7 @@
         replicas.start(
                 (store, now, packets) -> store.writePosition(
                         now,
-                        Replicas.key(true, session.text()),
+                        Replicas.key(true, session.value()),
                         position,
                         ServerHash.of(server),
                         timeLimit,
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -190,7 +190,7 @@
         if (hasAddress && connectAgainLater(attempt)) {
             return;
         }
-        String text = "to server " + server.id().text() + ", " + limits.servers() + " to servers";
+        String text = "to server " + server.id().value() + ", " + limits.servers() + " to servers";
         context.log().often("no room for a connection", text);
         attempt.failToConnect();
     }
--- a/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -75,7 +75,7 @@
     private void updateServer(ServerState server, Endpoint entry, long revision) {
         EndpointLifecycle lifecycle = server.lifecycle();
         if (lifecycle.isOutdated(entry, revision)) {
-            context.log("server " + server.id().text() + " stays " + lifecycle.state() + ": list revision " + revision
+            context.log("server " + server.id().value() + " stays " + lifecycle.state() + ": list revision " + revision
                     + " is not newer");
             return;
         }
@@ -107,7 +107,7 @@
     private void transition(ServerState server, EndpointState next, long revision) {
         boolean removalBinds = settings.guarantees().removalBinds() || mayHideDrains;
         if (server.lifecycle().moveTo(next, removalBinds, revision)) {
-            context.log("server " + server.id().text() + " listed " + next);
+            context.log("server " + server.id().value() + " listed " + next);
         }
         if (server.lifecycle().isRemoved()) {
             gossip.serverRemoved(server.id());
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -79,7 +79,7 @@
         server.liveness().recordCheckAnswered(now);
         if (server.connections().isRefusing(OutlierDetector.MIN_RESTART_DURATION, now)) {
             scarcity.begin(now);
-            context.log("connections scarce: " + server.id().text() + " answers probes but refuses connections");
+            context.log("connections scarce: " + server.id().value() + " answers probes but refuses connections");
         }
         roles.learnLoadReport(server, report);
         if (server.ejection().isEjected() && now >= server.ejection().recheckAt()) {
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -165,7 +165,7 @@
         if (server.ejection().isEjected()) {
             return;
         }
-        context.log("server " + server.id().text() + " silent: " + reason);
+        context.log("server " + server.id().value() + " silent: " + reason);
         server.ejection().eject(context.now(), initialBackoff(server));
         server.liveness().recordUnresponsive(context.now());
         canceller.cancelRetryable(server);
@@ -212,7 +212,7 @@
     void readmit(ServerState server, long lastAliveAt, String reason) {
         long now = context.now();
         long outage = now - server.ejection().ejectedAt();
-        context.log("server " + server.id().text() + " returns: " + reason + " after " + outage / Ticks.PER_MILLISECOND
+        context.log("server " + server.id().value() + " returns: " + reason + " after " + outage / Ticks.PER_MILLISECOND
                 + " ms");
         server.ejection().readmit(now, EJECTION_FAILURE_SHARE / 2);
         if (now - lastAliveAt >= MIN_RESTART_DURATION) {
--- a/gateway/src/main/java/ploverdale/routing/RoleTracker.java
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -70,7 +70,7 @@
         }
         if (group.primary() != previous) {
             String change = group.primary() == server ? " primary " : " primary no longer ";
-            context.log("group " + group.id().number() + change + server.id().text());
+            context.log("group " + group.id().number() + change + server.id().value());
         }
     }
 
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -291,7 +291,7 @@
         return server.group().members().stream()
                 .filter(other -> !other.isPrimary()
                         && other.isServing()
-                        && other.id().text().compareTo(server.id().text()) < 0)
+                        && other.id().value().compareTo(server.id().value()) < 0)
                 .count();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
+++ b/gateway/src/test/java/ploverdale/routing/OutlierDetectionTest.java
@@ -114,7 +114,7 @@
         driver.request(TestRouterSettings.BOUNDED_READ);
         assertThat(driver.actions.stream()
                         .filter(action -> action instanceof Action.StartAttempt start
-                                && start.server().text().equals(first))
+                                && start.server().value().equals(first))
                         .count())
                 .isLessThanOrEqualTo(2);
     }
--- a/gateway/src/test/java/ploverdale/routing/RouterDriver.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterDriver.java
@@ -145,7 +145,7 @@
     List<String> attempts(RequestId request) {
         return actions.stream()
                 .filter(a -> a instanceof Action.StartAttempt s && s.request().equals(request))
-                .map(a -> ((Action.StartAttempt) a).server().text())
+                .map(a -> ((Action.StartAttempt) a).server().value())
                 .toList();
     }
 
@@ -174,7 +174,7 @@
     long healthChecks(String server) {
         return actions.stream()
                 .filter(a ->
-                        a instanceof Action.CheckHealth p && p.server().text().equals(server))
+                        a instanceof Action.CheckHealth p && p.server().value().equals(server))
                 .count();
     }
 
--- a/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
@@ -98,7 +98,7 @@
                 .map(action -> (Action.StartAttempt) action)
                 .findFirst()
                 .orElseThrow();
-        assertThat(readAttempt.server().text()).startsWith("r");
+        assertThat(readAttempt.server().value()).startsWith("r");
         // The router takes a position to be up to a millisecond earlier than reported.
         assertThat(readAttempt.writeBy()).isEqualTo(100_000 * 10 - 10 + 5000);
         RequestId write = freshDriver.request(TestRouterSettings.WRITE);
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -160,7 +160,7 @@
         for (Action action : actions) {
             if (action instanceof Action.StartAttempt a) {
                 int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
-                String name = "send " + a.request().text() + " " + attempt;
+                String name = "send " + a.request().value() + " " + attempt;
                 sentTo.put(name, a.server());
                 exchange(a.server(), REQUEST_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.SUCCEEDED ? 1 : 0;
@@ -175,7 +175,7 @@
                             outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.CancelAttempt a) {
-                String name = "send " + a.request().text() + " " + a.attempt();
+                String name = "send " + a.request().value() + " " + a.attempt();
                 if (pending.remove(name)) {
                     ServerId at = sentTo.get(name);
                     gateway(
@@ -216,7 +216,7 @@
 
     /** At the server, which answers once its machine resumes. */
     private void answer(ServerId server, String name, long began, Ended ended) {
-        if (driver.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
+        if (driver.nowMs >= diesAt.getOrDefault(server.value(), Long.MAX_VALUE)) {
             return;
         }
         for (Pause h : pauses) {
@@ -233,7 +233,7 @@
     }
 
     private LoadReport report(ServerId server) {
-        boolean primary = isPrimary(Integer.parseInt(server.text().substring(1)));
+        boolean primary = isPrimary(Integer.parseInt(server.value().substring(1)));
         return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (driver.nowMs - 20) * 10);
     }
 
