--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -30,8 +30,8 @@
 
     private static final long INITIAL_BACKOFF = Ticks.ofMillis(300);
     /**
-     * A server is silent if more than this number of expected answers is missing. A healthy server misses as many by
-     * chance only once in thousands of cases.
+     * A silence has consequences only if more than this number of expected answers is missing. A healthy server misses
+     * as many by chance only once in thousands of cases.
      */
     private static final double MAX_MISSING_ANSWERS = 8;
 
@@ -116,7 +116,7 @@
      */
     private void suspectAfterSilence(ServerState server, long since) {
         suspect(server);
-        server.ejection().countAtLeast(MISSED_CHECKS_TO_EJECT - 1); // so that one missed health check is enough for an ejection
+        server.ejection().countAtLeast(MISSED_CHECKS_TO_EJECT - 1); // one more missed health check ejects it
         boolean otherMemberAnswered = server.group().members().stream()
                 .anyMatch(other -> other != server
                         && other.isConfirmedServing()
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -147,11 +147,11 @@
      */
     private ServerState selectReplica(PendingRequest request, ReplicaGroup group) {
         long now = context.now();
-        ServerState admitted = leastCost(request, group, server -> stalenessFilter.admits(server, request, now));
+        ServerState admitted = selectLeastCost(request, group, server -> stalenessFilter.admits(server, request, now));
         if (admitted != null || !settings.replicasCheckReads()) {
             return admitted;
         }
-        return leastCost(request, group, server -> stalenessFilter.mayBeFreshEnough(server, request, now));
+        return selectLeastCost(request, group, server -> stalenessFilter.mayBeFreshEnough(server, request, now));
     }
 
     /**
@@ -190,7 +190,7 @@
         if (!settings.replicasCheckReads()) {
             return null;
         }
-        return leastCost(
+        return selectLeastCost(
                 request,
                 group,
                 server -> server != request.lastServer()
@@ -216,7 +216,7 @@
                 || stalenessFilter.mayBecomeFreshEnough(server, request, now);
     }
 
-    private ServerState leastCost(PendingRequest request, ReplicaGroup group, Predicate<ServerState> eligible) {
+    private ServerState selectLeastCost(PendingRequest request, ReplicaGroup group, Predicate<ServerState> eligible) {
         ServerState best = null;
         double leastCost = Double.MAX_VALUE;
         for (ServerState server : group.members()) {
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -100,6 +100,10 @@
         return bucketSize >= work ? progress.credit() >= work : playLottery(progress, work, now);
     }
 
+    /**
+     * Stakes all tokens of the bucket in a lottery for one request. The probability of winning a ticket is the fraction
+     * of the request's work that the tokens cover, so that on average no more work is admitted than there are tokens.
+     */
     private boolean playLottery(SlowStartProgress progress, double work, long now) {
         if (progress.credit() <= 0) {
             return false;
--- a/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
+++ b/gateway/src/main/java/ploverdale/routing/StalenessFilter.java
@@ -13,7 +13,7 @@
 /**
  * Decides which replicas are fresh enough for a read (see docs/design.md): a replica may answer a read only if its last
  * known log position meets the read's consistency requirement. A replica with an unknown position is too stale for
- * every requirement. Times are {@link Ticks}.
+ * every read that has such a requirement. Times are {@link Ticks}.
  */
 final class StalenessFilter {
     /** Maximum age of a position report due to which a read may be sent to a replica that checks reads itself. */
