--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
@@ -66,7 +66,7 @@
             long seed,
             Result result) {
         return String.format(
-                "%3d gateways  %-26s %-6s gossip %-5s seed %d  worst %.2f  served %.3f  cold %.3f",
+                "%3d gateways  %-26s %-6s gossip %-5s seed %d  max load %.2f  served %.3f  used capacity %.3f",
                 gateways,
                 scenario,
                 deployment.name(),
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -41,7 +41,7 @@
             recovering.slowStart().recordColdStart(STARTED_AT);
             servers.add(recovering);
             for (int i = 0; i < serversPastSlowStart; i++) {
-                servers.add(new ServerState(new ServerId("warm" + i), recovering.group(), 24));
+                servers.add(new ServerState(new ServerId("other" + i), recovering.group(), 24));
             }
             double agreed = AGREED_PER_SERVER * servers.size();
             slowStart = new SlowStart(GUARANTEES, gateways, agreed, new SplittableRandom(SEED + number));
