--- a/gateway/src/main/java/ploverdale/gossip/ServerHash.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerHash.java
@@ -17,7 +17,7 @@
     /** Returns the 32-bit hash, which entries of observations use. */
     public static int of(ServerId server) {
         CRC32C crc = new CRC32C();
-        crc.update(server.text().getBytes(StandardCharsets.UTF_8));
+        crc.update(server.value().getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
 
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -181,7 +181,7 @@
                 settings.capabilities(),
                 history.replicaGuarantees(settings.replicaGuarantees()),
                 settings.listOnDemand(),
-                settings.me());
+                settings.gatewayIndex());
     }
 
     /** The endpoint lists that this gateway starts with, from discovery or from the configuration. */
--- a/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -119,6 +119,6 @@
 
     /** Returns the key under which the replicas store the outcome of the write. */
     static long idempotencyKey(PendingWrite write) {
-        return Replicas.key(false, write.id().text());
+        return Replicas.key(false, write.id().value());
     }
 }
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -107,7 +107,7 @@
         if (clock.isAhead(report.position())) {
             return null;
         }
-        return new LoadReport(report.role(), clock.position(report.position()), report.busy());
+        return new LoadReport(report.role(), clock.position(report.position()), report.utilization());
     }
 
     /** Parses {@code name=number,name=number}; returns an empty result if a field is malformed or negative. */
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -198,7 +198,7 @@
         if (hasAddress && connectAgainLater(attempt)) {
             return;
         }
-        String details = "to server " + server.id().text() + ", " + limits.serverConnections() + " to servers";
+        String details = "to server " + server.id().value() + ", " + limits.serverConnections() + " to servers";
         context.log().often("no room for a connection", details);
         attempt.failToConnect();
     }
--- a/gateway/src/main/java/ploverdale/routing/AttemptCanceller.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptCanceller.java
@@ -23,7 +23,7 @@
      */
     void cancel(PendingRequest request) {
         directory.group(request.arrival().group()).dequeue(request);
-        if (capabilities.cancel() && request.requestCancel()) {
+        if (capabilities.cancelAllowed() && request.requestCancel()) {
             context.emit(new Action.CancelAttempt(request.id(), request.attemptInFlight()));
         }
     }
--- a/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
@@ -65,7 +65,7 @@
         long now = context.now();
         return server.connections().isPastRejection(now)
                 && server.countAttemptsSinceReadmission() < server.load().limit() * share
-                && quota.hasAttempt(server.id(), slowStart.isWarmingUp(server, now));
+                && quota.hasAttempt(server.id(), slowStart.isInSlowStart(server, now));
     }
 
     /** Records the latency of an answered attempt, or the time that an unanswered one has waited so far. */
@@ -104,7 +104,7 @@
     private void adjustLimit(ServerState server) {
         Load load = server.load();
         if (load.objectiveRatio() > TARGET_OBJECTIVE_RATIO) {
-            load.limitTo(Math.max(settings.leastLimit(), load.limit() - LIMIT_STEP));
+            load.limitTo(Math.max(settings.minLimit(), load.limit() - LIMIT_STEP));
             return;
         }
         boolean isUsed = load.attemptsInFlight() + 1 >= load.limit() * USED_SHARE;
@@ -144,6 +144,6 @@
 
     private void limitToInFlight(ServerState server) {
         Load load = server.load();
-        load.limitTo(Math.max(settings.leastLimit(), Math.min(load.limit(), load.attemptsInFlight())));
+        load.limitTo(Math.max(settings.minLimit(), Math.min(load.limit(), load.attemptsInFlight())));
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -59,7 +59,7 @@
     private void chargeToSlowStart(ServerState server, Outcome outcome) {
         if (server.healthCheck().isInFlight() && outcome == Outcome.SUCCEEDED) {
             long now = context.now();
-            slowStart.healthCheckAnswered(server, now - server.healthCheck().sentAt(), now);
+            slowStart.recordHealthCheckAnswer(server, now - server.healthCheck().sentAt(), now);
         }
     }
 
@@ -91,9 +91,9 @@
         long now = context.now();
         server.ejection().clearMissedChecks();
         server.liveness().recordCheckAnswered(now);
-        if (server.connections().isRefusing(OutlierDetector.SHORTEST_RESTART, now)) {
+        if (server.connections().isRefusing(OutlierDetector.MIN_RESTART_DURATION, now)) {
             scarcity.begin(now);
-            context.log("connections scarce: " + server.id().text() + " answers probes but refuses connections");
+            context.log("connections scarce: " + server.id().value() + " answers probes but refuses connections");
         }
         roles.learnLoadReport(server, report);
         if (server.ejection().isEjected() && now >= server.ejection().recheckAt()) {
@@ -117,7 +117,7 @@
             extendEjection(server, waited);
             return;
         }
-        boolean answersAttempts = now - server.liveness().attemptAnsweredAt() <= OutlierDetector.SHORTEST_SILENCE;
+        boolean answersAttempts = now - server.liveness().attemptAnsweredAt() <= OutlierDetector.MIN_SILENCE;
         if (answersAttempts) {
             return;
         }
@@ -132,7 +132,7 @@
     /** Counts the missed check, and returns whether the missed checks suffice for an ejection. */
     private boolean missedChecksSuffice(ServerState server) {
         Liveness liveness = server.liveness();
-        return server.ejection().countMissedCheck() >= OutlierDetector.CHECKS_MISSED
+        return server.ejection().countMissedCheck() >= OutlierDetector.MISSED_CHECKS_TO_EJECT
                 || !liveness.wasEverConfirmed() && !liveness.hasInconclusiveChecks();
     }
 
@@ -150,11 +150,11 @@
      * and even less often where a peer would report that it is alive.
      */
     private long nextBackoff(ServerState server) {
-        if (!outlierDetector.wasNeverThere(server)) {
+        if (!outlierDetector.wasNeverUp(server)) {
             return Math.min(
-                    OutlierDetector.LONGEST_BACKOFF / 4, server.ejection().backoff() * 2);
+                    OutlierDetector.MAX_BACKOFF / 4, server.ejection().backoff() * 2);
         }
-        return gossip.isNeededForPositions() ? 4 * OutlierDetector.LONGEST_BACKOFF : OutlierDetector.LONGEST_BACKOFF;
+        return gossip.isNeededForPositions() ? 4 * OutlierDetector.MAX_BACKOFF : OutlierDetector.MAX_BACKOFF;
     }
 
     /**
@@ -169,6 +169,6 @@
         if (inconclusive) {
             server.liveness().recordInconclusiveCheck(now - sentAt - localHealth.explainedIn(sentAt, now));
         }
-        return inconclusive && server.liveness().inconclusiveWait() < OutlierDetector.SHORTEST_SILENCE;
+        return inconclusive && server.liveness().inconclusiveWait() < OutlierDetector.MIN_SILENCE;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -50,7 +50,7 @@
      * @return whether it was sent
      */
     boolean check(ServerState server, HealthCheckReason reason) {
-        boolean sent = capabilities.healthChecks()
+        boolean sent = capabilities.healthChecksAllowed()
                 && !server.healthCheck().isInFlight()
                 && quota.tryAcquireHealthCheck(reason);
         if (sent) {
@@ -87,7 +87,7 @@
      * Always true where the deployment does not allow health checks.
      */
     boolean isConfirmed(ServerState server) {
-        return server.liveness().isConfirmed(context.now()) || !capabilities.healthChecks();
+        return server.liveness().isConfirmed(context.now()) || !capabilities.healthChecksAllowed();
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -16,7 +16,7 @@
 import ploverdale.state.ReplicaGroup;
 import ploverdale.state.ServerState;
 
-/** Takes each request from its arrival through its attempts to its one final answer. */
+/** Takes each request from its arrival through its attempts to its final answer; every request gets exactly one. */
 final class RequestDispatcher {
     private final DecisionContext context;
     private final RoutingSettings settings;
@@ -31,7 +31,7 @@
     private final AttemptCanceller canceller;
     private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
 
-    /** The parts that a request's course depends on. */
+    /** The collaborators of the dispatcher. */
     record Dependencies(
             DecisionContext context,
             RoutingSettings settings,
@@ -59,14 +59,14 @@
         canceller = dependencies.canceller;
     }
 
-    /** Takes a new request; it is dispatched by the caller. */
+    /** Registers a new request. The caller must then {@link #dispatch} it. */
     PendingRequest accept(RequestArrived arrival) {
         long now = context.now();
-        RequestClass requestClass = settings.requestClass(arrival.type());
+        RequestClass requestClass = settings.requestClass(arrival.requestClass());
         PendingRequest request = new PendingRequest(
                 arrival,
                 requestClass,
-                latencies.of(arrival.type()),
+                latencies.of(arrival.requestClass()),
                 now,
                 Math.min(objectiveAt(arrival, requestClass), now + requestClass.timeout()),
                 stalenessFilter.requiredPosition(arrival, requestClass, now),
@@ -76,28 +76,31 @@
         return request;
     }
 
-    /** The latency objective, less what the client spent on an earlier submission. */
+    /**
+     * Returns the latency objective as a point in time. For a resubmitted request the time that the client is assumed
+     * to have spent on the earlier submission is subtracted.
+     */
     private long objectiveAt(RequestArrived arrival, RequestClass requestClass) {
         long objective =
                 requestClass.latencyObjective() + (long) (requestClass.objectivePerWork() * arrival.expectedWork());
-        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_AFTER * requestClass.latencyObjective()) : 0;
+        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_DELAY_SHARE * requestClass.latencyObjective()) : 0;
         return context.now() + objective - spent;
     }
 
-    /** The request of this name, if it has no final answer yet. */
+    /** Returns the request with this id, if it has no final answer yet. */
     Optional<PendingRequest> find(RequestId id) {
         return Optional.ofNullable(requests.get(id));
     }
 
-    /** Whether no request is pending. */
+    /** Whether no request is waiting or in flight. */
     boolean isIdle() {
         return requests.isEmpty();
     }
 
     /**
-     * Has the request attempted, wait, or be answered with a rejection or failure.
+     * Starts an attempt of the request, lets it wait for a server, or answers it with a rejection or failure.
      *
-     * @return false where it waits
+     * @return false if the request waits
      */
     boolean dispatch(PendingRequest request) {
         ReplicaGroup group = directory.group(request.arrival().group());
@@ -120,36 +123,43 @@
                 || !RequestDeadlines.isWorthAttempt(request, server.load().measuredInflation(), now)) {
             return false;
         }
-        request.setAttemptInSlowStart(slowStart.isWarmingUp(server, now));
+        request.setAttemptInSlowStart(slowStart.isInSlowStart(server, now));
         return quota.tryAcquireAttempt(server.id(), request.isAttemptInSlowStart());
     }
 
     private void startAttempt(PendingRequest request, ServerState server) {
         long now = context.now();
-        boolean endsEarly = retryPolicy.endsEarly(request, server);
-        long until = request.idempotence() == Idempotence.IDEMPOTENT
+        boolean needsEarlyTimeout = retryPolicy.needsEarlyTimeout(request, server);
+        long attemptUntil = request.idempotence() == Idempotence.IDEMPOTENT
                 ? RequestDeadlines.valuableUntil(request)
                 : RequestDeadlines.answerBy(request);
-        if (endsEarly) {
+        if (needsEarlyTimeout) {
             retryPolicy.reserveRetry();
-            until = Math.min(until, retryPolicy.earlyTimeoutAt(request, server));
+            attemptUntil = Math.min(attemptUntil, retryPolicy.earlyTimeoutAt(request, server));
         }
-        long timeLimit = Math.max(1, until - now);
+        long timeLimit = Math.max(1, attemptUntil - now);
         context.emit(new Action.StartAttempt(request.id(), server.id(), timeLimit, writeBy(request, server)));
-        request.startAttempt(server, endsEarly, now);
+        request.startAttempt(server, needsEarlyTimeout, now);
         server.load().attemptStarted(request);
-        slowStart.attempted(server, request.usualLatency(), now);
+        slowStart.recordAttempt(server, request.usualLatency(), now);
     }
 
-    /** A position ages while a connection is made, so a bounded read has a time to be written by, unless the replica checks it. */
+    /**
+     * Returns the latest time at which the request may be written to the server. A bounded read has such a time, since
+     * the replica's known position ages while a connection is established; it has none if replicas check the staleness
+     * themselves.
+     */
     private long writeBy(PendingRequest request, ServerState server) {
-        boolean ages =
+        boolean positionAges =
                 request.consistency() == Consistency.BOUNDED && !server.isPrimary() && !settings.replicasCheckReads();
-        return ages ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
+        return positionAges ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
     }
 
-    /** An attempt has ended without a final answer of the request: it is attempted again, if it may be, or finished. */
-    void continueAfter(PendingRequest request, ServerState server, Outcome outcome) {
+    /**
+     * Called when an attempt has ended without giving the request its final answer. The request is dispatched again if
+     * it may be retried; otherwise it is rejected or failed.
+     */
+    void retryOrFinish(PendingRequest request, ServerState server, Outcome outcome) {
         request.endAttempt();
         retryPolicy.recordOutcome(request, server, outcome);
         if (retryPolicy.tryAcquireRetry(request, outcome)) {
@@ -159,18 +169,18 @@
         }
     }
 
-    /** The request has its final answer. */
+    /** Called when the request has got its final answer. */
     void complete(PendingRequest request) {
         requests.remove(request.id());
     }
 
-    /** The client has gone: no answer is owed. */
+    /** Called when the client has disconnected. The request gets no answer, and its attempt in flight is cancelled. */
     void abandon(PendingRequest request) {
         requests.remove(request.id());
         canceller.cancel(request);
     }
 
-    /** Answers each pending request now. */
+    /** Rejects or fails all requests that are waiting or in flight, and cancels their attempts. */
     void finishAll() {
         for (PendingRequest request : List.copyOf(requests.values())) {
             canceller.cancel(request);
@@ -187,14 +197,17 @@
                 isSafe ? new Action.RejectRequest(request.id(), retryAfter) : new Action.FailRequest(request.id()));
     }
 
-    /** Dispatches the group's waiting requests anew, until one of each class has to wait on. */
-    void release(ReplicaGroup group) {
+    /**
+     * Dispatches the group's waiting requests again. As soon as one request of a class has to keep waiting, the others
+     * of that class keep waiting, too, except those whose time to wait is over.
+     */
+    void dispatchWaiting(ReplicaGroup group) {
         if (group.waiting().isEmpty()) {
             return;
         }
         boolean[] classWaits = new boolean[settings.requestClasses().size()];
         for (PendingRequest request : admission.releaseOrder(group)) {
-            int classIndex = request.arrival().type().index();
+            int classIndex = request.arrival().requestClass().index();
             boolean isOverdue = context.now() >= RequestDeadlines.waitUntil(request);
             if (isOverdue || !classWaits[classIndex]) {
                 boolean dispatched = dispatch(request);
@@ -203,7 +216,10 @@
         }
     }
 
-    /** The servers' wall clock has another offset: required positions are dated anew. */
+    /**
+     * Called when the offset of the servers' wall clock has changed. Log positions that requests require are replaced
+     * by the current time, which is at least as late.
+     */
     void redateRequiredPositions() {
         requests.values().forEach(request -> request.redateRequiredPosition(context.now()));
     }
--- a/gateway/src/main/java/ploverdale/routing/RoleTracker.java
+++ b/gateway/src/main/java/ploverdale/routing/RoleTracker.java
@@ -7,10 +7,13 @@
 import ploverdale.state.ReplicationStatus;
 import ploverdale.state.ServerState;
 
-/** Learns roles and log positions from what servers report of themselves, and with them which server is a group's primary. */
+/**
+ * Learns roles and log positions from the reports of the servers, and from the roles which server is the primary of
+ * each group. Times are {@link Ticks}.
+ */
 final class RoleTracker {
-    /** How old a load report may be when it arrives. */
-    static final long REPORT_AGE = Ticks.ofMillis(300);
+    /** The maximum age of a load report when it arrives. */
+    static final long MAX_REPORT_AGE = Ticks.ofMillis(300);
 
     private final DecisionContext context;
     private final PeerGossip gossip;
@@ -21,29 +24,29 @@
     }
 
     /**
-     * Takes over a load report, which may have been made a while ago. A primary's position tells when it was made, so that an old
-     * report does not revive a role that was lost since.
+     * Learns from a load report, which may be outdated when it arrives. The position in a primary's report shows when
+     * the report was made, so that an outdated report does not restore a role that the server has lost since.
      *
-     * @param report null where there is none
+     * @param report the report, or null if there is none
      */
     void learnLoadReport(ServerState server, LoadReport report) {
         if (report == null) {
             return;
         }
         boolean isDated = report.role() == Role.PRIMARY && report.position() != LoadReport.UNKNOWN_TIME;
-        learnReport(server, report, isDated ? report.position() : context.now() - REPORT_AGE);
+        learnReport(server, report, isDated ? report.position() : context.now() - MAX_REPORT_AGE);
     }
 
     /**
-     * Takes over what was reported at this time: the latest report of a role wins, and a position never goes back.
+     * Learns from a report that was made at this time. The latest report of a role wins; a position never decreases.
      *
-     * @param report null where there is none
+     * @param report the report, or null if there is none
      */
     void learnReport(ServerState server, LoadReport report, long reportedAt) {
         if (report == null) {
             return;
         }
-        server.load().recordUtilization(report.busy());
+        server.load().recordUtilization(report.utilization());
         if (report.position() != LoadReport.UNKNOWN_TIME) {
             server.replication().recordPosition(report.position(), context.now());
             gossip.positionReported(context.now(), server.id());
@@ -51,31 +54,31 @@
         learnRole(server, report.role(), reportedAt);
     }
 
-    /** Takes over a role that was reported at this time, unless a later report is known. */
+    /** Learns a role that was reported at this time, unless a later report is known. */
     void learnRole(ServerState server, Role role, long reportedAt) {
         if (!server.replication().recordRole(role, reportedAt)) {
             return;
         }
         ReplicaGroup group = server.group();
-        ServerState before = group.primary();
+        ServerState previous = group.primary();
         if (role == Role.PRIMARY) {
-            if (replacesPrimary(before, reportedAt)) {
+            if (replacesPrimary(previous, reportedAt)) {
                 group.setPrimary(server);
             }
-        } else if (before == server) {
+        } else if (previous == server) {
             group.setPrimary(null);
         }
-        if (group.primary() != before) {
+        if (group.primary() != previous) {
             String change = group.primary() == server ? " primary " : " primary no longer ";
-            context.log("group " + group.id().number() + change + server.id().text());
+            context.log("group " + group.id().number() + change + server.id().value());
         }
     }
 
-    private static boolean replacesPrimary(ServerState before, long reportedAt) {
-        if (before == null) {
+    private static boolean replacesPrimary(ServerState previous, long reportedAt) {
+        if (previous == null) {
             return true;
         }
-        ReplicationStatus known = before.replication();
-        return known.role() != Role.PRIMARY || known.roleReportedAt() < reportedAt;
+        ReplicationStatus previousStatus = previous.replication();
+        return previousStatus.role() != Role.PRIMARY || previousStatus.roleReportedAt() < reportedAt;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
+++ b/gateway/src/main/java/ploverdale/routing/RouterAssembly.java
@@ -8,7 +8,7 @@
 import ploverdale.quota.StaticQuota;
 import ploverdale.state.SessionWrites;
 
-/** Builds the parts of a router from what the gateway is started with. Decides nothing. */
+/** Creates the objects of a router from the settings with which the gateway is started, and connects them. */
 final class RouterAssembly {
     private final DecisionContext context;
     private final ServerDirectory directory;
@@ -29,7 +29,7 @@
     private final RetryPolicy retryPolicy;
     private final StalenessFilter stalenessFilter;
 
-    /** @param sharedQuota of what all gateways share, or null: each takes its part of the whole */
+    /** @param sharedQuota the quota of the shared limits, or null if each gateway takes a fixed, equal part of them */
     RouterAssembly(
             DecisionContext context,
             ServerDirectory directory,
@@ -48,7 +48,7 @@
         latencies = new LatencyEstimates(settings.requestClasses());
         slowStart =
                 new SlowStart(settings.guarantees(), settings.gateways(), settings.requestsPerOverloadWindow(), random);
-        gossip = gossip();
+        gossip = createGossip();
         healthChecker = new HealthChecker(context, settings, quota, gossip, random);
         canceller = new AttemptCanceller(context, settings.capabilities(), directory);
         outlierDetector = new OutlierDetector(context, directory, localHealth, healthChecker, gossip, canceller);
@@ -58,12 +58,12 @@
         stalenessFilter = new StalenessFilter(settings, sessionWrites);
     }
 
-    private PeerGossip gossip() {
-        if (!settings.capabilities().peerMessages() || settings.gateways() < 2) {
+    private PeerGossip createGossip() {
+        if (!settings.capabilities().peerMessagesAllowed() || settings.gateways() < 2) {
             return new DisabledGossip();
         }
         GossipProtocol protocol = new GossipProtocol(
-                started.me(),
+                started.gatewayIndex(),
                 settings.gateways(),
                 settings.agreedRequestsPerSecond(),
                 settings.tightestBound(),
@@ -73,12 +73,12 @@
         return new EnabledGossip(protocol);
     }
 
-    /** Puts the parts together and has maintenance begin. */
+    /** Creates the event handler of the router and starts the periodic maintenance. */
     EventDecisions assemble() {
         EndpointRegistry endpoints = new EndpointRegistry(context, settings, directory, gossip, healthChecker, random);
         EndpointWatch endpointWatch = new EndpointWatch(context, random);
         ConnectionScarcity scarcity = new ConnectionScarcity();
-        RequestDispatcher dispatcher = dispatcher();
+        RequestDispatcher dispatcher = createDispatcher();
         Maintenance maintenance = new Maintenance(new Maintenance.Dependencies(
                 context,
                 directory,
@@ -106,15 +106,15 @@
                 roles,
                 new ServerObservations(context, roles, endpoints),
                 healthChecker,
-                healthCheckEvaluator(scarcity),
-                attemptEvaluator(),
+                createHealthCheckEvaluator(scarcity),
+                createAttemptEvaluator(),
                 scarcity,
                 retryPolicy,
                 dispatcher,
                 maintenance));
     }
 
-    private RequestDispatcher dispatcher() {
+    private RequestDispatcher createDispatcher() {
         return new RequestDispatcher(new RequestDispatcher.Dependencies(
                 context,
                 settings,
@@ -122,14 +122,14 @@
                 quota,
                 latencies,
                 stalenessFilter,
-                selector(),
+                createSelector(),
                 new AdmissionController(settings),
                 retryPolicy,
                 slowStart,
                 canceller));
     }
 
-    private ServerSelector selector() {
+    private ServerSelector createSelector() {
         return new ServerSelector(new ServerSelector.Dependencies(
                 context,
                 settings,
@@ -144,12 +144,12 @@
                 random));
     }
 
-    private AttemptEvaluator attemptEvaluator() {
+    private AttemptEvaluator createAttemptEvaluator() {
         return new AttemptEvaluator(
                 context, localHealth, healthChecker, outlierDetector, limiter, slowStart, roles, gossip);
     }
 
-    private HealthCheckEvaluator healthCheckEvaluator(ConnectionScarcity scarcity) {
+    private HealthCheckEvaluator createHealthCheckEvaluator(ConnectionScarcity scarcity) {
         return new HealthCheckEvaluator(
                 context, directory, localHealth, healthChecker, outlierDetector, roles, slowStart, scarcity, gossip);
     }
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -11,29 +11,38 @@
 import ploverdale.state.ServerState;
 
 /**
- * Chooses the server of a request: writes and fresh reads go to the primary, other reads to the replica of least cost that the
- * {@link StalenessFilter} admits, and to the primary where none does and its latency permits. Cost is least outstanding requests,
- * weighted by latency inflation, utilization and slow start.
+ * Chooses the server of a request. Writes and fresh reads go to the primary. Other reads go to the replica with the
+ * lowest cost that the {@link StalenessFilter} admits, or to the primary if no replica is admitted and the primary's
+ * latency permits. The cost is the number of attempts in flight (least outstanding requests), weighted by latency
+ * inflation, utilization and slow start. Not thread-safe. Times are {@link Ticks}.
  */
 final class ServerSelector {
-    /** Reported utilization from which a primary gets no reads; it has the same effect as {@link #REPLICA_SATURATED}. */
-    private static final double PRIMARY_SATURATED = 0.95;
-    /** Reported utilization from which a replica gets no reads; queues grow from 0.8 on. */
-    private static final double REPLICA_SATURATED = 1.05;
-    /** Below the utilization from which none is admitted, over which ever fewer reads are. */
+    /** Reported utilization from which on a primary gets no reads; the counterpart of {@link #REPLICA_SATURATION}. */
+    private static final double PRIMARY_SATURATION = 0.95;
+    /** Reported utilization from which on a replica gets no reads; queues grow from 0.8 on. */
+    private static final double REPLICA_SATURATION = 1.05;
+    /**
+     * Width of the range of utilization below {@link #PRIMARY_SATURATION} and {@link #REPLICA_SATURATION} in which the
+     * fraction of admitted reads falls from all to none.
+     */
     private static final double SATURATION_BAND = 0.25;
-    /** Part of the primary's limit that reads may use; the rest is kept for writes. */
-    private static final double PRIMARY_READ_SHARE = 0.7;
-    /** Part of the primary's limit that writes may use; late writes still have a value. */
-    private static final double WRITE_SHARE = 2;
-    /** Cost factor of the server of the failed attempt before, and of each rank among the servers of long reads. */
+    /** Fraction of the primary's concurrency limit that reads may use; the rest is reserved for writes. */
+    private static final double READ_LIMIT_SHARE = 0.7;
+    /** Multiple of the primary's concurrency limit that writes may use, since a late write still has a value. */
+    private static final double WRITE_LIMIT_SHARE = 2;
+    /** Cost factor of the server of the previous attempt, and of each rank among the servers of long reads. */
     private static final double AVOIDANCE_FACTOR = 3;
-    /** A replica that turned a read away is tried again after this, since that costs a wait and another attempt. */
-    private static final long GUESS_INTERVAL = Ticks.ofMillis(1000);
-    /** A replica is ranked by its reported utilization as if this part of its capacity were left at least. */
-    private static final double LEAST_HEADROOM = 0.1;
-    /** Random part of the cost, so that gateways do not all choose the same of several equal servers. */
-    private static final double COST_JITTER = 10;
+    /**
+     * After a replica rejected a read as too stale, another read is sent to it only after this time, since each further
+     * rejection costs a wait and another attempt.
+     */
+    private static final long UNVERIFIED_READ_INTERVAL = Ticks.ofMillis(1000);
+    /** Minimum of the spare capacity (1 minus the reported utilization) with which a replica's cost is calculated. */
+    private static final double MIN_HEADROOM = 0.1;
+    /**
+     * Divisor of the random part of the cost, which keeps gateways from all choosing the same of several equal servers.
+     */
+    private static final double COST_JITTER_DIVISOR = 10;
 
     private final DecisionContext context;
     private final RoutingSettings settings;
@@ -47,7 +56,7 @@
     private final RetryPolicy retryPolicy;
     private final RandomGenerator random;
 
-    /** The parts that a choice depends on. */
+    /** The collaborators of the selector. */
     record Dependencies(
             DecisionContext context,
             RoutingSettings settings,
@@ -83,23 +92,27 @@
 
     private RoutingDecision selectPrimary(PendingRequest request, ReplicaGroup group) {
         ServerState primary = group.primary();
-        boolean isKnown = primary != null && primary.isServing();
-        if (!isKnown || !healthChecker.isConfirmed(primary)) {
-            checkForPrimary(group, primary, isKnown);
+        boolean hasServingPrimary = primary != null && primary.isServing();
+        if (!hasServingPrimary || !healthChecker.isConfirmed(primary)) {
+            checkForPrimary(group, primary, hasServingPrimary);
         }
-        boolean admitted = isKnown
+        boolean admitted = hasServingPrimary
                 && healthChecker.isConfirmed(primary)
                 && retryPolicy.recognizesRepeat(request, primary)
-                && limiter.hasCapacity(primary, WRITE_SHARE)
+                && limiter.hasCapacity(primary, WRITE_LIMIT_SHARE)
                 && slowStartAdmits(primary, request);
         return admitted ? RoutingDecision.forwardTo(primary) : RoutingDecision.WAIT;
     }
 
-    /** Asks the known primary; where none is known, also the members whose role nobody reported lately. */
-    private void checkForPrimary(ReplicaGroup group, ServerState primary, boolean isKnown) {
-        boolean othersReport = gossip.isNeededForPositions();
+    /**
+     * Starts a health check to confirm or find the group's primary: of the known primary or, if it is unknown or not
+     * serving, of any member. If peers report positions, other members than the primary are checked only if no gateway
+     * has reported on them recently.
+     */
+    private void checkForPrimary(ReplicaGroup group, ServerState primary, boolean hasServingPrimary) {
+        boolean peersReport = gossip.isNeededForPositions();
         healthChecker.checkOneOf(
-                group, server -> server == primary || !isKnown && (!othersReport || isReportOutdated(server)));
+                group, server -> server == primary || !hasServingPrimary && (!peersReport || isReportOutdated(server)));
     }
 
     private boolean isReportOutdated(ServerState server) {
@@ -118,26 +131,33 @@
         if (primary != null && primaryAdmitsRead(primary, request)) {
             return RoutingDecision.forwardTo(primary);
         }
-        ServerState guess = guessReplica(request, group);
-        if (guess != null) {
-            guess.replication().recordMisdirected(context.now()); // until it answers
-            return RoutingDecision.forwardTo(guess);
+        ServerState unverified = selectUnverifiedReplica(request, group);
+        if (unverified != null) {
+            // No other such read is sent to the replica until it has reported its position.
+            unverified.replication().recordMisdirected(context.now());
+            return RoutingDecision.forwardTo(unverified);
         }
-        boolean worthWaiting = healthChecker.awaitsConfirmation(group) || mayGetCapacity(request, group);
+        boolean worthWaiting = healthChecker.awaitsConfirmation(group) || hasReplicaThatMayServeLater(request, group);
         return worthWaiting ? RoutingDecision.WAIT : RoutingDecision.REJECT;
     }
 
-    /** The best replica that is surely fresh enough; where replicas check reads, else the best of those that probably are. */
+    /**
+     * Returns the replica with the lowest cost that is certainly fresh enough, or null. If there is none and replicas
+     * check reads themselves, returns the one with the lowest cost that is probably fresh enough.
+     */
     private ServerState selectReplica(PendingRequest request, ReplicaGroup group) {
         long now = context.now();
-        ServerState admitted = leastCost(request, group, server -> stalenessFilter.admits(server, request, now));
+        ServerState admitted = selectLeastCost(request, group, server -> stalenessFilter.admits(server, request, now));
         if (admitted != null || !settings.replicasCheckReads()) {
             return admitted;
         }
-        return leastCost(request, group, server -> stalenessFilter.mayBeFreshEnough(server, request, now));
+        return selectLeastCost(request, group, server -> stalenessFilter.mayBeFreshEnough(server, request, now));
     }
 
-    /** Whether a health check may make the server usable for the read: it is not confirmed, or its position is outdated. */
+    /**
+     * Whether a health check may make the server usable for the read, because the server is unconfirmed or its known
+     * position is outdated.
+     */
     private boolean mayBecomeUsable(ServerState server, PendingRequest request) {
         if (!healthChecker.isConfirmed(server)) {
             return true;
@@ -148,35 +168,45 @@
                 && isReportOutdated(server);
     }
 
-    /** The primary takes reads while its latency permits, also while the admitted replicas are full. */
+    /**
+     * Whether the primary may take a read that no replica can take. It may as long as its latency and utilization
+     * permit.
+     */
     private boolean primaryAdmitsRead(ServerState primary, PendingRequest request) {
         return primary.isServing()
                 && healthChecker.isConfirmed(primary)
-                && limiter.hasCapacity(primary, PRIMARY_READ_SHARE)
+                && limiter.hasCapacity(primary, READ_LIMIT_SHARE)
                 && primary.load().inflation(context.now()) <= LatencyEstimate.RARELY_EXCEEDED
-                && isAdmittedByUtilization(primary, PRIMARY_SATURATED)
+                && isAdmittedByUtilization(primary, PRIMARY_SATURATION)
                 && slowStartAdmits(primary, request);
     }
 
-    /** Where replicas check reads, reports may be outdated: one read a second tries each of them instead of being rejected. */
-    private ServerState guessReplica(PendingRequest request, ReplicaGroup group) {
+    /**
+     * Returns a replica that may take the read although its last report says that it is too stale, or null. Only if
+     * replicas check reads themselves; the report may be outdated, so each replica gets one such read per
+     * {@link #UNVERIFIED_READ_INTERVAL} instead of the read being rejected.
+     */
+    private ServerState selectUnverifiedReplica(PendingRequest request, ReplicaGroup group) {
         if (!settings.replicasCheckReads()) {
             return null;
         }
-        return leastCost(
+        return selectLeastCost(
                 request,
                 group,
                 server -> server != request.lastServer()
-                        && server.replication().sinceMisdirected(context.now()) > GUESS_INTERVAL);
+                        && server.replication().sinceMisdirected(context.now()) > UNVERIFIED_READ_INTERVAL);
     }
 
-    /** Whether a replica is only full, or too old by a report that is itself old enough to be renewed. */
-    private boolean mayGetCapacity(PendingRequest request, ReplicaGroup group) {
+    /**
+     * Whether a replica may take the read later: it lacks only capacity now, or may be fresh enough when it reports
+     * again.
+     */
+    private boolean hasReplicaThatMayServeLater(PendingRequest request, ReplicaGroup group) {
         return group.members().stream()
                 .anyMatch(server -> !server.isPrimary()
                         && server.isServing()
                         && healthChecker.isConfirmed(server)
-                        && server.load().utilization() < REPLICA_SATURATED - SATURATION_BAND
+                        && server.load().utilization() < REPLICA_SATURATION - SATURATION_BAND
                         && mayServeLater(server, request));
     }
 
@@ -186,7 +216,7 @@
                 || stalenessFilter.mayBecomeFreshEnough(server, request, now);
     }
 
-    private ServerState leastCost(PendingRequest request, ReplicaGroup group, Predicate<ServerState> eligible) {
+    private ServerState selectLeastCost(PendingRequest request, ReplicaGroup group, Predicate<ServerState> eligible) {
         ServerState best = null;
         double leastCost = Double.MAX_VALUE;
         for (ServerState server : group.members()) {
@@ -208,30 +238,31 @@
                 && retryPolicy.recognizesRepeat(request, replica)
                 && limiter.hasCapacity(replica, 1)
                 && eligible.test(replica)
-                && isAdmittedByUtilization(replica, REPLICA_SATURATED)
+                && isAdmittedByUtilization(replica, REPLICA_SATURATION)
                 && slowStartAdmits(replica, request);
     }
 
     /**
-     * Thins reads out at a busy server by chance, so that many gateways with few requests do not crowd one together. Own latencies,
-     * where they are newer than any report, say more than the report.
+     * Whether a busy server may take a read. Rejects a random fraction of the reads, which grows with the reported
+     * utilization, so that many gateways with few requests each do not overload a server together. If this gateway
+     * measured the server's latency more recently than a report can be, the report is ignored.
      */
-    private boolean isAdmittedByUtilization(ServerState server, double saturated) {
+    private boolean isAdmittedByUtilization(ServerState server, double saturation) {
         return hasRecentLatency(server)
-                || random.nextDouble() < (saturated - server.load().utilization()) / SATURATION_BAND;
+                || random.nextDouble() < (saturation - server.load().utilization()) / SATURATION_BAND;
     }
 
     private boolean hasRecentLatency(ServerState server) {
-        return server.load().inflationAge(context.now()) < RoleTracker.REPORT_AGE;
+        return server.load().inflationAge(context.now()) < RoleTracker.MAX_REPORT_AGE;
     }
 
-    /** Whether a server in slow start may have the request. */
+    /** Whether the server may take the request as far as slow start is concerned. */
     private boolean slowStartAdmits(ServerState server, PendingRequest request) {
         long now = context.now();
-        if (!slowStart.isWarmingUp(server, now)) {
+        if (!slowStart.isInSlowStart(server, now)) {
             return true;
         }
-        return server.load().utilization() < REPLICA_SATURATED - SATURATION_BAND
+        return server.load().utilization() < REPLICA_SATURATION - SATURATION_BAND
                 && slowStart.admits(server, request.usualLatency(), latencies.mean(), directory.servers(), now);
     }
 
@@ -242,24 +273,25 @@
         if (request.isUnboundedReadLongerThan(settings.tightestBound())) {
             avoidance *= Math.pow(AVOIDANCE_FACTOR, rankForLongReads(server));
         }
-        double headroom = hasRecentLatency(server) ? 1 : Math.max(LEAST_HEADROOM, 1 - load.utilization());
+        double headroom = hasRecentLatency(server) ? 1 : Math.max(MIN_HEADROOM, 1 - load.utilization());
         return avoidance
                 * load.inflation(now)
                 * (load.attemptsInFlight() + 1)
                 / headroom
-                / slowStart.slowStartFraction(server, now)
-                * (1 + random.nextDouble() / COST_JITTER);
+                / slowStart.capacityFraction(server, now)
+                * (1 + random.nextDouble() / COST_JITTER_DIVISOR);
     }
 
     /**
-     * The server's rank by name, the same at every gateway. Reads that take longer than the tightest staleness bound may stop a
-     * replica's apply, so all gateways put them on the same few replicas and the others stay fresh.
+     * Returns the server's rank among the serving replicas of its group by name, which is the same at every gateway.
+     * Reads that take longer than the tightest staleness bound may keep a replica from applying the log, so all
+     * gateways send them to the same few replicas and the others stay fresh.
      */
     private static long rankForLongReads(ServerState server) {
         return server.group().members().stream()
                 .filter(other -> !other.isPrimary()
                         && other.isServing()
-                        && other.id().text().compareTo(server.id().text()) < 0)
+                        && other.id().value().compareTo(server.id().value()) < 0)
                 .count();
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleetTest.java
@@ -10,8 +10,8 @@
 import ploverdale.routing.SlowStartFleet.Result;
 
 /**
- * What all routers of a fleet together send a recovering server, against the budget of the slow start rule. Prints a row for
- * each run. Runs more seeds with {@code -Dslowstart.seeds=N}.
+ * Tests that all routers of a fleet together keep within the budget of each recovering server and still use it. Prints
+ * a row for each run. {@code -Dslowstart.seeds=N} runs N seeds instead of one.
  */
 class SlowStartFleetTest {
     private static final List<SlowStartDeployment> DEPLOYMENTS = List.of(
@@ -23,7 +23,7 @@
     @ValueSource(ints = {1, 2, 6, 30, 100})
     void theFleetKeepsTheBudgetOfEachRecoveringServerAndStillUsesIt(int gateways) {
         List<String> overloaded = new ArrayList<>();
-        SoftAssertions floors = new SoftAssertions();
+        SoftAssertions minimums = new SoftAssertions();
         for (SlowStartScenario scenario : SlowStartScenario.values()) {
             List<Result> results = new ArrayList<>();
             for (SlowStartDeployment deployment : DEPLOYMENTS) {
@@ -34,28 +34,28 @@
                     results.add(result);
                     String row = row(gateways, scenario, deployment, gossip, seed, result);
                     System.out.println(row);
-                    if (result.worstLoad() > 1) {
+                    if (result.maxLoad() > 1) {
                         overloaded.add(row);
                     }
                 }
             }
-            floors.assertThat(results.stream()
+            minimums.assertThat(results.stream()
                             .mapToDouble(Result::served)
                             .average()
                             .orElseThrow())
-                    .as("served in the mean, %s", scenario)
-                    .isGreaterThan(scenario.leastServed);
-            floors.assertThat(results.stream()
-                            .mapToDouble(Result::coldServed)
+                    .as("mean fraction of requests answered in time, %s", scenario)
+                    .isGreaterThan(scenario.minServed);
+            minimums.assertThat(results.stream()
+                            .mapToDouble(Result::usedCapacity)
                             .average()
                             .orElseThrow())
-                    .as("part of the recovering servers' capacity used, %s", scenario)
-                    .isGreaterThan(scenario.leastColdServed);
+                    .as("mean fraction of the recovering servers' capacity that was used, %s", scenario)
+                    .isGreaterThan(scenario.minUsedCapacity);
         }
         assertThat(overloaded)
-                .as("recovering servers that got more than their budget")
+                .as("runs in which a recovering server got more than its budget")
                 .isEmpty();
-        floors.assertAll();
+        minimums.assertAll();
     }
 
     private static String row(
@@ -66,14 +66,14 @@
             long seed,
             Result result) {
         return String.format(
-                "%3d gateways  %-26s %-6s gossip %-5s seed %d  worst %.2f  served %.3f  cold %.3f",
+                "%3d gateways  %-26s %-6s gossip %-5s seed %d  max load %.2f  served %.3f  used capacity %.3f",
                 gateways,
                 scenario,
                 deployment.name(),
                 gossip,
                 seed,
-                result.worstLoad(),
+                result.maxLoad(),
                 result.served(),
-                result.coldServed());
+                result.usedCapacity());
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/VirtualFleet.java
@@ -178,7 +178,7 @@
         for (Action action : actions) {
             if (action instanceof Action.StartAttempt a) {
                 int attempt = attempts.merge(a.request(), 1, Integer::sum) - 1;
-                String name = "attempt " + a.request().text() + " " + attempt;
+                String name = "attempt " + a.request().value() + " " + attempt;
                 serverOfAttempt.put(name, a.server());
                 exchange(a.server(), REQUEST_MS, a.timeLimit() / 10, name, (outcome, took) -> {
                     succeeded += outcome == Outcome.SUCCEEDED ? 1 : 0;
@@ -193,7 +193,7 @@
                             outcome == Outcome.SUCCEEDED ? report(a.server()) : null));
                 });
             } else if (action instanceof Action.CancelAttempt a) {
-                String name = "attempt " + a.request().text() + " " + a.attempt();
+                String name = "attempt " + a.request().value() + " " + a.attempt();
                 if (pending.remove(name)) {
                     ServerId at = serverOfAttempt.get(name);
                     runInGateway(
@@ -241,7 +241,7 @@
 
     /** Runs at the server, which answers once its machine has resumed. A dead server never answers. */
     private void answer(ServerId server, String name, long began, Completion completion) {
-        if (driver.nowMs >= diesAt.getOrDefault(server.text(), Long.MAX_VALUE)) {
+        if (driver.nowMs >= diesAt.getOrDefault(server.value(), Long.MAX_VALUE)) {
             return;
         }
         for (Pause pause : pauses) {
@@ -261,7 +261,7 @@
     }
 
     private LoadReport report(ServerId server) {
-        boolean primary = isPrimary(Integer.parseInt(server.text().substring(1)));
+        boolean primary = isPrimary(Integer.parseInt(server.value().substring(1)));
         return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, (driver.nowMs - 20) * 10);
     }
 
