--- a/gateway/src/main/java/ploverdale/quota/BorrowedUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/BorrowedUnits.java
@@ -4,9 +4,9 @@
 import java.util.OptionalInt;
 
 /**
- * A sub-lease as its borrower knows it: units of a lease holder that may be used here until it expires.
+ * A sub-lease as seen by its borrower: units lent by a lease holder, which may be used here until they expire.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe.
  */
 final class BorrowedUnits implements UnitSource {
     private final int lender;
@@ -17,7 +17,10 @@
     private long idleSince;
 
     /**
-     * @param number of the sub-lease, as the lender numbers them
+     * Creates the borrower's record of a sub-lease.
+     *
+     * @param lender number of the gateway that lends the units
+     * @param number number of the sub-lease at the lender
      * @param units by limit; not copied
      */
     BorrowedUnits(int lender, int number, int[] units, long expiresAt, long now) {
@@ -28,57 +31,61 @@
         idleSince = now;
     }
 
-    /** The gateway that the units are borrowed of. */
+    /** Returns the number of the gateway that lends the units. */
     int lender() {
         return lender;
     }
 
-    /** The lender's number of the sub-lease. */
+    /** Returns the number of the sub-lease at the lender. */
     int number() {
         return number;
     }
 
-    /** Units of a limit. */
+    /** Returns the units of a limit. */
     int units(int limit) {
         return units[limit];
     }
 
-    /** Units by limit, as a copy. */
+    /** Returns a copy of the units by limit. */
     int[] allUnits() {
         return units.clone();
     }
 
-    /** Whether the borrower still has units of any limit. */
+    /** Returns whether units of any limit are left. */
     boolean hasUnits() {
         return Arrays.stream(units).anyMatch(count -> count > 0);
     }
 
-    /** When the units can no longer be acquired here. */
+    /** Returns from when on the units can no longer be acquired here. */
     long expiresAt() {
         return expiresAt;
     }
 
-    /** Whether the units can no longer be acquired here. */
+    /** Returns whether the units can no longer be acquired here. */
     boolean isExpired(long now) {
         return now >= expiresAt;
     }
 
-    /** Number of the request to renew that is in flight, if any. */
+    /** Returns the number of the renewal request in flight, if any. */
     OptionalInt pendingRenewal() {
         return pendingRenewal;
     }
 
-    /** A request to renew was sent. */
+    /** Records that a renewal request was sent. */
     void startRenewal(int request) {
         pendingRenewal = OptionalInt.of(request);
     }
 
-    /** The request to renew was not answered in time; another may be sent. */
+    /** Records that the renewal request was not answered in time, so that another may be sent. */
     void abandonRenewal() {
         pendingRenewal = OptionalInt.empty();
     }
 
-    /** The lender has renewed the sub-lease; never with more units than before. */
+    /**
+     * Records that the lender has renewed the sub-lease. A renewal never adds units.
+     *
+     * @param grantedUnits by limit
+     */
     void renew(int[] grantedUnits, long newExpiry) {
         for (int limit = 0; limit < units.length; limit++) {
             reduceTo(limit, grantedUnits[limit]);
@@ -87,17 +94,17 @@
         pendingRenewal = OptionalInt.empty();
     }
 
-    /** Keeps no more units of a limit than this. */
+    /** Reduces the units of a limit to at most {@code keptUnits}. */
     void reduceTo(int limit, int keptUnits) {
         units[limit] = Math.min(units[limit], keptUnits);
     }
 
-    /** Whether some units have been idle for longer than that. */
+    /** Returns whether some units have been idle for longer than {@code duration}. */
     boolean isIdleLongerThan(long now, long duration) {
         return now - idleSince > duration;
     }
 
-    /** All units are needed, or some were just returned: the idle time starts anew. */
+    /** Restarts the idle time, because all units are needed or some were just returned. */
     void restartIdleTime(long now) {
         idleSince = now;
     }
--- a/gateway/src/main/java/ploverdale/quota/DemandEstimate.java
+++ b/gateway/src/main/java/ploverdale/quota/DemandEstimate.java
@@ -1,15 +1,17 @@
 package ploverdale.quota;
 
 /**
- * How many units of a limit were lately wanted, also where they could not be acquired: of a rate, an exponentially weighted
- * count of the attempts to acquire one a second; of concurrency, a peak that decays.
+ * Estimates how many units of a limit were wanted recently, including those that could not be acquired. For a rate
+ * limit, it is an exponentially weighted moving rate of attempted acquisitions per second; for a concurrency limit, a
+ * decaying peak.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe.
  */
 final class DemandEstimate {
-    private static final double SECOND = 10_000;
-    private static final double DECAY_TIME_CONSTANT = 1000 * 10; // a second: short beside changes of the load
-    private static final double NEGLIGIBLE = 0.05; // units below it do not count as a further one
+    private static final double TICKS_PER_SECOND = 10_000;
+    /** One second, which is short compared with the time in which the load changes. */
+    private static final double DECAY_TIME_CONSTANT_TICKS = 1000 * 10;
+    private static final double NEGLIGIBLE = 0.05; // a fraction up to this is not rounded up to a unit
 
     private double estimate;
     private long updatedAt;
@@ -18,26 +20,26 @@
         updatedAt = now;
     }
 
-    /** One more unit of a rate is wanted. */
+    /** Counts an attempted acquisition of a unit of a rate limit. */
     void addOne(long now) {
         decay(now);
-        estimate += SECOND / DECAY_TIME_CONSTANT;
+        estimate += TICKS_PER_SECOND / DECAY_TIME_CONSTANT_TICKS;
     }
 
-    /** So many units are wanted at the same time. */
+    /** Raises the estimate of a concurrency limit to the number of units wanted at the same time. */
     void raiseTo(long now, int units) {
         decay(now);
         estimate = Math.max(estimate, units);
     }
 
-    /** Units that are wanted, rounded up. */
+    /** Returns the units wanted recently, rounded up. */
     int units(long now) {
         decay(now);
         return (int) Math.ceil(estimate - NEGLIGIBLE);
     }
 
     private void decay(long now) {
-        estimate *= Math.exp(-Math.max(0, now - updatedAt) / DECAY_TIME_CONSTANT);
+        estimate *= Math.exp(-Math.max(0, now - updatedAt) / DECAY_TIME_CONSTANT_TICKS);
         updatedAt = Math.max(updatedAt, now);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -4,17 +4,19 @@
 import java.util.List;
 
 /**
- * The units of one shared limit that this gateway holds, each until its lease expires, and what of them is spent or in use.
- * A rate is a token bucket whose fill rate and size follow the units that are held. Expired units are dropped before
- * each access, each at its own time, so a process that was suspended cannot use them.
+ * The units of one shared limit that this gateway holds, each until it expires, and how many of them are spent or in
+ * use. A rate limit is a token bucket whose fill rate and size follow the number of units held. Before each access,
+ * expired units are removed in the order of their expiry, so a process that was suspended cannot use them.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class HeldUnits {
-    private static final double SECOND = 10_000;
-    private static final int RETRIES_PER_HOLD_TIME = 4; // until a unit in use may be released, on a rejection
+    private static final double TICKS_PER_SECOND = 10_000;
+    /** Retries per maximum hold time that are suggested to a client rejected by a concurrency limit. */
+    private static final int RETRIES_PER_HOLD_TIME = 4;
 
-    /** Units of one source. */
+    /** The units that come from one source. */
     private static final class Holding {
         private final UnitSource source;
         private int units;
@@ -30,7 +32,7 @@
     private final SharedLimit limit;
     private final DemandEstimate demand;
     private final List<Holding> holdings = new ArrayList<>();
-    private double tokens; // of a rate: units that have accumulated and are not spent
+    private double tokens; // of a rate limit: acquisitions that have accumulated and are not spent
     private long updatedAt;
     private int inUse;
     private long rejected;
@@ -41,12 +43,17 @@
         updatedAt = now;
     }
 
-    /** The name of the limit. */
+    /** Returns the name of the limit. */
     String name() {
         return limit.name();
     }
 
-    /** From now on so many units are held of that source, until then; with 0 units, or a time that has passed, none. */
+    /**
+     * Replaces the units that come from a source.
+     *
+     * @param units 0 removes the source
+     * @param expiresAt from when on the units can no longer be acquired; a time that has passed removes the source
+     */
     void set(long now, UnitSource source, int units, long expiresAt) {
         advanceTo(now);
         int before = total();
@@ -79,7 +86,10 @@
         return units;
     }
 
-    /** Tokens go with the units that earned them; new units bring none: their former holder may have spent them. */
+    /**
+     * Removes the tokens that accumulated for units no longer held. New units add no tokens, because their former
+     * holder may have spent them.
+     */
     private void dropTokensOfLostUnits(int before, int after) {
         if (after < before) {
             tokens = tokens * after / before;
@@ -108,23 +118,23 @@
     }
 
     private void accumulateUntil(long time) {
-        double burst = total() * limit.maxHoldTime() / SECOND;
-        tokens = Math.min(burst, tokens + total() * Math.max(0, time - updatedAt) / SECOND);
+        double burst = total() * limit.maxHoldTime() / TICKS_PER_SECOND;
+        tokens = Math.min(burst, tokens + total() * Math.max(0, time - updatedAt) / TICKS_PER_SECOND);
         updatedAt = Math.max(updatedAt, time);
     }
 
-    /** Units that are held now, those in use included. */
+    /** Returns the units that are held now, including those in use. */
     int units(long now) {
         advanceTo(now);
         return total();
     }
 
-    /** Units that were acquired and not released yet; 0 for a rate. */
+    /** Returns the units that are acquired and not yet released; 0 for a rate limit. */
     int inUse() {
         return inUse;
     }
 
-    /** Acquires a unit; false where none is free. It counts as demand in both cases. */
+    /** Acquires a unit; returns false where none is free. The call counts as demand in both cases. */
     boolean tryAcquire(long now) {
         advanceTo(now);
         boolean acquired = limit.kind() == SharedLimit.Kind.RATE ? tryTakeToken(now) : tryUse(now);
@@ -152,7 +162,10 @@
         return true;
     }
 
-    /** Whether one more unit could be used; counts as demand, and as a rejection, where not. */
+    /**
+     * Returns whether one more unit of a concurrency limit could be acquired. If not, the call counts as demand and as
+     * a rejection.
+     */
     boolean canUse(long now) {
         advanceTo(now);
         if (inUse < total()) {
@@ -163,27 +176,30 @@
         return false;
     }
 
-    /** Releases a unit in use. */
+    /** Releases an acquired unit of a concurrency limit. */
     void release() {
         inUse--;
     }
 
-    /** Units that were lately wanted; more than are held where some were rejected. */
+    /** Returns the estimated number of units wanted recently; more than are held where acquisitions were rejected. */
     int demand(long now) {
         return demand.units(now);
     }
 
-    /** After how long to retry: at the next token of a rate; for concurrency, after a share of the longest use. */
+    /**
+     * Returns after how long a rejected client should retry: for a rate limit, when the next token accumulates; for a
+     * concurrency limit, or without any units, a fraction of the limit's maximum hold time.
+     */
     long retryAfter(long now) {
         advanceTo(now);
         int units = total();
         if (limit.kind() == SharedLimit.Kind.CONCURRENCY || units == 0) {
             return limit.maxHoldTime() / RETRIES_PER_HOLD_TIME;
         }
-        return Math.min(limit.maxHoldTime(), (long) Math.ceil((1 - tokens) * SECOND / units));
+        return Math.min(limit.maxHoldTime(), (long) Math.ceil((1 - tokens) * TICKS_PER_SECOND / units));
     }
 
-    /** How often no unit was free, since the start. */
+    /** Returns how often no unit was free since the start. */
     long rejected() {
         return rejected;
     }
--- a/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseAcceptor.java
@@ -1,13 +1,15 @@
 package ploverdale.quota;
 
 /**
- * The leases that this gateway has granted as an acceptor. It grants a partition to one holder at a time; a majority of
- * acceptors that grant is a lease. These are majority leases without stored state, as in PaxosLease (Trencseni, Gazso and
- * Reinhardt, 2012), but in a single phase: a round that finds no majority is repeated. A later epoch of the same gateway is
- * another holder. Since grants are kept in memory only, an acceptor that has just started abstains until every lease that it
- * may have granted before has expired.
+ * The grants of partition leases by this gateway as an acceptor. An acceptor grants a partition to one holder at a
+ * time, and a holder has the lease while a majority of acceptors grants it. These are majority leases without
+ * persistent state, as in PaxosLease (Trencseni, Gazso and Reinhardt, 2012), but in a single phase: a round that does
+ * not reach a majority is repeated. A process with a later epoch of the same gateway counts as a different holder.
+ * Because grants are kept in memory only, an acceptor that has just started grants nothing until every lease that it
+ * may have granted before the start has expired.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class LeaseAcceptor {
     /** The latest grant of a partition's lease. */
@@ -15,7 +17,7 @@
 
     private final LeaseDurations durations;
     private final long abstainsUntil;
-    private final Grant[] grants; // by partition; null where none was granted yet
+    private final Grant[] grants; // by partition; null where nothing was granted yet
 
     LeaseAcceptor(int partitions, LeaseDurations durations, long now) {
         this.durations = durations;
@@ -23,7 +25,7 @@
         grants = new Grant[partitions];
     }
 
-    /** Grants or renews the lease of a partition; false where it is refused. */
+    /** Grants or renews the lease of a partition; returns false where the acceptor refuses. */
     boolean tryGrant(long now, int partition, Peer holder) {
         if (now < abstainsUntil || isGrantedToOther(now, grants[partition], holder)) {
             return false;
--- a/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
@@ -8,14 +8,15 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * The partitions that this gateway holds or asks for: its own, and those of absent gateways whose successor it is
- * ({@link RendezvousHash}). A lease is renewed several times in its term. Free units of a partition that serves are entered
- * in the unit ledger until the lease expires.
+ * The partitions whose lease this gateway holds or requests: its own, and those of absent gateways whose successor it
+ * is ({@link RendezvousHash}). A lease is renewed several times within its term. The free units of a serving partition
+ * are entered in the unit ledger until the lease expires.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class LeaseHolder {
-    private static final int ROUNDS_PER_TERM = 4; // so that lost messages do not end the lease
+    private static final int ROUNDS_PER_TERM = 4; // so that the lease outlasts some rounds with lost messages
 
     private final int self;
     private final QuotaAllocation allocation;
@@ -27,9 +28,11 @@
     private final Map<Integer, LeasePartition> partitions = new TreeMap<>();
 
     /**
+     * Creates the holder with this gateway's own partition.
+     *
      * @param self number of this gateway
-     * @param localAcceptor this gateway's own, which is asked without a message
-     * @param requestNumbers never yields the same number twice
+     * @param localAcceptor the acceptor of this gateway, which is called without a message
+     * @param requestNumbers supplies numbers that are never repeated
      */
     LeaseHolder(
             int self,
@@ -61,22 +64,22 @@
         return allocation.acceptorCount() > 1;
     }
 
-    /** In the order of their numbers; this gateway's own is always among them. */
+    /** Returns the partitions in the order of their numbers. This gateway's own is always among them. */
     Collection<LeasePartition> partitions() {
         return partitions.values();
     }
 
-    /** Whether the units of this gateway's own partition may be used and sub-leased. */
+    /** Returns whether the units of this gateway's own partition may be used and sub-leased. */
     boolean isServingOwnPartition(long now) {
         return partitions.get(self).isServing(now);
     }
 
-    /** How many partitions of other gateways are held here or asked for. */
+    /** Returns the number of other gateways' partitions whose lease this gateway holds or requests. */
     int takenOverPartitions() {
         return partitions.size() - 1;
     }
 
-    /** Enters the free units of each partition, and until when they may be used, in the ledger. */
+    /** Enters the free units of each partition, with the time when they expire, in the ledger. */
     void updateLedger(long now) {
         for (LeasePartition partition : partitions.values()) {
             boolean serving = partition.isServing(now);
@@ -88,17 +91,21 @@
         }
     }
 
-    /** Units of a partition that are neither sub-leased nor possibly in use for a former sub-lease. */
+    /**
+     * Returns the units of a partition that are neither sub-leased nor possibly still in use under an expired or
+     * reduced sub-lease.
+     */
     int freeUnits(long now, LeasePartition partition, int limit) {
         int leased = allocation.leasedUnits(partition.number(), limit);
         return Math.max(0, leased - partition.outstandingUnits(now, limit));
     }
 
     /**
-     * Takes over, drops and renews leases as they are due.
+     * Takes over partitions of absent gateways, drops those no longer needed, and renews leases that are due.
      *
-     * @param epoch this gateway's own
-     * @param alive whether a gateway is alive as far as this one knows; a hint: safety does not depend on it
+     * @param epoch epoch of this gateway
+     * @param alive whether this gateway considers another one alive; a hint that safety does not depend on
+     * @param out receives the messages to send
      */
     void onTick(long now, long epoch, IntPredicate alive, PacketQueue out) {
         if (hasOtherAcceptors()) {
@@ -114,7 +121,10 @@
         }
     }
 
-    /** Not before any lease has expired that an earlier process of this gateway may have had. */
+    /**
+     * Adds the partitions of absent gateways whose successor this gateway is, but only after every lease that an
+     * earlier process of this gateway may have held has expired.
+     */
     private void takeOver(long now, IntPredicate alive) {
         for (int gateway = 0; gateway < allocation.gateways(); gateway++) {
             if (!partitions.containsKey(gateway)
@@ -125,7 +135,12 @@
         }
     }
 
-    /** Clears the units of a partition that is neither wanted nor leased; true where it can be forgotten. */
+    /**
+     * Removes the units of a partition from the ledger where this gateway should not hold the partition and has no
+     * lease of it.
+     *
+     * @return whether the partition can be dropped
+     */
     private boolean clearIfUnwanted(long now, LeasePartition partition, IntPredicate alive) {
         boolean unwanted =
                 !isWanted(partition.number(), alive) && partition.state(now) == LeasePartition.State.UNLEASED;
@@ -135,6 +150,10 @@
         return unwanted;
     }
 
+    /**
+     * Returns whether this gateway should hold a partition: its own, or that of an absent gateway whose successor it
+     * is.
+     */
     private boolean isWanted(int partition, IntPredicate alive) {
         return partition == self || !alive.test(partition) && isSuccessor(partition, alive);
     }
@@ -160,7 +179,7 @@
         }
     }
 
-    /** An acceptor has granted a lease to this process. */
+    /** Called when an acceptor has granted a lease to this process. */
     void onLeaseGrant(long now, int acceptor, QuotaMessage.LeaseGrant grant) {
         LeasePartition partition = partitions.get(grant.partition());
         if (partition != null && allocation.isAcceptor(acceptor, grant.partition())) {
@@ -169,7 +188,10 @@
         }
     }
 
-    /** Units of a limit, of all partitions, that are sub-leased or may be in use for a former sub-lease. */
+    /**
+     * Returns the units of a limit, over all partitions, that are sub-leased or possibly still in use under an expired
+     * or reduced sub-lease.
+     */
     int outstandingUnits(long now, int limit) {
         return partitions.values().stream()
                 .mapToInt(partition -> partition.outstandingUnits(now, limit))
--- a/gateway/src/main/java/ploverdale/quota/LeasePartition.java
+++ b/gateway/src/main/java/ploverdale/quota/LeasePartition.java
@@ -5,10 +5,11 @@
 import java.util.Optional;
 
 /**
- * The lease of one partition as the gateway that holds it, or asks for it, knows it, and the sub-leases of its units. Units
- * are free when they are neither sub-leased nor possibly still in use by a former borrower.
+ * The lease of one partition, as seen by the gateway that holds or requests it, and the sub-leases of its units. A
+ * unit is free if it is neither sub-leased nor possibly still in use by an earlier borrower.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class LeasePartition implements UnitSource {
     /**
@@ -18,17 +19,17 @@
      * <caption>Transitions</caption>
      * <tr><th>from</th><th>on</th><th>to</th></tr>
      * <tr><td>UNLEASED</td><td>a majority of the acceptors grants a round</td><td>QUARANTINED</td></tr>
-     * <tr><td>QUARANTINED</td><td>all that an earlier holder may have sub-leased or used has ended</td><td>SERVING</td></tr>
-     * <tr><td>QUARANTINED, SERVING</td><td>a majority grants a later round: renewed</td><td>the same</td></tr>
+     * <tr><td>QUARANTINED</td><td>all uses and sub-leases by an earlier holder have ended</td><td>SERVING</td></tr>
+     * <tr><td>QUARANTINED, SERVING</td><td>a majority grants a later round: renewed</td><td>unchanged</td></tr>
      * <tr><td>QUARANTINED, SERVING</td><td>the lease expires</td><td>UNLEASED</td></tr>
      * </table>
      */
     enum State {
-        /** Not held here. */
+        /** This gateway does not hold the lease. */
         UNLEASED,
-        /** Held here, but units may still be in use on behalf of an earlier holder. */
+        /** This gateway holds the lease, but units may still be in use that an earlier holder used or sub-leased. */
         QUARANTINED,
-        /** Held here; free units may be used and sub-leased. */
+        /** This gateway holds the lease; free units may be used and sub-leased. */
         SERVING
     }
 
@@ -39,12 +40,14 @@
     private long expiresAt = Long.MIN_VALUE;
     private long servesFrom = Long.MIN_VALUE;
     private int round;
-    private long roundStartedAt = Long.MIN_VALUE / 2; // long ago, without overflow in a difference
-    private long acceptorsOfRound; // those that have granted this round, a bit for each place
+    private long roundStartedAt = Long.MIN_VALUE / 2; // in the far past; halved to avoid overflow when it is subtracted
+    private long acceptorsOfRound; // bit set of the indexes of the acceptors that have granted this round
 
     /**
-     * @param number of the gateway that the partition belongs to
-     * @param longestUse for how long a unit may stay in use once it was acquired
+     * Creates a partition whose lease is not held.
+     *
+     * @param number number of the gateway that the partition belongs to
+     * @param longestUse the longest time that a unit may stay in use after it was acquired
      */
     LeasePartition(int number, LeaseDurations durations, long longestUse) {
         this.number = number;
@@ -52,12 +55,12 @@
         this.longestUse = longestUse;
     }
 
-    /** Number of the gateway that the partition belongs to. */
+    /** Returns the number of the gateway that the partition belongs to. */
     int number() {
         return number;
     }
 
-    /** Holds the partition for good, where there are no other acceptors; still after a quarantine. */
+    /** Holds the lease permanently, where there are no other acceptors. The quarantine still applies. */
     void holdForever(long now) {
         expiresAt = Long.MAX_VALUE;
         servesFrom = now + quarantine();
@@ -67,22 +70,24 @@
         return durations.quarantine(longestUse);
     }
 
-    /** Starts a round of requests to the acceptors; grants of earlier rounds are ignored from now on. */
+    /** Starts a round of requests to the acceptors. Grants of earlier rounds are ignored from now on. */
     void startRound(long now, int newRound) {
         round = newRound;
         roundStartedAt = now;
         acceptorsOfRound = 0;
     }
 
-    /** Whether the latest round was started at least so long ago. */
+    /** Returns whether the latest round was started at least {@code age} ago. */
     boolean isRoundOlderThan(long now, long age) {
         return now - roundStartedAt >= age;
     }
 
     /**
-     * An acceptor has granted a round. With a majority the lease is valid for its term from the start of the round.
+     * Called when an acceptor has granted a round. With a majority, the lease is valid for its term from the start of
+     * the round.
      *
-     * @param place of the acceptor among those of the partition
+     * @param place index of the acceptor among those of the partition
+     * @param majority number of acceptors that must grant the lease
      */
     void onGrant(long now, int grantedRound, int place, int majority) {
         if (grantedRound != round) {
@@ -99,7 +104,7 @@
         expiresAt = Math.max(expiresAt, newExpiry);
     }
 
-    /** The state of the lease now; it expires by itself. */
+    /** Returns the state of the lease at the given time; a lease expires without a further call. */
     State state(long now) {
         if (now >= expiresAt) {
             return State.UNLEASED;
@@ -107,17 +112,19 @@
         return now < servesFrom ? State.QUARANTINED : State.SERVING;
     }
 
-    /** Whether units of the partition may be used and sub-leased here. */
+    /** Returns whether units of the partition may be used and sub-leased by this gateway. */
     boolean isServing(long now) {
         return state(now) == State.SERVING;
     }
 
-    /** When the lease expires unless it is renewed; in the past where it is not held. */
+    /** Returns when the lease expires unless it is renewed; a time in the past where it is not held. */
     long expiresAt() {
         return expiresAt;
     }
 
-    /** Units of a limit that are sub-leased, or may still be in use for a sub-lease that has expired. */
+    /**
+     * Returns the units of a limit that are sub-leased, or may still be in use under an expired or reduced sub-lease.
+     */
     int outstandingUnits(long now, int limit) {
         int units = 0;
         for (SubLease subLease : subLeases) {
@@ -126,20 +133,28 @@
         return units;
     }
 
-    /** Sub-leases units that are free; {@code units} is by limit. */
+    /**
+     * Records a new sub-lease of free units.
+     *
+     * @param units by limit
+     */
     void grantSubLease(long now, Peer borrower, int subLeaseNumber, int[] units) {
         subLeases.removeIf(subLease -> !subLease.isOutstanding(now));
         subLeases.add(new SubLease(borrower, subLeaseNumber, units, now + quarantine()));
     }
 
-    /** The borrower's sub-lease of that number, if it is outstanding. */
+    /** Returns the sub-lease of a borrower with a given number, if it is outstanding. */
     Optional<SubLease> findSubLease(long now, Peer borrower, int subLeaseNumber) {
         return subLeases.stream()
                 .filter(subLease -> subLease.is(borrower, subLeaseNumber) && subLease.isOutstanding(now))
                 .findFirst();
     }
 
-    /** Renews a sub-lease from now on, with fewer units perhaps; {@code keptUnits} is by limit. */
+    /**
+     * Renews a sub-lease for a full term from now on, possibly with fewer units.
+     *
+     * @param keptUnits by limit; no more than the sub-lease has
+     */
     void renewSubLease(long now, SubLease subLease, int[] keptUnits) {
         subLease.renew(keptUnits, now + quarantine()).ifPresent(subLeases::add);
     }
--- a/gateway/src/main/java/ploverdale/quota/Peer.java
+++ b/gateway/src/main/java/ploverdale/quota/Peer.java
@@ -1,10 +1,11 @@
 package ploverdale.quota;
 
 /**
- * Another gateway, as leases and sub-leases name it.
+ * A process of a gateway, as a party of leases and sub-leases.
  *
- * @param gateway its number
- * @param epoch which start of that gateway's process this is; higher is later. It is the fencing token of leases: what was
- *     granted to an earlier process of the same number is not valid for a later one, which does not know of it.
+ * @param gateway number of the gateway
+ * @param epoch identifies the process among the successive processes of the gateway; a later process has a higher
+ *     epoch. It is the fencing token of leases: a grant to an earlier process of the same gateway is not valid for a
+ *     later one, which does not know about it.
  */
 record Peer(int gateway, long epoch) {}
--- a/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
@@ -6,23 +6,24 @@
 import java.util.zip.CRC32C;
 
 /**
- * How the capacity of each shared limit is allocated to gateways. Each gateway has an entitlement; entitlements are whole
- * numbers of units that add up to the capacity. A share of the entitlement is guaranteed: the gateway owns it without a
- * lease. The rest is the gateway's lease partition, which is used and sub-leased by whoever holds the partition's lease. The
- * remainder of the integer division goes to other gateways for each limit. With more gateways, or less capacity, no
- * entitlement grows by more than rounding.
+ * The static allocation of the capacity of each shared limit to gateways. Every gateway has an entitlement, a whole
+ * number of units; the entitlements add up to the capacity. A share of the entitlement is guaranteed: the gateway owns
+ * these units without a lease. The rest is the gateway's lease partition, whose units are used and sub-leased by the
+ * current holder of the partition's lease. Which gateways get the remainder of the integer division depends on the
+ * limit. If gateways are added or the capacity is reduced, an entitlement can grow only by rounding.
  *
- * <p>Immutable. All gateways that exchange quota messages have the same allocation, see {@link #id}.
+ * <p>Immutable. Gateways exchange quota messages only with those that have the same allocation, see {@link #id}.
  *
- * @param limits in an order that all gateways share: messages name a limit by its index
- * @param gateways how many there are; they are numbered from 0
- * @param guaranteedShare of an entitlement that is guaranteed, rounded down to units; at most a half, so that the guaranteed
- *     units of two allocations together stay within the larger capacity while gateways move from one to the other
+ * @param limits in the same order at all gateways, since messages refer to a limit by its index
+ * @param gateways number of gateways; gateways are numbered from 0
+ * @param guaranteedShare share of an entitlement that is guaranteed, rounded down to whole units; at most a half, so
+ *     that the guaranteed units of two allocations together stay within the larger capacity while gateways change from
+ *     one to the other
  */
 public record QuotaAllocation(List<SharedLimit> limits, int gateways, double guaranteedShare) {
     private static final double MAX_GUARANTEED_SHARE = 0.5;
-    private static final int ACCEPTORS_OF_SMALL_CLUSTER = 3; // the least with a majority that survives one failure
-    private static final int ACCEPTORS_OF_LARGE_CLUSTER = 5; // a majority survives two failures
+    private static final int ACCEPTORS_OF_SMALL_CLUSTER = 3; // the smallest number that tolerates one failure
+    private static final int ACCEPTORS_OF_LARGE_CLUSTER = 5; // tolerates two failures
 
     public QuotaAllocation {
         limits = List.copyOf(limits);
@@ -31,24 +32,27 @@
         }
     }
 
-    /** Units of a limit that are this gateway's: guaranteed and leased. */
+    /** Returns the units of a limit that a gateway is entitled to: the guaranteed and the leased ones. */
     public int entitlement(int gateway, int limit) {
         int capacity = limits.get(limit).capacity();
         int place = Math.floorMod(gateway - hash(limits.get(limit).name()), gateways);
         return capacity / gateways + (place < capacity % gateways ? 1 : 0);
     }
 
-    /** Units of its entitlement that a gateway owns without a lease. */
+    /** Returns the units of its entitlement that a gateway owns without a lease. */
     public int guaranteedUnits(int gateway, int limit) {
         return (int) (entitlement(gateway, limit) * guaranteedShare);
     }
 
-    /** Units of its entitlement that are used and sub-leased by the holder of this gateway's lease partition. */
+    /** Returns the units of a gateway's entitlement that belong to its lease partition. */
     public int leasedUnits(int gateway, int limit) {
         return entitlement(gateway, limit) - guaranteedUnits(gateway, limit);
     }
 
-    /** The longest time for which a unit of any limit may stay in use, in tenths of a millisecond; 0 where none is used. */
+    /**
+     * Returns the longest time that a unit of any concurrency limit may stay in use, in tenths of a millisecond; 0
+     * where there is no such limit.
+     */
     long longestUse() {
         return limits.stream()
                 .filter(limit -> limit.kind() == SharedLimit.Kind.CONCURRENCY)
@@ -57,7 +61,10 @@
                 .orElse(0);
     }
 
-    /** How many acceptors grant the lease of a partition; with one, each gateway holds its own partition for good. */
+    /**
+     * Returns the number of acceptors that grant the lease of a partition. Where it is 1, each gateway holds its own
+     * partition permanently.
+     */
     public int acceptorCount() {
         if (gateways < ACCEPTORS_OF_SMALL_CLUSTER) {
             return 1;
@@ -65,27 +72,38 @@
         return gateways < ACCEPTORS_OF_LARGE_CLUSTER ? ACCEPTORS_OF_SMALL_CLUSTER : ACCEPTORS_OF_LARGE_CLUSTER;
     }
 
-    /** One of the partition's acceptors, by its place; place 0 is the gateway itself. Does not depend on who is alive. */
+    /**
+     * Returns an acceptor of a partition. The acceptors do not depend on which gateways are alive.
+     *
+     * @param place index of the acceptor, below {@link #acceptorCount}; the one with index 0 is the partition's own
+     *     gateway
+     */
     public int acceptor(int partition, int place) {
         return (partition + place) % gateways;
     }
 
-    /** The place of a gateway among the partition's acceptors; it is none of them from {@link #acceptorCount} on. */
+    /**
+     * Returns the index of a gateway among the acceptors of a partition; from {@link #acceptorCount} on, the gateway
+     * is not one of them.
+     */
     int acceptorPlace(int gateway, int partition) {
         return Math.floorMod(gateway - partition, gateways);
     }
 
-    /** Whether the gateway is one of the partition's acceptors. */
+    /** Returns whether a gateway is one of the acceptors of a partition. */
     public boolean isAcceptor(int gateway, int partition) {
         return acceptorPlace(gateway, partition) < acceptorCount();
     }
 
-    /** How many acceptors have to grant a lease: any two majorities have an acceptor in common. */
+    /** Returns how many acceptors must grant a lease. Any two majorities have an acceptor in common. */
     public int majority() {
         return acceptorCount() / 2 + 1;
     }
 
-    /** A checksum of the allocation. Gateways exchange it and ignore the quota messages of those with another one. */
+    /**
+     * Returns a checksum of the allocation. Gateways exchange it in their packets and ignore quota messages from
+     * gateways whose id differs.
+     */
     public int id() {
         String text = limits.stream().map(SharedLimit::fingerprint).collect(Collectors.joining(", ", "[", "]"));
         return checksum(gateways + " " + guaranteedShare + " " + text);
--- a/gateway/src/main/java/ploverdale/quota/QuotaLogLines.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaLogLines.java
@@ -5,14 +5,15 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * The log lines about membership and quota. Operators' tools match them, so their words are older than those of the code: a
- * budget is a shared limit, its parts are units, the floor is the guaranteed minimum, a division is an allocation, a parcel is
- * a packet. Each line begins with its kind and a colon. Stateless.
+ * The log lines about membership and quota. Tools of operators match them, so they keep the terms of an earlier
+ * version: a budget is a shared limit, its parts are units, its whole share is the entitlement, its floor is the
+ * guaranteed minimum, a division is an allocation, a fleet is the cluster of gateways, a parcel is a packet. Each line
+ * begins with its kind and a colon. Stateless.
  */
 final class QuotaLogLines {
     private QuotaLogLines() {}
 
-    /** @param id of the allocation and the replication settings together */
+    /** @param id identifies the allocation and the replication factor */
     static String started(QuotaAllocation allocation, int id) {
         return "budgets: " + allocation.limits().size() + " divided among " + allocation.gateways()
                 + " gateways, division " + Integer.toHexString(id) + ", on its floor until others have promised more";
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessage.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessage.java
@@ -1,20 +1,22 @@
 package ploverdale.quota;
 
 /**
- * A message between gateways with the same allocation. {@link QuotaMessageCodec} encodes it. Messages may be lost,
- * duplicated, delayed or reordered; each answer carries the number of its request and the epoch of the requester.
+ * A message between gateways with the same allocation, encoded by {@link QuotaMessageCodec}. Messages may be lost,
+ * duplicated, delayed or reordered. Each reply carries the number of its request and the epoch of the requester, so
+ * that the requester can ignore late replies and replies to an earlier process.
  */
 sealed interface QuotaMessage {
-    /** In a {@link UnitRequest}: units are requested as a new sub-lease. Sub-leases are numbered from 1. */
+    /** Requests a new sub-lease in a {@link UnitRequest}; existing sub-leases are numbered from 1. */
     int NEW_SUB_LEASE = 0;
 
-    /** Calls the handler's method for this kind of message. */
+    /** Calls the method of the handler for this kind of message. */
     void dispatchTo(QuotaMessageHandler handler, MessageContext context);
 
     /**
      * Asks an acceptor to grant or renew the lease of a partition.
      *
-     * @param round number of the attempt, which all acceptors are asked with
+     * @param partition number of the gateway that the partition belongs to
+     * @param round number of the request round; the same in the requests to all acceptors
      */
     record LeaseRequest(int partition, int round) implements QuotaMessage {
         @Override
@@ -24,9 +26,12 @@
     }
 
     /**
-     * An acceptor grants the lease of a partition. There is no message for a refusal.
+     * Notifies the requester that an acceptor has granted or renewed the lease of a partition. There is no reply to a
+     * request that is refused.
      *
-     * @param holderEpoch epoch of the gateway that asked
+     * @param partition as in the request
+     * @param round as in the request
+     * @param holderEpoch epoch of the requester
      */
     record LeaseGrant(int partition, int round, long holderEpoch) implements QuotaMessage {
         @Override
@@ -36,10 +41,11 @@
     }
 
     /**
-     * Asks a lease holder for a sub-lease, or to renew one.
+     * Asks a lease holder to grant or renew a sub-lease.
      *
-     * @param request number of the request
+     * @param request number of the request, which the reply repeats
      * @param subLease number of the sub-lease to renew, or {@link #NEW_SUB_LEASE}
+     * @param units units wanted by limit
      */
     record UnitRequest(int request, int subLease, UnitCounts units) implements QuotaMessage {
         boolean isRenewal() {
@@ -53,10 +59,12 @@
     }
 
     /**
-     * A lease holder grants or renews a sub-lease.
+     * Notifies the borrower that a lease holder has granted or renewed a sub-lease.
      *
-     * @param borrowerEpoch epoch of the gateway that asked
-     * @param units all that the sub-lease consists of from now on
+     * @param borrowerEpoch epoch of the requester
+     * @param request as in the request
+     * @param subLease number of the sub-lease at the lender
+     * @param units all units of the sub-lease from now on; limits that are not listed have none
      */
     record UnitGrant(long borrowerEpoch, int request, int subLease, UnitCounts units) implements QuotaMessage {
         @Override
@@ -66,9 +74,10 @@
     }
 
     /**
-     * A borrower releases units of a sub-lease before it expires.
+     * Notifies a lease holder that the borrower has stopped using some units of a sub-lease before it expires.
      *
-     * @param keptUnits what the borrower keeps of the limits that are listed
+     * @param subLease number of the sub-lease at the lender
+     * @param keptUnits units that the borrower keeps, by limit; limits that are not listed keep all of theirs
      */
     record UnitReturn(int subLease, UnitCounts keptUnits) implements QuotaMessage {
         @Override
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
@@ -12,22 +12,25 @@
 import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Encodes and decodes {@link QuotaMessage}s as parts of a packet. Numbers are big-endian. Messages about units end with a
- * list of pairs: index of a limit, count of units, 16 bits each. What is longer than expected is read, so that later versions
- * can append fields. Stateless.
+ * Encodes {@link QuotaMessage}s as parts of a packet and decodes them. Numbers are big-endian. Messages about units
+ * end with a list of pairs, 16 bits each: the index of a limit and a count of units. A part that is longer than
+ * expected is accepted, so that later versions can append fields. Stateless.
  */
 final class QuotaMessageCodec {
-    /** Number of a message kind in a packet, and the bytes that it has at least. */
+    /**
+     * Message kinds with their number in a packet and the minimum length of their content. Comments list fields and
+     * their bytes.
+     */
     private enum Kind {
-        /** partition (2), round (4) */
+        /** Partition (2), round (4). */
         LEASE_REQUEST(16, 6),
-        /** partition (2), round (4), epoch of the holder (8) */
+        /** Partition (2), round (4), epoch of the holder (8). */
         LEASE_GRANT(17, 14),
-        /** request (4), sub-lease or 0 (4), units */
+        /** Number of the request (4), sub-lease to renew or 0 (4), list of units. */
         UNIT_REQUEST(18, 8),
-        /** epoch of the borrower (8), request (4), sub-lease (4), units */
+        /** Epoch of the borrower (8), number of the request (4), sub-lease (4), list of units. */
         UNIT_GRANT(19, 16),
-        /** sub-lease (4), units that are kept */
+        /** Sub-lease (4), list of the units that are kept. */
         UNIT_RETURN(20, 4);
 
         private final int number;
@@ -48,7 +51,8 @@
         }
     }
 
-    private static final int MAX_LISTED_LIMITS = 40; // so that a message fits into a packet; others are left out
+    /** Limits listed in a message at most, so that it fits into a packet; the remaining limits are omitted. */
+    private static final int MAX_LISTED_LIMITS = 40;
     private static final int LISTED_LIMIT_BYTES = 4;
 
     private QuotaMessageCodec() {}
@@ -96,7 +100,7 @@
         return new Part(kind.number, content.array());
     }
 
-    /** The message of a part; empty where the part is of another kind or too short. */
+    /** Decodes a part; returns empty where it is not a quota message or is too short. */
     static Optional<QuotaMessage> decode(Part part) {
         ByteBuffer content = ByteBuffer.wrap(part.content());
         return Kind.of(part).map(kind -> decode(kind, content));
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessageHandler.java
@@ -1,19 +1,21 @@
 package ploverdale.quota;
 
-/** Handles each kind of {@link QuotaMessage}; called on the thread of {@link QuotaProtocol}. */
+/**
+ * Handles the messages of the quota protocol, one method for each kind. Called on the thread of {@link QuotaProtocol}.
+ */
 interface QuotaMessageHandler {
-    /** Another gateway asks this acceptor for the lease of a partition. */
+    /** Called at an acceptor when a gateway requests the lease of a partition. */
     void onLeaseRequest(MessageContext context, QuotaMessage.LeaseRequest message);
 
-    /** An acceptor has granted this gateway the lease of a partition. */
+    /** Called at the requester when an acceptor has granted the lease of a partition. */
     void onLeaseGrant(MessageContext context, QuotaMessage.LeaseGrant message);
 
-    /** A borrower asks this lease holder for units. */
+    /** Called at a lease holder when a gateway requests units or the renewal of a sub-lease. */
     void onUnitRequest(MessageContext context, QuotaMessage.UnitRequest message);
 
-    /** A lease holder has granted this borrower a sub-lease. */
+    /** Called at the borrower when a lease holder has granted or renewed a sub-lease. */
     void onUnitGrant(MessageContext context, QuotaMessage.UnitGrant message);
 
-    /** A borrower has returned units to this lease holder. */
+    /** Called at a lease holder when a borrower has returned units. */
     void onUnitReturn(MessageContext context, QuotaMessage.UnitReturn message);
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -17,17 +17,22 @@
 import ploverdale.replication.Replicas;
 
 /**
- * What one gateway runs to coordinate with the others: membership, the quota protocol, and replication where it is switched
- * on, all over the same packets. It does no I/O: its owner calls {@link #onTick} every {@link #TICK_INTERVAL}, hands in the
- * datagrams that it receives, and sends the packets that the methods return.
+ * The coordination of one gateway with its peers: membership, the quota protocol and, where it is enabled,
+ * replication, all of which send their messages in the same packets. This class does no I/O: its owner calls {@link
+ * #onTick} every {@link #TICK_INTERVAL}, passes in each datagram received, and sends the packets that the methods
+ * return.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of the event loop.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of the
+ * event loop.
  */
 public final class QuotaNode {
-    /** How often {@link #onTick} is to be called, in tenths of a millisecond; short beside the term of any lease. */
+    /**
+     * Interval between calls of {@link #onTick}, in tenths of a millisecond; much shorter than the term of any lease.
+     */
     public static final long TICK_INTERVAL = 200;
 
-    private static final long RANDOM_STREAM = 0x5DEECE66DL; // keeps the draws apart from the router's of the same seed
+    /** Mixed into the configured seed, so that the random numbers drawn here differ from those of the router. */
+    private static final long RANDOM_STREAM = 0x5DEECE66DL;
 
     private final LongSupplier clock;
     private final QuotaAllocation allocation;
@@ -36,11 +41,15 @@
     private final PacketQueue queue;
     private final Quota quota;
     private final Optional<Replicas> replicas;
-    private final int id; // gateways with another allocation or replication factor are distinguished by it
+    /** Identifies the allocation and the replication factor, see {@link #onPacket}. */
+    private final int id;
     private final List<String> logLines = new ArrayList<>();
 
     /**
-     * @param startedMs Unix time in ms, by which later starts of a gateway are distinguished from earlier ones
+     * Creates the node and starts its protocols at the current time of the clock.
+     *
+     * @param startedMs start time of this process in Unix ms, which distinguishes it from earlier processes of the
+     *     same gateway
      * @param clock monotonic, in tenths of a millisecond
      * @param wallClock Unix time, in tenths of a millisecond
      */
@@ -77,17 +86,17 @@
         return Incarnation.startOf(membership.incarnation());
     }
 
-    /** The quota that the router acquires units of. */
+    /** Returns the quota from which the router acquires units. */
     public Quota quota() {
         return quota;
     }
 
-    /** The replicas of this gateway; null where replication is off. */
+    /** Returns the replicas of this gateway, or null where replication is disabled. */
     public Replicas replicas() {
         return replicas.orElse(null);
     }
 
-    /** Does the periodic work; returns the packets to send. */
+    /** Does the periodic work of all protocols and returns the packets to send. */
     public List<OutboundPacket> onTick() {
         long now = clock.getAsLong();
         membership.onTick(now, queue);
@@ -114,9 +123,9 @@
     }
 
     /**
-     * Runs an action of the replicas; returns the packets to send for it.
+     * Runs an action that may queue messages, and returns the packets to send afterwards.
      *
-     * @param action is handed the queue for its messages, and the time
+     * @param action receives the packet queue and the current time
      */
     public List<OutboundPacket> runAndDrain(ObjLongConsumer<PacketQueue> action) {
         long now = clock.getAsLong();
@@ -125,9 +134,11 @@
     }
 
     /**
-     * Handles a datagram of another gateway.
+     * Handles a datagram received from another gateway.
      *
-     * @return the packets to answer with; empty where the datagram is not of this protocol and has not been handled
+     * @param sender number of the gateway that sent the datagram
+     * @return the packets to send in reply, or empty where the datagram does not belong to this protocol and was not
+     *     handled
      */
     public Optional<List<OutboundPacket>> onDatagram(int sender, byte[] bytes) {
         if (!PacketCodec.hasMagic(bytes)) {
@@ -147,7 +158,10 @@
         return Optional.of(drainPackets(now));
     }
 
-    /** Membership is common to all gateways; quota and replication only to those with the same settings. */
+    /**
+     * Handles the parts of a packet. Membership messages are handled from any gateway, quota and replication messages
+     * only from gateways with the same allocation and replication factor.
+     */
     private void onPacket(long now, int sender, Packet packet) {
         boolean sameId = packet.allocationId() == id;
         long senderEpoch = Incarnation.startOf(packet.incarnation());
@@ -163,19 +177,19 @@
         }
     }
 
-    /** What is to be logged since the last call; each line begins with its kind and a colon. */
+    /** Returns the lines to log since the previous call. Each begins with its kind and a colon. */
     public List<String> drainLogLines() {
         List<String> drained = List.copyOf(logLines);
         logLines.clear();
         return drained;
     }
 
-    /** Announces that this gateway shuts down. */
+    /** Starts to notify the other gateways that this one is shutting down. */
     public void leave() {
         membership.leave(clock.getAsLong());
     }
 
-    /** A log line of the current statistics. */
+    /** Returns a log line with the current statistics of quota, packets, membership and replicas. */
     public String statisticsLine() {
         List<LimitStatistics> limits = protocol.statistics(clock.getAsLong());
         String ofReplicas = replicas.map(present -> "; " + present.statistics()).orElse("");
--- a/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -9,40 +9,43 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * The distributed quota protocol at one gateway: leases (Gray and Cheriton, 1989) over units of rate and concurrency limits.
- * Of each limit a gateway owns guaranteed units outright. The rest of its entitlement is its lease partition, which it holds
- * while a majority of the partition's acceptors grants so ({@link LeaseHolder}, {@link LeaseAcceptor}); while it is absent,
- * another gateway takes the partition over, once all that may have been sub-leased or used of it has ended. A gateway that
- * needs more than it holds borrows units of lease holders ({@link UnitBorrower}, {@link UnitLender}).
+ * The distributed quota protocol at one gateway: leases (Gray and Cheriton, 1989) on units of rate and concurrency
+ * limits. Of each limit, a gateway owns its guaranteed units permanently. The rest of its entitlement is its lease
+ * partition, which it may use while a majority of the partition's acceptors has granted it the lease ({@link
+ * LeaseHolder}, {@link LeaseAcceptor}). While a gateway is absent, another one takes over its partition, after every
+ * earlier use or sub-lease of the partition's units has ended. A gateway that needs more units than it holds borrows
+ * some from lease holders ({@link UnitBorrower}, {@link UnitLender}).
  *
- * <p>Invariant: the units that all gateways may use never exceed the capacity, whatever happens to messages and processes, as
- * long as clocks drift no more than {@link LeaseDurations#clockDrift}.
+ * <p>Invariant: the units that all gateways may use at the same time never exceed the capacity, even if messages are
+ * lost and processes fail, as long as clocks drift by no more than {@link LeaseDurations#clockDrift}.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe: one thread, that of the event loop, calls it.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of the
+ * event loop.
  */
 public final class QuotaProtocol {
     /**
-     * Which part of its entitlement this gateway may use.
+     * The part of its entitlement that this gateway may use.
      *
      * <table>
      * <caption>Transitions</caption>
      * <tr><th>from</th><th>on</th><th>to</th></tr>
-     * <tr><td>GUARANTEED_ONLY</td><td>its own lease partition is {@link LeasePartition.State#SERVING}</td>
+     * <tr><td>GUARANTEED_ONLY</td><td>its own lease partition becomes {@link LeasePartition.State#SERVING}</td>
      *     <td>FULL_ENTITLEMENT</td></tr>
      * <tr><td>FULL_ENTITLEMENT</td><td>the lease of its own partition has expired</td><td>GUARANTEED_ONLY</td></tr>
      * </table>
      */
     public enum Mode {
-        /** Only its guaranteed units, and those that it borrows. */
+        /** The gateway may use its guaranteed units and borrowed ones. */
         GUARANTEED_ONLY,
-        /** Its own lease partition, too. */
+        /** The gateway may also use the units of its own lease partition. */
         FULL_ENTITLEMENT
     }
 
     /**
-     * The mode has changed.
+     * A change of the mode.
      *
-     * @param takenOverPartitions of other gateways that this one holds or asks for
+     * @param mode the mode after the change
+     * @param takenOverPartitions number of other gateways' partitions whose lease this gateway holds or requests
      */
     public record ModeChange(Mode mode, int takenOverPartitions) {}
 
@@ -54,16 +57,21 @@
     private final UnitLender lender;
     private final UnitBorrower borrower;
     private final QuotaMessageHandler messageHandler = new MessageHandler();
-    private final long earlierUseEndsAt; // when all that an earlier process of this gateway acquired is out of use
+    /** When every unit that an earlier process of this gateway had acquired is out of use. */
+    private final long earlierUseEndsAt;
     private long epoch;
     private int lastRequestNumber;
     private Mode mode = Mode.GUARANTEED_ONLY;
     private Optional<ModeChange> modeChange = Optional.empty();
 
     /**
+     * Creates the protocol state of a gateway process that starts now; at first it holds guaranteed units of rates
+     * only.
+     *
      * @param self number of this gateway
-     * @param epoch which start of this gateway it is, by which acceptors and lenders tell it from earlier ones
-     * @param random chooses lenders
+     * @param epoch identifies this process among the successive processes of this gateway; acceptors and lenders
+     *     compare it
+     * @param random chooses the lenders to ask
      */
     public QuotaProtocol(
             int self,
@@ -98,8 +106,8 @@
     }
 
     /**
-     * Brings the held units up to date. Guaranteed units of concurrency are held only once all that an earlier process of
-     * this gateway has acquired is out of use. Borrowed units expire by themselves.
+     * Brings the held units up to date. Guaranteed units of concurrency limits are added only after every unit that an
+     * earlier process of this gateway had acquired is out of use. Borrowed units expire without an update.
      */
     private void updateLedger(long now) {
         if (now >= earlierUseEndsAt) {
@@ -109,42 +117,43 @@
     }
 
     /**
-     * Acquires a unit of a limit; false where none is free now.
+     * Acquires a unit of a limit. A unit of concurrency must be given back by {@link #release}.
      *
-     * @param limit its index; a unit of concurrency has to be given back by {@link #release}
+     * @param limit index of the limit
+     * @return false where no unit is free now
      */
     public boolean tryAcquire(long now, int limit) {
         updateLedger(now);
         return ledger.of(limit).tryAcquire(now);
     }
 
-    /** Whether a unit of concurrency could be acquired now; counts as demand where it could not. */
+    /** Returns whether a unit of a concurrency limit could be acquired now. If not, the call counts as demand. */
     public boolean canUse(long now, int limit) {
         updateLedger(now);
         return ledger.of(limit).canUse(now);
     }
 
-    /** Releases a unit of concurrency. */
+    /** Releases a unit of a concurrency limit. */
     public void release(int limit) {
         ledger.of(limit).release();
     }
 
-    /** After how long a rejected client should retry. */
+    /** Returns after how long a rejected client should retry, in tenths of a millisecond. */
     public long retryAfter(long now, int limit) {
         return ledger.of(limit).retryAfter(now);
     }
 
-    /** Units that this gateway may use now, those in use included. */
+    /** Returns the units of a limit that this gateway may use now, including those in use. */
     public int heldUnits(long now, int limit) {
         updateLedger(now);
         return ledger.of(limit).units(now);
     }
 
     /**
-     * Does the periodic work: leases, sub-leases and the mode.
+     * Does the periodic work: renews leases and sub-leases, borrows and returns units, and updates the mode.
      *
-     * @param alive whether a gateway is alive as far as this one knows; a hint that safety does not depend on
-     * @param out takes the messages
+     * @param alive whether this gateway considers another one alive; a hint that safety does not depend on
+     * @param out receives the messages to send
      */
     public void onTick(long now, IntPredicate alive, PacketQueue out) {
         updateLedger(now);
@@ -161,23 +170,26 @@
         }
     }
 
-    /** The latest change of the mode since the last call. */
+    /** Returns the latest change of the mode since the previous call, if any. */
     public Optional<ModeChange> pollModeChange() {
         Optional<ModeChange> latest = modeChange;
         modeChange = Optional.empty();
         return latest;
     }
 
-    /** Sets the epoch of this gateway; it changes where an earlier process is found to have used a later one. */
+    /**
+     * Sets the epoch of this gateway. It changes when this process learns that an earlier process of the same gateway
+     * used a later epoch.
+     */
     public void setEpoch(long epoch) {
         this.epoch = epoch;
     }
 
     /**
-     * Handles a message of another gateway with the same allocation; ignores what is not a quota message.
+     * Handles a message from another gateway with the same allocation. Messages of other protocols are ignored.
      *
-     * @param senderEpoch which start of the sender it is of
-     * @param out takes the answers
+     * @param senderEpoch identifies the sender's process among its successive processes
+     * @param out receives the replies
      */
     public void onMessage(long now, int sender, long senderEpoch, Part message, PacketQueue out) {
         updateLedger(now);
@@ -186,7 +198,10 @@
         updateLedger(now);
     }
 
-    /** Hands each message to the role that it is for. Answers to an earlier process of this gateway are dropped. */
+    /**
+     * Passes each message to the object that handles it. Replies meant for an earlier process of this gateway are
+     * dropped.
+     */
     private final class MessageHandler implements QuotaMessageHandler {
         @Override
         public void onLeaseRequest(MessageContext context, QuotaMessage.LeaseRequest message) {
@@ -226,7 +241,7 @@
         }
     }
 
-    /** What this gateway has of each limit now, in the order of the limits. */
+    /** Returns the current statistics of each limit, in the order of the limits. */
     public List<LimitStatistics> statistics(long now) {
         updateLedger(now);
         List<LimitStatistics> all = new ArrayList<>();
--- a/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -4,11 +4,13 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * What the gateways share, and how.
+ * The settings of what gateways share with each other: limits and replicated entries.
  *
- * @param guaranteedShare of each gateway's entitlement that it owns without a lease
- * @param bytesPerSecond that messages to other gateways may take
- * @param replication what else gateways keep together; null: nothing
+ * @param limits which limits are shared
+ * @param guaranteedShare share of its entitlement that each gateway owns without a lease
+ * @param leaseDurations terms of leases and sub-leases
+ * @param bytesPerSecond bandwidth limit for the packets sent to other gateways
+ * @param replication settings of the entries that gateways replicate; null where replication is disabled
  */
 public record QuotaSettings(
         SharedLimitSettings limits,
@@ -16,12 +18,12 @@
         LeaseDurations leaseDurations,
         double bytesPerSecond,
         ReplicationSettings replication) {
-    /** Whether gateways share or replicate anything. */
+    /** Returns whether gateways share any limit or replicate entries. */
     public boolean any() {
         return limits.any() || replication != null;
     }
 
-    /** How the shared limits are allocated to the gateways of this configuration. */
+    /** Returns the allocation of the shared limits to the gateways of a configuration. */
     public QuotaAllocation allocation(Started configuration) {
         return new QuotaAllocation(
                 new SharedLimitTable(limits, configuration).limits(), configuration.gateways(), guaranteedShare);
--- a/gateway/src/main/java/ploverdale/quota/SharedLimitSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitSettings.java
@@ -1,14 +1,15 @@
 package ploverdale.quota;
 
 /**
- * Which limits the gateways share.
+ * Selects the limits that gateways share, and their capacities.
  *
  * @param tenants whether the request rate of each tenant is a shared limit
- * @param attemptsPerServer in flight at one server; 0: not shared
- * @param slowStartAttemptsPerServer in flight at one server while it is in slow start, within the above; 0: not shared
- * @param serverSlots over which servers are spread by their number; servers of the same slot share its units
- * @param retriesPerSecond all attempts beyond a request's first; 0: not shared
- * @param healthChecksPerSecond for whatever reason; 0: not shared
+ * @param attemptsPerServer attempts in flight at one server; 0: not limited by quota
+ * @param slowStartAttemptsPerServer attempts in flight at one server while it is in slow start, which also count
+ *     against the limit above; 0: not limited by quota
+ * @param serverSlots number of slots onto which server numbers are mapped; servers of the same slot share one limit
+ * @param retriesPerSecond attempts other than the first of a request, so hedges included; 0: not limited by quota
+ * @param healthChecksPerSecond health checks for any reason; 0: not limited by quota
  */
 public record SharedLimitSettings(
         boolean tenants,
@@ -17,7 +18,7 @@
         int serverSlots,
         int retriesPerSecond,
         int healthChecksPerSecond) {
-    /** Whether anything is shared. */
+    /** Returns whether any limit is shared. */
     boolean any() {
         return tenants || attemptsPerServer + slowStartAttemptsPerServer + retriesPerSecond + healthChecksPerSecond > 0;
     }
--- a/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
@@ -9,12 +9,12 @@
 import ploverdale.quota.SharedLimit.Kind;
 
 /**
- * The shared limits of a configuration in the order of their indexes, which all gateways have in common: tenants, servers,
- * servers in slow start, retries, health checks. Each lookup gives the index of a limit, or nothing where it is not shared.
- * Immutable.
+ * The shared limits of a configuration. Their order, and so the index of each limit, is the same at all gateways:
+ * tenants, servers, servers in slow start, retries, health checks. Each lookup returns the index of a limit, or empty
+ * where that limit is not shared. Immutable.
  */
 final class SharedLimitTable {
-    private static final long SECOND = 10_000; // in tenths of a millisecond
+    private static final long TICKS_PER_SECOND = 10_000;
 
     private final SharedLimitSettings settings;
     private final int tenants;
@@ -39,15 +39,18 @@
 
     private static SharedLimit tenantLimit(int number, Tenant tenant) {
         int capacity = (int) Math.min(SharedLimit.MAX_CAPACITY, tenant.requestsPerSecond());
-        return new SharedLimit("tenant " + number, Kind.RATE, capacity, SECOND);
+        return new SharedLimit("tenant " + number, Kind.RATE, capacity, TICKS_PER_SECOND);
     }
 
-    /** An attempt is given up at its request's timeout, so none is in flight for longer than the longest of them. */
+    /**
+     * Returns the longest timeout of any request class. An attempt is abandoned at the timeout of its request, so no
+     * attempt is in flight for longer.
+     */
     private static long longestTimeout(Started configuration) {
         return configuration.requestClasses().stream()
                 .mapToLong(requestClass -> requestClass.timeout())
                 .max()
-                .orElse(SECOND);
+                .orElse(TICKS_PER_SECOND);
     }
 
     private OptionalInt addServers(String namePrefix, int capacity, long longestUse) {
@@ -65,36 +68,36 @@
         if (capacity == 0) {
             return OptionalInt.empty();
         }
-        limits.add(new SharedLimit(name, Kind.RATE, capacity, SECOND));
+        limits.add(new SharedLimit(name, Kind.RATE, capacity, TICKS_PER_SECOND));
         return OptionalInt.of(limits.size() - 1);
     }
 
-    /** All shared limits by index. */
+    /** Returns all shared limits in the order of their indexes. */
     List<SharedLimit> limits() {
         return List.copyOf(limits);
     }
 
-    /** Whether any tenant's request rate is shared. */
+    /** Returns whether the request rates of tenants are shared. */
     boolean sharesTenants() {
         return tenants > 0;
     }
 
-    /** The request rate of a tenant. */
+    /** Returns the limit on the request rate of a tenant. */
     OptionalInt tenant(TenantId tenant) {
         return tenant.index() < tenants ? OptionalInt.of(tenant.index()) : OptionalInt.empty();
     }
 
-    /** Whether attempts in flight at a server are shared. */
+    /** Returns whether attempts in flight at a server are limited by quota. */
     boolean sharesAttempts() {
         return firstServer.isPresent();
     }
 
-    /** Attempts in flight at the server of this number. */
+    /** Returns the limit on attempts in flight at the server of a given number. */
     OptionalInt attempts(int server) {
         return slot(firstServer, server);
     }
 
-    /** Attempts in flight at the server of this number while it is in slow start. */
+    /** Returns the limit on attempts in flight at the server of a given number while it is in slow start. */
     OptionalInt slowStartAttempts(int server) {
         return slot(firstSlowStartServer, server);
     }
@@ -106,12 +109,12 @@
         return OptionalInt.of(first.getAsInt() + Math.floorMod(server, settings.serverSlots()));
     }
 
-    /** The rate of retries. */
+    /** Returns the limit on the rate of retries and hedges. */
     OptionalInt retries() {
         return retries;
     }
 
-    /** The rate of health checks. */
+    /** Returns the limit on the rate of health checks. */
     OptionalInt healthChecks() {
         return healthChecks;
     }
--- a/gateway/src/main/java/ploverdale/quota/SharedQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedQuota.java
@@ -8,10 +8,10 @@
 import ploverdale.model.TenantId;
 
 /**
- * The router's port to the quota that gateways share: finds the limits that an acquisition counts against and acquires a unit
- * of each. What is not shared is limited by {@link StaticQuota}.
+ * The quota that the router uses where gateways share limits: finds the limits against which an acquisition counts and
+ * acquires a unit of each. Whatever is not shared is limited by {@link StaticQuota}.
  *
- * <p>Not thread-safe, called on the thread of the event loop.
+ * <p>Not thread-safe: called only on the thread of the event loop.
  */
 final class SharedQuota implements Quota {
     private final SharedLimitTable limits;
@@ -19,7 +19,10 @@
     private final StaticQuota unshared;
     private final LongSupplier clock;
 
-    /** @param clock monotonic, in tenths of a millisecond */
+    /**
+     * @param unshared quota for what is not shared
+     * @param clock monotonic, in tenths of a millisecond
+     */
     SharedQuota(SharedLimitTable limits, QuotaProtocol protocol, StaticQuota unshared, LongSupplier clock) {
         this.limits = limits;
         this.protocol = protocol;
@@ -47,7 +50,10 @@
         limit.ifPresent(protocol::release);
     }
 
-    /** The unshared quota counts each request: its retries and health checks are a share of them. */
+    /**
+     * Also counts the request in the unshared quota, even where tenants are shared, because the retries and health
+     * checks allowed there are a share of the requests.
+     */
     @Override
     public boolean tryAcquireRequest(long now, TenantId tenant) {
         boolean acquiredUnshared = unshared.tryAcquireRequest(now, tenant);
@@ -89,7 +95,7 @@
         release(slowStartAttempts(server, inSlowStart));
     }
 
-    /** Where retries are shared, units that the router has reserved are not counted. */
+    /** Where retries are shared, the retries that the router has reserved are ignored. */
     @Override
     public boolean hasRetry(int reserved) {
         OptionalInt limit = limits.retries();
--- a/gateway/src/main/java/ploverdale/quota/StaticQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/StaticQuota.java
@@ -7,20 +7,27 @@
 import ploverdale.model.TenantId;
 
 /**
- * The quota where gateways do not coordinate: of each tenant's rate an equal share for each gateway, and retries and health
- * checks as a share of the requests. Attempts at servers are not limited here, but by the router's own finding.
+ * The quota used where gateways do not coordinate. Each gateway gets an equal share of the rate of each tenant;
+ * retries and health checks are limited to a share of the requests. Attempts at a server are not limited here, but by
+ * the adaptive concurrency limit of the router.
  *
- * <p>Not thread-safe, called on the thread of the event loop.
+ * <p>Not thread-safe: called only on the thread of the event loop.
  */
 public final class StaticQuota implements Quota {
-    private static final double RETRIES_PER_REQUEST = 0.25; // a retry storm is several attempts for each request
-    private static final double HEALTH_CHECKS_PER_REQUEST = 0.2; // without requests there is nothing to find out
+    /** Prevents a retry storm, in which each request causes several attempts. */
+    private static final double RETRIES_PER_REQUEST = 0.25;
+    /** Health checks follow the load; without requests, none are needed. */
+    private static final double HEALTH_CHECKS_PER_REQUEST = 0.2;
 
     private final List<TokenBucket> tenants;
     private final RequestFundedBucket retries = RequestFundedBucket.full(RETRIES_PER_REQUEST);
     private final RequestFundedBucket healthChecks = new RequestFundedBucket(HEALTH_CHECKS_PER_REQUEST, 0);
 
-    /** @param gateways how many share each tenant's rate */
+    /**
+     * Creates the quota of one gateway.
+     *
+     * @param gateways number of gateways that share the rate of each tenant
+     */
     public StaticQuota(List<Tenant> tenants, int gateways) {
         this.tenants = tenants.stream()
                 .map(tenant -> new TokenBucket(tenant.requestsPerSecond() / gateways))
@@ -62,7 +69,10 @@
         return retries.tryTake();
     }
 
-    /** Periodic checks need a token; one that a request waits for takes what is left; those on suspicion are rare. */
+    /**
+     * A periodic check needs a whole token. A check that a request waits for takes what is left and is never rejected.
+     * Checks on suspicion are rare and not limited.
+     */
     @Override
     public boolean tryAcquireHealthCheck(HealthCheckReason reason) {
         return switch (reason) {
--- a/gateway/src/main/java/ploverdale/quota/SubLease.java
+++ b/gateway/src/main/java/ploverdale/quota/SubLease.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * Units of a partition that its holder has sub-leased to a borrower, as the lender accounts for them. They are not free before
+ * A sub-lease as seen by its lender: units of a partition that are lent to a borrower. The units are not free before
  * {@link #endsAt}, when the borrower can no longer use any of them.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe.
  */
 final class SubLease {
-    /** Number of units that a renewal has taken back: the borrower cannot name them any more. */
+    /** Number of sub-leases that stand for units withdrawn by a renewal; no message of a borrower refers to it. */
     private static final int WITHDRAWN = 0;
 
     private final Peer borrower;
@@ -18,9 +18,11 @@
     private long endsAt;
 
     /**
-     * @param number of the lender's own
+     * Creates a sub-lease.
+     *
+     * @param number assigned by the lender
      * @param units by limit; copied
-     * @param endsAt when the last of the units is out of use at the borrower
+     * @param endsAt when the borrower can no longer use any of the units
      */
     SubLease(Peer borrower, int number, int[] units, long endsAt) {
         this.borrower = borrower;
@@ -29,26 +31,27 @@
         this.endsAt = endsAt;
     }
 
-    /** Whether a borrower's message is about this sub-lease. */
+    /** Returns whether this is the sub-lease of a given borrower with a given number. */
     boolean is(Peer otherBorrower, int otherNumber) {
         return number == otherNumber && borrower.equals(otherBorrower);
     }
 
-    /** Whether units of it may still be in use. */
+    /** Returns whether units of the sub-lease may still be in use. */
     boolean isOutstanding(long now) {
         return now < endsAt;
     }
 
-    /** Units of a limit. */
+    /** Returns the units of a limit. */
     int units(int limit) {
         return units[limit];
     }
 
     /**
-     * Renews the sub-lease with fewer units, perhaps; those that it loses may be in use until its former end.
+     * Renews the sub-lease, possibly with fewer units. Units that are withdrawn may be in use until the former end.
      *
-     * @param keptUnits by limit
-     * @return the units that it loses, if any
+     * @param keptUnits by limit; no more than the sub-lease has
+     * @param newEnd when the borrower can no longer use any of the kept units
+     * @return a sub-lease of the withdrawn units until the former end, or empty where none were withdrawn
      */
     Optional<SubLease> renew(int[] keptUnits, long newEnd) {
         int[] withdrawn = new int[units.length];
@@ -63,7 +66,7 @@
         return any ? Optional.of(rest) : Optional.empty();
     }
 
-    /** The borrower neither uses nor acquires more units than this any more. */
+    /** Records that the borrower neither uses nor acquires more than {@code keptUnits} of a limit from now on. */
     void reduceTo(int limit, int keptUnits) {
         units[limit] = Math.min(units[limit], keptUnits);
     }
--- a/gateway/src/main/java/ploverdale/quota/TokenBucket.java
+++ b/gateway/src/main/java/ploverdale/quota/TokenBucket.java
@@ -1,11 +1,11 @@
 package ploverdale.quota;
 
 /**
- * A token bucket that fills at a constant rate and holds what accumulates in one second. It is full at the start. Not
- * thread-safe.
+ * A token bucket that is filled at a constant rate and holds at most the tokens of one second. It is full at the
+ * start. Not thread-safe.
  */
 final class TokenBucket {
-    private static final double SECOND = 10_000; // times are tenths of a millisecond
+    private static final double TICKS_PER_SECOND = 10_000; // times are in tenths of a millisecond
 
     private final double tokensPerSecond;
     private double tokens;
@@ -16,9 +16,9 @@
         tokens = tokensPerSecond;
     }
 
-    /** Takes a token; false where none is left. */
+    /** Takes a token; returns false where none is left. */
     boolean tryTake(long now) {
-        tokens = Math.min(tokensPerSecond, tokens + tokensPerSecond * (now - updatedAt) / SECOND);
+        tokens = Math.min(tokensPerSecond, tokens + tokensPerSecond * (now - updatedAt) / TICKS_PER_SECOND);
         updatedAt = now;
         if (tokens < 1) {
             return false;
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -16,23 +16,28 @@
 import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Borrows units of lease holders where this gateway needs more than it holds. A sub-lease that is needed is renewed from half
- * of its term on; of one that is not, half of the idle units are returned at a time. A sub-lease is valid from the time at
- * which it was requested, so that it expires here before it does at the lender ({@link LeaseDurations}).
+ * Borrows units from lease holders when this gateway needs more than it holds. A sub-lease is renewed from half of its
+ * term on; half of its idle units are returned at a time. A sub-lease is valid from the time when it was requested, so
+ * it expires here before it does at the lender ({@link LeaseDurations}).
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class UnitBorrower {
-    private static final long MS = 10;
-    private static final long REQUEST_INTERVAL = 50 * MS; // while more is needed than is held
-    private static final int MAX_LENDERS_ASKED = 2; // in one interval
-    private static final long MAX_IDLE_TIME = 1000 * MS; // before idle units are returned
+    private static final long TICKS_PER_MS = 10;
+    /** Interval between requests for new sub-leases while units are missing. */
+    private static final long REQUEST_INTERVAL_TICKS = 50 * TICKS_PER_MS;
+    /** Lenders that are asked for a new sub-lease in one interval. */
+    private static final int MAX_LENDERS_PER_INTERVAL = 2;
+    /** How long units of a sub-lease may be idle before some are returned. */
+    private static final long MAX_IDLE_TICKS = 1000 * TICKS_PER_MS;
+    /** A renewal request is repeated after the term of the sub-lease divided by this number. */
     private static final int RENEWAL_TIMEOUTS_PER_TERM = 8;
 
     /**
      * A request for units that was not answered yet.
      *
-     * @param renewed this gateway's own key of the sub-lease to renew; empty for a new one
+     * @param renewed key of the sub-lease to renew; empty where a new one was requested
      */
     private record PendingRequest(int lender, long sentAt, OptionalInt renewed) {}
 
@@ -42,15 +47,18 @@
     private final RandomGenerator random;
     private final UnitLedger ledger;
     private final IntSupplier requestNumbers;
-    private final Map<Integer, BorrowedUnits> subLeases = new LinkedHashMap<>(); // by a key of this gateway's own
-    private final Map<Integer, PendingRequest> pendingRequests = new LinkedHashMap<>(); // by number of the request
-    private final Map<Integer, Long> lastGrantAt = new HashMap<>(); // of lenders whose last new grant had units
+    private final Map<Integer, BorrowedUnits> subLeases = new LinkedHashMap<>(); // by a key assigned here
+    private final Map<Integer, PendingRequest> pendingRequests = new LinkedHashMap<>(); // by request number
+    /** By lender: when it granted its latest new sub-lease; absent where that sub-lease had no units. */
+    private final Map<Integer, Long> lastGrantAt = new HashMap<>();
     private long requestedAt;
 
     /**
+     * Creates a borrower without sub-leases.
+     *
      * @param self number of this gateway
-     * @param random chooses lenders
-     * @param requestNumbers never yields the same number twice; also numbers the sub-leases' keys
+     * @param random selects lenders
+     * @param requestNumbers supplies numbers that are never repeated, for requests and for keys of sub-leases
      */
     UnitBorrower(
             int self,
@@ -68,9 +76,10 @@
     }
 
     /**
-     * Renews and returns sub-leases and requests new ones, as they are due.
+     * Renews sub-leases, returns idle units and requests missing ones, as they are due.
      *
-     * @param alive whether a gateway is alive as far as this one knows
+     * @param alive whether this gateway considers another one alive
+     * @param out receives the messages to send
      */
     void onTick(long now, IntPredicate alive, PacketQueue out) {
         pendingRequests.values().removeIf(request -> now - request.sentAt > durations.subLease());
@@ -79,7 +88,7 @@
             returnIdleUnits(now, subLease, out);
             renewIfDue(now, key, subLease, out);
         });
-        if (now - requestedAt >= REQUEST_INTERVAL) {
+        if (now - requestedAt >= REQUEST_INTERVAL_TICKS) {
             requestedAt = now;
             requestMissingUnits(now, alive, out);
         }
@@ -92,7 +101,7 @@
             missing[limit] = ledger.missing(now, limit);
             any |= missing[limit] > 0;
         }
-        if (!any || recentRequests(now) >= MAX_LENDERS_ASKED) {
+        if (!any || recentRequests(now) >= MAX_LENDERS_PER_INTERVAL) {
             return;
         }
         for (int lender : chooseLenders(alive)) {
@@ -105,11 +114,14 @@
 
     private long recentRequests(long now) {
         return pendingRequests.values().stream()
-                .filter(request -> request.renewed.isEmpty() && now - request.sentAt < REQUEST_INTERVAL)
+                .filter(request -> request.renewed.isEmpty() && now - request.sentAt < REQUEST_INTERVAL_TICKS)
                 .count();
     }
 
-    /** The gateway that granted units last, if any is alive, and others at random. */
+    /**
+     * Returns the lenders to ask for a new sub-lease: the one that granted units most recently, if it is alive, and
+     * random other gateways that are alive.
+     */
     private List<Integer> chooseLenders(IntPredicate alive) {
         List<Integer> others = new ArrayList<>();
         for (int gateway = 0; gateway < allocation.gateways(); gateway++) {
@@ -122,7 +134,7 @@
             chosen.add(lender);
             others.remove(lender);
         });
-        while (chosen.size() < MAX_LENDERS_ASKED && !others.isEmpty()) {
+        while (chosen.size() < MAX_LENDERS_PER_INTERVAL && !others.isEmpty()) {
             chosen.add(others.remove(random.nextInt(others.size())));
         }
         return chosen;
@@ -139,7 +151,7 @@
         return Optional.ofNullable(latest);
     }
 
-    /** A lease holder has granted or renewed a sub-lease. Duplicate and late answers are ignored. */
+    /** Called when a lease holder has granted or renewed a sub-lease. Duplicate and late replies are ignored. */
     void onGrant(long now, int lender, UnitGrant grant) {
         PendingRequest request = pendingRequests.remove(grant.request());
         if (request == null || request.lender != lender || grant.subLease() == QuotaMessage.NEW_SUB_LEASE) {
@@ -180,9 +192,12 @@
         }
     }
 
-    /** Returns half of the units of each limit of which some were idle for a while. */
+    /**
+     * Returns half of the idle units of each limit, where the sub-lease has had idle units for longer than the
+     * maximum.
+     */
     private void returnIdleUnits(long now, BorrowedUnits subLease, PacketQueue out) {
-        boolean returnable = subLease.isIdleLongerThan(now, MAX_IDLE_TIME);
+        boolean returnable = subLease.isIdleLongerThan(now, MAX_IDLE_TICKS);
         int[] kept = subLease.allUnits();
         boolean anyIdle = false;
         boolean anyReturned = false;
@@ -206,12 +221,12 @@
         for (int limit = 0; limit < kept.length; limit++) {
             subLease.reduceTo(limit, kept[limit]);
         }
-        updateLedger(now, subLease); // before the message that says so: they must not be acquired here any more
+        updateLedger(now, subLease); // before the message is queued: returned units must not be acquired here any more
         UnitReturn message = new UnitReturn(subLease.number(), UnitCounts.all(kept));
         out.add(subLease.lender(), QuotaMessageCodec.encode(message));
     }
 
-    /** Requests to renew from half of the term on, and again where no answer has come for a while. */
+    /** Requests a renewal from half of the term on, and again where a request was not answered in time. */
     private void renewIfDue(long now, int key, BorrowedUnits subLease, PacketQueue out) {
         OptionalInt pending = subLease.pendingRenewal();
         if (pending.isPresent() && isOverdue(now, pending.getAsInt())) {
@@ -233,7 +248,7 @@
         return pending == null || now - pending.sentAt > durations.subLease() / RENEWAL_TIMEOUTS_PER_TERM;
     }
 
-    /** Units of a limit in sub-leases that have not expired. */
+    /** Returns the units of a limit in sub-leases that have not expired. */
     int borrowedUnits(long now, int limit) {
         return subLeases.values().stream()
                 .filter(subLease -> !subLease.isExpired(now))
--- a/gateway/src/main/java/ploverdale/quota/UnitCounts.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitCounts.java
@@ -5,7 +5,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Counts of units by the index of their limit, for some of the limits. Immutable. */
+/** Counts of units by the index of their limit, for some or all of the limits. Immutable. */
 final class UnitCounts {
     private final SortedMap<Integer, Integer> byLimit;
 
@@ -13,17 +13,25 @@
         this.byLimit = Collections.unmodifiableSortedMap(byLimit);
     }
 
-    /** Those limits that are in the map; it is copied. */
+    /** Returns counts for the limits in the map, which is copied. */
     static UnitCounts of(Map<Integer, Integer> byLimit) {
         return new UnitCounts(new TreeMap<>(byLimit));
     }
 
-    /** All limits, also those with 0 units; {@code units} is by limit. */
+    /**
+     * Returns counts for all limits, including those with 0 units.
+     *
+     * @param units by limit
+     */
     static UnitCounts all(int[] units) {
         return atLeast(0, units);
     }
 
-    /** Only the limits of which there are units; {@code units} is by limit. */
+    /**
+     * Returns counts for the limits with at least one unit.
+     *
+     * @param units by limit
+     */
     static UnitCounts positive(int[] units) {
         return atLeast(1, units);
     }
@@ -38,12 +46,12 @@
         return new UnitCounts(byLimit);
     }
 
-    /** Units of a limit, 0 where it is not listed. */
+    /** Returns the units of a limit, 0 where it is not listed. */
     int get(int limit) {
         return byLimit.getOrDefault(limit, 0);
     }
 
-    /** Units by limit in the order of the limits; read-only. */
+    /** Returns the units by limit, in the order of the limits; read-only. */
     SortedMap<Integer, Integer> byLimit() {
         return byLimit;
     }
--- a/gateway/src/main/java/ploverdale/quota/UnitLedger.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLedger.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * The units of all shared limits that this gateway holds, and how they compare with what it needs: the recent demand and some
- * headroom above it. Limits are named by their index in the allocation.
+ * The units of all shared limits that this gateway holds, compared with what it needs: the recent demand and some
+ * headroom. Limits are referred to by their index in the allocation.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class UnitLedger {
-    private static final double HEADROOM = 0.25; // as a share of the demand, since requests arrive at random
+    private static final double HEADROOM = 0.25; // share of the demand, since random arrivals exceed their mean
 
     private final List<HeldUnits> byLimit;
 
@@ -17,36 +18,36 @@
         byLimit = limits.stream().map(limit -> new HeldUnits(limit, now)).toList();
     }
 
-    /** How many limits there are. */
+    /** Returns the number of limits. */
     int size() {
         return byLimit.size();
     }
 
-    /** The units of one limit. */
+    /** Returns the units held of one limit. */
     HeldUnits of(int limit) {
         return byLimit.get(limit);
     }
 
-    /** From now on no unit of any limit is held of that source. */
+    /** Removes all units that come from a source. */
     void remove(long now, UnitSource source) {
         for (HeldUnits units : byLimit) {
             units.set(now, source, 0, now);
         }
     }
 
-    /** Units needed for the recent demand, headroom included. */
+    /** Returns the units needed for the recent demand and the headroom. */
     private static int target(long now, HeldUnits units) {
         int demand = units.demand(now);
         return demand + (int) Math.ceil(demand * HEADROOM);
     }
 
-    /** Units needed beyond those held; negative where more are held. */
+    /** Returns the units needed in addition to those held; negative where more are held than needed. */
     int missing(long now, int limit) {
         HeldUnits units = of(limit);
         return target(now, units) - units.units(now);
     }
 
-    /** Units held that are neither in use nor needed; negative where some are missing. */
+    /** Returns the units held that are neither in use nor needed; negative where units are missing. */
     int spare(long now, int limit) {
         HeldUnits units = of(limit);
         return units.units(now) - Math.max(units.inUse(), target(now, units));
--- a/gateway/src/main/java/ploverdale/quota/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -7,11 +7,12 @@
 import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Sub-leases units of the partitions that this gateway holds. A borrower gets at most half of what can be spared of each
- * limit, so that units follow the demand without oscillation; a sub-lease is renewed as far as this gateway does not lack
- * the units itself.
+ * Sub-leases units of the partitions that this gateway holds. A borrower gets at most half of the spare units of each
+ * limit, so that units follow the demand without oscillation. A sub-lease is renewed, but with fewer units of the
+ * limits of which this gateway lacks some itself.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class UnitLender {
     private final LeaseHolder leaseHolder;
@@ -23,7 +24,9 @@
         this.ledger = ledger;
     }
 
-    /** Grants or renews a sub-lease. Sends nothing where there are no units, or no such sub-lease. */
+    /**
+     * Grants or renews a sub-lease. Sends no reply where there are no units to grant, or no such sub-lease to renew.
+     */
     void onRequest(MessageContext context, UnitRequest request) {
         if (request.isRenewal()) {
             renew(context, request);
@@ -32,7 +35,10 @@
         }
     }
 
-    /** Grants units of the first partition that has any of those requested; a later request may get those of another. */
+    /**
+     * Grants units of the first partition that has some of the requested ones; a later request may get units of
+     * another.
+     */
     private void grant(MessageContext context, UnitRequest request) {
         for (LeasePartition partition : leaseHolder.partitions()) {
             int[] granted = grantableUnits(context.now(), partition, request.units());
@@ -73,7 +79,10 @@
         }
     }
 
-    /** What the borrower still wants; of each limit that this gateway lacks units of, less by up to half of those lent. */
+    /**
+     * Returns the units that the borrower keeps, by limit: those that it requests, less up to half of those lent where
+     * this gateway lacks units of the limit itself.
+     */
     private int[] keptUnits(long now, SubLease subLease, UnitCounts requested) {
         int[] kept = new int[ledger.size()];
         for (int limit = 0; limit < kept.length; limit++) {
@@ -91,7 +100,10 @@
         context.reply(QuotaMessageCodec.encode(grant));
     }
 
-    /** A borrower uses no more than the kept units of the limits that the message lists; duplicates have no effect. */
+    /**
+     * Called when a borrower has returned units: it uses no more than the kept units of the limits listed in the
+     * message. Duplicate messages have no effect.
+     */
     void onReturn(MessageContext context, UnitReturn message) {
         for (LeasePartition partition : leaseHolder.partitions()) {
             partition
--- a/gateway/src/main/java/ploverdale/quota/UnitSource.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitSource.java
@@ -1,7 +1,7 @@
 package ploverdale.quota;
 
 /**
- * What entitles this gateway to units: its guaranteed minimum, the lease of a partition, or a sub-lease. Sources are compared
+ * What entitles this gateway to units: its guaranteed minimum, a partition lease, or a sub-lease. Sources are compared
  * by identity.
  */
 sealed interface UnitSource permits UnitSource.Guaranteed, LeasePartition, BorrowedUnits {
