--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -54,10 +54,10 @@
      * @param units 0 removes the source
      * @param expiresAt from when on the units can no longer be acquired; a time that has passed removes the source
      */
-    void set(long now, UnitSource source, int units, long expiresAt) {
+    void setUnits(long now, UnitSource source, int units, long expiresAt) {
         advanceTo(now);
-        int before = total();
-        Holding holding = find(source);
+        int unitsBefore = totalUnits();
+        Holding holding = findHolding(source);
         if (units == 0 || expiresAt <= now) {
             holdings.remove(holding);
         } else if (holding == null) {
@@ -66,10 +66,10 @@
             holding.units = units;
             holding.expiresAt = expiresAt;
         }
-        dropTokensOfLostUnits(before, total());
+        dropTokensOfLostUnits(unitsBefore, totalUnits());
     }
 
-    private Holding find(UnitSource source) {
+    private Holding findHolding(UnitSource source) {
         for (Holding holding : holdings) {
             if (holding.source == source) {
                 return holding;
@@ -78,7 +78,7 @@
         return null;
     }
 
-    private int total() {
+    private int totalUnits() {
         int units = 0;
         for (Holding holding : holdings) {
             units += holding.units;
@@ -90,9 +90,9 @@
      * Removes the tokens that accumulated for units no longer held. New units add no tokens, because their former
      * holder may have spent them.
      */
-    private void dropTokensOfLostUnits(int before, int after) {
-        if (after < before) {
-            tokens = tokens * after / before;
+    private void dropTokensOfLostUnits(int unitsBefore, int unitsAfter) {
+        if (unitsAfter < unitsBefore) {
+            tokens = tokens * unitsAfter / unitsBefore;
         }
     }
 
@@ -100,9 +100,9 @@
         for (Holding expired = firstExpired(now); expired != null; expired = firstExpired(now)) {
             long expiry = expired.expiresAt;
             accumulateUntil(Math.max(updatedAt, expiry));
-            int before = total();
+            int unitsBefore = totalUnits();
             holdings.removeIf(holding -> holding.expiresAt <= expiry);
-            dropTokensOfLostUnits(before, total());
+            dropTokensOfLostUnits(unitsBefore, totalUnits());
         }
         accumulateUntil(now);
     }
@@ -118,15 +118,15 @@
     }
 
     private void accumulateUntil(long time) {
-        double burst = total() * limit.maxHoldTime() / TICKS_PER_SECOND;
-        tokens = Math.min(burst, tokens + total() * Math.max(0, time - updatedAt) / TICKS_PER_SECOND);
+        double burst = totalUnits() * limit.maxHoldTime() / TICKS_PER_SECOND;
+        tokens = Math.min(burst, tokens + totalUnits() * Math.max(0, time - updatedAt) / TICKS_PER_SECOND);
         updatedAt = Math.max(updatedAt, time);
     }
 
     /** Returns the units that are held now, including those in use. */
     int units(long now) {
         advanceTo(now);
-        return total();
+        return totalUnits();
     }
 
     /** Returns the units that are acquired and not yet released; 0 for a rate limit. */
@@ -155,7 +155,7 @@
 
     private boolean tryUse(long now) {
         demand.raiseTo(now, inUse + 1);
-        if (inUse >= total()) {
+        if (inUse >= totalUnits()) {
             return false;
         }
         inUse++;
@@ -168,7 +168,7 @@
      */
     boolean canUse(long now) {
         advanceTo(now);
-        if (inUse < total()) {
+        if (inUse < totalUnits()) {
             return true;
         }
         demand.raiseTo(now, inUse + 1);
@@ -192,7 +192,7 @@
      */
     long retryAfter(long now) {
         advanceTo(now);
-        int units = total();
+        int units = totalUnits();
         if (limit.kind() == SharedLimit.Kind.CONCURRENCY || units == 0) {
             return limit.maxHoldTime() / RETRIES_PER_HOLD_TIME;
         }
--- a/gateway/src/main/java/ploverdale/quota/LeaseDurations.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseDurations.java
@@ -42,9 +42,9 @@
      * Returns how long sub-leased units must not be used by anyone but the borrower: until the sub-lease has certainly
      * expired there, and then for as long as a unit that was acquired at the last moment may stay in use.
      *
-     * @param longestUse the longest time that a unit may stay in use after it was acquired
+     * @param maxHoldTime the longest time that a unit may stay in use after it was acquired
      */
-    long quarantine(long longestUse) {
-        return grantorTerm(subLease) + grantorTerm(longestUse);
+    long quarantine(long maxHoldTime) {
+        return grantorTerm(subLease) + grantorTerm(maxHoldTime);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
+++ b/gateway/src/main/java/ploverdale/quota/LeaseHolder.java
@@ -49,15 +49,15 @@
         this.localAcceptor = localAcceptor;
         this.requestNumbers = requestNumbers;
         startedAt = now;
-        LeasePartition own = newPartition(self);
-        partitions.put(self, own);
+        LeasePartition ownPartition = newPartition(self);
+        partitions.put(self, ownPartition);
         if (!hasOtherAcceptors()) {
-            own.holdForever(now);
+            ownPartition.holdForever(now);
         }
     }
 
     private LeasePartition newPartition(int gateway) {
-        return new LeasePartition(gateway, durations, allocation.longestUse());
+        return new LeasePartition(gateway, durations, allocation.maxHoldTime());
     }
 
     private boolean hasOtherAcceptors() {
@@ -84,9 +84,9 @@
         for (LeasePartition partition : partitions.values()) {
             boolean serving = partition.isServing(now);
             long until = serving ? partition.expiresAt() : now;
-            for (int limit = 0; limit < ledger.size(); limit++) {
+            for (int limit = 0; limit < ledger.limitCount(); limit++) {
                 int units = serving ? freeUnits(now, partition, limit) : 0;
-                ledger.of(limit).set(now, partition, units, until);
+                ledger.of(limit).setUnits(now, partition, units, until);
             }
         }
     }
@@ -96,8 +96,8 @@
      * reduced sub-lease.
      */
     int freeUnits(long now, LeasePartition partition, int limit) {
-        int leased = allocation.leasedUnits(partition.number(), limit);
-        return Math.max(0, leased - partition.outstandingUnits(now, limit));
+        int leasedUnits = allocation.leasedUnits(partition.number(), limit);
+        return Math.max(0, leasedUnits - partition.outstandingUnits(now, limit));
     }
 
     /**
@@ -111,10 +111,10 @@
         if (hasOtherAcceptors()) {
             takeOver(now, alive);
         }
-        partitions.values().removeIf(partition -> clearIfUnwanted(now, partition, alive));
+        partitions.values().removeIf(partition -> clearIfNotNeeded(now, partition, alive));
         for (LeasePartition partition : partitions.values()) {
             if (hasOtherAcceptors()
-                    && isWanted(partition.number(), alive)
+                    && shouldHold(partition.number(), alive)
                     && partition.isRoundOlderThan(now, durations.partitionLease() / ROUNDS_PER_TERM)) {
                 requestLease(now, epoch, partition, out);
             }
@@ -128,7 +128,7 @@
     private void takeOver(long now, IntPredicate alive) {
         for (int gateway = 0; gateway < allocation.gateways(); gateway++) {
             if (!partitions.containsKey(gateway)
-                    && isWanted(gateway, alive)
+                    && shouldHold(gateway, alive)
                     && now - startedAt > durations.partitionGrantorTerm()) {
                 partitions.put(gateway, newPartition(gateway));
             }
@@ -141,20 +141,20 @@
      *
      * @return whether the partition can be dropped
      */
-    private boolean clearIfUnwanted(long now, LeasePartition partition, IntPredicate alive) {
-        boolean unwanted =
-                !isWanted(partition.number(), alive) && partition.state(now) == LeasePartition.State.UNLEASED;
-        if (unwanted) {
-            ledger.remove(now, partition);
+    private boolean clearIfNotNeeded(long now, LeasePartition partition, IntPredicate alive) {
+        boolean notNeeded =
+                !shouldHold(partition.number(), alive) && partition.state(now) == LeasePartition.State.UNLEASED;
+        if (notNeeded) {
+            ledger.removeSource(now, partition);
         }
-        return unwanted;
+        return notNeeded;
     }
 
     /**
      * Returns whether this gateway should hold a partition: its own, or that of an absent gateway whose successor it
      * is.
      */
-    private boolean isWanted(int partition, IntPredicate alive) {
+    private boolean shouldHold(int partition, IntPredicate alive) {
         return partition == self || !alive.test(partition) && isSuccessor(partition, alive);
     }
 
@@ -169,12 +169,12 @@
         int round = requestNumbers.getAsInt();
         partition.startRound(now, round);
         QuotaMessage.LeaseRequest request = new QuotaMessage.LeaseRequest(partition.number(), round);
-        for (int place = 0; place < allocation.acceptorCount(); place++) {
-            int acceptor = allocation.acceptor(partition.number(), place);
+        for (int acceptorIndex = 0; acceptorIndex < allocation.acceptorCount(); acceptorIndex++) {
+            int acceptor = allocation.acceptor(partition.number(), acceptorIndex);
             if (acceptor != self) {
                 out.add(acceptor, QuotaMessageCodec.encode(request));
             } else if (localAcceptor.tryGrant(now, partition.number(), new Peer(self, epoch))) {
-                partition.onGrant(now, round, place, allocation.majority());
+                partition.onGrant(now, round, acceptorIndex, allocation.majority());
             }
         }
     }
@@ -183,8 +183,8 @@
     void onLeaseGrant(long now, int acceptor, QuotaMessage.LeaseGrant grant) {
         LeasePartition partition = partitions.get(grant.partition());
         if (partition != null && allocation.isAcceptor(acceptor, grant.partition())) {
-            int place = allocation.acceptorPlace(acceptor, grant.partition());
-            partition.onGrant(now, grant.round(), place, allocation.majority());
+            int acceptorIndex = allocation.acceptorIndex(acceptor, grant.partition());
+            partition.onGrant(now, grant.round(), acceptorIndex, allocation.majority());
         }
     }
 
--- a/gateway/src/main/java/ploverdale/quota/LeasePartition.java
+++ b/gateway/src/main/java/ploverdale/quota/LeasePartition.java
@@ -35,7 +35,7 @@
 
     private final int number;
     private final LeaseDurations durations;
-    private final long longestUse;
+    private final long maxHoldTime;
     private final List<SubLease> subLeases = new ArrayList<>();
     private long expiresAt = Long.MIN_VALUE;
     private long servesFrom = Long.MIN_VALUE;
@@ -47,12 +47,12 @@
      * Creates a partition whose lease is not held.
      *
      * @param number number of the gateway that the partition belongs to
-     * @param longestUse the longest time that a unit may stay in use after it was acquired
+     * @param maxHoldTime the longest time that a unit may stay in use after it was acquired
      */
-    LeasePartition(int number, LeaseDurations durations, long longestUse) {
+    LeasePartition(int number, LeaseDurations durations, long maxHoldTime) {
         this.number = number;
         this.durations = durations;
-        this.longestUse = longestUse;
+        this.maxHoldTime = maxHoldTime;
     }
 
     /** Returns the number of the gateway that the partition belongs to. */
@@ -67,7 +67,7 @@
     }
 
     private long quarantine() {
-        return durations.quarantine(longestUse);
+        return durations.quarantine(maxHoldTime);
     }
 
     /** Starts a round of requests to the acceptors. Grants of earlier rounds are ignored from now on. */
@@ -86,14 +86,14 @@
      * Called when an acceptor has granted a round. With a majority, the lease is valid for its term from the start of
      * the round.
      *
-     * @param place index of the acceptor among those of the partition
+     * @param acceptorIndex its index among those of the partition
      * @param majority number of acceptors that must grant the lease
      */
-    void onGrant(long now, int grantedRound, int place, int majority) {
+    void onGrant(long now, int grantedRound, int acceptorIndex, int majority) {
         if (grantedRound != round) {
             return;
         }
-        acceptorsOfRound |= 1L << place;
+        acceptorsOfRound |= 1L << acceptorIndex;
         long newExpiry = roundStartedAt + durations.partitionLease();
         if (Long.bitCount(acceptorsOfRound) < majority || newExpiry <= now) {
             return;
@@ -146,7 +146,7 @@
     /** Returns the sub-lease of a borrower with a given number, if it is outstanding. */
     Optional<SubLease> findSubLease(long now, Peer borrower, int subLeaseNumber) {
         return subLeases.stream()
-                .filter(subLease -> subLease.is(borrower, subLeaseNumber) && subLease.isOutstanding(now))
+                .filter(subLease -> subLease.matches(borrower, subLeaseNumber) && subLease.isOutstanding(now))
                 .findFirst();
     }
 
--- a/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
@@ -28,15 +28,15 @@
     public QuotaAllocation {
         limits = List.copyOf(limits);
         if (gateways < 1 || guaranteedShare < 0 || guaranteedShare > MAX_GUARANTEED_SHARE) {
-            throw new IllegalArgumentException(gateways + " gateways, a floor of " + guaranteedShare);
+            throw new IllegalArgumentException("invalid quota allocation: " + gateways + " gateways, guaranteed share " + guaranteedShare);
         }
     }
 
     /** Returns the units of a limit that a gateway is entitled to: the guaranteed and the leased ones. */
     public int entitlement(int gateway, int limit) {
         int capacity = limits.get(limit).capacity();
-        int place = Math.floorMod(gateway - hash(limits.get(limit).name()), gateways);
-        return capacity / gateways + (place < capacity % gateways ? 1 : 0);
+        int index = Math.floorMod(gateway - hash(limits.get(limit).name()), gateways);
+        return capacity / gateways + (index < capacity % gateways ? 1 : 0);
     }
 
     /** Returns the units of its entitlement that a gateway owns without a lease. */
@@ -53,7 +53,7 @@
      * Returns the longest time that a unit of any concurrency limit may stay in use, in tenths of a millisecond; 0
      * where there is no such limit.
      */
-    long longestUse() {
+    long maxHoldTime() {
         return limits.stream()
                 .filter(limit -> limit.kind() == SharedLimit.Kind.CONCURRENCY)
                 .mapToLong(SharedLimit::maxHoldTime)
@@ -75,24 +75,23 @@
     /**
      * Returns an acceptor of a partition. The acceptors do not depend on which gateways are alive.
      *
-     * @param place index of the acceptor, below {@link #acceptorCount}; the one with index 0 is the partition's own
-     *     gateway
+     * @param index below {@link #acceptorCount}; index 0 is the gateway that the partition belongs to
      */
-    public int acceptor(int partition, int place) {
-        return (partition + place) % gateways;
+    public int acceptor(int partition, int index) {
+        return (partition + index) % gateways;
     }
 
     /**
      * Returns the index of a gateway among the acceptors of a partition; from {@link #acceptorCount} on, the gateway
      * is not one of them.
      */
-    int acceptorPlace(int gateway, int partition) {
+    int acceptorIndex(int gateway, int partition) {
         return Math.floorMod(gateway - partition, gateways);
     }
 
     /** Returns whether a gateway is one of the acceptors of a partition. */
     public boolean isAcceptor(int gateway, int partition) {
-        return acceptorPlace(gateway, partition) < acceptorCount();
+        return acceptorIndex(gateway, partition) < acceptorCount();
     }
 
     /** Returns how many acceptors must grant a lease. Any two majorities have an acceptor in common. */
@@ -105,8 +104,8 @@
      * gateways whose id differs.
      */
     public int id() {
-        String text = limits.stream().map(SharedLimit::fingerprint).collect(Collectors.joining(", ", "[", "]"));
-        return checksum(gateways + " " + guaranteedShare + " " + text);
+        String limitFingerprints = limits.stream().map(SharedLimit::fingerprint).collect(Collectors.joining(", ", "[", "]"));
+        return checksum(gateways + " " + guaranteedShare + " " + limitFingerprints);
     }
 
     private static int hash(String name) {
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -42,7 +42,7 @@
     private final Quota quota;
     private final Optional<Replicas> replicas;
     /** Identifies the allocation and the replication factor, see {@link #onPacket}. */
-    private final int id;
+    private final int allocationId;
     private final List<String> logLines = new ArrayList<>();
 
     /**
@@ -71,10 +71,10 @@
                 clock);
         replicas = Optional.ofNullable(settings.replication())
                 .map(replication -> new Replicas(self, gateways, epoch(), replication, random.split(), wallClock));
-        id = allocation.id()
+        allocationId = allocation.id()
                 + (settings.replication() == null ? 0 : settings.replication().replicationFactor());
         if (sharesLimits()) {
-            logLines.add(QuotaLogLines.started(allocation, id));
+            logLines.add(QuotaLogLines.started(allocation, allocationId));
         }
     }
 
@@ -110,16 +110,16 @@
                 .map(change ->
                         QuotaLogLines.modeChanged(change, allocation.limits().size()))
                 .ifPresent(logLines::add);
-        replicas.ifPresent(present -> {
-            present.setIncarnation(epoch());
-            present.onTick(now, membership::isPresent, queue);
+        replicas.ifPresent(enabledReplicas -> {
+            enabledReplicas.setIncarnation(epoch());
+            enabledReplicas.onTick(now, membership::isPresent, queue);
         });
         return drainPackets(now);
     }
 
     private List<OutboundPacket> drainPackets(long now) {
-        replicas.ifPresent(present -> logLines.addAll(present.takeLogLines()));
-        return queue.drain(now, membership.incarnation(), id);
+        replicas.ifPresent(enabledReplicas -> logLines.addAll(enabledReplicas.takeLogLines()));
+        return queue.drain(now, membership.incarnation(), allocationId);
     }
 
     /**
@@ -163,16 +163,16 @@
      * only from gateways with the same allocation and replication factor.
      */
     private void onPacket(long now, int sender, Packet packet) {
-        boolean sameId = packet.allocationId() == id;
+        boolean sameAllocation = packet.allocationId() == allocationId;
         long senderEpoch = Incarnation.startOf(packet.incarnation());
         for (Packet.Part part : packet.parts()) {
             membership.onPart(now, sender, part, queue);
-            if (sameId) {
+            if (sameAllocation) {
                 protocol.onMessage(now, sender, senderEpoch, part, queue);
-                replicas.ifPresent(present -> present.onMessage(now, sender, senderEpoch, part, queue));
+                replicas.ifPresent(enabledReplicas -> enabledReplicas.onMessage(now, sender, senderEpoch, part, queue));
             }
         }
-        if (!sameId) {
+        if (!sameAllocation) {
             logLines.add(QuotaLogLines.otherAllocation(sender, packet.allocationId()));
         }
     }
@@ -192,7 +192,7 @@
     /** Returns a log line with the current statistics of quota, packets, membership and replicas. */
     public String statisticsLine() {
         List<LimitStatistics> limits = protocol.statistics(clock.getAsLong());
-        String ofReplicas = replicas.map(present -> "; " + present.statistics()).orElse("");
-        return QuotaLogLines.statistics(limits, queue, membership) + ofReplicas;
+        String replicaStatistics = replicas.map(enabledReplicas -> "; " + enabledReplicas.statistics()).orElse("");
+        return QuotaLogLines.statistics(limits, queue, membership) + replicaStatistics;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -58,7 +58,7 @@
     private final UnitBorrower borrower;
     private final QuotaMessageHandler messageHandler = new MessageHandler();
     /** When every unit that an earlier process of this gateway had acquired is out of use. */
-    private final long earlierUseEndsAt;
+    private final long previousProcessUseEndsAt;
     private long epoch;
     private int lastRequestNumber;
     private Mode mode = Mode.GUARANTEED_ONLY;
@@ -83,7 +83,7 @@
         this.self = self;
         this.epoch = epoch;
         this.allocation = allocation;
-        earlierUseEndsAt = now + durations.grantorTerm(allocation.longestUse());
+        previousProcessUseEndsAt = now + durations.grantorTerm(allocation.maxHoldTime());
         ledger = new UnitLedger(allocation.limits(), now);
         acceptor = new LeaseAcceptor(allocation.gateways(), durations, now);
         leaseHolder = new LeaseHolder(self, allocation, durations, ledger, acceptor, this::nextRequestNumber, now);
@@ -97,10 +97,10 @@
     }
 
     private void holdGuaranteedUnits(long now, SharedLimit.Kind kind) {
-        for (int limit = 0; limit < ledger.size(); limit++) {
+        for (int limit = 0; limit < ledger.limitCount(); limit++) {
             if (allocation.limits().get(limit).kind() == kind) {
                 int units = allocation.guaranteedUnits(self, limit);
-                ledger.of(limit).set(now, UnitSource.Guaranteed.INSTANCE, units, Long.MAX_VALUE);
+                ledger.of(limit).setUnits(now, UnitSource.Guaranteed.INSTANCE, units, Long.MAX_VALUE);
             }
         }
     }
@@ -110,7 +110,7 @@
      * earlier process of this gateway had acquired is out of use. Borrowed units expire without an update.
      */
     private void updateLedger(long now) {
-        if (now >= earlierUseEndsAt) {
+        if (now >= previousProcessUseEndsAt) {
             holdGuaranteedUnits(now, SharedLimit.Kind.CONCURRENCY);
         }
         leaseHolder.updateLedger(now);
@@ -244,10 +244,10 @@
     /** Returns the current statistics of each limit, in the order of the limits. */
     public List<LimitStatistics> statistics(long now) {
         updateLedger(now);
-        List<LimitStatistics> all = new ArrayList<>();
-        for (int limit = 0; limit < ledger.size(); limit++) {
+        List<LimitStatistics> statisticsByLimit = new ArrayList<>();
+        for (int limit = 0; limit < ledger.limitCount(); limit++) {
             HeldUnits units = ledger.of(limit);
-            all.add(new LimitStatistics(
+            statisticsByLimit.add(new LimitStatistics(
                     units.name(),
                     units.units(now),
                     borrower.borrowedUnits(now, limit),
@@ -256,6 +256,6 @@
                     units.inUse(),
                     units.rejected()));
         }
-        return all;
+        return statisticsByLimit;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
@@ -17,27 +17,27 @@
     private static final long TICKS_PER_SECOND = 10_000;
 
     private final SharedLimitSettings settings;
-    private final int tenants;
+    private final int tenantCount;
     private final List<SharedLimit> limits = new ArrayList<>();
-    private final OptionalInt firstServer;
-    private final OptionalInt firstSlowStartServer;
-    private final OptionalInt retries;
-    private final OptionalInt healthChecks;
+    private final OptionalInt firstServerLimit;
+    private final OptionalInt firstSlowStartServerLimit;
+    private final OptionalInt retryLimit;
+    private final OptionalInt healthCheckLimit;
 
     SharedLimitTable(SharedLimitSettings settings, Started configuration) {
         this.settings = settings;
-        tenants = settings.tenants() ? configuration.tenants().size() : 0;
-        for (int tenant = 0; tenant < tenants; tenant++) {
-            limits.add(tenantLimit(tenant, configuration.tenants().get(tenant)));
+        tenantCount = settings.tenants() ? configuration.tenants().size() : 0;
+        for (int tenant = 0; tenant < tenantCount; tenant++) {
+            limits.add(newTenantLimit(tenant, configuration.tenants().get(tenant)));
         }
-        long longestUse = longestTimeout(configuration);
-        firstServer = addServers("server ", settings.attemptsPerServer(), longestUse);
-        firstSlowStartServer = addServers("cold server ", settings.slowStartAttemptsPerServer(), longestUse);
-        retries = addRate("second sends", settings.retriesPerSecond());
-        healthChecks = addRate("probes", settings.healthChecksPerSecond());
+        long maxHoldTime = longestTimeout(configuration);
+        firstServerLimit = addServers("server ", settings.attemptsPerServer(), maxHoldTime);
+        firstSlowStartServerLimit = addServers("cold server ", settings.slowStartAttemptsPerServer(), maxHoldTime);
+        retryLimit = addRate("second sends", settings.retriesPerSecond());
+        healthCheckLimit = addRate("probes", settings.healthChecksPerSecond());
     }
 
-    private static SharedLimit tenantLimit(int number, Tenant tenant) {
+    private static SharedLimit newTenantLimit(int number, Tenant tenant) {
         int capacity = (int) Math.min(SharedLimit.MAX_CAPACITY, tenant.requestsPerSecond());
         return new SharedLimit("tenant " + number, Kind.RATE, capacity, TICKS_PER_SECOND);
     }
@@ -53,15 +53,15 @@
                 .orElse(TICKS_PER_SECOND);
     }
 
-    private OptionalInt addServers(String namePrefix, int capacity, long longestUse) {
+    private OptionalInt addServers(String namePrefix, int capacity, long maxHoldTime) {
         if (capacity == 0) {
             return OptionalInt.empty();
         }
-        int first = limits.size();
+        int firstLimit = limits.size();
         for (int slot = 0; slot < settings.serverSlots(); slot++) {
-            limits.add(new SharedLimit(namePrefix + slot, Kind.CONCURRENCY, capacity, longestUse));
+            limits.add(new SharedLimit(namePrefix + slot, Kind.CONCURRENCY, capacity, maxHoldTime));
         }
-        return OptionalInt.of(first);
+        return OptionalInt.of(firstLimit);
     }
 
     private OptionalInt addRate(String name, int capacity) {
@@ -79,43 +79,43 @@
 
     /** Returns whether the request rates of tenants are shared. */
     boolean sharesTenants() {
-        return tenants > 0;
+        return tenantCount > 0;
     }
 
     /** Returns the limit on the request rate of a tenant. */
-    OptionalInt tenant(TenantId tenant) {
-        return tenant.index() < tenants ? OptionalInt.of(tenant.index()) : OptionalInt.empty();
+    OptionalInt tenantLimit(TenantId tenant) {
+        return tenant.index() < tenantCount ? OptionalInt.of(tenant.index()) : OptionalInt.empty();
     }
 
     /** Returns whether attempts in flight at a server are limited by quota. */
     boolean sharesAttempts() {
-        return firstServer.isPresent();
+        return firstServerLimit.isPresent();
     }
 
     /** Returns the limit on attempts in flight at the server of a given number. */
-    OptionalInt attempts(int server) {
-        return slot(firstServer, server);
+    OptionalInt attemptLimit(int server) {
+        return limitOfSlot(firstServerLimit, server);
     }
 
     /** Returns the limit on attempts in flight at the server of a given number while it is in slow start. */
-    OptionalInt slowStartAttempts(int server) {
-        return slot(firstSlowStartServer, server);
+    OptionalInt slowStartAttemptLimit(int server) {
+        return limitOfSlot(firstSlowStartServerLimit, server);
     }
 
-    private OptionalInt slot(OptionalInt first, int server) {
-        if (first.isEmpty()) {
-            return first;
+    private OptionalInt limitOfSlot(OptionalInt firstLimit, int server) {
+        if (firstLimit.isEmpty()) {
+            return firstLimit;
         }
-        return OptionalInt.of(first.getAsInt() + Math.floorMod(server, settings.serverSlots()));
+        return OptionalInt.of(firstLimit.getAsInt() + Math.floorMod(server, settings.serverSlots()));
     }
 
     /** Returns the limit on the rate of retries and hedges. */
-    OptionalInt retries() {
-        return retries;
+    OptionalInt retryLimit() {
+        return retryLimit;
     }
 
     /** Returns the limit on the rate of health checks. */
-    OptionalInt healthChecks() {
-        return healthChecks;
+    OptionalInt healthCheckLimit() {
+        return healthCheckLimit;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/SharedQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedQuota.java
@@ -30,12 +30,12 @@
         this.clock = clock;
     }
 
-    private OptionalInt attempts(ServerId server) {
-        return limits.attempts(ServerHash.of(server));
+    private OptionalInt attemptLimit(ServerId server) {
+        return limits.attemptLimit(ServerHash.of(server));
     }
 
-    private OptionalInt slowStartAttempts(ServerId server, boolean inSlowStart) {
-        return inSlowStart ? limits.slowStartAttempts(ServerHash.of(server)) : OptionalInt.empty();
+    private OptionalInt slowStartAttemptLimit(ServerId server, boolean inSlowStart) {
+        return inSlowStart ? limits.slowStartAttemptLimit(ServerHash.of(server)) : OptionalInt.empty();
     }
 
     private boolean canUse(long now, OptionalInt limit) {
@@ -57,12 +57,12 @@
     @Override
     public boolean tryAcquireRequest(long now, TenantId tenant) {
         boolean acquiredUnshared = unshared.tryAcquireRequest(now, tenant);
-        return limits.sharesTenants() ? tryAcquire(limits.tenant(tenant)) : acquiredUnshared;
+        return limits.sharesTenants() ? tryAcquire(limits.tenantLimit(tenant)) : acquiredUnshared;
     }
 
     @Override
     public long retryAfter(long now, TenantId tenant) {
-        OptionalInt limit = limits.tenant(tenant);
+        OptionalInt limit = limits.tenantLimit(tenant);
         return limit.isEmpty() ? 0 : protocol.retryAfter(clock.getAsLong(), limit.getAsInt());
     }
 
@@ -74,16 +74,16 @@
     @Override
     public boolean hasAttempt(ServerId server, boolean inSlowStart) {
         long now = clock.getAsLong();
-        return canUse(now, attempts(server)) && canUse(now, slowStartAttempts(server, inSlowStart));
+        return canUse(now, attemptLimit(server)) && canUse(now, slowStartAttemptLimit(server, inSlowStart));
     }
 
     @Override
     public boolean tryAcquireAttempt(ServerId server, boolean inSlowStart) {
-        if (!tryAcquire(attempts(server))) {
+        if (!tryAcquire(attemptLimit(server))) {
             return false;
         }
-        if (!tryAcquire(slowStartAttempts(server, inSlowStart))) {
-            release(attempts(server));
+        if (!tryAcquire(slowStartAttemptLimit(server, inSlowStart))) {
+            release(attemptLimit(server));
             return false;
         }
         return true;
@@ -91,26 +91,26 @@
 
     @Override
     public void releaseAttempt(ServerId server, boolean inSlowStart) {
-        release(attempts(server));
-        release(slowStartAttempts(server, inSlowStart));
+        release(attemptLimit(server));
+        release(slowStartAttemptLimit(server, inSlowStart));
     }
 
     /** Where retries are shared, the retries that the router has reserved are ignored. */
     @Override
     public boolean hasRetry(int reserved) {
-        OptionalInt limit = limits.retries();
+        OptionalInt limit = limits.retryLimit();
         return limit.isEmpty() ? unshared.hasRetry(reserved) : canUse(clock.getAsLong(), limit);
     }
 
     @Override
     public boolean tryAcquireRetry() {
-        OptionalInt limit = limits.retries();
+        OptionalInt limit = limits.retryLimit();
         return limit.isEmpty() ? unshared.tryAcquireRetry() : tryAcquire(limit);
     }
 
     @Override
     public boolean tryAcquireHealthCheck(HealthCheckReason reason) {
-        OptionalInt limit = limits.healthChecks();
+        OptionalInt limit = limits.healthCheckLimit();
         return limit.isEmpty() ? unshared.tryAcquireHealthCheck(reason) : tryAcquire(limit);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/SubLease.java
+++ b/gateway/src/main/java/ploverdale/quota/SubLease.java
@@ -4,41 +4,41 @@
 
 /**
  * A sub-lease as seen by its lender: units of a partition that are lent to a borrower. The units are not free before
- * {@link #endsAt}, when the borrower can no longer use any of them.
+ * {@link #outstandingUntil}, when the borrower can no longer use any of them.
  *
  * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe.
  */
 final class SubLease {
     /** Number of sub-leases that stand for units withdrawn by a renewal; no message of a borrower refers to it. */
-    private static final int WITHDRAWN = 0;
+    private static final int WITHDRAWN_NUMBER = 0;
 
     private final Peer borrower;
     private final int number;
     private final int[] units;
-    private long endsAt;
+    private long outstandingUntil;
 
     /**
      * Creates a sub-lease.
      *
      * @param number assigned by the lender
      * @param units by limit; copied
-     * @param endsAt when the borrower can no longer use any of the units
+     * @param outstandingUntil when the borrower can no longer use any of the units
      */
-    SubLease(Peer borrower, int number, int[] units, long endsAt) {
+    SubLease(Peer borrower, int number, int[] units, long outstandingUntil) {
         this.borrower = borrower;
         this.number = number;
         this.units = units.clone();
-        this.endsAt = endsAt;
+        this.outstandingUntil = outstandingUntil;
     }
 
     /** Returns whether this is the sub-lease of a given borrower with a given number. */
-    boolean is(Peer otherBorrower, int otherNumber) {
+    boolean matches(Peer otherBorrower, int otherNumber) {
         return number == otherNumber && borrower.equals(otherBorrower);
     }
 
     /** Returns whether units of the sub-lease may still be in use. */
     boolean isOutstanding(long now) {
-        return now < endsAt;
+        return now < outstandingUntil;
     }
 
     /** Returns the units of a limit. */
@@ -50,20 +50,20 @@
      * Renews the sub-lease, possibly with fewer units. Units that are withdrawn may be in use until the former end.
      *
      * @param keptUnits by limit; no more than the sub-lease has
-     * @param newEnd when the borrower can no longer use any of the kept units
+     * @param newOutstandingUntil when the borrower can no longer use any of the kept units
      * @return a sub-lease of the withdrawn units until the former end, or empty where none were withdrawn
      */
-    Optional<SubLease> renew(int[] keptUnits, long newEnd) {
+    Optional<SubLease> renew(int[] keptUnits, long newOutstandingUntil) {
         int[] withdrawn = new int[units.length];
-        boolean any = false;
+        boolean anyWithdrawn = false;
         for (int limit = 0; limit < units.length; limit++) {
             withdrawn[limit] = units[limit] - keptUnits[limit];
-            any |= withdrawn[limit] > 0;
+            anyWithdrawn |= withdrawn[limit] > 0;
             units[limit] = keptUnits[limit];
         }
-        SubLease rest = new SubLease(borrower, WITHDRAWN, withdrawn, endsAt);
-        endsAt = newEnd;
-        return any ? Optional.of(rest) : Optional.empty();
+        SubLease withdrawnSubLease = new SubLease(borrower, WITHDRAWN_NUMBER, withdrawn, outstandingUntil);
+        outstandingUntil = newOutstandingUntil;
+        return anyWithdrawn ? Optional.of(withdrawnSubLease) : Optional.empty();
     }
 
     /** Records that the borrower neither uses nor acquires more than {@code keptUnits} of a limit from now on. */
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -37,9 +37,9 @@
     /**
      * A request for units that was not answered yet.
      *
-     * @param renewed key of the sub-lease to renew; empty where a new one was requested
+     * @param renewedKey key of the sub-lease to renew; empty where a new one was requested
      */
-    private record PendingRequest(int lender, long sentAt, OptionalInt renewed) {}
+    private record PendingRequest(int lender, long sentAt, OptionalInt renewedKey) {}
 
     private final int self;
     private final QuotaAllocation allocation;
@@ -51,7 +51,7 @@
     private final Map<Integer, PendingRequest> pendingRequests = new LinkedHashMap<>(); // by request number
     /** By lender: when it granted its latest new sub-lease; absent where that sub-lease had no units. */
     private final Map<Integer, Long> lastGrantAt = new HashMap<>();
-    private long requestedAt;
+    private long lastRequestAt;
 
     /**
      * Creates a borrower without sub-leases.
@@ -88,33 +88,33 @@
             returnIdleUnits(now, subLease, out);
             renewIfDue(now, key, subLease, out);
         });
-        if (now - requestedAt >= REQUEST_INTERVAL_TICKS) {
-            requestedAt = now;
+        if (now - lastRequestAt >= REQUEST_INTERVAL_TICKS) {
+            lastRequestAt = now;
             requestMissingUnits(now, alive, out);
         }
     }
 
     private void requestMissingUnits(long now, IntPredicate alive, PacketQueue out) {
-        int[] missing = new int[ledger.size()];
-        boolean any = false;
+        int[] missing = new int[ledger.limitCount()];
+        boolean anyMissing = false;
         for (int limit = 0; limit < missing.length; limit++) {
             missing[limit] = ledger.missing(now, limit);
-            any |= missing[limit] > 0;
+            anyMissing |= missing[limit] > 0;
         }
-        if (!any || recentRequests(now) >= MAX_LENDERS_PER_INTERVAL) {
+        if (!anyMissing || recentRequests(now) >= MAX_LENDERS_PER_INTERVAL) {
             return;
         }
         for (int lender : chooseLenders(alive)) {
             int number = requestNumbers.getAsInt();
             pendingRequests.put(number, new PendingRequest(lender, now, OptionalInt.empty()));
-            UnitRequest request = new UnitRequest(number, QuotaMessage.NEW_SUB_LEASE, UnitCounts.positive(missing));
+            UnitRequest request = new UnitRequest(number, QuotaMessage.NEW_SUB_LEASE, UnitCounts.ofPositive(missing));
             out.add(lender, QuotaMessageCodec.encode(request));
         }
     }
 
     private long recentRequests(long now) {
         return pendingRequests.values().stream()
-                .filter(request -> request.renewed.isEmpty() && now - request.sentAt < REQUEST_INTERVAL_TICKS)
+                .filter(request -> request.renewedKey.isEmpty() && now - request.sentAt < REQUEST_INTERVAL_TICKS)
                 .count();
     }
 
@@ -123,19 +123,19 @@
      * random other gateways that are alive.
      */
     private List<Integer> chooseLenders(IntPredicate alive) {
-        List<Integer> others = new ArrayList<>();
+        List<Integer> candidates = new ArrayList<>();
         for (int gateway = 0; gateway < allocation.gateways(); gateway++) {
             if (gateway != self && alive.test(gateway)) {
-                others.add(gateway);
+                candidates.add(gateway);
             }
         }
         List<Integer> chosen = new ArrayList<>();
-        latestLender(others).ifPresent(lender -> {
+        latestLender(candidates).ifPresent(lender -> {
             chosen.add(lender);
-            others.remove(lender);
+            candidates.remove(lender);
         });
-        while (chosen.size() < MAX_LENDERS_PER_INTERVAL && !others.isEmpty()) {
-            chosen.add(others.remove(random.nextInt(others.size())));
+        while (chosen.size() < MAX_LENDERS_PER_INTERVAL && !candidates.isEmpty()) {
+            chosen.add(candidates.remove(random.nextInt(candidates.size())));
         }
         return chosen;
     }
@@ -161,15 +161,15 @@
         if (expiresAt <= now) {
             return;
         }
-        int[] units = new int[ledger.size()];
+        int[] units = new int[ledger.limitCount()];
         for (int limit = 0; limit < units.length; limit++) {
             units[limit] = grant.units().get(limit);
         }
-        if (request.renewed.isEmpty()) {
+        if (request.renewedKey.isEmpty()) {
             addSubLease(now, new BorrowedUnits(lender, grant.subLease(), units, expiresAt, now));
             return;
         }
-        BorrowedUnits subLease = subLeases.get(request.renewed.getAsInt());
+        BorrowedUnits subLease = subLeases.get(request.renewedKey.getAsInt());
         if (subLease != null && subLease.number() == grant.subLease()) {
             subLease.renew(units, expiresAt);
             updateLedger(now, subLease);
@@ -187,8 +187,8 @@
     }
 
     private void updateLedger(long now, BorrowedUnits subLease) {
-        for (int limit = 0; limit < ledger.size(); limit++) {
-            ledger.of(limit).set(now, subLease, subLease.units(limit), subLease.expiresAt());
+        for (int limit = 0; limit < ledger.limitCount(); limit++) {
+            ledger.of(limit).setUnits(now, subLease, subLease.units(limit), subLease.expiresAt());
         }
     }
 
@@ -222,7 +222,7 @@
             subLease.reduceTo(limit, kept[limit]);
         }
         updateLedger(now, subLease); // before the message is queued: returned units must not be acquired here any more
-        UnitReturn message = new UnitReturn(subLease.number(), UnitCounts.all(kept));
+        UnitReturn message = new UnitReturn(subLease.number(), UnitCounts.ofAllLimits(kept));
         out.add(subLease.lender(), QuotaMessageCodec.encode(message));
     }
 
@@ -239,7 +239,7 @@
         int number = requestNumbers.getAsInt();
         subLease.startRenewal(number);
         pendingRequests.put(number, new PendingRequest(subLease.lender(), now, OptionalInt.of(key)));
-        UnitRequest request = new UnitRequest(number, subLease.number(), UnitCounts.positive(subLease.allUnits()));
+        UnitRequest request = new UnitRequest(number, subLease.number(), UnitCounts.ofPositive(subLease.allUnits()));
         out.add(subLease.lender(), QuotaMessageCodec.encode(request));
     }
 
--- a/gateway/src/main/java/ploverdale/quota/UnitCounts.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitCounts.java
@@ -23,7 +23,7 @@
      *
      * @param units by limit
      */
-    static UnitCounts all(int[] units) {
+    static UnitCounts ofAllLimits(int[] units) {
         return atLeast(0, units);
     }
 
@@ -32,14 +32,14 @@
      *
      * @param units by limit
      */
-    static UnitCounts positive(int[] units) {
+    static UnitCounts ofPositive(int[] units) {
         return atLeast(1, units);
     }
 
-    private static UnitCounts atLeast(int least, int[] units) {
+    private static UnitCounts atLeast(int minCount, int[] units) {
         SortedMap<Integer, Integer> byLimit = new TreeMap<>();
         for (int limit = 0; limit < units.length; limit++) {
-            if (units[limit] >= least) {
+            if (units[limit] >= minCount) {
                 byLimit.put(limit, units[limit]);
             }
         }
--- a/gateway/src/main/java/ploverdale/quota/UnitLedger.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLedger.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns the number of limits. */
-    int size() {
+    int limitCount() {
         return byLimit.size();
     }
 
@@ -29,9 +29,9 @@
     }
 
     /** Removes all units that come from a source. */
-    void remove(long now, UnitSource source) {
+    void removeSource(long now, UnitSource source) {
         for (HeldUnits units : byLimit) {
-            units.set(now, source, 0, now);
+            units.setUnits(now, source, 0, now);
         }
     }
 
--- a/gateway/src/main/java/ploverdale/quota/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -17,7 +17,7 @@
 final class UnitLender {
     private final LeaseHolder leaseHolder;
     private final UnitLedger ledger;
-    private int lastSubLease = QuotaMessage.NEW_SUB_LEASE;
+    private int lastSubLeaseNumber = QuotaMessage.NEW_SUB_LEASE;
 
     UnitLender(LeaseHolder leaseHolder, UnitLedger ledger) {
         this.leaseHolder = leaseHolder;
@@ -43,17 +43,17 @@
         for (LeasePartition partition : leaseHolder.partitions()) {
             int[] granted = grantableUnits(context.now(), partition, request.units());
             if (Arrays.stream(granted).anyMatch(units -> units > 0)) {
-                lastSubLease++;
-                partition.grantSubLease(context.now(), context.sender(), lastSubLease, granted);
+                lastSubLeaseNumber++;
+                partition.grantSubLease(context.now(), context.sender(), lastSubLeaseNumber, granted);
                 leaseHolder.updateLedger(context.now());
-                reply(context, request, lastSubLease, granted);
+                reply(context, request, lastSubLeaseNumber, granted);
                 return;
             }
         }
     }
 
     private int[] grantableUnits(long now, LeasePartition partition, UnitCounts requested) {
-        int[] granted = new int[ledger.size()];
+        int[] granted = new int[ledger.limitCount()];
         if (!partition.isServing(now)) {
             return granted;
         }
@@ -84,7 +84,7 @@
      * this gateway lacks units of the limit itself.
      */
     private int[] keptUnits(long now, SubLease subLease, UnitCounts requested) {
-        int[] kept = new int[ledger.size()];
+        int[] kept = new int[ledger.limitCount()];
         for (int limit = 0; limit < kept.length; limit++) {
             int lent = subLease.units(limit);
             int missing = Math.max(0, -ledger.spare(now, limit));
@@ -96,7 +96,7 @@
 
     private static void reply(MessageContext context, UnitRequest request, int subLease, int[] units) {
         UnitGrant grant =
-                new UnitGrant(context.sender().epoch(), request.request(), subLease, UnitCounts.positive(units));
+                new UnitGrant(context.sender().epoch(), request.request(), subLease, UnitCounts.ofPositive(units));
         context.reply(QuotaMessageCodec.encode(grant));
     }
 
@@ -109,7 +109,7 @@
             partition
                     .findSubLease(context.now(), context.sender(), message.subLease())
                     .ifPresent(subLease -> message.keptUnits().byLimit().forEach((limit, kept) -> {
-                        if (limit < ledger.size()) {
+                        if (limit < ledger.limitCount()) {
                             subLease.reduceTo(limit, kept);
                         }
                     }));
--- a/gateway/src/test/java/ploverdale/quota/HeldUnitsTest.java
+++ b/gateway/src/test/java/ploverdale/quota/HeldUnitsTest.java
@@ -24,7 +24,7 @@
 
     @Test
     void newUnitsOfARateBringNoTokensAndAccumulateForTheHoldTimeAtMost() {
-        rate.set(0, GUARANTEED, 10, Long.MAX_VALUE);
+        rate.setUnits(0, GUARANTEED, 10, Long.MAX_VALUE);
         assertThat(acquire(rate, 0)).isZero();
         assertThat(acquire(rate, SECOND / 2)).isEqualTo(5);
         assertThat(acquire(rate, 10 * SECOND)).isEqualTo(10);
@@ -32,25 +32,25 @@
 
     @Test
     void tokensGoWithTheUnitsThatEarnedThem() {
-        rate.set(0, GUARANTEED, 4, Long.MAX_VALUE);
-        rate.set(0, LEASE, 6, Long.MAX_VALUE);
-        rate.set(SECOND, LEASE, 0, SECOND);
+        rate.setUnits(0, GUARANTEED, 4, Long.MAX_VALUE);
+        rate.setUnits(0, LEASE, 6, Long.MAX_VALUE);
+        rate.setUnits(SECOND, LEASE, 0, SECOND);
         assertThat(acquire(rate, SECOND)).isEqualTo(4);
     }
 
     @Test
     void unitsThatExpireDoSoAtTheirOwnTimeHoweverLateTheNextAccessIs() {
-        rate.set(0, GUARANTEED, 2, Long.MAX_VALUE);
-        rate.set(0, LEASE, 8, SECOND / 2);
+        rate.setUnits(0, GUARANTEED, 2, Long.MAX_VALUE);
+        rate.setUnits(0, LEASE, 8, SECOND / 2);
         assertThat(acquire(rate, SECOND)).isEqualTo(2);
-        concurrency.set(0, LEASE, 8, SECOND);
+        concurrency.setUnits(0, LEASE, 8, SECOND);
         assertThat(concurrency.units(SECOND - 1)).isEqualTo(8);
         assertThat(concurrency.tryAcquire(SECOND)).isFalse();
     }
 
     @Test
     void unitsOfConcurrencyAreInUseUntilTheyAreReleased() {
-        concurrency.set(0, GUARANTEED, 2, Long.MAX_VALUE);
+        concurrency.setUnits(0, GUARANTEED, 2, Long.MAX_VALUE);
         assertThat(acquire(concurrency, 0)).isEqualTo(2);
         assertThat(concurrency.canUse(SECOND)).isFalse();
         concurrency.release();
@@ -60,7 +60,7 @@
 
     @Test
     void rejectedAttemptsCountAsDemandThatDecays() {
-        concurrency.set(0, GUARANTEED, 2, Long.MAX_VALUE);
+        concurrency.setUnits(0, GUARANTEED, 2, Long.MAX_VALUE);
         acquire(concurrency, 0);
         assertThat(concurrency.demand(0)).isEqualTo(3);
         assertThat(concurrency.rejected()).isEqualTo(1);
@@ -69,7 +69,7 @@
 
     @Test
     void aRateIsRetriedAtTheNextTokenAndConcurrencyAfterAShareOfTheLongestUse() {
-        rate.set(0, GUARANTEED, 10, Long.MAX_VALUE);
+        rate.setUnits(0, GUARANTEED, 10, Long.MAX_VALUE);
         assertThat(rate.retryAfter(0)).isEqualTo(SECOND / 10);
         assertThat(rate.retryAfter(SECOND / 20)).isEqualTo(SECOND / 20);
         assertThat(concurrency.retryAfter(0)).isEqualTo(SECOND);
--- a/gateway/src/test/java/ploverdale/quota/LeasePartitionTest.java
+++ b/gateway/src/test/java/ploverdale/quota/LeasePartitionTest.java
@@ -8,13 +8,13 @@
 /** The state of a lease: each transition of the table of {@link LeasePartition.State}, and what must not cause one. */
 class LeasePartitionTest {
     private static final LeaseDurations DURATIONS = new LeaseDurations(3_000, 2_000, 0.05);
-    private static final long LONGEST_USE = 500;
-    private static final long QUARANTINE = DURATIONS.grantorTerm(2_000) + DURATIONS.grantorTerm(LONGEST_USE);
+    private static final long MAX_HOLD_TIME = 500;
+    private static final long QUARANTINE = DURATIONS.grantorTerm(2_000) + DURATIONS.grantorTerm(MAX_HOLD_TIME);
     private static final int MAJORITY = 2;
     private static final long START = 10_000;
     private static final Peer BORROWER = new Peer(4, 7);
 
-    private final LeasePartition partition = new LeasePartition(0, DURATIONS, LONGEST_USE);
+    private final LeasePartition partition = new LeasePartition(0, DURATIONS, MAX_HOLD_TIME);
     private int lastRound;
 
     /** A round that a majority grants at once. */
--- a/gateway/src/test/java/ploverdale/quota/QuotaMessageCodecTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaMessageCodecTest.java
@@ -9,7 +9,7 @@
 /** What is encoded is decoded again; the bytes themselves are in {@link QuotaWireFormatTest}. */
 class QuotaMessageCodecTest {
     private static final long EPOCH = 0xFEDCBA9876543210L;
-    private static final UnitCounts UNITS = UnitCounts.all(new int[] {3, 0, 65_535});
+    private static final UnitCounts UNITS = UnitCounts.ofAllLimits(new int[] {3, 0, 65_535});
 
     private static <T extends QuotaMessage> T decode(Part part, Class<T> kind) {
         assertThat(QuotaMessageCodec.decode(part)).get().isInstanceOf(kind);
--- a/gateway/src/test/java/ploverdale/quota/QuotaProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaProtocolTest.java
@@ -18,13 +18,13 @@
     private static final int CAPACITY = 24;
     private static final int ENTITLEMENT = CAPACITY / GATEWAYS;
     private static final int GUARANTEED = ENTITLEMENT / 2;
-    private static final long LONGEST_USE = 500;
+    private static final long MAX_HOLD_TIME = 500;
     private static final long TICK = 100;
     private static final LeaseDurations DURATIONS = new LeaseDurations(3_000, 2_000, 0.05);
     private static final long SETTLED = 4 * DURATIONS.partitionGrantorTerm();
 
     private final QuotaAllocation allocation = new QuotaAllocation(
-            List.of(new SharedLimit("limit", SharedLimit.Kind.CONCURRENCY, CAPACITY, LONGEST_USE)), GATEWAYS, 0.5);
+            List.of(new SharedLimit("limit", SharedLimit.Kind.CONCURRENCY, CAPACITY, MAX_HOLD_TIME)), GATEWAYS, 0.5);
     private final List<QuotaProtocol> gateways = new ArrayList<>();
     private final boolean[] absent = new boolean[GATEWAYS];
     private long now = 10_000;
--- a/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
@@ -24,16 +24,16 @@
 
     private static Part unitRequest(int request, int renewedSubLease, int[] units) {
         return QuotaMessageCodec.encode(
-                new QuotaMessage.UnitRequest(request, renewedSubLease, UnitCounts.positive(units)));
+                new QuotaMessage.UnitRequest(request, renewedSubLease, UnitCounts.ofPositive(units)));
     }
 
     private static Part unitGrant(long epoch, int request, int subLease, int[] units) {
         return QuotaMessageCodec.encode(
-                new QuotaMessage.UnitGrant(epoch, request, subLease, UnitCounts.positive(units)));
+                new QuotaMessage.UnitGrant(epoch, request, subLease, UnitCounts.ofPositive(units)));
     }
 
     private static Part unitReturn(int subLease, int[] units) {
-        return QuotaMessageCodec.encode(new QuotaMessage.UnitReturn(subLease, UnitCounts.all(units)));
+        return QuotaMessageCodec.encode(new QuotaMessage.UnitReturn(subLease, UnitCounts.ofAllLimits(units)));
     }
 
     private static String hex(Part part) {
