--- a/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaSettings.java
@@ -19,8 +19,8 @@
         double bytesPerSecond,
         ReplicationSettings replication) {
     /** Returns whether gateways share any limit or replicate entries. */
-    public boolean any() {
-        return limits.any() || replication != null;
+    public boolean hasSharedState() {
+        return limits.hasSharedLimits() || replication != null;
     }
 
     /** Returns the allocation of the shared limits to the gateways of a configuration. */
--- a/gateway/src/main/java/ploverdale/quota/SharedLimitSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitSettings.java
@@ -19,7 +19,7 @@
         int retriesPerSecond,
         int healthChecksPerSecond) {
     /** Returns whether any limit is shared. */
-    boolean any() {
+    boolean hasSharedLimits() {
         return tenants || attemptsPerServer + slowStartAttemptsPerServer + retriesPerSecond + healthChecksPerSecond > 0;
     }
 }
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -62,7 +62,7 @@
         JsonFields fields = JsonFields.parse(SOURCE, text);
         fields.allowOnly(FIELDS);
         QuotaSettings settings = quotaSettings(fields);
-        if (!settings.any()) {
+        if (!settings.hasSharedState()) {
             throw new InvalidSettingsException(
                     SOURCE + " with nothing to divide or keep: none of the fields tenants, sends_at_server, "
                             + "cold_sends_at_server, second_sends_per_second, probes_per_second, sessions and submits");
