--- a/gateway/src/test/java/ploverdale/quota/HeldUnitsTest.java
+++ b/gateway/src/test/java/ploverdale/quota/HeldUnitsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What may be acquired of the units of one limit, as sources are added, shrink and expire. */
+/** Tests how many units of one limit can be acquired as sources of units are added, shrink and expire. */
 class HeldUnitsTest {
     private static final long SECOND = 10_000;
     private static final UnitSource GUARANTEED = UnitSource.Guaranteed.INSTANCE;
@@ -14,7 +14,7 @@
     private final HeldUnits concurrency =
             new HeldUnits(new SharedLimit("concurrency", SharedLimit.Kind.CONCURRENCY, 100, 4 * SECOND), 0);
 
-    private static int acquire(HeldUnits units, long now) {
+    private static int acquireAll(HeldUnits units, long now) {
         int count = 0;
         while (count < 1_000 && units.tryAcquire(now)) {
             count++;
@@ -23,35 +23,35 @@
     }
 
     @Test
-    void newUnitsOfARateBringNoTokensAndAccumulateForTheHoldTimeAtMost() {
+    void newUnitsOfARateStartWithoutTokensAndAccumulateThemForAtMostTheHoldTime() {
         rate.setUnits(0, GUARANTEED, 10, Long.MAX_VALUE);
-        assertThat(acquire(rate, 0)).isZero();
-        assertThat(acquire(rate, SECOND / 2)).isEqualTo(5);
-        assertThat(acquire(rate, 10 * SECOND)).isEqualTo(10);
+        assertThat(acquireAll(rate, 0)).isZero();
+        assertThat(acquireAll(rate, SECOND / 2)).isEqualTo(5);
+        assertThat(acquireAll(rate, 10 * SECOND)).isEqualTo(10);
     }
 
     @Test
-    void tokensGoWithTheUnitsThatEarnedThem() {
+    void tokensAreLostWithTheUnitsForWhichTheyAccumulated() {
         rate.setUnits(0, GUARANTEED, 4, Long.MAX_VALUE);
         rate.setUnits(0, LEASE, 6, Long.MAX_VALUE);
         rate.setUnits(SECOND, LEASE, 0, SECOND);
-        assertThat(acquire(rate, SECOND)).isEqualTo(4);
+        assertThat(acquireAll(rate, SECOND)).isEqualTo(4);
     }
 
     @Test
-    void unitsThatExpireDoSoAtTheirOwnTimeHoweverLateTheNextAccessIs() {
+    void unitsExpireAtTheirOwnTimeEvenIfTheNextAccessIsLater() {
         rate.setUnits(0, GUARANTEED, 2, Long.MAX_VALUE);
         rate.setUnits(0, LEASE, 8, SECOND / 2);
-        assertThat(acquire(rate, SECOND)).isEqualTo(2);
+        assertThat(acquireAll(rate, SECOND)).isEqualTo(2);
         concurrency.setUnits(0, LEASE, 8, SECOND);
         assertThat(concurrency.units(SECOND - 1)).isEqualTo(8);
         assertThat(concurrency.tryAcquire(SECOND)).isFalse();
     }
 
     @Test
-    void unitsOfConcurrencyAreInUseUntilTheyAreReleased() {
+    void unitsOfAConcurrencyLimitAreInUseUntilReleased() {
         concurrency.setUnits(0, GUARANTEED, 2, Long.MAX_VALUE);
-        assertThat(acquire(concurrency, 0)).isEqualTo(2);
+        assertThat(acquireAll(concurrency, 0)).isEqualTo(2);
         assertThat(concurrency.canUse(SECOND)).isFalse();
         concurrency.release();
         assertThat(concurrency.canUse(SECOND)).isTrue();
@@ -59,16 +59,16 @@
     }
 
     @Test
-    void rejectedAttemptsCountAsDemandThatDecays() {
+    void rejectedAcquisitionsCountAsDemandAndTheDemandDecays() {
         concurrency.setUnits(0, GUARANTEED, 2, Long.MAX_VALUE);
-        acquire(concurrency, 0);
+        acquireAll(concurrency, 0);
         assertThat(concurrency.demand(0)).isEqualTo(3);
         assertThat(concurrency.rejected()).isEqualTo(1);
         assertThat(concurrency.demand(10 * SECOND)).isZero();
     }
 
     @Test
-    void aRateIsRetriedAtTheNextTokenAndConcurrencyAfterAShareOfTheLongestUse() {
+    void retryAfterIsTheNextTokenOfARateAndAFractionOfTheHoldTimeOfAConcurrencyLimit() {
         rate.setUnits(0, GUARANTEED, 10, Long.MAX_VALUE);
         assertThat(rate.retryAfter(0)).isEqualTo(SECOND / 10);
         assertThat(rate.retryAfter(SECOND / 20)).isEqualTo(SECOND / 20);
--- a/gateway/src/test/java/ploverdale/quota/QuotaMessageCodecTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaMessageCodecTest.java
@@ -6,18 +6,18 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.membership.Packet.Part;
 
-/** What is encoded is decoded again; the bytes themselves are in {@link QuotaWireFormatTest}. */
+/** Tests that decoding restores an encoded message; {@link QuotaWireFormatTest} checks the bytes. */
 class QuotaMessageCodecTest {
     private static final long EPOCH = 0xFEDCBA9876543210L;
     private static final UnitCounts UNITS = UnitCounts.ofAllLimits(new int[] {3, 0, 65_535});
 
-    private static <T extends QuotaMessage> T decode(Part part, Class<T> kind) {
-        assertThat(QuotaMessageCodec.decode(part)).get().isInstanceOf(kind);
-        return kind.cast(QuotaMessageCodec.decode(part).orElseThrow());
+    private static <T extends QuotaMessage> T decode(Part part, Class<T> messageType) {
+        assertThat(QuotaMessageCodec.decode(part)).get().isInstanceOf(messageType);
+        return messageType.cast(QuotaMessageCodec.decode(part).orElseThrow());
     }
 
     @Test
-    void messagesAboutLeases() {
+    void leaseMessagesAreDecodedAsEncoded() {
         QuotaMessage.LeaseRequest request = new QuotaMessage.LeaseRequest(65_535, -1);
         assertThat(QuotaMessageCodec.decode(QuotaMessageCodec.encode(request))).contains(request);
         QuotaMessage.LeaseGrant grant = new QuotaMessage.LeaseGrant(300, 7, EPOCH);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void messagesAboutUnits() {
+    void unitMessagesAreDecodedAsEncoded() {
         QuotaMessage.UnitRequest request = decode(
                 QuotaMessageCodec.encode(new QuotaMessage.UnitRequest(1, 2, UNITS)), QuotaMessage.UnitRequest.class);
         assertThat(request.request()).isEqualTo(1);
@@ -37,14 +37,14 @@
         assertThat(grant.request()).isEqualTo(1);
         assertThat(grant.subLease()).isEqualTo(2);
         assertThat(grant.units().byLimit()).isEqualTo(UNITS.byLimit());
-        QuotaMessage.UnitReturn returned =
+        QuotaMessage.UnitReturn unitReturn =
                 decode(QuotaMessageCodec.encode(new QuotaMessage.UnitReturn(2, UNITS)), QuotaMessage.UnitReturn.class);
-        assertThat(returned.subLease()).isEqualTo(2);
-        assertThat(returned.keptUnits().byLimit()).isEqualTo(UNITS.byLimit());
+        assertThat(unitReturn.subLease()).isEqualTo(2);
+        assertThat(unitReturn.keptUnits().byLimit()).isEqualTo(UNITS.byLimit());
     }
 
     @Test
-    void aLimitThatIsNotListedHasNoUnits() {
+    void limitsThatAreNotListedHaveNoUnits() {
         UnitCounts units = UnitCounts.of(Map.of(1, 0, 3, 5));
         assertThat(units.byLimit()).doesNotContainKey(0).containsKey(1);
         assertThat(units.get(0)).isZero();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void otherKindsAreNotDecoded() {
+    void partsOfOtherKindsAreNotDecoded() {
         assertThat(QuotaMessageCodec.decode(new Part(15, new byte[32]))).isEmpty();
         assertThat(QuotaMessageCodec.decode(new Part(21, new byte[32]))).isEmpty();
     }
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeLogTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeLogTest.java
@@ -13,7 +13,7 @@
 import ploverdale.model.ServerId;
 import ploverdale.model.Tenant;
 
-/** The log lines of two nodes word for word, since operators' tools match them. */
+/** Tests the exact log lines of two nodes, because tools of operators match them. */
 class QuotaNodeLogTest {
     private static final long SECOND = 10_000;
     private static final ServerId SERVER = new ServerId("s");
@@ -46,7 +46,8 @@
         return new QuotaNode(settings, configuration, 1, () -> now, () -> now);
     }
 
-    private void run(long duration) {
+    /** Ticks both nodes at the regular interval for a duration. */
+    private void runFor(long duration) {
         for (long end = now + duration; now < end; now += QuotaNode.TICK_INTERVAL) {
             for (int sender = 0; sender < nodes.size(); sender++) {
                 deliver(sender, nodes.get(sender).onTick());
@@ -54,6 +55,7 @@
         }
     }
 
+    /** Delivers packets and the packets sent in reply, unless the nodes are disconnected. */
     private void deliver(int sender, List<OutboundPacket> packets) {
         for (OutboundPacket packet : packets) {
             if (connected) {
@@ -64,10 +66,10 @@
     }
 
     @Test
-    void startAndModeAndMembership() {
+    void logsTheStartAndChangesOfModeAndMembership() {
         QuotaNode node = nodes.get(0);
         List<String> lines = new ArrayList<>(node.drainLogLines());
-        run(10 * SECOND);
+        runFor(10 * SECOND);
         lines.addAll(node.drainLogLines());
         assertThat(lines)
                 .containsExactly(
@@ -75,39 +77,39 @@
                         "fleet: n1 alive, 2 of 2 present",
                         "budgets: has its whole share of 3 budgets");
         connected = false;
-        run(10 * SECOND);
+        runFor(10 * SECOND);
         assertThat(node.drainLogLines())
                 .containsExactly("fleet: n1 suspected, 2 of 2 present", "fleet: n1 gone, 1 of 2 present");
     }
 
     @Test
-    void aGatewayThatShutsDown() {
-        run(SECOND);
+    void logsThatAPeerIsShuttingDown() {
+        runFor(SECOND);
         nodes.get(0).drainLogLines();
         nodes.get(1).leave();
-        run(SECOND);
+        runFor(SECOND);
         assertThat(nodes.get(0).drainLogLines()).containsExactly("fleet: n1 leaving, 1 of 2 present");
     }
 
     @Test
-    void packetsThatAreNotRead() {
+    void logsUnreadablePacketsAndPacketsOfAnotherAllocation() {
         QuotaNode node = nodes.get(0);
         node.drainLogLines();
         assertThat(node.onDatagram(1, new byte[] {(byte) 0xB2, 1})).contains(List.of());
         assertThat(node.drainLogLines()).containsExactly("parcels of the fleet not read: of n1, 2 bytes");
-        QuotaNode other = node(1, settings(20));
+        QuotaNode nodeWithOtherSettings = node(1, settings(20));
         now += SECOND;
-        other.onTick().forEach(packet -> node.onDatagram(1, packet.bytes()));
+        nodeWithOtherSettings.onTick().forEach(packet -> node.onDatagram(1, packet.bytes()));
         assertThat(node.drainLogLines()).contains("another division: n1 goes by e0fe27d5");
     }
 
     @Test
-    void statistics() {
-        run(10 * SECOND);
+    void statisticsLineListsUnitsDemandAndTraffic() {
+        runFor(10 * SECOND);
         while (nodes.get(0).quota().tryAcquireAttempt(SERVER, false)) {
             now++;
         }
-        run(SECOND / 4);
+        runFor(SECOND / 4);
         assertThat(nodes.get(0).statisticsLine())
                 .isEqualTo(
                         "budgets: holds 24 parts, 4 borrowed, 0 lent, 9 asked for, 10 in use, 1 refused since the start, "
--- a/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaNodeTest.java
@@ -16,7 +16,10 @@
 import ploverdale.model.Tenant;
 import ploverdale.model.TenantId;
 
-/** What the router may acquire of a gateway that is alone: it holds its lease partition once the quarantine is over. */
+/**
+ * Tests what the router can acquire at a single gateway, which holds its lease partition once the quarantine has
+ * ended.
+ */
 class QuotaNodeTest {
     private static final long SECOND = 10_000;
     private static final ServerId SERVER = new ServerId("s");
@@ -24,6 +27,7 @@
 
     private long now = SECOND;
 
+    /** Starts a node and advances the clock until all units are held and rates have accumulated tokens. */
     private Quota quotaAfterQuarantine(QuotaSettings settings) {
         RequestClass requestClass = new RequestClass(
                 5000,
@@ -55,7 +59,7 @@
                 () -> now);
         now += 20 * SECOND;
         node.onTick();
-        now += 2 * SECOND; // new units bring no tokens
+        now += 2 * SECOND; // tokens accumulate, since new units start without any
         return node.quota();
     }
 
@@ -69,7 +73,8 @@
                 null);
     }
 
-    private static int acquired(BooleanSupplier acquire) {
+    /** Acquires until a rejection; returns the number of acquisitions. */
+    private static int acquireAll(BooleanSupplier acquire) {
         int count = 0;
         while (count < 1000 && acquire.getAsBoolean()) {
             count++;
@@ -78,45 +83,45 @@
     }
 
     @Test
-    void retriesAndHealthChecksForAnyReasonAreTakenFromTheSharedLimit() {
+    void retriesAndHealthChecksForAnyReasonCountAgainstTheirSharedLimits() {
         Quota quota = quotaAfterQuarantine(settings(false, 0, 0, 10, 4));
-        assertThat(acquired(quota::tryAcquireRetry)).isEqualTo(10);
-        assertThat(acquired(() -> quota.tryAcquireHealthCheck(HealthCheckReason.SUSPICION)))
+        assertThat(acquireAll(quota::tryAcquireRetry)).isEqualTo(10);
+        assertThat(acquireAll(() -> quota.tryAcquireHealthCheck(HealthCheckReason.SUSPICION)))
                 .isEqualTo(4);
         assertThat(quota.tryAcquireHealthCheck(HealthCheckReason.ON_DEMAND)).isFalse();
         now += SECOND / 2;
-        assertThat(acquired(quota::tryAcquireRetry)).isEqualTo(5);
-        assertThat(acquired(() -> quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
+        assertThat(acquireAll(quota::tryAcquireRetry)).isEqualTo(5);
+        assertThat(acquireAll(() -> quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
                 .isEqualTo(2);
     }
 
     @Test
-    void retriesAndHealthChecksThatAreNotSharedAreFundedByRequests() {
+    void retriesAndHealthChecksThatAreNotSharedAreLimitedToAShareOfTheRequests() {
         Quota quota = quotaAfterQuarantine(settings(true, 0, 0, 0, 0));
         assertThat(quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)).isFalse();
         for (int i = 0; i < 5; i++) {
             quota.tryAcquireRequest(now, TENANT);
         }
-        assertThat(acquired(() -> quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
+        assertThat(acquireAll(() -> quota.tryAcquireHealthCheck(HealthCheckReason.PERIODIC)))
                 .isEqualTo(1);
-        assertThat(acquired(quota::tryAcquireRetry)).isEqualTo(40);
+        assertThat(acquireAll(quota::tryAcquireRetry)).isEqualTo(40);
     }
 
     @Test
-    void anAttemptDuringSlowStartTakesAUnitOfBothLimitsAndARejectedOneTakesNone() {
+    void anAttemptInSlowStartAcquiresAUnitOfBothLimitsAndARejectedOneAcquiresNone() {
         Quota quota = quotaAfterQuarantine(settings(false, 3, 1, 0, 0));
         assertThat(quota.tryAcquireAttempt(SERVER, true)).isTrue();
         assertThat(quota.hasAttempt(SERVER, true)).isFalse();
         assertThat(quota.tryAcquireAttempt(SERVER, true)).isFalse();
-        assertThat(acquired(() -> quota.tryAcquireAttempt(SERVER, false))).isEqualTo(2);
+        assertThat(acquireAll(() -> quota.tryAcquireAttempt(SERVER, false))).isEqualTo(2);
         quota.releaseAttempt(SERVER, true);
         assertThat(quota.tryAcquireAttempt(SERVER, true)).isTrue();
     }
 
     @Test
-    void aRejectedTenantIsAskedToRetryWhenTheNextUnitIsDue() {
+    void retryAfterOfARejectedTenantIsTheTimeUntilTheNextToken() {
         Quota quota = quotaAfterQuarantine(settings(true, 0, 0, 0, 0));
-        assertThat(acquired(() -> quota.tryAcquireRequest(now, TENANT))).isEqualTo(10);
+        assertThat(acquireAll(() -> quota.tryAcquireRequest(now, TENANT))).isEqualTo(10);
         assertThat(quota.retryAfter(now, TENANT)).isBetween(1L, SECOND / 10);
         now += quota.retryAfter(now, TENANT);
         assertThat(quota.tryAcquireRequest(now, TENANT)).isTrue();
--- a/gateway/src/test/java/ploverdale/quota/QuotaProtocolTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaProtocolTest.java
@@ -12,16 +12,19 @@
 import ploverdale.membership.PacketQueue;
 import ploverdale.quota.QuotaProtocol.Mode;
 
-/** Three gateways on a network without faults; faults are tried by the explorer and the fleet model of the tools. */
+/**
+ * Tests the protocol among three gateways on a network without faults. Its behaviour under faults is tested by the
+ * explorer and the fleet model of the tools module.
+ */
 class QuotaProtocolTest {
     private static final int GATEWAYS = 3;
     private static final int CAPACITY = 24;
     private static final int ENTITLEMENT = CAPACITY / GATEWAYS;
     private static final int GUARANTEED = ENTITLEMENT / 2;
     private static final long MAX_HOLD_TIME = 500;
-    private static final long TICK = 100;
+    private static final long TICK_INTERVAL = 100;
     private static final LeaseDurations DURATIONS = new LeaseDurations(3_000, 2_000, 0.05);
-    private static final long SETTLED = 4 * DURATIONS.partitionGrantorTerm();
+    private static final long SETTLING_TIME = 4 * DURATIONS.partitionGrantorTerm();
 
     private final QuotaAllocation allocation = new QuotaAllocation(
             List.of(new SharedLimit("limit", SharedLimit.Kind.CONCURRENCY, CAPACITY, MAX_HOLD_TIME)), GATEWAYS, 0.5);
@@ -40,8 +43,12 @@
         return 100 + gateway;
     }
 
-    private void run(long duration) {
-        for (long end = now + duration; now < end; now += TICK) {
+    /**
+     * Ticks the gateways that are present for a duration, and checks after each tick that the capacity is not
+     * exceeded.
+     */
+    private void runFor(long duration) {
+        for (long end = now + duration; now < end; now += TICK_INTERVAL) {
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
                 if (!absent[gateway]) {
                     PacketQueue out = new PacketQueue(1e9, now);
@@ -53,6 +60,7 @@
         }
     }
 
+    /** Delivers the queued messages and the replies to them. Messages to absent gateways are lost. */
     private void deliver(int sender, PacketQueue out) {
         for (PacketQueue.OutboundPacket packet : out.drain(now, 1, allocation.id())) {
             if (absent[packet.to()]) {
@@ -66,14 +74,14 @@
         }
     }
 
-    private int units(int gateway) {
+    private int unitsHeldBy(int gateway) {
         return gateways.get(gateway).heldUnits(now, 0);
     }
 
     private int totalUnits() {
         return IntStream.range(0, GATEWAYS)
                 .filter(gateway -> !absent[gateway])
-                .map(this::units)
+                .map(this::unitsHeldBy)
                 .sum();
     }
 
@@ -86,71 +94,71 @@
     }
 
     @Test
-    void startsWithGuaranteedUnitsAndHasItsEntitlementAfterTheQuarantine() {
-        run(DURATIONS.partitionGrantorTerm());
-        assertThat(units(0)).isEqualTo(GUARANTEED);
+    void startsWithGuaranteedUnitsAndHoldsItsEntitlementAfterTheQuarantine() {
+        runFor(DURATIONS.partitionGrantorTerm());
+        assertThat(unitsHeldBy(0)).isEqualTo(GUARANTEED);
         assertThat(gateways.get(0).pollModeChange()).isEmpty();
-        run(SETTLED);
-        assertThat(units(0)).isEqualTo(ENTITLEMENT);
+        runFor(SETTLING_TIME);
+        assertThat(unitsHeldBy(0)).isEqualTo(ENTITLEMENT);
         assertThat(gateways.get(0).pollModeChange()).contains(new QuotaProtocol.ModeChange(Mode.FULL_ENTITLEMENT, 0));
         assertThat(gateways.get(0).pollModeChange()).isEmpty();
     }
 
     @Test
-    void fallsBackToGuaranteedUnitsWithoutAMajority() {
-        run(SETTLED);
+    void fallsBackToGuaranteedUnitsWhenAMajorityOfAcceptorsIsAbsent() {
+        runFor(SETTLING_TIME);
         gateways.get(0).pollModeChange();
         absent[1] = true;
         absent[2] = true;
-        run(DURATIONS.partitionLease() + TICK);
-        assertThat(units(0)).isEqualTo(GUARANTEED);
+        runFor(DURATIONS.partitionLease() + TICK_INTERVAL);
+        assertThat(unitsHeldBy(0)).isEqualTo(GUARANTEED);
         assertThat(gateways.get(0).pollModeChange())
                 .map(QuotaProtocol.ModeChange::mode)
                 .contains(Mode.GUARANTEED_ONLY);
     }
 
     @Test
-    void borrowsWhereTheDemandExceedsWhatItHoldsAndReturnsWhatIsIdle() {
-        run(SETTLED);
+    void borrowsUnitsWhenTheDemandExceedsThoseHeldAndReturnsIdleOnes() {
+        runFor(SETTLING_TIME);
         int acquired = 0;
         for (int second = 0; second < 5; second++) {
             acquired += acquireAll(0);
-            run(10_000);
+            runFor(10_000);
         }
         assertThat(acquired).isGreaterThan(ENTITLEMENT);
-        assertThat(units(0)).isGreaterThanOrEqualTo(acquired);
+        assertThat(unitsHeldBy(0)).isGreaterThanOrEqualTo(acquired);
         for (int unit = 0; unit < acquired; unit++) {
             gateways.get(0).release(0);
         }
-        run(100_000);
+        runFor(100_000);
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
-            assertThat(units(gateway)).isEqualTo(ENTITLEMENT);
+            assertThat(unitsHeldBy(gateway)).isEqualTo(ENTITLEMENT);
         }
     }
 
     @Test
-    void theSuccessorTakesOverThePartitionOfAnAbsentGatewayAndGivesItBack() {
-        run(SETTLED);
+    void theSuccessorHoldsThePartitionOfAnAbsentGatewayUntilItIsBack() {
+        runFor(SETTLING_TIME);
         absent[2] = true;
-        run(2 * SETTLED);
+        runFor(2 * SETTLING_TIME);
         assertThat(totalUnits()).isEqualTo(CAPACITY - GUARANTEED);
         absent[2] = false;
-        run(2 * SETTLED);
+        runFor(2 * SETTLING_TIME);
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
-            assertThat(units(gateway)).isEqualTo(ENTITLEMENT);
+            assertThat(unitsHeldBy(gateway)).isEqualTo(ENTITLEMENT);
         }
     }
 
     @Test
-    void grantsToAnEarlierProcessAreIgnored() {
+    void grantsToAnEarlierProcessOfTheGatewayAreIgnored() {
         QuotaProtocol gateway = gateways.get(0);
         PacketQueue out = new PacketQueue(1e9, now);
         gateway.onTick(now, other -> true, out);
         QuotaMessage.LeaseGrant stale = new QuotaMessage.LeaseGrant(0, 1, epoch(0) - 1);
-        for (long end = now + SETTLED; now < end; now += TICK) {
+        for (long end = now + SETTLING_TIME; now < end; now += TICK_INTERVAL) {
             gateway.onMessage(now, 1, epoch(1), QuotaMessageCodec.encode(stale), out);
             gateway.onMessage(now, 2, epoch(2), QuotaMessageCodec.encode(stale), out);
-            assertThat(units(0)).isLessThanOrEqualTo(GUARANTEED);
+            assertThat(unitsHeldBy(0)).isLessThanOrEqualTo(GUARANTEED);
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/quota/QuotaWireFormatTest.java
@@ -10,7 +10,10 @@
 import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 
-/** The bytes that gateways of different versions exchange: one example of each message kind, and the allocation's id. */
+/**
+ * Tests the bytes that gateways of different versions exchange: an example of each message kind, and the id of an
+ * allocation.
+ */
 class QuotaWireFormatTest {
     private static final long EPOCH = 0x0123456789ABCDEFL;
 
@@ -40,65 +43,69 @@
         return HexFormat.of().formatHex(part.content());
     }
 
-    private static int[] manyUnits(int limits, int first) {
+    private static int[] consecutiveUnits(int limits, int firstCount) {
         int[] units = new int[limits];
         for (int limit = 0; limit < limits; limit++) {
-            units[limit] = first + limit;
+            units[limit] = firstCount + limit;
         }
         return units;
     }
 
     @Test
-    void leaseRequest() {
+    void leaseRequestHasPartitionAndRound() {
         Part part = leaseRequest(513, 70_000);
         assertThat(part.kind()).isEqualTo(16);
         assertThat(hex(part)).isEqualTo("020100011170");
     }
 
     @Test
-    void leaseGrant() {
+    void leaseGrantHasPartitionRoundAndHolderEpoch() {
         Part part = leaseGrant(65_535, 7, EPOCH);
         assertThat(part.kind()).isEqualTo(17);
         assertThat(hex(part)).isEqualTo("ffff000000070123456789abcdef");
     }
 
     @Test
-    void unitRequestLeavesOutLimitsOfWhichNoneIsWanted() {
+    void unitRequestOmitsLimitsOfWhichNoUnitsAreWanted() {
         Part part = unitRequest(9, 0, new int[] {0, 5, -3, 65_535});
         assertThat(part.kind()).isEqualTo(18);
         assertThat(hex(part)).isEqualTo("0000000900000000000100050003ffff");
-        Part extension = unitRequest(10, 258, new int[] {1});
-        assertThat(hex(extension)).isEqualTo("0000000a0000010200000001");
+        Part renewal = unitRequest(10, 258, new int[] {1});
+        assertThat(hex(renewal)).isEqualTo("0000000a0000010200000001");
     }
 
     @Test
-    void unitGrantLeavesOutLimitsOfWhichNoneIsGranted() {
+    void unitGrantOmitsLimitsOfWhichNoUnitsAreGranted() {
         Part part = unitGrant(EPOCH, 9, 258, new int[] {0, 0, 300});
         assertThat(part.kind()).isEqualTo(19);
         assertThat(hex(part)).isEqualTo("0123456789abcdef00000009000001020002012c");
     }
 
     @Test
-    void unitReturnListsAlsoLimitsOfWhichNoneIsKept() {
+    void unitReturnListsLimitsOfWhichNoUnitsAreKept() {
         Part part = unitReturn(258, new int[] {0, 4});
         assertThat(part.kind()).isEqualTo(20);
         assertThat(hex(part)).isEqualTo("000001020000000000010004");
     }
 
     @Test
-    void atMostFortyLimitsAreListed() {
-        assertThat(hex(unitRequest(1, 0, manyUnits(64, 0))))
+    void aMessageListsAtMostFortyLimits() {
+        assertThat(hex(unitRequest(1, 0, consecutiveUnits(64, 0))))
                 .hasSize(2 * (8 + 40 * 4))
                 .startsWith("000000010000000000010001")
                 .endsWith("00280028");
-        assertThat(hex(unitReturn(1, manyUnits(64, 0))))
+        assertThat(hex(unitReturn(1, consecutiveUnits(64, 0))))
                 .hasSize(2 * (4 + 40 * 4))
                 .startsWith("0000000100000000")
                 .endsWith("00270027");
     }
 
-    /** What gateway 1 of 3 answers to gateway 0, long after its start; kind and content of each part, in hex. */
-    private static List<String> answersTo(int kind, String content) {
+    /**
+     * Passes a message from gateway 0 to gateway 1 of 3, long after the start of gateway 1.
+     *
+     * @return the kind and the content in hex of each part sent in reply
+     */
+    private static List<String> repliesTo(int kind, String content) {
         QuotaAllocation allocation = new QuotaAllocation(
                 List.of(new SharedLimit("server 0", SharedLimit.Kind.CONCURRENCY, 24, 3_300)), 3, 0.5);
         QuotaProtocol gateway =
@@ -113,18 +120,18 @@
     }
 
     @Test
-    void aMessageLongerThanExpectedIsReadAndAShorterOneIgnored() {
-        assertThat(answersTo(16, "000000000007")).containsExactly("17 0000000000070123456789abcdef");
-        assertThat(answersTo(16, "000000000007ff")).containsExactly("17 0000000000070123456789abcdef");
-        assertThat(answersTo(16, "0000000000")).isEmpty();
+    void aMessageLongerThanExpectedIsHandledAndAShorterOneIsIgnored() {
+        assertThat(repliesTo(16, "000000000007")).containsExactly("17 0000000000070123456789abcdef");
+        assertThat(repliesTo(16, "000000000007ff")).containsExactly("17 0000000000070123456789abcdef");
+        assertThat(repliesTo(16, "0000000000")).isEmpty();
         for (int kind = 17; kind <= 21; kind++) {
-            assertThat(answersTo(kind, "")).isEmpty();
-            assertThat(answersTo(kind, "000000")).isEmpty();
+            assertThat(repliesTo(kind, "")).isEmpty();
+            assertThat(repliesTo(kind, "000000")).isEmpty();
         }
     }
 
     @Test
-    void allocationsAreToldApartByAnIdThatStaysTheSameOverVersions() {
+    void theIdOfAnAllocationDependsOnItsContentAndIsTheSameInAllVersions() {
         QuotaAllocation allocation = new QuotaAllocation(
                 List.of(
                         new SharedLimit("tenant 0", SharedLimit.Kind.RATE, 60, 10_000),
--- a/gateway/src/test/java/ploverdale/quota/RendezvousHashTest.java
+++ b/gateway/src/test/java/ploverdale/quota/RendezvousHashTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which gateway succeeds an absent one. */
+/** Tests which gateway is selected as the successor of an absent one. */
 class RendezvousHashTest {
     private static final int GATEWAYS = 10;
 
@@ -16,28 +16,28 @@
     }
 
     @Test
-    void isNeitherThePartitionsOwnGatewayNorAnAbsentOne() {
+    void successorIsNeitherThePartitionsOwnGatewayNorAnAbsentOne() {
         for (int partition = 0; partition < GATEWAYS; partition++) {
-            int first = successor(partition, Set.of());
-            assertThat(first).isNotEqualTo(partition);
-            assertThat(successor(partition, Set.of(first))).isNotIn(partition, first);
+            int expectedSuccessor = successor(partition, Set.of());
+            assertThat(expectedSuccessor).isNotEqualTo(partition);
+            assertThat(successor(partition, Set.of(expectedSuccessor))).isNotIn(partition, expectedSuccessor);
         }
     }
 
     @Test
-    void staysTheSameWhereAnotherGatewayBecomesAbsent() {
+    void successorStaysTheSameWhenAnotherGatewayBecomesAbsent() {
         for (int partition = 0; partition < GATEWAYS; partition++) {
-            int first = successor(partition, Set.of());
+            int expectedSuccessor = successor(partition, Set.of());
             for (int other = 0; other < GATEWAYS; other++) {
-                if (other != first) {
-                    assertThat(successor(partition, Set.of(other))).isEqualTo(first);
+                if (other != expectedSuccessor) {
+                    assertThat(successor(partition, Set.of(other))).isEqualTo(expectedSuccessor);
                 }
             }
         }
     }
 
     @Test
-    void differsBetweenPartitions() {
+    void partitionsHaveDifferentSuccessors() {
         Set<Integer> successors = new HashSet<>();
         for (int partition = 0; partition < GATEWAYS; partition++) {
             successors.add(successor(partition, Set.of()));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void isMissingWhereNoOtherGatewayIsAlive() {
+    void thereIsNoSuccessorWhenNoOtherGatewayIsAlive() {
         assertThat(RendezvousHash.successor(3, GATEWAYS, gateway -> gateway == 3))
                 .isEmpty();
     }
