--- a/gateway/src/main/java/ploverdale/quota/DemandEstimate.java
+++ b/gateway/src/main/java/ploverdale/quota/DemandEstimate.java
@@ -1,9 +1,9 @@
 package ploverdale.quota;
 
 /**
- * Estimates how many units of a limit were wanted recently, including those that could not be acquired. For a rate
- * limit, it is an exponentially weighted moving rate of attempted acquisitions per second; for a concurrency limit, a
- * decaying peak.
+ * Estimates how many units of a limit were wanted recently, including those that could not be acquired. The estimate
+ * of a rate limit is the exponentially weighted number of attempted acquisitions per second; that of a concurrency
+ * limit is a decaying peak.
  *
  * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe.
  */
--- a/gateway/src/main/java/ploverdale/quota/HeldUnits.java
+++ b/gateway/src/main/java/ploverdale/quota/HeldUnits.java
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Returns whether one more unit of a concurrency limit could be acquired. If not, the call counts as demand and as
-     * a rejection.
+     * Returns whether one more unit of a concurrency limit could be acquired; for a rate limit, only whether any units
+     * are held. If not, the call counts as demand and as a rejection.
      */
     boolean canUse(long now) {
         advanceTo(now);
--- a/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -127,7 +127,10 @@
         return ledger.of(limit).tryAcquire(now);
     }
 
-    /** Returns whether a unit of a concurrency limit could be acquired now. If not, the call counts as demand. */
+    /**
+     * Returns whether a unit of a concurrency limit could be acquired now; for a rate limit, only whether any units
+     * are held. If not, the call counts as demand.
+     */
     public boolean canUse(long now, int limit) {
         updateLedger(now);
         return ledger.of(limit).canUse(now);
--- a/gateway/src/main/java/ploverdale/quota/SharedQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedQuota.java
@@ -20,6 +20,8 @@
     private final LongSupplier clock;
 
     /**
+     * Creates the quota of one gateway.
+     *
      * @param unshared quota for what is not shared
      * @param clock monotonic, in tenths of a millisecond
      */
@@ -95,7 +97,10 @@
         release(slowStartAttemptLimit(server, inSlowStart));
     }
 
-    /** Where retries are shared, the retries that the router has reserved are ignored. */
+    /**
+     * Where retries are shared, this returns only whether this gateway holds any units of the limit; the retries that
+     * the router has reserved are ignored, and {@link #tryAcquireRetry} may still be rejected.
+     */
     @Override
     public boolean hasRetry(int reserved) {
         OptionalInt limit = limits.retryLimit();
--- a/gateway/src/main/java/ploverdale/quota/UnitCounts.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitCounts.java
@@ -24,7 +24,7 @@
      * @param units by limit
      */
     static UnitCounts ofAllLimits(int[] units) {
-        return atLeast(0, units);
+        return withCountsAtLeast(0, units);
     }
 
     /**
@@ -33,10 +33,10 @@
      * @param units by limit
      */
     static UnitCounts ofPositive(int[] units) {
-        return atLeast(1, units);
+        return withCountsAtLeast(1, units);
     }
 
-    private static UnitCounts atLeast(int minCount, int[] units) {
+    private static UnitCounts withCountsAtLeast(int minCount, int[] units) {
         SortedMap<Integer, Integer> byLimit = new TreeMap<>();
         for (int limit = 0; limit < units.length; limit++) {
             if (units[limit] >= minCount) {
