--- a/gateway/src/main/java/ploverdale/quota/SharedLimitSettings.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitSettings.java
@@ -8,7 +8,7 @@
  * @param slowStartAttemptsPerServer attempts in flight at one server while it is in slow start, which also count
  *     against the limit above; 0: not shared
  * @param serverSlots number of slots to which server numbers are mapped; servers of the same slot share one limit
- * @param retriesPerSecond attempts beyond the first of a request, including hedges; 0: not shared
+ * @param retriesPerSecond attempts beyond the first of a request; 0: not shared
  * @param healthChecksPerSecond health checks for any reason; 0: not shared
  */
 public record SharedLimitSettings(
--- a/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedLimitTable.java
@@ -109,7 +109,7 @@
         return OptionalInt.of(firstLimit.getAsInt() + Math.floorMod(server, settings.serverSlots()));
     }
 
-    /** Returns the limit on the rate of retries and hedges. */
+    /** Returns the limit on the rate of retries. */
     OptionalInt retryLimit() {
         return retryLimit;
     }
