--- a/gateway/src/main/java/ploverdale/quota/DemandEstimate.java
+++ b/gateway/src/main/java/ploverdale/quota/DemandEstimate.java
@@ -11,6 +11,7 @@
     private static final double TICKS_PER_SECOND = 10_000;
     /** One second, which is short compared with the time in which the load changes. */
     private static final double DECAY_TIME_CONSTANT_TICKS = 1000 * 10;
+
     private static final double NEGLIGIBLE = 0.05; // a fraction up to this is not rounded up to a unit
 
     private double estimate;
--- a/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
@@ -28,7 +28,8 @@
     public QuotaAllocation {
         limits = List.copyOf(limits);
         if (gateways < 1 || guaranteedShare < 0 || guaranteedShare > MAX_GUARANTEED_SHARE) {
-            throw new IllegalArgumentException("invalid quota allocation: " + gateways + " gateways, guaranteed share " + guaranteedShare);
+            throw new IllegalArgumentException(
+                    "invalid quota allocation: " + gateways + " gateways, guaranteed share " + guaranteedShare);
         }
     }
 
@@ -104,7 +105,8 @@
      * gateways whose id differs.
      */
     public int id() {
-        String limitFingerprints = limits.stream().map(SharedLimit::fingerprint).collect(Collectors.joining(", ", "[", "]"));
+        String limitFingerprints =
+                limits.stream().map(SharedLimit::fingerprint).collect(Collectors.joining(", ", "[", "]"));
         return checksum(gateways + " " + guaranteedShare + " " + limitFingerprints);
     }
 
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessageCodec.java
@@ -53,6 +53,7 @@
 
     /** Limits listed in a message at most, so that it fits into a packet; the remaining limits are omitted. */
     private static final int MAX_LISTED_LIMITS = 40;
+
     private static final int LISTED_LIMIT_BYTES = 4;
 
     private QuotaMessageCodec() {}
--- a/gateway/src/main/java/ploverdale/quota/QuotaNode.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaNode.java
@@ -43,6 +43,7 @@
     private final Optional<Replicas> replicas;
     /** Identifies the allocation and the replication factor, see {@link #onPacket}. */
     private final int allocationId;
+
     private final List<String> logLines = new ArrayList<>();
 
     /**
@@ -192,7 +193,8 @@
     /** Returns a log line with the current statistics of quota, packets, membership and replicas. */
     public String statisticsLine() {
         List<LimitStatistics> limits = protocol.statistics(clock.getAsLong());
-        String replicaStatistics = replicas.map(enabledReplicas -> "; " + enabledReplicas.statistics()).orElse("");
+        String replicaStatistics = replicas.map(enabledReplicas -> "; " + enabledReplicas.statistics())
+                .orElse("");
         return QuotaLogLines.statistics(limits, queue, membership) + replicaStatistics;
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -59,6 +59,7 @@
     private final QuotaMessageHandler messageHandler = new MessageHandler();
     /** When every unit that an earlier process of this gateway had acquired is out of use. */
     private final long previousProcessUseEndsAt;
+
     private long epoch;
     private int lastRequestNumber;
     private Mode mode = Mode.GUARANTEED_ONLY;
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -51,6 +51,7 @@
     private final Map<Integer, PendingRequest> pendingRequests = new LinkedHashMap<>(); // by request number
     /** By lender: when it granted its latest new sub-lease; absent where that sub-lease had no units. */
     private final Map<Integer, Long> lastGrantAt = new HashMap<>();
+
     private long lastRequestAt;
 
     /**
--- a/gateway/src/test/java/ploverdale/quota/LeaseAcceptorTest.java
+++ b/gateway/src/test/java/ploverdale/quota/LeaseAcceptorTest.java
@@ -25,8 +25,10 @@
     @Test
     void grantsAPartitionToNoOtherHolderUntilTheGrantorTermHasEnded() {
         assertThat(acceptor.tryGrant(FIRST_GRANT_AT, 0, HOLDER)).isTrue();
-        assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM - 1, 0, OTHER_GATEWAY)).isFalse();
-        assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM, 0, OTHER_GATEWAY)).isTrue();
+        assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM - 1, 0, OTHER_GATEWAY))
+                .isFalse();
+        assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM, 0, OTHER_GATEWAY))
+                .isTrue();
         assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM, 0, HOLDER)).isFalse();
     }
 
@@ -34,7 +36,8 @@
     void aRenewalRestartsTheGrantorTerm() {
         assertThat(acceptor.tryGrant(FIRST_GRANT_AT, 0, HOLDER)).isTrue();
         assertThat(acceptor.tryGrant(FIRST_GRANT_AT + 1_000, 0, HOLDER)).isTrue();
-        assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM, 0, OTHER_GATEWAY)).isFalse();
+        assertThat(acceptor.tryGrant(FIRST_GRANT_AT + GRANTOR_TERM, 0, OTHER_GATEWAY))
+                .isFalse();
     }
 
     @Test
