--- a/gateway/src/main/java/ploverdale/quota/SharedQuota.java
+++ b/gateway/src/main/java/ploverdale/quota/SharedQuota.java
@@ -8,10 +8,10 @@
 import ploverdale.model.TenantId;
 
 /**
- * The router's port to the quota that gateways share: finds the limits that an acquisition counts against and acquires a unit
- * of each. What is not shared is limited by {@link StaticQuota}.
+ * The quota that the router uses where gateways share limits: finds the limits against which an acquisition counts and
+ * acquires a unit of each. Whatever is not shared is limited by {@link StaticQuota}.
  *
- * <p>Not thread-safe, called on the thread of the event loop.
+ * <p>Not thread-safe: called only on the thread of the event loop.
  */
 final class SharedQuota implements Quota {
     private final SharedLimitTable limits;
@@ -19,7 +19,12 @@
     private final StaticQuota unshared;
     private final LongSupplier clock;
 
-    /** @param clock monotonic, in tenths of a millisecond */
+    /**
+     * Creates the quota of one gateway.
+     *
+     * @param unshared quota for what is not shared
+     * @param clock monotonic, in tenths of a millisecond
+     */
     SharedQuota(SharedLimitTable limits, QuotaProtocol protocol, StaticQuota unshared, LongSupplier clock) {
         this.limits = limits;
         this.protocol = protocol;
@@ -27,12 +32,12 @@
         this.clock = clock;
     }
 
-    private OptionalInt attempts(ServerId server) {
-        return limits.attempts(ServerHash.of(server));
+    private OptionalInt attemptLimit(ServerId server) {
+        return limits.attemptLimit(ServerHash.of(server));
     }
 
-    private OptionalInt slowStartAttempts(ServerId server, boolean inSlowStart) {
-        return inSlowStart ? limits.slowStartAttempts(ServerHash.of(server)) : OptionalInt.empty();
+    private OptionalInt slowStartAttemptLimit(ServerId server, boolean inSlowStart) {
+        return inSlowStart ? limits.slowStartAttemptLimit(ServerHash.of(server)) : OptionalInt.empty();
     }
 
     private boolean canUse(long now, OptionalInt limit) {
@@ -47,16 +52,19 @@
         limit.ifPresent(protocol::release);
     }
 
-    /** The unshared quota counts each request: its retries and health checks are a share of them. */
+    /**
+     * Also counts the request in the unshared quota, even where tenants are shared, because the retries and health
+     * checks allowed there are a share of the requests.
+     */
     @Override
     public boolean tryAcquireRequest(long now, TenantId tenant) {
         boolean acquiredUnshared = unshared.tryAcquireRequest(now, tenant);
-        return limits.sharesTenants() ? tryAcquire(limits.tenant(tenant)) : acquiredUnshared;
+        return limits.sharesTenants() ? tryAcquire(limits.tenantLimit(tenant)) : acquiredUnshared;
     }
 
     @Override
     public long retryAfter(long now, TenantId tenant) {
-        OptionalInt limit = limits.tenant(tenant);
+        OptionalInt limit = limits.tenantLimit(tenant);
         return limit.isEmpty() ? 0 : protocol.retryAfter(clock.getAsLong(), limit.getAsInt());
     }
 
@@ -68,16 +76,16 @@
     @Override
     public boolean hasAttempt(ServerId server, boolean inSlowStart) {
         long now = clock.getAsLong();
-        return canUse(now, attempts(server)) && canUse(now, slowStartAttempts(server, inSlowStart));
+        return canUse(now, attemptLimit(server)) && canUse(now, slowStartAttemptLimit(server, inSlowStart));
     }
 
     @Override
     public boolean tryAcquireAttempt(ServerId server, boolean inSlowStart) {
-        if (!tryAcquire(attempts(server))) {
+        if (!tryAcquire(attemptLimit(server))) {
             return false;
         }
-        if (!tryAcquire(slowStartAttempts(server, inSlowStart))) {
-            release(attempts(server));
+        if (!tryAcquire(slowStartAttemptLimit(server, inSlowStart))) {
+            release(attemptLimit(server));
             return false;
         }
         return true;
@@ -85,26 +93,29 @@
 
     @Override
     public void releaseAttempt(ServerId server, boolean inSlowStart) {
-        release(attempts(server));
-        release(slowStartAttempts(server, inSlowStart));
+        release(attemptLimit(server));
+        release(slowStartAttemptLimit(server, inSlowStart));
     }
 
-    /** Where retries are shared, units that the router has reserved are not counted. */
+    /**
+     * Where retries are shared, this returns only whether this gateway holds any units of the limit; the retries that
+     * the router has reserved are ignored, and {@link #tryAcquireRetry} may still be rejected.
+     */
     @Override
     public boolean hasRetry(int reserved) {
-        OptionalInt limit = limits.retries();
+        OptionalInt limit = limits.retryLimit();
         return limit.isEmpty() ? unshared.hasRetry(reserved) : canUse(clock.getAsLong(), limit);
     }
 
     @Override
     public boolean tryAcquireRetry() {
-        OptionalInt limit = limits.retries();
+        OptionalInt limit = limits.retryLimit();
         return limit.isEmpty() ? unshared.tryAcquireRetry() : tryAcquire(limit);
     }
 
     @Override
     public boolean tryAcquireHealthCheck(HealthCheckReason reason) {
-        OptionalInt limit = limits.healthChecks();
+        OptionalInt limit = limits.healthCheckLimit();
         return limit.isEmpty() ? unshared.tryAcquireHealthCheck(reason) : tryAcquire(limit);
     }
 }
--- a/gateway/src/main/java/ploverdale/quota/UnitLender.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitLender.java
@@ -7,23 +7,26 @@
 import ploverdale.quota.QuotaMessage.UnitReturn;
 
 /**
- * Sub-leases units of the partitions that this gateway holds. A borrower gets at most half of what can be spared of each
- * limit, so that units follow the demand without oscillation; a sub-lease is renewed as far as this gateway does not lack
- * the units itself.
+ * Sub-leases units of the partitions that this gateway holds. A borrower gets at most half of the spare units of each
+ * limit, so that units follow the demand without oscillation. A sub-lease is renewed, but with fewer units of the
+ * limits of which this gateway lacks some itself.
  *
- * <p>Times are tenths of a millisecond of a monotonic clock. Not thread-safe, called on the thread of {@link QuotaProtocol}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: called only on the thread of {@link
+ * QuotaProtocol}.
  */
 final class UnitLender {
     private final LeaseHolder leaseHolder;
     private final UnitLedger ledger;
-    private int lastSubLease = QuotaMessage.NEW_SUB_LEASE;
+    private int lastSubLeaseNumber = QuotaMessage.NEW_SUB_LEASE;
 
     UnitLender(LeaseHolder leaseHolder, UnitLedger ledger) {
         this.leaseHolder = leaseHolder;
         this.ledger = ledger;
     }
 
-    /** Grants or renews a sub-lease. Sends nothing where there are no units, or no such sub-lease. */
+    /**
+     * Grants or renews a sub-lease. Sends no reply where there are no units to grant, or no such sub-lease to renew.
+     */
     void onRequest(MessageContext context, UnitRequest request) {
         if (request.isRenewal()) {
             renew(context, request);
@@ -32,22 +35,25 @@
         }
     }
 
-    /** Grants units of the first partition that has any of those requested; a later request may get those of another. */
+    /**
+     * Grants units of the first partition that has some of the requested ones; a later request may get units of
+     * another.
+     */
     private void grant(MessageContext context, UnitRequest request) {
         for (LeasePartition partition : leaseHolder.partitions()) {
             int[] granted = grantableUnits(context.now(), partition, request.units());
             if (Arrays.stream(granted).anyMatch(units -> units > 0)) {
-                lastSubLease++;
-                partition.grantSubLease(context.now(), context.sender(), lastSubLease, granted);
+                lastSubLeaseNumber++;
+                partition.grantSubLease(context.now(), context.sender(), lastSubLeaseNumber, granted);
                 leaseHolder.updateLedger(context.now());
-                reply(context, request, lastSubLease, granted);
+                reply(context, request, lastSubLeaseNumber, granted);
                 return;
             }
         }
     }
 
     private int[] grantableUnits(long now, LeasePartition partition, UnitCounts requested) {
-        int[] granted = new int[ledger.size()];
+        int[] granted = new int[ledger.limitCount()];
         if (!partition.isServing(now)) {
             return granted;
         }
@@ -73,9 +79,12 @@
         }
     }
 
-    /** What the borrower still wants; of each limit that this gateway lacks units of, less by up to half of those lent. */
+    /**
+     * Returns the units that the borrower keeps, by limit: those that it requests, less up to half of those lent where
+     * this gateway lacks units of the limit itself.
+     */
     private int[] keptUnits(long now, SubLease subLease, UnitCounts requested) {
-        int[] kept = new int[ledger.size()];
+        int[] kept = new int[ledger.limitCount()];
         for (int limit = 0; limit < kept.length; limit++) {
             int lent = subLease.units(limit);
             int missing = Math.max(0, -ledger.spare(now, limit));
@@ -87,17 +96,20 @@
 
     private static void reply(MessageContext context, UnitRequest request, int subLease, int[] units) {
         UnitGrant grant =
-                new UnitGrant(context.sender().epoch(), request.request(), subLease, UnitCounts.positive(units));
+                new UnitGrant(context.sender().epoch(), request.request(), subLease, UnitCounts.ofPositive(units));
         context.reply(QuotaMessageCodec.encode(grant));
     }
 
-    /** A borrower uses no more than the kept units of the limits that the message lists; duplicates have no effect. */
+    /**
+     * Called when a borrower has returned units: it uses no more than the kept units of the limits listed in the
+     * message. Duplicate messages have no effect.
+     */
     void onReturn(MessageContext context, UnitReturn message) {
         for (LeasePartition partition : leaseHolder.partitions()) {
             partition
                     .findSubLease(context.now(), context.sender(), message.subLease())
                     .ifPresent(subLease -> message.keptUnits().byLimit().forEach((limit, kept) -> {
-                        if (limit < ledger.size()) {
+                        if (limit < ledger.limitCount()) {
                             subLease.reduceTo(limit, kept);
                         }
                     }));
