--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -15,45 +15,51 @@
 import ploverdale.replication.ReplicationMessage.KeyedEntry;
 
 /**
- * Pulls the entries that this gateway lacks from its peers (pull anti-entropy, Demers et al., 1987), in rounds with one peer
- * at a time. A round descends the tree of {@link KeySpaceNode}s that differ and fetches the entries of the leaves. After a
- * start there is a round with each peer, then one every second with the next peer in turn. Requests are repeated until
- * answered; a round with a peer that restarted meanwhile begins anew.
+ * Fetches the entries that this gateway lacks from its peers (pull anti-entropy, Demers et al., 1987). It works in
+ * rounds with one peer at a time. A round compares digests, descends the tree of {@link KeySpaceNode}s into the nodes
+ * whose digests differ, and fetches the entries of the leaves that differ. Peers with which no round has been
+ * completed since the start are chosen first, without a pause between rounds; after that a round begins one second
+ * after the previous one ended, with the peers in turn. A request is sent again until it is answered. If the peer
+ * restarts during a round, the round starts over.
  *
  * <pre>
  * state        event                                       next state   action
- * IDLE         tick, a round is due and a peer alive       CONTACTING   choose a peer, draw a salt, begin at the root
- * CONTACTING   response of the peer                        EXCHANGING   remember its incarnation, handle the response
+ * IDLE         tick, a round is due and a peer is alive    CONTACTING   choose a peer, draw a salt, start at the root
+ * CONTACTING   response of the peer                        EXCHANGING   record its incarnation, handle the response
  * EXCHANGING   response of the same incarnation            EXCHANGING   handle the response, send further requests
- * EXCHANGING   response of another incarnation             CONTACTING   draw a salt, begin at the root again
- * EXCHANGING   no node left and none in flight             IDLE         mark the peer as synchronized
- * any but IDLE tick, the peer is dead or silent for 3 s    IDLE         drop what is left of the round
+ * EXCHANGING   response of another incarnation             CONTACTING   draw a salt, start at the root again
+ * EXCHANGING   no task left and no request in flight       IDLE         mark the peer as synchronized
+ * any but IDLE tick, peer dead or unresponsive for 3 s     IDLE         discard the rest of the round
  * </pre>
  *
- * <p>Times in tenths of a millisecond, of a monotonic clock unless they are said to be Unix times. Not thread-safe, used on
- * the thread of {@link Replicas}.
+ * <p>Times are in tenths of a millisecond of a monotonic clock, unless they are called Unix times. Not thread-safe:
+ * used on the thread of {@link Replicas}.
  */
 final class AntiEntropy {
-    /** Where a round stands. */
+    /** The state of the current round. */
     private enum State {
-        /** No round. */
+        /** No round is in progress. */
         IDLE,
-        /** Requests were sent; the peer's incarnation is not known yet. */
+        /** The first requests were sent; the peer's incarnation is not known yet. */
         CONTACTING,
-        /** The peer has answered. */
+        /** The peer has answered, and its incarnation is known. */
         EXCHANGING
     }
 
     private static final long MS = 10;
     private static final long ROUND_INTERVAL = 1000 * MS;
     private static final long RETRY_AFTER = 150 * MS;
-    private static final long PEER_TIMEOUT = 3000 * MS; // other peers are waiting for their round
+    /** After this time without a response a round ends, so that one unresponsive peer does not delay the others. */
+    private static final long PEER_TIMEOUT = 3000 * MS;
     private static final int MAX_IN_FLIGHT = 4;
-    /** Entries from which on a round begins below the root, whose digests would take long to compute at once. */
+    /**
+     * From this number of entries on, a round starts with the children of the root: digests of the whole key space
+     * would take too long to compute in one go.
+     */
     private static final int LARGE_STORE = 20_000;
-    /** Entries that expire within this are left out, since gateways remove them at slightly different times. */
+    /** Entries that expire within this time are left out, since gateways remove them at slightly different times. */
     private static final long EXPIRY_MARGIN = 1000 * MS;
-    /** Share of the budget of bytes that is left to messages that requests of clients wait for. */
+    /** Share of the byte budget that rounds leave to messages on which client requests depend. */
     private static final double RESERVED_BUDGET = 0.5;
 
     private static final int NO_PEER = -1;
@@ -61,11 +67,11 @@
     /**
      * A node that is still to be compared, or a leaf whose entries are still to be fetched.
      *
-     * @param afterKey of a leaf, the last key fetched, or null
+     * @param afterKey of a leaf, the last key fetched so far; null before the first page and for inner nodes
      */
     private record Task(KeySpaceNode node, Long afterKey) {}
 
-    /** A request in flight, by its task and when it was sent last. */
+    /** A request that has not been answered, with the time at which it was last sent. */
     private record InFlight(Task task, long sentAt) {}
 
     private final EntryStore store;
@@ -82,13 +88,13 @@
     private long lastResponseAt;
     private long nextRoundAt;
     private final Deque<Task> tasks = new ArrayDeque<>();
-    private final Map<Integer, InFlight> inFlight = new LinkedHashMap<>(); // by number, oldest first
+    private final Map<Integer, InFlight> inFlight = new LinkedHashMap<>(); // by request number, oldest first
     private int lastNumber;
     private long received;
 
     /**
-     * @param random chooses peers and salts
-     * @param log takes lines for the log
+     * @param random draws peers and salts
+     * @param log receives lines for the log
      */
     AntiEntropy(
             EntryStore store,
@@ -103,17 +109,21 @@
         this.log = log;
     }
 
-    /** The time at which entries must not be expired to take part in a comparison, a Unix time. */
+    /** Returns the Unix time at which an entry must still be unexpired to take part in a comparison. */
     static long unexpiredAt(Turn turn) {
         return turn.unixTime() + EXPIRY_MARGIN;
     }
 
-    /** Entries received since the start that changed this gateway's store. */
+    /** Returns the number of entries received since the start that changed this gateway's store. */
     long received() {
         return received;
     }
 
-    /** Begins, continues or gives up a round. */
+    /**
+     * Starts or continues a round, or ends one whose peer is dead or unresponsive.
+     *
+     * @param isAlive whether a gateway is alive as far as this one knows
+     */
     void onTick(Turn turn, IntPredicate isAlive) {
         if (state != State.IDLE && (!isAlive.test(peer) || isSilent(turn))) {
             endRound(turn);
@@ -178,11 +188,11 @@
         }
     }
 
-    /** Sends further requests within the bounds, or completes the round. */
+    /** Sends further requests within the limits on requests in flight and bytes, or completes the round. */
     private void continueRound(Turn turn) {
         while (inFlight.size() < MAX_IN_FLIGHT && !tasks.isEmpty() && turn.budgetLeft() > RESERVED_BUDGET) {
             int number = ++lastNumber;
-            Task task = tasks.pollLast(); // depth first, so that few tasks are open at any time
+            Task task = tasks.pollLast(); // depth first keeps the list of open tasks short
             inFlight.put(number, new InFlight(task, turn.now()));
             send(turn, number, task);
         }
@@ -210,7 +220,7 @@
         turn.send(peer, new DigestRequest(number, node, salt, unexpiredAt, own));
     }
 
-    /** Descends into the children that differ. */
+    /** Adds a task for each child whose digest differs. */
     void onDigestResponse(Turn turn, Peer sender, DigestResponse response) {
         Task task = takeAnswered(turn, sender, response.number());
         if (task == null || task.node.isLeaf()) {
@@ -221,7 +231,7 @@
         continueRound(turn);
     }
 
-    /** Merges the entries received. */
+    /** Merges the entries received into the store, and requests the next page if there is one. */
     void onEntriesResponse(Turn turn, Peer sender, EntriesResponse response) {
         Task task = takeAnswered(turn, sender, response.number());
         if (task == null || !task.node.isLeaf()) {
@@ -240,7 +250,11 @@
         continueRound(turn);
     }
 
-    /** The task that a response belongs to; null where it belongs to none of this round. */
+    /**
+     * Removes the request that a response answers from those in flight.
+     *
+     * @return the task of the request; null if the response does not belong to the current round
+     */
     private Task takeAnswered(Turn turn, Peer sender, int number) {
         if (state == State.IDLE || sender.gateway() != peer) {
             return null;
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
@@ -11,11 +11,13 @@
 import ploverdale.replication.ReplicationMessage.KeyedEntry;
 
 /**
- * Answers the requests of peers whose {@link AntiEntropy} compares its entries with those of this gateway. Without state of
- * its own, since a request holds all that its response depends on. Not thread-safe, used on the thread of {@link Replicas}.
+ * Answers the requests of peers whose {@link AntiEntropy} compares their entries with those of this gateway. Keeps no
+ * state between requests: each request contains everything that its response depends on. Not thread-safe: used on the
+ * thread of {@link Replicas}.
  */
 final class AntiEntropyResponder {
-    private static final int MAX_RESPONSE_BYTES = 220; // several responses may follow, each within one packet
+    /** Keeps a response within one packet; further entries follow in the responses to further requests. */
+    private static final int MAX_RESPONSE_BYTES = 220;
     private static final int RESPONSE_HEAD_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
 
     private final int self;
@@ -30,12 +32,13 @@
     }
 
     /**
-     * The children of a node whose digests differ from those of a peer.
+     * Compares the digests of a node's children with those of a peer.
      *
-     * @param missingUntil up to when entries may be missing here, see {@link CompletenessBound#ofAll}
+     * @param missingUntil the Unix time up to which entries may be missing here, see {@link CompletenessBound#ofAll}
+     * @return the children whose digests differ
      */
     DigestResponse answer(Peer peer, DigestRequest request, long missingUntil) {
-        // The requester's time decides which entries count, so that both sides leave out the same expired ones.
+        // Both sides use the requester's time, so that they leave out the same expired entries.
         long[] own = digests.ofChildren(request.node(), peer.gateway(), request.salt(), request.unexpiredAt());
         BitSet differing = new BitSet(KeySpaceNode.CHILDREN);
         for (int child = 0; child < own.length; child++) {
@@ -45,9 +48,9 @@
     }
 
     /**
-     * The next entries of a range that this gateway and a peer both replicate.
+     * Returns the next entries of a range that this gateway and a peer both replicate.
      *
-     * @param unexpiredAt time at which entries must not be expired to be included
+     * @param unexpiredAt the Unix time at which entries must still be unexpired to be included
      */
     EntriesResponse answer(Peer peer, EntriesRequest request, long unexpiredAt) {
         Page page = new Page();
@@ -56,7 +59,7 @@
         return new EntriesResponse(peer.incarnation(), request.number(), page.isFull, page.entries);
     }
 
-    /** The entries of one response: at least one, and as many as fit. */
+    /** Collects the entries of one response: at least one, and as many as fit. */
     private static final class Page {
         private final List<KeyedEntry> entries = new ArrayList<>();
         private int bytes = RESPONSE_HEAD_BYTES;
--- a/gateway/src/main/java/ploverdale/replication/ClaimId.java
+++ b/gateway/src/main/java/ploverdale/replication/ClaimId.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 
 /**
- * Identifies a gateway's claim to execute a write. A gateway may claim a write more than once, each time under another
- * number. What is known of each claim is in {@link WriteOutcome}.
+ * Identifies a gateway's claim to execute a write. A gateway may claim the same write several times, each time with
+ * another number. What is known of each claim is recorded in {@link WriteOutcome}.
  *
- * @param gateway the gateway's number
+ * @param gateway number of the gateway that made the claim
  * @param incarnation of that gateway's process
  * @param number unique within the incarnation
  */
@@ -20,7 +20,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** As it stands in the log line of an alarm, whose spelling is fixed. */
+    /** The text is part of the log line of an alarm; its spelling is fixed. */
     @Override
     public String toString() {
         return "IdempotencyRecord[gateway=" + gateway + ", start=" + incarnation + ", number=" + number + "]";
--- a/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
@@ -3,10 +3,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * The time up to which entries may be missing at this gateway: those of before its start that anti-entropy has not brought
- * back, and those that were evicted. An entry later than the bound would be here if it had ever been replicated here; of an
- * earlier one, absence proves nothing. Times are Unix times in tenths of a millisecond. Not thread-safe, used on the
- * thread of {@link Replicas}.
+ * Computes the time up to which entries may be missing at this gateway. Missing are entries from before its start
+ * that anti-entropy has not restored yet, and entries that were evicted. An entry with a later timestamp would be in
+ * the store if it had ever been replicated to this gateway; the absence of an earlier entry proves nothing. Times are
+ * Unix times in tenths of a millisecond. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class CompletenessBound {
     private final ReplicationSettings settings;
@@ -16,7 +16,10 @@
     private final SynchronizedPeers peers;
     private long startedAt;
 
-    /** @param startedAt until when what was replicated to this gateway counts as lost */
+    /**
+     * @param startedAt entries replicated to this gateway up to this time count as lost until a peer has returned
+     *     them
+     */
     CompletenessBound(
             ReplicationSettings settings,
             LongSupplier unixClock,
@@ -32,16 +35,21 @@
         this.startedAt = startedAt;
     }
 
-    /** The Unix clock was wrong: what was replicated to this gateway until this time counts as lost. */
+    /**
+     * Called when the Unix clock turned out to be wrong.
+     *
+     * @param startedAt entries replicated to this gateway up to this time count as lost
+     */
     void restartAt(long startedAt) {
         this.startedAt = startedAt;
     }
 
+    /** Whether keys have replicas at other gateways, from which lost entries can be restored. */
     private boolean hasOtherReplicas() {
         return placement.replicationFactor() > 1;
     }
 
-    /** The bound for keys with these replicas. */
+    /** Returns the bound for keys with these replicas. */
     long of(ReplicaSet replicas) {
         long missed = hasOtherReplicas() ? EntryStore.NOTHING_MISSING : startedAt;
         for (int place = 0; place < replicas.size(); place++) {
@@ -50,15 +58,15 @@
         return Math.max(store.missingUntil(), Math.min(startedAt, missed));
     }
 
-    /** The bound for any key. */
+    /** Returns a bound that holds for every key. */
     long ofAll() {
         long missed = hasOtherReplicas() ? Math.min(startedAt, peers.missingUntilOfAll()) : startedAt;
         return Math.max(store.missingUntil(), missed);
     }
 
     /**
-     * The position that reads of a session must reach as far as this gateway knows: the one in its store, or the bound
-     * where that is later.
+     * Returns the position that reads of a session must reach as far as this gateway knows: the one in its store, or
+     * the bound if that is later.
      */
     long requiredPosition(long key) {
         long oldestRetained = unixClock.getAsLong() - settings.sessionRetention() - settings.maxClockDifference();
@@ -67,7 +75,7 @@
         return position == null ? least : Math.max(position.timestamp(), least);
     }
 
-    /** Whether all writes that may still be submitted again arrived after the bound. */
+    /** Whether every write that a client may still submit again arrived after the bound. */
     boolean coversSubmissions(ReplicaSet replicas) {
         return of(replicas) + settings.resubmissionWindow() + settings.maxClockDifference() < unixClock.getAsLong();
     }
--- a/gateway/src/main/java/ploverdale/replication/EntryCodec.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryCodec.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * Encoding of {@link VersionedEntry} in messages between gateways: a byte for the type, then the value. Numbers are
- * big-endian; 48 bits of an incarnation are sent. Stateless.
+ * Encodes and decodes {@link VersionedEntry} in messages between gateways: one byte for the type, then the value.
+ * Numbers are big-endian; only the low 48 bits of an incarnation are sent. Stateless.
  *
- * <p>A position: timestamp (8 bytes), server (2). A write outcome: timestamp (8), number of claims (1), for each claim the
- * gateway (2), incarnation (6), number (4) and state (1), then the length of the response (1) and the response.
+ * <p>Position: timestamp (8 bytes), server (2). Write outcome: timestamp (8), number of claims (1), for each claim
+ * its gateway (2), incarnation (6), number (4) and state (1), then the length of the response (1) and the response.
  */
 final class EntryCodec {
-    /** Bytes of the longest entry, its type included. */
+    /** Upper bound on the bytes of an encoded entry, including its type. */
     static final int MAX_BYTES = 200;
 
     static final byte POSITION_TYPE = 1;
@@ -26,17 +26,17 @@
 
     private EntryCodec() {}
 
-    /** Writes a position. */
+    /** Writes the type and value of a position. */
     static void write(Position position, ByteBuffer buffer) {
         buffer.put(POSITION_TYPE).putLong(position.timestamp()).putShort((short) position.server());
     }
 
-    /** Bytes of a position. */
+    /** Returns the number of bytes of an encoded position. */
     static int encodedLength(Position position) {
         return TYPE_BYTES + POSITION_VALUE_BYTES;
     }
 
-    /** Writes a write outcome. */
+    /** Writes the type and value of a write outcome. */
     static void write(WriteOutcome outcome, ByteBuffer buffer) {
         buffer.put(WRITE_OUTCOME_TYPE).putLong(outcome.timestamp());
         buffer.put((byte) outcome.claims().size());
@@ -52,13 +52,13 @@
                 .put((byte) state.bits());
     }
 
-    /** Bytes of a write outcome. */
+    /** Returns the number of bytes of an encoded write outcome. */
     static int encodedLength(WriteOutcome outcome) {
         int claims = CLAIM_BYTES * outcome.claims().size();
         return TYPE_BYTES + OUTCOME_HEAD_BYTES + claims + RESPONSE_LENGTH_BYTES + outcome.response().length;
     }
 
-    /** Reads one entry; null where it is cut short or of a type that this version does not know. */
+    /** Reads one entry; null if it is malformed or truncated, or of a type that this version does not know. */
     static VersionedEntry read(ByteBuffer buffer) {
         if (!buffer.hasRemaining()) {
             return null;
--- a/gateway/src/main/java/ploverdale/replication/EntryRange.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryRange.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * The entries of one range of keys, in the order of their keys. Parallel arrays rather than a map, since a store may hold
+ * The entries of one range of keys, sorted by key. Uses parallel arrays rather than a map, since a store may hold
  * hundreds of thousands of entries. Not thread-safe.
  */
 final class EntryRange {
@@ -16,37 +16,35 @@
     private VersionedEntry[] entries = NO_ENTRIES;
     private int size;
 
-    /** Number of entries. */
     int size() {
         return size;
     }
 
-    /** The index of a key; where it is absent, a negative number as of {@link Arrays#binarySearch(long[], long)}. */
+    /**
+     * Returns the index of a key; if it is absent, a negative number as of {@link Arrays#binarySearch(long[], long)}.
+     */
     int indexOf(long key) {
         return Arrays.binarySearch(keys, 0, size, key);
     }
 
-    /** The key of an entry. */
     long key(int index) {
         return keys[index];
     }
 
-    /** The replicas of the key, see {@link ReplicaSet#packed}. */
+    /** Returns the replicas of the key, see {@link ReplicaSet#packed}. */
     long packedReplicas(int index) {
         return packedReplicas[index];
     }
 
-    /** An entry by its index. */
     VersionedEntry entry(int index) {
         return entries[index];
     }
 
-    /** Replaces the entry of a key that is present. */
     void replace(int index, VersionedEntry entry) {
         entries[index] = entry;
     }
 
-    /** Inserts an absent key in its place. */
+    /** Inserts an entry whose key is not in the range yet. */
     void insert(long key, long replicas, VersionedEntry entry) {
         if (size == keys.length) {
             grow();
@@ -69,7 +67,6 @@
         entries = Arrays.copyOf(entries, capacity);
     }
 
-    /** Removes a key and its entry. */
     void remove(int index) {
         size--;
         int moved = size - index;
@@ -79,7 +76,9 @@
         entries[size] = null;
     }
 
-    /** The index of the entry with the earliest timestamp, the first of several; the range must not be empty. */
+    /**
+     * Returns the index of the entry with the earliest timestamp, the first of several. The range must not be empty.
+     */
     int indexOfOldest() {
         int oldest = 0;
         for (int index = 1; index < size; index++) {
--- a/gateway/src/main/java/ploverdale/replication/EntryStore.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryStore.java
@@ -1,18 +1,18 @@
 package ploverdale.replication;
 
 /**
- * The entries of this gateway, by key. The order of keys is cut into {@value #RANGES} equal ranges, which {@link
- * AntiEntropy} compares by digests. Bounded: over the maximum, the oldest entry of the new key's range is evicted. Expired
- * entries are removed in the background, some ranges at a time. Times are Unix times in tenths of a millisecond. Not
- * thread-safe, used on the thread of {@link Replicas}.
+ * This gateway's entries, by key. The key space is divided into {@value #RANGES} equal ranges, which {@link
+ * AntiEntropy} compares by digests. At its maximum size the store evicts the oldest entry of the new key's range for
+ * each new key. Expired entries are removed in the background, a few ranges at a time. Times are Unix times in tenths
+ * of a millisecond. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class EntryStore {
     static final int RANGES = 4096;
-    /** Of {@link #missingUntil}: nothing was evicted. */
+    /** Value of a time up to which entries may be missing, if none is. */
     static final long NOTHING_MISSING = Long.MIN_VALUE / 2;
 
-    private static final int RANGE_SHIFT = 52; // the highest 12 bits of a key number its range
-    private static final int RANGES_PER_SWEEP = 16; // all within some seconds
+    private static final int RANGE_SHIFT = 52; // the highest 12 bits of a key are the number of its range
+    private static final int RANGES_PER_SWEEP = 16; // covers all ranges within a few seconds
 
     private final ReplicationSettings settings;
     private final ReplicaPlacement placement;
@@ -22,15 +22,14 @@
     private long missingUntil = NOTHING_MISSING;
     private long evicted;
 
-    /** Takes one entry of a range. */
+    /** Receives the entries of a range one by one. */
     interface Visitor {
         void visit(long key, VersionedEntry entry);
     }
 
-    /** Selects the entries that two gateways both replicate and that are not expired at a time. */
+    /** Selects the entries that both gateways replicate and that are not expired at a Unix time. */
     record SharedEntries(int gateway, int peer, long unexpiredAt) {}
 
-    /** An empty store. */
     EntryStore(ReplicationSettings settings, ReplicaPlacement placement) {
         this.settings = settings;
         this.placement = placement;
@@ -43,42 +42,45 @@
         return (int) (key >>> RANGE_SHIFT);
     }
 
-    /** Number of entries. */
+    /** Returns the number of entries. */
     int size() {
         return size;
     }
 
-    /** The latest timestamp of an evicted entry: of what is no later, absence here proves nothing. */
+    /**
+     * Returns the latest timestamp of an evicted entry, or {@link #NOTHING_MISSING}. The absence of an entry up to
+     * this time proves nothing.
+     */
     long missingUntil() {
         return missingUntil;
     }
 
-    /** Entries evicted since the start. */
+    /** Returns the number of entries evicted since the start. */
     long evicted() {
         return evicted;
     }
 
-    /** The entry of a key, or null. */
+    /** Returns the entry of a key, or null. */
     VersionedEntry get(long key) {
         EntryRange range = ranges[rangeOf(key)];
         int index = range.indexOf(key);
         return index < 0 ? null : range.entry(index);
     }
 
-    /** The position of a session, or null. */
+    /** Returns the position of a session, or null. */
     Position position(long key) {
         return get(key) instanceof Position position ? position : null;
     }
 
-    /** What is known of a write, or null. */
+    /** Returns what is known of a write, or null. */
     WriteOutcome writeOutcome(long key) {
         return get(key) instanceof WriteOutcome outcome ? outcome : null;
     }
 
-    /** Merges an entry into that of its key; false where that changes nothing. */
+    /** Merges an entry into the stored entry of its key. Returns whether that changed the store. */
     boolean merge(long unixTime, long key, VersionedEntry entry) {
         if (entry.isExpired(settings, unixTime)) {
-            return false; // a late copy must not revive what other replicas have removed
+            return false; // a delayed message must not bring back an entry that other replicas have removed
         }
         EntryRange range = ranges[rangeOf(key)];
         int index = range.indexOf(key);
@@ -96,7 +98,7 @@
         return true;
     }
 
-    /** Evicts the oldest entry of a range, or of the next one that is not empty. */
+    /** Evicts the oldest entry of the given range, or of the next range that is not empty. */
     private void evictOldest(int first) {
         int number = first;
         while (ranges[number].size() == 0) {
@@ -110,7 +112,7 @@
         size--;
     }
 
-    /** Removes expired entries of the next few ranges. */
+    /** Removes the expired entries of the next few ranges. */
     void sweep(long unixTime) {
         for (int swept = 0; swept < RANGES_PER_SWEEP; swept++) {
             lastSwept = (lastSwept + 1) % RANGES;
@@ -134,7 +136,12 @@
                 && !range.entry(index).isExpired(settings, selection.unexpiredAt);
     }
 
-    /** A digest of the selected entries of ranges from one up to another, exclusive; independent of their order. */
+    /**
+     * Returns a digest of the selected entries of several ranges, independent of the order of the entries.
+     *
+     * @param fromRange the first range
+     * @param toRange the range after the last one
+     */
     long digest(int fromRange, int toRange, SharedEntries selection, long salt) {
         long digest = 0;
         for (int number = fromRange; number < toRange; number++) {
@@ -149,7 +156,12 @@
         return digest;
     }
 
-    /** Visits the selected entries of a range after a key, in the order of keys; of a null key, all. */
+    /**
+     * Visits the selected entries of a range in the order of their keys.
+     *
+     * @param number of the range
+     * @param afterKey only entries with greater keys are visited; all of them if null
+     */
     void forEach(int number, Long afterKey, SharedEntries selection, Visitor visitor) {
         EntryRange range = ranges[number];
         for (int index = 0; index < range.size(); index++) {
--- a/gateway/src/main/java/ploverdale/replication/Hashing.java
+++ b/gateway/src/main/java/ploverdale/replication/Hashing.java
@@ -5,21 +5,30 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** Hash functions that all gateways of a fleet must agree on. Stateless. */
+/** Hash functions whose results must be the same at all gateways of a fleet. Stateless. */
 final class Hashing {
     private static final byte SESSION_PREFIX = 's';
     private static final byte WRITE_PREFIX = 'w';
 
     private Hashing() {}
 
-    /** Spreads bits (the finalizer of SplitMix64), so that sums of its results hardly ever collide by accident. */
+    /**
+     * Mixes the bits of a value (the finalizer of SplitMix64). Sums of its results are very unlikely to collide by
+     * accident.
+     */
     static long mix(long value) {
         long mixed = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
         return mixed ^ mixed >>> 31;
     }
 
-    /** The key of a session or of a write's idempotency key: 64 bits of SHA-256, which clients cannot make collide. */
+    /**
+     * Returns the key of a session or of a write's idempotency key: the first 64 bits of SHA-256, since clients must
+     * not be able to construct collisions.
+     *
+     * @param session whether it is the key of a session
+     * @param text the session's name, or the write's idempotency key
+     */
     static long key(boolean session, String text) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -27,7 +36,7 @@
             byte[] hash = digest.digest(text.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException(missing); // every Java platform has to provide it
+            throw new IllegalStateException(missing); // every Java platform is required to provide it
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
+++ b/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
@@ -3,9 +3,9 @@
 import ploverdale.replication.EntryStore.SharedEntries;
 
 /**
- * Digests of parts of the key space, over the entries that this gateway and a peer both replicate. They are salted by
- * round, so that two different sets of entries whose digests are equal by accident differ in the next round. Not
- * thread-safe, used on the thread of {@link Replicas}.
+ * Computes digests of parts of the key space, over the entries that this gateway and a peer both replicate. Each
+ * round uses another salt, so that different sets of entries whose digests collide in one round are told apart in the
+ * next. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class KeySpaceDigests {
     private final int self;
@@ -17,7 +17,12 @@
         this.store = store;
     }
 
-    /** A digest of each child of an inner node. */
+    /**
+     * Returns a digest of each child of an inner node.
+     *
+     * @param peer number of the peer
+     * @param unexpiredAt the Unix time at which an entry must still be unexpired to be included
+     */
     long[] ofChildren(KeySpaceNode node, int peer, int salt, long unexpiredAt) {
         SharedEntries selection = new SharedEntries(self, peer, unexpiredAt);
         long mixedSalt = Hashing.mix(salt);
--- a/gateway/src/main/java/ploverdale/replication/KeySpaceNode.java
+++ b/gateway/src/main/java/ploverdale/replication/KeySpaceNode.java
@@ -1,10 +1,11 @@
 package ploverdale.replication;
 
 /**
- * A node of the tree that anti-entropy descends (a Merkle tree whose digests are computed on demand). The root at level 0 is
- * the whole key space; each inner node has {@value #CHILDREN} children; a leaf is one range of {@link EntryStore}.
+ * A node of the tree over which anti-entropy compares the key space (a Merkle tree whose digests are computed on
+ * demand). The root, at level 0, covers the whole key space; each inner node has {@value #CHILDREN} children; each
+ * leaf covers one range of {@link EntryStore}.
  *
- * @param index among the nodes of its level, in the order of keys
+ * @param index position among the nodes of its level, in the order of keys
  */
 record KeySpaceNode(int level, int index) {
     static final int CHILDREN = 16;
@@ -13,27 +14,27 @@
 
     private static final int CHILD_BITS = 4;
 
-    /** Whether it is an inner node that exists; as received from a peer it may be none. */
+    /** Whether this is an existing inner node; a node received from a peer may not exist in this tree. */
     boolean hasChildren() {
         return level >= 0 && level < LEAF_LEVEL && index < 1 << CHILD_BITS * level;
     }
 
-    /** Whether it is one range. */
+    /** Whether the node covers exactly one range. */
     boolean isLeaf() {
         return level == LEAF_LEVEL;
     }
 
-    /** A child by its index, between 0 and {@link #CHILDREN}, exclusive. */
+    /** Returns a child by its index between 0 and {@link #CHILDREN}, exclusive. */
     KeySpaceNode child(int child) {
         return new KeySpaceNode(level + 1, index * CHILDREN + child);
     }
 
-    /** The first of its ranges. */
+    /** Returns the number of the first range that the node covers. */
     int firstRange() {
         return index * rangeCount();
     }
 
-    /** Number of its ranges. */
+    /** Returns how many ranges the node covers. */
     int rangeCount() {
         return EntryStore.RANGES >> CHILD_BITS * level;
     }
--- a/gateway/src/main/java/ploverdale/replication/LocalReplica.java
+++ b/gateway/src/main/java/ploverdale/replication/LocalReplica.java
@@ -10,8 +10,8 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * This gateway as a replica of keys: merges entries, answers reads of positions and grants claims, from its store and the
- * bound up to which entries may be missing there. Not thread-safe, used on the thread of {@link Replicas}.
+ * The role of this gateway as a replica of keys: merges entries, answers reads of positions and grants claims, by its
+ * store and by the {@link CompletenessBound}. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class LocalReplica {
     private final LongSupplier unixClock;
@@ -22,8 +22,8 @@
     private long alarms;
 
     /**
-     * @param unixClock in tenths of a millisecond
-     * @param log takes lines for the log
+     * @param unixClock returns Unix times in tenths of a millisecond
+     * @param log receives lines for the log
      */
     LocalReplica(
             LongSupplier unixClock,
@@ -38,28 +38,28 @@
         this.log = log;
     }
 
-    /** Keys at which contradicting proofs were found since the start. */
+    /** Returns the number of writes for which contradicting proofs were found since the start. */
     long alarms() {
         return alarms;
     }
 
-    /** What is known here of a write; null where nothing is. */
+    /** Returns what this replica knows of a write, or null. */
     WriteOutcome outcomeOf(long key) {
         return store.writeOutcome(key);
     }
 
-    /** The server of a session's position, or {@link Position#NO_SERVER}. */
+    /** Returns the server that executed a session's last known write, or {@link Position#NO_SERVER}. */
     int serverOf(long key) {
         Position position = store.position(key);
         return position == null ? Position.NO_SERVER : position.server();
     }
 
-    /** The position that reads of a session must reach as far as this replica knows. */
+    /** Returns the position that reads of a session must reach as far as this replica knows. */
     long requiredPosition(long key) {
         return bound.requiredPosition(key);
     }
 
-    /** Merges an entry into that of its key, and reports proofs that contradict each other. */
+    /** Merges an entry into the stored entry of its key, and raises an alarm if proofs now contradict each other. */
     void merge(long key, VersionedEntry entry) {
         boolean contradictedBefore = isContradictory(outcomeOf(key));
         store.merge(unixClock.getAsLong(), key, entry);
@@ -76,18 +76,21 @@
     }
 
     /**
-     * Grants a claim where this replica would know of any other that might have been used, and knows of none.
+     * Grants a claim if this replica would know of every other claim that may have been used, and knows of none. If
+     * it grants the claim, it stores it.
      *
      * @param firstSubmission whether the write is known to be submitted for the first time
-     * @param requested has that claim and the time at which the write arrived
+     * @param requested contains the claim and the time at which the write arrived
      */
     boolean grant(long key, ClaimId claim, boolean firstSubmission, WriteOutcome requested) {
-        // An earlier submission may have been known here; of a first one, a later submission that overtook it, as where
-        // its gateway was paused meanwhile. What is in the store proves nothing of that: it may be of a refused claim.
+        // Another submission of this write may have stored a claim here that was lost since: an earlier submission or,
+        // if this is the first, a retry that overtook it, for instance while its gateway was paused. An entry in the
+        // store does not prove that nothing was lost, since it may come from a claim that was refused.
         ReplicaSet replicas = placement.of(key);
         boolean arrivedAfterBound = firstSubmission && requested.timestamp() > bound.of(replicas);
         boolean mayKnowAll = arrivedAfterBound || bound.coversSubmissions(replicas);
-        // Other replicas may have brought this claim here before: only grants made here count for its majority.
+        // The claim may already be in the store, received from another replica. That does not count as a grant of this
+        // replica, which still has to decide itself for the claim to reach a majority.
         VersionedEntry known = store.get(key);
         boolean isFree = known == null || known.permitsClaim(claim);
         if (!mayKnowAll || !isFree) {
@@ -97,19 +100,19 @@
         return outcomeOf(key) != null;
     }
 
-    /** Merges the entry. */
+    /** Merges the entry of the request. */
     WriteResponse answer(Peer requester, WriteRequest request) {
         merge(request.key(), request.entry());
         return new WriteResponse(requester.incarnation(), request.number());
     }
 
-    /** Reads the required position and the server of the one in the store. */
+    /** Returns the required position of a session and the server that executed its last known write. */
     PositionResponse answer(Peer requester, PositionRequest request) {
         long key = request.key();
         return new PositionResponse(requester.incarnation(), request.number(), requiredPosition(key), serverOf(key));
     }
 
-    /** Grants or refuses the claim, with what is then known of the write. */
+    /** Grants or refuses the claim; the response includes what this replica then knows of the write. */
     ClaimResponse answer(Peer requester, ClaimRequest request) {
         WriteOutcome requested = request.outcome();
         ClaimId claim = requested.claims().keySet().iterator().next();
--- a/gateway/src/main/java/ploverdale/replication/Peer.java
+++ b/gateway/src/main/java/ploverdale/replication/Peer.java
@@ -1,7 +1,7 @@
 package ploverdale.replication;
 
 /**
- * The gateway that sent a message.
+ * A peer gateway that sent a message, in one of its incarnations.
  *
  * @param gateway its number
  * @param incarnation of its process
--- a/gateway/src/main/java/ploverdale/replication/Position.java
+++ b/gateway/src/main/java/ploverdale/replication/Position.java
@@ -3,14 +3,16 @@
 import java.nio.ByteBuffer;
 
 /**
- * How far a session's reads must reach. Of two replicas' positions the later one wins: one too late costs a read at the
- * primary, one too early a read that is older than the session's last write.
+ * The log position that a session's reads must reach. Of the positions of two replicas the later one wins: a position
+ * that is too late costs a read at the primary, one that is too early allows a read older than the session's last
+ * write.
  *
  * @param timestamp log position of the session's last write, a Unix time in tenths of a millisecond
- * @param server number of the server that executed it, by which a takeover since then shows
+ * @param server number of the server that executed that write; a different current primary reveals a takeover since
+ *     then
  */
 record Position(long timestamp, int server) implements VersionedEntry {
-    /** The server's number where none is known. */
+    /** Stands for an unknown server. */
     static final int NO_SERVER = -1;
 
     @Override
--- a/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
@@ -4,8 +4,8 @@
 import ploverdale.replication.ReplicationMessage.ClaimRequest;
 
 /**
- * Claims to execute a write. The claim is granted by a majority of replicas or not at all; replicas that granted one that
- * failed have to be notified that its write is never executed, see {@link #isToBeWithdrawn}.
+ * Claims to execute a write. The claim is granted only if a majority of replicas grants it. If it fails, replicas
+ * that granted it have to be notified that its write is never executed, see {@link #isToBeWithdrawn}.
  */
 final class QuorumClaim extends QuorumOperation {
     private final ClaimId claim;
@@ -14,8 +14,6 @@
     private int grants;
 
     /**
-     * A claim that no replica has answered.
-     *
      * @param firstSubmission whether the write is known to be submitted for the first time
      * @param arrivedAt when the write arrived, a Unix time in tenths of a millisecond
      */
@@ -33,7 +31,6 @@
         requested = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
     }
 
-    /** The claim itself. */
     ClaimId claim() {
         return claim;
     }
@@ -48,7 +45,7 @@
         onAnswer(place, replica.grant(key(), claim, firstSubmission, requested));
     }
 
-    /** A replica has granted or refused the claim. */
+    /** Records that a replica granted or refused the claim. */
     void onAnswer(int place, boolean granted) {
         markAnswered(place);
         if (granted) {
@@ -81,12 +78,15 @@
         return Status.IN_DOUBT;
     }
 
-    /** Whether it has failed, all replicas have answered, and some granted it. */
+    /** Whether the claim has failed after all replicas answered, and some of them granted it. */
     boolean isToBeWithdrawn() {
         return isCompleted() && !isGranted() && grants > 0 && isAnsweredByAll();
     }
 
-    /** Whether it has failed by a timeout: a replica may have granted it whose answer was lost. */
+    /**
+     * Whether the claim has to be withdrawn when its time is over: it has no majority, but a replica may have granted
+     * it and the response was lost.
+     */
     boolean isToBeWithdrawnOnTimeout() {
         return !isGranted();
     }
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -11,20 +11,20 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Coordinates this gateway's quorum operations: sends each to the replicas of its key, repeats it until answered, and ends
- * it once a majority of answers decides it or its time is over. Where this gateway is itself a replica, it answers at once
- * and without a message.
+ * Coordinates this gateway's quorum operations: sends each one to the replicas of its key, repeats it to those that
+ * have not answered, and completes it once a majority of answers decides it or its deadline has passed. If this
+ * gateway is itself one of the replicas, it answers at once, without a message.
  *
- * <p>Positions and timestamps of entries are Unix times, all else is of a monotonic clock; both in tenths of a millisecond.
- * Not thread-safe, used on the thread of {@link Replicas}.
+ * <p>Positions and timestamps of entries are Unix times, all other times are of a monotonic clock; both in tenths of
+ * a millisecond. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class QuorumCoordinator {
     private static final long MS = 10;
-    /** Of a write that nobody waits for; replicas that lack it then receive it by anti-entropy. */
+    /** Timeout of a write that nobody waits for. Replicas that missed it receive it later by anti-entropy. */
     private static final long UNAWAITED_WRITE_TIMEOUT = 1000 * MS;
-    /** One operation more ends as unknown at once, which bounds memory. */
+    /** Bounds memory: at this number of pending operations, further ones complete at once with status UNKNOWN. */
     private static final int MAX_PENDING = 20_000;
-    /** Ticket of an operation whose result is not reported. */
+    /** Returned as the ticket of an operation whose result is not reported. */
     private static final long NO_TICKET = 0;
 
     private final int self;
@@ -32,7 +32,7 @@
     private final ReplicaPlacement placement;
     private final EntryStore store;
     private final LocalReplica localReplica;
-    private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by number, oldest first
+    private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by request number, oldest first
     private final List<QuorumClaim> toBeWithdrawn = new ArrayList<>();
     private final List<QuorumResult> results = new ArrayList<>();
     private int lastNumber;
@@ -40,7 +40,6 @@
     private long requested;
     private long unknownReads;
 
-    /** @param localReplica this gateway as a replica */
     QuorumCoordinator(
             int self,
             ReplicationSettings settings,
@@ -54,17 +53,17 @@
         this.localReplica = localReplica;
     }
 
-    /** Reads and claims since the start. */
+    /** Returns the number of reads and claims since the start. */
     long requested() {
         return requested;
     }
 
-    /** Reads since the start that no quorum answered in time. */
+    /** Returns the number of reads since the start that no majority of replicas answered in time. */
     long unknownReads() {
         return unknownReads;
     }
 
-    /** Results since the last call, in the order in which the operations ended. */
+    /** Returns the results since the last call, in the order in which the operations completed. */
     List<QuorumResult> takeResults() {
         List<QuorumResult> taken = List.copyOf(results);
         results.clear();
@@ -74,19 +73,26 @@
     /**
      * Replicates an entry.
      *
-     * @param timeout of a write that is awaited
-     * @return the ticket, or 0 where its result is not awaited
+     * @param timeout applies to a write that is awaited
+     * @param awaited whether the result is reported
+     * @return the ticket, or 0 if the result is not awaited
      */
     long write(Turn turn, long key, VersionedEntry entry, long timeout, boolean awaited) {
         long deadline = turn.now() + (awaited ? timeout : UNAWAITED_WRITE_TIMEOUT);
         long ticket = ++lastTicket;
-        // Also where this gateway is no replica of the key: a client is likely to come back here.
+        // Even if this gateway is not a replica of the key, since a client is likely to use the same gateway again.
         localReplica.merge(key, entry);
         begin(turn, new QuorumWrite(ticket, key, placement.of(key), deadline, awaited, entry));
         return awaited ? ticket : NO_TICKET;
     }
 
-    /** Replicates what is proven of a claim that was granted to this gateway; parameters as for {@link #write}. */
+    /**
+     * Replicates what is proven of a claim that was granted to this gateway.
+     *
+     * @param timeout as of {@link #write}
+     * @param awaited as of {@link #write}
+     * @return as of {@link #write}
+     */
     long writeOutcome(
             Turn turn, long key, ClaimId claim, ClaimState proof, byte[] response, long timeout, boolean awaited) {
         WriteOutcome known = localReplica.outcomeOf(key);
@@ -94,7 +100,7 @@
         return write(turn, key, WriteOutcome.of(timestamp, claim, proof, response), timeout, awaited);
     }
 
-    /** Reads the position that reads of a session must reach; its ticket. */
+    /** Reads the position that reads of a session must reach. Returns the ticket of the operation. */
     long readPosition(Turn turn, long key) {
         long ticket = ++lastTicket;
         requested++;
@@ -104,11 +110,12 @@
     }
 
     /**
-     * Claims to execute a write; its ticket.
+     * Claims to execute a write.
      *
      * @param incarnation of this gateway
-     * @param firstSubmission whether its client has marked it as a first submission
+     * @param firstSubmission whether the client has marked the write as a first submission
      * @param arrivedAt when the write arrived here, a Unix time
+     * @return the ticket of the operation
      */
     long claim(Turn turn, long key, long incarnation, boolean firstSubmission, long arrivedAt) {
         long ticket = ++lastTicket;
@@ -139,7 +146,7 @@
         }
     }
 
-    /** To all other replicas that have not answered yet. */
+    /** Sends the request to all other replicas that have not answered yet. */
     private void send(Turn turn, int number, QuorumOperation operation) {
         ReplicaSet replicas = operation.replicas();
         for (int place = 0; place < replicas.size(); place++) {
@@ -150,7 +157,7 @@
         }
     }
 
-    /** A replica has merged an entry. */
+    /** Called when a replica has merged an entry. */
     void onWriteResponse(int from, WriteResponse response) {
         QuorumWrite write = awaiting(QuorumWrite.class, from, response);
         if (write == null) {
@@ -160,7 +167,7 @@
         afterAnswer(response.number(), write);
     }
 
-    /** A replica requires a position. */
+    /** Called when a replica has answered with the position that it requires. */
     void onPositionResponse(int from, PositionResponse response) {
         QuorumRead read = awaiting(QuorumRead.class, from, response);
         if (read == null) {
@@ -170,7 +177,7 @@
         afterAnswer(response.number(), read);
     }
 
-    /** A replica has granted or refused a claim. */
+    /** Called when a replica has granted or refused a claim. */
     void onClaimResponse(int from, ClaimResponse response) {
         QuorumClaim claim = awaiting(QuorumClaim.class, from, response);
         if (claim == null) {
@@ -186,7 +193,10 @@
         }
     }
 
-    /** The operation that a response belongs to; null where it is late, a duplicate or of another type. */
+    /**
+     * Returns the pending operation that a response answers; null if the response is late, a duplicate, or of another
+     * type than the operation.
+     */
     private <T extends QuorumOperation> T awaiting(Class<T> type, int from, Response response) {
         QuorumOperation operation = pending.get(response.number());
         if (!type.isInstance(operation)) {
@@ -225,7 +235,10 @@
         }
     }
 
-    /** Ends operations whose time is over, repeats others, and withdraws claims that have failed. */
+    /**
+     * Completes operations whose deadline has passed, repeats requests whose backoff is over, and withdraws claims
+     * that have failed.
+     */
     void onTick(Turn turn) {
         pending.values().removeIf(operation -> expire(operation, turn.now()));
         retryOverdue(turn);
@@ -245,7 +258,7 @@
         });
     }
 
-    /** Ends an operation whose time is over; false where it is not. */
+    /** Completes an operation if its deadline has passed. Returns whether it has. */
     private boolean expire(QuorumOperation operation, long now) {
         if (!operation.isExpired(now)) {
             return false;
@@ -257,7 +270,7 @@
         return true;
     }
 
-    /** Appends all that tells two states apart, for a model checker. */
+    /** Appends a description in which any two states differ that a model checker has to tell apart. */
     void describe(StringBuilder text) {
         pending.values().forEach(operation -> operation.describe(text));
         text.append(' ').append(lastNumber).append(' ').append(toBeWithdrawn.size());
--- a/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
@@ -4,9 +4,9 @@
 import ploverdale.replication.QuorumResult.Status;
 
 /**
- * One request to all replicas of a key, and which of them have answered. It is repeated with exponential backoff to those
- * that have not. Times in tenths of a millisecond of a monotonic clock. Not thread-safe, used on the thread of {@link
- * Replicas}.
+ * One request to all replicas of a key, with a record of which of them have answered. It is repeated with exponential
+ * backoff to those that have not. Times are in tenths of a millisecond of a monotonic clock. Not thread-safe: used on
+ * the thread of {@link Replicas}.
  */
 abstract sealed class QuorumOperation permits QuorumWrite, QuorumRead, QuorumClaim {
     private static final long MS = 10;
@@ -18,15 +18,13 @@
     private final ReplicaSet replicas;
     private final long deadline;
     private final boolean awaited;
-    private final BitSet answered = new BitSet(ReplicaSet.MAX_SIZE); // by place among the replicas
+    private final BitSet answered = new BitSet(ReplicaSet.MAX_SIZE); // by place in the replica set
     private boolean completed;
     private long retryAt;
     private long retryAfter = FIRST_RETRY_AFTER;
 
     /**
-     * An operation that no replica has answered.
-     *
-     * @param deadline at which it ends without a quorum
+     * @param deadline time at which the operation completes even without a quorum
      * @param awaited whether its result is reported
      */
     QuorumOperation(long ticket, long key, ReplicaSet replicas, long deadline, boolean awaited) {
@@ -37,72 +35,70 @@
         this.awaited = awaited;
     }
 
-    /** The message to each replica. */
+    /** Returns the message to each replica. */
     abstract ReplicationMessage request(int number);
 
-    /** Has this gateway answer as the replica of a place. */
+    /** Records the answer of this gateway, which is the replica in the given place. */
     abstract void answerLocally(LocalReplica replica, int place);
 
     /**
-     * How it ends by the answers so far; null where they do not decide it yet.
+     * Returns the status with which the answers so far complete the operation; null while they do not decide it.
      *
-     * @param known what this gateway knows of the write of that key, or null
+     * @param known what this gateway knows of the write with that key, or null
      */
     abstract Status decide(WriteOutcome known);
 
-    /** How it ends where no quorum has answered in time. */
+    /** Returns the status with which the operation completes if no quorum has answered before the deadline. */
     abstract Status timeoutStatus();
 
     /**
-     * How its result is reported.
+     * Returns the result to report.
      *
-     * @param response of the write of that key, see {@link WriteOutcome#response}
+     * @param response of the write with that key, see {@link WriteOutcome#response}
      */
     QuorumResult result(Status status, byte[] response) {
         return new QuorumResult(ticket, status, EntryStore.NOTHING_MISSING, Position.NO_SERVER, null, response);
     }
 
-    /** Identifies it in its {@link QuorumResult}. */
+    /** Returns the number that identifies the operation in its {@link QuorumResult}. */
     final long ticket() {
         return ticket;
     }
 
-    /** The key that it is about. */
     final long key() {
         return key;
     }
 
-    /** The replicas of its key. */
     final ReplicaSet replicas() {
         return replicas;
     }
 
-    /** Whether its result is reported. */
+    /** Whether the result is reported. */
     final boolean isAwaited() {
         return awaited;
     }
 
-    /** Whether it has ended; replicas may still be answering. */
+    /** Whether the result is decided. Replicas may still be answering. */
     final boolean isCompleted() {
         return completed;
     }
 
-    /** It has ended. */
+    /** Marks the operation as completed. */
     final void complete() {
         completed = true;
     }
 
-    /** Whether the replica of a place has answered. */
+    /** Whether the replica in a place has answered. */
     final boolean isAnsweredBy(int place) {
         return answered.get(place);
     }
 
-    /** The replica of a place has answered. */
+    /** Records that the replica in a place has answered. */
     final void markAnswered(int place) {
         answered.set(place);
     }
 
-    /** Replicas that have answered. */
+    /** Returns how many replicas have answered. */
     final int answers() {
         return answered.cardinality();
     }
@@ -112,43 +108,42 @@
         return answers() >= replicas.majority();
     }
 
-    /** Whether all replicas have answered. */
     final boolean isAnsweredByAll() {
         return answers() == replicas.size();
     }
 
-    /** Whether no further answer is of use. */
+    /** Whether further answers are of no use, so that the operation can be forgotten. */
     boolean isFinished() {
         return isAnsweredByAll();
     }
 
-    /** Whether its time is over. */
+    /** Whether the deadline has passed. */
     final boolean isExpired(long now) {
         return now >= deadline;
     }
 
-    /** It was sent for the first time. */
+    /** Called when the request was sent for the first time. */
     final void scheduleFirstRetry(long now) {
         retryAt = now + retryAfter;
     }
 
-    /** Whether it is to be sent again to the replicas that have not answered. */
+    /** Whether the request is to be sent again to the replicas that have not answered. */
     boolean isRetryDue(long now) {
         return isBackoffOver(now) && !completed;
     }
 
-    /** Whether the pause after it was last sent is over. */
+    /** Whether the backoff since the request was last sent is over. */
     final boolean isBackoffOver(long now) {
         return now >= retryAt;
     }
 
-    /** It was sent again. */
+    /** Called when the request was sent again; the backoff grows by {@value #BACKOFF_FACTOR} each time. */
     final void scheduleNextRetry(long now) {
         retryAfter *= BACKOFF_FACTOR;
         retryAt = now + retryAfter;
     }
 
-    /** Appends all that tells two states apart, for a model checker. */
+    /** Appends a description in which any two states differ that a model checker has to tell apart. */
     void describe(StringBuilder text) {
         text.append(' ').append(getClass().getSimpleName()).append(answered).append(completed);
     }
--- a/gateway/src/main/java/ploverdale/replication/QuorumRead.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumRead.java
@@ -25,7 +25,12 @@
         onAnswer(place, replica.requiredPosition(key()), replica.serverOf(key()));
     }
 
-    /** A replica requires that position, of a server or {@link Position#NO_SERVER}. */
+    /**
+     * Records the answer of a replica.
+     *
+     * @param answeredPosition the position that it requires
+     * @param answeredServer the server that executed the session's last write, or {@link Position#NO_SERVER}
+     */
     void onAnswer(int place, long answeredPosition, int answeredServer) {
         markAnswered(place);
         if (answeredPosition > position) {
--- a/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
@@ -3,11 +3,13 @@
 import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.ReplicationMessage.WriteRequest;
 
-/** Replicates an entry. It ends once a majority of replicas has it, and is repeated until all have it or time is over. */
+/**
+ * Replicates an entry. Completes once a majority of replicas has stored it, but is repeated until all of them have
+ * stored it or the deadline has passed.
+ */
 final class QuorumWrite extends QuorumOperation {
     private final VersionedEntry entry;
 
-    /** A write that no replica has answered. */
     QuorumWrite(long ticket, long key, ReplicaSet replicas, long deadline, boolean awaited, VersionedEntry entry) {
         super(ticket, key, replicas, deadline, awaited);
         this.entry = entry;
@@ -18,9 +20,9 @@
         return new WriteRequest(number, key(), entry);
     }
 
-    /** The coordinator has merged the entry before. */
     @Override
     void answerLocally(LocalReplica replica, int place) {
+        // The coordinator has already merged the entry into the local store.
         markAnswered(place);
     }
 
--- a/gateway/src/main/java/ploverdale/replication/ReplicaSet.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaSet.java
@@ -1,33 +1,33 @@
 package ploverdale.replication;
 
 /**
- * The gateways that replicate a key, in the order of their rank for it. Packed into one {@code long}, so that the
- * {@link EntryStore} can hold one for each entry at little cost.
+ * The gateways that replicate a key, in the order of their rank for it. Packed into one {@code long}, so that {@link
+ * EntryStore} can hold a set for each entry at little cost.
  *
- * @param packed the gateways' numbers, {@value #GATEWAY_BITS} bits each, the first one lowest
+ * @param packed the gateways' numbers, {@value #GATEWAY_BITS} bits each, the first one in the lowest bits
  * @param size number of replicas
  */
 record ReplicaSet(long packed, int size) {
     private static final int GATEWAY_BITS = 10;
     static final int MAX_GATEWAYS = 1 << GATEWAY_BITS;
-    /** Six would fit; more than five replicas cost messages and save nothing that five do not. */
+    /** Six would fit into 64 bits, but a sixth replica costs messages and lets a quorum survive no more failures. */
     static final int MAX_SIZE = 5;
-    /** The place of a gateway that is none of the replicas. */
+    /** Stands for the place of a gateway that is not one of the replicas. */
     static final int NO_PLACE = -1;
 
     static final ReplicaSet EMPTY = new ReplicaSet(0, 0);
 
-    /** This set and one more gateway, in the last place. */
+    /** Returns this set with one more gateway in the last place. */
     ReplicaSet plus(int gateway) {
         return new ReplicaSet(packed | (long) gateway << GATEWAY_BITS * size, size + 1);
     }
 
-    /** The gateway in a place between 0 and {@link #size}, exclusive. */
+    /** Returns the gateway in a place between 0 and {@link #size}, exclusive. */
     int gateway(int place) {
         return (int) (packed >>> GATEWAY_BITS * place) & MAX_GATEWAYS - 1;
     }
 
-    /** The place of a gateway, or {@link #NO_PLACE}. */
+    /** Returns the place of a gateway, or {@link #NO_PLACE}. */
     int placeOf(int gateway) {
         for (int place = 0; place < size; place++) {
             if (gateway(place) == gateway) {
@@ -37,12 +37,11 @@
         return NO_PLACE;
     }
 
-    /** Whether a gateway is one of the replicas. */
     boolean contains(int gateway) {
         return placeOf(gateway) != NO_PLACE;
     }
 
-    /** Replicas of a quorum; any two quorums of one set have a replica in common. */
+    /** Returns the number of replicas that form a quorum; any two quorums of one set have a replica in common. */
     int majority() {
         return size / 2 + 1;
     }
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -9,16 +9,18 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * One gateway's part of the replicated state: session positions and write outcomes, each on a few gateways of the fleet. An
- * entry is written to the replicas of its key, a read or a claim asks all of them, and a majority decides ({@link
- * QuorumCoordinator}; quorums after Gifford, 1979, placement and eventual repair as in Dynamo, 2007). Replicas that missed
- * a write receive it by anti-entropy ({@link AntiEntropy}). A replica answers with its own entry, and no less than the
- * time up to which it may lack entries ({@link CompletenessBound}). So one that started empty never takes what it does not
- * know for absent, and the loss of all replicas costs only reads that go to the primary for a while. Messages may be
- * lost, duplicated, late or reordered.
+ * This gateway's part of the replicated state: positions of sessions and outcomes of writes, each of them replicated
+ * on a few gateways of the fleet. An entry is written to the replicas of its key; a read or a claim asks all of them,
+ * and a majority decides (see {@link QuorumCoordinator}; quorums as in Gifford, 1979; placement and eventual repair
+ * as in Dynamo, 2007). Replicas that missed a write receive it by anti-entropy ({@link AntiEntropy}).
  *
- * <p>{@code now} is in tenths of a millisecond of a monotonic clock; positions and timestamps of entries are Unix times in
- * the same unit. Not thread-safe: used on the event loop only.
+ * <p>A replica answers a read with its own entry, or with the time up to which it may lack entries if that is later
+ * ({@link CompletenessBound}). A replica that started empty therefore never treats an entry that it lacks as absent,
+ * and losing all replicas only sends reads to the primary for a while. Messages may be lost, duplicated, delayed or
+ * reordered.
+ *
+ * <p>{@code now} is in tenths of a millisecond of a monotonic clock; positions and timestamps of entries are Unix
+ * times in the same unit. Not thread-safe: used on the event loop only.
  */
 public final class Replicas {
     private static final long MS = 10;
@@ -37,11 +39,13 @@
     private long incarnation;
 
     /**
+     * Creates an empty store that catches up with the other gateways by anti-entropy.
+     *
      * @param self this gateway's number
      * @param gateways number of gateways of the fleet, alive or not
      * @param incarnation of this gateway's process
-     * @param random chooses peers of anti-entropy, and salts of digests
-     * @param unixClock in tenths of a millisecond
+     * @param random draws the peers of anti-entropy and the salts of digests
+     * @param unixClock returns Unix times in tenths of a millisecond
      */
     public Replicas(
             int self,
@@ -79,21 +83,24 @@
     }
 
     /**
-     * The key of a session or of a write.
+     * Returns the key of a session or of a write.
      *
-     * @param session whether it is a session's
+     * @param session whether it is the key of a session
      * @param text the session's name, or the write's idempotency key
      */
     public static long key(boolean session, String text) {
         return Hashing.key(session, text);
     }
 
-    /** The Unix clock was wrong: what was replicated here until now counts as lost. */
+    /**
+     * Called when the Unix clock turned out to be wrong: entries replicated to this gateway so far count as lost
+     * until peers have returned them.
+     */
     public void onClockCorrected() {
         bound.restartAt(unixClock.getAsLong() + settings.maxClockDifference());
     }
 
-    /** The incarnation of this gateway from now on. */
+    /** Sets the incarnation of this gateway; responses to requests of an earlier one are ignored from then on. */
     public void setIncarnation(long incarnation) {
         this.incarnation = incarnation;
     }
@@ -103,25 +110,26 @@
     }
 
     /**
-     * Replicates the position of a session's last write, which a server of that number executed.
+     * Replicates the log position of a session's last write.
      *
-     * @param timeout in tenths of a millisecond; of use only where the result is awaited
+     * @param server number of the server that executed the write
+     * @param timeout in tenths of a millisecond; applies only if the result is awaited
      * @param awaited whether the result is reported
-     * @return a ticket whose result is REPLICATED or UNKNOWN, or 0 where it is not awaited
+     * @return a ticket whose result is REPLICATED or UNKNOWN, or 0 if the result is not awaited
      */
     public long writePosition(
             long now, long key, long position, int server, long timeout, boolean awaited, PacketQueue queue) {
         Turn turn = turn(now, queue);
-        // A position that is wrongly in the future would force the session's reads to the primary until then.
+        // A position wrongly in the future would send the session's reads to the primary until that time.
         long bounded = Math.min(position, turn.unixTime() + settings.maxClockDifference());
         return coordinator.write(turn, key, new Position(bounded, server & 0xFFFF), timeout, awaited);
     }
 
     /**
-     * Replicates what is proven of a claim that was granted here; where nothing is, the write stays in doubt. The other
-     * parameters and the ticket are as of {@link #writePosition}.
+     * Replicates what is proven of a claim that was granted to this gateway. Without a proof the write stays in
+     * doubt. The other parameters and the ticket are as of {@link #writePosition}.
      *
-     * @param response the response of a write that was executed, else empty
+     * @param response the response of a write that was executed, otherwise empty
      */
     public long writeOutcome(
             long now,
@@ -135,27 +143,35 @@
         return coordinator.writeOutcome(turn(now, queue), key, claim, proof, response, timeout, awaited);
     }
 
-    /** Reads the position that a session's reads must reach; the result of its ticket is POSITION_KNOWN or UNKNOWN. */
+    /**
+     * Reads the position that a session's reads must reach.
+     *
+     * @return a ticket whose result is POSITION_KNOWN or UNKNOWN
+     */
     public long readPosition(long now, long key, PacketQueue queue) {
         return coordinator.readPosition(turn(now, queue), key);
     }
 
     /**
-     * Claims to execute a write; the result of its ticket is GRANTED, or what is known of an earlier claim.
+     * Claims to execute a write.
      *
-     * @param firstSubmission whether its client has marked it as a first submission
-     * @param arrivedAt when it arrived here, a Unix time
+     * @param firstSubmission whether the client has marked the write as a first submission
+     * @param arrivedAt when the write arrived here, a Unix time
+     * @return a ticket whose result is GRANTED, what is known of an earlier claim, or UNKNOWN if too many operations
+     *     are pending
      */
     public long claimWrite(long now, long key, boolean firstSubmission, long arrivedAt, PacketQueue queue) {
         return coordinator.claim(turn(now, queue), key, incarnation, firstSubmission, arrivedAt);
     }
 
-    /** Results since the last call, in the order in which the operations ended. */
+    /** Returns the results since the last call, in the order in which the operations completed. */
     public List<QuorumResult> takeResults() {
         return coordinator.takeResults();
     }
 
-    /** Handles a message of another gateway; ignores parts of other kinds. */
+    /**
+     * Handles a message of another gateway. Ignores parts of other kinds, and responses to an earlier incarnation.
+     */
     public void onMessage(long now, int from, long senderIncarnation, Part part, PacketQueue queue) {
         ReplicationMessage message = ReplicationMessageDecoder.decode(part);
         if (message == null || isForAnotherIncarnation(message)) {
@@ -177,7 +193,7 @@
     }
 
     /**
-     * Does the periodic work.
+     * Does the periodic work: timeouts, retries, removal of expired entries, and anti-entropy.
      *
      * @param isAlive whether a gateway is alive as far as this one knows
      */
@@ -188,34 +204,37 @@
         antiEntropy.onTick(turn, isAlive);
     }
 
-    /** What is to be logged since the last call; each line begins with its kind and a colon. */
+    /** Returns the lines to be logged since the last call; each begins with its kind and a colon. */
     public List<String> takeLogLines() {
         List<String> taken = List.copyOf(logLines);
         logLines.clear();
         return taken;
     }
 
-    /** A line of all figures. */
+    /** Returns a log line with all counters. */
     public String statistics() {
         return "replicas: holds " + store.size() + " facts, " + store.evicted() + " forgotten for want of room, "
                 + coordinator.requested() + " asked, " + coordinator.unknownReads() + " of them unknown, "
                 + antiEntropy.received() + " taken from others, " + localReplica.alarms() + " alarms";
     }
 
-    /** Entries in this gateway's store. */
+    /** Returns the number of entries in this gateway's store. */
     public int size() {
         return store.size();
     }
 
     /**
-     * A digest of all entries that this gateway and another both replicate and that are not expired at a Unix time; equal
-     * where their entries are.
+     * Returns a digest of the entries that this gateway and a peer both replicate and that are not expired at a Unix
+     * time. If both gateways hold the same entries, their digests are equal.
      */
     public long digest(int peer, long unexpiredAt) {
         return store.digest(0, EntryStore.RANGES, new EntryStore.SharedEntries(self, peer, unexpiredAt), 0);
     }
 
-    /** All that tells two states apart where one key is all there is, for a model checker. */
+    /**
+     * Returns a description in which any two states differ that a model checker has to tell apart, provided that only
+     * one key is in use.
+     */
     public String describeState(long key) {
         StringBuilder text = new StringBuilder().append(store.get(key));
         text.append(' ').append(bound.of(placement.of(key)));
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
@@ -4,24 +4,25 @@
 import java.util.List;
 
 /**
- * A message between two gateways. A request carries a number that its response repeats, together with the incarnation of
- * the requester, so that no response reaches a later process of that name. Encoded by {@link ReplicationMessageEncoder},
- * decoded by {@link ReplicationMessageDecoder}. Times are Unix times in tenths of a millisecond.
+ * A message between two gateways. A request has a number; its response repeats the number together with the
+ * incarnation of the requester, so that a process that has restarted as the same gateway ignores it. Encoded by
+ * {@link ReplicationMessageEncoder}, decoded by {@link ReplicationMessageDecoder}. Times are Unix times in tenths of
+ * a millisecond.
  */
 sealed interface ReplicationMessage {
     /** Calls the handler's method for this type of message. */
     void accept(ReplicationMessageHandler handler);
 
-    /** A message that answers a request. */
+    /** A response to a request. */
     sealed interface Response extends ReplicationMessage {
-        /** Incarnation of the gateway that sent the request. */
+        /** Returns the incarnation of the gateway that sent the request. */
         long requesterIncarnation();
 
-        /** Number of the request that it answers. */
+        /** Returns the number of the request. */
         int number();
     }
 
-    /** Asks a replica to merge an entry into that of its key. */
+    /** Asks a replica to merge an entry into the stored entry of its key. */
     record WriteRequest(int number, long key, VersionedEntry entry) implements ReplicationMessage {
         @Override
         public void accept(ReplicationMessageHandler handler) {
@@ -29,7 +30,7 @@
         }
     }
 
-    /** The entry was merged. */
+    /** Confirms that the entry was merged. */
     record WriteResponse(long requesterIncarnation, int number) implements Response {
         @Override
         public void accept(ReplicationMessageHandler handler) {
@@ -46,7 +47,7 @@
     }
 
     /**
-     * The position that a replica requires.
+     * Returns the position that a replica requires.
      *
      * @param server as of {@link Position#server}, or {@link Position#NO_SERVER}
      */
@@ -61,7 +62,7 @@
      * Asks a replica to grant a claim to execute a write.
      *
      * @param firstSubmission whether the write is known to be submitted for the first time
-     * @param outcome has exactly one claim, the one to be granted, and the time at which the write arrived
+     * @param outcome contains exactly one claim, the one to be granted, and the time at which the write arrived
      */
     record ClaimRequest(int number, long key, boolean firstSubmission, WriteOutcome outcome)
             implements ReplicationMessage {
@@ -72,9 +73,9 @@
     }
 
     /**
-     * Whether a replica grants a claim.
+     * Says whether a replica has granted a claim.
      *
-     * @param known what it holds of the write; null where nothing
+     * @param known what the replica knows of the write, or null
      */
     record ClaimResponse(long requesterIncarnation, int number, boolean granted, WriteOutcome known)
             implements Response {
@@ -88,8 +89,8 @@
      * Asks a peer which children of a node of the key space differ.
      *
      * @param salt of the digests
-     * @param unexpiredAt time at which entries must not be expired to be included
-     * @param digests the requester's, one for each child of the node
+     * @param unexpiredAt the time at which an entry must still be unexpired to be included
+     * @param digests the requester's digest of each child of the node
      */
     record DigestRequest(int number, KeySpaceNode node, int salt, long unexpiredAt, long[] digests)
             implements ReplicationMessage {
@@ -100,10 +101,10 @@
     }
 
     /**
-     * The children of a node whose digests differ.
+     * Names the children of a node whose digests differ.
      *
      * @param differing indexes of the children
-     * @param missingUntil see {@link CompletenessBound#ofAll}, of the peer
+     * @param missingUntil up to when the responding peer may lack entries, see {@link CompletenessBound#ofAll}
      */
     record DigestResponse(long requesterIncarnation, int number, BitSet differing, long missingUntil)
             implements Response {
@@ -117,7 +118,7 @@
      * Asks a peer for the entries of a range.
      *
      * @param range number of the range
-     * @param afterKey the last key received of it, or null for its first entries
+     * @param afterKey the last key received of the range; null to start with its first entry
      */
     record EntriesRequest(int number, int range, Long afterKey) implements ReplicationMessage {
         @Override
@@ -127,9 +128,9 @@
     }
 
     /**
-     * Entries of a range in the order of their keys.
+     * Contains entries of a range in the order of their keys.
      *
-     * @param more whether the range has further ones
+     * @param more whether the range has further entries
      */
     record EntriesResponse(long requesterIncarnation, int number, boolean more, List<KeyedEntry> entries)
             implements Response {
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageDecoder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageDecoder.java
@@ -18,8 +18,9 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Decodes parts of packets, see {@link ReplicationMessageEncoder} for the format. What another version appended to a
- * message is ignored; so is a message that is cut short, or whose content this version does not know. Stateless.
+ * Decodes parts of packets; {@link ReplicationMessageEncoder} describes the format. Ignores bytes that a later
+ * version may have appended to a message, and rejects messages that are truncated or whose content this version does
+ * not know. Stateless.
  */
 final class ReplicationMessageDecoder {
     private static final int REQUEST_HEAD_BYTES = Integer.BYTES + Long.BYTES;
@@ -34,7 +35,7 @@
 
     private ReplicationMessageDecoder() {}
 
-    /** The message of a part; null where it is none that this version can read. */
+    /** Returns the message in a part; null if this version cannot read it or it is not a replication message. */
     static ReplicationMessage decode(Part part) {
         ReplicationMessageKind kind = ReplicationMessageKind.of(part.kind());
         if (kind == null || part.content().length < minimumBytes(kind)) {
@@ -130,7 +131,7 @@
         return new EntriesResponse(requesterIncarnation, number, more, keyedEntries(content));
     }
 
-    /** Entries up to the first one that cannot be read: where that one ends is unknown. */
+    /** Reads entries up to the first one that cannot be read, since the length of that one is unknown. */
     private static List<KeyedEntry> keyedEntries(ByteBuffer content) {
         List<KeyedEntry> entries = new ArrayList<>();
         while (content.remaining() > Long.BYTES) {
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageDispatcher.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageDispatcher.java
@@ -12,8 +12,8 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Takes one message of a peer to the class that handles it: requests to the replica or the anti-entropy responder of this
- * gateway, whose answers it sends back; responses to whoever sent the request.
+ * Passes one message of a peer to the class that handles it. Requests go to this gateway's replica or anti-entropy
+ * responder, whose responses are sent back to the peer; responses go to the class that sent the request.
  *
  * @param turn in which the message is handled
  * @param peer the sender
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageEncoder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageEncoder.java
@@ -18,18 +18,18 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Encodes one message as a part of a packet. Numbers are big-endian; a boolean is a byte of 0 or 1. A response begins with
- * the requester's incarnation (8 bytes) and the request's number (4), a request with its number.
+ * Encodes one message as a part of a packet. Numbers are big-endian; a boolean is one byte, 0 or 1. A response begins
+ * with the requester's incarnation (8 bytes) and the number of the request (4 bytes), a request with its number.
  */
 final class ReplicationMessageEncoder implements ReplicationMessageHandler {
-    private static final int MAX_BYTES = 512; // more than any message takes, since a packet is shorter
+    private static final int MAX_BYTES = 512; // longer than any message, since a packet is shorter
 
     private final ByteBuffer content = ByteBuffer.allocate(MAX_BYTES);
     private ReplicationMessageKind kind;
 
     private ReplicationMessageEncoder() {}
 
-    /** The part of a packet that stands for a message. */
+    /** Returns the encoded message as a part of a packet. */
     static Part encode(ReplicationMessage message) {
         ReplicationMessageEncoder encoder = new ReplicationMessageEncoder();
         message.accept(encoder);
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageHandler.java
@@ -11,7 +11,7 @@
 import ploverdale.replication.ReplicationMessage.WriteRequest;
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
-/** Handles each type of {@link ReplicationMessage}; see {@link ReplicationMessage#accept}. */
+/** Has a method for each type of {@link ReplicationMessage}, called by {@link ReplicationMessage#accept}. */
 interface ReplicationMessageHandler {
     void onWriteRequest(WriteRequest request);
 
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageKind.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageKind.java
@@ -1,6 +1,8 @@
 package ploverdale.replication;
 
-/** The kinds of {@link ReplicationMessage} and their numbers in packets, see {@link ploverdale.membership.Packet.Part}. */
+/**
+ * The kinds of {@link ReplicationMessage} with their codes in packets, see {@link ploverdale.membership.Packet.Part}.
+ */
 enum ReplicationMessageKind {
     WRITE_REQUEST(32),
     WRITE_RESPONSE(33),
@@ -21,12 +23,12 @@
         this.code = code;
     }
 
-    /** The number that stands for it in packets. */
+    /** Returns the code that identifies the kind in packets. */
     int code() {
         return code;
     }
 
-    /** The kind of a number, or null where it is none of a replication message. */
+    /** Returns the kind with a code, or null if the code is not that of a replication message. */
     static ReplicationMessageKind of(int code) {
         int index = code - ALL[0].code;
         return index >= 0 && index < ALL.length ? ALL[index] : null;
--- a/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationSettings.java
@@ -3,19 +3,23 @@
 import java.util.Set;
 
 /**
- * What is replicated, how often, and how long requests wait for it. Times in tenths of a millisecond. Immutable.
+ * Settings of replication between gateways. Times are in tenths of a millisecond. Immutable.
  *
- * @param replicationFactor replicas of each key; of fewer gateways, all
+ * @param replicationFactor replicas of each key; every gateway, if there are fewer of them
  * @param replicatesSessions whether positions of sessions are replicated
- * @param sessionRetention how long a session's position is retained; reads of an unknown session require data no older
- * @param quorumTimeout how long a request waits for a quorum of replicas at most; then what they know counts as unknown
- * @param resubmissionWindow within which a write may be submitted again under its idempotency key; 0: write outcomes are
- *     not replicated, since such keys are not stable
- * @param retriesMarked whether clients mark what they submit again, so that an unmarked write is a first submission
- * @param synchronousClasses names of the request classes whose responses wait until a majority of replicas has a copy
- * @param synchronousTimeout how long such a response waits at most; then the request fails
- * @param maxEntries entries that this gateway holds at most
- * @param maxClockDifference by which the clocks behind positions and start times may differ at most
+ * @param sessionRetention how long a session's position is retained; reads of a session whose position is unknown
+ *     require data that is no older than this
+ * @param quorumTimeout longest time that a request waits for a quorum of replicas; after it, the position or the
+ *     claim counts as unknown
+ * @param resubmissionWindow time within which a client may submit a write again under its idempotency key; 0 if
+ *     clients do not keep such keys stable, in which case write outcomes are not replicated
+ * @param retriesMarked whether clients mark the writes that they submit again, so that an unmarked write is a first
+ *     submission
+ * @param synchronousClasses names of the request classes whose responses wait until a majority of replicas has stored
+ *     the entry
+ * @param synchronousTimeout longest time that such a response waits; after it, the request fails
+ * @param maxEntries largest number of entries that this gateway holds
+ * @param maxClockDifference largest difference between the clocks that positions and start times are taken from
  */
 public record ReplicationSettings(
         int replicationFactor,
@@ -39,7 +43,7 @@
         }
     }
 
-    /** The largest number of gateways that a fleet with replication may have. */
+    /** Returns the largest number of gateways that a fleet with replication may have. */
     public static int maxGateways() {
         return ReplicaSet.MAX_GATEWAYS;
     }
@@ -54,7 +58,7 @@
         return replicatesSessions || replicatesOutcomes();
     }
 
-    /** As the check of a fleet's settings prints it, whose spelling is fixed. */
+    /** The text is printed by the check of a fleet's settings; its spelling is fixed. */
     @Override
     public String toString() {
         return "ReplicationSettings[copies=" + replicationFactor + ", sessions=" + replicatesSessions + ", sessionsFor="
--- a/gateway/src/main/java/ploverdale/replication/SynchronizedPeers.java
+++ b/gateway/src/main/java/ploverdale/replication/SynchronizedPeers.java
@@ -6,8 +6,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * With which peers this gateway has completed an anti-entropy round since its start, and up to when each of those may itself
- * have lacked entries. Times are Unix times in tenths of a millisecond. Not thread-safe.
+ * Records with which peers this gateway has completed an anti-entropy round since its start, and up to which time
+ * each of those peers may itself have lacked entries. Times are Unix times in tenths of a millisecond. Not
+ * thread-safe.
  */
 final class SynchronizedPeers {
     private static final long NEVER_SYNCHRONIZED = Long.MAX_VALUE;
@@ -18,9 +19,10 @@
     private int next;
 
     /**
-     * No round is complete yet.
+     * Starts without any completed round.
      *
      * @param self this gateway's number
+     * @param gateways number of gateways of the fleet
      */
     SynchronizedPeers(int self, int gateways) {
         this.self = self;
@@ -34,28 +36,34 @@
         }
     }
 
-    /** Up to when a peer may have lacked entries at the last round with it; without one, the end of time. */
+    /**
+     * Returns the time up to which a peer may have lacked entries at the last round with it; {@link Long#MAX_VALUE}
+     * if no round with it has been completed.
+     */
     long missingUntil(int peer) {
         return missingUntil[peer];
     }
 
-    /** The latest of these times. */
+    /** Returns the latest of these times over all peers. */
     long missingUntilOfAll() {
         return Arrays.stream(missingUntil).max().orElse(NEVER_SYNCHRONIZED);
     }
 
-    /** A round with a peer is complete; true where it was the last one of the first rounds with all. */
+    /**
+     * Records that a round with a peer is complete. Returns true if with it a round with every peer has been
+     * completed for the first time.
+     */
     boolean markSynchronized(int peer, long peerMissingUntil) {
         missingUntil[peer] = peerMissingUntil;
         return unsynchronized.remove((Integer) peer) && unsynchronized.isEmpty();
     }
 
-    /** The peers that are alive and have not been synchronized with. */
+    /** Returns the peers that are alive and with which no round has been completed. */
     List<Integer> unsynchronized(IntPredicate isAlive) {
         return unsynchronized.stream().filter(isAlive::test).toList();
     }
 
-    /** The next peer in turn that is alive, alone in a list; an empty list where there is none. */
+    /** Returns a list with the next peer in round-robin order that is alive; an empty list if there is none. */
     List<Integer> nextInTurn(IntPredicate isAlive) {
         for (int offset = 0; offset < missingUntil.length; offset++) {
             int peer = (next + offset) % missingUntil.length;
--- a/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
+++ b/gateway/src/main/java/ploverdale/replication/VersionedEntry.java
@@ -3,36 +3,39 @@
 import java.nio.ByteBuffer;
 
 /**
- * One replicated value. {@link #merge} is commutative, associative and idempotent (a join semilattice, as in a state-based
- * CRDT), so replicas that received the same entries, in any order and any number of times, are equal. Immutable. Times are
- * Unix times in tenths of a millisecond.
+ * A replicated value. {@link #merge} is commutative, associative and idempotent (a join semilattice, as in a
+ * state-based CRDT). Replicas that have received the same entries, in any order and any number of times, are
+ * therefore equal. Immutable. Times are Unix times in tenths of a millisecond.
  */
 sealed interface VersionedEntry permits Position, WriteOutcome {
-    /** When the value came to be; it is retained for a configured time from then on. */
+    /**
+     * Returns the time of the write that the value belongs to. The value is retained for a configured time from then
+     * on.
+     */
     long timestamp();
 
     /**
-     * The least entry that includes both. Of two entries of different types, which only a collision of hashes could bring
-     * under one key, this one.
+     * Returns the least entry that includes both. Returns this entry if the two have different types, which only a
+     * collision of hashed keys can cause.
      */
     VersionedEntry merge(VersionedEntry other);
 
-    /** Identifies the whole value in digests; equal entries have equal hashes. */
+    /** Returns a hash of the whole value for digests; equal entries have equal hashes. */
     long hash();
 
-    /** For how long such a value is retained after its timestamp, in tenths of a millisecond. */
+    /** Returns how long the value is retained after its timestamp, in tenths of a millisecond. */
     long retention(ReplicationSettings settings);
 
-    /** Whether a replica with this entry may grant a claim to execute the write of its key. */
+    /** Whether a replica that holds this entry may grant a claim to execute the write with its key. */
     boolean permitsClaim(ClaimId claim);
 
     /** Writes the type and the value, see {@link EntryCodec}. */
     void writeTo(ByteBuffer buffer);
 
-    /** Bytes that {@link #writeTo} writes. */
+    /** Returns the number of bytes that {@link #writeTo} writes. */
     int encodedLength();
 
-    /** Whether its retention is over at a time. */
+    /** Whether the retention is over at a Unix time. */
     default boolean isExpired(ReplicationSettings settings, long unixTime) {
         return timestamp() + retention(settings) < unixTime;
     }
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -7,19 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * The idempotency record of a write: each claim to execute it, and what is proven of that claim. Proofs accumulate; where
- * two contradict each other, that is an alarm, and the write counts as executed, since an error to the client costs less
- * than executing it twice. Immutable.
+ * The idempotency record of a write: every claim to execute it, with what is proven of that claim. Proofs accumulate.
+ * If two of them contradict each other, {@link LocalReplica} raises an alarm and the write counts as executed, since
+ * an error to the client costs less than executing the write twice. Immutable.
  *
- * @param timestamp when the write was first submitted, a Unix time in tenths of a millisecond; of two replicas' times the
- *     later one wins, so that no record expires too early
- * @param claims at most {@value #MAX_CLAIMS}, in their order
- * @param response to an executed write; empty where it is unknown or longer than {@value #MAX_RESPONSE_BYTES} bytes
+ * @param timestamp when the write was first submitted, a Unix time in tenths of a millisecond; when replicas differ,
+ *     the later time wins, so that no record expires too early
+ * @param claims at most {@value #MAX_CLAIMS}, sorted
+ * @param response of an executed write; empty if it is unknown or longer than {@value #MAX_RESPONSE_BYTES} bytes
  */
 record WriteOutcome(long timestamp, Map<ClaimId, ClaimState> claims, byte[] response) implements VersionedEntry {
-    /** Claims of one write; one more is refused, and the request fails. Bounds the entry's bytes. */
+    /** Bounds the length of an entry: a further claim to the same write is refused, and its request fails. */
     static final int MAX_CLAIMS = 6;
-    /** Bytes of the longest response that is replicated, so that an entry fits into a packet. */
+    /** Longer responses are not replicated, so that an entry fits into a packet. */
     static final int MAX_RESPONSE_BYTES = 96;
 
     static final byte[] NO_RESPONSE = {};
@@ -31,7 +31,10 @@
         response = response.length > MAX_RESPONSE_BYTES ? NO_RESPONSE : response;
     }
 
-    /** Over the bound, claims that never ran are dropped first: unlike the others, they forbid nothing. */
+    /**
+     * Drops claims above the limit, first those that never ran: unlike the others, they do not prevent further
+     * claims.
+     */
     private static TreeMap<ClaimId, ClaimState> bounded(TreeMap<ClaimId, ClaimState> claims) {
         while (claims.size() > MAX_CLAIMS) {
             claims.remove(leastInformative(claims));
@@ -47,27 +50,31 @@
                 .orElse(claims.firstKey());
     }
 
-    /** One claim and what is known of it beyond that it was made. */
+    /**
+     * Returns the outcome of a write with a single claim.
+     *
+     * @param state what is known of the claim, besides that it was made
+     */
     static WriteOutcome of(long timestamp, ClaimId claim, ClaimState state, byte[] response) {
         return new WriteOutcome(timestamp, Map.of(claim, state.merge(ClaimState.CLAIMED)), response);
     }
 
-    /** Whether the write was executed. */
+    /** Whether the write is proven to have been executed. */
     boolean hasSucceeded() {
         return claims.values().stream().anyMatch(ClaimState::hasSucceeded);
     }
 
-    /** Whether the write may have been executed, or may still be, under some claim. */
+    /** Whether the write may have been executed, or may still be, under a claim of which nothing is proven. */
     boolean isInDoubt() {
         return claims.values().stream().anyMatch(ClaimState::isInDoubt);
     }
 
-    /** Whether no claim was made, or each one is proven not to run: another claim may be granted. */
+    /** Whether a further claim may be granted: no claim was made, or each one is proven never to run. */
     boolean isFree() {
         return !hasSucceeded() && !isInDoubt();
     }
 
-    /** Whether each claim but this one is proven not to run. */
+    /** Whether every claim other than the given one is proven never to run. */
     boolean isFreeExceptFor(ClaimId claim) {
         return claims.entrySet().stream()
                 .allMatch(entry ->
@@ -81,7 +88,7 @@
         return successes > 1 || claims.values().stream().anyMatch(ClaimState::isContradictory);
     }
 
-    /** Whether it includes a claim or can include one more. */
+    /** Whether the outcome contains the claim already or can take one more. */
     boolean hasRoomFor(ClaimId claim) {
         return claims.containsKey(claim) || claims.size() < MAX_CLAIMS;
     }
@@ -98,7 +105,7 @@
         }
         Map<ClaimId, ClaimState> merged = new TreeMap<>(claims);
         outcome.claims.forEach((claim, state) -> merged.merge(claim, state, ClaimState::merge));
-        // A write has one response; should there be two, each replica has to choose the same one.
+        // A write has one response. If two differ nevertheless, every replica has to keep the same one.
         boolean keepsResponse = Arrays.compare(response, outcome.response) >= 0;
         return new WriteOutcome(
                 Math.max(timestamp, outcome.timestamp), merged, keepsResponse ? response : outcome.response);
@@ -117,7 +124,7 @@
         return (int) hash();
     }
 
-    /** As it stands in the log line of an alarm, whose spelling is fixed. */
+    /** The text is part of the log line of an alarm; its spelling is fixed. */
     @Override
     public String toString() {
         return "fate of " + timestamp + " " + claims + (response.length > 0 ? ", answered" : "");
--- a/gateway/src/main/java/ploverdale/replication/package-info.java
+++ b/gateway/src/main/java/ploverdale/replication/package-info.java
@@ -1,15 +1,16 @@
 /**
- * Owns the state that a fleet of gateways must not lose when one of them ends: how far each session's reads must reach, and
- * which writes may have been executed. {@link ploverdale.replication.Replicas} is the entry point. Each key has a few
- * replicas among the gateways; operations on it are decided by a quorum, and anti-entropy repairs replicas that missed a
- * write. What no quorum can answer counts as unknown, never as absent.
+ * Replicates the state that a fleet of gateways must not lose when one of them stops: the log position that each
+ * session's reads must reach, and the writes that may have been executed. {@link ploverdale.replication.Replicas} is
+ * the entry point. Each key has a few replicas among the gateways; a quorum of them decides operations on it, and
+ * anti-entropy repairs replicas that missed a write. What no quorum can answer counts as unknown, never as absent.
  *
- * <p>By file: {@code ReplicaPlacement} (which gateways replicate a key), {@code VersionedEntry} (the replicated values and
- * how they merge), {@code EntryStore} (this gateway's entries), {@code LocalReplica} (answers as a replica), {@code
- * QuorumCoordinator} (operations of this gateway), {@code AntiEntropy} (repair), {@code CompletenessBound} (what absence
- * proves), {@code ReplicationMessage} (messages; the encoder and decoder are beside it).
+ * <p>The main classes: {@code ReplicaPlacement} (which gateways replicate a key), {@code VersionedEntry} (the
+ * replicated values and how they merge), {@code EntryStore} (this gateway's entries), {@code LocalReplica} (answers
+ * as a replica), {@code QuorumCoordinator} (operations that this gateway starts), {@code AntiEntropy} (repair),
+ * {@code CompletenessBound} (up to when entries may be missing, so that their absence proves nothing), {@code
+ * ReplicationMessage} (the messages, with an encoder and a decoder beside it).
  *
- * <p>It never chooses a server, sends a request to one, does input or output, or reads a clock that it was not handed. All
- * of it runs on the event loop; nothing is thread-safe.
+ * <p>The package does not choose servers, send requests to servers or do input or output, and it reads only the clock
+ * that it is given. Everything runs on the event loop; nothing is thread-safe.
  */
 package ploverdale.replication;
--- a/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
+++ b/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
@@ -17,7 +17,7 @@
 import ploverdale.replication.ReplicationMessage.EntriesResponse;
 import ploverdale.replication.ReplicationMessage.KeyedEntry;
 
-/** Each transition of the table in {@link AntiEntropy}, by the messages that it sends. */
+/** Exercises each transition of the state table in {@link AntiEntropy}, observed by the messages that it sends. */
 class AntiEntropyTest {
     private static final long MS = 10;
     private static final long UNIX_TIME = 17_000_000_000_000L;
@@ -93,21 +93,21 @@
         now += MS;
         tick(false);
         answer(first.number(), 7, child(3));
-        assertThat(sent()).as("the answer is too late").isEmpty();
+        assertThat(sent()).as("requests after a response to a discarded round").isEmpty();
         tick(true);
         DigestRequest second = sentDigestRequest();
         assertThat(second.number()).isGreaterThan(first.number());
         now += 3000 * MS + 1;
         tick(true);
         assertThat(sentDigestRequest().number())
-                .as("a new round, not a repeated request")
+                .as("number of a request of a new round, not of a repeated one")
                 .isGreaterThan(second.number());
     }
 
     @Test
     void aRoundDescendsToTheRangesThatDifferAndFetchesTheirEntries() {
         tick(true);
-        for (int digit : new int[] {1, 1, 2}) { // the range of KEY is 0x112
+        for (int digit : new int[] {1, 1, 2}) { // path from the root to range 0x112, which contains KEY
             answer(sentDigestRequest().number(), 7, child(digit));
         }
         EntriesRequest request = (EntriesRequest) sent().get(0);
@@ -133,7 +133,7 @@
         DigestRequest root = sentDigestRequest();
         answer(root.number(), 7, child(1));
         answer(sentDigestRequest().number(), 8, child(1));
-        assertThat(sent()).as("until the next tick").isEmpty();
+        assertThat(sent()).as("requests before the next tick").isEmpty();
         tick(true);
         DigestRequest again = sentDigestRequest();
         assertThat(again.node()).isEqualTo(KeySpaceNode.ROOT);
--- a/gateway/src/test/java/ploverdale/replication/ReplicationSettingsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationSettingsTest.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What the check of a fleet's settings prints of replication. */
+/** The check of a fleet's settings prints these settings; operators compare its output. */
 class ReplicationSettingsTest {
     @Test
     void printsItsFieldsInTheSpellingOfTheCheck() {
--- a/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
@@ -13,7 +13,7 @@
 import ploverdale.membership.PacketCodec;
 import ploverdale.membership.PacketQueue;
 
-/** The bytes of each message between two gateways, which versions that run side by side must agree on. */
+/** Fixes the bytes of each message between two gateways, which versions that run side by side must agree on. */
 class ReplicationWireFormatTest {
     private static final long NOW = 0;
     private static final long UNIX_TIME = 17_000_000_000_000L;
@@ -40,7 +40,7 @@
                     () -> unixTime);
             queues[gateway] = new PacketQueue(1e9, NOW);
         }
-        unixTime += 1_000_000; // later than the bound up to which entries may be missing after the start
+        unixTime += 1_000_000; // past the time up to which entries may be missing after the start
     }
 
     private static long incarnation(int gateway) {
@@ -61,7 +61,7 @@
         gateways[to].onMessage(NOW, from, incarnation(from), part, queues[to]);
     }
 
-    /** Delivers messages until none is left; a line for each: its sender, kind and content. */
+    /** Delivers messages until no gateway sends any; returns a line for each: its sender, kind and content. */
     private List<String> exchange() {
         List<String> lines = new ArrayList<>();
         boolean quiet = false;
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -12,7 +12,11 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Replicas that received the same entries, in any order and any number of times, are equal; and what counts where they differ. */
+/**
+ * The merge of entries is commutative, associative and idempotent, so that replicas that received the same entries in
+ * any order and any number of times are equal. Also covers the decisions that merged proofs lead to, and the
+ * encoding.
+ */
 class VersionedEntryLawsTest {
     private static final byte[] NO_ANSWER = {};
 
@@ -84,7 +88,7 @@
         assertThat(both.hasSucceeded()).isTrue();
         WriteOutcome twice = (WriteOutcome)
                 succeeded.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
-        assertThat(twice.isContradictory()).as("it ran twice").isTrue();
+        assertThat(twice.isContradictory()).as("executed under two claims").isTrue();
     }
 
     @Test
