--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -89,8 +89,8 @@
     private long nextRoundAt;
     private final Deque<Task> tasks = new ArrayDeque<>();
     private final Map<Integer, InFlight> inFlight = new LinkedHashMap<>(); // by request number, oldest first
-    private int lastNumber;
-    private long received;
+    private int lastRequestNumber;
+    private long entriesReceived;
 
     /**
      * @param random draws peers and salts
@@ -115,8 +115,8 @@
     }
 
     /** Returns the number of entries received since the start that changed this gateway's store. */
-    long received() {
-        return received;
+    long entriesReceived() {
+        return entriesReceived;
     }
 
     /**
@@ -125,7 +125,7 @@
      * @param isAlive whether a gateway is alive as far as this one knows
      */
     void onTick(Turn turn, IntPredicate isAlive) {
-        if (state != State.IDLE && (!isAlive.test(peer) || isSilent(turn))) {
+        if (state != State.IDLE && (!isAlive.test(peer) || isUnresponsive(turn))) {
             endRound(turn);
         }
         if (state == State.IDLE) {
@@ -138,7 +138,7 @@
         continueRound(turn);
     }
 
-    private boolean isSilent(Turn turn) {
+    private boolean isUnresponsive(Turn turn) {
         return turn.now() - lastResponseAt > PEER_TIMEOUT;
     }
 
@@ -191,7 +191,7 @@
     /** Sends further requests within the limits on requests in flight and bytes, or completes the round. */
     private void continueRound(Turn turn) {
         while (inFlight.size() < MAX_IN_FLIGHT && !tasks.isEmpty() && turn.budgetLeft() > RESERVED_BUDGET) {
-            int number = ++lastNumber;
+            int number = ++lastRequestNumber;
             Task task = tasks.pollLast(); // depth first keeps the list of open tasks short
             inFlight.put(number, new InFlight(task, turn.now()));
             send(turn, number, task);
@@ -203,7 +203,7 @@
 
     private void completeRound(Turn turn) {
         if (peers.markSynchronized(peer, peerMissingUntil)) {
-            log.accept("replicas: caught up with all others, " + store.size() + " facts held, " + received
+            log.accept("replicas: caught up with all others, " + store.size() + " facts held, " + entriesReceived
                     + " of them from others");
         }
         endRound(turn);
@@ -216,13 +216,13 @@
             return;
         }
         long unexpiredAt = unexpiredAt(turn);
-        long[] own = digests.ofChildren(node, peer, salt, unexpiredAt);
-        turn.send(peer, new DigestRequest(number, node, salt, unexpiredAt, own));
+        long[] ownDigests = digests.ofChildren(node, peer, salt, unexpiredAt);
+        turn.send(peer, new DigestRequest(number, node, salt, unexpiredAt, ownDigests));
     }
 
     /** Adds a task for each child whose digest differs. */
     void onDigestResponse(Turn turn, Peer sender, DigestResponse response) {
-        Task task = takeAnswered(turn, sender, response.number());
+        Task task = takeAnsweredTask(turn, sender, response.number());
         if (task == null || task.node.isLeaf()) {
             return;
         }
@@ -233,17 +233,17 @@
 
     /** Merges the entries received into the store, and requests the next page if there is one. */
     void onEntriesResponse(Turn turn, Peer sender, EntriesResponse response) {
-        Task task = takeAnswered(turn, sender, response.number());
+        Task task = takeAnsweredTask(turn, sender, response.number());
         if (task == null || !task.node.isLeaf()) {
             return;
         }
         List<KeyedEntry> entries = response.entries();
         for (KeyedEntry keyed : entries) {
             if (store.merge(turn.unixTime(), keyed.key(), keyed.entry())) {
-                received++;
+                entriesReceived++;
             }
         }
-        if (response.more() && !entries.isEmpty()) {
+        if (response.hasMore() && !entries.isEmpty()) {
             long lastKey = entries.get(entries.size() - 1).key();
             tasks.add(new Task(task.node, lastKey));
         }
@@ -255,7 +255,7 @@
      *
      * @return the task of the request; null if the response does not belong to the current round
      */
-    private Task takeAnswered(Turn turn, Peer sender, int number) {
+    private Task takeAnsweredTask(Turn turn, Peer sender, int number) {
         if (state == State.IDLE || sender.gateway() != peer) {
             return null;
         }
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
@@ -18,7 +18,7 @@
 final class AntiEntropyResponder {
     /** Keeps a response within one packet; further entries follow in the responses to further requests. */
     private static final int MAX_RESPONSE_BYTES = 220;
-    private static final int RESPONSE_HEAD_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
+    private static final int RESPONSE_HEADER_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
 
     private final int self;
     private final EntryStore store;
@@ -39,10 +39,10 @@
      */
     DigestResponse answer(Peer peer, DigestRequest request, long missingUntil) {
         // Both sides use the requester's time, so that they leave out the same expired entries.
-        long[] own = digests.ofChildren(request.node(), peer.gateway(), request.salt(), request.unexpiredAt());
+        long[] ownDigests = digests.ofChildren(request.node(), peer.gateway(), request.salt(), request.unexpiredAt());
         BitSet differing = new BitSet(KeySpaceNode.CHILDREN);
-        for (int child = 0; child < own.length; child++) {
-            differing.set(child, own[child] != request.digests()[child]);
+        for (int child = 0; child < ownDigests.length; child++) {
+            differing.set(child, ownDigests[child] != request.digests()[child]);
         }
         return new DigestResponse(peer.incarnation(), request.number(), differing, missingUntil);
     }
@@ -62,17 +62,17 @@
     /** Collects the entries of one response: at least one, and as many as fit. */
     private static final class Page {
         private final List<KeyedEntry> entries = new ArrayList<>();
-        private int bytes = RESPONSE_HEAD_BYTES;
+        private int bytes = RESPONSE_HEADER_BYTES;
         private boolean isFull;
 
         private void add(long key, VersionedEntry entry) {
-            int added = Long.BYTES + entry.encodedLength();
-            if (isFull || !entries.isEmpty() && bytes + added > MAX_RESPONSE_BYTES) {
+            int entryBytes = Long.BYTES + entry.encodedLength();
+            if (isFull || !entries.isEmpty() && bytes + entryBytes > MAX_RESPONSE_BYTES) {
                 isFull = true;
                 return;
             }
             entries.add(new KeyedEntry(key, entry));
-            bytes += added;
+            bytes += entryBytes;
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
+++ b/gateway/src/main/java/ploverdale/replication/CompletenessBound.java
@@ -40,7 +40,7 @@
      *
      * @param startedAt entries replicated to this gateway up to this time count as lost
      */
-    void restartAt(long startedAt) {
+    void setStartedAt(long startedAt) {
         this.startedAt = startedAt;
     }
 
@@ -51,17 +51,17 @@
 
     /** Returns the bound for keys with these replicas. */
     long of(ReplicaSet replicas) {
-        long missed = hasOtherReplicas() ? EntryStore.NOTHING_MISSING : startedAt;
-        for (int place = 0; place < replicas.size(); place++) {
-            missed = Math.max(missed, peers.missingUntil(replicas.gateway(place)));
+        long unrestoredUntil = hasOtherReplicas() ? EntryStore.NOTHING_MISSING : startedAt;
+        for (int replicaIndex = 0; replicaIndex < replicas.size(); replicaIndex++) {
+            unrestoredUntil = Math.max(unrestoredUntil, peers.missingUntil(replicas.gateway(replicaIndex)));
         }
-        return Math.max(store.missingUntil(), Math.min(startedAt, missed));
+        return Math.max(store.missingUntil(), Math.min(startedAt, unrestoredUntil));
     }
 
     /** Returns a bound that holds for every key. */
     long ofAll() {
-        long missed = hasOtherReplicas() ? Math.min(startedAt, peers.missingUntilOfAll()) : startedAt;
-        return Math.max(store.missingUntil(), missed);
+        long unrestoredUntil = hasOtherReplicas() ? Math.min(startedAt, peers.missingUntilOfAll()) : startedAt;
+        return Math.max(store.missingUntil(), unrestoredUntil);
     }
 
     /**
@@ -70,9 +70,9 @@
      */
     long requiredPosition(long key) {
         long oldestRetained = unixClock.getAsLong() - settings.sessionRetention() - settings.maxClockDifference();
-        long least = Math.max(of(placement.of(key)), oldestRetained);
+        long lowerBound = Math.max(of(placement.of(key)), oldestRetained);
         Position position = store.position(key);
-        return position == null ? least : Math.max(position.timestamp(), least);
+        return position == null ? lowerBound : Math.max(position.timestamp(), lowerBound);
     }
 
     /** Whether every write that a client may still submit again arrived after the bound. */
--- a/gateway/src/main/java/ploverdale/replication/EntryCodec.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryCodec.java
@@ -20,7 +20,7 @@
 
     private static final int TYPE_BYTES = Byte.BYTES;
     private static final int POSITION_VALUE_BYTES = Long.BYTES + Short.BYTES;
-    private static final int OUTCOME_HEAD_BYTES = Long.BYTES + Byte.BYTES;
+    private static final int OUTCOME_HEADER_BYTES = Long.BYTES + Byte.BYTES;
     private static final int CLAIM_BYTES = Short.BYTES + 6 + Integer.BYTES + Byte.BYTES;
     private static final int RESPONSE_LENGTH_BYTES = Byte.BYTES;
 
@@ -55,7 +55,7 @@
     /** Returns the number of bytes of an encoded write outcome. */
     static int encodedLength(WriteOutcome outcome) {
         int claims = CLAIM_BYTES * outcome.claims().size();
-        return TYPE_BYTES + OUTCOME_HEAD_BYTES + claims + RESPONSE_LENGTH_BYTES + outcome.response().length;
+        return TYPE_BYTES + OUTCOME_HEADER_BYTES + claims + RESPONSE_LENGTH_BYTES + outcome.response().length;
     }
 
     /** Reads one entry; null if it is malformed or truncated, or of a type that this version does not know. */
@@ -79,7 +79,7 @@
     }
 
     private static WriteOutcome readWriteOutcome(ByteBuffer buffer) {
-        if (buffer.remaining() < OUTCOME_HEAD_BYTES) {
+        if (buffer.remaining() < OUTCOME_HEADER_BYTES) {
             return null;
         }
         long timestamp = buffer.getLong();
--- a/gateway/src/main/java/ploverdale/replication/EntryRange.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryRange.java
@@ -50,10 +50,10 @@
             grow();
         }
         int index = -1 - indexOf(key);
-        int moved = size - index;
-        System.arraycopy(keys, index, keys, index + 1, moved);
-        System.arraycopy(packedReplicas, index, packedReplicas, index + 1, moved);
-        System.arraycopy(entries, index, entries, index + 1, moved);
+        int tailLength = size - index;
+        System.arraycopy(keys, index, keys, index + 1, tailLength);
+        System.arraycopy(packedReplicas, index, packedReplicas, index + 1, tailLength);
+        System.arraycopy(entries, index, entries, index + 1, tailLength);
         keys[index] = key;
         packedReplicas[index] = replicas;
         entries[index] = entry;
@@ -69,10 +69,10 @@
 
     void remove(int index) {
         size--;
-        int moved = size - index;
-        System.arraycopy(keys, index + 1, keys, index, moved);
-        System.arraycopy(packedReplicas, index + 1, packedReplicas, index, moved);
-        System.arraycopy(entries, index + 1, entries, index, moved);
+        int tailLength = size - index;
+        System.arraycopy(keys, index + 1, keys, index, tailLength);
+        System.arraycopy(packedReplicas, index + 1, packedReplicas, index, tailLength);
+        System.arraycopy(entries, index + 1, entries, index, tailLength);
         entries[size] = null;
     }
 
--- a/gateway/src/main/java/ploverdale/replication/EntryStore.java
+++ b/gateway/src/main/java/ploverdale/replication/EntryStore.java
@@ -99,12 +99,12 @@
     }
 
     /** Evicts the oldest entry of the given range, or of the next range that is not empty. */
-    private void evictOldest(int first) {
-        int number = first;
-        while (ranges[number].size() == 0) {
-            number = (number + 1) % RANGES;
+    private void evictOldest(int firstRange) {
+        int rangeNumber = firstRange;
+        while (ranges[rangeNumber].size() == 0) {
+            rangeNumber = (rangeNumber + 1) % RANGES;
         }
-        EntryRange range = ranges[number];
+        EntryRange range = ranges[rangeNumber];
         int oldest = range.indexOfOldest();
         missingUntil = Math.max(missingUntil, range.entry(oldest).timestamp());
         evicted++;
@@ -144,8 +144,8 @@
      */
     long digest(int fromRange, int toRange, SharedEntries selection, long salt) {
         long digest = 0;
-        for (int number = fromRange; number < toRange; number++) {
-            EntryRange range = ranges[number];
+        for (int rangeNumber = fromRange; rangeNumber < toRange; rangeNumber++) {
+            EntryRange range = ranges[rangeNumber];
             for (int index = 0; index < range.size(); index++) {
                 if (isSelected(range, index, selection)) {
                     digest += Hashing.mix(
@@ -159,11 +159,11 @@
     /**
      * Visits the selected entries of a range in the order of their keys.
      *
-     * @param number of the range
+     * @param rangeNumber of the range
      * @param afterKey only entries with greater keys are visited; all of them if null
      */
-    void forEach(int number, Long afterKey, SharedEntries selection, Visitor visitor) {
-        EntryRange range = ranges[number];
+    void forEach(int rangeNumber, Long afterKey, SharedEntries selection, Visitor visitor) {
+        EntryRange range = ranges[rangeNumber];
         for (int index = 0; index < range.size(); index++) {
             boolean follows = afterKey == null || range.key(index) > afterKey;
             if (follows && isSelected(range, index, selection)) {
--- a/gateway/src/main/java/ploverdale/replication/Hashing.java
+++ b/gateway/src/main/java/ploverdale/replication/Hashing.java
@@ -26,14 +26,14 @@
      * Returns the key of a session or of a write's idempotency key: the first 64 bits of SHA-256, since clients must
      * not be able to construct collisions.
      *
-     * @param session whether it is the key of a session
-     * @param text the session's name, or the write's idempotency key
+     * @param isSession whether it is the key of a session
+     * @param identifier the session's name, or the write's idempotency key
      */
-    static long key(boolean session, String text) {
+    static long key(boolean isSession, String identifier) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            digest.update(session ? SESSION_PREFIX : WRITE_PREFIX);
-            byte[] hash = digest.digest(text.getBytes(StandardCharsets.UTF_8));
+            digest.update(isSession ? SESSION_PREFIX : WRITE_PREFIX);
+            byte[] hash = digest.digest(identifier.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException missing) {
             throw new IllegalStateException(missing); // every Java platform is required to provide it
--- a/gateway/src/main/java/ploverdale/replication/LocalReplica.java
+++ b/gateway/src/main/java/ploverdale/replication/LocalReplica.java
@@ -80,23 +80,23 @@
      * it grants the claim, it stores it.
      *
      * @param firstSubmission whether the write is known to be submitted for the first time
-     * @param requested contains the claim and the time at which the write arrived
+     * @param requestedOutcome contains the claim and the time at which the write arrived
      */
-    boolean grant(long key, ClaimId claim, boolean firstSubmission, WriteOutcome requested) {
+    boolean grant(long key, ClaimId claim, boolean firstSubmission, WriteOutcome requestedOutcome) {
         // Another submission of this write may have stored a claim here that was lost since: an earlier submission or,
         // if this is the first, a retry that overtook it, for instance while its gateway was paused. An entry in the
         // store does not prove that nothing was lost, since it may come from a claim that was refused.
         ReplicaSet replicas = placement.of(key);
-        boolean arrivedAfterBound = firstSubmission && requested.timestamp() > bound.of(replicas);
-        boolean mayKnowAll = arrivedAfterBound || bound.coversSubmissions(replicas);
+        boolean arrivedAfterBound = firstSubmission && requestedOutcome.timestamp() > bound.of(replicas);
+        boolean historyIsComplete = arrivedAfterBound || bound.coversSubmissions(replicas);
         // The claim may already be in the store, received from another replica. That does not count as a grant of this
         // replica, which still has to decide itself for the claim to reach a majority.
-        VersionedEntry known = store.get(key);
-        boolean isFree = known == null || known.permitsClaim(claim);
-        if (!mayKnowAll || !isFree) {
+        VersionedEntry knownEntry = store.get(key);
+        boolean isPermitted = knownEntry == null || knownEntry.permitsClaim(claim);
+        if (!historyIsComplete || !isPermitted) {
             return false;
         }
-        merge(key, requested);
+        merge(key, requestedOutcome);
         return outcomeOf(key) != null;
     }
 
@@ -114,9 +114,9 @@
 
     /** Grants or refuses the claim; the response includes what this replica then knows of the write. */
     ClaimResponse answer(Peer requester, ClaimRequest request) {
-        WriteOutcome requested = request.outcome();
-        ClaimId claim = requested.claims().keySet().iterator().next();
-        boolean granted = grant(request.key(), claim, request.firstSubmission(), requested);
+        WriteOutcome requestedOutcome = request.outcome();
+        ClaimId claim = requestedOutcome.claims().keySet().iterator().next();
+        boolean granted = grant(request.key(), claim, request.firstSubmission(), requestedOutcome);
         return new ClaimResponse(requester.incarnation(), request.number(), granted, outcomeOf(request.key()));
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
@@ -5,12 +5,12 @@
 
 /**
  * Claims to execute a write. The claim is granted only if a majority of replicas grants it. If it fails, replicas
- * that granted it have to be notified that its write is never executed, see {@link #isToBeWithdrawn}.
+ * that granted it have to be notified that its write is never executed, see {@link #needsWithdrawal}.
  */
 final class QuorumClaim extends QuorumOperation {
     private final ClaimId claim;
     private final boolean firstSubmission;
-    private final WriteOutcome requested;
+    private final WriteOutcome requestedOutcome;
     private int grants;
 
     /**
@@ -28,7 +28,7 @@
         super(ticket, key, replicas, deadline, true);
         this.claim = claim;
         this.firstSubmission = firstSubmission;
-        requested = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
+        requestedOutcome = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
     }
 
     ClaimId claim() {
@@ -37,17 +37,17 @@
 
     @Override
     ReplicationMessage request(int number) {
-        return new ClaimRequest(number, key(), firstSubmission, requested);
+        return new ClaimRequest(number, key(), firstSubmission, requestedOutcome);
     }
 
     @Override
-    void answerLocally(LocalReplica replica, int place) {
-        onAnswer(place, replica.grant(key(), claim, firstSubmission, requested));
+    void answerLocally(LocalReplica replica, int replicaIndex) {
+        onAnswer(replicaIndex, replica.grant(key(), claim, firstSubmission, requestedOutcome));
     }
 
     /** Records that a replica granted or refused the claim. */
-    void onAnswer(int place, boolean granted) {
-        markAnswered(place);
+    void onAnswer(int replicaIndex, boolean granted) {
+        markAnswered(replicaIndex);
         if (granted) {
             grants++;
         }
@@ -63,11 +63,11 @@
     }
 
     @Override
-    Status decide(WriteOutcome known) {
+    Status decide(WriteOutcome knownOutcome) {
         if (isGranted()) {
             return Status.GRANTED;
         }
-        if (known != null && known.hasSucceeded()) {
+        if (knownOutcome != null && knownOutcome.hasSucceeded()) {
             return Status.ALREADY_EXECUTED;
         }
         return mayBeGranted() ? null : Status.IN_DOUBT;
@@ -79,7 +79,7 @@
     }
 
     /** Whether the claim has failed after all replicas answered, and some of them granted it. */
-    boolean isToBeWithdrawn() {
+    boolean needsWithdrawal() {
         return isCompleted() && !isGranted() && grants > 0 && isAnsweredByAll();
     }
 
@@ -87,7 +87,7 @@
      * Whether the claim has to be withdrawn when its time is over: it has no majority, but a replica may have granted
      * it and the response was lost.
      */
-    boolean isToBeWithdrawnOnTimeout() {
+    boolean needsWithdrawalOnTimeout() {
         return !isGranted();
     }
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -33,11 +33,11 @@
     private final EntryStore store;
     private final LocalReplica localReplica;
     private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by request number, oldest first
-    private final List<QuorumClaim> toBeWithdrawn = new ArrayList<>();
+    private final List<QuorumClaim> claimsToWithdraw = new ArrayList<>();
     private final List<QuorumResult> results = new ArrayList<>();
-    private int lastNumber;
+    private int lastRequestNumber;
     private long lastTicket;
-    private long requested;
+    private long readsAndClaims;
     private long unknownReads;
 
     QuorumCoordinator(
@@ -54,8 +54,8 @@
     }
 
     /** Returns the number of reads and claims since the start. */
-    long requested() {
-        return requested;
+    long readsAndClaims() {
+        return readsAndClaims;
     }
 
     /** Returns the number of reads since the start that no majority of replicas answered in time. */
@@ -95,15 +95,15 @@
      */
     long writeOutcome(
             Turn turn, long key, ClaimId claim, ClaimState proof, byte[] response, long timeout, boolean awaited) {
-        WriteOutcome known = localReplica.outcomeOf(key);
-        long timestamp = known == null ? turn.unixTime() : known.timestamp();
+        WriteOutcome knownOutcome = localReplica.outcomeOf(key);
+        long timestamp = knownOutcome == null ? turn.unixTime() : knownOutcome.timestamp();
         return write(turn, key, WriteOutcome.of(timestamp, claim, proof, response), timeout, awaited);
     }
 
     /** Reads the position that reads of a session must reach. Returns the ticket of the operation. */
     long readPosition(Turn turn, long key) {
         long ticket = ++lastTicket;
-        requested++;
+        readsAndClaims++;
         long deadline = turn.now() + settings.quorumTimeout();
         begin(turn, new QuorumRead(ticket, key, placement.of(key), deadline, store.position(key)));
         return ticket;
@@ -119,8 +119,8 @@
      */
     long claim(Turn turn, long key, long incarnation, boolean firstSubmission, long arrivedAt) {
         long ticket = ++lastTicket;
-        requested++;
-        ClaimId claim = new ClaimId(self, incarnation, ++lastNumber);
+        readsAndClaims++;
+        ClaimId claim = new ClaimId(self, incarnation, ++lastRequestNumber);
         boolean isKnownFirst = firstSubmission && settings.retriesMarked();
         long deadline = turn.now() + settings.quorumTimeout();
         begin(turn, new QuorumClaim(ticket, key, placement.of(key), deadline, claim, isKnownFirst, arrivedAt));
@@ -128,16 +128,16 @@
     }
 
     private void begin(Turn turn, QuorumOperation operation) {
-        int number = ++lastNumber;
+        int number = ++lastRequestNumber;
         if (pending.size() >= MAX_PENDING) {
             complete(operation, Status.UNKNOWN);
             return;
         }
         pending.put(number, operation);
         operation.scheduleFirstRetry(turn.now());
-        int ownPlace = operation.replicas().placeOf(self);
-        if (ownPlace != ReplicaSet.NO_PLACE) {
-            operation.answerLocally(localReplica, ownPlace);
+        int ownIndex = operation.replicas().indexOf(self);
+        if (ownIndex != ReplicaSet.NOT_A_REPLICA) {
+            operation.answerLocally(localReplica, ownIndex);
             completeIfDecided(operation);
         }
         send(turn, number, operation);
@@ -149,47 +149,47 @@
     /** Sends the request to all other replicas that have not answered yet. */
     private void send(Turn turn, int number, QuorumOperation operation) {
         ReplicaSet replicas = operation.replicas();
-        for (int place = 0; place < replicas.size(); place++) {
-            int gateway = replicas.gateway(place);
-            if (gateway != self && !operation.isAnsweredBy(place)) {
+        for (int replicaIndex = 0; replicaIndex < replicas.size(); replicaIndex++) {
+            int gateway = replicas.gateway(replicaIndex);
+            if (gateway != self && !operation.isAnsweredBy(replicaIndex)) {
                 turn.send(gateway, operation.request(number));
             }
         }
     }
 
     /** Called when a replica has merged an entry. */
-    void onWriteResponse(int from, WriteResponse response) {
-        QuorumWrite write = awaiting(QuorumWrite.class, from, response);
+    void onWriteResponse(int sender, WriteResponse response) {
+        QuorumWrite write = findPending(QuorumWrite.class, sender, response);
         if (write == null) {
             return;
         }
-        write.markAnswered(write.replicas().placeOf(from));
+        write.markAnswered(write.replicas().indexOf(sender));
         afterAnswer(response.number(), write);
     }
 
     /** Called when a replica has answered with the position that it requires. */
-    void onPositionResponse(int from, PositionResponse response) {
-        QuorumRead read = awaiting(QuorumRead.class, from, response);
+    void onPositionResponse(int sender, PositionResponse response) {
+        QuorumRead read = findPending(QuorumRead.class, sender, response);
         if (read == null) {
             return;
         }
-        read.onAnswer(read.replicas().placeOf(from), response.position(), response.server());
+        read.onAnswer(read.replicas().indexOf(sender), response.position(), response.server());
         afterAnswer(response.number(), read);
     }
 
     /** Called when a replica has granted or refused a claim. */
-    void onClaimResponse(int from, ClaimResponse response) {
-        QuorumClaim claim = awaiting(QuorumClaim.class, from, response);
+    void onClaimResponse(int sender, ClaimResponse response) {
+        QuorumClaim claim = findPending(QuorumClaim.class, sender, response);
         if (claim == null) {
             return;
         }
-        claim.onAnswer(claim.replicas().placeOf(from), response.granted());
-        if (response.known() != null) {
-            localReplica.merge(claim.key(), response.known());
+        claim.onAnswer(claim.replicas().indexOf(sender), response.granted());
+        if (response.knownOutcome() != null) {
+            localReplica.merge(claim.key(), response.knownOutcome());
         }
         afterAnswer(response.number(), claim);
-        if (claim.isToBeWithdrawn()) {
-            toBeWithdrawn.add(claim);
+        if (claim.needsWithdrawal()) {
+            claimsToWithdraw.add(claim);
         }
     }
 
@@ -197,13 +197,13 @@
      * Returns the pending operation that a response answers; null if the response is late, a duplicate, or of another
      * type than the operation.
      */
-    private <T extends QuorumOperation> T awaiting(Class<T> type, int from, Response response) {
+    private <T extends QuorumOperation> T findPending(Class<T> type, int sender, Response response) {
         QuorumOperation operation = pending.get(response.number());
         if (!type.isInstance(operation)) {
             return null;
         }
-        int place = operation.replicas().placeOf(from);
-        boolean isExpected = place != ReplicaSet.NO_PLACE && !operation.isAnsweredBy(place);
+        int replicaIndex = operation.replicas().indexOf(sender);
+        boolean isExpected = replicaIndex != ReplicaSet.NOT_A_REPLICA && !operation.isAnsweredBy(replicaIndex);
         return isExpected ? type.cast(operation) : null;
     }
 
@@ -230,8 +230,8 @@
             unknownReads++;
         }
         if (operation.isAwaited()) {
-            WriteOutcome known = localReplica.outcomeOf(operation.key());
-            results.add(operation.result(status, known == null ? WriteOutcome.NO_RESPONSE : known.response()));
+            WriteOutcome knownOutcome = localReplica.outcomeOf(operation.key());
+            results.add(operation.result(status, knownOutcome == null ? WriteOutcome.NO_RESPONSE : knownOutcome.response()));
         }
     }
 
@@ -240,13 +240,13 @@
      * that have failed.
      */
     void onTick(Turn turn) {
-        pending.values().removeIf(operation -> expire(operation, turn.now()));
+        pending.values().removeIf(operation -> completeIfExpired(operation, turn.now()));
         retryOverdue(turn);
-        for (QuorumClaim failed : toBeWithdrawn) {
+        for (QuorumClaim failed : claimsToWithdraw) {
             byte[] noResponse = WriteOutcome.NO_RESPONSE;
             writeOutcome(turn, failed.key(), failed.claim(), ClaimState.NEVER_RAN, noResponse, 0, false);
         }
-        toBeWithdrawn.clear();
+        claimsToWithdraw.clear();
     }
 
     private void retryOverdue(Turn turn) {
@@ -259,13 +259,13 @@
     }
 
     /** Completes an operation if its deadline has passed. Returns whether it has. */
-    private boolean expire(QuorumOperation operation, long now) {
+    private boolean completeIfExpired(QuorumOperation operation, long now) {
         if (!operation.isExpired(now)) {
             return false;
         }
         complete(operation, operation.timeoutStatus());
-        if (operation instanceof QuorumClaim claim && claim.isToBeWithdrawnOnTimeout()) {
-            toBeWithdrawn.add(claim);
+        if (operation instanceof QuorumClaim claim && claim.needsWithdrawalOnTimeout()) {
+            claimsToWithdraw.add(claim);
         }
         return true;
     }
@@ -273,6 +273,6 @@
     /** Appends a description in which any two states differ that a model checker has to tell apart. */
     void describe(StringBuilder text) {
         pending.values().forEach(operation -> operation.describe(text));
-        text.append(' ').append(lastNumber).append(' ').append(toBeWithdrawn.size());
+        text.append(' ').append(lastRequestNumber).append(' ').append(claimsToWithdraw.size());
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
@@ -18,7 +18,7 @@
     private final ReplicaSet replicas;
     private final long deadline;
     private final boolean awaited;
-    private final BitSet answered = new BitSet(ReplicaSet.MAX_SIZE); // by place in the replica set
+    private final BitSet answered = new BitSet(ReplicaSet.MAX_SIZE); // by index in the replica set
     private boolean completed;
     private long retryAt;
     private long retryAfter = FIRST_RETRY_AFTER;
@@ -38,15 +38,15 @@
     /** Returns the message to each replica. */
     abstract ReplicationMessage request(int number);
 
-    /** Records the answer of this gateway, which is the replica in the given place. */
-    abstract void answerLocally(LocalReplica replica, int place);
+    /** Records the answer of this gateway, which is the replica with the given index. */
+    abstract void answerLocally(LocalReplica replica, int replicaIndex);
 
     /**
      * Returns the status with which the answers so far complete the operation; null while they do not decide it.
      *
-     * @param known what this gateway knows of the write with that key, or null
+     * @param knownOutcome what this gateway knows of the write with that key, or null
      */
-    abstract Status decide(WriteOutcome known);
+    abstract Status decide(WriteOutcome knownOutcome);
 
     /** Returns the status with which the operation completes if no quorum has answered before the deadline. */
     abstract Status timeoutStatus();
@@ -88,14 +88,14 @@
         completed = true;
     }
 
-    /** Whether the replica in a place has answered. */
-    final boolean isAnsweredBy(int place) {
-        return answered.get(place);
+    /** Whether the replica with an index has answered. */
+    final boolean isAnsweredBy(int replicaIndex) {
+        return answered.get(replicaIndex);
     }
 
-    /** Records that the replica in a place has answered. */
-    final void markAnswered(int place) {
-        answered.set(place);
+    /** Records that the replica with an index has answered. */
+    final void markAnswered(int replicaIndex) {
+        answered.set(replicaIndex);
     }
 
     /** Returns how many replicas have answered. */
--- a/gateway/src/main/java/ploverdale/replication/QuorumRead.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumRead.java
@@ -8,11 +8,11 @@
     private long position;
     private int server;
 
-    /** @param known the position in this gateway's store, or null */
-    QuorumRead(long ticket, long key, ReplicaSet replicas, long deadline, Position known) {
+    /** @param knownPosition the position in this gateway's store, or null */
+    QuorumRead(long ticket, long key, ReplicaSet replicas, long deadline, Position knownPosition) {
         super(ticket, key, replicas, deadline, true);
-        position = known == null ? EntryStore.NOTHING_MISSING : known.timestamp();
-        server = known == null ? Position.NO_SERVER : known.server();
+        position = knownPosition == null ? EntryStore.NOTHING_MISSING : knownPosition.timestamp();
+        server = knownPosition == null ? Position.NO_SERVER : knownPosition.server();
     }
 
     @Override
@@ -21,8 +21,8 @@
     }
 
     @Override
-    void answerLocally(LocalReplica replica, int place) {
-        onAnswer(place, replica.requiredPosition(key()), replica.serverOf(key()));
+    void answerLocally(LocalReplica replica, int replicaIndex) {
+        onAnswer(replicaIndex, replica.requiredPosition(key()), replica.serverOf(key()));
     }
 
     /**
@@ -31,8 +31,8 @@
      * @param answeredPosition the position that it requires
      * @param answeredServer the server that executed the session's last write, or {@link Position#NO_SERVER}
      */
-    void onAnswer(int place, long answeredPosition, int answeredServer) {
-        markAnswered(place);
+    void onAnswer(int replicaIndex, long answeredPosition, int answeredServer) {
+        markAnswered(replicaIndex);
         if (answeredPosition > position) {
             position = answeredPosition;
             server = answeredServer;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    Status decide(WriteOutcome known) {
+    Status decide(WriteOutcome knownOutcome) {
         return isAnsweredByMajority() ? Status.POSITION_KNOWN : null;
     }
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumWrite.java
@@ -21,13 +21,13 @@
     }
 
     @Override
-    void answerLocally(LocalReplica replica, int place) {
+    void answerLocally(LocalReplica replica, int replicaIndex) {
         // The coordinator has already merged the entry into the local store.
-        markAnswered(place);
+        markAnswered(replicaIndex);
     }
 
     @Override
-    Status decide(WriteOutcome known) {
+    Status decide(WriteOutcome knownOutcome) {
         return isAnsweredByMajority() ? Status.REPLICATED : null;
     }
 
--- a/gateway/src/main/java/ploverdale/replication/ReplicaSet.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaSet.java
@@ -12,33 +12,33 @@
     static final int MAX_GATEWAYS = 1 << GATEWAY_BITS;
     /** Six would fit into 64 bits, but a sixth replica costs messages and lets a quorum survive no more failures. */
     static final int MAX_SIZE = 5;
-    /** Stands for the place of a gateway that is not one of the replicas. */
-    static final int NO_PLACE = -1;
+    /** Stands for the index of a gateway that is not one of the replicas. */
+    static final int NOT_A_REPLICA = -1;
 
     static final ReplicaSet EMPTY = new ReplicaSet(0, 0);
 
-    /** Returns this set with one more gateway in the last place. */
+    /** Returns this set with one more gateway, ranked last. */
     ReplicaSet plus(int gateway) {
         return new ReplicaSet(packed | (long) gateway << GATEWAY_BITS * size, size + 1);
     }
 
-    /** Returns the gateway in a place between 0 and {@link #size}, exclusive. */
-    int gateway(int place) {
-        return (int) (packed >>> GATEWAY_BITS * place) & MAX_GATEWAYS - 1;
+    /** Returns the gateway with an index between 0 and {@link #size}, exclusive. */
+    int gateway(int index) {
+        return (int) (packed >>> GATEWAY_BITS * index) & MAX_GATEWAYS - 1;
     }
 
-    /** Returns the place of a gateway, or {@link #NO_PLACE}. */
-    int placeOf(int gateway) {
-        for (int place = 0; place < size; place++) {
-            if (gateway(place) == gateway) {
-                return place;
+    /** Returns the index of a gateway in this set, or {@link #NOT_A_REPLICA}. */
+    int indexOf(int gateway) {
+        for (int index = 0; index < size; index++) {
+            if (gateway(index) == gateway) {
+                return index;
             }
         }
-        return NO_PLACE;
+        return NOT_A_REPLICA;
     }
 
     boolean contains(int gateway) {
-        return placeOf(gateway) != NO_PLACE;
+        return indexOf(gateway) != NOT_A_REPLICA;
     }
 
     /** Returns the number of replicas that form a quorum; any two quorums of one set have a replica in common. */
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -75,21 +75,21 @@
         String sessions = settings.replicatesSessions()
                 ? "sessions for " + settings.sessionRetention() / MS + " ms"
                 : "no sessions";
-        String submits = settings.replicatesOutcomes()
+        String outcomes = settings.replicatesOutcomes()
                 ? "submits for " + settings.resubmissionWindow() / MS + " ms"
                 : "no submits";
         return "replicas: " + placement.replicationFactor() + " copies among " + gateways + " gateways, " + sessions
-                + ", " + submits + (gateways > 1 ? ", catching up" : "");
+                + ", " + outcomes + (gateways > 1 ? ", catching up" : "");
     }
 
     /**
      * Returns the key of a session or of a write.
      *
-     * @param session whether it is the key of a session
-     * @param text the session's name, or the write's idempotency key
+     * @param isSession whether it is the key of a session
+     * @param identifier the session's name, or the write's idempotency key
      */
-    public static long key(boolean session, String text) {
-        return Hashing.key(session, text);
+    public static long key(boolean isSession, String identifier) {
+        return Hashing.key(isSession, identifier);
     }
 
     /**
@@ -97,7 +97,7 @@
      * until peers have returned them.
      */
     public void onClockCorrected() {
-        bound.restartAt(unixClock.getAsLong() + settings.maxClockDifference());
+        bound.setStartedAt(unixClock.getAsLong() + settings.maxClockDifference());
     }
 
     /** Sets the incarnation of this gateway; responses to requests of an earlier one are ignored from then on. */
@@ -121,8 +121,8 @@
             long now, long key, long position, int server, long timeout, boolean awaited, PacketQueue queue) {
         Turn turn = turn(now, queue);
         // A position wrongly in the future would send the session's reads to the primary until that time.
-        long bounded = Math.min(position, turn.unixTime() + settings.maxClockDifference());
-        return coordinator.write(turn, key, new Position(bounded, server & 0xFFFF), timeout, awaited);
+        long boundedPosition = Math.min(position, turn.unixTime() + settings.maxClockDifference());
+        return coordinator.write(turn, key, new Position(boundedPosition, server & 0xFFFF), timeout, awaited);
     }
 
     /**
@@ -172,14 +172,14 @@
     /**
      * Handles a message of another gateway. Ignores parts of other kinds, and responses to an earlier incarnation.
      */
-    public void onMessage(long now, int from, long senderIncarnation, Part part, PacketQueue queue) {
+    public void onMessage(long now, int sender, long senderIncarnation, Part part, PacketQueue queue) {
         ReplicationMessage message = ReplicationMessageDecoder.decode(part);
         if (message == null || isForAnotherIncarnation(message)) {
             return;
         }
         message.accept(new ReplicationMessageDispatcher(
                 turn(now, queue),
-                new Peer(from, senderIncarnation),
+                new Peer(sender, senderIncarnation),
                 localReplica,
                 coordinator,
                 antiEntropy,
@@ -214,8 +214,8 @@
     /** Returns a log line with all counters. */
     public String statistics() {
         return "replicas: holds " + store.size() + " facts, " + store.evicted() + " forgotten for want of room, "
-                + coordinator.requested() + " asked, " + coordinator.unknownReads() + " of them unknown, "
-                + antiEntropy.received() + " taken from others, " + localReplica.alarms() + " alarms";
+                + coordinator.readsAndClaims() + " asked, " + coordinator.unknownReads() + " of them unknown, "
+                + antiEntropy.entriesReceived() + " taken from others, " + localReplica.alarms() + " alarms";
     }
 
     /** Returns the number of entries in this gateway's store. */
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
@@ -75,9 +75,9 @@
     /**
      * Says whether a replica has granted a claim.
      *
-     * @param known what the replica knows of the write, or null
+     * @param knownOutcome what the replica knows of the write, or null
      */
-    record ClaimResponse(long requesterIncarnation, int number, boolean granted, WriteOutcome known)
+    record ClaimResponse(long requesterIncarnation, int number, boolean granted, WriteOutcome knownOutcome)
             implements Response {
         @Override
         public void accept(ReplicationMessageHandler handler) {
@@ -130,9 +130,9 @@
     /**
      * Contains entries of a range in the order of their keys.
      *
-     * @param more whether the range has further entries
+     * @param hasMore whether the range has further entries
      */
-    record EntriesResponse(long requesterIncarnation, int number, boolean more, List<KeyedEntry> entries)
+    record EntriesResponse(long requesterIncarnation, int number, boolean hasMore, List<KeyedEntry> entries)
             implements Response {
         @Override
         public void accept(ReplicationMessageHandler handler) {
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageDecoder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageDecoder.java
@@ -23,15 +23,15 @@
  * not know. Stateless.
  */
 final class ReplicationMessageDecoder {
-    private static final int REQUEST_HEAD_BYTES = Integer.BYTES + Long.BYTES;
-    private static final int RESPONSE_HEAD_BYTES = Long.BYTES + Integer.BYTES;
-    private static final int POSITION_RESPONSE_BYTES = RESPONSE_HEAD_BYTES + Long.BYTES + Short.BYTES;
-    private static final int CLAIM_RESPONSE_BYTES = RESPONSE_HEAD_BYTES + Byte.BYTES;
+    private static final int REQUEST_HEADER_BYTES = Integer.BYTES + Long.BYTES;
+    private static final int RESPONSE_HEADER_BYTES = Long.BYTES + Integer.BYTES;
+    private static final int POSITION_RESPONSE_BYTES = RESPONSE_HEADER_BYTES + Long.BYTES + Short.BYTES;
+    private static final int CLAIM_RESPONSE_BYTES = RESPONSE_HEADER_BYTES + Byte.BYTES;
     private static final int DIGEST_REQUEST_BYTES =
             2 * Integer.BYTES + Byte.BYTES + Short.BYTES + Long.BYTES + KeySpaceNode.CHILDREN * Long.BYTES;
-    private static final int DIGEST_RESPONSE_BYTES = RESPONSE_HEAD_BYTES + Short.BYTES + Long.BYTES;
+    private static final int DIGEST_RESPONSE_BYTES = RESPONSE_HEADER_BYTES + Short.BYTES + Long.BYTES;
     private static final int ENTRIES_REQUEST_BYTES = Integer.BYTES + Short.BYTES + Byte.BYTES + Long.BYTES;
-    private static final int ENTRIES_RESPONSE_BYTES = RESPONSE_HEAD_BYTES + Byte.BYTES;
+    private static final int ENTRIES_RESPONSE_BYTES = RESPONSE_HEADER_BYTES + Byte.BYTES;
 
     private ReplicationMessageDecoder() {}
 
@@ -43,24 +43,24 @@
         }
         ByteBuffer content = ByteBuffer.wrap(part.content());
         return switch (kind) {
-            case WRITE_REQUEST -> writeRequest(content);
+            case WRITE_REQUEST -> readWriteRequest(content);
             case WRITE_RESPONSE -> new WriteResponse(content.getLong(), content.getInt());
             case POSITION_REQUEST -> new PositionRequest(content.getInt(), content.getLong());
             case POSITION_RESPONSE ->
                 new PositionResponse(content.getLong(), content.getInt(), content.getLong(), content.getShort());
-            case CLAIM_REQUEST -> claimRequest(content);
-            case CLAIM_RESPONSE -> claimResponse(content);
-            case DIGEST_REQUEST -> digestRequest(content);
-            case DIGEST_RESPONSE -> digestResponse(content);
-            case ENTRIES_REQUEST -> entriesRequest(content);
-            case ENTRIES_RESPONSE -> entriesResponse(content);
+            case CLAIM_REQUEST -> readClaimRequest(content);
+            case CLAIM_RESPONSE -> readClaimResponse(content);
+            case DIGEST_REQUEST -> readDigestRequest(content);
+            case DIGEST_RESPONSE -> readDigestResponse(content);
+            case ENTRIES_REQUEST -> readEntriesRequest(content);
+            case ENTRIES_RESPONSE -> readEntriesResponse(content);
         };
     }
 
     private static int minimumBytes(ReplicationMessageKind kind) {
         return switch (kind) {
-            case WRITE_REQUEST, POSITION_REQUEST, CLAIM_REQUEST -> REQUEST_HEAD_BYTES;
-            case WRITE_RESPONSE -> RESPONSE_HEAD_BYTES;
+            case WRITE_REQUEST, POSITION_REQUEST, CLAIM_REQUEST -> REQUEST_HEADER_BYTES;
+            case WRITE_RESPONSE -> RESPONSE_HEADER_BYTES;
             case POSITION_RESPONSE -> POSITION_RESPONSE_BYTES;
             case CLAIM_RESPONSE -> CLAIM_RESPONSE_BYTES;
             case DIGEST_REQUEST -> DIGEST_REQUEST_BYTES;
@@ -70,14 +70,14 @@
         };
     }
 
-    private static WriteRequest writeRequest(ByteBuffer content) {
+    private static WriteRequest readWriteRequest(ByteBuffer content) {
         int number = content.getInt();
         long key = content.getLong();
         VersionedEntry entry = EntryCodec.read(content);
         return entry == null ? null : new WriteRequest(number, key, entry);
     }
 
-    private static ClaimRequest claimRequest(ByteBuffer content) {
+    private static ClaimRequest readClaimRequest(ByteBuffer content) {
         int number = content.getInt();
         long key = content.getLong();
         boolean firstSubmission = content.hasRemaining() && content.get() != 0;
@@ -88,15 +88,15 @@
         return null;
     }
 
-    private static ClaimResponse claimResponse(ByteBuffer content) {
+    private static ClaimResponse readClaimResponse(ByteBuffer content) {
         long requesterIncarnation = content.getLong();
         int number = content.getInt();
         boolean granted = content.get() != 0;
-        WriteOutcome known = EntryCodec.read(content) instanceof WriteOutcome outcome ? outcome : null;
-        return new ClaimResponse(requesterIncarnation, number, granted, known);
+        WriteOutcome knownOutcome = EntryCodec.read(content) instanceof WriteOutcome outcome ? outcome : null;
+        return new ClaimResponse(requesterIncarnation, number, granted, knownOutcome);
     }
 
-    private static DigestRequest digestRequest(ByteBuffer content) {
+    private static DigestRequest readDigestRequest(ByteBuffer content) {
         int number = content.getInt();
         KeySpaceNode node = new KeySpaceNode(content.get(), Short.toUnsignedInt(content.getShort()));
         int salt = content.getInt();
@@ -106,14 +106,14 @@
         return node.hasChildren() ? new DigestRequest(number, node, salt, unexpiredAt, digests) : null;
     }
 
-    private static DigestResponse digestResponse(ByteBuffer content) {
+    private static DigestResponse readDigestResponse(ByteBuffer content) {
         long requesterIncarnation = content.getLong();
         int number = content.getInt();
         BitSet differing = BitSet.valueOf(new long[] {Short.toUnsignedLong(content.getShort())});
         return new DigestResponse(requesterIncarnation, number, differing, content.getLong());
     }
 
-    private static EntriesRequest entriesRequest(ByteBuffer content) {
+    private static EntriesRequest readEntriesRequest(ByteBuffer content) {
         int number = content.getInt();
         int range = Short.toUnsignedInt(content.getShort());
         boolean hasAfterKey = content.get() != 0;
@@ -124,15 +124,15 @@
         return new EntriesRequest(number, range, hasAfterKey ? (Long) afterKey : null);
     }
 
-    private static EntriesResponse entriesResponse(ByteBuffer content) {
+    private static EntriesResponse readEntriesResponse(ByteBuffer content) {
         long requesterIncarnation = content.getLong();
         int number = content.getInt();
-        boolean more = content.get() != 0;
-        return new EntriesResponse(requesterIncarnation, number, more, keyedEntries(content));
+        boolean hasMore = content.get() != 0;
+        return new EntriesResponse(requesterIncarnation, number, hasMore, readKeyedEntries(content));
     }
 
     /** Reads entries up to the first one that cannot be read, since the length of that one is unknown. */
-    private static List<KeyedEntry> keyedEntries(ByteBuffer content) {
+    private static List<KeyedEntry> readKeyedEntries(ByteBuffer content) {
         List<KeyedEntry> entries = new ArrayList<>();
         while (content.remaining() > Long.BYTES) {
             long key = content.getLong();
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageEncoder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageEncoder.java
@@ -37,7 +37,7 @@
         return new Part(encoder.kind.code(), bytes);
     }
 
-    private void putResponseHead(Response response) {
+    private void putResponseHeader(Response response) {
         content.putLong(response.requesterIncarnation()).putInt(response.number());
     }
 
@@ -55,7 +55,7 @@
     @Override
     public void onWriteResponse(WriteResponse response) {
         kind = ReplicationMessageKind.WRITE_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
     }
 
     @Override
@@ -67,7 +67,7 @@
     @Override
     public void onPositionResponse(PositionResponse response) {
         kind = ReplicationMessageKind.POSITION_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
         content.putLong(response.position()).putShort((short) response.server());
     }
 
@@ -82,10 +82,10 @@
     @Override
     public void onClaimResponse(ClaimResponse response) {
         kind = ReplicationMessageKind.CLAIM_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
         putBoolean(response.granted());
-        if (response.known() != null) {
-            response.known().writeTo(content);
+        if (response.knownOutcome() != null) {
+            response.knownOutcome().writeTo(content);
         }
     }
 
@@ -103,7 +103,7 @@
     @Override
     public void onDigestResponse(DigestResponse response) {
         kind = ReplicationMessageKind.DIGEST_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
         content.putShort(childMask(response.differing())).putLong(response.missingUntil());
     }
 
@@ -122,8 +122,8 @@
     @Override
     public void onEntriesResponse(EntriesResponse response) {
         kind = ReplicationMessageKind.ENTRIES_RESPONSE;
-        putResponseHead(response);
-        putBoolean(response.more());
+        putResponseHeader(response);
+        putBoolean(response.hasMore());
         for (KeyedEntry keyed : response.entries()) {
             content.putLong(keyed.key());
             keyed.entry().writeTo(content);
--- a/gateway/src/main/java/ploverdale/replication/SynchronizedPeers.java
+++ b/gateway/src/main/java/ploverdale/replication/SynchronizedPeers.java
@@ -16,7 +16,7 @@
     private final int self;
     private final long[] missingUntil;
     private final List<Integer> unsynchronized = new ArrayList<>();
-    private int next;
+    private int nextPeer;
 
     /**
      * Starts without any completed round.
@@ -66,9 +66,9 @@
     /** Returns a list with the next peer in round-robin order that is alive; an empty list if there is none. */
     List<Integer> nextInTurn(IntPredicate isAlive) {
         for (int offset = 0; offset < missingUntil.length; offset++) {
-            int peer = (next + offset) % missingUntil.length;
+            int peer = (nextPeer + offset) % missingUntil.length;
             if (peer != self && isAlive.test(peer)) {
-                next = peer + 1;
+                nextPeer = peer + 1;
                 return List.of(peer);
             }
         }
--- a/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
+++ b/gateway/src/main/java/ploverdale/replication/WriteOutcome.java
@@ -27,7 +27,7 @@
     private static final long GATEWAY_FACTOR = 0x9E3779B97F4A7C15L;
 
     WriteOutcome {
-        claims = Collections.unmodifiableSortedMap(bounded(new TreeMap<>(claims)));
+        claims = Collections.unmodifiableSortedMap(dropExcessClaims(new TreeMap<>(claims)));
         response = response.length > MAX_RESPONSE_BYTES ? NO_RESPONSE : response;
     }
 
@@ -35,7 +35,7 @@
      * Drops claims above the limit, first those that never ran: unlike the others, they do not prevent further
      * claims.
      */
-    private static TreeMap<ClaimId, ClaimState> bounded(TreeMap<ClaimId, ClaimState> claims) {
+    private static TreeMap<ClaimId, ClaimState> dropExcessClaims(TreeMap<ClaimId, ClaimState> claims) {
         while (claims.size() > MAX_CLAIMS) {
             claims.remove(leastInformative(claims));
         }
@@ -89,13 +89,13 @@
     }
 
     /** Whether the outcome contains the claim already or can take one more. */
-    boolean hasRoomFor(ClaimId claim) {
+    boolean hasCapacityFor(ClaimId claim) {
         return claims.containsKey(claim) || claims.size() < MAX_CLAIMS;
     }
 
     @Override
     public boolean permitsClaim(ClaimId claim) {
-        return isFreeExceptFor(claim) && hasRoomFor(claim);
+        return isFreeExceptFor(claim) && hasCapacityFor(claim);
     }
 
     @Override
--- a/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
+++ b/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
@@ -55,7 +55,7 @@
         return (DigestRequest) sent().get(0);
     }
 
-    private void answer(int number, long incarnation, BitSet differing) {
+    private void respond(int number, long incarnation, BitSet differing) {
         antiEntropy.onDigestResponse(
                 turn(), new Peer(PEER, incarnation), new DigestResponse(1, number, differing, UNIX_TIME));
     }
@@ -87,12 +87,12 @@
     }
 
     @Test
-    void aRoundIsGivenUpWhenThePeerIsDeadOrSilentForThreeSeconds() {
+    void aRoundEndsWhenThePeerIsDeadOrUnresponsiveForThreeSeconds() {
         tick(true);
         DigestRequest first = sentDigestRequest();
         now += MS;
         tick(false);
-        answer(first.number(), 7, child(3));
+        respond(first.number(), 7, child(3));
         assertThat(sent()).as("requests after a response to a discarded round").isEmpty();
         tick(true);
         DigestRequest second = sentDigestRequest();
@@ -108,7 +108,7 @@
     void aRoundDescendsToTheRangesThatDifferAndFetchesTheirEntries() {
         tick(true);
         for (int digit : new int[] {1, 1, 2}) { // path from the root to range 0x112, which contains KEY
-            answer(sentDigestRequest().number(), 7, child(digit));
+            respond(sentDigestRequest().number(), 7, child(digit));
         }
         EntriesRequest request = (EntriesRequest) sent().get(0);
         assertThat(request.range()).isEqualTo(0x112);
@@ -122,29 +122,29 @@
         antiEntropy.onEntriesResponse(
                 turn(), new Peer(PEER, 7), new EntriesResponse(1, next.number(), false, List.of()));
         assertThat(store.size()).isEqualTo(2);
-        assertThat(antiEntropy.received()).isEqualTo(2);
+        assertThat(antiEntropy.entriesReceived()).isEqualTo(2);
         assertThat(peers.missingUntil(PEER)).isEqualTo(UNIX_TIME);
         assertThat(log).hasSize(1);
     }
 
     @Test
-    void aRoundWithAPeerThatRestartedBeginsAgainWithAnotherSalt() {
+    void aRoundStartsOverWithAnotherSaltIfThePeerRestarts() {
         tick(true);
-        DigestRequest root = sentDigestRequest();
-        answer(root.number(), 7, child(1));
-        answer(sentDigestRequest().number(), 8, child(1));
+        DigestRequest rootRequest = sentDigestRequest();
+        respond(rootRequest.number(), 7, child(1));
+        respond(sentDigestRequest().number(), 8, child(1));
         assertThat(sent()).as("requests before the next tick").isEmpty();
         tick(true);
-        DigestRequest again = sentDigestRequest();
-        assertThat(again.node()).isEqualTo(KeySpaceNode.ROOT);
-        assertThat(again.salt()).isNotEqualTo(root.salt());
+        DigestRequest firstAfterRestart = sentDigestRequest();
+        assertThat(firstAfterRestart.node()).isEqualTo(KeySpaceNode.ROOT);
+        assertThat(firstAfterRestart.salt()).isNotEqualTo(rootRequest.salt());
         assertThat(peers.missingUntil(PEER)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
     void theNextRoundBeginsASecondAfterThePeerIsSynchronized() {
         tick(true);
-        answer(sentDigestRequest().number(), 7, NONE_DIFFER);
+        respond(sentDigestRequest().number(), 7, NONE_DIFFER);
         assertThat(log).containsExactly("replicas: caught up with all others, 0 facts held, 0 of them from others");
         now += 999 * MS;
         tick(true);
--- a/gateway/src/test/java/ploverdale/replication/ReplicationSettingsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationSettingsTest.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The check of a fleet's settings prints these settings; operators compare its output. */
+/** The check of a fleet's settings prints these settings; the spelling is fixed. */
 class ReplicationSettingsTest {
     @Test
-    void printsItsFieldsInTheSpellingOfTheCheck() {
+    void printsItsFieldsInTheSpellingOfTheSettingsCheck() {
         ReplicationSettings settings =
                 new ReplicationSettings(3, true, 200_000, 600, 80_000, true, Set.of("put"), 1000, 400_000, 500);
         assertThat(settings)
--- a/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
@@ -19,8 +19,8 @@
     private static final long UNIX_TIME = 17_000_000_000_000L;
     private static final long SESSION = 0x1122334455667788L;
     private static final long WRITE = 0x99AABBCCDDEEFF00L;
-    private static final int A = 0;
-    private static final int B = 1;
+    private static final int GATEWAY_A = 0;
+    private static final int GATEWAY_B = 1;
     private static final int GATEWAYS = 2;
     private static final ReplicationSettings SETTINGS =
             new ReplicationSettings(2, true, 200_000, 400, 80_000, true, Set.of(), 1000, 100, 500);
@@ -64,12 +64,12 @@
     /** Delivers messages until no gateway sends any; returns a line for each: its sender, kind and content. */
     private List<String> exchange() {
         List<String> lines = new ArrayList<>();
-        boolean quiet = false;
-        while (!quiet) {
-            quiet = true;
+        boolean allDelivered = false;
+        while (!allDelivered) {
+            allDelivered = true;
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
                 for (Part part : sentBy(gateway)) {
-                    quiet = false;
+                    allDelivered = false;
                     lines.add(line(gateway, part));
                     deliver(gateway, part);
                 }
@@ -83,14 +83,14 @@
     }
 
     private ClaimId claimWrite() {
-        gateways[A].claimWrite(NOW, WRITE, true, unixTime, queues[A]);
+        gateways[GATEWAY_A].claimWrite(NOW, WRITE, true, unixTime, queues[GATEWAY_A]);
         exchange();
-        return gateways[A].takeResults().get(0).claim();
+        return gateways[GATEWAY_A].takeResults().get(0).claim();
     }
 
     @Test
-    void aPositionIsCopiedToTheOtherReplica() {
-        gateways[A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
+    void aPositionIsReplicatedToTheOtherReplica() {
+        gateways[GATEWAY_A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[GATEWAY_A]);
         assertThat(exchange())
                 .containsExactly(
                         "A 32 0000000111223344556677880100000f761f0552401234", "B 33 00000a0b0c0d0e0000000001");
@@ -98,10 +98,10 @@
 
     @Test
     void aPositionIsReadFromTheOtherReplica() {
-        gateways[B].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[B]);
+        gateways[GATEWAY_B].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[GATEWAY_B]);
         exchange();
-        gateways[A].readPosition(NOW, SESSION, queues[A]);
-        gateways[A].readPosition(NOW, SESSION + 1, queues[A]);
+        gateways[GATEWAY_A].readPosition(NOW, SESSION, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].readPosition(NOW, SESSION + 1, queues[GATEWAY_A]);
         assertThat(exchange())
                 .containsExactly(
                         "A 34 000000011122334455667788",
@@ -111,10 +111,10 @@
     }
 
     @Test
-    void aWriteIsClaimedOnceAndRefusedTheSecondTime() {
-        gateways[A].claimWrite(NOW, WRITE, true, unixTime, queues[A]);
+    void aSecondClaimToTheSameWriteIsRefused() {
+        gateways[GATEWAY_A].claimWrite(NOW, WRITE, true, unixTime, queues[GATEWAY_A]);
         List<String> lines = exchange();
-        gateways[B].claimWrite(NOW, WRITE, false, unixTime + 1, queues[B]);
+        gateways[GATEWAY_B].claimWrite(NOW, WRITE, false, unixTime + 1, queues[GATEWAY_B]);
         lines.addAll(exchange());
         assertThat(lines)
                 .containsExactly(
@@ -125,11 +125,11 @@
     }
 
     @Test
-    void whatIsProvenOfAClaimIsCopied() {
+    void proofsAboutAClaimAreReplicated() {
         ClaimId claim = claimWrite();
-        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
+        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[GATEWAY_A]);
         List<String> lines = exchange();
-        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
+        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
         lines.addAll(exchange());
         assertThat(lines)
                 .containsExactly(
@@ -142,27 +142,27 @@
     @Test
     void contradictingProofsAreLogged() {
         ClaimId claim = claimWrite();
-        gateways[A].takeLogLines();
-        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[A]);
-        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
-        assertThat(gateways[A].takeLogLines())
+        gateways[GATEWAY_A].takeLogLines();
+        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
+        assertThat(gateways[GATEWAY_A].takeLogLines())
                 .containsExactly(
                         "replicas alarm: two proofs contradict one another, key 99aabbccddeeff00, fate of 17000001000000 {IdempotencyRecord[gateway=0, start=11042563100160, number=1]=7}, answered");
-        assertThat(gateways[A].statistics())
+        assertThat(gateways[GATEWAY_A].statistics())
                 .isEqualTo(
                         "replicas: holds 1 facts, 0 forgotten for want of room, 1 asked, 0 of them unknown, 0 taken from others, 1 alarms");
     }
 
     @Test
     void antiEntropyComparesRangesAndFetchesThoseThatDiffer() {
-        gateways[B].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[B]);
-        gateways[B].writePosition(NOW, SESSION + 1, unixTime + 5, 0x1234, 1000, true, queues[B]);
-        gateways[B].claimWrite(NOW, WRITE, true, unixTime, queues[B]);
-        sentBy(B); // lost
-        gateways[A].writePosition(NOW, SESSION + 2, unixTime + 7, 0x4321, 1000, true, queues[A]);
-        sentBy(A); // lost
-        gateways[A].takeLogLines();
-        gateways[A].onTick(NOW, gateway -> true, queues[A]);
+        gateways[GATEWAY_B].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[GATEWAY_B]);
+        gateways[GATEWAY_B].writePosition(NOW, SESSION + 1, unixTime + 5, 0x1234, 1000, true, queues[GATEWAY_B]);
+        gateways[GATEWAY_B].claimWrite(NOW, WRITE, true, unixTime, queues[GATEWAY_B]);
+        sentBy(GATEWAY_B); // lost
+        gateways[GATEWAY_A].writePosition(NOW, SESSION + 2, unixTime + 7, 0x4321, 1000, true, queues[GATEWAY_A]);
+        sentBy(GATEWAY_A); // lost
+        gateways[GATEWAY_A].takeLogLines();
+        gateways[GATEWAY_A].onTick(NOW, gateway -> true, queues[GATEWAY_A]);
         assertThat(exchange())
                 .containsExactly(
                         "A 38 00000001000000b5dd429d00000f761f057950000000000000000089ff7f98deac5ce100000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
@@ -179,20 +179,20 @@
                         "A 40 000000070112000000000000000000",
                         "B 41 00000a0b0c0d0e00000000060099aabbccddeeff000200000f761f0552400100010a0b0c0d0e01000000030100",
                         "B 41 00000a0b0c0d0e00000000070011223344556677880100000f761f055240123411223344556677890100000f761f0552451234");
-        assertThat(gateways[A].takeLogLines())
+        assertThat(gateways[GATEWAY_A].takeLogLines())
                 .containsExactly("replicas: caught up with all others, 4 facts held, 3 of them from others");
-        gateways[B].onTick(NOW, gateway -> true, queues[B]);
+        gateways[GATEWAY_B].onTick(NOW, gateway -> true, queues[GATEWAY_B]);
         exchange();
-        assertThat(gateways[A].digest(B, 0)).isEqualTo(gateways[B].digest(A, 0));
+        assertThat(gateways[GATEWAY_A].digest(GATEWAY_B, 0)).isEqualTo(gateways[GATEWAY_B].digest(GATEWAY_A, 0));
     }
 
     @Test
-    void aRangeOfMoreEntriesThanFitIsFetchedInSeveralMessages() {
+    void aRangeThatDoesNotFitIntoOneMessageIsFetchedInSeveral() {
         for (int entry = 0; entry < 12; entry++) {
-            gateways[B].writePosition(NOW, SESSION + entry, unixTime + entry, entry, 1000, true, queues[B]);
+            gateways[GATEWAY_B].writePosition(NOW, SESSION + entry, unixTime + entry, entry, 1000, true, queues[GATEWAY_B]);
         }
-        sentBy(B); // lost
-        gateways[A].onTick(NOW, gateway -> true, queues[A]);
+        sentBy(GATEWAY_B); // lost
+        gateways[GATEWAY_A].onTick(NOW, gateway -> true, queues[GATEWAY_A]);
         assertThat(exchange().stream().filter(line -> line.startsWith("A 40") || line.startsWith("B 41")))
                 .containsExactly(
                         "A 40 000000040112000000000000000000",
@@ -202,33 +202,33 @@
     }
 
     @Test
-    void messagesThatAreCutShortOrOfAnotherKindChangeNothing() {
+    void truncatedMessagesAndMessagesOfUnknownKindsChangeNothing() {
         ClaimId claim = claimWrite();
-        gateways[A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
-        gateways[A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[A]);
-        gateways[A].readPosition(NOW, SESSION, queues[A]);
-        gateways[A].claimWrite(NOW, WRITE + 1, true, unixTime, queues[A]);
-        gateways[A].onTick(NOW, gateway -> true, queues[A]);
-        long before = gateways[B].digest(A, 0);
-        for (Part part : sentBy(A)) {
+        gateways[GATEWAY_A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].readPosition(NOW, SESSION, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].claimWrite(NOW, WRITE + 1, true, unixTime, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].onTick(NOW, gateway -> true, queues[GATEWAY_A]);
+        long before = gateways[GATEWAY_B].digest(GATEWAY_A, 0);
+        for (Part part : sentBy(GATEWAY_A)) {
             for (int length = 0; length < part.content().length; length++) {
-                deliver(A, new Part(part.kind(), Arrays.copyOf(part.content(), length)));
+                deliver(GATEWAY_A, new Part(part.kind(), Arrays.copyOf(part.content(), length)));
             }
-            deliver(A, new Part(part.kind() + 100, part.content()));
+            deliver(GATEWAY_A, new Part(part.kind() + 100, part.content()));
         }
-        assertThat(sentBy(B)).isEmpty();
-        assertThat(gateways[B].digest(A, 0)).isEqualTo(before);
+        assertThat(sentBy(GATEWAY_B)).isEmpty();
+        assertThat(gateways[GATEWAY_B].digest(GATEWAY_A, 0)).isEqualTo(before);
     }
 
     @Test
-    void messagesOfALaterVersionThatAreLongerAreReadAsFarAsTheyAreKnown() {
-        gateways[A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[A]);
-        gateways[A].readPosition(NOW, SESSION, queues[A]);
-        gateways[A].claimWrite(NOW, WRITE, true, unixTime, queues[A]);
-        List<Part> sent = sentBy(A);
+    void bytesAppendedByALaterVersionAreIgnored() {
+        gateways[GATEWAY_A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].readPosition(NOW, SESSION, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].claimWrite(NOW, WRITE, true, unixTime, queues[GATEWAY_A]);
+        List<Part> sent = sentBy(GATEWAY_A);
         for (Part part : sent) {
-            deliver(A, new Part(part.kind(), Arrays.copyOf(part.content(), part.content().length + 4)));
+            deliver(GATEWAY_A, new Part(part.kind(), Arrays.copyOf(part.content(), part.content().length + 4)));
         }
-        assertThat(sentBy(B).stream().map(Part::kind)).containsExactly(33, 35, 37);
+        assertThat(sentBy(GATEWAY_B).stream().map(Part::kind)).containsExactly(33, 35, 37);
     }
 }
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -18,7 +18,7 @@
  * encoding.
  */
 class VersionedEntryLawsTest {
-    private static final byte[] NO_ANSWER = {};
+    private static final byte[] NO_RESPONSE = {};
 
     @Provide
     Arbitrary<VersionedEntry> positions() {
@@ -35,68 +35,68 @@
                         Arbitraries.longs().between(1, 2),
                         Arbitraries.integers().between(1, 2))
                 .as(ClaimId::new);
-        Arbitrary<byte[]> answers =
+        Arbitrary<byte[]> responses =
                 Arbitraries.bytes().array(byte[].class).ofMinSize(0).ofMaxSize(3);
         return Combinators.combine(
                         Arbitraries.longs().between(0, 3),
                         Arbitraries.maps(claims, Arbitraries.of(1, 3, 5, 7).map(ClaimState::new))
                                 .ofMinSize(1)
                                 .ofMaxSize(2),
-                        answers)
+                        responses)
                 .as(WriteOutcome::new);
     }
 
-    private static void laws(VersionedEntry a, VersionedEntry b, VersionedEntry c) {
-        assertThat(a.merge(b)).isEqualTo(b.merge(a));
-        assertThat(a.merge(b).merge(c)).isEqualTo(a.merge(b.merge(c)));
-        assertThat(a.merge(a)).isEqualTo(a);
-        assertThat(a.merge(b).hash()).isEqualTo(b.merge(a).hash());
+    private static void assertMergeLaws(VersionedEntry first, VersionedEntry second, VersionedEntry third) {
+        assertThat(first.merge(second)).isEqualTo(second.merge(first));
+        assertThat(first.merge(second).merge(third)).isEqualTo(first.merge(second.merge(third)));
+        assertThat(first.merge(first)).isEqualTo(first);
+        assertThat(first.merge(second).hash()).isEqualTo(second.merge(first).hash());
         ByteBuffer bytes = ByteBuffer.allocate(EntryCodec.MAX_BYTES);
-        a.merge(b).writeTo(bytes);
-        assertThat(bytes.position()).isEqualTo(a.merge(b).encodedLength());
-        assertThat(EntryCodec.read(bytes.flip())).isEqualTo(a.merge(b));
+        first.merge(second).writeTo(bytes);
+        assertThat(bytes.position()).isEqualTo(first.merge(second).encodedLength());
+        assertThat(EntryCodec.read(bytes.flip())).isEqualTo(first.merge(second));
     }
 
     @Property
     void positionsMergeInAnyOrder(
-            @ForAll("positions") VersionedEntry a,
-            @ForAll("positions") VersionedEntry b,
-            @ForAll("positions") VersionedEntry c) {
-        laws(a, b, c);
+            @ForAll("positions") VersionedEntry first,
+            @ForAll("positions") VersionedEntry second,
+            @ForAll("positions") VersionedEntry third) {
+        assertMergeLaws(first, second, third);
     }
 
     @Property
     void writeOutcomesMergeInAnyOrder(
-            @ForAll("writeOutcomes") VersionedEntry a,
-            @ForAll("writeOutcomes") VersionedEntry b,
-            @ForAll("writeOutcomes") VersionedEntry c) {
-        laws(a, b, c);
+            @ForAll("writeOutcomes") VersionedEntry first,
+            @ForAll("writeOutcomes") VersionedEntry second,
+            @ForAll("writeOutcomes") VersionedEntry third) {
+        assertMergeLaws(first, second, third);
     }
 
     @Test
-    void aProofWinsOverADoubtAndOfTwoThatContradictTheOneThatForbidsExecutionCounts() {
-        ClaimId one = new ClaimId(0, 1, 1);
-        WriteOutcome doubt = WriteOutcome.of(5, one, ClaimState.CLAIMED, NO_ANSWER);
-        WriteOutcome succeeded = WriteOutcome.of(5, one, ClaimState.SUCCEEDED, new byte[] {1});
-        WriteOutcome never = WriteOutcome.of(5, one, ClaimState.NEVER_RAN, NO_ANSWER);
-        assertThat(doubt.isInDoubt()).isTrue();
-        assertThat(((WriteOutcome) doubt.merge(never)).isFree()).isTrue();
-        assertThat(((WriteOutcome) doubt.merge(succeeded)).hasSucceeded()).isTrue();
-        WriteOutcome both = (WriteOutcome) succeeded.merge(never);
-        assertThat(both.isContradictory()).isTrue();
-        assertThat(both.isFree()).isFalse();
-        assertThat(both.hasSucceeded()).isTrue();
-        WriteOutcome twice = (WriteOutcome)
-                succeeded.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_ANSWER));
-        assertThat(twice.isContradictory()).as("executed under two claims").isTrue();
+    void aProofEndsTheDoubtAndContradictingProofsCountAsExecuted() {
+        ClaimId claim = new ClaimId(0, 1, 1);
+        WriteOutcome inDoubt = WriteOutcome.of(5, claim, ClaimState.CLAIMED, NO_RESPONSE);
+        WriteOutcome succeeded = WriteOutcome.of(5, claim, ClaimState.SUCCEEDED, new byte[] {1});
+        WriteOutcome neverRan = WriteOutcome.of(5, claim, ClaimState.NEVER_RAN, NO_RESPONSE);
+        assertThat(inDoubt.isInDoubt()).isTrue();
+        assertThat(((WriteOutcome) inDoubt.merge(neverRan)).isFree()).isTrue();
+        assertThat(((WriteOutcome) inDoubt.merge(succeeded)).hasSucceeded()).isTrue();
+        WriteOutcome contradictory = (WriteOutcome) succeeded.merge(neverRan);
+        assertThat(contradictory.isContradictory()).isTrue();
+        assertThat(contradictory.isFree()).isFalse();
+        assertThat(contradictory.hasSucceeded()).isTrue();
+        WriteOutcome executedTwice = (WriteOutcome)
+                succeeded.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_RESPONSE));
+        assertThat(executedTwice.isContradictory()).as("executed under two claims").isTrue();
     }
 
     @Test
-    void overTheBoundNeitherAClaimInDoubtNorASuccessfulOneIsDropped() {
-        WriteOutcome outcome = WriteOutcome.of(5, new ClaimId(0, 1, 0), ClaimState.CLAIMED, NO_ANSWER);
-        for (int n = 1; n < 20; n++) {
+    void aboveTheLimitClaimsThatNeverRanAreDroppedBeforeOneInDoubt() {
+        WriteOutcome outcome = WriteOutcome.of(5, new ClaimId(0, 1, 0), ClaimState.CLAIMED, NO_RESPONSE);
+        for (int number = 1; number < 20; number++) {
             outcome = (WriteOutcome) outcome.merge(new WriteOutcome(
-                    5, Map.of(new ClaimId(1, 1, n), ClaimState.CLAIMED.merge(ClaimState.NEVER_RAN)), NO_ANSWER));
+                    5, Map.of(new ClaimId(1, 1, number), ClaimState.CLAIMED.merge(ClaimState.NEVER_RAN)), NO_RESPONSE));
         }
         assertThat(outcome.claims())
                 .hasSizeLessThanOrEqualTo(WriteOutcome.MAX_CLAIMS)
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void anEntryOfAnUnknownTypeOrCutShortIsNotRead() {
+    void entriesOfUnknownTypeAndTruncatedEntriesAreRejected() {
         assertThat(EntryCodec.read(ByteBuffer.wrap(new byte[] {9, 1, 2, 3}))).isNull();
         assertThat(EntryCodec.read(ByteBuffer.wrap(new byte[] {EntryCodec.POSITION_TYPE, 1, 2})))
                 .isNull();
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -18,9 +18,9 @@
             delimiterString = " -> ",
             value = {
                 "ReplicaSet.java -> return size / 2 + 1; -> return 1;",
-                "CompletenessBound.java -> Math.max(store.missingUntil(), Math.min(startedAt, missed)) -> store.missingUntil()",
-                "LocalReplica.java -> !mayKnowAll || !isFree -> !isFree",
-                "WriteOutcome.java -> isFreeExceptFor(claim) && hasRoomFor(claim)"
+                "CompletenessBound.java -> Math.max(store.missingUntil(), Math.min(startedAt, unrestoredUntil)) -> store.missingUntil()",
+                "LocalReplica.java -> !historyIsComplete || !isPermitted -> !isPermitted",
+                "WriteOutcome.java -> isFreeExceptFor(claim) && hasCapacityFor(claim)"
                         + " -> (claims.containsKey(claim) || isFree())"
             })
     void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
