--- a/gateway/src/main/java/ploverdale/replication/LocalReplica.java
+++ b/gateway/src/main/java/ploverdale/replication/LocalReplica.java
@@ -89,8 +89,8 @@
         ReplicaSet replicas = placement.of(key);
         boolean arrivedAfterBound = firstSubmission && requestedOutcome.timestamp() > bound.of(replicas);
         boolean historyIsComplete = arrivedAfterBound || bound.coversSubmissions(replicas);
-        // The claim may already be in the store, received from another replica. That does not count as a grant of this
-        // replica, which still has to decide itself for the claim to reach a majority.
+        // The claim may already be in the store, received from another replica. Such an entry does not count as a grant
+        // of this replica, nor does it prevent one.
         VersionedEntry knownEntry = store.get(key);
         boolean isPermitted = knownEntry == null || knownEntry.permitsClaim(claim);
         if (!historyIsComplete || !isPermitted) {
--- a/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Whether the claim has to be withdrawn when its time is over: it has no majority, but a replica may have granted
+     * Whether the claim has to be withdrawn after its deadline: it has no majority, but a replica may have granted
      * it and the response was lost.
      */
     boolean needsWithdrawalOnTimeout() {
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -35,7 +35,7 @@
     private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by request number, oldest first
     private final List<QuorumClaim> claimsToWithdraw = new ArrayList<>();
     private final List<QuorumResult> results = new ArrayList<>();
-    private int lastRequestNumber;
+    private int lastNumber; // requests and claims are numbered in one sequence
     private long lastTicket;
     private long readsAndClaims;
     private long unknownReads;
@@ -120,7 +120,7 @@
     long claim(Turn turn, long key, long incarnation, boolean firstSubmission, long arrivedAt) {
         long ticket = ++lastTicket;
         readsAndClaims++;
-        ClaimId claim = new ClaimId(self, incarnation, ++lastRequestNumber);
+        ClaimId claim = new ClaimId(self, incarnation, ++lastNumber);
         boolean isKnownFirst = firstSubmission && settings.retriesMarked();
         long deadline = turn.now() + settings.quorumTimeout();
         begin(turn, new QuorumClaim(ticket, key, placement.of(key), deadline, claim, isKnownFirst, arrivedAt));
@@ -128,7 +128,7 @@
     }
 
     private void begin(Turn turn, QuorumOperation operation) {
-        int number = ++lastRequestNumber;
+        int number = ++lastNumber;
         if (pending.size() >= MAX_PENDING) {
             complete(operation, Status.UNKNOWN);
             return;
@@ -273,6 +273,6 @@
     /** Appends a description in which any two states differ that a model checker has to tell apart. */
     void describe(StringBuilder text) {
         pending.values().forEach(operation -> operation.describe(text));
-        text.append(' ').append(lastRequestNumber).append(' ').append(claimsToWithdraw.size());
+        text.append(' ').append(lastNumber).append(' ').append(claimsToWithdraw.size());
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -39,7 +39,7 @@
     private long incarnation;
 
     /**
-     * Creates an empty store that catches up with the other gateways by anti-entropy.
+     * Starts with an empty store, which catches up with the other gateways by anti-entropy.
      *
      * @param self this gateway's number
      * @param gateways number of gateways of the fleet, alive or not
