--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -51,6 +51,7 @@
     private static final long RETRY_AFTER = 150 * MS;
     /** After this time without a response a round ends, so that one unresponsive peer does not delay the others. */
     private static final long PEER_TIMEOUT = 3000 * MS;
+
     private static final int MAX_IN_FLIGHT = 4;
     /**
      * From this number of entries on, a round starts with the children of the root: digests of the whole key space
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropyResponder.java
@@ -18,6 +18,7 @@
 final class AntiEntropyResponder {
     /** Keeps a response within one packet; further entries follow in the responses to further requests. */
     private static final int MAX_RESPONSE_BYTES = 220;
+
     private static final int RESPONSE_HEADER_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
 
     private final int self;
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -231,7 +231,8 @@
         }
         if (operation.isAwaited()) {
             WriteOutcome knownOutcome = localReplica.outcomeOf(operation.key());
-            results.add(operation.result(status, knownOutcome == null ? WriteOutcome.NO_RESPONSE : knownOutcome.response()));
+            results.add(operation.result(
+                    status, knownOutcome == null ? WriteOutcome.NO_RESPONSE : knownOutcome.response()));
         }
     }
 
--- a/gateway/src/main/java/ploverdale/replication/ReplicaPlacement.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicaPlacement.java
@@ -9,6 +9,7 @@
 final class ReplicaPlacement {
     /** 2^64 divided by the golden ratio; spreads the gateways' numbers over 64 bits. */
     private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
+
     private static final int NO_GATEWAY = -1;
 
     private final int gateways;
--- a/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
+++ b/gateway/src/test/java/ploverdale/replication/ReplicationWireFormatTest.java
@@ -127,9 +127,11 @@
     @Test
     void proofsAboutAClaimAreReplicated() {
         ClaimId claim = claimWrite();
-        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(
+                NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[GATEWAY_A]);
         List<String> lines = exchange();
-        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(
+                NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
         lines.addAll(exchange());
         assertThat(lines)
                 .containsExactly(
@@ -143,8 +145,10 @@
     void contradictingProofsAreLogged() {
         ClaimId claim = claimWrite();
         gateways[GATEWAY_A].takeLogLines();
-        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[GATEWAY_A]);
-        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(
+                NOW, WRITE, claim, ClaimState.NEVER_RAN, new byte[0], 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(
+                NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
         assertThat(gateways[GATEWAY_A].takeLogLines())
                 .containsExactly(
                         "replicas alarm: two proofs contradict one another, key 99aabbccddeeff00, fate of 17000001000000 {IdempotencyRecord[gateway=0, start=11042563100160, number=1]=7}, answered");
@@ -189,7 +193,8 @@
     @Test
     void aRangeThatDoesNotFitIntoOneMessageIsFetchedInSeveral() {
         for (int entry = 0; entry < 12; entry++) {
-            gateways[GATEWAY_B].writePosition(NOW, SESSION + entry, unixTime + entry, entry, 1000, true, queues[GATEWAY_B]);
+            gateways[GATEWAY_B].writePosition(
+                    NOW, SESSION + entry, unixTime + entry, entry, 1000, true, queues[GATEWAY_B]);
         }
         sentBy(GATEWAY_B); // lost
         gateways[GATEWAY_A].onTick(NOW, gateway -> true, queues[GATEWAY_A]);
@@ -205,7 +210,8 @@
     void truncatedMessagesAndMessagesOfUnknownKindsChangeNothing() {
         ClaimId claim = claimWrite();
         gateways[GATEWAY_A].writePosition(NOW, SESSION, unixTime, 0x1234, 1000, true, queues[GATEWAY_A]);
-        gateways[GATEWAY_A].writeOutcome(NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
+        gateways[GATEWAY_A].writeOutcome(
+                NOW, WRITE, claim, ClaimState.SUCCEEDED, new byte[] {1, 2, 3}, 1000, true, queues[GATEWAY_A]);
         gateways[GATEWAY_A].readPosition(NOW, SESSION, queues[GATEWAY_A]);
         gateways[GATEWAY_A].claimWrite(NOW, WRITE + 1, true, unixTime, queues[GATEWAY_A]);
         gateways[GATEWAY_A].onTick(NOW, gateway -> true, queues[GATEWAY_A]);
--- a/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
+++ b/gateway/src/test/java/ploverdale/replication/VersionedEntryLawsTest.java
@@ -88,7 +88,9 @@
         assertThat(contradictory.hasSucceeded()).isTrue();
         WriteOutcome executedTwice = (WriteOutcome)
                 succeeded.merge(WriteOutcome.of(5, new ClaimId(1, 1, 1), ClaimState.SUCCEEDED, NO_RESPONSE));
-        assertThat(executedTwice.isContradictory()).as("executed under two claims").isTrue();
+        assertThat(executedTwice.isContradictory())
+                .as("executed under two claims")
+                .isTrue();
     }
 
     @Test
