--- a/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
+++ b/gateway/src/main/java/ploverdale/replication/KeySpaceDigests.java
@@ -4,8 +4,8 @@
 
 /**
  * Computes digests of parts of the key space, over the entries that this gateway and a peer both replicate. Each
- * round uses another salt, so that different sets of entries whose digests collide in one round are told apart in the
- * next. Not thread-safe: used on the thread of {@link Replicas}.
+ * round uses another salt, so that different sets of entries whose digests collide in one round differ in the next.
+ * Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class KeySpaceDigests {
     private final int self;
