--- a/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumClaim.java
@@ -4,18 +4,16 @@
 import ploverdale.replication.ReplicationMessage.ClaimRequest;
 
 /**
- * Claims to execute a write. The claim is granted by a majority of replicas or not at all; replicas that granted one that
- * failed have to be notified that its write is never executed, see {@link #isToBeWithdrawn}.
+ * Claims to execute a write. The claim is granted only if a majority of replicas grants it. If it fails, replicas
+ * that granted it have to be notified that its write is never executed, see {@link #needsWithdrawal}.
  */
 final class QuorumClaim extends QuorumOperation {
     private final ClaimId claim;
     private final boolean firstSubmission;
-    private final WriteOutcome requested;
+    private final WriteOutcome requestedOutcome;
     private int grants;
 
     /**
-     * A claim that no replica has answered.
-     *
      * @param firstSubmission whether the write is known to be submitted for the first time
      * @param arrivedAt when the write arrived, a Unix time in tenths of a millisecond
      */
@@ -30,27 +28,26 @@
         super(ticket, key, replicas, deadline, true);
         this.claim = claim;
         this.firstSubmission = firstSubmission;
-        requested = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
+        requestedOutcome = WriteOutcome.of(arrivedAt, claim, ClaimState.CLAIMED, WriteOutcome.NO_RESPONSE);
     }
 
-    /** The claim itself. */
     ClaimId claim() {
         return claim;
     }
 
     @Override
     ReplicationMessage request(int number) {
-        return new ClaimRequest(number, key(), firstSubmission, requested);
+        return new ClaimRequest(number, key(), firstSubmission, requestedOutcome);
     }
 
     @Override
-    void answerLocally(LocalReplica replica, int place) {
-        onAnswer(place, replica.grant(key(), claim, firstSubmission, requested));
+    void answerLocally(LocalReplica replica, int replicaIndex) {
+        onAnswer(replicaIndex, replica.grant(key(), claim, firstSubmission, requestedOutcome));
     }
 
-    /** A replica has granted or refused the claim. */
-    void onAnswer(int place, boolean granted) {
-        markAnswered(place);
+    /** Records that a replica granted or refused the claim. */
+    void onAnswer(int replicaIndex, boolean granted) {
+        markAnswered(replicaIndex);
         if (granted) {
             grants++;
         }
@@ -66,11 +63,11 @@
     }
 
     @Override
-    Status decide(WriteOutcome known) {
+    Status decide(WriteOutcome knownOutcome) {
         if (isGranted()) {
             return Status.GRANTED;
         }
-        if (known != null && known.hasSucceeded()) {
+        if (knownOutcome != null && knownOutcome.hasSucceeded()) {
             return Status.ALREADY_EXECUTED;
         }
         return mayBeGranted() ? null : Status.IN_DOUBT;
@@ -81,13 +78,16 @@
         return Status.IN_DOUBT;
     }
 
-    /** Whether it has failed, all replicas have answered, and some granted it. */
-    boolean isToBeWithdrawn() {
+    /** Whether the claim has failed after all replicas answered, and some of them granted it. */
+    boolean needsWithdrawal() {
         return isCompleted() && !isGranted() && grants > 0 && isAnsweredByAll();
     }
 
-    /** Whether it has failed by a timeout: a replica may have granted it whose answer was lost. */
-    boolean isToBeWithdrawnOnTimeout() {
+    /**
+     * Whether the claim has to be withdrawn after its deadline: it has no majority, but a replica may have granted
+     * it and the response was lost.
+     */
+    boolean needsWithdrawalOnTimeout() {
         return !isGranted();
     }
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -11,20 +11,20 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Coordinates this gateway's quorum operations: sends each to the replicas of its key, repeats it until answered, and ends
- * it once a majority of answers decides it or its time is over. Where this gateway is itself a replica, it answers at once
- * and without a message.
+ * Coordinates this gateway's quorum operations: sends each one to the replicas of its key, repeats it to those that
+ * have not answered, and completes it once a majority of answers decides it or its deadline has passed. If this
+ * gateway is itself one of the replicas, it answers at once, without a message.
  *
- * <p>Positions and timestamps of entries are Unix times, all else is of a monotonic clock; both in tenths of a millisecond.
- * Not thread-safe, used on the thread of {@link Replicas}.
+ * <p>Positions and timestamps of entries are Unix times, all other times are of a monotonic clock; both in tenths of
+ * a millisecond. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class QuorumCoordinator {
     private static final long MS = 10;
-    /** Of a write that nobody waits for; replicas that lack it then receive it by anti-entropy. */
+    /** Timeout of a write that nobody waits for. Replicas that missed it receive it later by anti-entropy. */
     private static final long UNAWAITED_WRITE_TIMEOUT = 1000 * MS;
-    /** One operation more ends as unknown at once, which bounds memory. */
+    /** Bounds memory: at this number of pending operations, further ones complete at once with status UNKNOWN. */
     private static final int MAX_PENDING = 20_000;
-    /** Ticket of an operation whose result is not reported. */
+    /** Returned as the ticket of an operation whose result is not reported. */
     private static final long NO_TICKET = 0;
 
     private final int self;
@@ -32,15 +32,14 @@
     private final ReplicaPlacement placement;
     private final EntryStore store;
     private final LocalReplica localReplica;
-    private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by number, oldest first
-    private final List<QuorumClaim> toBeWithdrawn = new ArrayList<>();
+    private final Map<Integer, QuorumOperation> pending = new LinkedHashMap<>(); // by request number, oldest first
+    private final List<QuorumClaim> claimsToWithdraw = new ArrayList<>();
     private final List<QuorumResult> results = new ArrayList<>();
-    private int lastNumber;
+    private int lastNumber; // requests and claims are numbered in one sequence
     private long lastTicket;
-    private long requested;
+    private long readsAndClaims;
     private long unknownReads;
 
-    /** @param localReplica this gateway as a replica */
     QuorumCoordinator(
             int self,
             ReplicationSettings settings,
@@ -54,17 +53,17 @@
         this.localReplica = localReplica;
     }
 
-    /** Reads and claims since the start. */
-    long requested() {
-        return requested;
+    /** Returns the number of reads and claims since the start. */
+    long readsAndClaims() {
+        return readsAndClaims;
     }
 
-    /** Reads since the start that no quorum answered in time. */
+    /** Returns the number of reads since the start that no majority of replicas answered in time. */
     long unknownReads() {
         return unknownReads;
     }
 
-    /** Results since the last call, in the order in which the operations ended. */
+    /** Returns the results since the last call, in the order in which the operations completed. */
     List<QuorumResult> takeResults() {
         List<QuorumResult> taken = List.copyOf(results);
         results.clear();
@@ -74,45 +73,53 @@
     /**
      * Replicates an entry.
      *
-     * @param timeout of a write that is awaited
-     * @return the ticket, or 0 where its result is not awaited
+     * @param timeout applies to a write that is awaited
+     * @param awaited whether the result is reported
+     * @return the ticket, or 0 if the result is not awaited
      */
     long write(Turn turn, long key, VersionedEntry entry, long timeout, boolean awaited) {
         long deadline = turn.now() + (awaited ? timeout : UNAWAITED_WRITE_TIMEOUT);
         long ticket = ++lastTicket;
-        // Also where this gateway is no replica of the key: a client is likely to come back here.
+        // Even if this gateway is not a replica of the key, since a client is likely to use the same gateway again.
         localReplica.merge(key, entry);
         begin(turn, new QuorumWrite(ticket, key, placement.of(key), deadline, awaited, entry));
         return awaited ? ticket : NO_TICKET;
     }
 
-    /** Replicates what is proven of a claim that was granted to this gateway; parameters as for {@link #write}. */
+    /**
+     * Replicates what is proven of a claim that was granted to this gateway.
+     *
+     * @param timeout as of {@link #write}
+     * @param awaited as of {@link #write}
+     * @return as of {@link #write}
+     */
     long writeOutcome(
             Turn turn, long key, ClaimId claim, ClaimState proof, byte[] response, long timeout, boolean awaited) {
-        WriteOutcome known = localReplica.outcomeOf(key);
-        long timestamp = known == null ? turn.unixTime() : known.timestamp();
+        WriteOutcome knownOutcome = localReplica.outcomeOf(key);
+        long timestamp = knownOutcome == null ? turn.unixTime() : knownOutcome.timestamp();
         return write(turn, key, WriteOutcome.of(timestamp, claim, proof, response), timeout, awaited);
     }
 
-    /** Reads the position that reads of a session must reach; its ticket. */
+    /** Reads the position that reads of a session must reach. Returns the ticket of the operation. */
     long readPosition(Turn turn, long key) {
         long ticket = ++lastTicket;
-        requested++;
+        readsAndClaims++;
         long deadline = turn.now() + settings.quorumTimeout();
         begin(turn, new QuorumRead(ticket, key, placement.of(key), deadline, store.position(key)));
         return ticket;
     }
 
     /**
-     * Claims to execute a write; its ticket.
+     * Claims to execute a write.
      *
      * @param incarnation of this gateway
-     * @param firstSubmission whether its client has marked it as a first submission
+     * @param firstSubmission whether the client has marked the write as a first submission
      * @param arrivedAt when the write arrived here, a Unix time
+     * @return the ticket of the operation
      */
     long claim(Turn turn, long key, long incarnation, boolean firstSubmission, long arrivedAt) {
         long ticket = ++lastTicket;
-        requested++;
+        readsAndClaims++;
         ClaimId claim = new ClaimId(self, incarnation, ++lastNumber);
         boolean isKnownFirst = firstSubmission && settings.retriesMarked();
         long deadline = turn.now() + settings.quorumTimeout();
@@ -128,9 +135,9 @@
         }
         pending.put(number, operation);
         operation.scheduleFirstRetry(turn.now());
-        int ownPlace = operation.replicas().placeOf(self);
-        if (ownPlace != ReplicaSet.NO_PLACE) {
-            operation.answerLocally(localReplica, ownPlace);
+        int ownIndex = operation.replicas().indexOf(self);
+        if (ownIndex != ReplicaSet.NOT_A_REPLICA) {
+            operation.answerLocally(localReplica, ownIndex);
             completeIfDecided(operation);
         }
         send(turn, number, operation);
@@ -139,61 +146,64 @@
         }
     }
 
-    /** To all other replicas that have not answered yet. */
+    /** Sends the request to all other replicas that have not answered yet. */
     private void send(Turn turn, int number, QuorumOperation operation) {
         ReplicaSet replicas = operation.replicas();
-        for (int place = 0; place < replicas.size(); place++) {
-            int gateway = replicas.gateway(place);
-            if (gateway != self && !operation.isAnsweredBy(place)) {
+        for (int replicaIndex = 0; replicaIndex < replicas.size(); replicaIndex++) {
+            int gateway = replicas.gateway(replicaIndex);
+            if (gateway != self && !operation.isAnsweredBy(replicaIndex)) {
                 turn.send(gateway, operation.request(number));
             }
         }
     }
 
-    /** A replica has merged an entry. */
-    void onWriteResponse(int from, WriteResponse response) {
-        QuorumWrite write = awaiting(QuorumWrite.class, from, response);
+    /** Called when a replica has merged an entry. */
+    void onWriteResponse(int sender, WriteResponse response) {
+        QuorumWrite write = findPending(QuorumWrite.class, sender, response);
         if (write == null) {
             return;
         }
-        write.markAnswered(write.replicas().placeOf(from));
+        write.markAnswered(write.replicas().indexOf(sender));
         afterAnswer(response.number(), write);
     }
 
-    /** A replica requires a position. */
-    void onPositionResponse(int from, PositionResponse response) {
-        QuorumRead read = awaiting(QuorumRead.class, from, response);
+    /** Called when a replica has answered with the position that it requires. */
+    void onPositionResponse(int sender, PositionResponse response) {
+        QuorumRead read = findPending(QuorumRead.class, sender, response);
         if (read == null) {
             return;
         }
-        read.onAnswer(read.replicas().placeOf(from), response.position(), response.server());
+        read.onAnswer(read.replicas().indexOf(sender), response.position(), response.server());
         afterAnswer(response.number(), read);
     }
 
-    /** A replica has granted or refused a claim. */
-    void onClaimResponse(int from, ClaimResponse response) {
-        QuorumClaim claim = awaiting(QuorumClaim.class, from, response);
+    /** Called when a replica has granted or refused a claim. */
+    void onClaimResponse(int sender, ClaimResponse response) {
+        QuorumClaim claim = findPending(QuorumClaim.class, sender, response);
         if (claim == null) {
             return;
         }
-        claim.onAnswer(claim.replicas().placeOf(from), response.granted());
-        if (response.known() != null) {
-            localReplica.merge(claim.key(), response.known());
+        claim.onAnswer(claim.replicas().indexOf(sender), response.granted());
+        if (response.knownOutcome() != null) {
+            localReplica.merge(claim.key(), response.knownOutcome());
         }
         afterAnswer(response.number(), claim);
-        if (claim.isToBeWithdrawn()) {
-            toBeWithdrawn.add(claim);
+        if (claim.needsWithdrawal()) {
+            claimsToWithdraw.add(claim);
         }
     }
 
-    /** The operation that a response belongs to; null where it is late, a duplicate or of another type. */
-    private <T extends QuorumOperation> T awaiting(Class<T> type, int from, Response response) {
+    /**
+     * Returns the pending operation that a response answers; null if the response is late, a duplicate, or of another
+     * type than the operation.
+     */
+    private <T extends QuorumOperation> T findPending(Class<T> type, int sender, Response response) {
         QuorumOperation operation = pending.get(response.number());
         if (!type.isInstance(operation)) {
             return null;
         }
-        int place = operation.replicas().placeOf(from);
-        boolean isExpected = place != ReplicaSet.NO_PLACE && !operation.isAnsweredBy(place);
+        int replicaIndex = operation.replicas().indexOf(sender);
+        boolean isExpected = replicaIndex != ReplicaSet.NOT_A_REPLICA && !operation.isAnsweredBy(replicaIndex);
         return isExpected ? type.cast(operation) : null;
     }
 
@@ -220,20 +230,24 @@
             unknownReads++;
         }
         if (operation.isAwaited()) {
-            WriteOutcome known = localReplica.outcomeOf(operation.key());
-            results.add(operation.result(status, known == null ? WriteOutcome.NO_RESPONSE : known.response()));
+            WriteOutcome knownOutcome = localReplica.outcomeOf(operation.key());
+            results.add(operation.result(
+                    status, knownOutcome == null ? WriteOutcome.NO_RESPONSE : knownOutcome.response()));
         }
     }
 
-    /** Ends operations whose time is over, repeats others, and withdraws claims that have failed. */
+    /**
+     * Completes operations whose deadline has passed, repeats requests whose backoff is over, and withdraws claims
+     * that have failed.
+     */
     void onTick(Turn turn) {
-        pending.values().removeIf(operation -> expire(operation, turn.now()));
+        pending.values().removeIf(operation -> completeIfExpired(operation, turn.now()));
         retryOverdue(turn);
-        for (QuorumClaim failed : toBeWithdrawn) {
+        for (QuorumClaim failed : claimsToWithdraw) {
             byte[] noResponse = WriteOutcome.NO_RESPONSE;
             writeOutcome(turn, failed.key(), failed.claim(), ClaimState.NEVER_RAN, noResponse, 0, false);
         }
-        toBeWithdrawn.clear();
+        claimsToWithdraw.clear();
     }
 
     private void retryOverdue(Turn turn) {
@@ -245,21 +259,21 @@
         });
     }
 
-    /** Ends an operation whose time is over; false where it is not. */
-    private boolean expire(QuorumOperation operation, long now) {
+    /** Completes an operation if its deadline has passed. Returns whether it has. */
+    private boolean completeIfExpired(QuorumOperation operation, long now) {
         if (!operation.isExpired(now)) {
             return false;
         }
         complete(operation, operation.timeoutStatus());
-        if (operation instanceof QuorumClaim claim && claim.isToBeWithdrawnOnTimeout()) {
-            toBeWithdrawn.add(claim);
+        if (operation instanceof QuorumClaim claim && claim.needsWithdrawalOnTimeout()) {
+            claimsToWithdraw.add(claim);
         }
         return true;
     }
 
-    /** Appends all that tells two states apart, for a model checker. */
+    /** Appends a description in which any two states differ that a model checker has to tell apart. */
     void describe(StringBuilder text) {
         pending.values().forEach(operation -> operation.describe(text));
-        text.append(' ').append(lastNumber).append(' ').append(toBeWithdrawn.size());
+        text.append(' ').append(lastNumber).append(' ').append(claimsToWithdraw.size());
     }
 }
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessageEncoder.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessageEncoder.java
@@ -18,18 +18,18 @@
 import ploverdale.replication.ReplicationMessage.WriteResponse;
 
 /**
- * Encodes one message as a part of a packet. Numbers are big-endian; a boolean is a byte of 0 or 1. A response begins with
- * the requester's incarnation (8 bytes) and the request's number (4), a request with its number.
+ * Encodes one message as a part of a packet. Numbers are big-endian; a boolean is one byte, 0 or 1. A response begins
+ * with the requester's incarnation (8 bytes) and the number of the request (4 bytes), a request with its number.
  */
 final class ReplicationMessageEncoder implements ReplicationMessageHandler {
-    private static final int MAX_BYTES = 512; // more than any message takes, since a packet is shorter
+    private static final int MAX_BYTES = 512; // longer than any message, since a packet is shorter
 
     private final ByteBuffer content = ByteBuffer.allocate(MAX_BYTES);
     private ReplicationMessageKind kind;
 
     private ReplicationMessageEncoder() {}
 
-    /** The part of a packet that stands for a message. */
+    /** Returns the encoded message as a part of a packet. */
     static Part encode(ReplicationMessage message) {
         ReplicationMessageEncoder encoder = new ReplicationMessageEncoder();
         message.accept(encoder);
@@ -37,7 +37,7 @@
         return new Part(encoder.kind.code(), bytes);
     }
 
-    private void putResponseHead(Response response) {
+    private void putResponseHeader(Response response) {
         content.putLong(response.requesterIncarnation()).putInt(response.number());
     }
 
@@ -55,7 +55,7 @@
     @Override
     public void onWriteResponse(WriteResponse response) {
         kind = ReplicationMessageKind.WRITE_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
     }
 
     @Override
@@ -67,7 +67,7 @@
     @Override
     public void onPositionResponse(PositionResponse response) {
         kind = ReplicationMessageKind.POSITION_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
         content.putLong(response.position()).putShort((short) response.server());
     }
 
@@ -82,10 +82,10 @@
     @Override
     public void onClaimResponse(ClaimResponse response) {
         kind = ReplicationMessageKind.CLAIM_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
         putBoolean(response.granted());
-        if (response.known() != null) {
-            response.known().writeTo(content);
+        if (response.knownOutcome() != null) {
+            response.knownOutcome().writeTo(content);
         }
     }
 
@@ -103,7 +103,7 @@
     @Override
     public void onDigestResponse(DigestResponse response) {
         kind = ReplicationMessageKind.DIGEST_RESPONSE;
-        putResponseHead(response);
+        putResponseHeader(response);
         content.putShort(childMask(response.differing())).putLong(response.missingUntil());
     }
 
@@ -122,8 +122,8 @@
     @Override
     public void onEntriesResponse(EntriesResponse response) {
         kind = ReplicationMessageKind.ENTRIES_RESPONSE;
-        putResponseHead(response);
-        putBoolean(response.more());
+        putResponseHeader(response);
+        putBoolean(response.hasMore());
         for (KeyedEntry keyed : response.entries()) {
             content.putLong(keyed.key());
             keyed.entry().writeTo(content);
--- a/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
+++ b/gateway/src/test/java/ploverdale/replication/AntiEntropyTest.java
@@ -17,7 +17,7 @@
 import ploverdale.replication.ReplicationMessage.EntriesResponse;
 import ploverdale.replication.ReplicationMessage.KeyedEntry;
 
-/** Each transition of the table in {@link AntiEntropy}, by the messages that it sends. */
+/** Exercises each transition of the state table in {@link AntiEntropy}, observed by the messages that it sends. */
 class AntiEntropyTest {
     private static final long MS = 10;
     private static final long UNIX_TIME = 17_000_000_000_000L;
@@ -55,7 +55,7 @@
         return (DigestRequest) sent().get(0);
     }
 
-    private void answer(int number, long incarnation, BitSet differing) {
+    private void respond(int number, long incarnation, BitSet differing) {
         antiEntropy.onDigestResponse(
                 turn(), new Peer(PEER, incarnation), new DigestResponse(1, number, differing, UNIX_TIME));
     }
@@ -87,28 +87,28 @@
     }
 
     @Test
-    void aRoundIsGivenUpWhenThePeerIsDeadOrSilentForThreeSeconds() {
+    void aRoundEndsWhenThePeerIsDeadOrUnresponsiveForThreeSeconds() {
         tick(true);
         DigestRequest first = sentDigestRequest();
         now += MS;
         tick(false);
-        answer(first.number(), 7, child(3));
-        assertThat(sent()).as("the answer is too late").isEmpty();
+        respond(first.number(), 7, child(3));
+        assertThat(sent()).as("requests after a response to a discarded round").isEmpty();
         tick(true);
         DigestRequest second = sentDigestRequest();
         assertThat(second.number()).isGreaterThan(first.number());
         now += 3000 * MS + 1;
         tick(true);
         assertThat(sentDigestRequest().number())
-                .as("a new round, not a repeated request")
+                .as("number of a request of a new round, not of a repeated one")
                 .isGreaterThan(second.number());
     }
 
     @Test
     void aRoundDescendsToTheRangesThatDifferAndFetchesTheirEntries() {
         tick(true);
-        for (int digit : new int[] {1, 1, 2}) { // the range of KEY is 0x112
-            answer(sentDigestRequest().number(), 7, child(digit));
+        for (int digit : new int[] {1, 1, 2}) { // path from the root to range 0x112, which contains KEY
+            respond(sentDigestRequest().number(), 7, child(digit));
         }
         EntriesRequest request = (EntriesRequest) sent().get(0);
         assertThat(request.range()).isEqualTo(0x112);
@@ -122,29 +122,29 @@
         antiEntropy.onEntriesResponse(
                 turn(), new Peer(PEER, 7), new EntriesResponse(1, next.number(), false, List.of()));
         assertThat(store.size()).isEqualTo(2);
-        assertThat(antiEntropy.received()).isEqualTo(2);
+        assertThat(antiEntropy.entriesReceived()).isEqualTo(2);
         assertThat(peers.missingUntil(PEER)).isEqualTo(UNIX_TIME);
         assertThat(log).hasSize(1);
     }
 
     @Test
-    void aRoundWithAPeerThatRestartedBeginsAgainWithAnotherSalt() {
+    void aRoundStartsOverWithAnotherSaltIfThePeerRestarts() {
         tick(true);
-        DigestRequest root = sentDigestRequest();
-        answer(root.number(), 7, child(1));
-        answer(sentDigestRequest().number(), 8, child(1));
-        assertThat(sent()).as("until the next tick").isEmpty();
+        DigestRequest rootRequest = sentDigestRequest();
+        respond(rootRequest.number(), 7, child(1));
+        respond(sentDigestRequest().number(), 8, child(1));
+        assertThat(sent()).as("requests before the next tick").isEmpty();
         tick(true);
-        DigestRequest again = sentDigestRequest();
-        assertThat(again.node()).isEqualTo(KeySpaceNode.ROOT);
-        assertThat(again.salt()).isNotEqualTo(root.salt());
+        DigestRequest firstAfterRestart = sentDigestRequest();
+        assertThat(firstAfterRestart.node()).isEqualTo(KeySpaceNode.ROOT);
+        assertThat(firstAfterRestart.salt()).isNotEqualTo(rootRequest.salt());
         assertThat(peers.missingUntil(PEER)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
     void theNextRoundBeginsASecondAfterThePeerIsSynchronized() {
         tick(true);
-        answer(sentDigestRequest().number(), 7, NONE_DIFFER);
+        respond(sentDigestRequest().number(), 7, NONE_DIFFER);
         assertThat(log).containsExactly("replicas: caught up with all others, 0 facts held, 0 of them from others");
         now += 999 * MS;
         tick(true);
