--- a/gateway/src/main/java/ploverdale/log/Log.java
+++ b/gateway/src/main/java/ploverdale/log/Log.java
@@ -12,52 +12,56 @@
 import ploverdale.clock.Clock;
 
 /**
- * The program's log: one line an event on standard error, time first. What may come often is told under a kind,
- * of which one line a second is written, with the number left out since. Never fails and never blocks on more
- * than the stream itself.
+ * The program's log: one line per event, which begins with the time. Frequent events are logged under a kind; of each
+ * kind at most one line per second is written, with the number of lines suppressed since. Logging never fails, and it
+ * blocks only while the stream does. Safe for use by several threads.
  */
 public final class Log {
-    private static final long EVERY_MS = 1000;
-    private static final int KINDS_MOST = 200; // kinds are few; the rest is a guard
+    private static final long RATE_LIMIT_INTERVAL_MS = 1000;
+    private static final int MAX_KINDS = 200; // bounds the memory; far more than the program uses
 
-    private final PrintStream to;
+    private final PrintStream stream;
     private final Clock clock;
-    private final Map<String, long[]> kinds = new HashMap<>(); // kind: last written, left out since
+    /** By kind: when its last line was written, in monotonic milliseconds, and how many lines were suppressed since. */
+    private final Map<String, long[]> kinds = new HashMap<>();
 
-    public Log(PrintStream to) {
-        this(to, Clock.system());
+    public Log(PrintStream stream) {
+        this(stream, Clock.system());
     }
 
-    public Log(PrintStream to, Clock clock) {
-        this.to = to;
+    public Log(PrintStream stream, Clock clock) {
+        this.stream = stream;
         this.clock = clock;
     }
 
-    /** Writes a line. */
+    /** Writes one line; control characters in the text are replaced. */
     public synchronized void line(String text) {
-        to.println(Instant.ofEpochMilli(clock.wallMs()) + " " + oneLine(text));
+        stream.println(Instant.ofEpochMilli(clock.wallMs()) + " " + oneLine(text));
     }
 
-    /** Writes a line, at most one a second of this kind. */
+    /** Writes one line, unless a line of the same kind was written within the last second; then only counts it. */
     public synchronized void often(String kind, String text) {
         long now = clock.monotonicMs();
-        if (!kinds.containsKey(kind) && kinds.size() >= KINDS_MOST) {
+        if (!kinds.containsKey(kind) && kinds.size() >= MAX_KINDS) {
             kinds.clear();
         }
-        long[] k = kinds.computeIfAbsent(kind, x -> new long[] {now - EVERY_MS, 0});
-        if (now - k[0] < EVERY_MS) {
-            k[1]++;
+        long[] lastAndSuppressed = kinds.computeIfAbsent(kind, x -> new long[] {now - RATE_LIMIT_INTERVAL_MS, 0});
+        if (now - lastAndSuppressed[0] < RATE_LIMIT_INTERVAL_MS) {
+            lastAndSuppressed[1]++;
             return;
         }
-        line(kind + ": " + text + (k[1] > 0 ? " (" + k[1] + " more left out)" : ""));
-        k[0] = now;
-        k[1] = 0;
+        line(kind + ": " + text + (lastAndSuppressed[1] > 0 ? " (" + lastAndSuppressed[1] + " more left out)" : ""));
+        lastAndSuppressed[0] = now;
+        lastAndSuppressed[1] = 0;
     }
 
-    /** Writes a fault of the program itself, with where it came from. */
-    public void fault(String kind, Throwable e) {
-        StackTraceElement[] trace = e.getStackTrace();
-        StringBuilder text = new StringBuilder(e.toString());
+    /**
+     * Logs an unexpected exception, which indicates a bug in this program, with the top of its stack trace.
+     * Rate-limited by kind.
+     */
+    public void fault(String kind, Throwable exception) {
+        StackTraceElement[] trace = exception.getStackTrace();
+        StringBuilder text = new StringBuilder(exception.toString());
         for (int i = 0; i < Math.min(4, trace.length); i++) {
             text.append(" at ").append(trace[i]);
         }
@@ -65,8 +69,9 @@
     }
 
     /**
-     * Takes over what libraries log through the JDK, from warnings up. Guards against their own handler, which opens files
-     * to write a date and so fails, with the thread that logs, when descriptors run out.
+     * Redirects to this log what libraries log through java.util.logging at level WARNING and above, and removes the
+     * default handler. That one opens files to format a date; when file descriptors run out, it throws on the thread
+     * that logs.
      */
     public void takeOver() {
         LogManager.getLogManager().reset();
@@ -74,12 +79,14 @@
         root.setLevel(Level.WARNING);
         root.addHandler(new Handler() {
             @Override
-            public void publish(LogRecord r) {
-                Throwable e = r.getThrown();
-                while (e != null && e.getCause() != null) {
-                    e = e.getCause();
+            public void publish(LogRecord entry) {
+                Throwable rootCause = entry.getThrown();
+                while (rootCause != null && rootCause.getCause() != null) {
+                    rootCause = rootCause.getCause();
                 }
-                often("library " + r.getLoggerName(), r.getMessage() + (e == null ? "" : ": " + e));
+                often(
+                        "library " + entry.getLoggerName(),
+                        entry.getMessage() + (rootCause == null ? "" : ": " + rootCause));
             }
 
             @Override
