--- a/gateway/src/main/java/ploverdale/clock/Clock.java
+++ b/gateway/src/main/java/ploverdale/clock/Clock.java
@@ -1,29 +1,29 @@
 package ploverdale.clock;
 
 /**
- * The clocks of this machine. Spans (deadlines, windows, waits, ages, timers) are counted by {@link #now()} or
- * {@link #nanos()}, which never step; {@link #wallMs()} is only for what is read by people or has to differ between two
- * starts of a process. Safe for use by several threads.
+ * The clocks of this machine. Durations (deadlines, windows, waits, ages, timers) are measured with {@link #now()} or
+ * {@link #nanos()}, which never step. {@link #wallMs()} serves only for times that people read and for values that have
+ * to differ between two starts of a process. Safe for use by several threads.
  */
 public interface Clock {
     /**
-     * Service time, in tenths of a millisecond, rounded down: the Unix time at which this clock was made plus the
-     * monotonic time since. It neither steps nor goes back, whatever happens to the wall clock.
+     * Returns the service time in tenths of a millisecond, rounded down: the Unix time at which this clock was created
+     * plus the monotonic time since. It neither steps nor runs backwards, even when the wall clock does.
      */
     long now();
 
-    /** The wall clock: Unix time in milliseconds. It may step at any moment, in both directions. */
+    /** Returns the wall clock: Unix time in milliseconds. It may step at any moment, in either direction. */
     long wallMs();
 
-    /** Monotonic nanoseconds from an arbitrary origin, the one by which the event loop counts its timers. */
+    /** Returns monotonic nanoseconds since an arbitrary origin, the same that the timers of the event loop use. */
     long nanos();
 
-    /** The same in whole milliseconds. */
+    /** Returns {@link #nanos()} in whole milliseconds, rounded down. */
     default long monotonicMs() {
         return nanos() / 1_000_000;
     }
 
-    /** The clock of this process, the same for all that share the process. */
+    /** Returns the clock of the operating system, one instance for the whole process. */
     static Clock system() {
         return SystemClock.INSTANCE;
     }
--- a/gateway/src/main/java/ploverdale/clock/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/clock/ServerClock.java
@@ -5,9 +5,9 @@
 import ploverdale.model.ServerId;
 
 /**
- * Converts between service time and the wall clock that the database servers share: dates what servers, discovery,
- * clients and other gateways report, and detects steps of this machine's wall clock. While the offset between the two
- * is unknown, it dates no position. Decides nothing about a request.
+ * Converts between service time and the wall clock that the database servers share. It is used for the times and log
+ * positions that servers, discovery, clients and other gateways report; while the offset between the two clocks is
+ * unknown, no position is converted. Also detects steps of this machine's wall clock.
  *
  * <p>Not thread-safe: used on the event loop only. Times are tenths of a millisecond unless a name says otherwise.
  */
@@ -15,8 +15,10 @@
     /** How often {@link #checkForStep} is to be called, in milliseconds. */
     public static final long STEP_CHECK_INTERVAL_MS = 200;
 
-    private static final long MAX_READING_NANOS = 5_000_000; // a longer one was interrupted between the two clocks
-    private static final long MIN_STEP_MS = 50; // less is rounding, or gradual adjustment seen late
+    /** If reading both clocks takes longer, the thread was paused between them, and the readings are not compared. */
+    private static final long MAX_READING_NANOS = 5_000_000;
+
+    private static final long MIN_STEP_MS = 50; // smaller differences are rounding, or gradual adjustments (slewing)
     private static final long TENTHS_PER_MS = 10;
 
     private final Consumer<String> log;
@@ -24,64 +26,68 @@
     private final WallClockOffset offset = new WallClockOffset();
     private Runnable changeListener = () -> {};
     private int changes;
-    private long wallAheadMs; // of service time, at the last reading
+    private long wallAheadMs; // this machine's wall clock minus service time, when last read
 
-    /** @param log receives a line when the offset changes or this machine's wall clock steps */
+    /** @param log receives a line when the offset changes or becomes unknown, or this machine's wall clock steps */
     public ServerClock(Consumer<String> log, Clock clock) {
         this.log = log;
         this.clock = clock;
         wallAheadMs = readWallAheadMs();
     }
 
-    /** Sets what is run whenever all points in time that were converted so far have become void. */
+    /** Sets the listener that is run whenever times that were converted earlier have become invalid. */
     public void whenChanged(Runnable listener) {
         changeListener = listener;
     }
 
-    /** The clock of this machine. */
+    /** Returns the clock of this machine. */
     public Clock clock() {
         return clock;
     }
 
-    /** Service time. */
+    /** Returns the service time. */
     public long now() {
         return clock.now();
     }
 
-    /** The present on the servers' wall clock. */
+    /** Returns the current time of the servers' wall clock. */
     public long wallNow() {
         return offset.toWall(clock.now());
     }
 
     /**
-     * How often what was converted before has become void; whoever keeps a converted time compares it with an earlier
-     * reading.
+     * Returns how many times the offset has changed or become unknown, which invalidates times that were converted
+     * earlier. A caller that keeps a converted time compares this count with the one at the conversion.
      */
     public int changes() {
         return changes;
     }
 
-    /** Whether the offset is known, so that points in time can be converted. */
+    /** Returns whether the offset is known, so that positions can be converted. */
     public boolean isKnown() {
         return offset.isKnown();
     }
 
-    /** The servers' wall clock minus service time. */
+    /** Returns the servers' wall clock minus service time; while it is unknown, the last known value. */
     public long offset() {
         return offset.offset();
     }
 
-    /** Service time as a point in time on the servers' wall clock. */
+    /** Converts service time to a time of the servers' wall clock. */
     public long toWall(long serviceTime) {
         return offset.toWall(serviceTime);
     }
 
-    /** A point in time on the servers' wall clock as service time. */
+    /** Converts a time of the servers' wall clock to service time. */
     public long toServiceTime(long wall) {
         return offset.toServiceTime(wall);
     }
 
-    /** A position as service time; {@link LoadReport#UNKNOWN_TIME} where it is unknown or cannot be dated. */
+    /**
+     * Converts a log position, which servers express as a time of their wall clock, to service time.
+     *
+     * @return {@link LoadReport#UNKNOWN_TIME} if the position or the offset is unknown
+     */
     public long position(long wallPosition) {
         return wallPosition == LoadReport.UNKNOWN_TIME || !offset.isKnown()
                 ? LoadReport.UNKNOWN_TIME
@@ -89,37 +95,40 @@
     }
 
     /**
-     * A server's start as service time. One that would lie in the future is taken as the present: no server is listed
-     * before it starts, so the clocks differ.
+     * Converts the start time of a server to service time. A start that would lie in the future is taken to be the
+     * current time: no server is listed before it starts, so the clocks differ.
      *
      * @param wallStart on the servers' wall clock, or 0 for long ago
+     * @return 0 for long ago, otherwise at least 1
      */
     public long start(long wallStart) {
         return wallStart <= 0 ? 0 : Math.max(1, Math.min(clock.now(), offset.toServiceTime(wallStart)));
     }
 
     /**
-     * The age of a position that a session must reach, never 0, which stands for none. It is below 0 where the
-     * servers' clock is a little ahead of the offset; what lies further ahead is no position.
+     * Returns the age of a position that a session's reads must reach. It is never 0, which stands for no position. It
+     * is negative if the servers' clock is slightly further ahead than the offset says, but never below minus
+     * {@link WallClockOffset#MAX_AHEAD}: a position further ahead than that is corrupt.
      *
      * @param now service time
+     * @param wallPosition on the servers' wall clock
      */
     public long tokenAge(long now, long wallPosition) {
         long age = Math.max(-WallClockOffset.MAX_AHEAD, now - offset.toServiceTime(wallPosition));
         return age == 0 ? -1 : age;
     }
 
-    /** Whether a position lies in the future, and so is corrupt. */
+    /** Returns whether a position lies in the future and so is corrupt; false while the offset is unknown. */
     public boolean isAhead(long wallPosition) {
         return offset.isAhead(wallPosition, clock.now());
     }
 
     /**
-     * A server reported a position, see {@link WallClockOffset#observe}. To be called before that position is
-     * converted.
+     * Corrects the offset by a position that a server reported, see {@link WallClockOffset#observe}. To be called
+     * before that position is converted.
      */
-    public void observePosition(ServerId server, long wallPosition, long writtenAt, boolean present) {
-        if (!offset.observe(server, wallPosition, writtenAt, clock.now(), present)) {
+    public void observePosition(ServerId server, long wallPosition, long writtenAt, boolean currentTime) {
+        if (!offset.observe(server, wallPosition, writtenAt, clock.now(), currentTime)) {
             return;
         }
         changes++;
@@ -131,7 +140,7 @@
         changeListener.run();
     }
 
-    /** Logs a step of this machine's wall clock since the last call. It changes nothing else: service time goes on. */
+    /** Logs a step of this machine's wall clock since the last call. Service time is not affected by it. */
     public void checkForStep() {
         long before = clock.nanos();
         long aheadMs = readWallAheadMs();
--- a/gateway/src/main/java/ploverdale/clock/SystemClock.java
+++ b/gateway/src/main/java/ploverdale/clock/SystemClock.java
@@ -6,23 +6,23 @@
 final class SystemClock implements Clock {
     static final Clock INSTANCE = new SystemClock();
 
-    private static final int MAX_READINGS = 10;
-    private static final long SAME_MOMENT_NANOS = 20_000; // two readings within this count as one moment
+    private static final int MAX_READING_PAIRS = 10;
+    private static final long MAX_GAP_NANOS = 20_000; // readings of the two clocks this close count as simultaneous
     private static final long NANOS_PER_TENTH_MS = 100_000;
     private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final long unixNanosAtOrigin; // Unix time at monotonic time 0
 
     private SystemClock() {
-        // The thread may be paused between the two readings; the closest pair of a few is taken.
+        // The thread may be paused between the readings of the two clocks, so the closest of several pairs is used.
         long closest = Long.MAX_VALUE;
         long origin = 0;
-        for (int i = 0; i < MAX_READINGS && closest > SAME_MOMENT_NANOS; i++) {
+        for (int i = 0; i < MAX_READING_PAIRS && closest > MAX_GAP_NANOS; i++) {
             long before = System.nanoTime();
             Instant wall = Instant.now();
-            long apart = System.nanoTime() - before;
-            if (apart < closest) {
-                closest = apart;
+            long gap = System.nanoTime() - before;
+            if (gap < closest) {
+                closest = gap;
                 origin = wall.getEpochSecond() * NANOS_PER_SECOND + wall.getNano() - before;
             }
         }
--- a/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
+++ b/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
@@ -6,50 +6,62 @@
 import java.util.Map;
 
 /**
- * How far the wall clock of the database servers is ahead of this gateway's service time. At the start it is taken to
- * be zero, since every machine reads the same wall clock. The positions that servers report bound it:
+ * Estimates how far the wall clock of the database servers is ahead of this gateway's service time. Initially the
+ * offset is assumed to be zero, since all machines are expected to have synchronized wall clocks. The positions that
+ * servers report bound it:
  *
  * <ul>
- *   <li>no position is later than the server's present, so (position - time of reading) is a lower bound;
- *   <li>a primary stands at the present, so what it reports in an answer dates from between the writing of the query
- *       and the reading of the answer; (position - time of writing) is an upper bound, however late the answer is read.
+ *   <li>No position is later than the server's current time, so (position - time of reading) is a lower bound.
+ *   <li>The position of a primary is its current time. What it reports in an answer therefore dates from between the
+ *       writing of the query and the reading of the answer, and (position - time of writing) is an upper bound, however
+ *       late the answer is read.
  * </ul>
  *
- * <p>A sample that contradicts the earlier ones of the same server replaces them only when the next sample
- * confirms it, so a single corrupt answer changes nothing. Primaries vote, and only while none has answered
- * lately, the lower bounds of all servers do; these can put the offset in doubt, but not set it. When more servers
- * contradict the offset than confirm it, it is unknown: points in time that others report cannot be dated. It
- * becomes known again when a primary confirms it, or is set anew when a majority agrees on another one; then to
- * the latest upper bound among them, because an offset that is too large makes positions look older than they are,
- * and one that is too small makes them look fresher.
+ * <p>A sample that contradicts the earlier ones of the same server replaces them only when the server's next sample
+ * confirms it, so a single corrupt answer changes nothing. The servers then vote: the primaries, or, while no primary
+ * has answered recently, all servers with their lower bounds. Lower bounds alone can make the offset unknown but cannot
+ * set it.
  *
- * <p>Not thread-safe. Times in tenths of a millisecond, service time unless said otherwise. Does no I/O and reads no
+ * <p>When more servers contradict the offset than confirm it, it becomes unknown, and times that other machines report
+ * cannot be converted. It becomes known again when a primary confirms it, or when a majority of the primaries agrees on
+ * another offset. It is then set to the largest upper bound among them: an offset that is too large makes positions
+ * look older than they are, which is safe, whereas one that is too small makes them look fresher.
+ *
+ * <p>Not thread-safe. Times are tenths of a millisecond of service time unless said otherwise. Does no I/O and reads no
  * clock.
  */
 public final class WallClockOffset {
-    /** A position further ahead than this is corrupt or says that the offset is too small; commits are rounded up. */
+    /**
+     * A position that is further in the future than this is corrupt, or else the offset is too small. Smaller values
+     * are tolerated, since servers round the positions of commits up.
+     */
     public static final long MAX_AHEAD = 500;
 
     /**
-     * An offset that is too large by up to this is kept: it costs freshness only, and to lower it is what could make
-     * an old position look fresh. Other gateways refuse the gossip of one whose clock differs by more.
+     * An offset that is too large by at most this is kept. It only makes positions look older, whereas lowering the
+     * offset could make an old position look fresh. Other gateways reject gossip from a gateway whose clock differs by
+     * more.
      */
     public static final long MAX_TOO_LARGE = 5_000;
 
-    private static final long ROUNDING = 10; // positions are whole milliseconds; a commit is rounded up, others down
-    private static final long VOTE_EXPIRES_AFTER = 100_000; // a server that has not reported for longer has no vote
-    private static final int MIN_SAMPLES = 3; // of a primary that is the only one to report
-    private static final long MIN_SPAN = 3_000; // over which they have to agree; a clock that stopped does not
+    /** Positions are whole milliseconds; those of commits are rounded up, others down. */
+    private static final long ROUNDING = 10;
+
+    private static final long VOTE_EXPIRES_AFTER = 100_000; // since the server's last sample
+    /** How many consistent samples are required of a primary that sets the offset alone. */
+    private static final int MIN_SAMPLES = 3;
+    /** The time that these samples have to span, so that a primary whose clock has stopped does not set the offset. */
+    private static final long MIN_SPAN = 3_000;
     private static final long MILLISECOND = 10;
 
-    /** Bounds that one server's samples have in common. */
+    /** The bounds of the offset that are consistent with all samples of one server. */
     private static final class Bounds {
         private long lower;
-        private long upper; // MAX_VALUE while no sample was a primary's
+        private long upper; // MAX_VALUE while there is no sample of a primary's current time
         private long firstAt;
         private long lastAt;
         private int samples;
-        private Bounds challenger; // later samples that contradict these
+        private Bounds challenger; // bounds by later samples that contradict these; null if none do
 
         private Bounds(long lower, long upper, long at) {
             this.lower = lower;
@@ -59,7 +71,7 @@
             samples = 1;
         }
 
-        private boolean fits(long otherLower, long otherUpper) {
+        private boolean overlaps(long otherLower, long otherUpper) {
             return otherLower - ROUNDING <= upper && otherUpper >= lower - ROUNDING;
         }
 
@@ -83,61 +95,62 @@
     private long offset;
     private boolean known = true;
 
-    /** Whether points in time that others report can be dated. */
+    /** Returns whether the offset is known, so that times that other machines report can be converted. */
     public boolean isKnown() {
         return known;
     }
 
     /**
-     * The servers' wall clock minus service time, a whole number of milliseconds; the last known one while it is
-     * unknown.
+     * Returns the servers' wall clock minus service time, a whole number of milliseconds; while it is unknown, the last
+     * known value.
      */
     public long offset() {
         return offset;
     }
 
-    /** A point in time on the servers' wall clock as service time. */
+    /** Converts a time of the servers' wall clock to service time. */
     public long toServiceTime(long wall) {
         return wall - offset;
     }
 
-    /** Service time as a point in time on the servers' wall clock. */
+    /** Converts service time to a time of the servers' wall clock. */
     public long toWall(long serviceTime) {
         return serviceTime + offset;
     }
 
-    /** Whether a position is too far in the future to be one, while the offset is known. */
+    /** Returns whether a position is too far in the future to be valid; false while the offset is unknown. */
     public boolean isAhead(long wallPosition, long now) {
         return known && toServiceTime(wallPosition) > now + MAX_AHEAD;
     }
 
     /**
-     * Takes a position that a server reported in an answer.
+     * Adjusts the bounds of a server, and then the offset, by a position that the server reported in an answer.
      *
-     * @param server its identity, with equals and hashCode
-     * @param wallPosition on the servers' wall clock
+     * @param server the identity of the server; has equals and hashCode
+     * @param wallPosition on the servers' wall clock; ignored unless it is positive
      * @param writtenAt when the query was written
      * @param now when the answer was read
-     * @param present whether the server is a primary and dated the answer itself
-     * @return whether the offset has changed, or has become unknown
+     * @param currentTime whether the position is the server's time when it answered: true for a primary, unless the
+     *     position belongs to a report that was made earlier
+     * @return whether the offset has changed or become unknown, so that times converted earlier are invalid
      */
-    public boolean observe(Object server, long wallPosition, long writtenAt, long now, boolean present) {
+    public boolean observe(Object server, long wallPosition, long writtenAt, long now, boolean currentTime) {
         if (wallPosition <= 0) {
             return false;
         }
-        long upper = present ? wallPosition - Math.min(writtenAt, now) + ROUNDING : Long.MAX_VALUE;
-        add(server, wallPosition - now - ROUNDING, upper, now);
-        return judge(now);
+        long upper = currentTime ? wallPosition - Math.min(writtenAt, now) + ROUNDING : Long.MAX_VALUE;
+        addSample(server, wallPosition - now - ROUNDING, upper, now);
+        return updateOffset(now);
     }
 
-    private void add(Object server, long lower, long upper, long now) {
+    private void addSample(Object server, long lower, long upper, long now) {
         Bounds bounds = servers.get(server);
         if (bounds == null || now - bounds.lastAt > VOTE_EXPIRES_AFTER) {
             servers.put(server, new Bounds(lower, upper, now));
-        } else if (bounds.fits(lower, upper)) {
+        } else if (bounds.overlaps(lower, upper)) {
             bounds.narrow(lower, upper, now);
             bounds.challenger = null;
-        } else if (bounds.challenger != null && bounds.challenger.fits(lower, upper)) {
+        } else if (bounds.challenger != null && bounds.challenger.overlaps(lower, upper)) {
             bounds.challenger.narrow(lower, upper, now);
             servers.put(server, bounds.challenger);
         } else {
@@ -145,25 +158,27 @@
         }
     }
 
-    /** The bounds that count now; forgets those that have expired. */
+    /** Returns the bounds of the servers that vote now, and removes those that have expired. */
     private List<Bounds> voters(long now) {
-        servers.values().removeIf(b -> now - b.lastAt > VOTE_EXPIRES_AFTER);
+        servers.values().removeIf(bounds -> now - bounds.lastAt > VOTE_EXPIRES_AFTER);
         List<Bounds> primaries =
                 servers.values().stream().filter(Bounds::isOfPrimary).toList();
         return primaries.isEmpty() ? new ArrayList<>(servers.values()) : primaries;
     }
 
-    /** Confirms, doubts or replaces the offset; whether what was dated before has become void. */
-    private boolean judge(long now) {
+    /**
+     * Confirms or replaces the offset, or marks it unknown; returns whether times converted earlier are invalid now.
+     */
+    private boolean updateOffset(long now) {
         List<Bounds> voters = voters(now);
-        long confirming = voters.stream().filter(b -> b.confirms(offset)).count();
+        long confirming = voters.stream().filter(bounds -> bounds.confirms(offset)).count();
         long contradicting = voters.size() - confirming;
         if (known && contradicting <= confirming) {
             return false;
         }
         if (!known && confirming > 0 && confirming >= contradicting) {
             known = true;
-            return false; // nothing was dated meanwhile
+            return false; // nothing was converted while the offset was unknown
         }
         boolean wasKnown = known;
         known = false;
@@ -171,14 +186,15 @@
         if (agreeing.isEmpty()) {
             return wasKnown;
         }
-        offset = roundedUp(agreeing.stream().mapToLong(b -> b.upper).max().orElseThrow());
+        offset = roundedUp(agreeing.stream().mapToLong(bounds -> bounds.upper).max().orElseThrow());
         known = true;
         return true;
     }
 
     /**
-     * The majority of the voting primaries whose bounds are close to the median one's; empty while they are too few to
-     * go by. Lower bounds alone set nothing: the replicas that reported them may all lag.
+     * Returns the majority of the voting primaries whose bounds are close to those of the median primary. Returns an
+     * empty list if there is no such majority, or if it is a single primary without enough samples. Lower bounds alone
+     * do not set the offset, since the replicas that reported them may all lag.
      */
     private static List<Bounds> agreeing(List<Bounds> voters) {
         List<Bounds> sorted = voters.stream()
@@ -190,7 +206,7 @@
         }
         Bounds median = sorted.get(sorted.size() / 2);
         List<Bounds> close = sorted.stream()
-                .filter(b -> b.fits(median.lower - MAX_AHEAD, median.upper + MAX_AHEAD))
+                .filter(bounds -> bounds.overlaps(median.lower - MAX_AHEAD, median.upper + MAX_AHEAD))
                 .toList();
         boolean steady = median.samples >= MIN_SAMPLES && median.lastAt - median.firstAt >= MIN_SPAN;
         return close.size() * 2 > voters.size() && (close.size() > 1 || steady) ? close : List.of();
--- a/gateway/src/test/java/ploverdale/SteppedClock.java
+++ b/gateway/src/test/java/ploverdale/SteppedClock.java
@@ -2,38 +2,39 @@
 
 import ploverdale.clock.Clock;
 
-/** A clock whose wall clock a test steps, at any moment and by any span; its monotonic readings are the system's. */
+/** A clock whose wall clock tests can step at any time; its monotonic readings are those of the system. */
 final class SteppedClock implements Clock {
-    private final long startedOffMs;
-    private volatile long wallOffMs;
+    private final long initialErrorMs;
+    private volatile long wallErrorMs;
 
-    private SteppedClock(long startedOffMs) {
-        this.startedOffMs = startedOffMs;
-        wallOffMs = startedOffMs;
+    private SteppedClock(long initialErrorMs) {
+        this.initialErrorMs = initialErrorMs;
+        wallErrorMs = initialErrorMs;
     }
 
-    /** One that is right so far. */
-    static SteppedClock right() {
+    /** Returns a clock whose wall clock is correct until the first step. */
+    static SteppedClock correct() {
         return new SteppedClock(0);
     }
 
-    /** The clock of a process that was started while its wall clock was off. */
-    static SteppedClock startedOff(long ms) {
-        return new SteppedClock(ms);
+    /** Returns the clock of a process that started while its wall clock was wrong by this; positive if it was ahead. */
+    static SteppedClock startedWithError(long errorMs) {
+        return new SteppedClock(errorMs);
     }
 
+    /** Steps the wall clock, forward if the argument is positive. */
     void step(long ms) {
-        wallOffMs += ms;
+        wallErrorMs += ms;
     }
 
     @Override
     public long now() {
-        return Clock.system().now() + startedOffMs * 10;
+        return Clock.system().now() + initialErrorMs * 10;
     }
 
     @Override
     public long wallMs() {
-        return Clock.system().wallMs() + wallOffMs;
+        return Clock.system().wallMs() + wallErrorMs;
     }
 
     @Override
