--- a/gateway/src/main/java/ploverdale/Main.java
+++ b/gateway/src/main/java/ploverdale/Main.java
@@ -19,7 +19,7 @@
 import ploverdale.cli.VersionCommand;
 import ploverdale.settings.InvalidSettingsException;
 
-/** The entry point: reads the command line and runs its command. */
+/** The entry point: parses the command line and runs the command that it names. */
 public final class Main {
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_USAGE = 2;
@@ -39,13 +39,13 @@
 
     private Main() {}
 
-    /** Runs a command. Exit codes: 0 done, 1 failed, 2 the command line could not be read. */
+    /** Runs a command. Exit codes: 0 success, 1 failure, 2 invalid command line. */
     public static void main(String[] args) throws InterruptedException {
         Main main = new Main();
         try {
             new CmdLineParser(main).parseArgument(args);
-        } catch (CmdLineException unreadable) {
-            System.err.println("ploverdale: " + unreadable.getMessage());
+        } catch (CmdLineException invalid) {
+            System.err.println("ploverdale: " + invalid.getMessage());
             System.err.println(Usage.TEXT);
             System.exit(EXIT_USAGE);
         }
--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -25,44 +25,48 @@
 import ploverdale.settings.JsonFields;
 
 /**
- * Speaks the simulator's wire: each line of input is a batch of events at one point in simulated time, each line of output
- * the actions in reply. Simulated gateways share nothing but the endpoint lists, which the wire numbers.
+ * Connects simulated gateways to the simulator. Each line of input is a JSON object with a batch of events at one point
+ * in simulated time; each line of output is the reply with the actions that the gateways take. The gateways share only
+ * the endpoint lists, to which the wire assigns numbers.
  *
- * <p>Used on one thread. Times are tenths of a millisecond.
+ * <p>Not thread-safe. Times are tenths of a millisecond.
  */
 public final class BenchLink {
-    private static final int BUFFER_SIZE = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private final BufferedReader in;
     private final OutputStream out;
     private final JsonFactory json = JsonFactory.builder().build();
     private final QuotaSettings quotaSettings;
-    private final Map<Long, List<Endpoint>> endpointLists = new HashMap<>();
-    private final Map<String, SimulatedGateway> gateways = new HashMap<>();
+    private final Map<Long, List<Endpoint>> endpointListsByNumber = new HashMap<>();
+    private final Map<String, SimulatedGateway> gatewaysByName = new HashMap<>();
     private final Set<String> stoppedGateways = new HashSet<>();
-    private long now;
+    private long now; // simulated time of the current batch
 
-    /** @param quotaSettings the quota that gateways share if they may exchange messages; null: none */
+    /**
+     * @param quotaSettings the quota that the gateways share if their settings allow messages between gateways; null if
+     *     no quota is shared
+     */
     public BenchLink(InputStream in, OutputStream out, QuotaSettings quotaSettings) {
         this.quotaSettings = quotaSettings;
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_SIZE);
-        this.out = new BufferedOutputStream(out, BUFFER_SIZE);
+        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
+        this.out = new BufferedOutputStream(out, BUFFER_BYTES);
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Reads batches and replies to them until the input ends.
      *
-     * @throws InvalidSettingsException if a batch cannot be read
+     * @throws InvalidSettingsException if a batch is malformed
      */
     public void run() throws IOException {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (!line.isBlank()) {
-                answer(line);
+                replyTo(line);
             }
         }
     }
 
-    private void answer(String line) throws IOException {
+    private void replyTo(String line) throws IOException {
         JsonFields batch = parseBatch(line);
         now = JsonFields.tenthsRoundedUp(batch.number("timeMs"));
         JsonGenerator reply = json.createGenerator(out);
@@ -106,49 +110,49 @@
         switch (name) {
             case "LEDGER" -> {
                 JsonFields fields = JsonFields.of(name, body);
-                endpointLists.put(fields.integer("sheet"), Reader.endpoints(fields));
+                endpointListsByNumber.put(fields.integer("sheet"), WireEventReader.endpoints(fields));
             }
             case "POWER_OFF" -> {
                 String gateway = JsonFields.of(name, body).text("gateway");
-                gateways.remove(gateway);
+                gatewaysByName.remove(gateway);
                 stoppedGateways.add(gateway);
             }
             case "BOOT" -> start(JsonFields.of(name, body), reply);
             case "ANNOUNCE", "REQ", "STARTED", "RESPONSE", "VANISHED", "ALARM", "PING_RESULT", "DATAGRAM" ->
                 deliver(name, JsonFields.of(name, body), reply);
-            default -> {} // of no concern to gateways
+            default -> {} // other events of the simulator do not concern gateways
         }
     }
 
     private void start(JsonFields fields, JsonGenerator reply) throws IOException {
         SimulatedGateway gateway = SimulatedGateway.create(fields, quotaSettings, () -> now);
         String name = fields.text("gateway");
-        gateways.put(name, gateway);
-        gateway.start(now, new Writer(reply, name));
+        gatewaysByName.put(name, gateway);
+        gateway.start(now, new WireActionWriter(reply, name));
     }
 
-    /** Delivers an event to the gateway that it names; one for a gateway that has been stopped is dropped. */
+    /** Delivers an event to the gateway that it names; an event for a gateway that has been stopped is dropped. */
     private void deliver(String event, JsonFields fields, JsonGenerator reply) throws IOException {
         String name = fields.text("gateway");
-        SimulatedGateway gateway = gateways.get(name);
+        SimulatedGateway gateway = gatewaysByName.get(name);
         if (gateway != null) {
-            deliver(event, fields, gateway, new Writer(reply, name));
+            deliver(event, fields, gateway, new WireActionWriter(reply, name));
         } else if (!stoppedGateways.contains(name)) {
-            String message = event + " with a field gateway that names one never started: " + name;
+            String message = event + ": field gateway names a gateway that was never started: " + name;
             throw InvalidSettingsException.ofField(message, event, "gateway", name, "a gateway that was started");
         }
     }
 
-    private void deliver(String event, JsonFields fields, SimulatedGateway gateway, Writer writer) throws IOException {
+    private void deliver(String event, JsonFields fields, SimulatedGateway gateway, WireActionWriter writer) throws IOException {
         switch (event) {
             case "ALARM" -> gateway.onTimer(now, fields.integer("tag"), writer);
             case "DATAGRAM" ->
-                gateway.onDatagram(now, (int) fields.integer("from"), Reader.datagram(fields.text("body")), writer);
+                gateway.onDatagram(now, (int) fields.integer("from"), WireEventReader.datagram(fields.text("body")), writer);
             default -> gateway.onEvent(now, decode(event, fields, gateway.reader()), writer);
         }
     }
 
-    private Event decode(String event, JsonFields fields, Reader reader) {
+    private Event decode(String event, JsonFields fields, WireEventReader reader) {
         return switch (event) {
             case "ANNOUNCE" -> reader.endpointUpdate(fields, endpointList(fields));
             case "REQ" -> reader.requestArrived(fields);
@@ -165,10 +169,10 @@
             return List.of();
         }
         long number = announcement.integer("sheet");
-        List<Endpoint> endpoints = endpointLists.get(number);
+        List<Endpoint> endpoints = endpointListsByNumber.get(number);
         if (endpoints == null) {
-            String message = "ANNOUNCE with a field sheet that names no list";
-            throw InvalidSettingsException.ofField(message, "ANNOUNCE", "sheet", number, "the number of a list");
+            String message = "ANNOUNCE: field sheet is not the number of an endpoint list";
+            throw InvalidSettingsException.ofField(message, "ANNOUNCE", "sheet", number, "the number of an endpoint list");
         }
         return endpoints;
     }
--- a/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
+++ b/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
@@ -15,8 +15,8 @@
 import ploverdale.settings.JsonFields;
 
 /**
- * One gateway of the simulation: its router, its part in the shared quota where that is on, and the reader that knows its
- * settings. Has its actions written in the order in which they were decided. Used on one thread; times are tenths of a
+ * One gateway of the simulation: its router, its part of the shared quota if one is shared, and the reader that decodes
+ * its events. Actions are written in the order in which they were decided. Not thread-safe. Times are tenths of a
  * millisecond.
  */
 final class SimulatedGateway {
@@ -24,52 +24,54 @@
     private static final long TENTHS_PER_MS = 10;
 
     private final Router router;
-    private final Reader reader;
+    private final WireEventReader reader;
     private final QuotaNode quotaNode;
 
-    /** @param quotaNode null where no quota is shared */
-    private SimulatedGateway(Router router, Reader reader, QuotaNode quotaNode) {
+    /** @param quotaNode null if no quota is shared */
+    private SimulatedGateway(Router router, WireEventReader reader, QuotaNode quotaNode) {
         this.router = router;
         this.reader = reader;
         this.quotaNode = quotaNode;
     }
 
     /**
-     * A gateway as the event of its start describes it.
+     * Creates a gateway from the wire event that starts it. The quota is shared only if the gateway's settings allow
+     * messages between gateways and there are at least two gateways.
      *
-     * @param quotaSettings null where no quota is shared
-     * @param clock simulated time
+     * @param quotaSettings null if no quota is shared
+     * @param clock the simulated time
+     * @throws InvalidSettingsException if the quota settings enable replication, which is not simulated
      */
     static SimulatedGateway create(JsonFields boot, QuotaSettings quotaSettings, LongSupplier clock) {
-        Reader reader = new Reader(boot);
+        WireEventReader reader = new WireEventReader(boot);
         Started started = reader.started();
         if (quotaSettings != null && quotaSettings.replication() != null) {
             throw new InvalidSettingsException(
-                    "fleet file with a field sessions or submits, which are kept on sockets only");
+                    "fleet file: fields sessions and submits are not supported by the simulation");
         }
         boolean sharesQuota = quotaSettings != null && started.capabilities().peerMessages() && started.gateways() >= 2;
         if (!sharesQuota) {
             return new SimulatedGateway(new Router(null), reader, null);
         }
-        long startedMs = 1 + clock.getAsLong() / TENTHS_PER_MS; // 0 stands for no start
+        long startedMs = 1 + clock.getAsLong() / TENTHS_PER_MS; // 0 would mean that the gateway has not started
         QuotaNode quotaNode = new QuotaNode(quotaSettings, started, startedMs, clock, clock);
         return new SimulatedGateway(new Router(quotaNode.quota()), reader, quotaNode);
     }
 
-    Reader reader() {
+    WireEventReader reader() {
         return reader;
     }
 
     /** Starts the router, then the periodic work of the shared quota. */
-    void start(long now, Writer writer) throws IOException {
+    void start(long now, WireActionWriter writer) throws IOException {
         onEvent(now, reader.started(), writer);
         if (quotaNode != null) {
             onQuotaTick(now, writer);
         }
     }
 
-    /** A timer has fired that was set with this mark. */
-    void onTimer(long now, long mark, Writer writer) throws IOException {
+    /** Called when a timer fires that was set with this mark. */
+    void onTimer(long now, long mark, WireActionWriter writer) throws IOException {
         if (quotaNode != null && mark == QUOTA_TIMER_MARK) {
             onQuotaTick(now, writer);
         } else {
@@ -77,8 +79,11 @@
         }
     }
 
-    /** A datagram of another gateway has arrived: a packet of the shared quota, or else gossip for the router. */
-    void onDatagram(long now, int from, byte[] datagram, Writer writer) throws IOException {
+    /**
+     * Called when a datagram of another gateway is received: a packet of the shared quota, or else gossip for the
+     * router.
+     */
+    void onDatagram(long now, int from, byte[] datagram, WireActionWriter writer) throws IOException {
         if (quotaNode != null) {
             Optional<List<OutboundPacket>> replies = quotaNode.onDatagram(from, datagram);
             writePackets(replies.orElse(List.of()), writer);
@@ -89,15 +94,18 @@
         onEvent(now, new Event.GossipReceived(from, datagram), writer);
     }
 
-    /** Has the router decide, and its actions written. */
-    void onEvent(long now, Event event, Writer writer) throws IOException {
+    /**
+     * Passes an event to the router and writes the actions that it decides on. An exception of the router is reported
+     * to the simulator.
+     */
+    void onEvent(long now, Event event, WireActionWriter writer) throws IOException {
         List<Action> actions;
         try {
             actions = router.on(now, event);
         } catch (RuntimeException fault) {
-            // broad catch: whatever it is, the simulator ascribes it to this gateway, others go on
+            // broad catch: any exception is reported as a fault of this gateway; the other gateways continue
             StackTraceElement[] trace = fault.getStackTrace();
-            writer.broken(fault + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.writeFault(fault + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
         for (Action action : actions) {
@@ -105,12 +113,12 @@
         }
     }
 
-    private void onQuotaTick(long now, Writer writer) throws IOException {
+    private void onQuotaTick(long now, WireActionWriter writer) throws IOException {
         writePackets(quotaNode.onTick(), writer);
         writer.write(new Action.SetTimer(now + QuotaNode.TICK_INTERVAL, QUOTA_TIMER_MARK));
     }
 
-    private void writePackets(List<OutboundPacket> packets, Writer writer) throws IOException {
+    private void writePackets(List<OutboundPacket> packets, WireActionWriter writer) throws IOException {
         for (OutboundPacket packet : packets) {
             writer.write(new Action.SendGossip(packet.to(), packet.bytes()));
         }
--- a/gateway/src/main/java/ploverdale/benchlink/Writer.java
+++ b/gateway/src/main/java/ploverdale/benchlink/WireActionWriter.java
@@ -7,32 +7,33 @@
 import ploverdale.model.Action;
 import ploverdale.model.ActionHandler;
 
-/** Writes the actions of one gateway in the wire's words. Used on one thread. */
-final class Writer implements ActionHandler {
-    /** The fields of one action; may fail as the generator does. */
-    private interface Fields {
+/** Encodes the actions of one gateway for the simulator. Not thread-safe. */
+final class WireActionWriter implements ActionHandler {
+    /** Writes the fields of one action. */
+    private interface FieldsWriter {
         void write() throws IOException;
     }
 
     private final JsonGenerator json;
     private final String gateway;
 
-    Writer(JsonGenerator json, String gateway) {
+    WireActionWriter(JsonGenerator json, String gateway) {
         this.json = json;
         this.gateway = gateway;
     }
 
-    /** Writes one action as the wire names it. */
+    /** Writes one action. */
     void write(Action action) throws IOException {
-        rethrowing(() -> action.dispatchTo(this));
+        unwrappingIoExceptions(() -> action.dispatchTo(this));
     }
 
-    /** Reports that a gateway could not take an event. */
-    void broken(String text) throws IOException {
-        rethrowing(() -> object("BROKEN", () -> json.writeStringField("text", text)));
+    /** Reports that the gateway failed to handle an event. */
+    void writeFault(String text) throws IOException {
+        unwrappingIoExceptions(() -> object("BROKEN", () -> json.writeStringField("text", text)));
     }
 
-    private static void rethrowing(Runnable write) throws IOException {
+    /** Runs this, and throws the cause of an {@link UncheckedIOException} in its place. */
+    private static void unwrappingIoExceptions(Runnable write) throws IOException {
         try {
             write.run();
         } catch (UncheckedIOException failure) {
@@ -108,7 +109,8 @@
         object("REMARK", () -> json.writeStringField("text", line.text()));
     }
 
-    private void object(String name, Fields fields) {
+    /** Writes the object of one action, which names the gateway first. */
+    private void object(String name, FieldsWriter fields) {
         try {
             json.writeStartObject();
             json.writeObjectFieldStart(name);
@@ -121,6 +123,7 @@
         }
     }
 
+    /** Writes tenths of a millisecond as milliseconds, with a fraction only if there is one. */
     private void tenths(String name, long tenths) throws IOException {
         if (tenths % 10 == 0) {
             json.writeNumberField(name, tenths / 10);
--- a/gateway/src/main/java/ploverdale/benchlink/Reader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
@@ -21,35 +21,36 @@
 import ploverdale.settings.JsonFields;
 
 /**
- * Decodes the wire events of one gateway into those of the router, by the settings that the gateway was started with.
- * Immutable.
+ * Decodes the simulator's events for one gateway into events of the router, according to the settings that the gateway
+ * was started with. Immutable.
  */
-final class Reader {
-    private static final int ROLE_BITS = 2; // the lowest of a note; the position is above them
+final class WireEventReader {
+    private static final int ROLE_BITS = 2; // the lowest bits of an encoded role and position
     private static final int ROLE_MASK = (1 << ROLE_BITS) - 1;
     private static final int PRIMARY_ROLE = 1;
     private static final int REPLICA_ROLE = 2;
     private static final long TENTHS_PER_MS = 10;
 
     private final GatewaySettings settings;
-    private final int positionField; // index of the value in a load report; below 0: not reported
-    private final int roleField;
-    private final int busyField;
+    // Indexes of the values in a load report; -1 if the value is not reported.
+    private final int positionIndex;
+    private final int roleIndex;
+    private final int busyIndex;
 
-    /** @param boot the event of the gateway's start */
-    Reader(JsonFields boot) {
+    /** @param boot the wire event that starts the gateway, with its settings */
+    WireEventReader(JsonFields boot) {
         settings = new GatewaySettings(boot.integer("salt", 0), boot.object("profileData"));
-        positionField = settings.reportFields().indexOf("x0");
-        roleField = settings.reportFields().indexOf("x1");
-        busyField = settings.reportFields().indexOf("busy");
+        positionIndex = settings.reportFields().indexOf("x0");
+        roleIndex = settings.reportFields().indexOf("x1");
+        busyIndex = settings.reportFields().indexOf("busy");
     }
 
-    /** What the router is started with. */
+    /** Returns the event with which the router is started. */
     Event.Started started() {
         return settings.started();
     }
 
-    /** The endpoints of a list, the same for all gateways. */
+    /** Decodes an endpoint list, which is the same for all gateways. */
     static List<Endpoint> endpoints(JsonFields ledger) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Object row : ledger.list("rows")) {
@@ -73,20 +74,20 @@
                 JsonFields.tenthsRoundedUp(row.number("bornMs", 0)));
     }
 
-    /** An endpoint list or an update of one. */
+    /** Decodes the announcement of an endpoint list, or of an update of one. */
     Event endpointUpdate(JsonFields fields, List<Endpoint> endpoints) {
         String kind = fields.text("how");
         boolean complete = kind.equals("whole") || kind.equals("stale_copy");
         return new Event.EndpointUpdate(complete, kind.equals("broken"), endpoints);
     }
 
-    /** A client's request. */
+    /** Decodes a client's request. */
     Event requestArrived(JsonFields fields) {
         int requestClass = (int) fields.integer("grade");
         if (requestClass < 0
                 || requestClass >= settings.started().requestClasses().size()) {
-            String message = "REQ with a field grade that names no class";
-            throw InvalidSettingsException.ofField(message, "REQ", "grade", requestClass, "the index of a class");
+            String message = "REQ: field grade is not the index of a request class";
+            throw InvalidSettingsException.ofField(message, "REQ", "grade", requestClass, "the index of a request class");
         }
         return new Event.RequestArrived(
                 new RequestId(fields.text("ref")),
@@ -100,12 +101,15 @@
                 tokenAge(fields.number("tokenAgeMs", 0)));
     }
 
-    /** Rounded towards a later write, which requires more of a replica; 0 stands for no write. */
+    /**
+     * Returns how long ago the session's last write was; 0 stands for no write. Rounded down, since a later write
+     * requires more of a replica.
+     */
     private static long tokenAge(double milliseconds) {
         return milliseconds > 0 ? Math.max(1, JsonFields.tenthsRoundedDown(milliseconds)) : 0;
     }
 
-    /** A server has begun to answer an attempt. */
+    /** Decodes the event that a server has begun to answer an attempt. */
     Event responseStarted(JsonFields fields) {
         return new Event.ResponseStarted(
                 new RequestId(fields.text("ref")),
@@ -113,9 +117,9 @@
                 new ServerId(fields.text("server")));
     }
 
-    /** An attempt has ended. */
+    /** Decodes the end of an attempt. */
     Event attemptEnded(JsonFields fields) {
-        LoadReport note = fields.has("progress") ? note(fields.integer("progress")) : null;
+        LoadReport answerReport = fields.has("progress") ? answerReport(fields.integer("progress")) : null;
         return new Event.AttemptEnded(
                 new RequestId(fields.text("ref")),
                 (int) fields.integer("roundNo"),
@@ -123,22 +127,22 @@
                 outcome(fields.text("verdict")),
                 JsonFields.tenthsRoundedUp(fields.number("durationMs")),
                 fields.flag("settled"),
-                note,
-                report(fields));
+                answerReport,
+                loadReport(fields));
     }
 
-    /** A health check has ended. */
+    /** Decodes the end of a health check. */
     Event healthCheckEnded(JsonFields fields) {
         return new Event.HealthCheckEnded(
-                new ServerId(fields.text("server")), outcome(fields.text("verdict")), report(fields));
+                new ServerId(fields.text("server")), outcome(fields.text("verdict")), loadReport(fields));
     }
 
-    /** The bytes of a datagram between gateways. */
+    /** Decodes the bytes of a datagram between gateways. */
     static byte[] datagram(String hexadecimal) {
         try {
             return HexFormat.of().parseHex(hexadecimal);
         } catch (IllegalArgumentException notHexadecimal) {
-            String message = "DATAGRAM with a field body that is not hexadecimal";
+            String message = "DATAGRAM: field body is not hexadecimal";
             throw InvalidSettingsException.ofField(message, "DATAGRAM", "body", hexadecimal, "hexadecimal digits");
         }
     }
@@ -157,14 +161,17 @@
         };
     }
 
-    /** What a server reports with an answer: its role and its position, in milliseconds since the zero of positions. */
-    private LoadReport note(long encoded) {
+    /**
+     * Decodes the role and the position of a server that come with an answer, in milliseconds since the origin of
+     * positions.
+     */
+    private LoadReport answerReport(long encoded) {
         long positionMs = encoded >> ROLE_BITS;
-        boolean unknown = positionMs == 0 && !settings.positionsInNotes();
-        long zero = JsonFields.tenthsRoundedDown(settings.positionZeroMs());
+        boolean unknown = positionMs == 0 && !settings.positionsInAnswers();
+        long origin = JsonFields.tenthsRoundedDown(settings.positionZeroMs());
         return new LoadReport(
                 role((int) (encoded & ROLE_MASK)),
-                unknown ? LoadReport.UNKNOWN_TIME : zero + positionMs * TENTHS_PER_MS);
+                unknown ? LoadReport.UNKNOWN_TIME : origin + positionMs * TENTHS_PER_MS);
     }
 
     private static Role role(int encoded) {
@@ -175,20 +182,20 @@
         };
     }
 
-    /** The load report that comes with an event; null where none does. */
-    private LoadReport report(JsonFields fields) {
+    /** Returns the load report that comes with an event; null if there is none. */
+    private LoadReport loadReport(JsonFields fields) {
         List<Object> values = fields.list("healthInfo");
         if (values.isEmpty()) {
             return null;
         }
         return GatewaySettings.report(
-                value(values, positionField),
-                value(values, roleField),
-                value(values, busyField),
+                value(values, positionIndex),
+                value(values, roleIndex),
+                value(values, busyIndex),
                 settings.positionZeroMs());
     }
 
-    /** Null where the value is absent. */
+    /** Returns null if the value is absent. */
     private static Double value(List<Object> values, int index) {
         boolean present = index >= 0 && index < values.size() && values.get(index) instanceof Number;
         return present ? (Double) ((Number) values.get(index)).doubleValue() : null;
--- a/gateway/src/main/java/ploverdale/benchlink/package-info.java
+++ b/gateway/src/main/java/ploverdale/benchlink/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The simulator's wire: reads batches of events for simulated gateways, has the decisions made by the same {@link
- * ploverdale.routing.Router} that is in service, and writes the actions back. The wire's words stop here. It chooses
- * nothing, reads no clock (time comes with each batch) and runs on the one thread that calls {@link
- * ploverdale.benchlink.BenchLink#run}.
+ * Connects the gateway's decisions to a simulator: reads batches of events for simulated gateways, passes them to the
+ * same {@link ploverdale.routing.Router} that gateways in service use, and writes the resulting actions. The names of
+ * the simulator's wire are translated here and used nowhere else. This package makes no decisions, reads no clock (each
+ * batch has its time) and runs on the thread that calls {@link ploverdale.benchlink.BenchLink#run}.
  */
 package ploverdale.benchlink;
--- a/gateway/src/main/java/ploverdale/cli/BenchLinkCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/BenchLinkCommand.java
@@ -6,7 +6,7 @@
 import ploverdale.benchlink.BenchLink;
 import ploverdale.settings.FleetConfigurationFile;
 
-/** Runs the decisions on the simulator's wire, on standard input and output, until the input ends. */
+/** Runs simulated gateways, connected to the simulator by standard input and output, until the input ends. */
 public final class BenchLinkCommand extends QuotaCommand {
     @Override
     public int run() throws IOException {
--- a/gateway/src/main/java/ploverdale/cli/ConfiguredCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/ConfiguredCommand.java
@@ -5,12 +5,16 @@
 import ploverdale.settings.ConfigurationFile;
 import ploverdale.settings.InvalidSettingsException;
 
-/** A command that reads a gateway's configuration, from the file of its option or else of the environment. */
+/** A command that reads the configuration of a gateway, from the file that its option or else EDGE_CONFIG names. */
 abstract class ConfiguredCommand implements Command {
     @Option(name = "--config", metaVar = "FILE")
     private String config = System.getenv("EDGE_CONFIG");
 
-    /** The file's path. */
+    /**
+     * Returns the path of the configuration file.
+     *
+     * @throws InvalidSettingsException if no file is named
+     */
     Path configurationPath() {
         if (config == null || config.isEmpty()) {
             throw new InvalidSettingsException("no configuration: neither --config nor EDGE_CONFIG names a file");
@@ -18,7 +22,7 @@
         return Path.of(config);
     }
 
-    /** Reads the file. */
+    /** Reads and validates the configuration file. */
     ConfigurationFile readConfiguration() {
         return ConfigurationFile.read(configurationPath());
     }
--- a/gateway/src/main/java/ploverdale/cli/DevServersCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/DevServersCommand.java
@@ -6,14 +6,14 @@
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.settings.ConfigurationFile;
 
-/** Runs stand-in servers and discovery until the process is stopped. */
+/** Runs the development servers and discovery until the process is stopped. */
 public final class DevServersCommand extends ConfiguredCommand {
     @Override
     public int run() throws IOException, InterruptedException {
         ConfigurationFile configuration = readConfiguration();
         DevServers servers = Futures.await(DevServers.start(SingleLoopVertx.create(), configuration, false));
         System.out.println(
-                servers.entries().size() + " toy servers and discovery at " + servers.discovery() + " are up");
+                servers.entries().size() + " development servers and discovery at " + servers.discovery() + " are up");
         new CountDownLatch(1).await();
         return 0;
     }
--- a/gateway/src/main/java/ploverdale/cli/Futures.java
+++ b/gateway/src/main/java/ploverdale/cli/Futures.java
@@ -4,11 +4,15 @@
 import java.io.IOException;
 import java.util.concurrent.ExecutionException;
 
-/** Waits for futures of the event loop on the main thread. */
+/** Lets the main thread wait for futures that the event loop completes. */
 final class Futures {
     private Futures() {}
 
-    /** The future's result, or an exception with the message of its failure. */
+    /**
+     * Waits until the future completes and returns its result.
+     *
+     * @throws IOException if the future failed, with the message of the failure
+     */
     static <T> T await(Future<T> future) throws IOException, InterruptedException {
         try {
             return future.toCompletionStage().toCompletableFuture().get();
--- a/gateway/src/main/java/ploverdale/cli/HelpCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/HelpCommand.java
@@ -1,6 +1,6 @@
 package ploverdale.cli;
 
-/** Prints the usage. */
+/** Prints the usage text. */
 public final class HelpCommand implements Command {
     @Override
     public int run() {
--- a/gateway/src/main/java/ploverdale/cli/QueryCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/QueryCommand.java
@@ -15,7 +15,7 @@
     public int run() throws IOException, InterruptedException {
         Vertx vertx = SingleLoopVertx.create();
         String answer = Futures.await(
-                DevClient.connect(vertx, readConfiguration().listen()).compose(client -> client.ask(query)));
+                DevClient.connect(vertx, readConfiguration().listen()).compose(client -> client.query(query)));
         System.out.println(answer);
         return 0;
     }
--- a/gateway/src/main/java/ploverdale/cli/RehearseCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/RehearseCommand.java
@@ -2,16 +2,16 @@
 
 import io.vertx.core.Vertx;
 import java.io.IOException;
-import ploverdale.dev.Rehearsal;
+import ploverdale.dev.WarmUpRun;
 import ploverdale.log.Log;
 import ploverdale.net.eventloop.SingleLoopVertx;
 
-/** Runs a gateway between stand-in servers and a stand-in client in one process, and prints how many requests succeeded. */
+/** Runs a gateway between development servers and a client in this process, and prints how many requests succeeded. */
 public final class RehearseCommand extends ConfiguredCommand {
     @Override
     public int run() throws IOException, InterruptedException {
         Vertx vertx = SingleLoopVertx.create();
-        String result = Futures.await(Rehearsal.play(vertx, new Log(System.err), readConfiguration()));
+        String result = Futures.await(WarmUpRun.start(vertx, new Log(System.err), readConfiguration()));
         System.out.println(result);
         return 0;
     }
--- a/gateway/src/main/java/ploverdale/cli/ServeCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/ServeCommand.java
@@ -14,7 +14,7 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Runs one gateway until SIGTERM, which begins a graceful shutdown; at SIGHUP it reads its configuration again. */
+/** Runs one gateway. SIGTERM begins its graceful shutdown; on SIGHUP it reloads its configuration. */
 public final class ServeCommand extends QuotaCommand {
     @Override
     public int run() throws IOException, InterruptedException {
@@ -28,12 +28,13 @@
         Gateway gateway = start(vertx, log, configuration, quotaSettings);
         started.complete(gateway);
         shutDownOnTermination(gateway);
-        new CountDownLatch(1).await(); // the shutdown hook ends the process
+        new CountDownLatch(1).await(); // the shutdown hook terminates the process
         return 0;
     }
 
     /**
-     * Handles SIGHUP from now on: unhandled, it would end the process. One that arrives during the start is acted on after it.
+     * Installs the handler of SIGHUP, which would otherwise terminate the process. If the signal arrives while the
+     * gateway starts, the configuration is reloaded after the start.
      */
     private void reloadOnHangUp(CompletableFuture<Gateway> started, Log log) {
         SignalHandler reload =
@@ -71,7 +72,7 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        // A graceful shutdown is a success; the exit code of the signal would say otherwise.
+        // Replaces the exit code of the signal, which would denote a failure, since a graceful shutdown is a success.
         Runtime.getRuntime().halt(0);
     }
 }
--- a/gateway/src/main/java/ploverdale/cli/VersionCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/VersionCommand.java
@@ -1,6 +1,6 @@
 package ploverdale.cli;
 
-/** Prints the version that the jar was built with. */
+/** Prints the version in the manifest of the jar. */
 public final class VersionCommand implements Command {
     @Override
     public int run() {
--- a/gateway/src/main/java/ploverdale/dev/DevClient.java
+++ b/gateway/src/main/java/ploverdale/dev/DevClient.java
@@ -18,73 +18,80 @@
 import ploverdale.net.postgres.ServerMessageReader;
 
 /**
- * Owns one connection to a gateway and asks queries on it, one after another, for a first try of the gateway.
- * Must never be used for load: it waits for each answer.
+ * A minimal client for trying out a gateway: owns one connection and sends queries on it, each after the answer to the
+ * one before. Not meant for load tests. Runs on the event loop.
  */
 public final class DevClient {
     private final NetSocket socket;
-    private final ServerMessageReader stream = new ServerMessageReader();
-    private final Deque<Promise<String>> waiting = new ArrayDeque<>();
+    private final ServerMessageReader reader = new ServerMessageReader();
+    /** The handshake, then the queries that are not answered yet, oldest first. */
+    private final Deque<Promise<String>> unanswered = new ArrayDeque<>();
+    /** The answer to the oldest unanswered query, as far as it has arrived. */
     private final StringBuilder answer = new StringBuilder();
 
-    private final NetClient net; // held, since one that nobody holds is closed with its connections
+    /** Referenced here because Vert.x closes a client, with its connections, once it becomes unreachable. */
+    private final NetClient netClient;
 
-    private DevClient(NetClient net, NetSocket socket) {
-        this.net = net;
+    private DevClient(NetClient netClient, NetSocket socket) {
+        this.netClient = netClient;
         this.socket = socket;
-        waiting.add(Promise.promise());
-        socket.handler(this::bytes);
-        socket.closeHandler(x -> waiting.forEach(p -> p.tryFail("the gateway closed the connection")));
+        unanswered.add(Promise.promise());
+        socket.handler(this::onBytes);
+        socket.closeHandler(ignored -> unanswered.forEach(pending -> pending.tryFail("the gateway closed the connection")));
         socket.write(MessageWriter.startup());
     }
 
-    /** Connects and greets. */
-    public static Future<DevClient> connect(Vertx vertx, InetSocketAddress to) {
-        NetClient net = vertx.createNetClient(
+    /** Connects and sends the startup message; the future completes when the gateway is ready for queries. */
+    public static Future<DevClient> connect(Vertx vertx, InetSocketAddress address) {
+        NetClient netClient = vertx.createNetClient(
                 new NetClientOptions().setConnectTimeout(2000).setTcpNoDelay(true));
-        return net.connect(SocketAddress.inetSocketAddress(to)).compose(s -> {
-            DevClient c = new DevClient(net, s);
-            return c.waiting.peek().future().map(c);
+        return netClient.connect(SocketAddress.inetSocketAddress(address)).compose(socket -> {
+            DevClient client = new DevClient(netClient, socket);
+            return client.unanswered.peek().future().map(client);
         });
     }
 
-    /** Ends the connection. */
+    /** Closes the connection. */
     public Future<Void> close() {
-        return net.close();
+        return netClient.close();
     }
 
-    /** Asks one query; the future holds what came back, in words. */
-    public Future<String> ask(String text) {
-        Promise<String> p = Promise.promise();
-        waiting.add(p);
+    /**
+     * Sends one query.
+     *
+     * @return a printable form of the answer: its row, if any, and the command tag, or the error with its SQLSTATE
+     */
+    public Future<String> query(String text) {
+        Promise<String> promise = Promise.promise();
+        unanswered.add(promise);
         socket.write(MessageWriter.query(text));
-        return p.future();
+        return promise.future();
     }
 
-    private void bytes(Buffer more) {
-        stream.feed(more);
-        for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
-            if (m instanceof ServerMessage.DataRow v) {
+    private void onBytes(Buffer received) {
+        reader.feed(received);
+        for (ServerMessage message = reader.next(); message != null; message = reader.next()) {
+            if (message instanceof ServerMessage.DataRow row) {
                 answer.append("row ")
-                        .append(v.bytes() == null ? "null" : new String(v.bytes(), UTF_8))
+                        .append(row.bytes() == null ? "null" : new String(row.bytes(), UTF_8))
                         .append("; ");
-            } else if (m instanceof ServerMessage.CommandComplete d) {
-                answer.append(d.tag().isEmpty() ? "empty" : d.tag());
-            } else if (m instanceof ServerMessage.ErrorResponse p) {
-                answer.append("refused or failed: ")
-                        .append(p.code())
+            } else if (message instanceof ServerMessage.CommandComplete completion) {
+                answer.append(completion.tag().isEmpty() ? "empty" : completion.tag());
+            } else if (message instanceof ServerMessage.ErrorResponse error) {
+                answer.append("error ")
+                        .append(error.code())
                         .append(' ')
-                        .append(p.text());
-            } else if (m instanceof ServerMessage.Malformed g) {
-                waiting.poll().tryFail("cannot be read: " + g.what());
+                        .append(error.text());
+            } else if (message instanceof ServerMessage.Malformed malformed) {
+                unanswered.poll().tryFail("malformed message from the gateway: " + malformed.what());
                 socket.close();
                 return;
-            } else if (m instanceof ServerMessage.ReadyForQuery) {
-                Promise<String> p = waiting.poll();
+            } else if (message instanceof ServerMessage.ReadyForQuery) {
+                Promise<String> promise = unanswered.poll();
                 String text = answer.toString();
                 answer.setLength(0);
-                if (p != null) {
-                    p.complete(text);
+                if (promise != null) {
+                    promise.complete(text);
                 }
             }
         }
--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -22,191 +22,214 @@
 import ploverdale.settings.EndpointList;
 
 /**
- * Owns a toy: database servers that share one table in memory, and the discovery that lists them, for a first try
- * of the gateway. The first server of each group is its primary. Must never be taken for a database: nothing is
- * kept, and statements are told apart by their first word.
+ * Development stand-ins for trying out a gateway: database servers that share one table in memory, and a discovery
+ * agent that lists them. The first server of each group is its primary. They are no database: nothing is stored beyond
+ * the process, and a statement is recognized by its first word. Runs on the event loop.
  */
 public final class DevServers {
-    private static final Pattern QUOTED = Pattern.compile("'([^']*)'");
+    private static final Pattern QUOTED_LITERAL = Pattern.compile("'([^']*)'");
 
     private final Vertx vertx;
     private final Map<String, String> table = new HashMap<>();
+    /** The servers as discovery lists them, in JSON. */
     private final List<String> members = new ArrayList<>();
     private final List<EndpointList.Entry> entries = new ArrayList<>();
-    private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
-    private long writtenAt = Clock.system().wallMs();
+    /** Referenced here because Vert.x may close a listening server once it becomes unreachable. */
+    private final List<Object> listeners = new ArrayList<>();
+
+    private long lastWriteMs = Clock.system().wallMs();
     private InetSocketAddress discovery;
 
     private DevServers(Vertx vertx) {
         this.vertx = vertx;
     }
 
-    /** Starts a server for each that the file knows, and discovery; at the told ports, or at any free ones. */
-    public static Future<DevServers> start(Vertx vertx, ConfigurationFile file, boolean anyPorts) {
-        DevServers toy = new DevServers(vertx);
-        Future<?> all = Future.succeededFuture();
+    /**
+     * Starts a server for each one in the configuration's endpoint list, and discovery.
+     *
+     * @param anyPorts whether they listen at free ports instead of those that the configuration names
+     */
+    public static Future<DevServers> start(Vertx vertx, ConfigurationFile configuration, boolean anyPorts) {
+        DevServers servers = new DevServers(vertx);
+        Future<?> previous = Future.succeededFuture();
         Set<Long> groups = new HashSet<>();
-        for (EndpointList.Entry e : file.known().entries()) {
-            boolean primary = groups.add(e.endpoint().group().number());
-            all = all.compose(x -> toy.server(e, primary, anyPorts));
+        for (EndpointList.Entry entry : configuration.known().entries()) {
+            boolean primary = groups.add(entry.endpoint().group().number());
+            previous = previous.compose(ignored -> servers.startServer(entry, primary, anyPorts));
         }
-        return all.compose(x -> toy.list(file.discovery(), anyPorts))
-                .compose(x -> toy.warmUp())
-                .map(toy);
+        return previous.compose(ignored -> servers.startDiscovery(configuration.discovery(), anyPorts))
+                .compose(ignored -> servers.warmUp())
+                .map(servers);
     }
 
-    /** Asks each server once, so that the first probe of a gateway does not wait for this program's classes. */
+    /**
+     * Sends each server one query, so that a gateway's first health check does not wait until classes are loaded here.
+     */
     private Future<?> warmUp() {
-        Future<?> all = Future.succeededFuture();
-        for (EndpointList.Entry e : entries) {
-            all = all.compose(x -> DevClient.connect(vertx, e.address()))
-                    .compose(c -> c.ask("SHOW vitals").compose(x -> c.close()));
+        Future<?> previous = Future.succeededFuture();
+        for (EndpointList.Entry entry : entries) {
+            previous = previous.compose(ignored -> DevClient.connect(vertx, entry.address()))
+                    .compose(client -> client.query("SHOW vitals").compose(ignored -> client.close()));
         }
-        return all;
+        return previous;
     }
 
+    /** The servers with the addresses at which they listen. */
     public List<EndpointList.Entry> entries() {
         return entries;
     }
 
+    /** The address at which discovery listens. */
     public InetSocketAddress discovery() {
         return discovery;
     }
 
-    private Future<NetServer> server(EndpointList.Entry e, boolean primary, boolean anyPort) {
-        String host = e.address().getAddress().getHostAddress();
+    private Future<NetServer> startServer(EndpointList.Entry entry, boolean primary, boolean anyPort) {
+        String host = entry.address().getAddress().getHostAddress();
         return vertx.createNetServer()
-                .connectHandler(s -> serve(s, primary))
-                .listen(anyPort ? 0 : e.address().getPort(), host)
-                .onSuccess(s -> {
-                    up.add(s);
-                    entries.add(new EndpointList.Entry(e.endpoint(), new InetSocketAddress(host, s.actualPort())));
-                    members.add("{\"id\":\"" + e.endpoint().server().text() + "\",\"host_port\":\"" + host + ":"
-                            + s.actualPort() + "\",\"cell\":"
-                            + e.endpoint().group().number()
+                .connectHandler(socket -> handleConnection(socket, primary))
+                .listen(anyPort ? 0 : entry.address().getPort(), host)
+                .onSuccess(server -> {
+                    listeners.add(server);
+                    entries.add(new EndpointList.Entry(
+                            entry.endpoint(), new InetSocketAddress(host, server.actualPort())));
+                    members.add("{\"id\":\"" + entry.endpoint().server().text() + "\",\"host_port\":\"" + host + ":"
+                            + server.actualPort() + "\",\"cell\":"
+                            + entry.endpoint().group().number()
                             + ",\"phase\":\"SERVING\",\"up_since_ms\":0}");
                 });
     }
 
-    private Future<?> list(InetSocketAddress at, boolean anyPort) {
-        String host = at.getAddress().getHostAddress();
-        String whole = "{\"revision\":2,\"complete\":true,\"members\":[" + String.join(",", members) + "]}";
-        String none = "{\"revision\":2,\"complete\":false,\"members\":[]}";
+    /**
+     * Starts discovery, whose list never changes: a long poll is answered with an empty update when its time is over.
+     */
+    private Future<?> startDiscovery(InetSocketAddress address, boolean anyPort) {
+        String host = address.getAddress().getHostAddress();
+        String completeList = "{\"revision\":2,\"complete\":true,\"members\":[" + String.join(",", members) + "]}";
+        String emptyUpdate = "{\"revision\":2,\"complete\":false,\"members\":[]}";
         return vertx.createHttpServer()
-                .requestHandler(r -> {
-                    String hold = r.getParam("hold_ms");
-                    if (hold == null || !hold.matches("\\d{1,5}")) {
-                        r.response().end(whole);
+                .requestHandler(request -> {
+                    String holdMs = request.getParam("hold_ms");
+                    if (holdMs == null || !holdMs.matches("\\d{1,5}")) {
+                        request.response().end(completeList);
                     } else {
                         vertx.setTimer(
-                                Math.max(1, Long.parseLong(hold)),
-                                x -> r.response().end(none));
+                                Math.max(1, Long.parseLong(holdMs)),
+                                ignored -> request.response().end(emptyUpdate));
                     }
                 })
-                .listen(anyPort ? 0 : at.getPort(), host)
-                .onSuccess(s -> {
-                    up.add(s);
-                    discovery = new InetSocketAddress(host, s.actualPort());
+                .listen(anyPort ? 0 : address.getPort(), host)
+                .onSuccess(server -> {
+                    listeners.add(server);
+                    discovery = new InetSocketAddress(host, server.actualPort());
                 });
     }
 
-    private void serve(NetSocket socket, boolean primary) {
-        Buffer held = Buffer.buffer();
-        boolean[] greeted = {false};
-        Buffer[] rest = {held};
-        socket.handler(more -> {
-            Buffer b = rest[0].appendBuffer(more);
+    /** Answers a connection's startup message and its queries; other messages are ignored. */
+    private void handleConnection(NetSocket socket, boolean primary) {
+        Buffer empty = Buffer.buffer();
+        boolean[] startupReceived = {false};
+        Buffer[] incomplete = {empty}; // the bytes of a message that has not arrived completely
+        socket.handler(received -> {
+            Buffer input = incomplete[0].appendBuffer(received);
             int from = 0;
-            for (int head = greeted[0] ? 1 : 0; b.length() - from >= head + 4; head = 1) {
-                int length = b.getInt(from + head);
-                if (b.length() - from < head + length) {
+            // Each message begins with a type byte, except for the startup message.
+            for (int typeBytes = startupReceived[0] ? 1 : 0; input.length() - from >= typeBytes + 4; typeBytes = 1) {
+                int length = input.getInt(from + typeBytes);
+                if (input.length() - from < typeBytes + length) {
                     break;
                 }
-                if (!greeted[0]) {
-                    greeted[0] = true;
-                    socket.write(ready(
+                if (!startupReceived[0]) {
+                    startupReceived[0] = true;
+                    socket.write(readyForQuery(
                             Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0)));
-                } else if (b.getByte(from) == 'Q') {
-                    String text = b.getBuffer(from + 5, from + length).toString(ISO_8859_1);
-                    // a little work, so that there is something to see
-                    vertx.setTimer(2, x -> socket.write(answer(text, primary)));
+                } else if (input.getByte(from) == 'Q') {
+                    String query = input.getBuffer(from + 5, from + length).toString(ISO_8859_1);
+                    // The delay makes latencies visible.
+                    vertx.setTimer(2, ignored -> socket.write(answer(query, primary)));
                 }
-                from += head + length;
+                from += typeBytes + length;
             }
-            rest[0] = b.getBuffer(from, b.length());
+            incomplete[0] = input.getBuffer(from, input.length());
         });
     }
 
-    private Buffer answer(String text, boolean primary) {
+    private Buffer answer(String query, boolean primary) {
         long now = Clock.system().wallMs();
-        String vitals =
+        String loadReport =
                 "x0=" + now / 1000 + "." + String.format("%03d", now % 1000) + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
-        Buffer b = Buffer.buffer();
-        MessageWriter.parameterStatus(b, "rank", primary ? "source" : "copy");
-        MessageWriter.parameterStatus(b, "vitals", vitals);
-        Matcher quoted = QUOTED.matcher(text);
-        String key = quoted.find() ? quoted.group(1) : "";
-        if (text.startsWith("SHOW")) {
-            return row(b, vitals.getBytes(ISO_8859_1), "SHOW");
+        Buffer answer = Buffer.buffer();
+        MessageWriter.parameterStatus(answer, "rank", primary ? "source" : "copy");
+        MessageWriter.parameterStatus(answer, "vitals", loadReport);
+        Matcher literals = QUOTED_LITERAL.matcher(query);
+        String key = literals.find() ? literals.group(1) : "";
+        if (query.startsWith("SHOW")) {
+            return row(answer, loadReport.getBytes(ISO_8859_1), "SHOW");
         }
-        if (text.startsWith("SELECT 1")) {
-            return row(b, "1".getBytes(ISO_8859_1), "SELECT 1");
+        if (query.startsWith("SELECT 1")) {
+            return row(answer, "1".getBytes(ISO_8859_1), "SELECT 1");
         }
-        if (text.startsWith("SELECT")) {
-            MessageWriter.parameterStatus(b, "as_of", Long.toString(now));
-            return row(b, bytes(table.getOrDefault(key, "")), "SELECT 1");
+        if (query.startsWith("SELECT")) {
+            MessageWriter.parameterStatus(answer, "as_of", Long.toString(now));
+            return row(answer, bytes(table.getOrDefault(key, "")), "SELECT 1");
         }
         if (!primary) {
-            return problem(b, "25006", "this is a replica");
+            return error(answer, "25006", "this is a replica");
         }
-        String value = quoted.find() ? quoted.group(1) : "";
+        String value = literals.find() ? literals.group(1) : "";
         table.put(key, value);
-        writtenAt = now;
-        MessageWriter.parameterStatus(b, "as_of", Long.toString(writtenAt));
-        return row(b, bytes(value), "INSERT 0 1");
+        lastWriteMs = now;
+        MessageWriter.parameterStatus(answer, "as_of", Long.toString(lastWriteMs));
+        return row(answer, bytes(value), "INSERT 0 1");
     }
 
+    /** Decodes a literal: a bytea in hexadecimal form ({@code \x...}), or else plain text. */
     private static byte[] bytes(String literal) {
         if (!literal.startsWith("\\x") || literal.length() % 2 != 0) {
             return literal.getBytes(ISO_8859_1);
         }
-        byte[] b = new byte[literal.length() / 2 - 1];
-        for (int i = 0; i < b.length; i++) {
-            b[i] = (byte) (Character.digit(literal.charAt(2 * i + 2), 16) << 4
+        byte[] decoded = new byte[literal.length() / 2 - 1];
+        for (int i = 0; i < decoded.length; i++) {
+            decoded[i] = (byte) (Character.digit(literal.charAt(2 * i + 2), 16) << 4
                     | Character.digit(literal.charAt(2 * i + 3), 16));
         }
-        return b;
+        return decoded;
     }
 
-    private static Buffer row(Buffer b, byte[] value, String tag) {
-        b.appendByte((byte) 'T')
+    /** Appends the messages of an answer that has one row with one column. */
+    private static Buffer row(Buffer answer, byte[] value, String tag) {
+        answer.appendByte((byte) 'T')
                 .appendInt(28)
                 .appendShort((short) 1)
                 .appendString("val")
                 .appendByte((byte) 0);
-        b.appendInt(0)
+        answer.appendInt(0)
                 .appendShort((short) 0)
                 .appendInt(17)
                 .appendShort((short) -1)
                 .appendInt(-1)
                 .appendShort((short) 1);
-        b.appendByte((byte) 'D')
+        answer.appendByte((byte) 'D')
                 .appendInt(10 + value.length)
                 .appendShort((short) 1)
                 .appendInt(value.length)
                 .appendBytes(value);
-        b.appendByte((byte) 'C').appendInt(5 + tag.length()).appendString(tag).appendByte((byte) 0);
-        return ready(b);
+        answer.appendByte((byte) 'C')
+                .appendInt(5 + tag.length())
+                .appendString(tag)
+                .appendByte((byte) 0);
+        return readyForQuery(answer);
     }
 
-    private static Buffer problem(Buffer b, String code, String text) {
-        b.appendByte((byte) 'E').appendInt(4 + 7 + 1 + code.length() + 2 + text.length() + 2 - 1);
-        b.appendString("SERROR").appendByte((byte) 0).appendString("C" + code).appendByte((byte) 0);
-        b.appendString("M" + text).appendByte((byte) 0).appendByte((byte) 0);
-        return ready(b);
+    /** Appends an ErrorResponse message and ReadyForQuery. */
+    private static Buffer error(Buffer answer, String code, String text) {
+        answer.appendByte((byte) 'E').appendInt(4 + 7 + 1 + code.length() + 2 + text.length() + 2 - 1);
+        answer.appendString("SERROR").appendByte((byte) 0).appendString("C" + code).appendByte((byte) 0);
+        answer.appendString("M" + text).appendByte((byte) 0).appendByte((byte) 0);
+        return readyForQuery(answer);
     }
 
-    private static Buffer ready(Buffer b) {
-        return b.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
+    private static Buffer readyForQuery(Buffer answer) {
+        return answer.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
     }
 }
--- a/gateway/src/main/java/ploverdale/dev/Rehearsal.java
+++ b/gateway/src/main/java/ploverdale/dev/WarmUpRun.java
@@ -13,17 +13,17 @@
 import ploverdale.settings.EndpointList;
 
 /**
- * Runs a gateway between stand-in servers and a stand-in client in one process, on free loopback ports. It shows that the
- * program serves on this machine, and runs what a gateway runs while the build records which classes that needs. Never part of
- * a gateway in service. Runs on the event loop.
+ * A warm-up run: a gateway between development servers and a development client, in one process and on free loopback
+ * ports. It shows that the program works on this machine. The build runs it, too, to record the classes that a gateway
+ * loads, for the class data archive. Never part of a gateway in service. Runs on the event loop.
  */
-public final class Rehearsal {
+public final class WarmUpRun {
     private static final int REQUESTS = 60;
     private static final int MAX_RETRIES = 100;
     private static final long RETRY_AFTER_MS = 50;
     private static final int DISTINCT_KEYS = 7;
-    private static final int VALUE_GROWTH_BYTES = 500; // from one request to the next, to cover large values, too
-    private static final String REJECTED = "53300"; // the SQLSTATE of a rejection
+    private static final int VALUE_GROWTH_BYTES = 500; // from one request to the next, so that large values are covered
+    private static final String REJECTED_SQLSTATE = "53300";
     private static final InetSocketAddress ANY_LOOPBACK_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
@@ -32,29 +32,29 @@
     private final DevClient client;
     private int succeeded;
 
-    private Rehearsal(Vertx vertx, ConfigurationFile configuration, DevClient client) {
+    private WarmUpRun(Vertx vertx, ConfigurationFile configuration, DevClient client) {
         this.vertx = vertx;
         this.configuration = configuration;
         this.client = client;
     }
 
     /**
-     * Runs it. May be called on any thread.
+     * Starts the servers and the gateway and sends the requests. May be called on any thread.
      *
-     * @return how many requests succeeded, as a sentence; fails unless all did
+     * @return a sentence that says how many requests succeeded; the future fails unless all did
      */
-    public static Future<String> play(Vertx vertx, Log log, ConfigurationFile configuration) {
+    public static Future<String> start(Vertx vertx, Log log, ConfigurationFile configuration) {
         return DevServers.start(vertx, configuration, true)
                 .compose(servers -> startGateway(vertx, log, configuration, servers))
                 .compose(gateway -> connect(vertx, gateway))
-                .compose(client -> new Rehearsal(vertx, configuration, client).run())
-                .compose(Rehearsal::result);
+                .compose(client -> new WarmUpRun(vertx, configuration, client).run())
+                .compose(WarmUpRun::result);
     }
 
     private static Future<Gateway> startGateway(
             Vertx vertx, Log log, ConfigurationFile configuration, DevServers servers) {
         EndpointList known = new EndpointList(0, true, servers.entries(), List.of());
-        ConfigurationFile rehearsed = new ConfigurationFile(
+        ConfigurationFile adapted = new ConfigurationFile(
                 configuration.name(),
                 ANY_LOOPBACK_PORT,
                 servers.discovery(),
@@ -64,7 +64,7 @@
                 known,
                 null,
                 List.of());
-        return Gateway.builder(vertx, log, rehearsed).start();
+        return Gateway.builder(vertx, log, adapted).start();
     }
 
     private static Future<DevClient> connect(Vertx vertx, Gateway gateway) {
@@ -73,14 +73,17 @@
     }
 
     private static Future<String> result(int succeeded) {
-        String counts = succeeded + " of " + REQUESTS + " ops acked";
+        String counts = succeeded + " of " + REQUESTS + " requests succeeded";
         return succeeded == REQUESTS ? Future.succeededFuture(counts) : Future.failedFuture("only " + counts);
     }
 
-    /** An empty query and one without a comment, then all requests; the future holds how many succeeded. */
+    /**
+     * Sends an empty query, one without the comment of a request, and then all requests; returns how many requests
+     * succeeded.
+     */
     private Future<Integer> run() {
-        return client.ask("")
-                .compose(ignored -> client.ask("SELECT nothing"))
+        return client.query("")
+                .compose(ignored -> client.query("SELECT nothing"))
                 .compose(ignored -> sendFrom(0, 0))
                 .compose(ignored -> client.close())
                 .map(ignored -> succeeded);
@@ -90,8 +93,8 @@
         if (index == REQUESTS) {
             return Future.succeededFuture();
         }
-        return client.ask(query(index, retries)).compose(answer -> {
-            if (answer.contains(REJECTED) && retries < MAX_RETRIES) { // ordinary right after the start
+        return client.query(query(index, retries)).compose(answer -> {
+            if (answer.contains(REJECTED_SQLSTATE) && retries < MAX_RETRIES) { // expected right after the start
                 return vertx.timer(RETRY_AFTER_MS, TimeUnit.MILLISECONDS)
                         .compose(ignored -> sendFrom(index, retries + 1));
             }
@@ -115,7 +118,7 @@
         return "SELECT val FROM state WHERE uid = '" + key + "'" + comment(index, retries, classIndex);
     }
 
-    /** The comment that the gateway reads: the request's id, class, tenant, timeout and group. */
+    /** The comment that the gateway parses: the request's id, class, tenant, timeout and group. */
     private String comment(int index, int retries, int classIndex) {
         String id = Integer.toHexString(0x1000 + 16 * index + retries);
         String className = configuration.settings().requestClasses().get(classIndex);
--- a/gateway/src/main/java/ploverdale/package-info.java
+++ b/gateway/src/main/java/ploverdale/package-info.java
@@ -1,2 +1,5 @@
-/** Owns the entry point of the program, {@link ploverdale.Main}. Never does anything but read the command line. */
+/**
+ * The entry point of the program, {@link ploverdale.Main}, which does nothing but parse the command line and run a
+ * command.
+ */
 package ploverdale;
--- a/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
@@ -8,18 +8,18 @@
 import java.util.List;
 
 /**
- * The configuration of one gateway: the JSON file that EDGE_CONFIG or {@code --config} names, read and checked. Opens no
- * socket and looks up no host name: addresses are numeric.
+ * The configuration of one gateway: the content of the JSON file that EDGE_CONFIG or {@code --config} names, after
+ * validation. Addresses are numeric, so that no host name is ever looked up.
  *
  * @param name the gateway's name, for log lines
- * @param listen where clients connect
- * @param discovery where the discovery agent is reached
- * @param seed of all random draws
- * @param sockets how many descriptors the gateway may use
+ * @param listen the address at which clients connect
+ * @param discovery the address of the discovery agent
+ * @param seed the seed of all random decisions
+ * @param sockets how many file descriptors the gateway may use
  * @param settings the settings of the deployment
  * @param known the endpoint list as it was when the file was written
- * @param peerListen where gossip of other gateways arrives; null where there is none
- * @param peers each gateway's address for gossip, by its number; empty where they are not named
+ * @param peerListen the address at which gossip of other gateways is received; null if no gossip is exchanged
+ * @param peers the gossip address of each gateway, by the gateway's index; empty if the file does not name them
  */
 public record ConfigurationFile(
         String name,
@@ -37,9 +37,9 @@
     private static final int HEXADECIMAL = 16;
 
     /**
-     * Reads the file.
+     * Reads and validates the file.
      *
-     * @throws InvalidSettingsException if it cannot be read, or a field is missing or cannot be used
+     * @throws InvalidSettingsException if the file cannot be read, or a field is missing or invalid
      */
     public static ConfigurationFile read(Path file) {
         String text;
@@ -51,7 +51,7 @@
         return of(JsonFields.parse(SOURCE, text));
     }
 
-    /** The order of the checks decides which of several faults is reported. */
+    /** Validates the fields. If several are invalid, the first one checked is reported, so the order matters. */
     private static ConfigurationFile of(JsonFields fields) {
         fields.require("settings");
         long seed = seed(fields.text("seed"));
@@ -83,7 +83,7 @@
         return (int) sockets;
     }
 
-    /** Null where there are no other gateways, or gossip is not allowed. */
+    /** Returns null if there are no other gateways, or if the settings do not allow gossip. */
     private static InetSocketAddress peerListen(JsonFields fields, GatewaySettings settings) {
         boolean enabled = fields.has("peer_listen")
                 && fields.list("peers").size() > 1
@@ -99,7 +99,7 @@
         int gateways = settings.started().gateways();
         if (!peers.isEmpty() && peers.size() != gateways) {
             throw InvalidSettingsException.ofField(
-                    SOURCE + " with a field peers of " + peers.size() + ", settings with " + gateways + " instances",
+                    SOURCE + ": field peers has " + peers.size() + " addresses, but the settings have " + gateways + " gateways",
                     SOURCE,
                     "peers",
                     peers.size(),
@@ -113,7 +113,7 @@
             return Long.parseUnsignedLong(text, HEXADECIMAL);
         } catch (NumberFormatException notHexadecimal) {
             throw InvalidSettingsException.ofField(
-                    SOURCE + " with a field seed that is no hexadecimal number",
+                    SOURCE + ": field seed is not a hexadecimal number",
                     SOURCE,
                     "seed",
                     text,
@@ -125,11 +125,11 @@
         InetSocketAddress address = NumericAddress.parse(text);
         if (address == null) {
             throw InvalidSettingsException.ofField(
-                    SOURCE + " with a field " + field + " that is no address and port: " + text,
+                    SOURCE + ": field " + field + " is not an IP address with a port: " + text,
                     SOURCE,
                     field,
                     text,
-                    NumericAddress.FORM);
+                    NumericAddress.EXPECTED_FORM);
         }
         return address;
     }
--- a/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
+++ b/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
@@ -9,19 +9,29 @@
 import ploverdale.model.ServerId;
 import ploverdale.model.ZoneId;
 
-/** Reads endpoint lists in the form of the discovery agent. An entry that cannot be used is left out, not an error. */
+/**
+ * Parses endpoint lists in the JSON format of the discovery agent. An invalid entry does not make the list invalid: it
+ * is skipped, and the reason is kept.
+ */
 public final class EndpointListReader {
-    private static final String SOURCE = "a list of servers";
+    private static final String SOURCE = "endpoint list";
     private static final List<String> REQUIRED_FIELDS = List.of("revision", "members");
 
     private EndpointListReader() {}
 
-    /** Reads an answer of the agent. */
+    /**
+     * Parses a response of the agent.
+     *
+     * @throws InvalidSettingsException if it is not such a list
+     */
     public static EndpointList parse(String text, GatewaySettings settings) {
         return read(JsonFields.parse("list", text), settings);
     }
 
-    /** Reads a list. Zones are numbered as in the settings; all that these do not name share the next number. */
+    /**
+     * Reads a list. Zones are numbered as in the settings; all zones that the settings do not name share the next
+     * number.
+     */
     static EndpointList read(JsonFields fields, GatewaySettings settings) {
         for (String field : REQUIRED_FIELDS) {
             if (!fields.has(field)) {
@@ -47,11 +57,11 @@
         InetSocketAddress address = NumericAddress.parse(hostAndPort);
         if (address == null && state != EndpointState.GONE) {
             throw InvalidSettingsException.ofField(
-                    id + " without an address that can be used: " + hostAndPort,
+                    id + ": field host_port is not an IP address with a port: " + hostAndPort,
                     id,
                     "host_port",
                     hostAndPort,
-                    NumericAddress.FORM);
+                    NumericAddress.EXPECTED_FORM);
         }
         int zone = settings.zones().indexOf(fields.text("locality", ""));
         Endpoint endpoint = new Endpoint(
@@ -71,7 +81,7 @@
             case "SERVING" -> EndpointState.IN;
             default ->
                 throw InvalidSettingsException.ofField(
-                        id + " with a phase " + phase, id, "phase", phase, "SERVING, DRAINING or DELETED");
+                        id + ": field phase has an unknown value: " + phase, id, "phase", phase, "SERVING, DRAINING or DELETED");
         };
     }
 }
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -12,14 +12,15 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * Reads and checks the file that switches on what gateways share ({@code serve --fleet FILE}): quota, session positions
- * and write outcomes. Without the file all of it is off; no default, environment variable or missing file stands for it.
+ * Reads and validates the file that enables what gateways share ({@code serve --fleet FILE}): the quota, session
+ * positions and write outcomes. All of it is off unless the command line names a file; there is no default file and no
+ * environment variable for it, and a file that does not exist is an error.
  */
 public final class FleetConfigurationFile {
     private static final String SOURCE = "fleet file";
     private static final long TENTHS_PER_MS = 10;
-    private static final int MAX_UNITS = 60_000; // of one quota
-    private static final int MAX_COPY_WAIT_MS = 150; // less than a graceful shutdown leaves for answers
+    private static final int MAX_UNITS = 60_000; // of one shared limit
+    private static final int MAX_REPLICATION_WAIT_MS = 150; // a graceful shutdown leaves more time for answers
     private static final Set<String> FIELDS = Set.of(
             "tenants",
             "sends_at_server",
@@ -48,9 +49,9 @@
     private FleetConfigurationFile() {}
 
     /**
-     * Reads the file.
+     * Reads and validates the file.
      *
-     * @throws InvalidSettingsException if it cannot be read, or a field is unknown or cannot be used
+     * @throws InvalidSettingsException if the file cannot be read, or a field is unknown or invalid
      */
     public static QuotaSettings read(Path file) {
         String text;
@@ -64,7 +65,7 @@
         QuotaSettings settings = quotaSettings(fields);
         if (!settings.any()) {
             throw new InvalidSettingsException(
-                    SOURCE + " with nothing to divide or keep: none of the fields tenants, sends_at_server, "
+                    SOURCE + " enables nothing: it has none of the fields tenants, sends_at_server, "
                             + "cold_sends_at_server, second_sends_per_second, probes_per_second, sessions and submits");
         }
         return settings;
@@ -88,17 +89,17 @@
                 replicationSettings(fields));
     }
 
-    /** Null where neither sessions nor writes are replicated. */
+    /** Returns null if neither session positions nor write outcomes are replicated. */
     private static ReplicationSettings replicationSettings(JsonFields fields) {
         if (!fields.has("sessions") && !fields.has("submits")) {
-            refuseReplicationFields(fields);
+            rejectReplicationFields(fields);
             return null;
         }
         JsonFields sessions = fields.object("sessions");
         sessions.allowOnly(SESSIONS_FIELDS);
         JsonFields submits = fields.object("submits");
         submits.allowOnly(SUBMITS_FIELDS);
-        Set<String> waitingClasses = classesThatWaitForCopies(fields);
+        Set<String> synchronousClasses = synchronousClasses(fields);
         return new ReplicationSettings(
                 (int) numberWithin(fields, "copies", 3, 1, 5),
                 fields.has("sessions"),
@@ -106,26 +107,28 @@
                 tenths(fields, "ask_ms", 40, 1, 1000),
                 fields.has("submits") ? tenths(submits, "window_ms", 20_000, 100, 600_000) : 0,
                 submits.flag("retries_marked"),
-                waitingClasses,
-                tenths(fields, "wait_ms", 100, 1, MAX_COPY_WAIT_MS),
+                synchronousClasses,
+                tenths(fields, "wait_ms", 100, 1, MAX_REPLICATION_WAIT_MS),
                 (int) numberWithin(fields, "facts_most", 200_000, 100, 1_000_000),
                 tenths(fields, "wall_clocks_apart_ms", 100, 0, 10_000));
     }
 
-    private static void refuseReplicationFields(JsonFields fields) {
+    /** Throws if a field is present that has no effect without sessions or submits. */
+    private static void rejectReplicationFields(JsonFields fields) {
         for (String field : REPLICATION_FIELDS) {
             if (fields.has(field)) {
                 throw InvalidSettingsException.ofField(
-                        SOURCE + " with a field " + field + " and neither sessions nor submits",
+                        SOURCE + ": field " + field + " requires sessions or submits",
                         SOURCE,
                         field,
                         "a value",
-                        "no such field, or one of sessions and submits");
+                        "no such field, or also one of sessions and submits");
             }
         }
     }
 
-    private static Set<String> classesThatWaitForCopies(JsonFields fields) {
+    /** Returns the names of the request classes whose writes wait until they are replicated. */
+    private static Set<String> synchronousClasses(JsonFields fields) {
         Set<String> names = new HashSet<>();
         for (Object name : fields.list("wait_for_copies")) {
             names.add(String.valueOf(name));
@@ -134,47 +137,48 @@
     }
 
     /**
-     * Checks the file against the gateway's settings.
+     * Validates the file against the settings of the gateway.
      *
-     * @return the same settings
-     * @throws InvalidSettingsException if a field does not go with them
+     * @return the given quota settings
+     * @throws InvalidSettingsException if a field is incompatible with the settings of the gateway
      */
-    public static QuotaSettings fits(QuotaSettings quotaSettings, GatewaySettings gatewaySettings) {
+    public static QuotaSettings requireCompatible(QuotaSettings quotaSettings, GatewaySettings gatewaySettings) {
         ReplicationSettings replication = quotaSettings.replication();
         if (replication == null) {
             return quotaSettings;
         }
         for (String name : replication.synchronousClasses()) {
             if (!gatewaySettings.requestClasses().contains(name)) {
-                throw misfit("wait_for_copies", " that names no op type: " + name, name, "names of request classes");
+                throw incompatible("wait_for_copies", " names an unknown request class: " + name, name, "names of request classes");
             }
         }
         if (replication.replicatesSessions()
                 && gatewaySettings.started().replicaGuarantees().requestsCarryPositions()) {
-            throw misfit("sessions", " where clients bring their sessions' positions", "a value", "no such field");
+            throw incompatible("sessions", " is not allowed where requests carry their sessions' positions", "a value", "no such field");
         }
         int gateways = gatewaySettings.started().gateways();
         int maxGateways = ReplicationSettings.maxGateways();
         if (gateways > maxGateways) {
-            throw misfit("copies", " for over " + maxGateways + " gateways", gateways, "at most " + maxGateways);
+            throw incompatible("copies", " is not allowed with more than " + maxGateways + " gateways", gateways, "at most " + maxGateways);
         }
         return quotaSettings;
     }
 
-    private static InvalidSettingsException misfit(String field, String reason, Object found, String wanted) {
-        String message = SOURCE + " with a field " + field + reason;
-        return InvalidSettingsException.ofField(message, SOURCE, field, found, wanted);
+    private static InvalidSettingsException incompatible(String field, String reason, Object found, String expected) {
+        String message = SOURCE + ": field " + field + reason;
+        return InvalidSettingsException.ofField(message, SOURCE, field, found, expected);
     }
 
     private static int units(JsonFields fields, String name) {
         return (int) numberWithin(fields, name, 0, 0, MAX_UNITS);
     }
 
-    /** Whole milliseconds, as tenths of a millisecond. */
+    /** Returns a duration in tenths of a millisecond; fractions of a millisecond are dropped. */
     private static long tenths(JsonFields fields, String name, double defaultMs, double minMs, double maxMs) {
         return (long) numberWithin(fields, name, defaultMs, minMs, maxMs) * TENTHS_PER_MS;
     }
 
+    /** Returns a number, or the default if the field is absent; throws if it is not between the bounds, inclusive. */
     private static double numberWithin(JsonFields fields, String name, double defaultValue, double min, double max) {
         double value = fields.number(name, defaultValue);
         boolean within = value >= min && value <= max; // false for NaN
--- a/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
+++ b/gateway/src/main/java/ploverdale/settings/GatewaySettings.java
@@ -12,18 +12,18 @@
 import ploverdale.model.Tenant;
 
 /**
- * The settings of a deployment, read for the simulator's wire and for a gateway in service alike: what the router is
- * started with, and what is needed to decode names and load reports. Chooses nothing. Immutable; times are tenths of a
+ * The settings of a deployment, in the format that the configuration file and the simulator's wire share: what the
+ * router is started with, and what is needed to decode names and load reports. Immutable. Times are tenths of a
  * millisecond unless a name says otherwise.
  */
 public final class GatewaySettings {
     private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1000;
     private static final double DEFAULT_IDLE_CLOSE_MS = 10_000;
-    private static final int PRIMARY_ROLE = 1; // on the wire
+    private static final int PRIMARY_ROLE = 1; // in load reports
 
     private final Event.Started started;
     private final double positionZeroMs;
-    private final boolean positionsInNotes;
+    private final boolean positionsInAnswers;
     private final List<String> reportFields;
     private final boolean reportsInAnswers;
     private final boolean reportsInHealthChecks;
@@ -34,88 +34,88 @@
     private final long idleLimit;
 
     /**
-     * @param seed of all random draws
-     * @throws InvalidSettingsException if a field is missing or cannot be used
+     * @param seed the seed of all random decisions
+     * @throws InvalidSettingsException if a field is missing or invalid
      */
     public GatewaySettings(long seed, JsonFields fields) {
         JsonFields specifics = fields.object("specifics");
         positionZeroMs = specifics.number("positionZeroMs", 0);
-        positionsInNotes = specifics.flag("positions");
-        reportFields = texts(fields.object("report"), "fields");
+        positionsInAnswers = specifics.flag("positions");
+        reportFields = strings(fields.object("report"), "fields");
         String reportedBy = fields.object("report").text("via", "silent");
         reportsInAnswers = reportedBy.equals("piggyback");
         reportsInHealthChecks = reportsInAnswers || reportedBy.equals("pull");
         requestClasses = names(fields, "profiles");
         tenants = names(fields, "accounts");
-        zones = texts(fields, "zones");
+        zones = strings(fields, "zones");
         JsonFields limits = fields.object("policyLimits");
         connectLimit = JsonFields.tenthsRoundedUp(limits.number("connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS));
         idleLimit = JsonFields.tenthsRoundedDown(limits.number("idleCloseMs", DEFAULT_IDLE_CLOSE_MS));
         started = started(seed, fields, specifics);
     }
 
-    /** What the router is started with. */
+    /** Returns the event with which the router is started. */
     public Event.Started started() {
         return started;
     }
 
-    /** The Unix time, in milliseconds, from which positions in reports are counted. */
+    /** Returns the Unix time in milliseconds that is the origin of positions in load reports. */
     public double positionZeroMs() {
         return positionZeroMs;
     }
 
-    /** Whether the note that comes with an answer has a position. */
-    public boolean positionsInNotes() {
-        return positionsInNotes;
+    /** Returns whether answers carry the server's position beside its role. */
+    public boolean positionsInAnswers() {
+        return positionsInAnswers;
     }
 
-    /** Whether answers carry a load report. */
+    /** Returns whether answers carry a load report. */
     public boolean reportsInAnswers() {
         return reportsInAnswers;
     }
 
-    /** Whether health checks are answered with a load report. */
+    /** Returns whether health checks are answered with a load report. */
     public boolean reportsInHealthChecks() {
         return reportsInHealthChecks;
     }
 
-    /** Names of the values in a report, in the order of the simulator's wire. */
+    /** Returns the names of the values in a load report, in their order on the simulator's wire. */
     public List<String> reportFields() {
         return reportFields;
     }
 
-    /** Names of the request classes, by index. */
+    /** Returns the names of the request classes, by index. */
     public List<String> requestClasses() {
         return requestClasses;
     }
 
-    /** Names of the tenants, by index. */
+    /** Returns the names of the tenants, by index. */
     public List<String> tenants() {
         return tenants;
     }
 
-    /** Names of the zones, by number. */
+    /** Returns the names of the zones, by number. */
     public List<String> zones() {
         return zones;
     }
 
-    /** Within which a connection must be made. */
+    /** Returns the time within which a connection to a server must be established. */
     public long connectLimit() {
         return connectLimit;
     }
 
-    /** After which a server closes an idle connection. */
+    /** Returns the time after which a server closes an idle connection. */
     public long idleLimit() {
         return idleLimit;
     }
 
     /**
-     * A load report from its values, each of which is null where it is absent.
+     * Creates a load report from its values, each of which is null if it is absent.
      *
-     * @param position in seconds since the zero
+     * @param position in seconds since the origin of positions
      * @param role 1 for a primary, any other number for a replica
-     * @param busy utilization
-     * @param zeroMs the Unix time, in milliseconds, from which positions are counted
+     * @param busy utilization of the server
+     * @param zeroMs the origin of positions: a Unix time in milliseconds
      */
     public static LoadReport report(Double position, Double role, Double busy, double zeroMs) {
         return new LoadReport(
@@ -131,7 +131,7 @@
         return role.intValue() == PRIMARY_ROLE ? Role.PRIMARY : Role.REPLICA;
     }
 
-    private static List<String> texts(JsonFields fields, String list) {
+    private static List<String> strings(JsonFields fields, String list) {
         return fields.list(list).stream().map(String::valueOf).toList();
     }
 
--- a/gateway/src/main/java/ploverdale/settings/InvalidSettingsException.java
+++ b/gateway/src/main/java/ploverdale/settings/InvalidSettingsException.java
@@ -1,9 +1,9 @@
 package ploverdale.settings;
 
 /**
- * A configuration, settings or message from outside that cannot be used. The message is one line that names the source
- * and the field; where the fault is that of one field, source, field, what was found and what is wanted are available
- * each by itself.
+ * Thrown if a configuration file, settings or a message from outside is invalid. The exception's message is one line
+ * that names the source and the field. If a single field is at fault, the accessors return the source, the field, the
+ * value found and the value expected.
  */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -11,67 +11,70 @@
     private final String source;
     private final String field;
     private final String found;
-    private final String wanted;
+    private final String expected;
 
-    /** A fault that is not that of one field. */
+    /** Creates an exception for a fault that does not belong to a single field. */
     public InvalidSettingsException(String message) {
         this(message, null, null, null, null);
     }
 
-    private InvalidSettingsException(String message, String source, String field, String found, String wanted) {
+    private InvalidSettingsException(String message, String source, String field, String found, String expected) {
         super(message);
         this.source = source;
         this.field = field;
         this.found = found;
-        this.wanted = wanted;
+        this.expected = expected;
     }
 
-    /** A fault of one field, in words of its own; see the accessors for the parameters. */
+    /** Creates an exception for a single field, with the given message; for the other parameters see the accessors. */
     public static InvalidSettingsException ofField(
-            String message, String source, String field, Object found, String wanted) {
-        return new InvalidSettingsException(message, source, field, String.valueOf(found), wanted);
+            String message, String source, String field, Object found, String expected) {
+        return new InvalidSettingsException(message, source, field, String.valueOf(found), expected);
     }
 
-    /** A required field is absent. */
+    /** Creates an exception for a required field that is absent. */
     public static InvalidSettingsException missingField(String source, String field) {
-        return new InvalidSettingsException(source + " without field " + field, source, field, "nothing", "a value");
+        return new InvalidSettingsException(source + ": field " + field + " is missing", source, field, "nothing", "a value");
     }
 
-    /** A field that nothing reads. */
+    /** Creates an exception for a field that is not defined. */
     public static InvalidSettingsException unknownField(String source, String field) {
         return new InvalidSettingsException(
-                source + " with an unknown field " + field, source, field, "an unknown field", "a known field");
+                source + ": unknown field " + field, source, field, "an unknown field", "a known field");
     }
 
-    /** A field whose value has another JSON type. */
-    public static InvalidSettingsException wrongType(String source, String field, Object found, String wanted) {
-        String message = source + " with a field " + field + " of the wrong form";
-        return ofField(message, source, field, found, wanted);
+    /** Creates an exception for a field whose value has the wrong JSON type. */
+    public static InvalidSettingsException wrongType(String source, String field, Object found, String expected) {
+        String message = source + ": field " + field + " has the wrong type";
+        return ofField(message, source, field, found, expected);
     }
 
-    /** A number that is too small or too large. */
-    public static InvalidSettingsException outOfRange(String source, String field, Number found, String wanted) {
-        String message = source + " with a field " + field + " out of range: " + found;
-        return ofField(message, source, field, found, wanted);
+    /** Creates an exception for a number that is too small or too large. */
+    public static InvalidSettingsException outOfRange(String source, String field, Number found, String expected) {
+        String message = source + ": field " + field + " is out of range: " + found;
+        return ofField(message, source, field, found, expected);
     }
 
-    /** The file, message or part of one that is at fault, as the message names it; null where it is not one field's. */
+    /**
+     * Returns the file, message or object that has the field, as the message names it; null if no single field is at
+     * fault.
+     */
     public String source() {
         return source;
     }
 
-    /** The name of the field; null where the fault is not one field's. */
+    /** Returns the name of the field; null if no single field is at fault. */
     public String field() {
         return field;
     }
 
-    /** The value found; null where the fault is not one field's. */
+    /** Returns the value found; null if no single field is at fault. */
     public String found() {
         return found;
     }
 
-    /** What the value has to be; null where the fault is not one field's. */
-    public String wanted() {
-        return wanted;
+    /** Returns a description of the valid values; null if no single field is at fault. */
+    public String expected() {
+        return expected;
     }
 }
--- a/gateway/src/main/java/ploverdale/settings/JsonFields.java
+++ b/gateway/src/main/java/ploverdale/settings/JsonFields.java
@@ -12,23 +12,25 @@
 import java.util.Set;
 
 /**
- * The fields of one JSON object, read by name. A field that is null counts as absent. A value of another type than asked
- * for is an {@link InvalidSettingsException} that names owner and field. Immutable.
+ * Reads the fields of one JSON object by name. A field whose value is null counts as absent. The methods throw an
+ * {@link InvalidSettingsException}, which names the owner and the field, if a required field is absent or a value has
+ * another type than requested. Immutable.
  */
 public final class JsonFields {
     private final String owner;
     private final Map<String, Object> values;
 
-    /** @param owner how messages name the object */
+    /** @param owner the name of the object in error messages */
     public JsonFields(String owner, Map<String, Object> values) {
         this.owner = owner;
         this.values = values;
     }
 
     /**
-     * The fields of a text that is one JSON object.
+     * Parses a text that consists of one JSON object.
      *
-     * @param owner how messages name the text
+     * @param owner the name of the text in error messages
+     * @throws InvalidSettingsException if the text is not a JSON object
      */
     public static JsonFields parse(String owner, String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
@@ -43,7 +45,7 @@
         }
     }
 
-    /** Reads the value at the parser's current token: a map, list, string, long, double, boolean or null. */
+    /** Reads the value at the parser's current token; returns a map, list, string, long, double, boolean or null. */
     public static Object read(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT:
@@ -83,7 +85,7 @@
         return elements;
     }
 
-    /** A long, or a double where it does not fit one. */
+    /** Returns a long, or a double if the number does not fit into a long. */
     private static Object readInteger(JsonParser parser) throws IOException {
         if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
             return parser.getDoubleValue();
@@ -92,9 +94,10 @@
     }
 
     /**
-     * The fields of a value that has to be an object.
+     * Returns the fields of a value that has to be a JSON object.
      *
-     * @param owner how messages name the value
+     * @param owner the name of the value in error messages
+     * @throws InvalidSettingsException if the value is not an object
      */
     public static JsonFields of(String owner, Object value) {
         if (!(value instanceof Map<?, ?> map)) {
@@ -105,7 +108,7 @@
         return new JsonFields(owner, copy);
     }
 
-    /** Fails if there is a field that is not among these. */
+    /** Throws if there is a field whose name is not among these. */
     public void allowOnly(Set<String> names) {
         for (String name : values.keySet()) {
             if (!names.contains(name)) {
@@ -114,12 +117,12 @@
         }
     }
 
-    /** Whether the field is present and not null. */
+    /** Returns whether the field is present and not null. */
     public boolean has(String name) {
         return values.get(name) != null;
     }
 
-    /** Fails if the field is absent. */
+    /** Throws if the field is absent. */
     public void require(String name) {
         required(name);
     }
@@ -132,11 +135,11 @@
         return value;
     }
 
-    private InvalidSettingsException wrongType(String name, String wanted) {
-        return InvalidSettingsException.wrongType(owner, name, values.get(name), wanted);
+    private InvalidSettingsException wrongType(String name, String expected) {
+        return InvalidSettingsException.wrongType(owner, name, values.get(name), expected);
     }
 
-    /** A required string. */
+    /** Returns a required string. */
     public String text(String name) {
         if (required(name) instanceof String text) {
             return text;
@@ -144,12 +147,12 @@
         throw wrongType(name, "a string");
     }
 
-    /** A string, or the default where the field is absent. */
+    /** Returns a string, or the default if the field is absent. */
     public String text(String name, String defaultValue) {
         return has(name) ? text(name) : defaultValue;
     }
 
-    /** A required whole number; the fraction of another one is cut off. */
+    /** Returns a required number without its fraction. */
     public long integer(String name) {
         if (required(name) instanceof Number number) {
             return number.longValue();
@@ -157,12 +160,12 @@
         throw wrongType(name, "a number");
     }
 
-    /** A whole number, or the default where the field is absent; the fraction of another one is cut off. */
+    /** Returns a number without its fraction, or the default if the field is absent. */
     public long integer(String name, long defaultValue) {
         return has(name) ? integer(name) : defaultValue;
     }
 
-    /** A required number. */
+    /** Returns a required number. */
     public double number(String name) {
         if (required(name) instanceof Number number) {
             return number.doubleValue();
@@ -170,23 +173,23 @@
         throw wrongType(name, "a number");
     }
 
-    /** A number, or the default where the field is absent. */
+    /** Returns a number, or the default if the field is absent. */
     public double number(String name, double defaultValue) {
         return has(name) ? number(name) : defaultValue;
     }
 
-    /** Whether the field is {@code true}; anything else, or an absent field, counts as false. */
+    /** Returns whether the field is {@code true}; false for any other value and if the field is absent. */
     public boolean flag(String name) {
         return Boolean.TRUE.equals(values.get(name));
     }
 
-    /** The fields of a nested object; none where the field is absent. */
+    /** Returns the fields of a nested object; without any fields if the object is absent. */
     public JsonFields object(String name) {
         String nestedOwner = owner + "." + name;
         return has(name) ? of(nestedOwner, values.get(name)) : new JsonFields(nestedOwner, Map.of());
     }
 
-    /** The elements of an array, a copy; none where the field is absent. */
+    /** Returns a copy of the elements of an array; empty if the field is absent. */
     public List<Object> list(String name) {
         if (!has(name)) {
             return List.of();
@@ -197,12 +200,12 @@
         throw wrongType(name, "an array");
     }
 
-    /** Milliseconds to tenths of a millisecond, rounded down. */
+    /** Converts milliseconds to tenths of a millisecond, rounded down. */
     public static long tenthsRoundedDown(double milliseconds) {
         return Math.floorDiv(Math.round(milliseconds * 1000), 100);
     }
 
-    /** Milliseconds to tenths of a millisecond, rounded up. */
+    /** Converts milliseconds to tenths of a millisecond, rounded up. */
     public static long tenthsRoundedUp(double milliseconds) {
         return -Math.floorDiv(-Math.round(milliseconds * 1000), 100);
     }
--- a/gateway/src/main/java/ploverdale/settings/NumericAddress.java
+++ b/gateway/src/main/java/ploverdale/settings/NumericAddress.java
@@ -5,10 +5,10 @@
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
 
-/** Reads an IP address with its port. A host name is none: nothing is ever looked up. */
+/** Parses an IP address with a port. Host names are rejected, so that nothing is ever looked up. */
 final class NumericAddress {
-    /** What messages ask for. */
-    static final String FORM = "an IP address and a port";
+    /** Describes the valid form in error messages. */
+    static final String EXPECTED_FORM = "an IP address and a port";
 
     private static final Pattern IPV4 = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
     private static final Pattern IPV6 = Pattern.compile("\\[[0-9a-fA-F:.]+\\]");
@@ -16,7 +16,7 @@
 
     private NumericAddress() {}
 
-    /** The address, or null where the text is none. */
+    /** Returns the address, or null if the text is not an IP address with a port. */
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
--- a/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationFileTest.java
@@ -15,9 +15,9 @@
 import ploverdale.settings.EndpointList;
 import ploverdale.settings.InvalidSettingsException;
 
-/** What a gateway is told at its start, and what it says of a file it cannot use. */
+/** Reading a gateway's configuration file: the values read, and the errors reported for an invalid file. */
 class ConfigurationFileTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             {"name":"n1","listen":"127.0.0.1:7000","discovery":"127.0.0.1:7001","seed":"ffffffffffffffff",
             "limits":{"sockets":256},"known":{"revision":3,"complete":true,"members":[
             {"id":"a","host_port":"127.0.0.1:7100","locality":"z2","cell":4,"phase":"SERVING","up_since_ms":12},
@@ -34,17 +34,17 @@
     }
 
     @Test
-    void entriesWithoutAUsableAddressAreLeftOutAndNamed() throws IOException {
-        ConfigurationFile f = read(GOOD);
-        assertThat(f.seed()).isEqualTo(-1);
-        assertThat(f.known().entries()).hasSize(2);
-        EndpointList.Entry a = f.known().entries().get(0);
-        assertThat(a.address().getPort()).isEqualTo(7100);
-        assertThat(a.endpoint().zone().number()).isEqualTo(1);
-        assertThat(a.endpoint().startedAt()).isEqualTo(120);
-        assertThat(f.known().entries().get(1).endpoint().state()).isEqualTo(EndpointState.GONE);
-        assertThat(f.known().leftOut()).hasSize(2);
-        assertThat(f.known().leftOut().get(0)).contains("b").contains("db.example");
+    void endpointsWithoutValidAddressAreSkippedAndReported() throws IOException {
+        ConfigurationFile configuration = read(VALID);
+        assertThat(configuration.seed()).isEqualTo(-1);
+        assertThat(configuration.known().entries()).hasSize(2);
+        EndpointList.Entry first = configuration.known().entries().get(0);
+        assertThat(first.address().getPort()).isEqualTo(7100);
+        assertThat(first.endpoint().zone().number()).isEqualTo(1);
+        assertThat(first.endpoint().startedAt()).isEqualTo(120);
+        assertThat(configuration.known().entries().get(1).endpoint().state()).isEqualTo(EndpointState.GONE);
+        assertThat(configuration.known().leftOut()).hasSize(2);
+        assertThat(configuration.known().leftOut().get(0)).contains("b").contains("db.example");
     }
 
     @ParameterizedTest
@@ -56,10 +56,10 @@
                 "\"limits\":{\"sockets\":256}, | limits", "\"sockets\":256 | sockets", "\"revision\":3, | revision",
                 "\"discovery\":\"127.0.0.1:7001\", | discovery", ",\"deadlineMs\":20 | deadlineMs"
             })
-    void aFieldThatLacksIsNamed(String left, String named) {
-        assertThatThrownBy(() -> read(GOOD.replace(left, "")))
+    void missingFieldIsNamed(String removed, String field) {
+        assertThatThrownBy(() -> read(VALID.replace(removed, "")))
                 .isInstanceOf(InvalidSettingsException.class)
-                .hasMessageContaining(named);
+                .hasMessageContaining(field);
     }
 
     @ParameterizedTest
@@ -75,14 +75,14 @@
                 "\"n1\" | 7 | name",
                 "\"aimMs\":10 | \"aimMs\":\"soon\" | aimMs"
             })
-    void aFieldOfTheWrongFormIsNamed(String right, String wrong, String named) {
-        assertThatThrownBy(() -> read(GOOD.replace(right, wrong)))
+    void invalidFieldIsNamed(String valid, String invalid, String field) {
+        assertThatThrownBy(() -> read(VALID.replace(valid, invalid)))
                 .isInstanceOf(InvalidSettingsException.class)
-                .hasMessageContaining(named);
+                .hasMessageContaining(field);
     }
 
     @Test
-    void aFileThatLacksOrIsNotJsonIsSaidSo() {
+    void missingOrMalformedFileIsReported() {
         assertThatThrownBy(() -> ConfigurationFile.read(dir.resolve("none.json")))
                 .isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("none.json");
@@ -95,22 +95,22 @@
     }
 
     @Test
-    void otherInstancesAreHeardOnlyWhereWordsAreAllowedAndThereAreSome() throws IOException {
-        String two = GOOD.replace(
+    void gossipAddressIsSetOnlyIfGossipIsAllowedAndThereAreOtherGateways() throws IOException {
+        String twoGateways = VALID.replace(
                         "\"limits\"",
                         "\"peer_listen\":\"127.0.0.1:7200\",\"peers\":[\"127.0.0.1:7200\","
                                 + "\"127.0.0.1:7201\"],\"limits\"")
                 .replace("\"zones\"", "\"balancers\":2,\"zones\"");
-        assertThat(read(two).peerListen()).isNull();
-        String allowed = two.replace("\"zones\"", "\"policyLimits\":{\"peerMessages\":true},\"zones\"");
-        assertThat(read(allowed).peerListen().getPort()).isEqualTo(7200);
-        assertThat(read(allowed).peers())
+        assertThat(read(twoGateways).peerListen()).isNull();
+        String gossipAllowed = twoGateways.replace("\"zones\"", "\"policyLimits\":{\"peerMessages\":true},\"zones\"");
+        assertThat(read(gossipAllowed).peerListen().getPort()).isEqualTo(7200);
+        assertThat(read(gossipAllowed).peers())
                 .extracting(java.net.InetSocketAddress::getPort)
                 .containsExactly(7200, 7201);
-        assertThat(read(allowed.replace(",\"127.0.0.1:7201\"", "").replace("\"balancers\":2", "\"balancers\":1"))
+        assertThat(read(gossipAllowed.replace(",\"127.0.0.1:7201\"", "").replace("\"balancers\":2", "\"balancers\":1"))
                         .peerListen())
                 .isNull();
-        assertThatThrownBy(() -> read(allowed.replace("\"balancers\":2", "\"balancers\":3")))
+        assertThatThrownBy(() -> read(gossipAllowed.replace("\"balancers\":2", "\"balancers\":3")))
                 .isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("peers");
     }
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedDayTest.java
+++ b/gateway/src/test/java/ploverdale/benchlink/RecordedScenarioTest.java
@@ -12,29 +12,32 @@
 import java.util.zip.GZIPInputStream;
 import org.junit.jupiter.api.Test;
 
-/** Decisions stay byte for byte what they were on a recorded day; {@link RecordedDay} records it anew. */
-class RecordedDayTest {
-    private static final String DAY = "/benchlink/recorded-day.jsonl.gz";
-    private static final int LEAST_BATCHES = 500;
+/**
+ * Replays the input of a recorded scenario and compares the replies byte for byte, to detect unintended changes of
+ * decisions. {@link ScenarioRecorder} makes a new recording.
+ */
+class RecordedScenarioTest {
+    private static final String RECORDING = "/benchlink/recorded-day.jsonl.gz";
+    private static final int MIN_BATCHES = 500;
 
     @Test
-    void repliesToARecordedDayAreUnchanged() throws IOException {
+    void repliesToRecordedInputAreUnchanged() throws IOException {
         List<String> input = new ArrayList<>();
-        List<String> recorded = new ArrayList<>();
+        List<String> expected = new ArrayList<>();
         List<String> lines = recordedLines();
         for (int i = 0; i + 1 < lines.size(); i += 2) {
             input.add(lines.get(i));
-            recorded.add(lines.get(i + 1));
+            expected.add(lines.get(i + 1));
         }
-        assertThat(input).hasSizeGreaterThan(LEAST_BATCHES);
-        assertThat(String.join("\n", recorded))
+        assertThat(input).hasSizeGreaterThan(MIN_BATCHES);
+        assertThat(String.join("\n", expected))
                 .contains("\"ROUTE\"", "\"BOUNCE\"", "\"TOUCH\"", "\"BROADCAST_TO\"", " silent: ");
-        assertThat(replies(input)).isEqualTo(recorded);
+        assertThat(replies(input)).isEqualTo(expected);
     }
 
     private static List<String> recordedLines() throws IOException {
-        try (InputStream day = new GZIPInputStream(RecordedDayTest.class.getResourceAsStream(DAY))) {
-            return new String(day.readAllBytes(), StandardCharsets.UTF_8)
+        try (InputStream recording = new GZIPInputStream(RecordedScenarioTest.class.getResourceAsStream(RECORDING))) {
+            return new String(recording.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
                     .toList();
         }
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedActions.java
+++ b/gateway/src/test/java/ploverdale/benchlink/ReplyActions.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import ploverdale.settings.JsonFields;
 
-/** Reads the actions of one reply line of the simulator's wire. */
-final class RecordedActions {
-    private RecordedActions() {}
+/** Parses the actions in one line of output of the simulator's wire. */
+final class ReplyActions {
+    private ReplyActions() {}
 
     /** One action with its fields. */
     record Action(String name, JsonFields fields) {
@@ -28,7 +28,7 @@
         }
     }
 
-    static List<Action> read(String reply) {
+    static List<Action> parse(String reply) {
         try (JsonParser parser = new JsonFactory().createParser(reply)) {
             parser.nextToken();
             List<Action> actions = new ArrayList<>();
--- a/gateway/src/test/java/ploverdale/benchlink/RecordedDay.java
+++ b/gateway/src/test/java/ploverdale/benchlink/ScenarioRecorder.java
@@ -20,18 +20,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Records a short simulated day: three gateways before six database servers in two groups, with a replica that hangs, one
- * that drains, a primary that restarts cold and clients that leave. The simulated servers react to what the gateways do, so
- * the recorded input is what a simulator would have sent; {@link RecordedDayTest} replays it without them.
+ * Records a short scenario: three gateways with six database servers in two groups, of which one replica hangs, another
+ * one drains and a primary restarts, and with clients that disconnect. The simulated servers react to what the gateways
+ * do, so the recorded input is what a simulator would have sent. {@link RecordedScenarioTest} replays the input alone.
  *
- * <p>Run {@link #main} with the file to write when decisions are changed on purpose, and say so in the commit.
+ * <p>If decisions are changed on purpose, run {@link #main} with the file to write, and say so in the commit.
  */
-final class RecordedDay {
+final class ScenarioRecorder {
     private static final int GATEWAYS = 3;
     private static final int GROUPS = 2;
     private static final int SERVERS_PER_GROUP = 3;
     private static final double START_MS = 1_000_000;
-    private static final double DAY_MS = 6_000;
+    private static final double SCENARIO_MS = 6_000;
     private static final double TICK_MS = 5;
     private static final double MEAN_BETWEEN_REQUESTS_MS = 12;
     private static final double GOSSIP_DELAY_MS = 2;
@@ -41,29 +41,29 @@
     private static final double RESTART_AT_MS = START_MS + 3_600;
     private static final long SEED = 20_261_202L;
 
-    /** An event that is to reach a gateway at a time. */
-    private record Due(double atMs, long order, String event) {}
+    /** A scheduled event, in JSON; events of the same time are delivered in the order in which they were scheduled. */
+    private record ScheduledEvent(double atMs, long order, String event) {}
 
     private final SplittableRandom random = new SplittableRandom(SEED);
-    private final PriorityQueue<Due> events = new PriorityQueue<>(
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
             (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
-    private final Map<String, Integer> attempts = new LinkedHashMap<>();
-    private final LineExchange gatewayProcess = new LineExchange();
+    private final Map<String, Integer> attemptsByRequest = new LinkedHashMap<>();
+    private final LineExchange benchLink = new LineExchange();
     private final List<String> lines = new ArrayList<>();
-    private long order;
+    private long nextOrder;
     private double now = START_MS;
 
-    private RecordedDay() {}
+    private ScenarioRecorder() {}
 
-    /** Writes input and reply lines in turn to the named file. */
+    /** Writes the input lines, each followed by its reply, to the file that the first argument names. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        RecordedDay day = new RecordedDay();
-        day.play();
-        Files.write(Path.of(args[0]), day.lines, StandardCharsets.UTF_8);
-        System.out.println(day.lines.size() / 2 + " batches, seed " + SEED);
+        ScenarioRecorder recorder = new ScenarioRecorder();
+        recorder.run();
+        Files.write(Path.of(args[0]), recorder.lines, StandardCharsets.UTF_8);
+        System.out.println(recorder.lines.size() / 2 + " batches, seed " + SEED);
     }
 
-    private void play() throws IOException, InterruptedException {
+    private void run() throws IOException, InterruptedException {
         schedule(START_MS, serverList(0, "IN", 0));
         for (int gateway = 0; gateway < GATEWAYS; gateway++) {
             schedule(START_MS, boot(gateway));
@@ -71,11 +71,11 @@
             scheduleRequest(gateway, START_MS + 200);
         }
         scheduleListChanges();
-        while (now < START_MS + DAY_MS) {
+        while (now < START_MS + SCENARIO_MS) {
             now += TICK_MS;
-            playTick();
+            runTick();
         }
-        gatewayProcess.close();
+        benchLink.close();
     }
 
     private void scheduleListChanges() {
@@ -87,7 +87,7 @@
         }
     }
 
-    private void playTick() throws IOException {
+    private void runTick() throws IOException {
         List<String> batch = new ArrayList<>();
         while (!events.isEmpty() && events.peek().atMs <= now) {
             batch.add(events.poll().event);
@@ -96,20 +96,21 @@
             return;
         }
         String input = "{\"timeMs\":" + ms(now) + ",\"news\":[" + String.join(",", batch) + "]}";
-        String reply = gatewayProcess.exchange(input);
+        String reply = benchLink.exchange(input);
         lines.add(input);
         lines.add(reply);
-        RecordedActions.read(reply).forEach(this::react);
+        ReplyActions.parse(reply).forEach(this::react);
     }
 
     private void schedule(double atMs, String event) {
-        events.add(new Due(atMs, order++, event));
+        events.add(new ScheduledEvent(atMs, nextOrder++, event));
     }
 
-    private void react(RecordedActions.Action action) {
+    /** Schedules the events that follow from an action of a gateway. */
+    private void react(ReplyActions.Action action) {
         switch (action.name()) {
-            case "ROUTE" -> attempt(action);
-            case "TOUCH" -> healthCheck(action);
+            case "ROUTE" -> answerAttempt(action);
+            case "TOUCH" -> answerHealthCheck(action);
             case "WAKE_AT" ->
                 schedule(
                         action.number("atMs"),
@@ -127,42 +128,42 @@
         }
     }
 
-    private void attempt(RecordedActions.Action route) {
+    private void answerAttempt(ReplyActions.Action route) {
         String request = route.text("ref");
         String server = route.text("server");
-        int number = attempts.merge(request, 1, Integer::sum) - 1;
-        double latency = 3 + 12 * random.nextDouble();
-        double cap = route.number("capMs");
-        boolean answered = !hangs(server) && latency < cap;
+        int number = attemptsByRequest.merge(request, 1, Integer::sum) - 1;
+        double latencyMs = 3 + 12 * random.nextDouble();
+        double capMs = route.number("capMs");
+        boolean answered = !hangs(server) && latencyMs < capMs;
         boolean wrongRole = request.startsWith("write") && !isPrimary(server);
         String verdict = !answered ? "too_slow" : wrongRole ? "none_here" : random.nextInt(50) == 0 ? "fault" : "pass";
-        double took = answered ? latency : cap;
+        double durationMs = answered ? latencyMs : capMs;
         String settled = verdict.equals("pass") ? ",\"settled\":true" : "";
-        String told = answered ? ",\"progress\":" + progress(server) + ",\"healthInfo\":" + report(server) : "";
+        String reports = answered ? ",\"progress\":" + progress(server) + ",\"healthInfo\":" + report(server) : "";
         schedule(
-                now + took,
+                now + durationMs,
                 "{\"RESPONSE\":{\"gateway\":\"" + route.gateway() + "\",\"ref\":\"" + request + "\",\"roundNo\":"
                         + number
-                        + ",\"server\":\"" + server + "\",\"verdict\":\"" + verdict + "\",\"durationMs\":" + ms(took)
+                        + ",\"server\":\"" + server + "\",\"verdict\":\"" + verdict + "\",\"durationMs\":" + ms(durationMs)
                         + settled
-                        + told + "}}");
+                        + reports + "}}");
     }
 
-    private void healthCheck(RecordedActions.Action probe) {
-        String server = probe.text("server");
+    private void answerHealthCheck(ReplyActions.Action check) {
+        String server = check.text("server");
         boolean answered = !hangs(server);
         schedule(
                 now + (answered ? 2 : 250),
-                "{\"PING_RESULT\":{\"gateway\":\"" + probe.gateway() + "\",\"server\":\"" + server + "\",\"verdict\":\""
+                "{\"PING_RESULT\":{\"gateway\":\"" + check.gateway() + "\",\"server\":\"" + server + "\",\"verdict\":\""
                         + (answered ? "pass\",\"healthInfo\":" + report(server) : "too_slow\"") + "}}");
     }
 
     private void scheduleRequest(int gateway, double atMs) {
-        if (atMs >= START_MS + DAY_MS - 500) {
+        if (atMs >= START_MS + SCENARIO_MS - 500) {
             return;
         }
         int requestClass = random.nextInt(3);
-        String id = (requestClass == 2 ? "write" : "read") + gateway + "x" + order;
+        String id = (requestClass == 2 ? "write" : "read") + gateway + "x" + nextOrder;
         double timeoutMs = requestClass == 2 ? 3_000 : 1_000;
         schedule(
                 atMs,
@@ -180,6 +181,7 @@
         return "10.0." + group + "." + member + ":5432";
     }
 
+    /** Whether the server does not answer now. */
     private boolean hangs(String server) {
         boolean replicaHangs = server.equals(server(0, 1)) && now >= HANG_FROM_MS && now < HANG_TO_MS;
         boolean primaryRestarts = server.equals(server(1, 0)) && now >= RESTART_AT_MS - 300 && now < RESTART_AT_MS;
@@ -247,11 +249,12 @@
                 + ",\"lateShare\":0,\"stream\":false}";
     }
 
+    /** Formats milliseconds with three decimals. */
     private static String ms(double value) {
         return String.format(Locale.ROOT, "%.3f", value);
     }
 
-    /** Gives the link one line at a time and takes its reply. */
+    /** Runs a {@link BenchLink} on a thread of its own, and exchanges one line of input for its reply at a time. */
     private static final class LineExchange {
         private final PipedOutputStream toLink = new PipedOutputStream();
         private final BufferedReader fromLink;
