--- a/gateway/src/test/java/ploverdale/ArchitectureTest.java
+++ b/gateway/src/test/java/ploverdale/ArchitectureTest.java
@@ -16,10 +16,13 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.clock.Clock;
 
-/** What may depend on what: decisions and state on no input or output and no clock, and each package only on those below it. */
+/**
+ * Checks dependencies. The packages that make decisions and hold state depend on no input or output and on no clock,
+ * and each package depends only on those below it.
+ */
 class ArchitectureTest {
     private static final String CLOCK = "ploverdale.clock..";
-    private static final String[] DECISIONS = {
+    private static final String[] DECISION_PACKAGES = {
         "ploverdale.model..",
         "ploverdale.state..",
         "ploverdale.limits..",
@@ -36,7 +39,7 @@
             .importPackages("ploverdale");
 
     @Test
-    void decisionsDoNoInputOrOutput() {
+    void decisionPackagesDoNoInputOrOutput() {
         String[] io = {
             "java.io..",
             "java.net..",
@@ -53,7 +56,7 @@
         };
         noClasses()
                 .that()
-                .resideInAnyPackage(DECISIONS)
+                .resideInAnyPackage(DECISION_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(io)
@@ -61,11 +64,11 @@
     }
 
     @Test
-    void onlyTheClockPackageReadsClocks() {
+    void onlyClockPackageReadsClocks() {
         noClasses().that().resideOutsideOfPackage(CLOCK).should(readAClock()).check(classes);
     }
 
-    /** Calls of the JDK that read a clock: by name, since most have overloads that take a zone or a clock. */
+    /** Matches calls of the JDK that read a clock, by name, since most have overloads that take a zone or a clock. */
     private static ArchCondition<JavaClass> readAClock() {
         return new ArchCondition<>("read a clock") {
             @Override
@@ -80,33 +83,33 @@
     private static boolean readsAClock(JavaAccess<?> access) {
         String owner = access.getTargetOwner().getName();
         String name = access.getTarget().getName();
-        boolean ofSystem =
+        boolean isSystemClock =
                 owner.equals("java.lang.System") && (name.equals("currentTimeMillis") || name.equals("nanoTime"));
-        boolean ofTime = owner.startsWith("java.time.") && (name.equals("now") || name.startsWith("system"));
-        boolean ofOldTime = owner.equals("java.util.Date") && name.equals("<init>")
+        boolean isJavaTime = owner.startsWith("java.time.") && (name.equals("now") || name.startsWith("system"));
+        boolean isLegacyDate = owner.equals("java.util.Date") && name.equals("<init>")
                 || owner.equals("java.util.Calendar") && name.equals("getInstance");
-        return ofSystem || ofTime || ofOldTime;
+        return isSystemClock || isJavaTime || isLegacyDate;
     }
 
     @Test
-    void decisionsAreHandedTheirClockAndChance() {
+    void decisionPackagesCreateNoClockAndNoRandomness() {
         noClasses()
                 .that()
-                .resideInAnyPackage(DECISIONS)
+                .resideInAnyPackage(DECISION_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(Clock.class)
                 .check(classes);
         noClasses()
                 .that()
-                .resideInAnyPackage(DECISIONS)
+                .resideInAnyPackage(DECISION_PACKAGES)
                 .should()
                 .callMethod(Math.class, "random")
                 .check(classes);
     }
 
     @Test
-    void eachPackageDependsOnlyOnThoseBelowIt() {
+    void eachPackageDependsOnlyOnLowerLayers() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("ploverdale..")
                 .layer("model")
@@ -169,7 +172,7 @@
     }
 
     @Test
-    void nothingDependsOnTheTools() {
+    void gatewayDoesNotDependOnTools() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
--- a/gateway/src/test/java/ploverdale/KnownRedTest.java
+++ b/gateway/src/test/java/ploverdale/KnownRedTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Tests that are passed over are exactly those that KNOWN-RED.txt lists, three at most. */
+/** The tests that the build skips as known failures are exactly those that KNOWN-RED.txt lists, and at most three. */
 class KnownRedTest {
     private static final Path LIST = Path.of("../KNOWN-RED.txt");
-    private static final int MOST = 3;
+    private static final int MAX_KNOWN_FAILURES = 3;
 
     @Test
-    void onlyListedTestsArePassedOver() throws IOException {
+    void exactlyListedTestsAreSkipped() throws IOException {
         List<String> listed = Files.exists(LIST)
                 ? Files.readAllLines(LIST).stream()
                         .filter(line -> !line.isBlank())
@@ -27,16 +27,16 @@
                 : List.of();
         List<String> tagged = new ClassFileImporter()
                 .withImportOption(new ImportOption.OnlyIncludeTests()).importPackages("ploverdale").stream()
-                        .filter(KnownRedTest::isPassedOver)
+                        .filter(KnownRedTest::isSkipped)
                         .map(JavaClass::getName)
                         .toList();
-        assertThat(listed).hasSizeLessThanOrEqualTo(MOST);
+        assertThat(listed).hasSizeLessThanOrEqualTo(MAX_KNOWN_FAILURES);
         assertThat(tagged).containsExactlyInAnyOrderElementsOf(listed);
     }
 
-    private static boolean isPassedOver(JavaClass type) {
+    private static boolean isSkipped(JavaClass type) {
         return isTagged(type.tryGetAnnotationOfType(Tag.class))
-                || type.getMethods().stream().anyMatch(m -> isTagged(m.tryGetAnnotationOfType(Tag.class)));
+                || type.getMethods().stream().anyMatch(method -> isTagged(method.tryGetAnnotationOfType(Tag.class)));
     }
 
     private static boolean isTagged(java.util.Optional<Tag> tag) {
--- a/gateway/src/test/java/ploverdale/ReadabilityRulesTest.java
+++ b/gateway/src/test/java/ploverdale/ReadabilityRulesTest.java
@@ -13,28 +13,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The list of packages that keep config/checkstyle-strict.xml. Checkstyle passes over a pattern that matches nothing, so a
- * package that is renamed or misspelt would leave the rules unnoticed.
+ * Checks the list of packages to which config/checkstyle-strict.xml applies. Checkstyle ignores a pattern that matches
+ * no file, so without this test the rules would silently no longer apply to a package that was renamed or is misspelt
+ * in the list.
  */
 class ReadabilityRulesTest {
-    private static final Path PROJECT = Path.of("../pom.xml");
-    private static final Pattern LIST = Pattern.compile("(?s)<strict\\.packages>(.*?)</strict\\.packages>");
-    private static final Pattern ONE_PACKAGE = Pattern.compile("(ploverdale(?:/[a-z]+)*)/\\*\\.java");
+    private static final Path PROJECT_FILE = Path.of("../pom.xml");
+    private static final Pattern PACKAGE_LIST = Pattern.compile("(?s)<strict\\.packages>(.*?)</strict\\.packages>");
+    private static final Pattern PACKAGE_PATTERN = Pattern.compile("(ploverdale(?:/[a-z]+)*)/\\*\\.java");
     private static final List<Path> MODULES = List.of(Path.of("../gateway"), Path.of("../tools"));
 
     @Test
-    void eachListedPatternIsAPackageWithSources() throws IOException {
+    void eachListedPatternMatchesAPackageWithSources() throws IOException {
         List<String> patterns = listedPatterns();
         assertThat(patterns).isNotEmpty().doesNotHaveDuplicates();
         for (String pattern : patterns) {
-            Matcher matcher = ONE_PACKAGE.matcher(pattern);
+            Matcher matcher = PACKAGE_PATTERN.matcher(pattern);
             assertThat(matcher.matches()).as(pattern).isTrue();
             assertThat(hasSources(matcher.group(1))).as(pattern).isTrue();
         }
     }
 
     private static List<String> listedPatterns() throws IOException {
-        Matcher matcher = LIST.matcher(Files.readString(PROJECT));
+        Matcher matcher = PACKAGE_LIST.matcher(Files.readString(PROJECT_FILE));
         assertThat(matcher.find()).isTrue();
         return Stream.of(matcher.group(1).split(",")).map(String::strip).toList();
     }
