--- a/gateway/src/main/java/ploverdale/clock/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/clock/ServerClock.java
@@ -25,7 +25,7 @@
     private final Clock clock;
     private final WallClockOffset offset = new WallClockOffset();
     private Runnable changeListener = () -> {};
-    private int changes;
+    private int offsetChanges;
     private long wallAheadMs; // this machine's wall clock minus service time, when last read
 
     /** @param log receives a line when the offset changes or becomes unknown, or this machine's wall clock steps */
@@ -59,8 +59,8 @@
      * Returns how many times the offset has changed or become unknown, which invalidates times that were converted
      * earlier. A caller that keeps a converted time compares this count with the one at the conversion.
      */
-    public int changes() {
-        return changes;
+    public int offsetChanges() {
+        return offsetChanges;
     }
 
     /** Returns whether the offset is known, so that positions can be converted. */
@@ -88,7 +88,7 @@
      *
      * @return {@link LoadReport#UNKNOWN_TIME} if the position or the offset is unknown
      */
-    public long position(long wallPosition) {
+    public long positionToServiceTime(long wallPosition) {
         return wallPosition == LoadReport.UNKNOWN_TIME || !offset.isKnown()
                 ? LoadReport.UNKNOWN_TIME
                 : offset.toServiceTime(wallPosition);
@@ -101,7 +101,7 @@
      * @param wallStart on the servers' wall clock, or 0 for long ago
      * @return 0 for long ago, otherwise at least 1
      */
-    public long start(long wallStart) {
+    public long serverStart(long wallStart) {
         return wallStart <= 0 ? 0 : Math.max(1, Math.min(clock.now(), offset.toServiceTime(wallStart)));
     }
 
@@ -131,7 +131,7 @@
         if (!offset.observe(server, wallPosition, writtenAt, clock.now(), currentTime)) {
             return;
         }
-        changes++;
+        offsetChanges++;
         log.accept(
                 offset.isKnown()
                         ? "clock corrected: the servers' wall clock is " + offset.offset() / TENTHS_PER_MS
--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -84,7 +84,7 @@
         StartTime startTime = startTimes.getOrDefault(endpoint.server(), removed);
         boolean isRemoved = endpoint.state() == Endpoint.EndpointState.GONE;
         if (startTime == null || !isRemoved && startTime.wall() != endpoint.startedAt()) {
-            startTime = new StartTime(endpoint.startedAt(), serverClock.start(endpoint.startedAt()));
+            startTime = new StartTime(endpoint.startedAt(), serverClock.serverStart(endpoint.startedAt()));
         }
         startTimes.put(endpoint.server(), startTime);
         if (isRemoved) {
@@ -107,7 +107,7 @@
     void onClockOffsetChanged() {
         Map<ServerId, Long> startedAt = new HashMap<>();
         for (Map<ServerId, StartTime> starts : List.of(removedStartTimes, startTimes)) {
-            starts.replaceAll((server, start) -> new StartTime(start.wall(), serverClock.start(start.wall())));
+            starts.replaceAll((server, start) -> new StartTime(start.wall(), serverClock.serverStart(start.wall())));
             starts.forEach((server, start) -> startedAt.put(server, start.serviceTime()));
         }
         loop.enqueue(new Event.ClockOffsetChanged(startedAt));
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -71,7 +71,7 @@
             return;
         }
         int number = accepted.nextAttemptNumber();
-        int clockChanges = serverClock.changes();
+        int clockChanges = serverClock.offsetChanges();
         history.attemptStarted(request);
         // The process may have been paused since the router read the clock; the time limit counts from then.
         long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
@@ -102,7 +102,7 @@
         if (attempt.writeBy() == Long.MAX_VALUE) {
             return true;
         }
-        return serverClock.changes() == clockChanges && serverClock.now() <= attempt.writeBy();
+        return serverClock.offsetChanges() == clockChanges && serverClock.now() <= attempt.writeBy();
     }
 
     private boolean mayReceive(ServerId server) {
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -53,7 +53,7 @@
         if (!Double.isNaN(positionMs)) {
             long wallPosition = (long) Math.floor(positionMs) * TENTHS_PER_MS;
             clock.observePosition(server, wallPosition, writtenAt, role == Role.PRIMARY);
-            position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.position(wallPosition);
+            position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.positionToServiceTime(wallPosition);
         }
         boolean unknown = role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME;
         return unknown ? null : new LoadReport(role, position);
@@ -100,7 +100,7 @@
         if (clock.isAhead(report.position())) {
             return null;
         }
-        return new LoadReport(report.role(), clock.position(report.position()), report.busy());
+        return new LoadReport(report.role(), clock.positionToServiceTime(report.position()), report.busy());
     }
 
     /** The values of {@code name=number,name=number}; empty where one is malformed or negative. */
