--- a/gateway/src/main/java/ploverdale/cli/ServeCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/ServeCommand.java
@@ -19,7 +19,7 @@
     @Override
     public int run() throws IOException, InterruptedException {
         Log log = new Log(System.err);
-        log.takeOver();
+        log.captureLibraryLogs();
         ConfigurationFile configuration = readConfiguration();
         Optional<QuotaSettings> quotaSettings = readQuotaSettings(configuration);
         CompletableFuture<Gateway> started = new CompletableFuture<>();
--- a/gateway/src/main/java/ploverdale/log/Log.java
+++ b/gateway/src/main/java/ploverdale/log/Log.java
@@ -40,7 +40,7 @@
     }
 
     /** Writes one line, unless a line of the same kind was written within the last second; then only counts it. */
-    public synchronized void often(String kind, String text) {
+    public synchronized void rateLimited(String kind, String text) {
         long now = clock.monotonicMs();
         if (!kinds.containsKey(kind) && kinds.size() >= MAX_KINDS) {
             kinds.clear();
@@ -65,7 +65,7 @@
         for (int i = 0; i < Math.min(4, trace.length); i++) {
             text.append(" at ").append(trace[i]);
         }
-        often(kind, text.toString());
+        rateLimited(kind, text.toString());
     }
 
     /**
@@ -73,7 +73,7 @@
      * default handler. That one opens files to format a date; when file descriptors run out, it throws on the thread
      * that logs.
      */
-    public void takeOver() {
+    public void captureLibraryLogs() {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
         root.setLevel(Level.WARNING);
@@ -84,7 +84,7 @@
                 while (rootCause != null && rootCause.getCause() != null) {
                     rootCause = rootCause.getCause();
                 }
-                often(
+                rateLimited(
                         "library " + entry.getLoggerName(),
                         entry.getMessage() + (rootCause == null ? "" : ": " + rootCause));
             }
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -108,7 +108,7 @@
     private boolean mayReceive(ServerId server) {
         boolean isActive = loop.mayReceive(server);
         if (!isActive) {
-            log.often("not sent", server.text() + " drains or is removed"); // log line: on-call guide
+            log.rateLimited("not sent", server.text() + " drains or is removed"); // log line: on-call guide
         }
         return isActive;
     }
--- a/gateway/src/main/java/ploverdale/net/ListeningSocket.java
+++ b/gateway/src/main/java/ploverdale/net/ListeningSocket.java
@@ -47,7 +47,7 @@
         if (attemptsLeft <= 1 || addressAtFault || ConnectFailure.of(failure) != ConnectFailure.LOCAL) {
             return Future.failedFuture(failure);
         }
-        log.often("cannot listen yet", String.valueOf(failure.getMessage()));
+        log.rateLimited("cannot listen yet", String.valueOf(failure.getMessage()));
         return vertx.timer(RETRY_AFTER_MS).compose(ignored -> listen(address, attemptsLeft - 1));
     }
 }
--- a/gateway/src/main/java/ploverdale/net/client/ClientListener.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientListener.java
@@ -31,7 +31,7 @@
     private void refuse(NetSocket socket) {
         LingeringClose lingeringClose = runtime.lingeringClose();
         runtime.log()
-                .often(
+                .rateLimited(
                         "no room for a connection",
                         "of a client, " + runtime.limits().clients() + " of clients");
         runtime.limits().turnedAway();
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -41,7 +41,7 @@
         socket.handler(session::onBytes);
         socket.closeHandler(closed -> session.onSocketClosed());
         socket.exceptionHandler(
-                failure -> runtime.log().often("client connection", String.valueOf(failure.getMessage())));
+                failure -> runtime.log().rateLimited("client connection", String.valueOf(failure.getMessage())));
         runtime.limits().came(session, runtime.nowMs());
         runtime.sessions().add(session);
     }
@@ -237,7 +237,7 @@
 
     private void logInvalidInput(String sqlState, String message) {
         if (runtime.status().isServing()) {
-            runtime.log().often("bad input from a client", sqlState + " " + message);
+            runtime.log().rateLimited("bad input from a client", sqlState + " " + message);
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/client/InFlightRequests.java
+++ b/gateway/src/main/java/ploverdale/net/client/InFlightRequests.java
@@ -99,7 +99,7 @@
                 .filter(request -> request.isOverdue(nowMs))
                 .toList();
         for (AcceptedRequest request : overdue) {
-            log.often("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
+            log.rateLimited("request without an answer", "failed " + LAST_RESORT_MS + " ms after its time");
             eventLoop.enqueue(new Event.ClientDisconnected(request.id())); // so that the router gives no second answer
             fail(request.id());
         }
--- a/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
+++ b/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
@@ -85,7 +85,7 @@
     /** Logs bytes that came after the end of a connection. */
     void logDropped(int bytes) {
         String during = status.isClosingIdle() ? ", in a planned restart" : "";
-        log.often("client bytes after its end", bytes + " bytes, not read" + during);
+        log.rateLimited("client bytes after its end", bytes + " bytes, not read" + during);
     }
 
     /** The input of one lingering connection. */
--- a/gateway/src/main/java/ploverdale/net/client/ResponseWriter.java
+++ b/gateway/src/main/java/ploverdale/net/client/ResponseWriter.java
@@ -55,7 +55,7 @@
         }
         blocked = true;
         long timeout = vertx.setTimer(readTimeoutMs, timer -> {
-            log.often("client that does not read", "closed after " + readTimeoutMs + " ms");
+            log.rateLimited("client that does not read", "closed after " + readTimeoutMs + " ms");
             onReadTimeout.run();
         });
         socket.drainHandler(drained -> {
--- a/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
@@ -89,7 +89,7 @@
 
     private void evictIdle(Eviction<ClientSession> eviction) {
         if (eviction.who().closeIfIdle()) {
-            log.often("idle client connection", "ended " + describe(eviction));
+            log.rateLimited("idle client connection", "ended " + describe(eviction));
         } else {
             limits.asks(eviction.who()); // so that it is not named again before it has been answered
         }
@@ -99,7 +99,7 @@
         String reason = eviction.why() == ConnectionLimits.Why.NO_GREETING
                 ? "client without a greeting"
                 : "client with an unfinished message";
-        log.often(reason, "closed " + describe(eviction));
+        log.rateLimited(reason, "closed " + describe(eviction));
         eviction.who().giveUp(sqlState(eviction), reason);
     }
 
@@ -123,7 +123,7 @@
     void releaseMemory() {
         while (memory.isExhausted() && limits.longestUnfinished() != null) {
             ClientSession session = limits.longestUnfinished();
-            log.often(
+            log.rateLimited(
                     "too much unfinished",
                     "given up with " + session.undecodedBytes() + " bytes, " + memory.usedBytes() + " held in all");
             session.giveUp(SqlStates.TOO_MANY_CONNECTIONS, "too much is unfinished here, trying again does no harm");
--- a/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
@@ -130,7 +130,7 @@
         if (skippingToSync) {
             return;
         }
-        runtime.log().often("client's request not run", rejection.message());
+        runtime.log().rateLimited("client's request not run", rejection.message());
         session.respond(rejection.response());
     }
 }
--- a/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
+++ b/gateway/src/main/java/ploverdale/net/discovery/Discovery.java
@@ -222,7 +222,7 @@
         state = reachableState();
         backoffMs = FIRST_BACKOFF_MS;
         if (!list.leftOut().isEmpty()) {
-            log.often("list entries left out", String.join(", ", list.leftOut()));
+            log.rateLimited("list entries left out", String.join(", ", list.leftOut()));
         }
         if (!continuesKnownRevision(list)) {
             putInForce(list, address); // its drains and removals bind all the same
--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -81,7 +81,7 @@
         loopLag.onTick();
         reportPause(loopLag.previousTick(), loopLag.lastTick());
         if (loopLag.lastInterval() > LOGGED_PAUSE_MS * TENTHS_PER_MS) {
-            log.often(
+            log.rateLimited(
                     "stood still", "for " + loopLag.lastInterval() / TENTHS_PER_MS + " ms"); // log line: on-call guide
         }
     }
--- a/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/GossipTransport.java
@@ -125,7 +125,7 @@
         if (closed) {
             return;
         }
-        log.often(
+        log.rateLimited(
                 "no words with other instances",
                 "socket at " + address + ", again in " + reopenDelayMs + " ms: " + reason);
         vertx.setTimer(reopenDelayMs, x -> {
@@ -141,7 +141,7 @@
         Integer from = peerNumbers.get(
                 hostAndPort(datagram.sender().hostAddress(), datagram.sender().port()));
         if (from == null) {
-            log.often("a word of a stranger", datagram.sender() + ", not read");
+            log.rateLimited("a word of a stranger", datagram.sender() + ", not read");
             return;
         }
         byte[] bytes = datagram.data().getBytes();
@@ -189,7 +189,7 @@
         }
         InetSocketAddress to = peers.get(peer);
         socket.send(Buffer.buffer(datagram), to.getPort(), to.getAddress().getHostAddress())
-                .onFailure(failure -> log.often("a word not sent", String.valueOf(failure.getMessage())));
+                .onFailure(failure -> log.rateLimited("a word not sent", String.valueOf(failure.getMessage())));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
@@ -98,7 +98,7 @@
                 continue;
             }
             int colon = line.indexOf(": ");
-            log.often(line.substring(0, colon), line.substring(colon + 2));
+            log.rateLimited(line.substring(0, colon), line.substring(colon + 2));
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -46,7 +46,7 @@
         boolean known = result.status() == Status.POSITION_KNOWN;
         int lastWriter = lastWriters.getOrDefault(read.group(), result.server());
         if (known && result.server() >= 0 && result.server() != lastWriter) {
-            log.often(
+            log.rateLimited(
                     "a session over a takeover",
                     "its last write was acked by another server than the group's last"); // log line: on-call guide
         }
--- a/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -67,7 +67,7 @@
         } else {
             forget.accept(write.id());
             requests.failed(write.id());
-            log.often("a write submitted before", "errored, since it may have run"); // log line: on-call guide
+            log.rateLimited("a write submitted before", "errored, since it may have run"); // log line: on-call guide
         }
     }
 
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -47,7 +47,7 @@
         boolean recordsPosition = settings.replicatesSessions() && session != null;
         if (recordsPosition && !clock.isKnown()) {
             requests.failed(write.id()); // its position cannot be dated, and so cannot be guaranteed to the session
-            log.often("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
+            log.rateLimited("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
             return;
         }
         CopyWait copies = new CopyWait(write, row, (recordsPosition ? 1 : 0) + (write.hasClaim() ? 1 : 0));
@@ -122,7 +122,7 @@
                 requests.failed(write.id()); // nothing is guaranteed of it
                 long waitedMs = settings.synchronousTimeout() / TENTHS_PER_MS;
                 String outcome = "errored after " + waitedMs + " ms"; // log line: on-call guide
-                log.often("an acked write without copies", outcome); // log line: on-call guide
+                log.rateLimited("an acked write without copies", outcome); // log line: on-call guide
             } else {
                 requests.succeeded(write.id(), row);
             }
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -148,7 +148,7 @@
             onLost(String.valueOf(cause.getMessage()), failure.outcome());
             return;
         }
-        context.log().often("connection not made yet", server.id().text() + " " + cause.getMessage());
+        context.log().rateLimited("connection not made yet", server.id().text() + " " + cause.getMessage());
         close();
     }
 
@@ -267,7 +267,7 @@
     /** The attempt fails, since the server lives and may have run the statement; nothing of the answer is used. */
     @Override
     public void onOutOfOrder(String reason) {
-        context.log().often("server out of order", server.id().text() + ": " + reason);
+        context.log().rateLimited("server out of order", server.id().text() + ": " + reason);
         if (attempt == null) {
             onLost(reason, Outcome.CONNECT_INTERRUPTED);
             return;
@@ -290,7 +290,7 @@
             return;
         }
         DeliveryState delivery = established ? interrupted.deliveryState() : DeliveryState.NO_CONNECTION;
-        context.log().often("connection lost", server.id().text() + " " + reason + ", " + delivery);
+        context.log().rateLimited("connection lost", server.id().text() + " " + reason + ", " + delivery);
         ServerResponse response = protocol.response();
         if (response.isConclusive()) {
             completeAttempt();
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -191,7 +191,7 @@
             return;
         }
         String text = "to server " + server.id().text() + ", " + limits.servers() + " to servers";
-        context.log().often("no room for a connection", text);
+        context.log().rateLimited("no room for a connection", text);
         attempt.failToConnect();
     }
 
