--- a/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
@@ -162,7 +162,7 @@
     }
 
     /**
-     * Decodes the role and the position of a server that come with an answer, in milliseconds since the origin of
+     * Decodes what a server reports with an answer: its role, and its position in milliseconds since the origin of
      * positions.
      */
     private LoadReport answerReport(long encoded) {
--- a/gateway/src/main/java/ploverdale/clock/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/clock/ServerClock.java
@@ -18,7 +18,9 @@
     /** If reading both clocks takes longer, the thread was paused between them, and the readings are not compared. */
     private static final long MAX_READING_NANOS = 5_000_000;
 
-    private static final long MIN_STEP_MS = 50; // smaller differences are rounding, or gradual adjustments (slewing)
+    /** Smaller differences are rounding, or a gradual adjustment (slewing) that accumulated before a late check. */
+    private static final long MIN_STEP_MS = 50;
+
     private static final long TENTHS_PER_MS = 10;
 
     private final Consumer<String> log;
