--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -92,7 +92,7 @@
         StartTime startTime = startTimes.getOrDefault(endpoint.server(), removed);
         boolean isRemoved = endpoint.state() == Endpoint.EndpointState.GONE;
         if (startTime == null || !isRemoved && startTime.wallMs() != endpoint.startedAt()) {
-            startTime = new StartTime(endpoint.startedAt(), serverClock.start(endpoint.startedAt()));
+            startTime = new StartTime(endpoint.startedAt(), serverClock.serverStart(endpoint.startedAt()));
         }
         startTimes.put(endpoint.server(), startTime);
         if (isRemoved) {
@@ -118,7 +118,7 @@
     void onClockOffsetChanged() {
         Map<ServerId, Long> startedAt = new HashMap<>();
         for (Map<ServerId, StartTime> starts : List.of(removedStartTimes, startTimes)) {
-            starts.replaceAll((server, start) -> new StartTime(start.wallMs(), serverClock.start(start.wallMs())));
+            starts.replaceAll((server, start) -> new StartTime(start.wallMs(), serverClock.serverStart(start.wallMs())));
             starts.forEach((server, start) -> startedAt.put(server, start.serviceTime()));
         }
         loop.enqueue(new Event.ClockOffsetChanged(startedAt));
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -71,7 +71,7 @@
             return;
         }
         int attemptNumber = accepted.nextAttemptNumber();
-        int clockChanges = serverClock.changes();
+        int clockChanges = serverClock.offsetChanges();
         history.attemptStarted(request);
         // The time limit counts from when the router read the clock; the process may have been paused since.
         long timeLeft = attempt.timeLimit() - (serverClock.now() - loop.decidedAt());
@@ -103,13 +103,13 @@
         if (attempt.writeBy() == Long.MAX_VALUE) {
             return true;
         }
-        return serverClock.changes() == clockChanges && serverClock.now() <= attempt.writeBy();
+        return serverClock.offsetChanges() == clockChanges && serverClock.now() <= attempt.writeBy();
     }
 
     private boolean mayReceive(ServerId server) {
         boolean isActive = loop.mayReceive(server);
         if (!isActive) {
-            log.often("not sent", server.value() + " drains or is removed"); // log line: on-call guide
+            log.rateLimited("not sent", server.value() + " drains or is removed"); // log line: on-call guide
         }
         return isActive;
     }
--- a/gateway/src/main/java/ploverdale/net/ListeningSocket.java
+++ b/gateway/src/main/java/ploverdale/net/ListeningSocket.java
@@ -50,7 +50,7 @@
         if (attemptsLeft <= 1 || isAddressUnusable || ConnectFailure.of(failure) != ConnectFailure.LOCAL) {
             return Future.failedFuture(failure);
         }
-        log.often("cannot listen yet", String.valueOf(failure.getMessage()));
+        log.rateLimited("cannot listen yet", String.valueOf(failure.getMessage()));
         return vertx.timer(RETRY_DELAY_MS).compose(ignored -> listen(address, attemptsLeft - 1));
     }
 }
--- a/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
+++ b/gateway/src/main/java/ploverdale/net/client/LingeringClose.java
@@ -86,7 +86,7 @@
     /** Logs that bytes were received after the end of a connection and discarded. */
     void logDiscarded(int bytes) {
         String during = status.isClosingIdle() ? ", in a planned restart" : "";
-        log.often("client bytes after its end", bytes + " bytes, not read" + during);
+        log.rateLimited("client bytes after its end", bytes + " bytes, not read" + during);
     }
 
     /** Discards the input of one lingering connection. */
--- a/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionEvictor.java
@@ -90,7 +90,7 @@
 
     private void evictIdle(Eviction<ClientSession> eviction) {
         if (eviction.client().closeIfIdle()) {
-            log.often("idle client connection", "ended " + describe(eviction));
+            log.rateLimited("idle client connection", "ended " + describe(eviction));
         } else {
             limits.markAwaitingResponse(eviction.client()); // prevents its selection until it is idle again
         }
@@ -100,7 +100,7 @@
         String reason = eviction.reason() == ConnectionLimits.EvictionReason.NO_STARTUP_MESSAGE
                 ? "client without a greeting"
                 : "client with an unfinished message";
-        log.often(reason, "closed " + describe(eviction));
+        log.rateLimited(reason, "closed " + describe(eviction));
         eviction.client().abortInput(sqlState(eviction), reason);
     }
 
@@ -127,7 +127,7 @@
     void evictForMemory() {
         while (memory.isExhausted() && limits.longestIncomplete() != null) {
             ClientSession session = limits.longestIncomplete();
-            log.often(
+            log.rateLimited(
                     "too much unfinished",
                     "given up with " + session.undecodedBytes() + " bytes, " + memory.usedBytes() + " held in all");
             session.abortInput(
--- a/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
+++ b/gateway/src/main/java/ploverdale/net/peer/SessionPositionLookup.java
@@ -50,7 +50,7 @@
         boolean known = result.status() == Status.POSITION_KNOWN;
         int lastWriteServer = lastWriteServers.getOrDefault(read.group(), result.server());
         if (known && result.server() >= 0 && result.server() != lastWriteServer) {
-            log.often(
+            log.rateLimited(
                     "a session over a takeover",
                     "its last write was acked by another server than the group's last"); // log line: on-call guide
         }
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -51,7 +51,7 @@
         boolean recordsPosition = settings.replicatesSessions() && session != null;
         if (recordsPosition && !clock.isKnown()) {
             requests.failed(write.id()); // without a time for its position, later reads of the session could miss it
-            log.often("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
+            log.rateLimited("an acked write while the clock is in doubt", "errored"); // log line: on-call guide
             return;
         }
         ReplicationWait replication =
@@ -137,7 +137,7 @@
                 requests.failed(write.id()); // a later read or resubmission might not see the write
                 long waitedMs = settings.synchronousTimeout() / TENTHS_PER_MS;
                 String outcome = "errored after " + waitedMs + " ms"; // log line: on-call guide
-                log.often("an acked write without copies", outcome); // log line: on-call guide
+                log.rateLimited("an acked write without copies", outcome); // log line: on-call guide
             } else {
                 requests.succeeded(write.id(), row);
             }
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -54,7 +54,7 @@
         if (!Double.isNaN(positionMs)) {
             long wallPosition = (long) Math.floor(positionMs) * TICKS_PER_MS;
             clock.observePosition(server, wallPosition, writtenAt, role == Role.PRIMARY);
-            position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.position(wallPosition);
+            position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.positionToServiceTime(wallPosition);
         }
         boolean unknown = role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME;
         return unknown ? null : new LoadReport(role, position);
@@ -107,7 +107,7 @@
         if (clock.isAhead(report.position())) {
             return null;
         }
-        return new LoadReport(report.role(), clock.position(report.position()), report.utilization());
+        return new LoadReport(report.role(), clock.positionToServiceTime(report.position()), report.utilization());
     }
 
     /** Parses {@code name=number,name=number}; returns an empty result if a field is malformed or negative. */
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnection.java
@@ -156,7 +156,7 @@
             onLost(String.valueOf(cause.getMessage()), failure.outcome());
             return;
         }
-        context.log().often("connection not made yet", server.id().value() + " " + cause.getMessage());
+        context.log().rateLimited("connection not made yet", server.id().value() + " " + cause.getMessage());
         close();
     }
 
@@ -285,7 +285,7 @@
      */
     @Override
     public void onProtocolViolation(String reason) {
-        context.log().often("server out of order", server.id().value() + ": " + reason);
+        context.log().rateLimited("server out of order", server.id().value() + ": " + reason);
         if (attempt == null) {
             onLost(reason, Outcome.CONNECT_INTERRUPTED);
             return;
@@ -313,7 +313,7 @@
             return;
         }
         DeliveryState delivery = established ? interrupted.deliveryState() : DeliveryState.NO_CONNECTION;
-        context.log().often("connection lost", server.id().value() + " " + reason + ", " + delivery);
+        context.log().rateLimited("connection lost", server.id().value() + " " + reason + ", " + delivery);
         ServerResponse response = protocol.response();
         if (response.isConclusive()) {
             completeAttempt();
--- a/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerConnectionPool.java
@@ -199,7 +199,7 @@
             return;
         }
         String details = "to server " + server.id().value() + ", " + limits.serverConnections() + " to servers";
-        context.log().often("no room for a connection", details);
+        context.log().rateLimited("no room for a connection", details);
         attempt.failToConnect();
     }
 
