--- a/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
+++ b/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
@@ -47,7 +47,8 @@
             throw new InvalidSettingsException(
                     "fleet file with a field sessions or submits, which are kept on sockets only");
         }
-        boolean sharesQuota = quotaSettings != null && started.capabilities().peerMessagesAllowed() && started.gateways() >= 2;
+        boolean sharesQuota =
+                quotaSettings != null && started.capabilities().peerMessagesAllowed() && started.gateways() >= 2;
         if (!sharesQuota) {
             return new SimulatedGateway(new Router(null), reader, null);
         }
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -72,8 +72,7 @@
         if (observation.silentAt() > liveness.aliveAt()) {
             boolean neverAlive = liveness.aliveAt() == LoadReport.UNKNOWN_TIME;
             liveness.expireConfirmation(context.now());
-            server.ejection()
-                    .recheckNotBefore(neverAlive ? observation.silentAt() + OutlierDetector.MAX_BACKOFF : 0);
+            server.ejection().recheckNotBefore(neverAlive ? observation.silentAt() + OutlierDetector.MAX_BACKOFF : 0);
             return;
         }
         long knownAt = Math.max(liveness.confirmedAt(), server.connections().connectFailedAt());
