--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -28,7 +28,8 @@
     private static Net net(SteppedClock clock, String... servers) throws Exception {
         Net net = new Net(servers);
         net.clock = clock;
-        net.settings = settings -> settings.replace("\"oldestDataMs\":[30000,0,0]", "\"oldestDataMs\":[" + BOUND_MS + ",0,0]");
+        net.settings =
+                settings -> settings.replace("\"oldestDataMs\":[30000,0,0]", "\"oldestDataMs\":[" + BOUND_MS + ",0,0]");
         return net;
     }
 
