--- a/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
@@ -30,7 +30,7 @@
     private static final long NANOS_PER_MS = 1_000_000;
 
     /** A turn that exceeds its requested wait by more than this was delayed; the reads of a turn usually take less. */
-    private static final long PAUSE_THRESHOLD_NANOS = 5 * NANOS_PER_MS;
+    private static final long PAUSE_NANOS = 5 * NANOS_PER_MS;
 
     /**
      * Maximum number of extra reads in one turn of the loop, so that a flood of input cannot delay timers
@@ -123,7 +123,7 @@
             long startedAt = Clock.system().nanos();
             long maxWait = loop.canBlock() ? roundUpToMs(loop.delayNanos(startedAt)) : 0;
             int handled = inner.run(new RoundedUpContext(loop, true));
-            for (int i = 0; i < MAX_EXTRA_READS && Clock.system().nanos() - startedAt - maxWait > PAUSE_THRESHOLD_NANOS; i++) {
+            for (int i = 0; i < MAX_EXTRA_READS && Clock.system().nanos() - startedAt - maxWait > PAUSE_NANOS; i++) {
                 startedAt = Clock.system().nanos();
                 maxWait = 0;
                 handled += inner.run(new RoundedUpContext(loop, false));
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
@@ -7,7 +7,9 @@
  * connections. Used on the event loop only.
  */
 final class IdleConnectionLossRate {
-    private static final long FIRST_BUCKET_IDLE_TICKS = 500; // 50 ms; shorter idle times cost no connections
+    /** The first bucket ends at this idle time, 50 ms. Its loss rate is ignored: connections are not dropped that soon. */
+    private static final long FIRST_BUCKET_IDLE_TICKS = 500;
+
     private static final int BUCKETS = 24; // the last one begins at an idle time of 58 hours
     private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
     private static final double MAX_LOSS_RATE = 0.3; // higher than the rate that occasional resets cause
