--- a/gateway/src/main/java/ploverdale/net/eventloop/SingleLoopVertx.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SingleLoopVertx.java
@@ -12,7 +12,7 @@
     private SingleLoopVertx() {}
 
     /**
-     * Returns a new instance with one event loop for all sockets and timers, without a DNS resolver and a file cache.
+     * Returns a new instance with one event loop for all sockets and timers, without a DNS resolver or a file cache.
      */
     public static Vertx create() {
         return create(new SleepingTransport());
