--- a/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
+++ b/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
@@ -21,7 +21,7 @@
  */
 final class SimulatedGateway {
     private static final long QUOTA_TIMER_MARK = 1; // the router's own timers have mark 0
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Router router;
     private final WireEventReader reader;
@@ -54,7 +54,7 @@
         if (!sharesQuota) {
             return new SimulatedGateway(new Router(null), reader, null);
         }
-        long startedMs = 1 + clock.getAsLong() / TENTHS_PER_MS; // 0 would mean that the gateway has not started
+        long startedMs = 1 + clock.getAsLong() / TICKS_PER_MS; // 0 would mean that the gateway has not started
         QuotaNode quotaNode = new QuotaNode(quotaSettings, started, startedMs, clock, clock);
         return new SimulatedGateway(new Router(quotaNode.quota()), reader, quotaNode);
     }
--- a/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
@@ -29,7 +29,7 @@
     private static final int ROLE_MASK = (1 << ROLE_BITS) - 1;
     private static final int PRIMARY_ROLE = 1;
     private static final int REPLICA_ROLE = 2;
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final GatewaySettings settings;
     // Indexes of the values in a load report; -1 if the value is not reported.
@@ -172,7 +172,7 @@
         long origin = JsonFields.tenthsRoundedDown(settings.positionZeroMs());
         return new LoadReport(
                 role((int) (encoded & ROLE_MASK)),
-                unknown ? LoadReport.UNKNOWN_TIME : origin + positionMs * TENTHS_PER_MS);
+                unknown ? LoadReport.UNKNOWN_TIME : origin + positionMs * TICKS_PER_MS);
     }
 
     private static Role role(int encoded) {
--- a/gateway/src/main/java/ploverdale/clock/ServerClock.java
+++ b/gateway/src/main/java/ploverdale/clock/ServerClock.java
@@ -21,7 +21,7 @@
     /** Smaller differences are rounding, or a gradual adjustment (slewing) that accumulated before a late check. */
     private static final long MIN_STEP_MS = 50;
 
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Consumer<String> log;
     private final Clock clock;
@@ -136,7 +136,7 @@
         offsetChanges++;
         log.accept(
                 offset.isKnown()
-                        ? "clock corrected: the servers' wall clock is " + offset.offset() / TENTHS_PER_MS
+                        ? "clock corrected: the servers' wall clock is " + offset.offset() / TICKS_PER_MS
                                 + " ms ahead of service time"
                         : "clock in doubt: positions of servers contradict it, and count as unknown until a majority agrees");
         changeListener.run();
@@ -157,6 +157,6 @@
     }
 
     private long readWallAheadMs() {
-        return clock.wallMs() - Math.floorDiv(clock.now(), TENTHS_PER_MS);
+        return clock.wallMs() - Math.floorDiv(clock.now(), TICKS_PER_MS);
     }
 }
--- a/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
+++ b/gateway/src/main/java/ploverdale/net/peer/MembershipTransport.java
@@ -25,7 +25,7 @@
         void send(int to, byte[] datagram);
     }
 
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final long NANOS_PER_TENTH_MS = 100_000;
     private static final long STATISTICS_INTERVAL_MS = 60_000;
 
@@ -49,7 +49,7 @@
                 clock.clock().wallMs(),
                 () -> clock.clock().nanos() / NANOS_PER_TENTH_MS,
                 clock::wallNow);
-        vertx.setPeriodic(QuotaNode.TICK_INTERVAL / TENTHS_PER_MS, x -> onPackets(node.onTick()));
+        vertx.setPeriodic(QuotaNode.TICK_INTERVAL / TICKS_PER_MS, x -> onPackets(node.onTick()));
         vertx.setPeriodic(STATISTICS_INTERVAL_MS, x -> log.line(node.statisticsLine()));
         writeLogLines();
     }
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -32,7 +32,7 @@
  */
 public final class ReplicationCoordinator implements RequestHistory {
     private static final long DISCONNECTED_CLIENTS_CHECK_INTERVAL_MS = 1000;
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Vertx vertx;
     private final ClientRequests requests;
@@ -118,7 +118,7 @@
      * outcome of a write cannot be given a time, so the write is not sent.
      */
     private void deferWrite(RequestArrived request, String sessionKey) {
-        if (clock.now() + WriteClaims.RETRY_INTERVAL_MS * TENTHS_PER_MS < request.timeoutAt()) {
+        if (clock.now() + WriteClaims.RETRY_INTERVAL_MS * TICKS_PER_MS < request.timeoutAt()) {
             vertx.setTimer(WriteClaims.RETRY_INTERVAL_MS, x -> {
                 if (requests.isPending(request.request())) {
                     onRequestArrived(request, sessionKey);
--- a/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteClaims.java
@@ -20,7 +20,7 @@
     /** Delay before a claim is retried while the outcome of an earlier submission is still unknown, in milliseconds. */
     static final long RETRY_INTERVAL_MS = 40;
 
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Vertx vertx;
     private final Log log;
@@ -95,8 +95,8 @@
     }
 
     private boolean hasTimeForAnotherClaim(PendingWrite write) {
-        long neededMs = RETRY_INTERVAL_MS + settings.quorumTimeout() / TENTHS_PER_MS;
-        return clock.now() + neededMs * TENTHS_PER_MS < write.request().timeoutAt();
+        long neededMs = RETRY_INTERVAL_MS + settings.quorumTimeout() / TICKS_PER_MS;
+        return clock.now() + neededMs * TICKS_PER_MS < write.request().timeoutAt();
     }
 
     /** Records that the write never ran, so that a later submission of it may be sent. Does nothing without a claim. */
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -20,7 +20,7 @@
  * replicas has stored both entries. Used on the event loop only.
  */
 final class WriteRecorder {
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final Log log;
     private final ClientRequests requests;
@@ -135,7 +135,7 @@
             }
             if (failed) {
                 requests.failed(write.id()); // a later read or resubmission might not see the write
-                long waitedMs = settings.synchronousTimeout() / TENTHS_PER_MS;
+                long waitedMs = settings.synchronousTimeout() / TICKS_PER_MS;
                 String outcome = "errored after " + waitedMs + " ms"; // log line: on-call guide
                 log.rateLimited("an acked write without copies", outcome); // log line: on-call guide
             } else {
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -18,7 +18,7 @@
  */
 public final class FleetConfigurationFile {
     private static final String SOURCE = "fleet file";
-    private static final long TENTHS_PER_MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final int MAX_UNITS = 60_000; // of one shared limit
     private static final int MAX_REPLICATION_WAIT_MS = 150; // a graceful shutdown leaves more time for answers
     private static final Set<String> FIELDS = Set.of(
@@ -187,7 +187,7 @@
 
     /** Returns a duration in tenths of a millisecond; fractions of a millisecond are dropped. */
     private static long tenths(JsonFields fields, String name, double defaultMs, double minMs, double maxMs) {
-        return (long) numberWithin(fields, name, defaultMs, minMs, maxMs) * TENTHS_PER_MS;
+        return (long) numberWithin(fields, name, defaultMs, minMs, maxMs) * TICKS_PER_MS;
     }
 
     /** Returns a number, or the default if the field is absent; throws if it is not between the bounds, inclusive. */
