--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -223,7 +223,7 @@
     }
 
     /** Answers an invalid query with an error; the connection stays open. */
-    void rejectInvalidQuery(String sqlState, String message) {
+    void rejectInvalidMessage(String sqlState, String message) {
         logInvalidInput(sqlState, message);
         respond(ErrorResponses.error(sqlState, message));
     }
@@ -260,7 +260,7 @@
                 return;
             }
             writer.write(response.response());
-            if (response.endsConnection()) {
+            if (response.closesConnection()) {
                 rejectRequestsAfterEnd();
                 close();
             }
--- a/gateway/src/main/java/ploverdale/net/client/PendingResponse.java
+++ b/gateway/src/main/java/ploverdale/net/client/PendingResponse.java
@@ -6,13 +6,13 @@
 /** A slot in a client's response pipeline, whose response is still awaited or ready to be written. */
 final class PendingResponse {
     private final RequestId request; // null if no request was passed to the router
-    private final boolean endsConnection;
+    private final boolean closesConnection;
     private Buffer response; // null until it is complete
 
-    private PendingResponse(RequestId request, Buffer response, boolean endsConnection) {
+    private PendingResponse(RequestId request, Buffer response, boolean closesConnection) {
         this.request = request;
         this.response = response;
-        this.endsConnection = endsConnection;
+        this.closesConnection = closesConnection;
     }
 
     /** Returns the slot of a request that is in flight. */
@@ -41,8 +41,8 @@
     }
 
     /** Returns whether the connection is closed after this response. */
-    boolean endsConnection() {
-        return endsConnection;
+    boolean closesConnection() {
+        return closesConnection;
     }
 
     /** Returns the response, or null while the request is in flight. */
--- a/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
+++ b/gateway/src/main/java/ploverdale/net/client/RequestAcceptor.java
@@ -78,17 +78,17 @@
     void accept(ClientSession session, ClientMessage.RequestQuery query, long arrivedAt) {
         int classIndex = settings.requestClasses().indexOf(query.requestClass());
         if (classIndex < 0) {
-            session.rejectInvalidQuery(SqlStates.INVALID_PARAMETER_VALUE, "an unknown op type");
+            session.rejectInvalidMessage(SqlStates.INVALID_PARAMETER_VALUE, "an unknown op type");
             return;
         }
         int tenantIndex = tenantIndex(query.tenant());
         if (tenantIndex < 0) {
-            session.rejectInvalidQuery(SqlStates.INVALID_PARAMETER_VALUE, "an unknown tenant");
+            session.rejectInvalidMessage(SqlStates.INVALID_PARAMETER_VALUE, "an unknown tenant");
             return;
         }
         RequestId id = new RequestId(query.id());
         if (inFlight.get(id) != null) {
-            session.rejectInvalidQuery(SqlStates.DUPLICATE_OBJECT, "the id of an op still in hand");
+            session.rejectInvalidMessage(SqlStates.DUPLICATE_OBJECT, "the id of an op still in hand");
             return;
         }
         long timeoutAt = Math.min(maxDeadline, arrivedAt + (long) Math.floor(query.timeoutMs() * TICKS_PER_MS));
--- a/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/client/SessionMessageHandler.java
@@ -123,7 +123,7 @@
         if (message.closesConnection()) {
             session.rejectAndClose(message.code(), message.message());
         } else if (!skippingToSync) {
-            session.rejectInvalidQuery(message.code(), message.message());
+            session.rejectInvalidMessage(message.code(), message.message());
         }
     }
 
