--- a/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointRegistry.java
@@ -97,7 +97,7 @@
             assumePrimary(server);
         }
         if (lifecycle.recordStart(entry.startedAt())) {
-            server.slowStart().recordColdStart(entry.startedAt());
+            server.slowStart().recordStart(entry.startedAt());
             server.load().forgetInflation();
         }
     }
@@ -155,7 +155,7 @@
             server.replication().forgetPosition();
             long before = server.lifecycle().startedAt();
             long start = startedAt.getOrDefault(server.id(), before);
-            server.slowStart().redateColdStart(before, start);
+            server.slowStart().redateStart(before, start);
             server.lifecycle().redateStart(start);
         }
     }
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -41,14 +41,14 @@
                 replication.positionReportedAt(),
                 server.liveness().aliveAt(),
                 server.liveness().unresponsiveAt(),
-                slowStart.isInSlowStart(server, now) ? server.slowStart().coldSince() : LoadReport.UNKNOWN_TIME,
+                slowStart.isInSlowStart(server, now) ? server.slowStart().slowStartAt() : LoadReport.UNKNOWN_TIME,
                 lifecycle.isDraining() ? lifecycle.drainReportedAt() : LoadReport.UNKNOWN_TIME);
     }
 
     /** Merges a peer's observation of a server. */
     void merge(ServerState server, ServerObservation observation) {
         endpoints.learnReportedDrain(server, observation.drainingAt());
-        server.slowStart().recordColdStart(observation.slowStartAt());
+        server.slowStart().recordStart(observation.slowStartAt());
         server.replication().mergePosition(observation.position(), observation.positionAt());
         Ejection ejection = server.ejection();
         if (ejection.isEjected() && observation.aliveAt() > ejection.ejectedAt()) {
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -68,7 +68,7 @@
      */
     double capacityFraction(ServerState server, long now) {
         double elapsedFraction = Math.max(
-                0, (now - server.slowStart().coldSince()) / (double) Math.max(1, guarantees.slowStartDuration()));
+                0, (now - server.slowStart().slowStartAt()) / (double) Math.max(1, guarantees.slowStartDuration()));
         return Math.min(1, guarantees.startCapacity() + (1 - guarantees.startCapacity()) * elapsedFraction);
     }
 
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -7,7 +7,7 @@
  * that the server has answered recently. {@code SlowStart} manages the bucket.
  */
 public final class SlowStartProgress {
-    private long coldSince = LoadReport.UNKNOWN_TIME;
+    private long slowStartAt = LoadReport.UNKNOWN_TIME;
     private double tokens;
     /** Until when the bucket has been refilled. */
     private long lastRefillAt = LoadReport.UNKNOWN_TIME;
@@ -17,25 +17,25 @@
     private long recentWorkAt;
 
     /** Returns when the server last started cold. */
-    public long coldSince() {
-        return coldSince;
+    public long slowStartAt() {
+        return slowStartAt;
     }
 
     /** Records a cold start at this time, unless a later one is known. */
-    public void recordColdStart(long at) {
-        coldSince = Math.max(coldSince, at);
+    public void recordStart(long at) {
+        slowStartAt = Math.max(slowStartAt, at);
     }
 
     /** Begins slow start anew, as if the server had started now. */
     public void restart(long now) {
-        coldSince = now;
+        slowStartAt = now;
     }
 
     /**
      * Replaces a start time that came from the endpoint list, after the offset of the servers' wall clock has changed.
      */
-    public void redateColdStart(long listedBefore, long listedNow) {
-        coldSince = coldSince == listedBefore ? listedNow : coldSince;
+    public void redateStart(long listedBefore, long listedNow) {
+        slowStartAt = slowStartAt == listedBefore ? listedNow : slowStartAt;
     }
 
     /** Returns the tokens in the bucket, in units of work; negative after more was charged than it held. */
@@ -60,11 +60,11 @@
      * @param bucketSize the largest number of tokens
      */
     public void refill(double perWindow, double bucketSize, long window, long now) {
-        if (lastRefillAt < coldSince) {
+        if (lastRefillAt < slowStartAt) {
             tokens = Math.min(0, tokens);
         }
         ticketValidUntil = LoadReport.UNKNOWN_TIME;
-        double windows = (now - Math.max(coldSince, lastRefillAt)) / (double) window;
+        double windows = (now - Math.max(slowStartAt, lastRefillAt)) / (double) window;
         tokens = Math.min(bucketSize, tokens + perWindow * Math.max(0, windows));
         lastRefillAt = now;
     }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -39,7 +39,7 @@
         final SlowStart slowStart;
 
         Gateway(int number, int gateways, int serversPastSlowStart) {
-            recovering.slowStart().recordColdStart(STARTED_AT);
+            recovering.slowStart().recordStart(STARTED_AT);
             servers.add(recovering);
             for (int i = 0; i < serversPastSlowStart; i++) {
                 servers.add(new ServerState(new ServerId("other" + i), recovering.group(), 24));
@@ -137,7 +137,7 @@
         Gateway gateway = new Gateway(1, 1, 0);
         int sent = gateway.send(100, STARTED_AT + WINDOW);
         // A peer has dated the same start a little later.
-        gateway.recovering.slowStart().recordColdStart(STARTED_AT + WINDOW + TICKS_PER_MS);
+        gateway.recovering.slowStart().recordStart(STARTED_AT + WINDOW + TICKS_PER_MS);
         assertThat(sent).isPositive();
         assertThat(gateway.send(100, STARTED_AT + WINDOW + 2 * TICKS_PER_MS)).isZero();
     }
