--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -20,7 +20,7 @@
      * @param gateways the number of gateways in the deployment
      * @param requestClasses all request classes, by their index
      * @param tenants all tenants, by their index
-     * @param beyondShareValue the value of a request beyond its tenant's agreed traffic, as a fraction of its class's
+     * @param valueBeyondAgreedTraffic the value of a request beyond its tenant's agreed traffic, as a fraction of its class's
      *     value
      * @param listOnDemand whether the endpoint list is watched only after {@link Action.WatchEndpoints}
      * @param gatewayIndex the index of this gateway among all gateways
@@ -30,7 +30,7 @@
             int gateways,
             List<RequestClass> requestClasses,
             List<Tenant> tenants,
-            double beyondShareValue,
+            double valueBeyondAgreedTraffic,
             ServerGuarantees guarantees,
             Capabilities capabilities,
             ReplicaGuarantees replicaGuarantees,
--- a/gateway/src/main/java/ploverdale/net/Gateway.java
+++ b/gateway/src/main/java/ploverdale/net/Gateway.java
@@ -176,7 +176,7 @@
                 settings.gateways(),
                 settings.requestClasses(),
                 settings.tenants(),
-                settings.beyondShareValue(),
+                settings.valueBeyondAgreedTraffic(),
                 settings.guarantees(),
                 settings.capabilities(),
                 history.replicaGuarantees(settings.replicaGuarantees()),
--- a/gateway/src/main/java/ploverdale/routing/AdmissionController.java
+++ b/gateway/src/main/java/ploverdale/routing/AdmissionController.java
@@ -61,7 +61,7 @@
      * Returns the value of a request per tick of usual latency; requests beyond the tenant's agreed traffic count less.
      */
     private double valuePerWork(PendingRequest request) {
-        double valueFactor = request.isBeyondAgreedTraffic() ? settings.valueBeyondShare() : 1;
+        double valueFactor = request.isBeyondAgreedTraffic() ? settings.valueBeyondAgreedTraffic() : 1;
         return request.requestClass().value() * valueFactor / request.usualLatency();
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -72,8 +72,8 @@
     }
 
     /** Returns the value of a request beyond its tenant's agreed traffic, as a fraction of its class's value. */
-    double valueBeyondShare() {
-        return started.beyondShareValue();
+    double valueBeyondAgreedTraffic() {
+        return started.valueBeyondAgreedTraffic();
     }
 
     /** Returns what the servers and discovery guarantee. */
