--- a/gateway/src/main/java/ploverdale/routing/AdmissionController.java
+++ b/gateway/src/main/java/ploverdale/routing/AdmissionController.java
@@ -50,7 +50,7 @@
      * Returns the waiting requests of a group, highest value per unit of work first and, among equal ones, newest
      * first.
      */
-    List<PendingRequest> releaseOrder(ReplicaGroup group) {
+    List<PendingRequest> dispatchOrder(ReplicaGroup group) {
         return group.waiting().stream()
                 .sorted(Comparator.comparingDouble((PendingRequest request) -> -valuePerWork(request))
                         .thenComparing(request -> -request.arrivedAt()))
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -150,7 +150,7 @@
      * and even less often where a peer would report that it is alive.
      */
     private long nextBackoff(ServerState server) {
-        if (!outlierDetector.wasNeverUp(server)) {
+        if (!outlierDetector.hasNeverResponded(server)) {
             return Math.min(OutlierDetector.MAX_BACKOFF / 4, server.ejection().backoff() * 2);
         }
         return gossip.isNeededForPositions() ? 4 * OutlierDetector.MAX_BACKOFF : OutlierDetector.MAX_BACKOFF;
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -172,7 +172,7 @@
     }
 
     private long initialBackoff(ServerState server) {
-        if (wasNeverUp(server)) {
+        if (hasNeverResponded(server)) {
             return MAX_BACKOFF;
         }
         Ejection ejection = server.ejection();
@@ -186,7 +186,7 @@
      * Whether the server is listed but was probably never up. False while no server at all was ever confirmed, since
      * then this gateway or all servers may be starting slowly.
      */
-    boolean wasNeverUp(ServerState server) {
+    boolean hasNeverResponded(ServerState server) {
         return !server.liveness().wasEverConfirmed()
                 && !localHealth.explainedRecently(context.now())
                 && directory.servers().stream().anyMatch(ServerState::isConfirmedServing);
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -209,7 +209,7 @@
             return;
         }
         boolean[] classWaits = new boolean[settings.requestClasses().size()];
-        for (PendingRequest request : admission.releaseOrder(group)) {
+        for (PendingRequest request : admission.dispatchOrder(group)) {
             int classIndex = request.arrival().requestClass().index();
             boolean isOverdue = context.now() >= RequestDeadlines.waitUntil(request);
             if (isOverdue || !classWaits[classIndex]) {
