--- a/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/AttemptEvaluator.java
@@ -122,9 +122,9 @@
     }
 
     /** Reports the outcome of a write to gossip, which rates peers by whether they named the right primary. */
-    private void verifyPrimary(ServerState server, PendingRequest request, boolean confirmed) {
+    private void verifyPrimary(ServerState server, PendingRequest request, boolean isPrimary) {
         if (request.isWrite()) {
-            gossip.primaryVerified(context.now(), server.id(), confirmed);
+            gossip.primaryVerified(context.now(), server.id(), isPrimary);
         }
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/DisabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/DisabledGossip.java
@@ -37,7 +37,7 @@
     public void serverObserved(long now, ServerId server) {}
 
     @Override
-    public void primaryVerified(long now, ServerId server, boolean confirmed) {}
+    public void primaryVerified(long now, ServerId server, boolean isPrimary) {}
 
     @Override
     public boolean hasPending(long now) {
--- a/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/EnabledGossip.java
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void primaryVerified(long now, ServerId server, boolean confirmed) {
-        protocol.onRoleVerified(now, server, confirmed);
+    public void primaryVerified(long now, ServerId server, boolean isPrimary) {
+        protocol.onRoleVerified(now, server, isPrimary);
     }
 
     @Override
