--- a/gateway/src/main/java/ploverdale/model/Event.java
+++ b/gateway/src/main/java/ploverdale/model/Event.java
@@ -20,8 +20,8 @@
      * @param gateways the number of gateways in the deployment
      * @param requestClasses all request classes, by their index
      * @param tenants all tenants, by their index
-     * @param valueBeyondAgreedTraffic the value of a request beyond its tenant's agreed traffic, as a fraction of its class's
-     *     value
+     * @param valueBeyondAgreedTraffic the value of a request beyond its tenant's agreed traffic, as a fraction of
+     *     its class's value
      * @param listOnDemand whether the endpoint list is watched only after {@link Action.WatchEndpoints}
      * @param gatewayIndex the index of this gateway among all gateways
      */
--- a/gateway/src/main/java/ploverdale/routing/BeforeStart.java
+++ b/gateway/src/main/java/ploverdale/routing/BeforeStart.java
@@ -5,8 +5,8 @@
 import ploverdale.model.EventHandler;
 
 /**
- * Handles events before the gateway has received its settings. Delays of the event loop are recorded and a request is
- * an error of the caller; all other events are ignored.
+ * Handles events until the gateway has received its settings with {@link Event.Started}, which replaces this handler.
+ * Delays of the event loop are recorded, a request is an error of the caller, and all other events are ignored.
  */
 final class BeforeStart implements EventHandler {
     private final LocalHealth localHealth;
--- a/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
+++ b/gateway/src/main/java/ploverdale/routing/EndpointWatch.java
@@ -19,7 +19,7 @@
         this.random = random;
     }
 
-    /** Has the list requested at the next maintenance run. */
+    /** Schedules a request for the endpoint list at the next maintenance run. */
     void begin() {
         dueAt = context.now();
     }
--- a/gateway/src/main/java/ploverdale/routing/EventDecisions.java
+++ b/gateway/src/main/java/ploverdale/routing/EventDecisions.java
@@ -124,8 +124,8 @@
         retryPolicy.releaseRetry(request);
         if (end.outcome() == Outcome.SUCCEEDED && request.isWrite()) {
             LoadReport report = end.answerReport();
-            boolean isDated = report != null && report.position() != LoadReport.UNKNOWN_TIME;
-            sessionWrites.put(request.arrival().session(), isDated ? report.position() : context.now());
+            boolean hasPosition = report != null && report.position() != LoadReport.UNKNOWN_TIME;
+            sessionWrites.put(request.arrival().session(), hasPosition ? report.position() : context.now());
         }
     }
 
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -65,7 +65,7 @@
 
     /**
      * Returns when the server was last known to be alive, to any gateway. If it never was, returns the current time, so
-     * that the start time from the endpoint list decides.
+     * that the start time from the endpoint list alone decides whether it is in slow start.
      */
     private long lastKnownAlive(ServerState server) {
         long known = Math.max(server.liveness().aliveAt(), server.replication().positionReportedAt());
@@ -117,7 +117,7 @@
             extendEjection(server, waited);
             return;
         }
-        boolean answersAttempts = now - server.liveness().attemptAnsweredAt() <= OutlierDetector.MIN_SILENCE;
+        boolean answersAttempts = now - server.liveness().attemptAnsweredAt() <= OutlierDetector.MIN_UNRESPONSIVE_TIME;
         if (answersAttempts) {
             return;
         }
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Returns the delay before the next check of an ejected server. A server that was never alive is checked rarely,
-     * and even less often where a peer would report that it is alive.
+     * Returns the delay before the next check of an ejected server. A server that has never responded is checked
+     * rarely, and even less often where a peer would report that it is alive.
      */
     private long nextBackoff(ServerState server) {
         if (!outlierDetector.hasNeverResponded(server)) {
@@ -168,6 +168,6 @@
         if (inconclusive) {
             server.liveness().recordInconclusiveCheck(now - sentAt - localHealth.explainedIn(sentAt, now));
         }
-        return inconclusive && server.liveness().inconclusiveWait() < OutlierDetector.MIN_SILENCE;
+        return inconclusive && server.liveness().inconclusiveWait() < OutlierDetector.MIN_UNRESPONSIVE_TIME;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Returns how long after a load report another check can yield something new, in ticks. Where gossip provides
-     * positions, waiting for the next gossip message does as well.
+     * Returns how long after a load report another check is worthwhile, in ticks. That is later where peers report
+     * positions, because the next gossip message then makes a check unnecessary.
      */
     long recheckInterval() {
         return gossip.isNeededForPositions() ? REPORT_INTERVAL + GossipProtocol.MAX_POSITION_REFRESH : REPORT_INTERVAL;
@@ -127,8 +127,8 @@
 
     /**
      * Returns whether an on-demand check of the server may help. A server that was never confirmed is a candidate only
-     * if the group has no confirmed one, or if it is the primary: one that only peers have named may never have been
-     * confirmed by this gateway.
+     * if the group has no confirmed one, or if it is the primary: a primary that is known only from peers may never have
+     * been confirmed by this gateway.
      */
     private static boolean isCandidate(ServerState server, Predicate<ServerState> wanted, boolean anyConfirmed) {
         if (!server.lifecycle().isActive() || !wanted.test(server)) {
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -23,9 +23,9 @@
  */
 final class LocalHealth {
     /**
-     * How long the unresponsiveness of nearly all servers is put down to a common cause. Together with the time until
+     * How long the unresponsiveness of nearly all servers is attributed to a common cause. Together with the time until
      * it is noticed (100 ms) and the time without answers that is needed again after it (400 ms,
-     * {@link OutlierDetector#SHORTEST_SILENCE}), it is shorter than any restart of a server (1.5 s).
+     * {@link OutlierDetector#MIN_UNRESPONSIVE_TIME}), it is shorter than any restart of a server (1.5 s).
      */
     static final long MAX_COMMON_CAUSE_DURATION = Ticks.ofMillis(500);
 
@@ -37,11 +37,11 @@
 
     /**
      * Share of the other servers that must be unresponsive at the same time. It is above two thirds, so that the loss
-     * of two zones of three is not taken for a common cause, with a margin for single slow servers in addition.
+     * of two zones of three is not mistaken for a common cause, with a margin for single slow servers in addition.
      */
     private static final double COMMON_CAUSE_SHARE = 0.75;
 
-    /** With fewer servers, unresponsiveness is never put down to a common cause. */
+    /** With fewer servers, unresponsiveness is never attributed to a common cause. */
     private static final int MIN_SERVERS = 4;
     /**
      * Time without answers after which a server counts as unresponsive; an answer that needs no work takes at most half
@@ -53,7 +53,7 @@
      * in twenty times; nearly all servers at the same time never do.
      */
     private static final double MISSING_ANSWERS_THRESHOLD = 3;
-    /** Enough for the last few seconds; older spans no longer explain anything. */
+    /** Maximum number of explained spans that are remembered; they cover the last few seconds, and older ones are useless. */
     private static final int MAX_SPANS = 64;
 
     /**
@@ -61,11 +61,13 @@
      *
      * @param from start of the span
      * @param until end of the span
-     * @param backlogClearedAt when the backlog that built up in the span has been worked off
+     * @param backlogClearedAt when the backlog that built up in the span is assumed to have been worked off
      */
     private record ExplainedSpan(long from, long until, long backlogClearedAt) {}
 
-    private final Deque<ExplainedSpan> explained = new ArrayDeque<>(); // ordered and disjoint
+    /** Ordered by time and disjoint. */
+    private final Deque<ExplainedSpan> explained = new ArrayDeque<>();
+
     /** Whether most servers have answered since the last sign of a common cause. */
     private boolean episodeOver = true;
 
@@ -95,8 +97,8 @@
 
     /**
      * Returns whether a wait over this span says nothing about the server. That is the case if at least half of it is
-     * explained, or is so soon after explained time that the backlog may not have been worked off yet, which is assumed
-     * to take as long again.
+     * explained, or lies so soon after an explained span that the backlog of that span may not have been worked off
+     * yet. That is assumed to take as long as the span, but at most {@link #MAX_COMMON_CAUSE_DURATION}.
      */
     boolean inconclusive(long from, long until) {
         long sum = 0;
@@ -107,8 +109,9 @@
     }
 
     /**
-     * Records that a server has not answered since a time. Returns whether nearly all other servers have not answered
-     * either; the span then counts as explained.
+     * Records that a server has not answered since a time, and returns whether a common cause explains that: nearly all
+     * other servers have not answered either, and the common cause has not lasted too long yet. The span then counts as
+     * explained.
      */
     boolean detectCommonCause(long now, ServerState unresponsiveServer, long since, Collection<ServerState> servers) {
         return nearlyAllUnresponsive(now, unresponsiveServer, since, servers) && recordSign(now, since);
@@ -117,7 +120,7 @@
     /**
      * Records a sign of a common cause.
      *
-     * @return whether the time since the episode began is short enough to put missing answers down to the common cause
+     * @return whether the time since the episode began is short enough to attribute missing answers to the common cause
      */
     private boolean recordSign(long now, long since) {
         if (episodeOver || now - lastSignAt >= EPISODE_GAP) {
@@ -134,7 +137,7 @@
 
     /**
      * Looks for a common cause while the servers have been unresponsive only briefly, before any of them is suspected,
-     * so that those that answer last afterwards are not judged by that time. Has to be called frequently.
+     * so that the servers that are the last to answer afterwards are not suspected because of that time. Has to be called frequently.
      */
     void observe(long now, Collection<ServerState> servers) {
         if (!episodeOver && mostAnsweredSince(lastSignAt, servers)) {
--- a/gateway/src/main/java/ploverdale/routing/Maintenance.java
+++ b/gateway/src/main/java/ploverdale/routing/Maintenance.java
@@ -73,7 +73,7 @@
     private void checkServers(long now) {
         HealthChecker.PeriodicPass pass = healthChecker.beginPeriodicPass();
         for (ServerState server : directory.servers()) {
-            outlierDetector.checkForSilence(server);
+            outlierDetector.detectUnresponsive(server);
             gossip.serverObserved(now, server.id());
             endpoints.endUnconfirmedDrain(server);
             pass.consider(server);
--- a/gateway/src/main/java/ploverdale/routing/MaintenanceTimer.java
+++ b/gateway/src/main/java/ploverdale/routing/MaintenanceTimer.java
@@ -4,11 +4,11 @@
 
 /** Sets the timer for periodic maintenance, so that it runs as early as any component needs it and no more often. */
 final class MaintenanceTimer {
-    /** The mark of the timer, which is passed back when it fires; there is only this one timer. */
+    /** The mark that is passed back when the timer fires; there is only this one timer. */
     private static final long TIMER_MARK = 0;
 
     private final DecisionContext context;
-    /** When the next run is scheduled. The minimum value has the first timer event of the gateway run maintenance. */
+    /** When the next run is scheduled. The initial value makes the first run due at once. */
     private long nextAt = Long.MIN_VALUE;
 
     MaintenanceTimer(DecisionContext context) {
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -9,15 +9,18 @@
 
 /**
  * Outlier detection: ejects servers that do not answer attempts or health checks or whose attempts fail, and readmits
- * them after a growing backoff. If a silence of the server (a time without any answer) is better explained by a delay
- * of this gateway or by a common cause ({@link LocalHealth}), the server is not ejected but only suspected: it gets no
- * new request until it has answered a health check. Not thread-safe. Times are {@link Ticks}.
+ * them after a growing backoff. If missing answers are better explained by a delay of this gateway or by a common
+ * cause ({@link LocalHealth}), the server is not ejected but only suspected: it gets no new request until it has
+ * answered a health check. Not thread-safe. Times are {@link Ticks}.
  */
 final class OutlierDetector {
     /** Consecutive missed health checks after which a server is ejected; a single one may be lost by chance. */
     static final int MISSED_CHECKS_TO_EJECT = 2;
-    /** The shortest silence for which a server is ejected or suspected; longer than usual short pauses of a server. */
-    static final long MIN_SILENCE = Ticks.ofMillis(400);
+    /**
+     * The shortest time without answers after which a server is ejected or suspected; longer than the short pauses that
+     * servers usually have.
+     */
+    static final long MIN_UNRESPONSIVE_TIME = Ticks.ofMillis(400);
     /**
      * The shortest time that a restart takes: a server that was unresponsive for less has not restarted. If a server is
      * ejected again this soon after its readmission, its backoff doubles.
@@ -30,8 +33,8 @@
 
     private static final long INITIAL_BACKOFF = Ticks.ofMillis(300);
     /**
-     * A silence has consequences only if more than this number of expected answers is missing. A healthy server misses
-     * as many by chance only once in thousands of cases.
+     * A server is ejected or suspected as unresponsive only if more than this number of expected answers is missing. A
+     * healthy server misses as many by chance only once in thousands of cases.
      */
     private static final double MAX_MISSING_ANSWERS = 8;
 
@@ -61,60 +64,60 @@
      * Ejects or suspects a server that has not answered for so long that many answers to its attempts are missing,
      * because it is dead, hung or unreachable. Called periodically.
      */
-    void checkForSilence(ServerState server) {
+    void detectUnresponsive(ServerState server) {
         long now = context.now();
         List<PendingRequest> attempts = server.attemptsSinceReadmission();
         long oldestAttempt = attempts.isEmpty() ? now : attempts.get(0).attemptStartedAt();
-        long silence = now - Math.max(server.liveness().attemptAnsweredAt(), oldestAttempt);
-        if (silence < MIN_SILENCE || missingAnswers(server, attempts, silence) <= MAX_MISSING_ANSWERS) {
+        long unresponsiveFor = now - Math.max(server.liveness().attemptAnsweredAt(), oldestAttempt);
+        if (unresponsiveFor < MIN_UNRESPONSIVE_TIME || missingAnswers(server, attempts, unresponsiveFor) <= MAX_MISSING_ANSWERS) {
             return;
         }
-        if (isReportedByPeersWithin(server, silence)) {
-            if (now - server.healthCheck().sentAt() > silence) {
+        if (isReportedByPeersWithin(server, unresponsiveFor)) {
+            if (now - server.healthCheck().sentAt() > unresponsiveFor) {
                 healthChecker.check(server, HealthCheckReason.SUSPICION);
             }
             return;
         }
-        if (isExplainedOtherwise(server, silence)) {
-            suspectAfterSilence(server, now - silence);
+        if (isExplainedOtherwise(server, unresponsiveFor)) {
+            suspectUnresponsive(server, now - unresponsiveFor);
         } else {
-            eject(server, silenceReason(server, silence));
+            eject(server, unresponsiveReason(server, unresponsiveFor));
         }
     }
 
-    private static String silenceReason(ServerState server, long silence) {
-        return "quiet " + silence / Ticks.PER_MILLISECOND + " ms with "
+    private static String unresponsiveReason(ServerState server, long unresponsiveFor) {
+        return "quiet " + unresponsiveFor / Ticks.PER_MILLISECOND + " ms with "
                 + server.load().attemptsInFlight() + " out";
     }
 
     /** Returns how many answers were expected by now, given the usual latency of the requests in flight. */
-    private double missingAnswers(ServerState server, List<PendingRequest> attempts, long silence) {
+    private double missingAnswers(ServerState server, List<PendingRequest> attempts, long unresponsiveFor) {
         double inflation = Math.max(1, server.load().measuredInflation());
         return attempts.stream()
-                .mapToDouble(request -> Math.min(silence, context.now() - request.attemptStartedAt())
+                .mapToDouble(request -> Math.min(unresponsiveFor, context.now() - request.attemptStartedAt())
                         / (request.usualLatency() * inflation))
                 .sum();
     }
 
     /**
-     * Whether a peer received a report from the server during the silence. A gateway with few requests would otherwise
-     * take a slow server for dead while other gateways get answers from it.
+     * Whether a peer received a report from the server while this gateway got no answer. A gateway with few requests
+     * would otherwise eject a slow server while other gateways get answers from it.
      */
-    private boolean isReportedByPeersWithin(ServerState server, long silence) {
-        return gossip.isNeededForPositions() && server.replication().positionReportAge(context.now()) < silence;
+    private boolean isReportedByPeersWithin(ServerState server, long unresponsiveFor) {
+        return gossip.isNeededForPositions() && server.replication().positionReportAge(context.now()) < unresponsiveFor;
     }
 
-    private boolean isExplainedOtherwise(ServerState server, long silence) {
+    private boolean isExplainedOtherwise(ServerState server, long unresponsiveFor) {
         long now = context.now();
-        return silence - localHealth.explainedIn(now - silence, now) < MIN_SILENCE
-                || localHealth.detectCommonCause(now, server, now - silence, directory.servers());
+        return unresponsiveFor - localHealth.explainedIn(now - unresponsiveFor, now) < MIN_UNRESPONSIVE_TIME
+                || localHealth.detectCommonCause(now, server, now - unresponsiveFor, directory.servers());
     }
 
     /**
-     * Suspects a server that has been silent since this time. If another member of its group has answered since, the
+     * Suspects a server that has not answered since this time. If another member of its group has answered since, the
      * requests in flight that may be retried are cancelled, so that they are retried there.
      */
-    private void suspectAfterSilence(ServerState server, long since) {
+    private void suspectUnresponsive(ServerState server, long since) {
         suspect(server);
         server.ejection().raiseMissedChecksTo(MISSED_CHECKS_TO_EJECT - 1); // one more missed health check ejects it
         boolean otherMemberAnswered = server.group().members().stream()
@@ -183,8 +186,8 @@
     }
 
     /**
-     * Whether the server is listed but was probably never up. False while no server at all was ever confirmed, since
-     * then this gateway or all servers may be starting slowly.
+     * Whether the server is listed but has probably never responded since it started. False while no server at all was
+     * ever confirmed, because then this gateway or all servers may be starting slowly.
      */
     boolean hasNeverResponded(ServerState server) {
         return !server.liveness().wasEverConfirmed()
--- a/gateway/src/main/java/ploverdale/routing/PeerGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/PeerGossip.java
@@ -19,10 +19,10 @@
      */
     boolean isNeededForPositions();
 
-    /** Called when the endpoint list names a server that it did not name before. */
+    /** Called for each server in an endpoint update, except removed ones; the server may already be known. */
     void serverListed(ServerId server);
 
-    /** Called when the endpoint list no longer names a server. */
+    /** Called when the removal of a server from the endpoint list has taken effect. */
     void serverRemoved(ServerId server);
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns after how long the client may submit the request again; 0 if the settings do not permit to state that.
+     * Returns after how long the client may submit the request again; 0 if a rejection may not state such a time.
      */
     long retryAfter(PendingRequest request) {
         long quotaRetryAfter = request.isBeyondAgreedTraffic()
--- a/gateway/src/main/java/ploverdale/routing/ServerSelector.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerSelector.java
@@ -30,7 +30,10 @@
     private static final double READ_LIMIT_SHARE = 0.7;
     /** Multiple of the primary's concurrency limit that writes may use, since a late write still has a value. */
     private static final double WRITE_LIMIT_SHARE = 2;
-    /** Cost factor of the server of the previous attempt, and of each rank among the servers of long reads. */
+    /**
+     * Factor by which the cost of the server of the previous attempt is multiplied and, for long reads, the cost of a
+     * replica once per rank ({@link #rankForLongReads}).
+     */
     private static final double AVOIDANCE_FACTOR = 3;
     /**
      * After a replica rejected a read as too stale, another read is sent to it only after this time, since each further
@@ -245,7 +248,7 @@
     /**
      * Whether a busy server may take a read. Rejects a random fraction of the reads, which grows with the reported
      * utilization, so that many gateways with few requests each do not overload a server together. If this gateway
-     * measured the server's latency more recently than a report can be, the report is ignored.
+     * has measured the server's latency within the maximum age of a report, the report is ignored.
      */
     private boolean isAdmittedByUtilization(ServerState server, double saturation) {
         return hasRecentLatency(server)
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -24,9 +24,9 @@
      * for servers that are slower than others.
      */
     private static final double BUDGET_SHARE = 0.6;
-    /** Size of a bucket as a fraction of a window's refill, apart from its part of the slack. */
+    /** Size of a bucket as a fraction of a window's refill, in addition to its part of the {@link #slack}. */
     private static final double BURST_SHARE = 0.25;
-    /** Fraction of the slack by which the buckets are larger; the rest covers random variation. */
+    /** Fraction of the slack that is added to the size of the buckets; the rest covers random variation. */
     private static final double SLACK_SHARE = 0.4;
     /** How long a ticket won in the lottery admits a request, in windows. */
     private static final double TICKET_VALIDITY_WINDOWS = 0.5;
--- a/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
+++ b/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Records the state that the list names. If the own list withdraws a drain that it had named, the report of that
+     * Records the state that this gateway's list names. If the list withdraws a drain that it had named, the report of that
      * drain ends as well.
      */
     public void recordListedState(EndpointState listed, long now) {
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Returns the state to enter for an entry of the list. A drain reported by a peer stays in force while the own list
-     * does not know of it yet, unless the server has restarted.
+     * Returns the state to enter for an entry of the list. A drain reported by a peer stays in force while this
+     * gateway's list does not name it yet, unless the server has restarted.
      */
     public EndpointState stateAfter(Endpoint entry, long now) {
         boolean keepsDrain = isDrainByReportOnly(now) && entry.startedAt() <= startedAt;
--- a/gateway/src/main/java/ploverdale/state/Load.java
+++ b/gateway/src/main/java/ploverdale/state/Load.java
@@ -88,7 +88,7 @@
         return utilization;
     }
 
-    /** Records the reported utilization; NaN if the report has none, which keeps the former one. */
+    /** Records the reported utilization; NaN, for a report without utilization, is ignored. */
     public void recordUtilization(double reported) {
         utilization = Double.isNaN(reported) ? utilization : reported;
     }
--- a/gateway/src/main/java/ploverdale/state/ReplicationStatus.java
+++ b/gateway/src/main/java/ploverdale/state/ReplicationStatus.java
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Records that the server declined a request for its role or position, or that one is about to be sent although it
-     * may be declined.
+     * Records that the server declined a request for its role or position, or that a request is about to be sent which
+     * it may decline.
      */
     public void recordMisdirected(long now) {
         misdirectedAt = now;
--- a/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
+++ b/gateway/src/main/java/ploverdale/state/SlowStartProgress.java
@@ -16,12 +16,12 @@
     private double recentWork;
     private long recentWorkAt;
 
-    /** Returns when the server last started cold. */
+    /** Returns when the server's latest slow start began. */
     public long slowStartAt() {
         return slowStartAt;
     }
 
-    /** Records a cold start at this time, unless a later one is known. */
+    /** Records that slow start began at this time, unless a later beginning is known. */
     public void recordStart(long at) {
         slowStartAt = Math.max(slowStartAt, at);
     }
@@ -38,7 +38,7 @@
         slowStartAt = slowStartAt == listedBefore ? listedNow : slowStartAt;
     }
 
-    /** Returns the tokens in the bucket, in units of work; negative after more was charged than it held. */
+    /** Returns the tokens in the bucket, in units of work; negative after more was charged than was in it. */
     public double tokens() {
         return tokens;
     }
