--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -157,13 +157,13 @@
      * Called when a server itself has confirmed or refuted the role that gossip reported. Adjusts the trust in the peer
      * that sent it.
      *
-     * @param isPrimary whether the reported role was correct
+     * @param correct whether the reported role was correct
      */
-    public void onRoleVerified(long now, ServerId id, boolean isPrimary) {
+    public void onRoleVerified(long now, ServerId id, boolean correct) {
         KnownServer server = servers.find(id);
         int peer = server == null ? KnownServer.NO_PEER : server.takeRolePeer();
         if (peer != KnownServer.NO_PEER) {
-            trust.rate(now, peer, isPrimary);
+            trust.rate(now, peer, correct);
         }
     }
 
