--- a/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
@@ -183,7 +183,7 @@
         };
     }
 
-    /** Returns the load report that comes with an event; null if there is none. */
+    /** Returns the load report that an event carries; null if it carries none. */
     private LoadReport loadReport(JsonFields fields) {
         List<Object> values = fields.list("healthInfo");
         if (values.isEmpty()) {
--- a/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
+++ b/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
@@ -53,7 +53,7 @@
     /** The time that these samples have to span, so that a primary whose clock has stopped does not set the offset. */
     private static final long MIN_SPAN = 3_000;
 
-    private static final long MILLISECOND = 10;
+    private static final long TICKS_PER_MS = 10;
 
     /** The bounds of the offset that are consistent with all samples of one server. */
     private static final class Bounds {
@@ -216,6 +216,6 @@
     }
 
     private static long roundedUp(long time) {
-        return -Math.floorDiv(-time, MILLISECOND) * MILLISECOND;
+        return -Math.floorDiv(-time, TICKS_PER_MS) * TICKS_PER_MS;
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/BootstrapSchedule.java
+++ b/gateway/src/main/java/ploverdale/gossip/BootstrapSchedule.java
@@ -2,12 +2,12 @@
 
 /** Schedules the snapshot requests of a gateway that has just started. Times in tenths of a millisecond. */
 final class BootstrapSchedule {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /**
      * Delays from the start to each request. Requests are repeated because datagrams get lost, and because peers that
      * start at the same time have nothing to send yet.
      */
-    private static final long[] DELAYS = {0, 40 * MS, 300 * MS, 1000 * MS};
+    private static final long[] DELAYS = {0, 40 * TICKS_PER_MS, 300 * TICKS_PER_MS, 1000 * TICKS_PER_MS};
 
     private long startedAt = Long.MAX_VALUE;
     private int next;
--- a/gateway/src/main/java/ploverdale/gossip/Datagram.java
+++ b/gateway/src/main/java/ploverdale/gossip/Datagram.java
@@ -15,7 +15,7 @@
 public record Datagram(Kind kind, long sentAt, Map<Integer, ServerObservation> observations) {
     /** Purpose of a datagram. The ordinal is the code on the wire. */
     public enum Kind {
-        /** Asks the receiver for a snapshot of all that it knows. */
+        /** Requests a snapshot of all that the receiver knows. */
         SNAPSHOT_REQUEST,
         /** Holds observations: changes, or part of a snapshot. */
         OBSERVATIONS,
--- a/gateway/src/main/java/ploverdale/gossip/DatagramCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/DatagramCodec.java
@@ -38,7 +38,7 @@
     /** Maximum number of positions in a datagram. */
     static final int MAX_POSITIONS = MAX_ENTRIES_BYTES / PositionCodec.ENTRY_BYTES;
 
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final Kind[] KINDS = Kind.values();
 
     /**
@@ -75,7 +75,7 @@
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + count * entryBytes + CHECKSUM_BYTES);
         buffer.put(MAGIC).put((byte) VERSION).put((byte) datagram.kind().ordinal());
         buffer.put((byte) entryBytes);
-        putSentAt(buffer, Math.floorDiv(datagram.sentAt(), MS));
+        putSentAt(buffer, Math.floorDiv(datagram.sentAt(), TICKS_PER_MS));
         buffer.position(HEADER_BYTES);
         datagram.observations().forEach((hash, observation) -> {
             if (positions) {
@@ -95,7 +95,7 @@
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         Kind kind = KINDS[buffer.get(KIND_OFFSET)];
-        long sentAt = sentAtMs(buffer) * MS;
+        long sentAt = sentAtMs(buffer) * TICKS_PER_MS;
         Map<Integer, ServerObservation> observations = decodeEntries(buffer, kind, sentAt);
         return observations == null
                 ? DecodeResult.rejected(RejectionReason.MALFORMED)
@@ -164,7 +164,7 @@
             return bytes;
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes.clone());
-        putSentAt(buffer, sentAtMs(buffer) + Math.floorDiv(shift, MS));
+        putSentAt(buffer, sentAtMs(buffer) + Math.floorDiv(shift, TICKS_PER_MS));
         buffer.position(bytes.length - CHECKSUM_BYTES);
         return putChecksum(buffer);
     }
--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -13,8 +13,8 @@
 
 /**
  * Epidemic dissemination of server observations between gateways (Demers et al., 1987). This class is the entry point
- * for events and ticks. A gateway that starts asks a few peers for a snapshot of all that they know
- * ({@link SnapshotBuilder}). After that only changes are sent, to a few random peers that forward them
+ * for events and ticks. A gateway that starts requests a snapshot of all that they know from a few
+ * peers ({@link SnapshotBuilder}). After that only changes are sent, to a few random peers that forward them
  * ({@link RumorQueue}). Log positions are distributed separately ({@link PositionExchange}). {@link PeerTrust} limits
  * the influence of peers that report wrong roles, and {@link SendBudget} limits the bandwidth.
  *
@@ -35,20 +35,20 @@
     public record ReceivedGossip(
             Map<ServerId, ServerObservation> observations, List<OutboundPacket> replies, String logLine) {}
 
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     /** Maximum time from a broadcast of positions until the positions of the next broadcast are too old to be used. */
     public static final long MAX_POSITION_REFRESH =
             PositionExchange.BROADCAST_INTERVAL + PositionExchange.BROADCAST_MAX_AGE;
 
     /** Maximum age of a datagram. An older one is rejected, since the network or a clock must be at fault. */
-    static final long MAX_TRANSIT_TIME = 2000 * MS;
+    static final long MAX_TRANSIT_TIME = 2000 * TICKS_PER_MS;
 
     /**
      * Maximum time by which the sending time of a datagram may be in the future. A datagram beyond it is rejected; the
      * observations of one within it count as made now.
      */
-    private static final long MAX_CLOCK_SKEW = 500 * MS;
+    private static final long MAX_CLOCK_SKEW = 500 * TICKS_PER_MS;
     /** Number of peers that a snapshot request is sent to. */
     private static final int SNAPSHOT_REQUEST_FANOUT = 2;
     /** Number of peers that the last snapshot of this gateway is sent to when it shuts down. */
@@ -88,7 +88,7 @@
             Function<ServerId, ServerObservation> ownObservations) {
         this.ownObservations = ownObservations;
         ownRequestsPerSecond = requestsPerSecond / gatewayCount;
-        stalenessBoundSeconds = stalenessBound / (1000.0 * MS);
+        stalenessBoundSeconds = stalenessBound / (1000.0 * TICKS_PER_MS);
         trust = new PeerTrust(gatewayCount);
         peers = new PeerSelector(self, gatewayCount, random);
         positions = new PositionExchange(self, gatewayCount);
--- a/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/ObservationCodec.java
@@ -22,8 +22,8 @@
     static final int MIN_ENTRY_BYTES = 7;
 
     private static final int ROLE_MASK = 3;
-    private static final long MS = 10;
-    private static final long AGE_UNIT = 10 * MS;
+    private static final long TICKS_PER_MS = 10;
+    private static final long AGE_UNIT = 10 * TICKS_PER_MS;
     private static final int UNKNOWN_AGE = 0xFFFF;
     private static final int UNKNOWN_POSITION_AGE = 0xFFFFFF;
     private static final int POSITION_AGE_BYTES = 3;
@@ -52,7 +52,7 @@
     private static void putPositionAge(ByteBuffer buffer, long position, long sentAt) {
         int age = UNKNOWN_POSITION_AGE;
         if (position != LoadReport.UNKNOWN_TIME) {
-            long ageMs = Math.floorDiv(sentAt, MS) - Math.floorDiv(position, MS);
+            long ageMs = Math.floorDiv(sentAt, TICKS_PER_MS) - Math.floorDiv(position, TICKS_PER_MS);
             age = ageMs < 0 || ageMs >= UNKNOWN_POSITION_AGE ? UNKNOWN_POSITION_AGE : (int) ageMs;
         }
         buffer.put((byte) (age >> Short.SIZE)).putShort((short) age);
@@ -102,6 +102,6 @@
         }
         int high = Byte.toUnsignedInt(entry.get());
         int ageMs = high << Short.SIZE | Short.toUnsignedInt(entry.getShort());
-        return ageMs == UNKNOWN_POSITION_AGE ? LoadReport.UNKNOWN_TIME : sentAt - ageMs * MS;
+        return ageMs == UNKNOWN_POSITION_AGE ? LoadReport.UNKNOWN_TIME : sentAt - ageMs * TICKS_PER_MS;
     }
 }
--- a/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerSelector.java
@@ -10,9 +10,9 @@
  * Selects random peers to send to, except those that have announced their shutdown. Times in tenths of a millisecond.
  */
 final class PeerSelector {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /** How long a peer that has shut down is not selected; after this time a new process usually runs in its place. */
-    private static final long DEPARTURE_DURATION = 10_000 * MS;
+    private static final long DEPARTURE_DURATION = 10_000 * TICKS_PER_MS;
     /**
      * Limit of random draws per peer wanted: enough to find them in most cases, and bounded when nearly all peers have
      * shut down.
--- a/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
+++ b/gateway/src/main/java/ploverdale/gossip/PeerTrust.java
@@ -7,17 +7,17 @@
  * one turns out right, and recovers to 1 over time. Times in tenths of a millisecond.
  */
 final class PeerTrust {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /** Factor by which a wrong role reduces the trust. */
     private static final double PENALTY_FACTOR = 0.5;
     /** Fraction of the missing trust that a right role restores. */
     private static final double REWARD_FRACTION = 0.1;
     /** Time constant of the exponential recovery to 1. */
-    private static final double RECOVERY_TIME = 60_000 * MS;
+    private static final double RECOVERY_TIME = 60_000 * TICKS_PER_MS;
     /** Below this trust, the roles that a peer reports are ignored. */
     private static final double MIN_TRUST = 0.2;
     /** Maximum time by which a reported role is made older; scaled by the missing trust. */
-    private static final long MAX_ROLE_DISCOUNT = 1000 * MS;
+    private static final long MAX_ROLE_DISCOUNT = 1000 * TICKS_PER_MS;
 
     private final double[] trust;
     private final long[] updatedAt;
--- a/gateway/src/main/java/ploverdale/gossip/PositionCodec.java
+++ b/gateway/src/main/java/ploverdale/gossip/PositionCodec.java
@@ -18,7 +18,7 @@
 final class PositionCodec {
     static final int ENTRY_BYTES = 4;
 
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     private static final int PRIMARY_BIT = 0x8000;
     private static final int AGE_MASK = 0x7FFF;
     private static final int UNKNOWN_AGE = AGE_MASK; // also stands for ages that do not fit the field
@@ -35,7 +35,7 @@
         if (position == LoadReport.UNKNOWN_TIME) {
             return UNKNOWN_AGE;
         }
-        long ageMs = Math.floorDiv(sentAt, MS) - Math.floorDiv(position, MS);
+        long ageMs = Math.floorDiv(sentAt, TICKS_PER_MS) - Math.floorDiv(position, TICKS_PER_MS);
         return (int) Math.max(0, Math.min(ageMs, UNKNOWN_AGE));
     }
 
@@ -53,9 +53,9 @@
         if (ageMs == UNKNOWN_AGE) {
             return ServerObservation.ofPosition(role, LoadReport.UNKNOWN_TIME, earliest);
         }
-        long position = sentAt - ageMs * MS;
-        return ServerObservation.ofPosition(
-                role, position, Math.max(earliest, position)); // a position cannot be observed before its time
+        long position = sentAt - ageMs * TICKS_PER_MS;
+        // A position cannot be observed before its time.
+        return ServerObservation.ofPosition(role, position, Math.max(earliest, position));
     }
 
     private static long maxObservationAge(Kind kind) {
--- a/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
+++ b/gateway/src/main/java/ploverdale/gossip/PositionExchange.java
@@ -21,20 +21,20 @@
  * missing until the next term. Times in tenths of a millisecond.
  */
 final class PositionExchange {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     /** How long a gateway remains the collector. */
-    private static final long COLLECTOR_TERM = 2000 * MS;
+    private static final long COLLECTOR_TERM = 2000 * TICKS_PER_MS;
     /** Time between two broadcasts: half of the tightest staleness bound in use. */
-    static final long BROADCAST_INTERVAL = 250 * MS;
+    static final long BROADCAST_INTERVAL = 250 * TICKS_PER_MS;
     /** Minimum time between two reports to the collector. */
-    private static final long REPORT_INTERVAL = 20 * MS;
+    private static final long REPORT_INTERVAL = 20 * TICKS_PER_MS;
     /** Maximum age of an observation in a report. */
-    static final long REPORT_MAX_AGE = 60 * MS;
+    static final long REPORT_MAX_AGE = 60 * TICKS_PER_MS;
     /** Maximum age of an observation in a broadcast. */
     static final long BROADCAST_MAX_AGE = BROADCAST_INTERVAL + REPORT_MAX_AGE;
     /** A position that was broadcast within this time is not reported, since other gateways report it as well. */
-    private static final long RECENT_BROADCAST = 150 * MS;
+    private static final long RECENT_BROADCAST = 150 * TICKS_PER_MS;
     /** Maximum number of peers that the collector sends to directly, without relays. */
     private static final int MAX_DIRECT_PEERS = 9;
     /** Maximum number of servers in a report; they fit into one datagram. */
--- a/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
+++ b/gateway/src/main/java/ploverdale/gossip/RejectionLog.java
@@ -10,8 +10,8 @@
  * millisecond.
  */
 final class RejectionLog {
-    private static final long MS = 10;
-    private static final long LOG_INTERVAL = 10_000 * MS;
+    private static final long TICKS_PER_MS = 10;
+    private static final long LOG_INTERVAL = 10_000 * TICKS_PER_MS;
 
     private final Map<RejectionReason, Integer> counts = new EnumMap<>(RejectionReason.class);
     private long lastLoggedAt = LoadReport.UNKNOWN_TIME;
--- a/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
+++ b/gateway/src/main/java/ploverdale/gossip/RumorQueue.java
@@ -15,13 +15,13 @@
  * of a millisecond.
  */
 final class RumorQueue {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /** Number of peers in a round; enough to reach nearly all gateways within a few hops. */
     private static final int FANOUT = 3;
     /** Number of rounds of a rumor; more than one because datagrams get lost. */
     private static final int ROUNDS = 2;
     /** Time between two rounds of a rumor. */
-    private static final long ROUND_INTERVAL = 150 * MS;
+    private static final long ROUND_INTERVAL = 150 * TICKS_PER_MS;
 
     /** The state of a server's change that is being disseminated. */
     private static final class Rumor {
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Takes an observation that this gateway made or received. It becomes a rumor if it holds a significant change.
+     * Handles an observation that this gateway made or received. It becomes a rumor if it holds a significant change.
      *
      * @param origin the peer that sent the observation, or {@link KnownServer#NO_PEER}
      */
--- a/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
+++ b/gateway/src/main/java/ploverdale/gossip/ServerObservation.java
@@ -41,14 +41,14 @@
             LoadReport.UNKNOWN_TIME,
             LoadReport.UNKNOWN_TIME);
 
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /** Maximum age of an observation of role, position or liveness; older ones are outdated. */
-    private static final long MAX_AGE = 30_000 * MS;
+    private static final long MAX_AGE = 30_000 * TICKS_PER_MS;
     /**
      * Slow starts that begin within this time of each other are the same one, since each gateway notices it at a
      * different time.
      */
-    private static final long SAME_SLOW_START = 2000 * MS;
+    private static final long SAME_SLOW_START = 2000 * TICKS_PER_MS;
 
     /** Returns the observation of a role and a position, which may be unknown, by a response of the server. */
     static ServerObservation ofPosition(Role role, long position, long observedAt) {
--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -13,20 +13,20 @@
 
 /**
  * The failure detector of SWIM. In each protocol period it pings one member, in an order that is shuffled anew in each
- * round (section 4.3). If no packet of the member arrives in time, it asks a few other members for indirect probes. If
+ * round (section 4.3). If no packet of the member arrives in time, it requests indirect probes from a few other members. If
  * none has arrived by the end of the period, the member is suspected. When an update reports a suspicion of another
  * gateway, this gateway probes the suspect as well, with some probability. If this confirming probe fails too, the
  * member is declared dead before the suspicion timeout expires, similar to the independent confirmations of Lifeguard.
  * Times in tenths of a millisecond of a monotonic clock.
  */
 final class FailureDetector {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     /** The protocol period, T' in SWIM. */
-    static final long PROTOCOL_PERIOD = 500 * MS;
+    static final long PROTOCOL_PERIOD = 500 * TICKS_PER_MS;
     /** Time without an ack after which indirect probes are sent. Several round-trip times, so that they are rare. */
-    private static final long ACK_TIMEOUT = 150 * MS;
-    /** Number of indirect probes, k in SWIM. Enough to tell a dead member from a lossy network path. */
+    private static final long ACK_TIMEOUT = 150 * TICKS_PER_MS;
+    /** Number of indirect probes, k in SWIM. Enough to distinguish a dead member from a lossy network path. */
     private static final int INDIRECT_PROBES = 3;
     /**
      * Average number of members that send a confirming probe: several, since probes get lost, but few in a large
--- a/gateway/src/main/java/ploverdale/membership/MembershipMessage.java
+++ b/gateway/src/main/java/ploverdale/membership/MembershipMessage.java
@@ -8,7 +8,7 @@
     void dispatch(Delivery delivery, Handler handler);
 
     /**
-     * When and from whom a message was received, and the queue for the response.
+     * When and from which member a message was received, and the queue for the response.
      *
      * @param now the time of receipt, in tenths of a millisecond of a monotonic clock
      * @param from the number of the member that sent the message
--- a/gateway/src/main/java/ploverdale/model/Action.java
+++ b/gateway/src/main/java/ploverdale/model/Action.java
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Reject a request. Tells the client that the request did not run or may safely be repeated.
+     * Reject a request. Informs the client that the request did not run or may safely be repeated.
      *
      * @param retryAfter after how long the client may submit the request again; 0 to state no time
      */
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Fail a request. Tells the client nothing about whether the request ran. */
+    /** Fail a request. Leaves open to the client whether the request ran. */
     record FailRequest(RequestId request) implements Action {
         @Override
         public void dispatchTo(ActionHandler handler) {
--- a/gateway/src/main/java/ploverdale/net/ClientRequestsAdapter.java
+++ b/gateway/src/main/java/ploverdale/net/ClientRequestsAdapter.java
@@ -7,7 +7,7 @@
 import ploverdale.net.peer.ClientRequests;
 import ploverdale.net.postgres.ResultRow;
 
-/** Through this, the replication of sessions and writes routes and answers the requests of this gateway's clients. */
+/** Lets the replication of sessions and writes route and answer the requests of this gateway's clients. */
 final class ClientRequestsAdapter implements ClientRequests {
     private static final long NO_RETRY_AFTER = 0;
 
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -94,7 +94,7 @@
     /**
      * Returns whether the attempt may still be written. It may have waited for a connection. Meanwhile its client may
      * have disconnected, its server may be draining, or the server's position that the router relied on may have become
-     * too old, or invalid by a correction of the clock.
+     * too old, or invalid because the clock was corrected.
      */
     private boolean mayBeWritten(Action.StartAttempt attempt, AcceptedRequest accepted, int clockChanges) {
         if (!clients.isAwaited(accepted) || !mayReceive(attempt.server())) {
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -34,7 +34,7 @@
     private static final int ON_TIME_POLLS = 5; // required without lag before the endpoint list is loaded
     private static final int MAX_ON_TIME_POLLS = 50;
     private static final long FIRST_GOSSIP_WAIT_MS = 100; // after that, serves without observations of peers
-    private static final long FIRST_LIST_WAIT_MS = 5000; // a start takes less than 10 s even if the agent is silent
+    private static final long FIRST_LIST_WAIT_MS = 5000; // keeps a start below 10 s if the agent does not answer
 
     private final Vertx vertx;
     private final ConfigurationFile configuration;
--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -222,7 +222,7 @@
         flush();
     }
 
-    /** Answers an invalid query with an error; the connection stays open. */
+    /** Answers an invalid message with an error; the connection stays open. */
     void rejectInvalidMessage(String sqlState, String message) {
         logInvalidInput(sqlState, message);
         respond(ErrorResponses.error(sqlState, message));
--- a/gateway/src/main/java/ploverdale/net/peer/RequestHistory.java
+++ b/gateway/src/main/java/ploverdale/net/peer/RequestHistory.java
@@ -38,7 +38,7 @@
      * Called when a server has answered with a row. Records the success and answers the client, either at once or after
      * the record has been replicated.
      *
-     * @param report the load report that came with the row, or null
+     * @param report the load report that arrived with the row, or null
      */
     void succeeded(RequestId request, ResultRow row, LoadReport report, ServerId server);
 
--- a/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
+++ b/gateway/src/main/java/ploverdale/net/peer/WriteRecorder.java
@@ -44,7 +44,7 @@
     /**
      * Records the write and answers its client.
      *
-     * @param report the load report that came with the row, or null
+     * @param report the load report that arrived with the row, or null
      */
     void record(PendingWrite write, ResultRow row, LoadReport report, ServerId server) {
         SessionId session = write.request().session();
--- a/gateway/src/main/java/ploverdale/net/server/Attempt.java
+++ b/gateway/src/main/java/ploverdale/net/server/Attempt.java
@@ -77,7 +77,7 @@
         return request == null;
     }
 
-    /** Returns the server that the attempt goes to; never null. */
+    /** Returns the server that the attempt is sent to; never null. */
     PooledServer server() {
         return server;
     }
--- a/gateway/src/main/java/ploverdale/quota/QuotaMessage.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaMessage.java
@@ -13,7 +13,7 @@
     void dispatchTo(QuotaMessageHandler handler, MessageContext context);
 
     /**
-     * Asks an acceptor to grant or renew the lease of a partition.
+     * Requests that an acceptor grant or renew the lease of a partition.
      *
      * @param partition number of the gateway that the partition belongs to
      * @param round number of the request round; the same in the requests to all acceptors
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Asks a lease holder to grant or renew a sub-lease.
+     * Requests that a lease holder grant or renew a sub-lease.
      *
      * @param request number of the request, which the reply repeats
      * @param subLease number of the sub-lease to renew, or {@link #NEW_SUB_LEASE}
--- a/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaProtocol.java
@@ -72,7 +72,7 @@
      * @param self number of this gateway
      * @param epoch identifies this process among the successive processes of this gateway; acceptors and lenders
      *     compare it
-     * @param random chooses the lenders to ask
+     * @param random chooses the lenders that requests are sent to
      */
     public QuotaProtocol(
             int self,
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -27,7 +27,7 @@
     private static final long TICKS_PER_MS = 10;
     /** Interval between requests for new sub-leases while units are missing. */
     private static final long REQUEST_INTERVAL_TICKS = 50 * TICKS_PER_MS;
-    /** Lenders that are asked for a new sub-lease in one interval. */
+    /** Number of lenders to which a new sub-lease request is sent in one interval. */
     private static final int MAX_LENDERS_PER_INTERVAL = 2;
     /** How long units of a sub-lease may be idle before some are returned. */
     private static final long MAX_IDLE_TICKS = 1000 * TICKS_PER_MS;
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Returns the lenders to ask for a new sub-lease: the one that granted units most recently, if it is alive, and
+     * Returns the lenders from which to request a new sub-lease: the one that granted units most recently, if it is alive, and
      * random other gateways that are alive.
      */
     private List<Integer> chooseLenders(IntPredicate alive) {
--- a/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
+++ b/gateway/src/main/java/ploverdale/replication/AntiEntropy.java
@@ -46,11 +46,11 @@
         EXCHANGING
     }
 
-    private static final long MS = 10;
-    private static final long ROUND_INTERVAL = 1000 * MS;
-    private static final long RETRY_AFTER = 150 * MS;
+    private static final long TICKS_PER_MS = 10;
+    private static final long ROUND_INTERVAL = 1000 * TICKS_PER_MS;
+    private static final long RETRY_AFTER = 150 * TICKS_PER_MS;
     /** After this time without a response a round ends, so that one unresponsive peer does not delay the others. */
-    private static final long PEER_TIMEOUT = 3000 * MS;
+    private static final long PEER_TIMEOUT = 3000 * TICKS_PER_MS;
 
     private static final int MAX_IN_FLIGHT = 4;
     /**
@@ -59,7 +59,7 @@
      */
     private static final int LARGE_STORE = 20_000;
     /** Entries that expire within this time are left out, since gateways remove them at slightly different times. */
-    private static final long EXPIRY_MARGIN = 1000 * MS;
+    private static final long EXPIRY_MARGIN = 1000 * TICKS_PER_MS;
     /** Share of the byte budget that rounds leave to messages on which client requests depend. */
     private static final double RESERVED_BUDGET = 0.5;
 
--- a/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumCoordinator.java
@@ -19,9 +19,9 @@
  * a millisecond. Not thread-safe: used on the thread of {@link Replicas}.
  */
 final class QuorumCoordinator {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
     /** Timeout of a write that nobody waits for. Replicas that missed it receive it later by anti-entropy. */
-    private static final long UNAWAITED_WRITE_TIMEOUT = 1000 * MS;
+    private static final long UNAWAITED_WRITE_TIMEOUT = 1000 * TICKS_PER_MS;
     /** Bounds memory: at this number of pending operations, further ones complete at once with status UNKNOWN. */
     private static final int MAX_PENDING = 20_000;
     /** Returned as the ticket of an operation whose result is not reported. */
@@ -271,7 +271,7 @@
         return true;
     }
 
-    /** Appends a description in which any two states differ that a model checker has to tell apart. */
+    /** Appends a description in which any two states differ that a model checker has to distinguish. */
     void describe(StringBuilder text) {
         pending.values().forEach(operation -> operation.describe(text));
         text.append(' ').append(lastNumber).append(' ').append(claimsToWithdraw.size());
--- a/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
+++ b/gateway/src/main/java/ploverdale/replication/QuorumOperation.java
@@ -9,8 +9,8 @@
  * the thread of {@link Replicas}.
  */
 abstract sealed class QuorumOperation permits QuorumWrite, QuorumRead, QuorumClaim {
-    private static final long MS = 10;
-    private static final long FIRST_RETRY_AFTER = 15 * MS;
+    private static final long TICKS_PER_MS = 10;
+    private static final long FIRST_RETRY_AFTER = 15 * TICKS_PER_MS;
     private static final int BACKOFF_FACTOR = 2;
 
     private final long ticket;
@@ -143,7 +143,7 @@
         retryAt = now + retryAfter;
     }
 
-    /** Appends a description in which any two states differ that a model checker has to tell apart. */
+    /** Appends a description in which any two states differ that a model checker has to distinguish. */
     void describe(StringBuilder text) {
         text.append(' ').append(getClass().getSimpleName()).append(answered).append(completed);
     }
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -10,7 +10,7 @@
 
 /**
  * This gateway's part of the replicated state: positions of sessions and outcomes of writes, each of them replicated
- * on a few gateways of the fleet. An entry is written to the replicas of its key; a read or a claim asks all of them,
+ * on a few gateways of the fleet. An entry is written to the replicas of its key; a read or a claim queries all of them,
  * and a majority decides (see {@link QuorumCoordinator}; quorums as in Gifford, 1979; placement and eventual repair
  * as in Dynamo, 2007). Replicas that missed a write receive it by anti-entropy ({@link AntiEntropy}).
  *
@@ -23,7 +23,7 @@
  * times in the same unit. Not thread-safe: used on the event loop only.
  */
 public final class Replicas {
-    private static final long MS = 10;
+    private static final long TICKS_PER_MS = 10;
 
     private final int self;
     private final ReplicationSettings settings;
@@ -73,10 +73,10 @@
 
     private String settingsLine(int gateways) {
         String sessions = settings.replicatesSessions()
-                ? "sessions for " + settings.sessionRetention() / MS + " ms"
+                ? "sessions for " + settings.sessionRetention() / TICKS_PER_MS + " ms"
                 : "no sessions";
         String outcomes = settings.replicatesOutcomes()
-                ? "submits for " + settings.resubmissionWindow() / MS + " ms"
+                ? "submits for " + settings.resubmissionWindow() / TICKS_PER_MS + " ms"
                 : "no submits";
         return "replicas: " + placement.replicationFactor() + " copies among " + gateways + " gateways, " + sessions
                 + ", " + outcomes + (gateways > 1 ? ", catching up" : "");
@@ -232,7 +232,7 @@
     }
 
     /**
-     * Returns a description in which any two states differ that a model checker has to tell apart, provided that only
+     * Returns a description in which any two states differ that a model checker has to distinguish, provided that only
      * one key is in use.
      */
     public String describeState(long key) {
--- a/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
+++ b/gateway/src/main/java/ploverdale/replication/ReplicationMessage.java
@@ -22,7 +22,7 @@
         int number();
     }
 
-    /** Asks a replica to merge an entry into the stored entry of its key. */
+    /** Requests that a replica merge an entry into the stored entry of its key. */
     record WriteRequest(int number, long key, VersionedEntry entry) implements ReplicationMessage {
         @Override
         public void accept(ReplicationMessageHandler handler) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Asks a replica for the position that reads of a session must reach. */
+    /** Requests from a replica the position that reads of a session must reach. */
     record PositionRequest(int number, long key) implements ReplicationMessage {
         @Override
         public void accept(ReplicationMessageHandler handler) {
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Asks a replica to grant a claim to execute a write.
+     * Requests that a replica grant a claim to execute a write.
      *
      * @param firstSubmission whether the write is known to be submitted for the first time
      * @param outcome contains exactly one claim, the one to be granted, and the time at which the write arrived
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Asks a peer which children of a node of the key space differ.
+     * Requests from a peer which children of a node of the key space differ.
      *
      * @param salt of the digests
      * @param unexpiredAt the time at which an entry must still be unexpired to be included
@@ -115,7 +115,7 @@
     }
 
     /**
-     * Asks a peer for the entries of a range.
+     * Requests the entries of a range from a peer.
      *
      * @param range number of the range
      * @param afterKey the last key received of the range; null to start with its first entry
--- a/gateway/src/main/java/ploverdale/routing/PeerGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/PeerGossip.java
@@ -53,7 +53,7 @@
     /** Returns the datagrams that are due to be sent now. */
     List<OutboundPacket> due(long now);
 
-    /** Returns the datagrams that tell peers that this gateway shuts down. */
+    /** Returns the datagrams that announce this gateway's shutdown to peers. */
     List<OutboundPacket> shutdown(long now);
 
     /** Processes a datagram that arrived from the peer with this index. */
