--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -13,11 +13,11 @@
 
 /**
  * The failure detector of SWIM. In each protocol period it pings one member, in an order that is shuffled anew in each
- * round (section 4.3). If no packet of the member arrives in time, it requests indirect probes from a few other members. If
- * none has arrived by the end of the period, the member is suspected. When an update reports a suspicion of another
- * gateway, this gateway probes the suspect as well, with some probability. If this confirming probe fails too, the
- * member is declared dead before the suspicion timeout expires, similar to the independent confirmations of Lifeguard.
- * Times in tenths of a millisecond of a monotonic clock.
+ * round (section 4.3). If no packet of the member arrives in time, it requests indirect probes from a few other
+ * members. If none has arrived by the end of the period, the member is suspected. When an update reports a suspicion of
+ * another gateway, this gateway probes the suspect as well, with some probability. If this confirming probe fails too,
+ * the member is declared dead before the suspicion timeout expires, similar to the independent confirmations of
+ * Lifeguard. Times in tenths of a millisecond of a monotonic clock.
  */
 final class FailureDetector {
     private static final long TICKS_PER_MS = 10;
--- a/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
+++ b/gateway/src/main/java/ploverdale/net/server/ConnectFailure.java
@@ -12,8 +12,8 @@
  *
  * <p>The JDK maps an errno to an exception class and puts the system's error message into the exception: ECONNREFUSED
  * and ETIMEDOUT become a {@link ConnectException}, EADDRNOTAVAIL a {@link BindException}, EHOSTUNREACH a {@code
- * NoRouteToHostException}. Most others share {@code SocketException} or {@code IOException} and can be distinguished
- * by the message only. Netty appends the address to the message, keeps the original exception as the cause, and throws a
+ * NoRouteToHostException}. Most others share {@code SocketException} or {@code IOException} and can be distinguished by
+ * the message only. Netty appends the address to the message, keeps the original exception as the cause, and throws a
  * {@link ChannelException} if no socket could be created or configured. A message that is not known here, for instance
  * a translated one, counts as {@link #CONNECT_INTERRUPTED}.
  */
--- a/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
+++ b/gateway/src/main/java/ploverdale/net/server/IdleConnectionLossRate.java
@@ -3,11 +3,13 @@
 /**
  * Estimates how often a reused connection turns out to be lost, as a function of how long it was idle before. Keeps an
  * exponentially weighted moving average for each power of two of the idle time. Firewalls and proxies drop connections
- * after an idle time of their own, without closing them; the estimate finds that time, so that the pool stops reusing such
- * connections. Used on the event loop only.
+ * after an idle time of their own, without closing them; the estimate finds that time, so that the pool stops reusing
+ * such connections. Used on the event loop only.
  */
 final class IdleConnectionLossRate {
-    /** Idle time at which the first bucket ends (50 ms). Connections are not dropped that soon, so its rate is ignored. */
+    /**
+     * Idle time at which the first bucket ends (50 ms). Connections are not dropped that soon, so its rate is ignored.
+     */
     private static final long FIRST_BUCKET_IDLE_TICKS = 500;
 
     private static final int BUCKETS = 24; // the last one begins at an idle time of 58 hours
--- a/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
+++ b/gateway/src/main/java/ploverdale/quota/UnitBorrower.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Returns the lenders from which to request a new sub-lease: the one that granted units most recently, if it is alive, and
-     * random other gateways that are alive.
+     * Returns the lenders from which to request a new sub-lease: the one that granted units most recently, if it is
+     * alive, and random other gateways that are alive.
      */
     private List<Integer> chooseLenders(IntPredicate alive) {
         List<Integer> candidates = new ArrayList<>();
--- a/gateway/src/main/java/ploverdale/replication/Replicas.java
+++ b/gateway/src/main/java/ploverdale/replication/Replicas.java
@@ -9,10 +9,10 @@
 import ploverdale.membership.PacketQueue;
 
 /**
- * This gateway's part of the replicated state: positions of sessions and outcomes of writes, each of them replicated
- * on a few gateways of the fleet. An entry is written to the replicas of its key; a read or a claim queries all of them,
- * and a majority decides (see {@link QuorumCoordinator}; quorums as in Gifford, 1979; placement and eventual repair
- * as in Dynamo, 2007). Replicas that missed a write receive it by anti-entropy ({@link AntiEntropy}).
+ * This gateway's part of the replicated state: positions of sessions and outcomes of writes, each of them replicated on
+ * a few gateways of the fleet. An entry is written to the replicas of its key; a read or a claim queries all of them,
+ * and a majority decides (see {@link QuorumCoordinator}; quorums as in Gifford, 1979; placement and eventual repair as
+ * in Dynamo, 2007). Replicas that missed a write receive it by anti-entropy ({@link AntiEntropy}).
  *
  * <p>A replica answers a read with its own entry, or with the time up to which it may lack entries if that is later
  * ({@link CompletenessBound}). A replica that started empty therefore never treats an entry that it lacks as absent,
--- a/gateway/src/main/java/ploverdale/routing/HealthChecker.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthChecker.java
@@ -127,8 +127,8 @@
 
     /**
      * Returns whether an on-demand check of the server may help. A server that was never confirmed is a candidate only
-     * if the group has no confirmed one, or if it is the primary: a primary that is known only from peers may never have
-     * been confirmed by this gateway.
+     * if the group has no confirmed one, or if it is the primary: a primary that is known only from peers may never
+     * have been confirmed by this gateway.
      */
     private static boolean isCandidate(ServerState server, Predicate<ServerState> wanted, boolean anyConfirmed) {
         if (!server.lifecycle().isActive() || !wanted.test(server)) {
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -53,7 +53,10 @@
      * in twenty times; nearly all servers at the same time never do.
      */
     private static final double MISSING_ANSWERS_THRESHOLD = 3;
-    /** Maximum number of explained spans that are remembered; they cover the last few seconds, and older ones are useless. */
+    /**
+     * Maximum number of explained spans that are remembered; they cover the last few seconds, and older ones are
+     * useless.
+     */
     private static final int MAX_SPANS = 64;
 
     /**
@@ -137,7 +140,8 @@
 
     /**
      * Looks for a common cause while the servers have been unresponsive only briefly, before any of them is suspected,
-     * so that the servers that are the last to answer afterwards are not suspected because of that time. Has to be called frequently.
+     * so that the servers that are the last to answer afterwards are not suspected because of that time. Has to be
+     * called frequently.
      */
     void observe(long now, Collection<ServerState> servers) {
         if (!episodeOver && mostAnsweredSince(lastSignAt, servers)) {
--- a/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
+++ b/gateway/src/main/java/ploverdale/shutdown/GracefulShutdown.java
@@ -45,7 +45,8 @@
 
     /**
      * How long before the kill each request must have been answered, so that a process pause right before the kill
-     * loses no answer. An answer that is half a second late merely has no value, but one that the kill prevents is lost.
+     * loses no answer. An answer that is half a second late merely has no value, but one that the kill prevents is
+     * lost.
      */
     private static final long ANSWER_BEFORE_KILL_MS = 500;
 
--- a/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
+++ b/gateway/src/main/java/ploverdale/state/EndpointLifecycle.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Records the state that this gateway's list names. If the list withdraws a drain that it had named, the report of that
-     * drain ends as well.
+     * Records the state that this gateway's list names. If the list withdraws a drain that it had named, the report of
+     * that drain ends as well.
      */
     public void recordListedState(EndpointState listed, long now) {
         boolean drainWasListed = listedState == EndpointState.DRAINING;
