--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Sends each server one query, so that a gateway's first health check does not wait until classes are loaded here.
+     * Sends each server one query, so that a gateway's first health check is not delayed by class loading here.
      */
     private Future<?> warmUp() {
         Future<?> previous = Future.succeededFuture();
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessage.java
@@ -24,7 +24,7 @@
         }
     }
 
-    /** SSLRequest or GSSENCRequest: the client asks for encryption before it sends its startup message. */
+    /** SSLRequest or GSSENCRequest: the client requests encryption before it sends its startup message. */
     record EncryptionRequest() implements ClientMessage {
         @Override
         public void dispatchTo(ClientMessageHandler handler) {
--- a/gateway/src/main/java/ploverdale/net/postgres/ClientMessageHandler.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/ClientMessageHandler.java
@@ -6,13 +6,13 @@
     /** Called when the client opens the session. */
     void onStartup(ClientMessage.Startup startup);
 
-    /** Called when the client asks for an encrypted connection. */
+    /** Called when the client requests an encrypted connection. */
     void onEncryptionRequest(ClientMessage.EncryptionRequest encryption);
 
     /** Called when the client closes the session. */
     void onTerminate(ClientMessage.Terminate terminate);
 
-    /** Called when the client asks to cancel the requests of another connection. */
+    /** Called when the client requests that the requests of another connection be cancelled. */
     void onCancelRequest(ClientMessage.CancelRequest cancel);
 
     /** Called for a query string without a statement. */
--- a/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
+++ b/gateway/src/main/java/ploverdale/net/postgres/MessageWriter.java
@@ -129,7 +129,7 @@
     /**
      * Encodes a health check for a server.
      *
-     * @param requestsLoadReport whether to ask for the load report
+     * @param requestsLoadReport whether to request the load report
      */
     public static Buffer healthCheck(boolean requestsLoadReport) {
         return query(requestsLoadReport ? "SHOW vitals" : "SELECT 1");
