--- a/gateway/src/main/java/ploverdale/membership/FailureDetector.java
+++ b/gateway/src/main/java/ploverdale/membership/FailureDetector.java
@@ -30,7 +30,7 @@
     private static final int INDIRECT_PROBES = 3;
     /**
      * Average number of members that send a confirming probe: several, since probes get lost, but few in a large
-     * cluster.
+     * fleet.
      */
     private static final double EXPECTED_CONFIRMATIONS = 8;
     /**
--- a/gateway/src/main/java/ploverdale/membership/MembershipMessage.java
+++ b/gateway/src/main/java/ploverdale/membership/MembershipMessage.java
@@ -16,7 +16,7 @@
      */
     record Delivery(long now, int from, PacketQueue out) {}
 
-    /** A probe that asks the receiver for an {@link Ack}. */
+    /** A probe that requests an {@link Ack} from the receiver. */
     record Ping(int sequence) implements MembershipMessage {
         @Override
         public void dispatch(Delivery delivery, Handler handler) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** SWIM's ping-req: asks the receiver to ping the target and to relay its ack with this sequence number. */
+    /** SWIM's ping-req: requests that the receiver ping the target and relay its ack with this sequence number. */
     record PingRequest(int sequence, int target) implements MembershipMessage {
         @Override
         public void dispatch(Delivery delivery, Handler handler) {
@@ -56,7 +56,7 @@
         /** Called when a ping of this member was answered. */
         void onAck(Delivery delivery, Ack ack);
 
-        /** Called when another member asks for an indirect probe. */
+        /** Called when another member requests an indirect probe. */
         void onPingRequest(Delivery delivery, PingRequest request);
 
         /** Called when another member sends updates. */
--- a/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaAllocation.java
@@ -22,8 +22,8 @@
  */
 public record QuotaAllocation(List<SharedLimit> limits, int gateways, double guaranteedShare) {
     private static final double MAX_GUARANTEED_SHARE = 0.5;
-    private static final int ACCEPTORS_OF_SMALL_CLUSTER = 3; // the smallest number that tolerates one failure
-    private static final int ACCEPTORS_OF_LARGE_CLUSTER = 5; // tolerates two failures
+    private static final int ACCEPTORS_OF_SMALL_FLEET = 3; // the smallest number that tolerates one failure
+    private static final int ACCEPTORS_OF_LARGE_FLEET = 5; // tolerates two failures
 
     public QuotaAllocation {
         limits = List.copyOf(limits);
@@ -67,10 +67,10 @@
      * partition permanently.
      */
     public int acceptorCount() {
-        if (gateways < ACCEPTORS_OF_SMALL_CLUSTER) {
+        if (gateways < ACCEPTORS_OF_SMALL_FLEET) {
             return 1;
         }
-        return gateways < ACCEPTORS_OF_LARGE_CLUSTER ? ACCEPTORS_OF_SMALL_CLUSTER : ACCEPTORS_OF_LARGE_CLUSTER;
+        return gateways < ACCEPTORS_OF_LARGE_FLEET ? ACCEPTORS_OF_SMALL_FLEET : ACCEPTORS_OF_LARGE_FLEET;
     }
 
     /**
