--- a/gateway/src/main/java/ploverdale/quota/QuotaLogLines.java
+++ b/gateway/src/main/java/ploverdale/quota/QuotaLogLines.java
@@ -7,7 +7,8 @@
 /**
  * The log lines about membership and quota. Tools of operators match them, so they keep the terms of an earlier
  * version: a budget is a shared limit, its parts are units, its whole share is the entitlement, its floor is the
- * guaranteed minimum, a promise is the grant of a lease, a division is an allocation, a fleet is all gateways, a parcel is a packet. Each line begins with its kind and a colon. Stateless.
+ * guaranteed minimum, a promise is the grant of a lease, a division is an allocation, a fleet is all gateways, a parcel
+ * is a packet. Each line begins with its kind and a colon. Stateless.
  */
 final class QuotaLogLines {
     private QuotaLogLines() {}
--- a/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/ClockOffsetInRouterTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aServerWhoseStartTimeWasTooLateIsWarmOnceItIsCorrected() {
+    void aServerWhoseStartTimeWasTooLateIsPastSlowStartOnceItIsCorrected() {
         driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
         offsetChanges(driver, Map.of("r1", driver.nowMs - HOUR_MS));
         driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aWarmingServerStaysSoWhenItsStartTimeIsConfirmed() {
+    void aServerInSlowStartStaysSoWhenItsStartTimeIsConfirmed() {
         driver.updateEndpoint("r1", EndpointState.IN, driver.nowMs);
         offsetChanges(driver, Map.of("r1", driver.nowMs));
         driver.healthCheckSucceeded("r1", Role.REPLICA, driver.nowMs);
--- a/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/GossipInRouterTest.java
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aServerThatOtherGatewaysObservedMeanwhileIsWarmWhenReadmitted() {
+    void aServerThatOtherGatewaysObservedMeanwhileIsPastSlowStartWhenReadmitted() {
         driver.updateEndpoints(true, "p", "r1");
         driver.catchUp("p", "r1");
         driver.advance(500);
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void aServerThatGossipReportsAsWarmingUpGetsFewRequests() {
+    void aServerThatGossipReportsInSlowStartGetsFewRequests() {
         driver.updateEndpoints(true, "p", "r1", "r2");
         driver.catchUp("p", "r1", "r2");
         gossipReceived(
@@ -261,7 +261,7 @@
                     ? 1
                     : 0;
         }
-        assertThat(requestsToR1).isLessThan(8); // of 20; a warm replica would get half
+        assertThat(requestsToR1).isLessThan(8); // of 20; a replica past slow start would get half
     }
 
     @Test
