--- a/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/ploverdale/routing/ConcurrencyLimiter.java
@@ -17,8 +17,8 @@
  */
 final class ConcurrencyLimiter {
     /**
-     * Weight of the newest answer in moving averages. It is small because the standard deviation of the work of
-     * requests is about as large as its mean.
+     * Weight of the newest answer in moving averages. It is small because the work of requests varies by as much as its
+     * mean.
      */
     private static final double NEWEST_WEIGHT = 0.1;
     /**
--- a/gateway/src/main/java/ploverdale/routing/LocalHealth.java
+++ b/gateway/src/main/java/ploverdale/routing/LocalHealth.java
@@ -54,8 +54,8 @@
      */
     private static final double MISSING_ANSWERS_THRESHOLD = 3;
     /**
-     * Maximum number of explained spans that are remembered; they cover the last few seconds, and older ones are
-     * useless.
+     * Maximum number of explained spans that are remembered; they cover the last few seconds, and older ones no
+     * longer explain anything.
      */
     private static final int MAX_SPANS = 64;
 
--- a/gateway/src/main/java/ploverdale/routing/PeerGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/PeerGossip.java
@@ -19,7 +19,7 @@
      */
     boolean isNeededForPositions();
 
-    /** Called for each server in an endpoint update, except removed ones; the server may already be known. */
+    /** Called for each server in an endpoint update, except removed and outdated ones; it may already be known. */
     void serverListed(ServerId server);
 
     /** Called when the removal of a server from the endpoint list has taken effect. */
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -113,7 +113,7 @@
 
     /**
      * Returns the probability (1 or more for certainty) with which this gateway checks the health of a newly listed
-     * server at once. Over all gateways, about {@link #INITIAL_LIMIT} such checks are expected.
+     * server at once. Over all gateways, at most {@link #INITIAL_LIMIT} such checks are expected.
      */
     double firstCheckProbability() {
         return initialLimitPerGateway;
--- a/gateway/src/main/java/ploverdale/state/AnswerLoss.java
+++ b/gateway/src/main/java/ploverdale/state/AnswerLoss.java
@@ -8,8 +8,8 @@
     /** If more answers than this are missing in a row, they were not lost on the network. */
     private static final int MAX_LOST_IN_A_ROW = 2;
     /**
-     * Share of lost answers that justifies early retries. Must exceed 0.05: about one answer in twenty is missing in
-     * time merely because its request takes long.
+     * Share of lost answers that justifies early retries. Must exceed 0.05: one answer in twenty does not arrive
+     * in time merely because its request takes long.
      */
     private static final double NOTABLE_SHARE = 0.12;
 
