--- a/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
+++ b/gateway/src/main/java/ploverdale/gossip/GossipProtocol.java
@@ -13,8 +13,8 @@
 
 /**
  * Epidemic dissemination of server observations between gateways (Demers et al., 1987). This class is the entry point
- * for events and ticks. A gateway that starts requests a snapshot of all that they know from a few
- * peers ({@link SnapshotBuilder}). After that only changes are sent, to a few random peers that forward them
+ * for events and ticks. When a gateway starts, it requests from a few peers a snapshot of all
+ * that they know ({@link SnapshotBuilder}). After that only changes are sent, to a few random peers that forward them
  * ({@link RumorQueue}). Log positions are distributed separately ({@link PositionExchange}). {@link PeerTrust} limits
  * the influence of peers that report wrong roles, and {@link SendBudget} limits the bandwidth.
  *
