--- a/gateway/src/main/java/ploverdale/net/client/ClientSession.java
+++ b/gateway/src/main/java/ploverdale/net/client/ClientSession.java
@@ -222,8 +222,8 @@
         flush();
     }
 
-    /** Answers an invalid query with an error; the connection stays open. */
-    void rejectInvalidQuery(String sqlState, String message) {
+    /** Answers an invalid message with an error; the connection stays open. */
+    void rejectInvalidMessage(String sqlState, String message) {
         logInvalidInput(sqlState, message);
         respond(ErrorResponses.error(sqlState, message));
     }
@@ -260,7 +260,7 @@
                 return;
             }
             writer.write(response.response());
-            if (response.endsConnection()) {
+            if (response.closesConnection()) {
                 rejectRequestsAfterEnd();
                 close();
             }
--- a/gateway/src/main/java/ploverdale/routing/PeerGossip.java
+++ b/gateway/src/main/java/ploverdale/routing/PeerGossip.java
@@ -19,10 +19,10 @@
      */
     boolean isNeededForPositions();
 
-    /** Called when the endpoint list names a server that it did not name before. */
+    /** Called for each server in an endpoint update, except removed and outdated ones; it may already be known. */
     void serverListed(ServerId server);
 
-    /** Called when the endpoint list no longer names a server. */
+    /** Called when the removal of a server from the endpoint list has taken effect. */
     void serverRemoved(ServerId server);
 
     /**
@@ -53,7 +53,7 @@
     /** Returns the datagrams that are due to be sent now. */
     List<OutboundPacket> due(long now);
 
-    /** Returns the datagrams that tell peers that this gateway shuts down. */
+    /** Returns the datagrams that announce this gateway's shutdown to peers. */
     List<OutboundPacket> shutdown(long now);
 
     /** Processes a datagram that arrived from the peer with this index. */
--- a/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
+++ b/gateway/src/main/java/ploverdale/routing/RoutingSettings.java
@@ -72,8 +72,8 @@
     }
 
     /** Returns the value of a request beyond its tenant's agreed traffic, as a fraction of its class's value. */
-    double valueBeyondShare() {
-        return started.beyondShareValue();
+    double valueBeyondAgreedTraffic() {
+        return started.valueBeyondAgreedTraffic();
     }
 
     /** Returns what the servers and discovery guarantee. */
@@ -113,7 +113,7 @@
 
     /**
      * Returns the probability (1 or more for certainty) with which this gateway checks the health of a newly listed
-     * server at once. It is such that only a limited number of all gateways do.
+     * server at once. Over all gateways, at most {@link #INITIAL_LIMIT} such checks are expected.
      */
     double firstCheckProbability() {
         return initialLimitPerGateway;
