--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -26,7 +26,7 @@
 import ploverdale.tools.stand.Clients;
 import ploverdale.tools.stand.GatewayConfiguration;
 import ploverdale.tools.stand.LossyLink;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 import ploverdale.tools.stand.TestCluster;
 
 /**
@@ -63,7 +63,7 @@
     private final long began = System.nanoTime();
     private final DiscoveryAgents agents;
     private LossyLink link;
-    private RoamingClients roamers;
+    private ReconnectingClients roamers;
 
     private Fleet(Vertx vertx, FaultSchedule day, Workload shape) {
         this.vertx = vertx;
@@ -144,7 +144,7 @@
                         for (int i = 0; i < day.gateways(); i++) {
                             ports.add(ways.get("n" + i + " clients").port());
                         }
-                        roamers = new RoamingClients(vertx, ledger, random.split(), ports, shape.roams());
+                        roamers = new ReconnectingClients(vertx, ledger, random.split(), ports, shape.roams());
                         roamers.start();
                     }
                     for (Step s : day.steps()) {
--- a/tools/src/main/java/ploverdale/tools/fleet/FleetResult.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FleetResult.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.ledger.Ledger;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 
 /**
  * What came of a day.
@@ -21,7 +21,7 @@
         int writesAcked,
         List<Long> startsMs,
         List<String> log,
-        RoamingClients roamers,
+        ReconnectingClients roamers,
         Histogram late) {
     /** A line of figures. */
     public String figures() {
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.stand.GatewayConfiguration;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 import ploverdale.tools.stand.TestCluster;
 
 /**
@@ -21,7 +21,7 @@
         List<Double> requestsPerSecond,
         long settlesMs,
         TestCluster.Traffic traffic,
-        RoamingClients.Habit roams,
+        ReconnectingClients.Behavior roams,
         Crowd crowd,
         boolean ownAgents) {
     /** The same with as few connections as serve. */
@@ -30,7 +30,7 @@
             List<Double> requestsPerSecond,
             long settlesMs,
             TestCluster.Traffic traffic,
-            RoamingClients.Habit roams) {
+            ReconnectingClients.Behavior roams) {
         this(launch, requestsPerSecond, settlesMs, traffic, roams, Crowd.NONE, false);
     }
 
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -21,7 +21,7 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.ScheduleGenerator;
 import ploverdale.tools.fleet.Workload;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 
 /**
  * Sessions and submits kept by gateways as processes, with clients that roam and submit again, through drawn days of faults and
@@ -33,7 +33,7 @@
     private static final long LASTS_MS = 9000;
     private static final long SETTLES_MS = 4500; // submits are vouched for a window after the start
     private static final double OPS_PER_SECOND = 5; // of each gateway, of clients that do not roam
-    static final RoamingClients.Habit HABIT = new RoamingClients.Habit(1000, 220, true);
+    static final ReconnectingClients.Behavior HABIT = new ReconnectingClients.Behavior(1000, 220, true);
     private static final String KEPT =
             "{\"sessions\":{\"keep_ms\":20000},\"submits\":{\"window_ms\":4000,\"retries_marked\":true},"
                     + "\"ask_ms\":60,\"wait_ms\":150,\"bytes_per_second\":400000";
@@ -61,7 +61,7 @@
         return new FaultSchedule(seed, gateways, LASTS_MS, steps);
     }
 
-    private static Workload shape(Launch launch, FaultSchedule day, RoamingClients.Habit habit) {
+    private static Workload shape(Launch launch, FaultSchedule day, ReconnectingClients.Behavior habit) {
         return new Workload(
                 launch,
                 Collections.nCopies(day.gateways(), OPS_PER_SECOND),
@@ -93,7 +93,7 @@
                 FleetResult[] both = r.get();
                 checks.add(check(both[0], both[1]));
                 sessions += both[0].roamers().sessions();
-                again += both[0].roamers().submittedAgain();
+                again += both[0].roamers().resubmissions();
                 kept += both[0].broken().size();
                 broken += both[1].broken().size();
             }
@@ -127,7 +127,7 @@
                         + s.day().steps().size() + " steps: no promise broken, half served of what is without",
                 s.roamers().sessions() + " sessions, " + acked + " of "
                         + s.roamers().asked() + " ops acked, " + without + " without, "
-                        + s.roamers().submittedAgain() + " submitted again"
+                        + s.roamers().resubmissions() + " submitted again"
                         + (holds
                                 ? ""
                                 : ", broken: " + s.broken() + "\n" + s.day().text() + "log:\n"
@@ -142,7 +142,7 @@
         boolean holds = true;
         try {
             for (Launch l : List.of(without, sendsOn, waits)) {
-                FleetResult s = Fleet.play(calm, shape(l, calm, new RoamingClients.Habit(1000, 220, false)));
+                FleetResult s = Fleet.play(calm, shape(l, calm, new ReconnectingClients.Behavior(1000, 220, false)));
                 b.append(l == without ? "without" : l == sendsOn ? "; kept" : "; acks wait")
                         .append(": writes ")
                         .append(times(s.roamers().writes()))
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
@@ -20,15 +20,15 @@
  * Clients with sessions that roam: each op of a session goes to any gateway, a read of it must reach its last acked write, and
  * a write without an ack may be submitted again under its id, elsewhere. One op of a session at a time, a connection each.
  */
-public final class RoamingClients {
+public final class ReconnectingClients {
     /**
      * How they ask.
      *
      * @param sessions how many there are
-     * @param perSecond ops of all
-     * @param submitsAgain whether a write that was not acked is submitted again under its id
+     * @param requestsPerSecond ops of all
+     * @param resubmitsWrites whether a write that was not acked is submitted again under its id
      */
-    public record Habit(int sessions, double perSecond, boolean submitsAgain) {}
+    public record Behavior(int sessions, double requestsPerSecond, boolean resubmitsWrites) {}
 
     private static final double WRITES = 0.4;
     private static final int WAITS_MS = 900;
@@ -39,7 +39,7 @@
     private final Ledger ledger;
     private final RandomGenerator random;
     private final List<Integer> ports;
-    private final Habit habit;
+    private final Behavior habit;
     private final NetClient net;
     private final Set<Integer> busy = new HashSet<>(); // sessions with an op out
     private final Set<Integer> seen = new HashSet<>();
@@ -51,7 +51,7 @@
     private boolean stopped;
 
     /** @param ports of the gateways, by number */
-    public RoamingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Habit habit) {
+    public ReconnectingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Behavior habit) {
         this.vertx = vertx;
         this.ledger = ledger;
         this.random = random;
@@ -61,7 +61,7 @@
     }
 
     public void start() {
-        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / habit.perSecond())), x -> {
+        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / habit.requestsPerSecond())), x -> {
             if (!stopped) {
                 int session = random.nextInt(habit.sessions());
                 if (busy.add(session)) {
@@ -87,7 +87,7 @@
     }
 
     /** Submits of a write that was submitted before. */
-    public int submittedAgain() {
+    public int resubmissions() {
         return again;
     }
 
@@ -189,7 +189,7 @@
                 (write ? writes : reads).recordValue(Math.min(60_000_000, (System.nanoTime() - at) / 1000));
             }
             boolean oncemore =
-                    write && habit.submitsAgain() && taken && how != Answer.ACKED && times < AGAIN_MOST && !stopped;
+                    write && habit.resubmitsWrites() && taken && how != Answer.ACKED && times < AGAIN_MOST && !stopped;
             if (oncemore) {
                 vertx.setTimer(1 + random.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
             } else {
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -16,12 +16,12 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.Workload;
 import ploverdale.tools.ledger.Ledger.Rule;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 
 /** What processes keep together: few sessions, whose ops follow one another closely, at any gateway. */
 @Timeout(120)
 class ReplicasRigTest {
-    private static final RoamingClients.Habit CLOSE = new RoamingClients.Habit(12, 400, true);
+    private static final ReconnectingClients.Behavior CLOSE = new ReconnectingClients.Behavior(12, 400, true);
 
     private static Path file;
 
