--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -300,7 +300,7 @@
                 }
                 case LEAVE -> gateways.get(me).term();
                 case WAY -> way(me, w.get(1), w.get(2));
-                case WORDS -> link.weather(me, Integer.parseInt(w.get(1).substring(1)), weather(w.get(2)));
+                case WORDS -> link.setConditions(me, Integer.parseInt(w.get(1).substring(1)), weather(w.get(2)));
                 case SERVER -> server(w.get(0), w.get(1));
                 case AGENT -> agents.behave(Integer.toString(me), w.get(1), w.get(2));
                 case HANG_UP -> {
@@ -337,15 +337,15 @@
         }
     }
 
-    private static LossyLink.Weather weather(String word) {
+    private static LossyLink.Conditions weather(String word) {
         double figure = word.equals("usual") ? 0 : Double.parseDouble(word.substring(word.indexOf(':') + 1));
         return word.equals("usual")
                 ? null
                 : word.startsWith("loss:")
-                        ? LossyLink.Weather.losing(figure)
+                        ? LossyLink.Conditions.withLoss(figure)
                         : word.startsWith("twice:")
-                                ? new LossyLink.Weather(0, figure, 20)
-                                : new LossyLink.Weather(0, 0.05, (int) figure);
+                                ? new LossyLink.Conditions(0, figure, 20)
+                                : new LossyLink.Conditions(0, 0.05, (int) figure);
     }
 
     private void server(String id, String what) {
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -247,7 +247,7 @@
                                 w.latency(),
                                 r.latency(),
                                 gateways.get(1).readyAfterMs(),
-                                link.carried(),
+                                link.datagrams(),
                                 ledger.requests(),
                                 changes.toString());
                     });
--- a/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
+++ b/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
@@ -15,10 +15,10 @@
  */
 public final class LossyLink {
     /** What happens to datagrams: shares lost and doubled, and the longest delay; by chance, so that they overtake. */
-    public record Weather(double loss, double twice, int delayMostMs) {
+    public record Conditions(double loss, double duplicated, int maxDelayMs) {
         /** As it is when nothing is wrong, but for this loss. */
-        public static Weather losing(double loss) {
-            return new Weather(loss, 0.05, 20);
+        public static Conditions withLoss(double loss) {
+            return new Conditions(loss, 0.05, 20);
         }
     }
 
@@ -26,22 +26,22 @@
 
     private final Vertx vertx;
     private final RandomGenerator random;
-    private final Weather usual;
-    private final Weather[][] now; // from one to another; null: as usual
-    private final DatagramSocket[][] ends; // by who sees it and whom it stands for
-    private final int[] hears; // port of each instance, at an address of its own, which nobody else binds meanwhile
+    private final Conditions defaults;
+    private final Conditions[][] current; // from one to another; null: as usual
+    private final DatagramSocket[][] sockets; // by who sees it and whom it stands for
+    private final int[] ports; // port of each instance, at an address of its own, which nobody else binds meanwhile
     private final String[] hosts;
-    private int carried;
+    private int datagrams;
     private int lost;
     private long bytes;
 
     private LossyLink(Vertx vertx, RandomGenerator random, double loss, int instances) {
         this.vertx = vertx;
         this.random = random;
-        usual = Weather.losing(loss);
-        now = new Weather[instances][instances];
-        ends = new DatagramSocket[instances][instances];
-        hears = new int[instances];
+        defaults = Conditions.withLoss(loss);
+        current = new Conditions[instances][instances];
+        sockets = new DatagramSocket[instances][instances];
+        ports = new int[instances];
         hosts = new String[instances];
         int run = RUNS.getAndIncrement();
         for (int i = 0; i < instances; i++) {
@@ -56,7 +56,7 @@
         for (int i = 0; i < instances; i++) {
             for (int j = 0; j < instances; j++) {
                 DatagramSocket s = vertx.createDatagramSocket(new DatagramSocketOptions());
-                link.ends[i][j] = s;
+                link.sockets[i][j] = s;
                 int from = i;
                 int to = j;
                 all.add(s.listen(0, i == j ? link.hosts[i] : "127.0.0.1")
@@ -67,8 +67,8 @@
             // An instance's own entry in its list is where it hears; the port is taken over by the instance.
             Future<?> closed = Future.succeededFuture();
             for (int i = 0; i < instances; i++) {
-                link.hears[i] = link.ends[i][i].localAddress().port();
-                DatagramSocket own = link.ends[i][i];
+                link.ports[i] = link.sockets[i][i].localAddress().port();
+                DatagramSocket own = link.sockets[i][i];
                 closed = closed.compose(y -> own.close());
             }
             return closed.map(link);
@@ -78,8 +78,8 @@
     /** Where an instance is seen by another, or hears itself. */
     public String address(int of, int at) {
         return of == at
-                ? hosts[at] + ":" + hears[at]
-                : "127.0.0.1:" + ends[at][of].localAddress().port();
+                ? hosts[at] + ":" + ports[at]
+                : "127.0.0.1:" + sockets[at][of].localAddress().port();
     }
 
     /** An address of loopback that is that instance's alone. */
@@ -87,34 +87,34 @@
         return hosts[instance];
     }
 
-    /** From now on so in this one direction; null: as usual. */
-    public void weather(int from, int to, Weather weather) {
-        now[from][to] = weather;
+    /** From now on so in this one direction; null: as defaults. */
+    public void setConditions(int from, int to, Conditions conditions) {
+        current[from][to] = conditions;
     }
 
     private void carry(int from, int to, io.vertx.core.buffer.Buffer data) {
-        carried++;
+        datagrams++;
         bytes += data.length();
-        Weather w = now[from][to] == null ? usual : now[from][to];
-        for (int copies = random.nextDouble() < w.twice ? 2 : 1; copies > 0; copies--) {
+        Conditions w = current[from][to] == null ? defaults : current[from][to];
+        for (int copies = random.nextDouble() < w.duplicated ? 2 : 1; copies > 0; copies--) {
             if (random.nextDouble() < w.loss) {
                 lost++;
             } else {
-                vertx.setTimer(1 + random.nextInt(w.delayMostMs), x -> ends[to][from].send(data, hears[to], hosts[to]));
+                vertx.setTimer(1 + random.nextInt(w.maxDelayMs), x -> sockets[to][from].send(data, ports[to], hosts[to]));
             }
         }
     }
 
     public void close() {
-        for (DatagramSocket[] row : ends) {
+        for (DatagramSocket[] row : sockets) {
             for (DatagramSocket s : row) {
                 s.close();
             }
         }
     }
 
-    public int carried() {
-        return carried;
+    public int datagrams() {
+        return datagrams;
     }
 
     public int lost() {
