--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
@@ -109,7 +109,7 @@
     }
 
     private void learn() {
-        for (ListedServer listed : cluster.listed()) {
+        for (ListedServer listed : cluster.listedServers()) {
             Known before = known.get(listed.id());
             if (before == null || !before.server().equals(listed)) {
                 known.put(listed.id(), new Known(listed, cluster.revision()));
@@ -159,7 +159,7 @@
                 .map(Known::server)
                 .toList();
         List<String> rows =
-                entries.stream().map(entry -> cluster.entry(gateway, entry)).toList();
+                entries.stream().map(entry -> cluster.endpointEntry(gateway, entry)).toList();
         String body = "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":["
                 + String.join(",", rows) + "]}";
         int told = revision;
--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgents.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgents.java
@@ -24,7 +24,7 @@
         this.vertx = vertx;
         this.cluster = cluster;
         this.ledger = ledger;
-        cluster.whenListChanges(
+        cluster.onListChange(
                 () -> agents.values().forEach(own -> own.values().forEach(DiscoveryAgent::listChanged)));
     }
 
@@ -48,7 +48,7 @@
 
     /** The list of the day's beginning, with which each process of the gateway is started. */
     String firstList(String gateway) {
-        return firstLists.computeIfAbsent(gateway, x -> cluster.list(gateway, true));
+        return firstLists.computeIfAbsent(gateway, x -> cluster.endpointList(gateway, true));
     }
 
     /** The gateway's configuration names this agent from now on. */
--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -86,8 +86,8 @@
         GroupModel model =
                 new GroupModel(plan, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
         world = new TestCluster(vertx, model, ledger, SERVERS, LIST_LATE_MS);
-        world.traffic(shape.traffic());
-        world.hearsLists(g -> !cutOff.getOrDefault(g, false));
+        world.setRequestListener(shape.traffic());
+        world.setDiscoveryReachable(g -> !cutOff.getOrDefault(g, false));
         agents = new DiscoveryAgents(vertx, world, ledger);
     }
 
@@ -119,7 +119,7 @@
     }
 
     private Future<FleetResult> play(List<GatewayProcess> started) {
-        Future<?> ready = world.servers()
+        Future<?> ready = world.startServers()
                 .compose(x -> LossyLink.open(vertx, random.split(), 0, day.gateways()))
                 .onSuccess(l -> link = l);
         for (int i = 0; i < day.gateways(); i++) {
@@ -221,13 +221,13 @@
                 .compose(x -> shape.ownAgents() ? agents.open(Integer.toString(me)) : discovery(me));
         for (String s : SERVERS) {
             all = all.compose(x -> way(me, s, "127.0.0.1", world.port(s)))
-                    .onSuccess(w -> world.seenAt(Integer.toString(me), s, ((FaultyLink) w).port()));
+                    .onSuccess(w -> world.setServerPort(Integer.toString(me), s, ((FaultyLink) w).port()));
         }
         return all;
     }
 
     private Future<Void> discovery(int me) {
-        return world.discovery(Integer.toString(me))
+        return world.startDiscovery(Integer.toString(me))
                 .compose(port -> way(me, "discovery", "127.0.0.1", port))
                 .onSuccess(w -> discoveries.add(w.port()))
                 .mapEmpty();
@@ -249,7 +249,7 @@
                 peers,
                 day.gateways() > 1,
                 shape.ownAgents() ? agents.port(name) : discoveries.get(me),
-                shape.ownAgents() ? agents.firstList(name) : world.list(name, true),
+                shape.ownAgents() ? agents.firstList(name) : world.endpointList(name, true),
                 random.nextLong(),
                 BOUND_MS,
                 shape.crowd().descriptors());
@@ -350,12 +350,12 @@
 
     private void server(String id, String what) {
         switch (what) {
-            case "heals" -> world.heals(id, false);
-            case "restarts" -> world.heals(id, true);
-            case "drains" -> world.drains(id);
-            case "removes" -> world.removes(id);
-            case "returns" -> world.returns(id);
-            default -> world.fault(id, Fault.valueOf(what));
+            case "heals" -> world.recoverServer(id, false);
+            case "restarts" -> world.recoverServer(id, true);
+            case "drains" -> world.drainServer(id);
+            case "removes" -> world.removeServer(id);
+            case "returns" -> world.relistServer(id);
+            default -> world.injectFault(id, Fault.valueOf(what));
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -20,7 +20,7 @@
         Launch launch,
         List<Double> requestsPerSecond,
         long settlesMs,
-        TestCluster.Traffic traffic,
+        TestCluster.RequestListener traffic,
         ReconnectingClients.Behavior roams,
         Crowd crowd,
         boolean ownAgents) {
@@ -29,13 +29,13 @@
             Launch launch,
             List<Double> requestsPerSecond,
             long settlesMs,
-            TestCluster.Traffic traffic,
+            TestCluster.RequestListener traffic,
             ReconnectingClients.Behavior roams) {
         this(launch, requestsPerSecond, settlesMs, traffic, roams, Crowd.NONE, false);
     }
 
     /** The same without clients that roam. */
-    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.Traffic traffic) {
+    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.RequestListener traffic) {
         this(launch, requestsPerSecond, settlesMs, traffic, null);
     }
 
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -31,7 +31,7 @@
     private BudgetsRig() {}
 
     /** What is out at each server, counted there. */
-    static final class Out implements TestCluster.Traffic {
+    static final class Out implements TestCluster.RequestListener {
         private final Map<String, Integer> now = new HashMap<>();
         private final int whole;
         private int most;
@@ -50,8 +50,8 @@
         }
 
         @Override
-        public synchronized void request(String request, String server, long at, boolean comes) {
-            int n = now.merge(server, comes ? 1 : -1, Integer::sum);
+        public synchronized void onRequest(String request, String server, long at, boolean started) {
+            int n = now.merge(server, started ? 1 : -1, Integer::sum);
             most = Math.max(most, n);
             if (n > whole && firstOver == null) {
                 firstOver = request + " at " + server;
@@ -106,7 +106,7 @@
         return checks;
     }
 
-    private static Workload shape(Launch launch, TestCluster.Traffic traffic) {
+    private static Workload shape(Launch launch, TestCluster.RequestListener traffic) {
         List<Double> rates = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
             rates.add(i == 0 ? MORE * OPS_PER_SECOND : OPS_PER_SECOND);
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -66,7 +66,7 @@
                 launch,
                 Collections.nCopies(day.gateways(), OPS_PER_SECOND),
                 SETTLES_MS,
-                (request, server, now, comes) -> {},
+                (request, server, now, started) -> {},
                 habit);
     }
 
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -206,7 +206,7 @@
 
         private Future<Outcome> play() {
             double loss = words == Words.LOSS_30 ? 0.3 : words == Words.LOSS_100 ? 1 : 0;
-            return world.servers()
+            return world.startServers()
                     .compose(x -> LossyLink.open(vertx, random.split(), loss, 2))
                     .compose(l -> {
                         link = l;
@@ -217,8 +217,8 @@
                         return vertx.timer(500, TimeUnit.MILLISECONDS);
                     })
                     .compose(x -> {
-                        world.fault(IDS.get(0), Fault.SILENT);
-                        vertx.setTimer(backAfterMs, y -> world.heals(IDS.get(0), true));
+                        world.injectFault(IDS.get(0), Fault.SILENT);
+                        vertx.setTimer(backAfterMs, y -> world.recoverServer(IDS.get(0), true));
                         return vertx.timer(joinsAfterMs, TimeUnit.MILLISECONDS);
                     })
                     .compose(x -> gateway(1))
@@ -254,7 +254,7 @@
         }
 
         private Future<?> gateway(int me) {
-            return world.discovery(Integer.toString(me))
+            return world.startDiscovery(Integer.toString(me))
                     .compose(discovery -> {
                         GatewayUnderTest g;
                         try {
@@ -264,7 +264,7 @@
                                     List.of(link.address(0, me), link.address(1, me)),
                                     words != Words.OFF,
                                     discovery,
-                                    world.list(true),
+                                    world.endpointList(true),
                                     random.nextLong(),
                                     BOUND_MS));
                         } catch (IOException e) {
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -44,9 +44,9 @@
     private final List<String> ids;
     private final long listLateMs;
     private final Map<String, Integer> ports = new LinkedHashMap<>();
-    private final Map<String, Integer> seenAt = new HashMap<>(); // by gateway and server, where it goes another way
-    private Traffic traffic = (request, server, now, out) -> {};
-    private Predicate<String> hearsLists = x -> true;
+    private final Map<String, Integer> overriddenPorts = new HashMap<>(); // by gateway and server, where it goes another way
+    private RequestListener requestListener = (request, server, now, out) -> {};
+    private Predicate<String> discoveryReachable = x -> true;
     private final Map<String, Set<NetSocket>> open = new HashMap<>();
     private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
     private final List<Waiting> watches = new ArrayList<>();
@@ -54,11 +54,11 @@
     private final Map<String, Long> startedAt = new HashMap<>();
     private final List<Runnable> listListeners = new ArrayList<>();
     private int revision = 1;
-    private int probes;
+    private int healthChecks;
 
     /** Hears of each op that reaches a server, and of its end there. */
-    public interface Traffic {
-        void request(String request, String server, long now, boolean comes);
+    public interface RequestListener {
+        void onRequest(String request, String server, long now, boolean started);
     }
 
     private record Waiting(HttpServerResponse to, String gateway) {}
@@ -72,7 +72,7 @@
     }
 
     /** Starts the servers. */
-    public Future<Void> servers() {
+    public Future<Void> startServers() {
         Future<Void> all = Future.succeededFuture();
         for (String id : ids) {
             open.put(id, new HashSet<>());
@@ -96,22 +96,22 @@
     }
 
     /** From now on this gateway is told that the server is at that port. */
-    public void seenAt(String gateway, String server, int port) {
-        seenAt.put(gateway + " " + server, port);
+    public void setServerPort(String gateway, String server, int port) {
+        overriddenPorts.put(gateway + " " + server, port);
     }
 
     /** Who hears of the ops at the servers. */
-    public void traffic(Traffic hears) {
-        traffic = hears;
+    public void setRequestListener(RequestListener listener) {
+        requestListener = listener;
     }
 
     /** Which gateways are reached by discovery now; others are told of drains when they ask again. */
-    public void hearsLists(Predicate<String> gateways) {
-        hearsLists = gateways;
+    public void setDiscoveryReachable(Predicate<String> gateways) {
+        discoveryReachable = gateways;
     }
 
     /** Starts discovery for one gateway; the future holds its port. */
-    public Future<Integer> discovery(String gateway) {
+    public Future<Integer> startDiscovery(String gateway) {
         return vertx.createHttpServer()
                 .requestHandler(r -> {
                     String from = r.getParam("from");
@@ -135,41 +135,41 @@
     }
 
     private void tell(HttpServerResponse to, String gateway, boolean whole) {
-        to.end(list(gateway, true)); // an agent may always answer with the whole list
+        to.end(endpointList(gateway, true)); // an agent may always answer with the whole list
         phase.forEach((id, p) -> {
-            if (p.equals("DRAINING") && hearsLists.test(gateway)) {
+            if (p.equals("DRAINING") && discoveryReachable.test(gateway)) {
                 ledger.toldOfDrain(gateway, id, Clock.system().now());
             }
         });
     }
 
     /** The list as discovery has it. */
-    public String list(boolean complete) {
-        return list("", complete);
+    public String endpointList(boolean complete) {
+        return endpointList("", complete);
     }
 
     /** The same, as this gateway is told. */
-    public String list(String gateway, boolean complete) {
+    public String endpointList(String gateway, boolean complete) {
         StringBuilder b =
                 new StringBuilder("{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[");
-        List<String> entries = listed().stream()
+        List<String> entries = listedServers().stream()
                 .filter(ListedServer::isListed)
-                .map(server -> entry(gateway, server))
+                .map(server -> endpointEntry(gateway, server))
                 .toList();
         return b.append(String.join(",", entries)).append("]}").toString();
     }
 
     /** The list's entry of a server, as this gateway is told. */
-    public String entry(String gateway, ListedServer server) {
+    public String endpointEntry(String gateway, ListedServer server) {
         String id = server.id();
         return "{\"id\":\"" + id + "\",\"host_port\":\"127.0.0.1:"
-                + seenAt.getOrDefault(gateway + " " + id, ports.get(id))
+                + overriddenPorts.getOrDefault(gateway + " " + id, ports.get(id))
                 + "\",\"locality\":\"here\",\"cell\":0,\"phase\":\"" + server.phase() + "\",\"rank\":\""
                 + (id.equals(ids.get(0)) ? "source" : "copy") + "\",\"up_since_ms\":" + server.startedAtMs() + "}";
     }
 
     /** All servers that were ever listed. */
-    public List<ListedServer> listed() {
+    public List<ListedServer> listedServers() {
         return ids.stream()
                 .map(id -> new ListedServer(id, phase.get(id), startedAt.get(id)))
                 .toList();
@@ -181,7 +181,7 @@
     }
 
     /** Runs this after each change of the list. */
-    public void whenListChanges(Runnable listener) {
+    public void onListChange(Runnable listener) {
         listListeners.add(listener);
     }
 
@@ -197,7 +197,7 @@
     }
 
     /** Something goes wrong with a server; its connections stay, but for one that refuses. */
-    public void fault(String id, Fault fault) {
+    public void injectFault(String id, Fault fault) {
         model.fault(Clock.system().now(), id, fault);
         if (fault == Fault.REFUSING) {
             List.copyOf(open.get(id)).forEach(NetSocket::close);
@@ -205,7 +205,7 @@
     }
 
     /** It is back; after a restart its connections are reset and discovery tells of the start, late. */
-    public void heals(String id, boolean restarted) {
+    public void recoverServer(String id, boolean restarted) {
         long now = Clock.system().now();
         model.heals(now, id, restarted);
         if (restarted) {
@@ -215,25 +215,25 @@
     }
 
     /** It drains; discovery tells so, late. */
-    public void drains(String id) {
+    public void drainServer(String id) {
         model.drains(Clock.system().now(), id);
         listLater(() -> phase.put(id, "DRAINING"));
     }
 
     /** It is gone, and discovery tells so, late. */
-    public void removes(String id) {
-        fault(id, Fault.REFUSING);
+    public void removeServer(String id) {
+        injectFault(id, Fault.REFUSING);
         listLater(() -> phase.put(id, "DELETED"));
     }
 
     /** It is started anew under its id; discovery tells so, late. */
-    public void returns(String id) {
-        heals(id, true);
+    public void relistServer(String id) {
+        recoverServer(id, true);
         listLater(() -> phase.put(id, "SERVING"));
     }
 
-    public int probes() {
-        return probes;
+    public int healthChecks() {
+        return healthChecks;
     }
 
     public void close() {
@@ -298,7 +298,7 @@
         private void query(String text) {
             long now = Clock.system().now();
             if (text.startsWith("SHOW") || text.startsWith("SELECT 1")) {
-                probes++;
+                healthChecks++;
                 if (!silent()) {
                     socket.write(row(now, vitals(now).getBytes(StandardCharsets.UTF_8), model.position(now, server)));
                 }
@@ -314,7 +314,7 @@
             Matcher key = KEY.matcher(text);
             boolean write = text.startsWith("INSERT");
             ledger.sent(request, server, now);
-            traffic.request(request, server, now, true);
+            requestListener.onRequest(request, server, now, true);
             Work w = model.comes(now, server, request, write, null);
             if (w.pushedOver()) {
                 ledger.fell(server);
@@ -334,12 +334,12 @@
 
         private void over(String request, long now) {
             ledger.over(request);
-            traffic.request(request, server, now, false);
+            requestListener.onRequest(request, server, now, false);
         }
 
         private void no(String request, String code) {
             ledger.proved(request);
-            traffic.request(request, server, Clock.system().now(), false);
+            requestListener.onRequest(request, server, Clock.system().now(), false);
             socket.write(MessageWriter.errorResponse(code, "no", null, false, true));
         }
 
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -43,7 +43,7 @@
                         Launch.found(more),
                         Collections.nCopies(d.gateways(), 5.0),
                         4500,
-                        (request, server, now, comes) -> {},
+                        (request, server, now, started) -> {},
                         CLOSE));
     }
 
