--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -178,13 +178,13 @@
         ways.values().forEach(FaultyLink::close);
         link.close();
         int[] sums = new int[4];
-        Histogram late = new Histogram(Clients.LONGEST_US, 3);
+        Histogram late = new Histogram(Clients.MAX_LATENCY_US, 3);
         for (Clients c : clients) {
-            late.add(c.late());
-            sums[0] += c.tally(false, false).asked();
-            sums[1] += c.tally(false, false).acked();
-            sums[2] += c.tally(true, false).asked();
-            sums[3] += c.tally(true, false).acked();
+            late.add(c.lateness());
+            sums[0] += c.tally(false, false).requests();
+            sums[1] += c.tally(false, false).succeeded();
+            sums[2] += c.tally(true, false).requests();
+            sums[3] += c.tally(true, false).succeeded();
         }
         List<Ledger.Broken> broken = ledger.close(Clock.system().now());
         broken.forEach(b -> note("ledger", b.toString()));
@@ -214,8 +214,8 @@
                 .onSuccess(w -> {
                     Clients c =
                             new Clients(vertx, ledger, random.split(), Integer.toString(me), w.port(), BOUND_MS * MS);
-                    c.gatewayIs(() -> gateways.get(me).alive());
-                    c.holds(shape.crowd().connections());
+                    c.setGatewayAlive(() -> gateways.get(me).alive());
+                    c.setConnectionPoolSize(shape.crowd().connections());
                     clients.add(c);
                 })
                 .compose(x -> shape.ownAgents() ? agents.open(Integer.toString(me)) : discovery(me));
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -62,6 +62,6 @@
      */
     public record Crowd(int connections, int descriptors) {
         /** As few as serve, and descriptors enough. */
-        public static final Crowd NONE = new Crowd(0, GatewayConfiguration.DESCRIPTORS);
+        public static final Crowd NONE = new Crowd(0, GatewayConfiguration.DEFAULT_DESCRIPTORS);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -126,7 +126,7 @@
                 "seed " + s.day().seed() + ", " + s.day().gateways() + " gateways, "
                         + s.day().steps().size() + " steps: no promise broken, half served of what is without",
                 s.roamers().sessions() + " sessions, " + acked + " of "
-                        + s.roamers().asked() + " ops acked, " + without + " without, "
+                        + s.roamers().requests() + " ops acked, " + without + " without, "
                         + s.roamers().resubmissions() + " submitted again"
                         + (holds
                                 ? ""
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -20,32 +20,33 @@
 import ploverdale.tools.ledger.Ledger.Answer;
 
 /**
- * Clients of one gateway: ops at a rate, by chance, a connection each while it is out; a busy reply is tried once more,
- * under a fresh id, after a wait. What is asked, and what came of it, is counted, that of a stated first time on its own.
+ * Simulates the clients of one gateway. Requests arrive as a Poisson process; each occupies one connection while it is in
+ * flight. A rejected request is retried once, under a new id, after a delay. Requests and their outcomes are counted, those
+ * of an initial period also separately.
  */
 public final class Clients {
-    /** What came of the ops of one kind. */
+    /** Counts the requests of one kind and their outcomes. */
     public static final class Tally {
-        private int asked;
-        private int acked;
-        private int busy;
-        private int errored;
-        private final Histogram latency = new Histogram(LONGEST_US, 3); // of the acked, in microseconds
+        private int requests;
+        private int succeeded;
+        private int rejected;
+        private int failed;
+        private final Histogram latency = new Histogram(MAX_LATENCY_US, 3); // of succeeded requests, in microseconds
 
-        public int asked() {
-            return asked;
+        public int requests() {
+            return requests;
         }
 
-        public int acked() {
-            return acked;
+        public int succeeded() {
+            return succeeded;
         }
 
-        public int busy() {
-            return busy;
+        public int rejected() {
+            return rejected;
         }
 
-        public int errored() {
-            return errored;
+        public int failed() {
+            return failed;
         }
 
         public Histogram latency() {
@@ -53,255 +54,275 @@
         }
     }
 
-    /** No time is recorded as longer, in microseconds. */
-    public static final long LONGEST_US = 60_000_000;
+    /** Upper limit of recorded latencies, in microseconds; longer ones are recorded as this value. */
+    public static final long MAX_LATENCY_US = 60_000_000;
 
-    private static final long AGAIN_MS = 40;
-    private static final long GIVES_UP_AFTER_MS = 1000; // past its time; the ledger tells what that breaks
-    private static final int WRITE_WAITS_MS = 1500;
-    private static final int READ_WAITS_MS = 800;
-    private static final double WRITES = 0.35;
+    private static final long RETRY_DELAY_MS = 40;
+    private static final long ABANDON_AFTER_TIMEOUT_MS = 1000; // the ledger reports what a missing answer violates
+    private static final int WRITE_TIMEOUT_MS = 1500;
+    private static final int READ_TIMEOUT_MS = 800;
+    private static final double WRITE_SHARE = 0.35;
 
     private final Vertx vertx;
     private final Ledger ledger;
     private final RandomGenerator random;
     private final String gateway;
     private final int port;
-    private final long bound;
+    private final long stalenessBound;
     private final NetClient net;
-    private final Deque<Conn> idle = new ArrayDeque<>();
+    private final Deque<ClientConnection> idle = new ArrayDeque<>();
     private final Map<String, Tally> tallies = new HashMap<>();
-    private final Histogram late = new Histogram(LONGEST_US, 3);
-    private int held; // connections that are to be held; see holds
-    private int open;
-    private long startedAt;
-    private long first;
-    private int names;
-    private int out;
+    private final Histogram lateness = new Histogram(MAX_LATENCY_US, 3);
+    private int poolSize; // 0: connections are opened on demand
+    private int openConnections;
+    private long startedNs;
+    private long initialPeriodMs;
+    private int nextNumber;
+    private int inFlight;
     private boolean stopped;
-    private Runnable drained = () -> {};
-    private BooleanSupplier alive = () -> true;
+    private Runnable onDrained = () -> {};
+    private BooleanSupplier gatewayAlive = () -> true;
 
-    /** @param bound of reads, in tenths of a millisecond */
-    public Clients(Vertx vertx, Ledger ledger, RandomGenerator random, String gateway, int port, long bound) {
+    /**
+     * @param gateway the number of the gateway, which also starts the names of keys and requests
+     * @param port the port of the gateway on 127.0.0.1
+     * @param stalenessBound of reads, in tenths of a millisecond
+     */
+    public Clients(Vertx vertx, Ledger ledger, RandomGenerator random, String gateway, int port, long stalenessBound) {
         this.vertx = vertx;
         this.ledger = ledger;
         this.random = random;
         this.gateway = gateway;
         this.port = port;
-        this.bound = bound;
+        this.stalenessBound = stalenessBound;
         net = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
-    /** Whether its process lives; what one that was killed held is over, and not asked once more under the same id. */
-    public void gatewayIs(BooleanSupplier alive) {
-        this.alive = alive;
+    /**
+     * Sets how to find out whether the gateway process is alive. Requests in flight at a killed gateway are abandoned, not
+     * resent under the same id.
+     */
+    public void setGatewayAlive(BooleanSupplier gatewayAlive) {
+        this.gatewayAlive = gatewayAlive;
     }
 
-    /** Opens up to so many connections and uses them in turn, as clients with pools do; 0: as few as serve, the last first. */
-    public void holds(int connections) {
-        held = connections;
+    /**
+     * Sets the size of the connection pool. Connections are opened up to this number and then used in turn, as connection pools
+     * do. With 0, a connection is opened only when none is idle, and the most recently used one is preferred.
+     */
+    public void setConnectionPoolSize(int connections) {
+        poolSize = connections;
     }
 
-    /** By how much answers came after their time, 0 for those in time, in microseconds. */
-    public Histogram late() {
-        return late;
+    /** Returns by how much answers exceeded the timeout of their request, in microseconds; 0 for those within it. */
+    public Histogram lateness() {
+        return lateness;
     }
 
-    /** Asks so many ops a second from now on; the first ones are those of so many milliseconds. */
-    public void start(double perSecond, long firstMs) {
-        startedAt = System.nanoTime();
-        first = firstMs;
-        next(perSecond);
+    /**
+     * Starts to send requests.
+     *
+     * @param initialPeriodMs the period from now whose requests are also counted separately; see {@link #tally}
+     */
+    public void start(double requestsPerSecond, long initialPeriodMs) {
+        startedNs = System.nanoTime();
+        this.initialPeriodMs = initialPeriodMs;
+        scheduleNext(requestsPerSecond);
     }
 
-    private void next(double perSecond) {
-        long wait = Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / perSecond));
-        vertx.setTimer(wait, x -> {
+    private void scheduleNext(double requestsPerSecond) {
+        long delayMs = Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond));
+        vertx.setTimer(delayMs, x -> {
             if (!stopped) {
-                boolean write = random.nextDouble() < WRITES;
-                ask(write, gateway + "w" + names++, false);
-                next(perSecond);
+                boolean write = random.nextDouble() < WRITE_SHARE;
+                send(write, gateway + "w" + nextNumber++, false);
+                scheduleNext(requestsPerSecond);
             }
         });
     }
 
-    /** Asks no more; then runs this once all answers are there. */
-    public void stop(Runnable whenDrained) {
+    /** Stops sending; runs the given action once no request is in flight. */
+    public void stop(Runnable onDrained) {
         stopped = true;
-        drained = whenDrained;
-        if (out == 0) {
-            drained.run();
+        this.onDrained = onDrained;
+        if (inFlight == 0) {
+            onDrained.run();
         }
     }
 
-    /** Of the writes or reads asked in the first second, or of all. */
-    public Tally tally(boolean write, boolean first) {
-        return tallies.computeIfAbsent((write ? "w" : "r") + first, x -> new Tally());
+    /** Returns the counts of the writes or the reads, either of the initial period only or of the whole run. */
+    public Tally tally(boolean write, boolean initial) {
+        return tallies.computeIfAbsent((write ? "w" : "r") + initial, x -> new Tally());
     }
 
-    private void ask(boolean write, String name, boolean again) {
-        Ask a = new Ask(write, name, gateway + "-" + names++, again);
-        out++;
-        for (Tally t : a.counted) {
-            t.asked += again ? 0 : 1;
+    private void send(boolean write, String key, boolean retry) {
+        Request request = new Request(write, key, gateway + "-" + nextNumber++, retry);
+        inFlight++;
+        for (Tally t : request.tallies) {
+            t.requests += retry ? 0 : 1;
         }
-        Conn c = held == 0 ? idle.pollLast() : open < held ? null : idle.pollFirst();
-        if (c != null) {
-            c.write(a);
+        ClientConnection connection = poolSize == 0 ? idle.pollLast() : openConnections < poolSize ? null : idle.pollFirst();
+        if (connection != null) {
+            connection.write(request);
         } else {
-            new Conn(a);
+            new ClientConnection(request);
         }
     }
 
-    private final class Ask {
+    /** One request; a retry is a further one with a new id and the same key. */
+    private final class Request {
         private final boolean write;
-        private final String name;
+        private final String key;
         private final String id;
-        private final boolean again;
-        private final long at = System.nanoTime();
-        private final Tally[] counted;
-        private long writtenAt;
+        private final boolean retry;
+        private final long createdNs = System.nanoTime();
+        private final Tally[] tallies;
+        private long writtenNs;
 
-        private Ask(boolean write, String name, String id, boolean again) {
+        private Request(boolean write, String key, String id, boolean retry) {
             this.write = write;
-            this.name = name;
+            this.key = key;
             this.id = id;
-            this.again = again;
-            boolean first = at - startedAt < Clients.this.first * 1_000_000;
-            counted = first ? new Tally[] {tally(write, true), tally(write, false)} : new Tally[] {tally(write, false)};
+            this.retry = retry;
+            boolean initial = createdNs - startedNs < initialPeriodMs * 1_000_000;
+            tallies = initial ? new Tally[] {tally(write, true), tally(write, false)} : new Tally[] {tally(write, false)};
         }
 
-        private long waitsMs() {
-            return write ? WRITE_WAITS_MS : READ_WAITS_MS;
+        private long timeoutMs() {
+            return write ? WRITE_TIMEOUT_MS : READ_TIMEOUT_MS;
         }
 
-        private Buffer text() {
-            String comment = " /* id=" + id + ",c=" + (write ? "put" : "view") + ",t=all,d=" + waitsMs() + ",cluster=0"
-                    + (again ? ",r=1" : "") + " */";
+        private Buffer queryMessage() {
+            String comment = " /* id=" + id + ",c=" + (write ? "put" : "view") + ",t=all,d=" + timeoutMs() + ",cluster=0"
+                    + (retry ? ",r=1" : "") + " */";
             return MessageWriter.query((write
-                            ? "INSERT INTO state (uid, val) VALUES ('" + name + "', '\\x00') RETURNING val"
-                            : "SELECT val FROM state WHERE uid = '" + name + "'")
+                            ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x00') RETURNING val"
+                            : "SELECT val FROM state WHERE uid = '" + key + "'")
                     + comment);
         }
 
-        private void ended(Answer answer) {
-            long tookUs = (System.nanoTime() - writtenAt) / 1000;
-            late.recordValue(Math.max(0, Math.min(LONGEST_US, tookUs - waitsMs() * 1000)));
+        private void complete(Answer answer) {
+            long tookUs = (System.nanoTime() - writtenNs) / 1000;
+            lateness.recordValue(Math.max(0, Math.min(MAX_LATENCY_US, tookUs - timeoutMs() * 1000)));
             ledger.answered(id, answer, Clock.system().now());
-            for (Tally t : counted) {
-                t.acked += answer == Answer.ACKED ? 1 : 0;
-                t.busy += answer == Answer.BUSY ? 1 : 0;
-                t.errored += answer == Answer.ERRORED ? 1 : 0;
+            for (Tally t : tallies) {
+                t.succeeded += answer == Answer.ACKED ? 1 : 0;
+                t.rejected += answer == Answer.BUSY ? 1 : 0;
+                t.failed += answer == Answer.ERRORED ? 1 : 0;
                 if (answer == Answer.ACKED) {
-                    t.latency.recordValue(Math.min(LONGEST_US, (System.nanoTime() - at) / 1000));
+                    t.latency.recordValue(Math.min(MAX_LATENCY_US, (System.nanoTime() - createdNs) / 1000));
                 }
             }
-            over();
-            if (answer == Answer.BUSY && !again && !stopped) {
-                vertx.setTimer(AGAIN_MS, x -> {
+            finish();
+            if (answer == Answer.BUSY && !retry && !stopped) {
+                vertx.setTimer(RETRY_DELAY_MS, x -> {
                     if (!stopped) {
-                        ask(write, name, true);
+                        send(write, key, true);
                     }
                 });
             }
         }
 
-        private void over() {
-            if (--out == 0 && stopped) {
-                drained.run();
+        private void finish() {
+            if (--inFlight == 0 && stopped) {
+                onDrained.run();
             }
         }
     }
 
-    private final class Conn {
-        private final ServerMessageReader stream = new ServerMessageReader();
+    /** One connection to the gateway, with at most one request in flight. */
+    private final class ClientConnection {
+        private final ServerMessageReader reader = new ServerMessageReader();
         private NetSocket socket;
-        private boolean up;
-        private Ask ask;
+        private boolean ready;
+        private Request request;
         private Answer answer;
 
-        private Conn(Ask first) {
-            ask = first;
-            open++;
+        private ClientConnection(Request first) {
+            request = first;
+            openConnections++;
             net.connect(port, "127.0.0.1").onComplete(r -> {
                 if (r.failed()) {
-                    open--;
-                    neverTaken(ask);
+                    openConnections--;
+                    notAccepted(request);
                     return;
                 }
                 socket = r.result();
-                socket.handler(this::bytes);
+                socket.handler(this::onBytes);
                 socket.exceptionHandler(e -> {});
-                socket.closeHandler(x -> closed());
+                socket.closeHandler(x -> onClose());
                 socket.write(MessageWriter.startup());
             });
         }
 
-        private void write(Ask a) {
-            ask = a;
+        private void write(Request next) {
+            request = next;
             answer = null;
-            long waits = a.waitsMs() * 10;
-            a.writtenAt = System.nanoTime();
+            long timeout = next.timeoutMs() * 10; // ticks
+            next.writtenNs = System.nanoTime();
             long now = Clock.system().now();
-            ledger.taken(a.id, new Ledger.Kind(a.write, false, a.write ? 0 : bound), a.name, gateway, now, now + waits);
-            socket.write(a.text());
-            vertx.setTimer(waits / 10 + GIVES_UP_AFTER_MS, x -> {
-                if (ask == a) {
-                    ask = null;
-                    a.over();
+            ledger.taken(next.id, new Ledger.Kind(next.write, false, next.write ? 0 : stalenessBound), next.key, gateway, now, now + timeout);
+            socket.write(next.queryMessage());
+            vertx.setTimer(timeout / 10 + ABANDON_AFTER_TIMEOUT_MS, x -> {
+                if (request == next) {
+                    request = null;
+                    next.finish();
                     socket.close();
                 }
             });
         }
 
-        private void bytes(Buffer more) {
-            stream.feed(more);
-            for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
+        private void onBytes(Buffer received) {
+            reader.feed(received);
+            for (ServerMessage m = reader.next(); m != null; m = reader.next()) {
                 if (m instanceof ServerMessage.ReadyForQuery) {
-                    if (!up) {
-                        up = true;
-                        write(ask);
+                    if (!ready) {
+                        ready = true;
+                        write(request);
                     } else {
-                        Ask done = ask;
-                        ask = null;
+                        Request completed = request;
+                        request = null;
                         idle.addLast(this);
-                        done.ended(answer == null ? Answer.ERRORED : answer);
+                        completed.complete(answer == null ? Answer.ERRORED : answer);
                     }
                 } else if (m instanceof ServerMessage.CommandComplete) {
                     answer = Answer.ACKED;
-                } else if (m instanceof ServerMessage.ErrorResponse p) {
-                    answer = p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                } else if (m instanceof ServerMessage.ErrorResponse error) {
+                    answer = error.code().equals("53300") || error.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
                 }
             }
         }
 
-        private void closed() {
-            open--;
+        private void onClose() {
+            openConnections--;
             idle.remove(this);
-            Ask a = ask;
-            ask = null;
-            if (a == null) {
+            Request interrupted = request;
+            request = null;
+            if (interrupted == null) {
                 return;
             }
-            if (!up || answer != null) {
-                if (up) {
-                    a.ended(answer);
+            if (!ready || answer != null) {
+                if (ready) {
+                    interrupted.complete(answer);
                 } else {
-                    neverTaken(a); // turned away at the greeting
+                    notAccepted(interrupted); // the gateway refused the connection at its startup message
                 }
-            } else if (alive.getAsBoolean()) {
-                ledger.endedUnanswered(a.id, Clock.system().now());
-                new Conn(a); // it crossed the gateway's close: once more, on a new connection
+            } else if (gatewayAlive.getAsBoolean()) {
+                ledger.endedUnanswered(interrupted.id, Clock.system().now());
+                // The query crossed the gateway's close on the wire: resend it on a new connection.
+                new ClientConnection(interrupted);
             } else {
-                neverTaken(a);
+                notAccepted(interrupted);
             }
         }
 
-        /** Also where it was written before, on a connection that was being ended: then it must not have been sent on. */
-        private void neverTaken(Ask a) {
-            ledger.crossed(a.id);
-            a.over();
+        /**
+         * Ends a request that no gateway accepted. This includes one that was written to a connection while the gateway closed
+         * it; the gateway must not have forwarded that one to a server.
+         */
+        private void notAccepted(Request rejected) {
+            ledger.crossed(rejected.id);
+            rejected.finish();
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/stand/GatewayConfiguration.java
+++ b/tools/src/main/java/ploverdale/tools/stand/GatewayConfiguration.java
@@ -4,44 +4,46 @@
 import java.util.stream.Collectors;
 
 /**
- * What a gateway is told at its start, as the platform words it.
+ * The configuration with which a gateway is started, in the format of its configuration file.
  *
- * @param me its number among the instances
- * @param listen where it listens; port 0: a free one
- * @param peers where it sees each instance, itself at its own place
- * @param known the list of servers that it had last
- * @param boundMs of reads
- * @param descriptors that it may hold
+ * @param index the number of the gateway among its peers, from 0
+ * @param listenAddress host and port at which it accepts clients; port 0 picks a free one
+ * @param peers the addresses at which it reaches each gateway, by number; its own entry is where it listens for datagrams
+ * @param gossip whether it exchanges messages with its peers
+ * @param initialList the endpoint list that it starts with, as JSON
+ * @param seed of its random choices
+ * @param stalenessBoundMs staleness bound of reads of the class {@code view}, in milliseconds
+ * @param descriptorLimit how many file descriptors it may have open
  */
 public record GatewayConfiguration(
-        int me,
-        String listen,
+        int index,
+        String listenAddress,
         List<String> peers,
-        boolean words,
+        boolean gossip,
         int discoveryPort,
-        String known,
+        String initialList,
         long seed,
-        long boundMs,
-        int descriptors) {
-    /** Enough for any day that is not about them. */
-    public static final int DESCRIPTORS = 512;
+        long stalenessBoundMs,
+        int descriptorLimit) {
+    /** Descriptor limit that no run reaches, unless the run is about descriptors. */
+    public static final int DEFAULT_DESCRIPTORS = 512;
 
-    /** The same with descriptors enough. */
+    /** Uses {@link #DEFAULT_DESCRIPTORS} as the descriptor limit. */
     public GatewayConfiguration(
-            int me,
-            String listen,
+            int index,
+            String listenAddress,
             List<String> peers,
-            boolean words,
+            boolean gossip,
             int discoveryPort,
-            String known,
+            String initialList,
             long seed,
-            long boundMs) {
-        this(me, listen, peers, words, discoveryPort, known, seed, boundMs, DESCRIPTORS);
+            long stalenessBoundMs) {
+        this(index, listenAddress, peers, gossip, discoveryPort, initialList, seed, stalenessBoundMs, DEFAULT_DESCRIPTORS);
     }
 
-    /** The configuration file. */
+    /** Returns the text of the configuration file. */
     public String json() {
-        String all = peers.stream().map(p -> '"' + p + '"').collect(Collectors.joining(","));
+        String peerList = peers.stream().map(p -> '"' + p + '"').collect(Collectors.joining(","));
         return """
             {"name":"n%d","listen":"%s","discovery":"127.0.0.1:%d","seed":"%016x",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
@@ -60,17 +62,17 @@
               "contract":{"answerSlackMs":50,"startCapacity":0.3,"coldMs":6000,"overloadFactor":2.5,
                "overloadForMs":1000,"stopSendingWithinMs":500}}}
             """.formatted(
-                        me,
-                        listen,
+                        index,
+                        listenAddress,
                         discoveryPort,
                         seed,
-                        descriptors,
-                        peers.get(me),
-                        all,
-                        known,
+                        descriptorLimit,
+                        peers.get(index),
+                        peerList,
+                        initialList,
                         peers.size(),
-                        me,
-                        boundMs,
-                        words);
+                        index,
+                        stalenessBoundMs,
+                        gossip);
     }
 }
