--- a/tools/src/main/java/ploverdale/tools/stand/ListedServer.java
+++ b/tools/src/main/java/ploverdale/tools/stand/ListedServer.java
@@ -1,13 +1,18 @@
 package ploverdale.tools.stand;
 
-/** What the list says of a server; one that was removed is DELETED. */
+/**
+ * A server's entry in the endpoint list.
+ *
+ * @param phase SERVING, DRAINING, or DELETED once the server is removed
+ * @param startedAtMs time of its last start in milliseconds, 0 if it was not restarted during the run
+ */
 public record ListedServer(String id, String phase, long startedAtMs) {
-    /** Whether it may get new requests. */
+    /** Returns whether it may be sent new requests. */
     public boolean isServing() {
         return phase.equals("SERVING");
     }
 
-    /** Whether a complete list names it. */
+    /** Returns whether a complete list contains it. */
     public boolean isListed() {
         return !phase.equals("DELETED");
     }
--- a/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
+++ b/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
@@ -10,13 +10,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The way between instances: each sees every other at an address of its own, as on the platform. Datagrams are lost by
- * chance, delayed, and now and then come twice or overtake one another; each direction between two has a weather of its own.
+ * The datagram network between gateways. Each gateway reaches every other at a separate address, as in a deployment.
+ * Datagrams are lost, delayed, duplicated and reordered at random; each direction of each pair has its own conditions.
  */
 public final class LossyLink {
-    /** What happens to datagrams: shares lost and doubled, and the longest delay; by chance, so that they overtake. */
+    /**
+     * What happens to the datagrams of one direction. The delay is random, so that datagrams are reordered.
+     *
+     * @param loss the share of datagrams lost
+     * @param duplicated the share of datagrams delivered twice
+     * @param maxDelayMs the longest delay in milliseconds
+     */
     public record Conditions(double loss, double duplicated, int maxDelayMs) {
-        /** As it is when nothing is wrong, but for this loss. */
+        /** Returns the default conditions with the given loss. */
         public static Conditions withLoss(double loss) {
             return new Conditions(loss, 0.05, 20);
         }
@@ -27,46 +33,48 @@
     private final Vertx vertx;
     private final RandomGenerator random;
     private final Conditions defaults;
-    private final Conditions[][] current; // from one to another; null: as usual
-    private final DatagramSocket[][] sockets; // by who sees it and whom it stands for
-    private final int[] ports; // port of each instance, at an address of its own, which nobody else binds meanwhile
+    private final Conditions[][] current; // by sender and receiver; null: the defaults
+    private final DatagramSocket[][] sockets; // by the gateway that sends to it and the gateway that it forwards to
+
+    /** The port of each gateway on its own host address, which nothing else binds in the meantime. */
+    private final int[] ports;
     private final String[] hosts;
     private int datagrams;
     private int lost;
     private long bytes;
 
-    private LossyLink(Vertx vertx, RandomGenerator random, double loss, int instances) {
+    private LossyLink(Vertx vertx, RandomGenerator random, double loss, int gateways) {
         this.vertx = vertx;
         this.random = random;
         defaults = Conditions.withLoss(loss);
-        current = new Conditions[instances][instances];
-        sockets = new DatagramSocket[instances][instances];
-        ports = new int[instances];
-        hosts = new String[instances];
+        current = new Conditions[gateways][gateways];
+        sockets = new DatagramSocket[gateways][gateways];
+        ports = new int[gateways];
+        hosts = new String[gateways];
         int run = RUNS.getAndIncrement();
-        for (int i = 0; i < instances; i++) {
+        for (int i = 0; i < gateways; i++) {
             hosts[i] = "127." + (32 + ProcessHandle.current().pid() % 200) + "." + run % 250 + "." + (1 + i);
         }
     }
 
-    /** Opens it; done when all addresses are there. */
-    public static Future<LossyLink> open(Vertx vertx, RandomGenerator random, double loss, int instances) {
-        LossyLink link = new LossyLink(vertx, random, loss, instances);
-        List<Future<?>> all = new ArrayList<>();
-        for (int i = 0; i < instances; i++) {
-            for (int j = 0; j < instances; j++) {
-                DatagramSocket s = vertx.createDatagramSocket(new DatagramSocketOptions());
-                link.sockets[i][j] = s;
+    /** Opens a network between so many gateways; the future completes when all addresses are bound. */
+    public static Future<LossyLink> open(Vertx vertx, RandomGenerator random, double loss, int gateways) {
+        LossyLink link = new LossyLink(vertx, random, loss, gateways);
+        List<Future<?>> bindings = new ArrayList<>();
+        for (int i = 0; i < gateways; i++) {
+            for (int j = 0; j < gateways; j++) {
+                DatagramSocket socket = vertx.createDatagramSocket(new DatagramSocketOptions());
+                link.sockets[i][j] = socket;
                 int from = i;
                 int to = j;
-                all.add(s.listen(0, i == j ? link.hosts[i] : "127.0.0.1")
+                bindings.add(socket.listen(0, i == j ? link.hosts[i] : "127.0.0.1")
                         .onSuccess(x -> x.handler(p -> link.carry(from, to, p.data()))));
             }
         }
-        return Future.all(all).compose(x -> {
-            // An instance's own entry in its list is where it hears; the port is taken over by the instance.
+        return Future.all(bindings).compose(x -> {
+            // A gateway's own entry in its peer list is where it listens: free that port so that the gateway can bind it.
             Future<?> closed = Future.succeededFuture();
-            for (int i = 0; i < instances; i++) {
+            for (int i = 0; i < gateways; i++) {
                 link.ports[i] = link.sockets[i][i].localAddress().port();
                 DatagramSocket own = link.sockets[i][i];
                 closed = closed.compose(y -> own.close());
@@ -75,19 +83,19 @@
         });
     }
 
-    /** Where an instance is seen by another, or hears itself. */
-    public String address(int of, int at) {
-        return of == at
-                ? hosts[at] + ":" + ports[at]
-                : "127.0.0.1:" + sockets[at][of].localAddress().port();
+    /** Returns the address at which one gateway reaches another, or where it listens itself if both are the same. */
+    public String address(int target, int observer) {
+        return target == observer
+                ? hosts[observer] + ":" + ports[observer]
+                : "127.0.0.1:" + sockets[observer][target].localAddress().port();
     }
 
-    /** An address of loopback that is that instance's alone. */
-    public String host(int instance) {
-        return hosts[instance];
+    /** Returns the loopback address that belongs to that gateway alone. */
+    public String host(int gateway) {
+        return hosts[gateway];
     }
 
-    /** From now on so in this one direction; null: as defaults. */
+    /** Sets the conditions of one direction from now on; null restores the defaults. */
     public void setConditions(int from, int to, Conditions conditions) {
         current[from][to] = conditions;
     }
@@ -95,32 +103,37 @@
     private void carry(int from, int to, io.vertx.core.buffer.Buffer data) {
         datagrams++;
         bytes += data.length();
-        Conditions w = current[from][to] == null ? defaults : current[from][to];
-        for (int copies = random.nextDouble() < w.duplicated ? 2 : 1; copies > 0; copies--) {
-            if (random.nextDouble() < w.loss) {
+        Conditions conditions = current[from][to] == null ? defaults : current[from][to];
+        for (int copies = random.nextDouble() < conditions.duplicated ? 2 : 1; copies > 0; copies--) {
+            if (random.nextDouble() < conditions.loss) {
                 lost++;
             } else {
-                vertx.setTimer(1 + random.nextInt(w.maxDelayMs), x -> sockets[to][from].send(data, ports[to], hosts[to]));
+                vertx.setTimer(
+                        1 + random.nextInt(conditions.maxDelayMs),
+                        x -> sockets[to][from].send(data, ports[to], hosts[to]));
             }
         }
     }
 
     public void close() {
         for (DatagramSocket[] row : sockets) {
-            for (DatagramSocket s : row) {
-                s.close();
+            for (DatagramSocket socket : row) {
+                socket.close();
             }
         }
     }
 
+    /** Returns how many datagrams were sent, lost ones included. */
     public int datagrams() {
         return datagrams;
     }
 
+    /** Returns how many datagrams were lost; each of two duplicates counts. */
     public int lost() {
         return lost;
     }
 
+    /** Returns the bytes of all datagrams sent. */
     public long bytes() {
         return bytes;
     }
--- a/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
@@ -17,56 +17,58 @@
 import ploverdale.tools.ledger.Ledger.Answer;
 
 /**
- * Clients with sessions that roam: each op of a session goes to any gateway, a read of it must reach its last acked write, and
- * a write without an ack may be submitted again under its id, elsewhere. One op of a session at a time, a connection each.
+ * Clients with sessions that send each request of a session to a random gateway, over a new connection. A read must see the
+ * last successful write of its session. A write that did not succeed may be submitted again under its id, possibly to another
+ * gateway. A session has at most one request in flight.
  */
 public final class ReconnectingClients {
     /**
-     * How they ask.
+     * How the clients behave.
      *
-     * @param sessions how many there are
-     * @param requestsPerSecond ops of all
-     * @param resubmitsWrites whether a write that was not acked is submitted again under its id
+     * @param sessions the number of sessions
+     * @param requestsPerSecond of all sessions together
+     * @param resubmitsWrites whether a write that did not succeed is submitted again under its id
      */
     public record Behavior(int sessions, double requestsPerSecond, boolean resubmitsWrites) {}
 
-    private static final double WRITES = 0.4;
-    private static final int WAITS_MS = 900;
-    private static final int AGAIN_MOST = 3;
-    private static final long GIVES_UP_AFTER_MS = 400; // past its time
+    private static final double WRITE_SHARE = 0.4;
+    private static final int TIMEOUT_MS = 900;
+    private static final int MAX_RESUBMISSIONS = 3;
+    private static final long ABANDON_AFTER_TIMEOUT_MS = 400; // after the timeout of the request
 
     private final Vertx vertx;
     private final Ledger ledger;
     private final RandomGenerator random;
     private final List<Integer> ports;
-    private final Behavior habit;
+    private final Behavior behavior;
     private final NetClient net;
-    private final Set<Integer> busy = new HashSet<>(); // sessions with an op out
-    private final Set<Integer> seen = new HashSet<>();
-    private final Histogram writes = new Histogram(60_000_000, 3); // of the acked, in microseconds
+    private final Set<Integer> busySessions = new HashSet<>(); // sessions with a request in flight
+    private final Set<Integer> usedSessions = new HashSet<>();
+    private final Histogram writes = new Histogram(60_000_000, 3); // latencies of succeeded requests, microseconds
     private final Histogram reads = new Histogram(60_000_000, 3);
-    private int names;
-    private int asked;
-    private int again;
+    private int nextNumber;
+    private int requests;
+    private int resubmissions;
     private boolean stopped;
 
-    /** @param ports of the gateways, by number */
-    public ReconnectingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Behavior habit) {
+    /** @param ports where the gateways accept clients on 127.0.0.1, by number */
+    public ReconnectingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Behavior behavior) {
         this.vertx = vertx;
         this.ledger = ledger;
         this.random = random;
         this.ports = ports;
-        this.habit = habit;
+        this.behavior = behavior;
         net = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
+    /** Starts to send requests, until {@link #stop}. */
     public void start() {
-        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / habit.requestsPerSecond())), x -> {
+        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / behavior.requestsPerSecond())), x -> {
             if (!stopped) {
-                int session = random.nextInt(habit.sessions());
-                if (busy.add(session)) {
-                    seen.add(session);
-                    new Ask(session, random.nextDouble() < WRITES, "roam-" + names++, 0).begins();
+                int session = random.nextInt(behavior.sessions());
+                if (busySessions.add(session)) {
+                    usedSessions.add(session);
+                    new Submission(session, random.nextDouble() < WRITE_SHARE, "roam-" + nextNumber++, 0).connect();
                 }
                 start();
             }
@@ -77,123 +79,126 @@
         stopped = true;
     }
 
-    /** Sessions that asked anything. */
+    /** Returns how many sessions sent at least one request. */
     public int sessions() {
-        return seen.size();
+        return usedSessions.size();
     }
 
-    public int asked() {
-        return asked;
+    /** Returns how many requests were sent, resubmissions included. */
+    public int requests() {
+        return requests;
     }
 
-    /** Submits of a write that was submitted before. */
+    /** Returns how many submissions repeated an earlier one of the same write. */
     public int resubmissions() {
-        return again;
+        return resubmissions;
     }
 
-    /** Of acked writes, in microseconds. */
+    /** Returns the latencies of succeeded writes, in microseconds, connecting included. */
     public Histogram writes() {
         return writes;
     }
 
-    /** Of acked reads. */
+    /** Returns the latencies of succeeded reads, in microseconds, connecting included. */
     public Histogram reads() {
         return reads;
     }
 
-    private final class Ask {
+    /** One submission of a request, on a connection of its own. */
+    private final class Submission {
         private final int session;
         private final boolean write;
         private final String id;
-        private final int times;
+        private final int earlierSubmissions;
         private final int gateway = random.nextInt(ports.size());
-        private final long at = System.nanoTime();
-        private final ServerMessageReader stream = new ServerMessageReader();
-        private boolean taken;
-        private boolean over;
+        private final long createdNs = System.nanoTime();
+        private final ServerMessageReader reader = new ServerMessageReader();
+        private boolean sent;
+        private boolean finished;
         private Answer answer;
 
-        private Ask(int session, boolean write, String id, int times) {
+        private Submission(int session, boolean write, String id, int earlierSubmissions) {
             this.session = session;
             this.write = write;
             this.id = id;
-            this.times = times;
+            this.earlierSubmissions = earlierSubmissions;
         }
 
-        private void begins() {
+        private void connect() {
             net.connect(ports.get(gateway), "127.0.0.1").onComplete(r -> {
                 if (r.failed()) {
-                    ends(null);
+                    finish(null);
                     return;
                 }
                 NetSocket socket = r.result();
-                boolean[] up = {false};
+                boolean[] ready = {false};
                 socket.exceptionHandler(e -> {});
-                socket.closeHandler(x -> ends(null));
-                socket.handler(more -> {
-                    stream.feed(more);
-                    for (ServerMessage m = stream.next(); m != null; m = stream.next()) {
-                        if (m instanceof ServerMessage.ReadyForQuery && !up[0]) {
-                            up[0] = true;
-                            asks(socket);
+                socket.closeHandler(x -> finish(null));
+                socket.handler(received -> {
+                    reader.feed(received);
+                    for (ServerMessage m = reader.next(); m != null; m = reader.next()) {
+                        if (m instanceof ServerMessage.ReadyForQuery && !ready[0]) {
+                            ready[0] = true;
+                            send(socket);
                         } else if (m instanceof ServerMessage.ReadyForQuery) {
-                            ends(answer == null ? Answer.ERRORED : answer);
+                            finish(answer == null ? Answer.ERRORED : answer);
                             socket.close();
                         } else if (m instanceof ServerMessage.CommandComplete) {
                             answer = Answer.ACKED;
-                        } else if (m instanceof ServerMessage.ErrorResponse p) {
+                        } else if (m instanceof ServerMessage.ErrorResponse error) {
                             answer =
-                                    p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                                    error.code().equals("53300") || error.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
                         }
                     }
                 });
                 socket.write(MessageWriter.startup());
-                vertx.setTimer(WAITS_MS + GIVES_UP_AFTER_MS, x -> {
-                    ends(null);
+                vertx.setTimer(TIMEOUT_MS + ABANDON_AFTER_TIMEOUT_MS, x -> {
+                    finish(null);
                     socket.close();
                 });
             });
         }
 
-        private void asks(NetSocket socket) {
+        private void send(NetSocket socket) {
             long now = Clock.system().now();
-            taken = true;
-            asked++;
-            if (times == 0) {
+            sent = true;
+            requests++;
+            if (earlierSubmissions == 0) {
                 ledger.taken(
-                        id, new Ledger.Kind(write, false, 0), id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
+                        id, new Ledger.Kind(write, false, 0), id, Integer.toString(gateway), now, now + TIMEOUT_MS * 10L);
                 ledger.session(id, "s" + session);
             } else {
-                again++;
-                ledger.takenAgain(id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
+                resubmissions++;
+                ledger.takenAgain(id, Integer.toString(gateway), now, now + TIMEOUT_MS * 10L);
             }
-            String comment = " /* id=" + id + ",c=" + (write ? "put" : "mine") + ",t=all,d=" + WAITS_MS + ",cluster=0"
-                    + (times > 0 ? ",r=1" : "") + " */";
+            String comment = " /* id=" + id + ",c=" + (write ? "put" : "mine") + ",t=all,d=" + TIMEOUT_MS + ",cluster=0"
+                    + (earlierSubmissions > 0 ? ",r=1" : "") + " */";
             socket.write(MessageWriter.query((write
                             ? "INSERT INTO state (uid, val) VALUES ('s" + session + "', '\\x00') RETURNING val"
                             : "SELECT val FROM state WHERE uid = 's" + session + "'")
                     + comment));
         }
 
-        private void ends(Answer how) {
-            if (over) {
+        /** @param result null if the connection ended or timed out without an answer */
+        private void finish(Answer result) {
+            if (finished) {
                 return;
             }
-            over = true;
-            if (taken && how != null) {
-                ledger.answered(id, how, Clock.system().now());
-            } else if (taken) {
+            finished = true;
+            if (sent && result != null) {
+                ledger.answered(id, result, Clock.system().now());
+            } else if (sent) {
                 ledger.left(id);
             }
-            if (how == Answer.ACKED) {
-                (write ? writes : reads).recordValue(Math.min(60_000_000, (System.nanoTime() - at) / 1000));
+            if (result == Answer.ACKED) {
+                (write ? writes : reads).recordValue(Math.min(60_000_000, (System.nanoTime() - createdNs) / 1000));
             }
-            boolean oncemore =
-                    write && habit.resubmitsWrites() && taken && how != Answer.ACKED && times < AGAIN_MOST && !stopped;
-            if (oncemore) {
-                vertx.setTimer(1 + random.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
+            boolean resubmit =
+                    write && behavior.resubmitsWrites() && sent && result != Answer.ACKED && earlierSubmissions < MAX_RESUBMISSIONS && !stopped;
+            if (resubmit) {
+                vertx.setTimer(1 + random.nextInt(60), x -> new Submission(session, true, id, earlierSubmissions + 1).connect());
             } else {
-                busy.remove(session);
+                busySessions.remove(session);
             }
         }
     }
--- a/tools/src/main/java/ploverdale/tools/stand/package-info.java
+++ b/tools/src/main/java/ploverdale/tools/stand/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns the stand-ins around real gateways on loopback: database servers, discovery, clients, the lossy way between
- * instances. Written from the published protocols. Must never know anything of a gateway's inside; what happens is told to
- * the ledger by those who see it.
+ * The test doubles around real gateways on loopback: database servers, service discovery, clients, and a lossy network between
+ * gateways. They implement the published protocols only and must not depend on the internals of a gateway. Each test double
+ * records in the ledger what it observes.
  */
 package ploverdale.tools.stand;
