--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -20,9 +20,9 @@
 import ploverdale.tools.ledger.Ledger.Answer;
 
 /**
- * Simulates the clients of one gateway. Requests arrive as a Poisson process; each occupies one connection while it is in
- * flight. A rejected request is retried once, under a new id, after a delay. Requests and their outcomes are counted, those
- * of an initial period also separately.
+ * Simulates the clients of one gateway. Requests arrive as a Poisson process; each occupies one connection while it is
+ * in flight. A rejected request is retried once, under a new id, after a delay. Requests and their outcomes are
+ * counted, those of an initial period also separately.
  */
 public final class Clients {
     /** Counts the requests of one kind and their outcomes. */
@@ -99,16 +99,17 @@
     }
 
     /**
-     * Sets how to find out whether the gateway process is alive. Requests in flight at a killed gateway are abandoned, not
-     * resent under the same id.
+     * Sets how to find out whether the gateway process is alive. Requests in flight at a killed gateway are abandoned,
+     * not resent under the same id.
      */
     public void setGatewayAlive(BooleanSupplier gatewayAlive) {
         this.gatewayAlive = gatewayAlive;
     }
 
     /**
-     * Sets the size of the connection pool. Connections are opened up to this number and then used in turn, as connection pools
-     * do. With 0, a connection is opened only when none is idle, and the most recently used one is preferred.
+     * Sets the size of the connection pool. Connections are opened up to this number and then used in turn, as
+     * connection pools do. With 0, a connection is opened only when none is idle, and the most recently used one is
+     * preferred.
      */
     public void setConnectionPoolSize(int connections) {
         poolSize = connections;
@@ -317,8 +318,8 @@
         }
 
         /**
-         * Ends a request that no gateway accepted. This includes one that was written to a connection while the gateway closed
-         * it; the gateway must not have forwarded that one to a server.
+         * Ends a request that no gateway accepted. This includes one that was written to a connection while the gateway
+         * closed it; the gateway must not have forwarded that one to a server.
          */
         private void notAccepted(Request rejected) {
             ledger.crossed(rejected.id);
--- a/tools/src/main/java/ploverdale/tools/stand/GatewayConfiguration.java
+++ b/tools/src/main/java/ploverdale/tools/stand/GatewayConfiguration.java
@@ -8,7 +8,7 @@
  *
  * @param index the number of the gateway among its peers, from 0
  * @param listenAddress host and port at which it accepts clients; port 0 picks a free one
- * @param peers the addresses at which it reaches each gateway, by number; its own entry is where it listens for datagrams
+ * @param peers the addresses at which it reaches each gateway, by number; its own is where it listens for datagrams
  * @param gossip whether it exchanges messages with its peers
  * @param initialList the endpoint list that it starts with, as JSON
  * @param seed of its random choices
--- a/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
+++ b/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
@@ -72,7 +72,7 @@
             }
         }
         return Future.all(bindings).compose(x -> {
-            // A gateway's own entry in its peer list is where it listens: free that port so that the gateway can bind it.
+            // A gateway listens at its own entry in the peer list: free that port so that it can bind it.
             Future<?> closed = Future.succeededFuture();
             for (int i = 0; i < gateways; i++) {
                 link.ports[i] = link.sockets[i][i].localAddress().port();
--- a/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
@@ -17,9 +17,9 @@
 import ploverdale.tools.ledger.Ledger.Answer;
 
 /**
- * Clients with sessions that send each request of a session to a random gateway, over a new connection. A read must see the
- * last successful write of its session. A write that did not succeed may be submitted again under its id, possibly to another
- * gateway. A session has at most one request in flight.
+ * Clients with sessions that send each request of a session to a random gateway, over a new connection. A read must see
+ * the last successful write of its session. A write that did not succeed may be submitted again under its id, possibly
+ * to another gateway. A session has at most one request in flight.
  */
 public final class ReconnectingClients {
     /**
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -29,12 +29,13 @@
 import ploverdale.tools.model.ServerModel.Fault;
 
 /**
- * Database servers and discovery of one group. The servers speak version 3 of the PostgreSQL protocol; a silent one accepts
- * and says nothing, a refusing one closes. Discovery answers whole lists and watches, late by a stated time, and names the
- * primary of the morning for ever. All on one event loop.
+ * The database servers and the service discovery of one replica group. The servers speak version 3 of the PostgreSQL
+ * protocol; an unresponsive one accepts connections and never answers, a refusing one closes them. Discovery answers
+ * requests for complete endpoint lists and long polls; it learns of changes with a fixed delay, and never learns of a
+ * new primary. Everything runs on one event loop.
  */
 public final class TestCluster {
-    private static final Pattern ID = Pattern.compile("/\\* id=([^,]+),");
+    private static final Pattern REQUEST_ID = Pattern.compile("/\\* id=([^,]+),");
     private static final Pattern KEY = Pattern.compile("'([^']*)'");
     private static final int OID_BYTES = 17;
 
@@ -42,113 +43,115 @@
     private final GroupModel model;
     private final Ledger ledger;
     private final List<String> ids;
-    private final long listLateMs;
+    private final long listDelayMs;
     private final Map<String, Integer> ports = new LinkedHashMap<>();
-    private final Map<String, Integer> overriddenPorts = new HashMap<>(); // by gateway and server, where it goes another way
-    private RequestListener requestListener = (request, server, now, out) -> {};
+    private final Map<String, Integer> overriddenPorts = new HashMap<>(); // listed ports, by gateway and server
+    private RequestListener requestListener = (request, server, now, started) -> {};
     private Predicate<String> discoveryReachable = x -> true;
-    private final Map<String, Set<NetSocket>> open = new HashMap<>();
-    private final List<Object> up = new ArrayList<>(); // held, since one that nobody holds may be closed
-    private final List<Waiting> watches = new ArrayList<>();
-    private final Map<String, String> phase = new HashMap<>(); // as discovery tells it
-    private final Map<String, Long> startedAt = new HashMap<>();
+    private final Map<String, Set<NetSocket>> openSockets = new HashMap<>();
+    private final List<Object> listeners = new ArrayList<>(); // Vert.x may close a server that is garbage collected
+    private final List<LongPoll> longPolls = new ArrayList<>();
+    private final Map<String, String> phases = new HashMap<>(); // by server, as discovery lists them
+    private final Map<String, Long> startedAtMs = new HashMap<>();
     private final List<Runnable> listListeners = new ArrayList<>();
     private int revision = 1;
     private int healthChecks;
 
-    /** Hears of each op that reaches a server, and of its end there. */
+    /** Notified when a request reaches a server ({@code started} is true) and when it ends there (false). */
     public interface RequestListener {
         void onRequest(String request, String server, long now, boolean started);
     }
 
-    private record Waiting(HttpServerResponse to, String gateway) {}
+    /** A discovery request that is answered at the next change or when its hold time ends. */
+    private record LongPoll(HttpServerResponse response, String gateway) {}
 
-    public TestCluster(Vertx vertx, GroupModel model, Ledger ledger, List<String> ids, long listLateMs) {
+    /** @param listDelayMs time between a change and its appearance in the endpoint list */
+    public TestCluster(Vertx vertx, GroupModel model, Ledger ledger, List<String> ids, long listDelayMs) {
         this.vertx = vertx;
         this.model = model;
         this.ledger = ledger;
         this.ids = ids;
-        this.listLateMs = listLateMs;
+        this.listDelayMs = listDelayMs;
     }
 
-    /** Starts the servers. */
+    /** Starts the servers; the future completes when all accept connections. */
     public Future<Void> startServers() {
-        Future<Void> all = Future.succeededFuture();
+        Future<Void> started = Future.succeededFuture();
         for (String id : ids) {
-            open.put(id, new HashSet<>());
-            phase.put(id, "SERVING");
-            startedAt.put(id, 0L);
-            all = all.compose(x -> vertx.createNetServer()
+            openSockets.put(id, new HashSet<>());
+            phases.put(id, "SERVING");
+            startedAtMs.put(id, 0L);
+            started = started.compose(x -> vertx.createNetServer()
                     .connectHandler(s -> new Connection(id, s))
                     .listen(0, "127.0.0.1")
                     .map(s -> {
-                        up.add(s);
+                        listeners.add(s);
                         ports.put(id, s.actualPort());
                         return null;
                     }));
         }
-        return all;
+        return started;
     }
 
-    /** Where a server listens. */
+    /** Returns the port on which a server listens. */
     public int port(String server) {
         return ports.get(server);
     }
 
-    /** From now on this gateway is told that the server is at that port. */
+    /** Makes the endpoint list of this gateway name that port for the server from now on. */
     public void setServerPort(String gateway, String server, int port) {
         overriddenPorts.put(gateway + " " + server, port);
     }
 
-    /** Who hears of the ops at the servers. */
+    /** Sets who is notified of the requests at the servers. */
     public void setRequestListener(RequestListener listener) {
         requestListener = listener;
     }
 
-    /** Which gateways are reached by discovery now; others are told of drains when they ask again. */
+    /** Sets which gateways discovery can reach now; answers to any other do not count as received. */
     public void setDiscoveryReachable(Predicate<String> gateways) {
         discoveryReachable = gateways;
     }
 
-    /** Starts discovery for one gateway; the future holds its port. */
+    /** Starts discovery for one gateway; the future returns its port. */
     public Future<Integer> startDiscovery(String gateway) {
         return vertx.createHttpServer()
                 .requestHandler(r -> {
                     String from = r.getParam("from");
                     if (from == null || Integer.parseInt(from) != revision) {
-                        tell(r.response(), gateway, from == null);
+                        answer(r.response(), gateway, from == null);
                         return;
                     }
-                    Waiting w = new Waiting(r.response(), gateway);
-                    watches.add(w);
+                    LongPoll poll = new LongPoll(r.response(), gateway);
+                    longPolls.add(poll);
                     vertx.setTimer(Math.max(1, Long.parseLong(r.getParam("hold_ms"))), x -> {
-                        if (watches.remove(w)) {
+                        if (longPolls.remove(poll)) {
                             r.response().end("{\"revision\":" + revision + ",\"complete\":false,\"members\":[]}");
                         }
                     });
                 })
                 .listen(0, "127.0.0.1")
                 .map(s -> {
-                    up.add(s);
+                    listeners.add(s);
                     return s.actualPort();
                 });
     }
 
-    private void tell(HttpServerResponse to, String gateway, boolean whole) {
-        to.end(endpointList(gateway, true)); // an agent may always answer with the whole list
-        phase.forEach((id, p) -> {
+    private void answer(HttpServerResponse response, String gateway, boolean complete) {
+        response.end(endpointList(gateway, true)); // the protocol allows a complete list as any answer
+        phases.forEach((id, p) -> {
             if (p.equals("DRAINING") && discoveryReachable.test(gateway)) {
                 ledger.toldOfDrain(gateway, id, Clock.system().now());
             }
         });
     }
 
-    /** The list as discovery has it. */
+    /** Returns the endpoint list with the actual ports of the servers. */
     public String endpointList(boolean complete) {
         return endpointList("", complete);
     }
 
-    /** The same, as this gateway is told. */
+    /** Returns the endpoint list for this gateway, as JSON. */
     public String endpointList(String gateway, boolean complete) {
         StringBuilder b =
                 new StringBuilder("{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[");
@@ -159,7 +162,7 @@
         return b.append(String.join(",", entries)).append("]}").toString();
     }
 
-    /** The list's entry of a server, as this gateway is told. */
+    /** Returns the entry of a server in the endpoint list for this gateway, as JSON. */
     public String endpointEntry(String gateway, ListedServer server) {
         String id = server.id();
         return "{\"id\":\"" + id + "\",\"host_port\":\"127.0.0.1:"
@@ -168,68 +171,68 @@
                 + (id.equals(ids.get(0)) ? "source" : "copy") + "\",\"up_since_ms\":" + server.startedAtMs() + "}";
     }
 
-    /** All servers that were ever listed. */
+    /** Returns all servers that were ever listed, removed ones included. */
     public List<ListedServer> listedServers() {
         return ids.stream()
-                .map(id -> new ListedServer(id, phase.get(id), startedAt.get(id)))
+                .map(id -> new ListedServer(id, phases.get(id), startedAtMs.get(id)))
                 .toList();
     }
 
-    /** The list's count of changes. */
+    /** Returns the revision of the endpoint list; each change raises it by one. */
     public int revision() {
         return revision;
     }
 
-    /** Runs this after each change of the list. */
+    /** Registers an action that runs after each change of the endpoint list. */
     public void onListChange(Runnable listener) {
         listListeners.add(listener);
     }
 
-    private void listLater(Runnable change) {
-        vertx.setTimer(Math.max(1, listLateMs), x -> {
+    private void changeListLater(Runnable change) {
+        vertx.setTimer(Math.max(1, listDelayMs), x -> {
             change.run();
             revision++;
-            List<Waiting> all = List.copyOf(watches);
-            watches.clear();
-            all.forEach(w -> tell(w.to(), w.gateway(), false));
+            List<LongPoll> pending = List.copyOf(longPolls);
+            longPolls.clear();
+            pending.forEach(poll -> answer(poll.response(), poll.gateway(), false));
             listListeners.forEach(Runnable::run);
         });
     }
 
-    /** Something goes wrong with a server; its connections stay, but for one that refuses. */
+    /** Injects a fault into a server. Its connections stay open unless it refuses connections. */
     public void injectFault(String id, Fault fault) {
         model.fault(Clock.system().now(), id, fault);
         if (fault == Fault.REFUSING) {
-            List.copyOf(open.get(id)).forEach(NetSocket::close);
+            List.copyOf(openSockets.get(id)).forEach(NetSocket::close);
         }
     }
 
-    /** It is back; after a restart its connections are reset and discovery tells of the start, late. */
+    /** Ends a fault; a restart also closes the connections and, after the list delay, changes the listed start time. */
     public void recoverServer(String id, boolean restarted) {
         long now = Clock.system().now();
         model.heals(now, id, restarted);
         if (restarted) {
-            List.copyOf(open.get(id)).forEach(NetSocket::close);
-            listLater(() -> startedAt.put(id, now / 10));
+            List.copyOf(openSockets.get(id)).forEach(NetSocket::close);
+            changeListLater(() -> startedAtMs.put(id, now / 10));
         }
     }
 
-    /** It drains; discovery tells so, late. */
+    /** Drains a server; the endpoint list shows it after the list delay. */
     public void drainServer(String id) {
         model.drains(Clock.system().now(), id);
-        listLater(() -> phase.put(id, "DRAINING"));
+        changeListLater(() -> phases.put(id, "DRAINING"));
     }
 
-    /** It is gone, and discovery tells so, late. */
+    /** Stops a server; it leaves the endpoint list after the list delay. */
     public void removeServer(String id) {
         injectFault(id, Fault.REFUSING);
-        listLater(() -> phase.put(id, "DELETED"));
+        changeListLater(() -> phases.put(id, "DELETED"));
     }
 
-    /** It is started anew under its id; discovery tells so, late. */
+    /** Restarts a server under its id; the endpoint list shows it as serving after the list delay. */
     public void relistServer(String id) {
         recoverServer(id, true);
-        listLater(() -> phase.put(id, "SERVING"));
+        changeListLater(() -> phases.put(id, "SERVING"));
     }
 
     public int healthChecks() {
@@ -237,7 +240,7 @@
     }
 
     public void close() {
-        up.forEach(x -> {
+        listeners.forEach(x -> {
             if (x instanceof NetServer s) {
                 s.close();
             }
@@ -248,10 +251,10 @@
     private final class Connection {
         private final String server;
         private final NetSocket socket;
-        private final Set<String> out = new HashSet<>();
-        private Buffer held = Buffer.buffer();
-        private boolean greeted;
-        private boolean gone;
+        private final Set<String> inFlight = new HashSet<>(); // ids of requests
+        private Buffer unparsed = Buffer.buffer();
+        private boolean started; // its startup message has arrived
+        private boolean closed;
 
         private Connection(String server, NetSocket socket) {
             this.server = server;
@@ -260,134 +263,136 @@
                 socket.close();
                 return;
             }
-            open.get(server).add(socket);
-            socket.handler(this::bytes);
+            openSockets.get(server).add(socket);
+            socket.handler(this::onBytes);
             socket.exceptionHandler(e -> {});
             socket.closeHandler(x -> {
-                gone = true;
-                open.get(server).remove(socket);
-                out.forEach(request -> over(request, Clock.system().now()));
+                closed = true;
+                openSockets.get(server).remove(socket);
+                inFlight.forEach(request -> requestEnded(request, Clock.system().now()));
             });
         }
 
-        private boolean silent() {
+        private boolean unresponsive() {
             return model.server(server).fault() == Fault.SILENT;
         }
 
-        private void bytes(Buffer more) {
-            held.appendBuffer(more);
-            int from = 0;
-            for (int head = greeted ? 1 : 0; held.length() - from >= head + 4; head = 1) {
-                int length = held.getInt(from + head);
-                if (held.length() - from < head + length) {
+        private void onBytes(Buffer received) {
+            unparsed.appendBuffer(received);
+            int offset = 0;
+            for (int typeBytes = started ? 1 : 0; unparsed.length() - offset >= typeBytes + 4; typeBytes = 1) {
+                int length = unparsed.getInt(offset + typeBytes);
+                if (unparsed.length() - offset < typeBytes + length) {
                     break;
                 }
-                if (!greeted) {
-                    greeted = true;
-                    if (!silent()) {
+                if (!started) {
+                    started = true;
+                    if (!unresponsive()) {
                         socket.write(MessageWriter.startupResponse());
                     }
-                } else if (held.getByte(from) == 'Q') {
-                    query(held.getString(from + 5, from + length, "UTF-8"));
+                } else if (unparsed.getByte(offset) == 'Q') {
+                    onQuery(unparsed.getString(offset + 5, offset + length, "UTF-8"));
                 }
-                from += head + length;
+                offset += typeBytes + length;
             }
-            held = held.getBuffer(from, held.length());
+            unparsed = unparsed.getBuffer(offset, unparsed.length());
         }
 
-        private void query(String text) {
+        private void onQuery(String sql) {
             long now = Clock.system().now();
-            if (text.startsWith("SHOW") || text.startsWith("SELECT 1")) {
+            if (sql.startsWith("SHOW") || sql.startsWith("SELECT 1")) {
                 healthChecks++;
-                if (!silent()) {
-                    socket.write(row(now, vitals(now).getBytes(StandardCharsets.UTF_8), model.position(now, server)));
+                if (!unresponsive()) {
+                    socket.write(row(now, report(now).getBytes(StandardCharsets.UTF_8), model.position(now, server)));
                 }
                 return;
             }
-            Matcher id = ID.matcher(text);
-            if (!id.find()) {
+            Matcher requestId = REQUEST_ID.matcher(sql);
+            if (!requestId.find()) {
                 socket.write(MessageWriter.errorResponse("08P01", "not a client's words", null, true, false));
                 socket.close();
                 return;
             }
-            String request = id.group(1);
-            Matcher key = KEY.matcher(text);
-            boolean write = text.startsWith("INSERT");
+            String request = requestId.group(1);
+            Matcher key = KEY.matcher(sql);
+            boolean write = sql.startsWith("INSERT");
             ledger.sent(request, server, now);
             requestListener.onRequest(request, server, now, true);
-            Work w = model.comes(now, server, request, write, null);
-            if (w.pushedOver()) {
+            Work work = model.comes(now, server, request, write, null);
+            if (work.pushedOver()) {
                 ledger.fell(server);
             }
-            switch (w.taking()) {
-                case TURNS_AWAY -> no(request, "25006");
-                case FULL -> no(request, "53300");
+            switch (work.taking()) {
+                case TURNS_AWAY -> reject(request, "25006");
+                case FULL -> reject(request, "53300");
                 case REFUSES -> socket.close();
-                case NOTHING -> out.add(request);
+                case NOTHING -> inFlight.add(request);
                 default -> {
-                    out.add(request);
+                    inFlight.add(request);
                     String value = key.find() ? key.group(1) : "";
-                    vertx.setTimer(Math.max(1, (w.doneAt() - now + 9) / 10), x -> ends(w, value));
+                    vertx.setTimer(Math.max(1, (work.doneAt() - now + 9) / 10), x -> complete(work, value));
                 }
             }
         }
 
-        private void over(String request, long now) {
+        private void requestEnded(String request, long now) {
             ledger.over(request);
             requestListener.onRequest(request, server, now, false);
         }
 
-        private void no(String request, String code) {
+        /** Answers a request that was not executed. */
+        private void reject(String request, String code) {
             ledger.proved(request);
             requestListener.onRequest(request, server, Clock.system().now(), false);
             socket.write(MessageWriter.errorResponse(code, "no", null, false, true));
         }
 
-        private void ends(Work w, String value) {
-            if (gone && !w.write()) {
-                return; // stopped with its connection
+        private void complete(Work work, String value) {
+            if (closed && !work.write()) {
+                return; // the server cancels a read when its connection closes
             }
             long now = Clock.system().now();
-            Done d = model.ends(now, w);
-            if (d.applied()) {
-                ledger.applied(w.request(), d.position());
+            Done done = model.ends(now, work);
+            if (done.applied()) {
+                ledger.applied(work.request(), done.position());
             }
-            if (gone || !d.answered()) {
+            if (closed || !done.answered()) {
                 return;
             }
-            out.remove(w.request());
-            over(w.request(), now);
-            if (!w.write()) {
-                ledger.read(w.request(), d.position(), w.cameAt());
-                ledger.readInSession(w.request(), d.position());
+            inFlight.remove(work.request());
+            requestEnded(work.request(), now);
+            if (!work.write()) {
+                ledger.read(work.request(), done.position(), work.cameAt());
+                ledger.readInSession(work.request(), done.position());
             }
             socket.write(
-                    d.garbled()
+                    done.garbled()
                             ? Buffer.buffer("#~noise~#")
-                            : row(now, value.getBytes(StandardCharsets.UTF_8), d.position()));
+                            : row(now, value.getBytes(StandardCharsets.UTF_8), done.position()));
         }
 
+        /** Returns the answer to a query: session parameters with the load report, and one row. */
         private Buffer row(long now, byte[] value, long position) {
             Buffer b = Buffer.buffer();
-            MessageWriter.parameterStatus(b, "rank", leads(now) ? "source" : "copy");
+            MessageWriter.parameterStatus(b, "rank", isPrimary(now) ? "source" : "copy");
             MessageWriter.parameterStatus(b, "as_of", Long.toString(Math.floorDiv(position, 10)));
-            MessageWriter.parameterStatus(b, "vitals", vitals(now));
+            MessageWriter.parameterStatus(b, "vitals", report(now));
             return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
                     new ServerMessage.RowDescription("val", 0, (short) 0, OID_BYTES, (short) -1, -1, (short) 1),
                     value,
                     "SELECT 1")));
         }
 
-        private boolean leads(long now) {
+        private boolean isPrimary(long now) {
             return server.equals(model.primary(now));
         }
 
-        private String vitals(long now) {
+        private String report(long now) {
             return String.format(
                     Locale.ROOT,
                     "x0=%.3f,x1=%d,util=%.2f",
                     model.position(now, server) / 10_000.0 - 0.0005,
-                    leads(now) ? 1 : 0,
+                    isPrimary(now) ? 1 : 0,
                     model.server(server).busy(now));
         }
     }
