--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -17,115 +17,116 @@
 import ploverdale.tools.stand.TestCluster;
 
 /**
- * Sends out at each server as a budget of the fleet: gateways as processes, one asked five times as much as the others,
- * through drawn days of faults. What is out is counted at the servers. Beside each day the same without budgets.
+ * Bounds the attempts in flight at each server by a shared limit. Gateways run as processes, one with five times the load
+ * of the others, through random fault schedules; attempts in flight are counted at the servers. Each schedule is run again
+ * without shared limits for comparison.
  */
 final class BudgetsRig {
     private static final int GATEWAYS = 5;
-    private static final int WHOLE = 5;
-    private static final long LASTS_MS = 9000;
-    private static final double OPS_PER_SECOND = 50; // of each but one
-    private static final long SETTLES_MS = 6000; // until each is the steward of its estate
-    private static final double MORE = 5;
+    private static final int LIMIT = 5;
+    private static final long DURATION_MS = 9000;
+    private static final double REQUESTS_PER_SECOND = 50; // of each gateway but the first
+    private static final long SETTLE_MS = 6000; // until each gateway holds the leases of its partition
+    private static final double FIRST_GATEWAY_FACTOR = 5; // load of the first gateway, in multiples of the others
 
     private BudgetsRig() {}
 
-    /** What is out at each server, counted there. */
-    static final class Out implements TestCluster.RequestListener {
-        private final Map<String, Integer> now = new HashMap<>();
-        private final int whole;
-        private int most;
-        private String firstOver;
+    /** Counts the attempts in flight at each server and remembers the first one beyond the limit. */
+    static final class InFlightCounter implements TestCluster.RequestListener {
+        private final Map<String, Integer> inFlight = new HashMap<>();
+        private final int limit;
+        private int highest;
+        private String firstAboveLimit;
 
-        Out(int whole) {
-            this.whole = whole;
+        InFlightCounter(int limit) {
+            this.limit = limit;
         }
 
-        int most() {
-            return most;
+        int highest() {
+            return highest;
         }
 
-        String firstOver() {
-            return firstOver;
+        String firstAboveLimit() {
+            return firstAboveLimit;
         }
 
         @Override
         public synchronized void onRequest(String request, String server, long at, boolean started) {
-            int n = now.merge(server, started ? 1 : -1, Integer::sum);
-            most = Math.max(most, n);
-            if (n > whole && firstOver == null) {
-                firstOver = request + " at " + server;
+            int count = inFlight.merge(server, started ? 1 : -1, Integer::sum);
+            highest = Math.max(highest, count);
+            if (count > limit && firstAboveLimit == null) {
+                firstAboveLimit = request + " at " + server;
             }
         }
     }
 
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
-        Launch with;
-        Launch without;
+        Launch withLimits;
+        Launch withoutLimits;
         Path file;
         try {
             file = Files.createTempFile("fleet", ".json");
             Files.writeString(
                     file,
-                    "{\"sends_at_server\":" + WHOLE + ",\"loan_ms\":800,\"steward_ms\":1200,\"floor_share\":0.1}");
-            with = Launch.found(List.of("--fleet", file.toString()));
-            without = Launch.found(List.of());
+                    "{\"sends_at_server\":" + LIMIT + ",\"loan_ms\":800,\"steward_ms\":1200,\"floor_share\":0.1}");
+            withLimits = Launch.found(List.of("--fleet", file.toString()));
+            withoutLimits = Launch.found(List.of());
         } catch (IOException e) {
-            return List.of(new Check("gateways as processes", e.getMessage(), false));
+            return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
         int[] sums = new int[8];
         List<Check> checks = new ArrayList<>(SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule day = ScheduleGenerator.day(seed, GATEWAYS, LASTS_MS, Fleet.SERVERS);
-            Out out = new Out(WHOLE);
-            FleetResult shown = Fleet.play(day, shape(with, out));
-            FleetResult plain = Fleet.play(day, shape(without, new Out(WHOLE)));
+            FaultSchedule schedule = ScheduleGenerator.day(seed, GATEWAYS, DURATION_MS, Fleet.SERVERS);
+            InFlightCounter counter = new InFlightCounter(LIMIT);
+            FleetResult limited = Fleet.play(schedule, workload(withLimits, counter));
+            FleetResult unlimited = Fleet.play(schedule, workload(withoutLimits, new InFlightCounter(LIMIT)));
             synchronized (sums) {
-                add(sums, 0, shown);
-                add(sums, 4, plain);
+                add(sums, 0, limited);
+                add(sums, 4, unlimited);
             }
-            // Guards against a whole that holds because hardly anything was sent; a loaded machine costs some.
-            boolean serves = 4 * (shown.readsAcked() + shown.writesAcked()) > plain.readsAcked() + plain.writesAcked();
-            boolean holds = out.firstOver == null && shown.broken().isEmpty() && serves;
+            // Prevents a pass because hardly anything was sent. A quarter suffices: a loaded machine serves less.
+            boolean servesEnough = 4 * (limited.readsAcked() + limited.writesAcked()) > unlimited.readsAcked() + unlimited.writesAcked();
+            boolean holds = counter.firstAboveLimit == null && limited.broken().isEmpty() && servesEnough;
             return new Check(
-                    "seed " + day.seed() + ", " + day.steps().size() + " steps: never over " + WHOLE
-                            + " out at a server, no rule broken, a quarter served of what is without",
-                    "at most " + out.most + " out; " + shown.figures()
+                    "seed " + schedule.seed() + ", " + schedule.steps().size() + " steps: never more than " + LIMIT
+                            + " attempts in flight at a server, no rule broken, a quarter of the requests served",
+                    "at most " + counter.highest + " in flight; " + limited.figures()
                             + (holds
                                     ? ""
-                                    : ", first over: " + out.firstOver + ", broken: " + shown.broken() + "\n"
-                                            + day.text() + "log:\n" + String.join("\n", shown.log())),
+                                    : ", first above the limit: " + counter.firstAboveLimit + ", broken: " + limited.broken() + "\n"
+                                            + schedule.text() + "log:\n" + String.join("\n", limited.log())),
                     holds);
         }));
-        checks.add(new Check("service with budgets", figures(sums, 0), true));
-        checks.add(new Check("service without", figures(sums, 4), true));
+        checks.add(new Check("service with shared limits", figures(sums, 0), true));
+        checks.add(new Check("service without shared limits", figures(sums, 4), true));
         try {
             Files.delete(file);
         } catch (IOException e) {
-            checks.add(new Check("fleet file", "stays: " + e.getMessage(), true));
+            checks.add(new Check("temporary fleet file", "could not be deleted: " + e.getMessage(), true));
         }
         return checks;
     }
 
-    private static Workload shape(Launch launch, TestCluster.RequestListener traffic) {
+    private static Workload workload(Launch launch, TestCluster.RequestListener listener) {
         List<Double> rates = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            rates.add(i == 0 ? MORE * OPS_PER_SECOND : OPS_PER_SECOND);
+            rates.add(i == 0 ? FIRST_GATEWAY_FACTOR * REQUESTS_PER_SECOND : REQUESTS_PER_SECOND);
         }
-        return new Workload(launch, rates, SETTLES_MS, traffic);
+        return new Workload(launch, rates, SETTLE_MS, listener);
     }
 
-    private static void add(int[] sums, int from, FleetResult s) {
-        sums[from] += s.readsAsked();
-        sums[from + 1] += s.readsAcked();
-        sums[from + 2] += s.writesAsked();
-        sums[from + 3] += s.writesAcked();
+    private static void add(int[] sums, int offset, FleetResult result) {
+        sums[offset] += result.readsAsked();
+        sums[offset + 1] += result.readsAcked();
+        sums[offset + 2] += result.writesAsked();
+        sums[offset + 3] += result.writesAcked();
     }
 
-    private static String figures(int[] sums, int from) {
+    private static String figures(int[] sums, int offset) {
         return String.format(
                 Locale.ROOT,
-                "reads acked %.1f %%, writes %.1f %%",
-                100.0 * sums[from + 1] / Math.max(1, sums[from]),
-                100.0 * sums[from + 3] / Math.max(1, sums[from + 2]));
+                "succeeded: reads %.1f %%, writes %.1f %%",
+                100.0 * sums[offset + 1] / Math.max(1, sums[offset]),
+                100.0 * sums[offset + 3] / Math.max(1, sums[offset + 2]));
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/Faults.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Faults.java
@@ -11,15 +11,15 @@
 import ploverdale.tools.fleet.Workload;
 
 /**
- * Gateways as processes through drawn days of kills, stops, restarts, cut and slow ways and a silent server. A day on which
- * a rule breaks is told as a script that can be played again, as short as a few tries make it.
+ * Runs gateways as processes through random fault schedules: kills, pauses, restarts, broken and slow links, and an
+ * unresponsive server. If a rule is broken, the check prints a schedule that reproduces it, shortened in a few attempts.
  */
 final class Faults {
     private static final int GATEWAYS = 4;
-    private static final long LASTS_MS = 6000;
-    private static final double OPS_PER_SECOND = 40; // of each gateway
-    private static final int TRIES = 6; // to make a day that fails shorter
-    private static final int LINES = 60; // of its log
+    private static final long DURATION_MS = 6000;
+    private static final double REQUESTS_PER_SECOND = 40; // of each gateway
+    private static final int SHRINK_ATTEMPTS = 6; // runs spent on shortening a failing schedule
+    private static final int LOG_LINES = 60; // last lines of the log that a failed check prints
 
     private Faults() {}
 
@@ -28,36 +28,36 @@
         try {
             launch = Launch.found(List.of());
         } catch (IOException e) {
-            return List.of(new Check("gateways as processes", e.getMessage(), false));
+            return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
         return SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule day = ScheduleGenerator.day(seed, GATEWAYS, LASTS_MS, Fleet.SERVERS);
-            return check(day, Workload.even(launch, GATEWAYS, OPS_PER_SECOND));
+            FaultSchedule schedule = ScheduleGenerator.day(seed, GATEWAYS, DURATION_MS, Fleet.SERVERS);
+            return check(schedule, Workload.even(launch, GATEWAYS, REQUESTS_PER_SECOND));
         });
     }
 
-    /** One day, and the shortest of its like that fails, too, if it does. */
-    static Check check(FaultSchedule day, Workload shape) throws Exception {
-        FleetResult shown = Fleet.play(day, shape);
-        String name = "seed " + day.seed() + ", " + day.steps().size() + " steps: no rule broken";
-        if (shown.broken().isEmpty()) {
-            return new Check(name, shown.figures(), true);
+    /** Runs one schedule; if a rule is broken, looks for a shorter schedule that also breaks one. */
+    static Check check(FaultSchedule schedule, Workload workload) throws Exception {
+        FleetResult result = Fleet.play(schedule, workload);
+        String name = "seed " + schedule.seed() + ", " + schedule.steps().size() + " steps: no rule broken";
+        if (result.broken().isEmpty()) {
+            return new Check(name, result.figures(), true);
         }
-        FaultSchedule shortest = new ScheduleShrinker(d -> breaks(d, shape), TRIES).of(day);
-        List<String> log = shown.log();
+        FaultSchedule shortest = new ScheduleShrinker(candidate -> breaksRule(candidate, workload), SHRINK_ATTEMPTS).of(schedule);
+        List<String> log = result.log();
         return new Check(
                 name,
-                shown.figures() + ", broken " + shown.broken().size() + ", first "
-                        + shown.broken().get(0) + "\n" + shortest.text() + "log:\n"
-                        + String.join("\n", log.subList(Math.max(0, log.size() - LINES), log.size())),
+                result.figures() + ", broken " + result.broken().size() + ", first "
+                        + result.broken().get(0) + "\n" + shortest.text() + "log:\n"
+                        + String.join("\n", log.subList(Math.max(0, log.size() - LOG_LINES), log.size())),
                 false);
     }
 
-    private static boolean breaks(FaultSchedule day, Workload shape) {
+    private static boolean breaksRule(FaultSchedule schedule, Workload workload) {
         try {
-            return !Fleet.play(day, shape).broken().isEmpty();
+            return !Fleet.play(schedule, workload).broken().isEmpty();
         } catch (Exception e) {
-            return false; // not played, and so no proof
+            return false; // the run failed, so it shows nothing about the rules
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
+++ b/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
@@ -13,31 +13,32 @@
 import ploverdale.settings.ConfigurationFile;
 import ploverdale.tools.stand.GatewayConfiguration;
 
-/** One real gateway in this process, on an event loop of its own. */
+/** A real gateway in this process, with its own event loop. */
 final class GatewayUnderTest {
     private final Vertx vertx = SingleLoopVertx.create();
     private final ConfigurationFile file;
     private int port;
     private long readyAfterMs;
 
-    GatewayUnderTest(GatewayConfiguration told) throws IOException {
-        Path p = Files.createTempFile("gateway", ".json");
-        Files.writeString(p, told.json());
-        file = ConfigurationFile.read(p);
-        Files.delete(p);
+    GatewayUnderTest(GatewayConfiguration configuration) throws IOException {
+        Path path = Files.createTempFile("gateway", ".json");
+        Files.writeString(path, configuration.json());
+        file = ConfigurationFile.read(path);
+        Files.delete(path);
     }
 
-    /** Starts it; done when it is ready for clients. */
+    /** Starts the gateway; the future completes when it accepts clients. */
     Future<GatewayUnderTest> start() {
-        long began = System.nanoTime();
-        Log nowhere = new Log(new PrintStream(OutputStream.nullOutputStream()));
-        return Gateway.builder(vertx, nowhere, file).withoutWarmUp().start().map(g -> {
-            port = g.port();
-            readyAfterMs = (System.nanoTime() - began) / 1_000_000;
+        long startedNs = System.nanoTime();
+        Log discardedLog = new Log(new PrintStream(OutputStream.nullOutputStream()));
+        return Gateway.builder(vertx, discardedLog, file).withoutWarmUp().start().map(gateway -> {
+            port = gateway.port();
+            readyAfterMs = (System.nanoTime() - startedNs) / 1_000_000;
             return this;
         });
     }
 
+    /** Returns the milliseconds from the start until it accepted clients. */
     long readyAfterMs() {
         return readyAfterMs;
     }
@@ -46,7 +47,7 @@
         return port;
     }
 
-    /** Ends it at once, with all that it has open. */
+    /** Stops the gateway at once, without a graceful shutdown, and closes all its sockets. */
     Future<Void> kill() {
         return vertx.close();
     }
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -17,22 +17,24 @@
 import ploverdale.tools.fleet.Workload.Crowd;
 
 /**
- * Gateways as processes, each paused again and again for a part of a second (as on a machine that gives them too little
- * processor time) while its clients hold more connections than it keeps idle. What was accepted during a pause must be
- * answered: it is lost if its connection is ended instead.
+ * Runs gateways as processes that are repeatedly paused for a fraction of a second, as happens on a machine short of CPU,
+ * while clients hold more connections open than a gateway keeps idle. A request that arrives during a pause must be answered;
+ * it is lost if the gateway closes its connection as idle instead.
  */
 final class Pauses {
     private static final int GATEWAYS = 2;
-    private static final long LASTS_MS = 10_000;
-    private static final long FIRST_MS = 800;
-    private static final long PAUSE_LEAST_MS = 100;
-    private static final long PAUSE_MOST_MS = 600;
-    private static final long BETWEEN_LEAST_MS = 150;
-    private static final long BETWEEN_MOST_MS = 600;
-    private static final double OPS_PER_SECOND = 120; // of each gateway
-    private static final Crowd CROWD =
-            new Crowd(60, 160); // idle connections end after a moment where there are over 40
-    private static final int LINES = 60; // of the log of a day that fails
+    private static final long DURATION_MS = 10_000;
+    private static final long EARLIEST_PAUSE_MS = 800;
+    private static final long MIN_PAUSE_MS = 100;
+    private static final long MAX_PAUSE_MS = 600;
+    private static final long MIN_BETWEEN_PAUSES_MS = 150;
+    private static final long MAX_BETWEEN_PAUSES_MS = 600;
+    private static final double REQUESTS_PER_SECOND = 120; // of each gateway
+
+    /** With this limit of descriptors, the gateway soon closes idle connections beyond 40. */
+    private static final Crowd CROWD = new Crowd(60, 160);
+
+    private static final int LOG_LINES = 60; // last lines of the log that a failed check prints
 
     private Pauses() {}
 
@@ -41,50 +43,50 @@
         try {
             launch = Launch.found(List.of());
         } catch (IOException e) {
-            return List.of(new Check("gateways as processes", e.getMessage(), false));
+            return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
-        return SeedRuns.play(firstSeed, seeds, atATime, seed -> check(Fleet.play(day(seed), shape(launch))));
+        return SeedRuns.play(firstSeed, seeds, atATime, seed -> check(Fleet.play(schedule(seed), workload(launch))));
     }
 
-    static Workload shape(Launch launch) {
-        return Workload.even(launch, GATEWAYS, OPS_PER_SECOND).with(CROWD);
+    static Workload workload(Launch launch) {
+        return Workload.even(launch, GATEWAYS, REQUESTS_PER_SECOND).with(CROWD);
     }
 
-    /** A day of that seed, on which each gateway is paused in turn. */
-    static FaultSchedule day(long seed) {
+    /** Returns the fault schedule of that seed, with pauses of each gateway independent of the others. */
+    static FaultSchedule schedule(long seed) {
         RandomGenerator random = new SplittableRandom(seed);
         List<Step> steps = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            long at = FIRST_MS + random.nextLong(BETWEEN_MOST_MS);
-            while (at < LASTS_MS - PAUSE_MOST_MS) {
-                long until = at + random.nextLong(PAUSE_LEAST_MS, PAUSE_MOST_MS);
-                steps.add(Step.of(at, What.STOP, "n" + i));
-                steps.add(Step.of(until, What.GO_ON, "n" + i));
-                at = until + random.nextLong(BETWEEN_LEAST_MS, BETWEEN_MOST_MS);
+            long pauseAt = EARLIEST_PAUSE_MS + random.nextLong(MAX_BETWEEN_PAUSES_MS);
+            while (pauseAt < DURATION_MS - MAX_PAUSE_MS) {
+                long resumeAt = pauseAt + random.nextLong(MIN_PAUSE_MS, MAX_PAUSE_MS);
+                steps.add(Step.of(pauseAt, What.STOP, "n" + i));
+                steps.add(Step.of(resumeAt, What.GO_ON, "n" + i));
+                pauseAt = resumeAt + random.nextLong(MIN_BETWEEN_PAUSES_MS, MAX_BETWEEN_PAUSES_MS);
             }
         }
-        return new FaultSchedule(seed, GATEWAYS, LASTS_MS, steps);
+        return new FaultSchedule(seed, GATEWAYS, DURATION_MS, steps);
     }
 
-    private static Check check(FleetResult s) {
-        Histogram late = s.late();
-        String figures = s.figures()
+    private static Check check(FleetResult result) {
+        Histogram lateness = result.late();
+        String figures = result.figures()
                 + String.format(
                         Locale.ROOT,
-                        ", answers after their time: p50 %.1f p99 %.1f most %.1f ms",
-                        late.getValueAtPercentile(50) / 1000.0,
-                        late.getValueAtPercentile(99) / 1000.0,
-                        late.getMaxValue() / 1000.0);
-        String name = "seed " + s.day().seed() + ", " + s.day().steps().size() / 2 + " pauses: no rule broken";
-        if (s.broken().isEmpty()) {
+                        ", answers after their timeout: p50 %.1f p99 %.1f max %.1f ms",
+                        lateness.getValueAtPercentile(50) / 1000.0,
+                        lateness.getValueAtPercentile(99) / 1000.0,
+                        lateness.getMaxValue() / 1000.0);
+        String name = "seed " + result.day().seed() + ", " + result.day().steps().size() / 2 + " pauses: no rule broken";
+        if (result.broken().isEmpty()) {
             return new Check(name, figures, true);
         }
-        List<String> log = s.log();
+        List<String> log = result.log();
         return new Check(
                 name,
-                figures + ", broken " + s.broken().size() + ", first "
-                        + s.broken().get(0) + "\n" + s.day().text() + "log:\n"
-                        + String.join("\n", log.subList(Math.max(0, log.size() - LINES), log.size())),
+                figures + ", broken " + result.broken().size() + ", first "
+                        + result.broken().get(0) + "\n" + result.day().text() + "log:\n"
+                        + String.join("\n", log.subList(Math.max(0, log.size() - LOG_LINES), log.size())),
                 false);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -24,33 +24,42 @@
 import ploverdale.tools.stand.ReconnectingClients;
 
 /**
- * Sessions and submits kept by gateways as processes, with clients that roam and submit again, through drawn days of faults and
- * datagrams lost between any two. The ledger holds what clients were promised. Beside each day the same without, which breaks
- * it: so the check can fail.
+ * Checks the session positions and write claims that gateways replicate among one another. Gateways run as processes,
+ * through random fault schedules and datagram loss between any two of them. Clients reconnect to other gateways and submit
+ * writes again. The ledger checks what the clients were promised. Each schedule is run again without replication, which must
+ * break rules: this shows that the check can fail.
  */
 final class ReplicasRig {
-    private static final int[] SIZES = {2, 3, 5};
-    private static final long LASTS_MS = 9000;
-    private static final long SETTLES_MS = 4500; // submits are vouched for a window after the start
-    private static final double OPS_PER_SECOND = 5; // of each gateway, of clients that do not roam
-    static final ReconnectingClients.Behavior HABIT = new ReconnectingClients.Behavior(1000, 220, true);
-    private static final String KEPT =
+    private static final int[] FLEET_SIZES = {2, 3, 5};
+    private static final long DURATION_MS = 9000;
+
+    /** Longer than the submit window: a gateway cannot vouch for writes submitted before its start until that has passed. */
+    private static final long SETTLE_MS = 4500;
+
+    private static final double REQUESTS_PER_SECOND = 5; // of each gateway, from clients that stay with it
+    static final ReconnectingClients.Behavior BEHAVIOR = new ReconnectingClients.Behavior(1000, 220, true);
+    private static final String REPLICATION =
             "{\"sessions\":{\"keep_ms\":20000},\"submits\":{\"window_ms\":4000,\"retries_marked\":true},"
                     + "\"ask_ms\":60,\"wait_ms\":150,\"bytes_per_second\":400000";
 
     private ReplicasRig() {}
 
-    static Path file(boolean waits) throws IOException {
+    /**
+     * Writes a fleet file with replication.
+     *
+     * @param waits whether writes are acknowledged only after they were replicated to peers
+     */
+    static Path writeFleetFile(boolean waits) throws IOException {
         return Files.writeString(
-                Files.createTempFile("fleet", ".json"), KEPT + (waits ? ",\"wait_for_copies\":[\"put\"]}" : "}"));
+                Files.createTempFile("fleet", ".json"), REPLICATION + (waits ? ",\"wait_for_copies\":[\"put\"]}" : "}"));
     }
 
-    /** A drawn day on which some datagrams between any two are lost, up to half of them. */
-    private static FaultSchedule day(long seed) {
-        int gateways = SIZES[(int) (seed % SIZES.length)];
-        FaultSchedule drawn = ScheduleGenerator.day(seed, gateways, LASTS_MS, Fleet.SERVERS);
+    /** Returns a random schedule in which none, a quarter or half of the datagrams between any two gateways are lost. */
+    private static FaultSchedule schedule(long seed) {
+        int gateways = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
+        FaultSchedule generated = ScheduleGenerator.day(seed, gateways, DURATION_MS, Fleet.SERVERS);
         double loss = new SplittableRandom(~seed).nextInt(3) * 0.25;
-        List<Step> steps = new ArrayList<>(drawn.steps());
+        List<Step> steps = new ArrayList<>(generated.steps());
         for (int i = 0; i < gateways && loss > 0; i++) {
             for (int k = 0; k < gateways; k++) {
                 if (i != k) {
@@ -58,109 +67,113 @@
                 }
             }
         }
-        return new FaultSchedule(seed, gateways, LASTS_MS, steps);
+        return new FaultSchedule(seed, gateways, DURATION_MS, steps);
     }
 
-    private static Workload shape(Launch launch, FaultSchedule day, ReconnectingClients.Behavior habit) {
+    private static Workload workload(Launch launch, FaultSchedule schedule, ReconnectingClients.Behavior behavior) {
         return new Workload(
                 launch,
-                Collections.nCopies(day.gateways(), OPS_PER_SECOND),
-                SETTLES_MS,
+                Collections.nCopies(schedule.gateways(), REQUESTS_PER_SECOND),
+                SETTLE_MS,
                 (request, server, now, started) -> {},
-                habit);
+                behavior);
     }
 
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         List<Check> checks = new ArrayList<>();
         try {
-            Path file = file(true);
-            Path sendsOn = file(false);
-            Launch with = Launch.found(List.of("--fleet", file.toString()));
-            Launch without = Launch.found(List.of());
+            Path withWaitFile = writeFleetFile(true);
+            Path withoutWaitFile = writeFleetFile(false);
+            Launch withReplication = Launch.found(List.of("--fleet", withWaitFile.toString()));
+            Launch withoutReplication = Launch.found(List.of());
             ExecutorService pool = Executors.newFixedThreadPool(atATime);
             List<Future<FleetResult[]>> runs = new ArrayList<>();
             for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
-                FaultSchedule day = day(seed);
+                FaultSchedule schedule = schedule(seed);
                 runs.add(pool.submit(() -> new FleetResult[] {
-                    Fleet.play(day, shape(with, day, HABIT)), Fleet.play(day, shape(without, day, HABIT))
+                    Fleet.play(schedule, workload(withReplication, schedule, BEHAVIOR)), Fleet.play(schedule, workload(withoutReplication, schedule, BEHAVIOR))
                 }));
             }
             int sessions = 0;
-            int kept = 0;
-            int broken = 0;
-            int again = 0;
-            for (Future<FleetResult[]> r : runs) {
-                FleetResult[] both = r.get();
+            int brokenWith = 0;
+            int brokenWithout = 0;
+            int resubmissions = 0;
+            for (Future<FleetResult[]> run : runs) {
+                FleetResult[] both = run.get();
                 checks.add(check(both[0], both[1]));
                 sessions += both[0].roamers().sessions();
-                again += both[0].roamers().resubmissions();
-                kept += both[0].broken().size();
-                broken += both[1].broken().size();
+                resubmissions += both[0].roamers().resubmissions();
+                brokenWith += both[0].broken().size();
+                brokenWithout += both[1].broken().size();
             }
             pool.shutdown();
             checks.add(new Check(
-                    "without what is kept, the same days break the promises",
-                    sessions + " sessions, " + again + " writes submitted again; broken " + kept + " times with it and "
-                            + broken + " without",
-                    broken > 0));
-            checks.add(costs(with, Launch.found(List.of("--fleet", sendsOn.toString())), without));
-            Files.delete(file);
-            Files.delete(sendsOn);
+                    "without replication, the same schedules break rules",
+                    sessions + " sessions, " + resubmissions + " writes submitted again; rules broken " + brokenWith + " times with replication and "
+                            + brokenWithout + " without",
+                    brokenWithout > 0));
+            checks.add(latencies(withReplication, Launch.found(List.of("--fleet", withoutWaitFile.toString())), withoutReplication));
+            Files.delete(withWaitFile);
+            Files.delete(withoutWaitFile);
         } catch (IOException e) {
-            checks.add(new Check("gateways as processes", e.getMessage(), false));
+            checks.add(new Check("start of gateways as processes", e.getMessage(), false));
         } catch (ExecutionException e) {
-            checks.add(new Check("a day that was not played", String.valueOf(e.getCause()), false));
+            checks.add(new Check("run that ended with an exception", String.valueOf(e.getCause()), false));
         }
         return checks;
     }
 
-    private static Check check(FleetResult s, FleetResult plain) {
-        int acked = s.roamers().sessions() == 0
+    private static Check check(FleetResult replicated, FleetResult plain) {
+        int succeeded = replicated.roamers().sessions() == 0
                 ? 0
-                : (int) (s.roamers().writes().getTotalCount()
-                        + s.roamers().reads().getTotalCount());
-        int without = (int) (plain.roamers().writes().getTotalCount()
+                : (int) (replicated.roamers().writes().getTotalCount()
+                        + replicated.roamers().reads().getTotalCount());
+        int succeededWithout = (int) (plain.roamers().writes().getTotalCount()
                 + plain.roamers().reads().getTotalCount());
-        boolean holds = s.broken().isEmpty() && 2 * acked > without;
+        boolean holds = replicated.broken().isEmpty() && 2 * succeeded > succeededWithout;
         return new Check(
-                "seed " + s.day().seed() + ", " + s.day().gateways() + " gateways, "
-                        + s.day().steps().size() + " steps: no promise broken, half served of what is without",
-                s.roamers().sessions() + " sessions, " + acked + " of "
-                        + s.roamers().requests() + " ops acked, " + without + " without, "
-                        + s.roamers().resubmissions() + " submitted again"
+                "seed " + replicated.day().seed() + ", " + replicated.day().gateways() + " gateways, "
+                        + replicated.day().steps().size() + " steps: no rule broken, at least half as many successes as without",
+                replicated.roamers().sessions() + " sessions, " + succeeded + " of "
+                        + replicated.roamers().requests() + " requests succeeded, " + succeededWithout + " without, "
+                        + replicated.roamers().resubmissions() + " submitted again"
                         + (holds
                                 ? ""
-                                : ", broken: " + s.broken() + "\n" + s.day().text() + "log:\n"
-                                        + String.join("\n", s.log())),
+                                : ", broken: " + replicated.broken() + "\n" + replicated.day().text() + "log:\n"
+                                        + String.join("\n", replicated.log())),
                 holds);
     }
 
-    /** What the wait for copies and the asking of keepers add, on a day without faults. */
-    private static Check costs(Launch waits, Launch sendsOn, Launch without) {
-        FaultSchedule calm = new FaultSchedule(77, 3, LASTS_MS, List.of());
-        StringBuilder b = new StringBuilder();
+    /** Measures, without faults, the latency that is added by position lookups at peers and by the wait for replication. */
+    private static Check latencies(Launch withWait, Launch withoutWait, Launch withoutReplication) {
+        FaultSchedule noFaults = new FaultSchedule(77, 3, DURATION_MS, List.of());
+        StringBuilder figures = new StringBuilder();
         boolean holds = true;
         try {
-            for (Launch l : List.of(without, sendsOn, waits)) {
-                FleetResult s = Fleet.play(calm, shape(l, calm, new ReconnectingClients.Behavior(1000, 220, false)));
-                b.append(l == without ? "without" : l == sendsOn ? "; kept" : "; acks wait")
+            for (Launch launch : List.of(withoutReplication, withoutWait, withWait)) {
+                FleetResult result = Fleet.play(
+                        noFaults, workload(launch, noFaults, new ReconnectingClients.Behavior(1000, 220, false)));
+                figures.append(
+                                launch == withoutReplication
+                                        ? "not replicated"
+                                        : launch == withoutWait ? "; replicated" : "; writes wait for replicas")
                         .append(": writes ")
-                        .append(times(s.roamers().writes()))
+                        .append(percentiles(result.roamers().writes()))
                         .append(", reads ")
-                        .append(times(s.roamers().reads()));
-                holds &= l == without || s.broken().isEmpty();
+                        .append(percentiles(result.roamers().reads()));
+                holds &= launch == withoutReplication || result.broken().isEmpty();
             }
         } catch (Exception e) {
-            return new Check("what it adds", String.valueOf(e), false);
+            return new Check("latency with replication", String.valueOf(e), false);
         }
-        return new Check("what it adds, connecting included, three gateways", b.toString(), holds);
+        return new Check("latency with replication, connecting included, three gateways", figures.toString(), holds);
     }
 
-    private static String times(Histogram h) {
+    private static String percentiles(Histogram latencies) {
         return String.format(
                 Locale.ROOT,
                 "p50 %.1f ms p99 %.1f ms",
-                h.getValueAtPercentile(50) / 1000.0,
-                h.getValueAtPercentile(99) / 1000.0);
+                latencies.getValueAtPercentile(50) / 1000.0,
+                latencies.getValueAtPercentile(99) / 1000.0);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/Rigs.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Rigs.java
@@ -4,37 +4,42 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The scenarios by name. */
+/** The registry of the scenarios. */
 public final class Rigs {
-    /** One scenario. */
+    /**
+     * One scenario.
+     *
+     * @param shows what it shows, for the list of scenarios
+     * @param player runs it
+     */
     public record Rig(String shows, Player player) {
-        /** Plays so many seeds from the first, so many runs at a time; waits for the end. */
-        public List<Check> play(long seed, int seeds, int atATime) throws InterruptedException {
-            return player.play(seed, seeds, atATime);
+        /** Runs the given number of seeds, at most {@code atATime} of them concurrently, and waits for the end. */
+        public List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
+            return player.play(firstSeed, seeds, atATime);
         }
     }
 
-    /** How it is played. */
+    /** Runs a scenario for a range of seeds. */
     public interface Player {
-        List<Check> play(long seed, int seeds, int atATime) throws InterruptedException;
+        List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException;
     }
 
-    /** All there are. */
+    /** The scenarios by name. */
     public static final Map<String, Rig> ALL = new TreeMap<>(Map.of(
             "budgets",
-            new Rig("sends at servers as a budget of the fleet, through days of faults", BudgetsRig::play),
+            new Rig("shared limits on the attempts in flight at servers, under random faults", BudgetsRig::play),
             "pauses",
-            new Rig("gateways that are paused while clients crowd them", Pauses::play),
+            new Rig("gateway processes that are paused while clients hold many connections", Pauses::play),
             "faults",
-            new Rig("gateways as processes, through days of kills, stops, restarts and cut ways", Faults::play),
+            new Rig("gateway processes under random kills, pauses, restarts and broken links", Faults::play),
             "replicas",
-            new Rig("sessions that roam and writes submitted again, through days of faults", ReplicasRig::play),
+            new Rig("sessions that change gateways and resubmitted writes, under random faults", ReplicasRig::play),
             "soak",
-            new Rig("gateways as processes, through days of drains, restarts and agents that lie behind", Soak::play),
+            new Rig("gateway processes under random drains, restarts and outdated discovery agents", Soak::play),
             "tier",
-            new Rig("what hundreds of instances tell one another, in simulated time", Tier::play),
+            new Rig("gossip among hundreds of gateways, in simulated time", Tier::play),
             "warm-start",
-            new Rig("a new instance joins while its group has no primary", WarmStart::play)));
+            new Rig("a new gateway joins while its replica group has no primary", WarmStart::play)));
 
     private Rigs() {}
 }
--- a/tools/src/main/java/ploverdale/tools/rig/SeedRuns.java
+++ b/tools/src/main/java/ploverdale/tools/rig/SeedRuns.java
@@ -7,30 +7,30 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Plays a scenario for one seed after another, some at a time. */
+/** Runs a scenario for a range of seeds, several at a time. */
 final class SeedRuns {
-    /** What is played for a seed. */
+    /** The run of a scenario for one seed. */
     interface Run {
         Check play(long seed) throws Exception;
     }
 
     private SeedRuns() {}
 
-    /** Waits for all of them; a run that fails is a check that does not hold. The checks are in the order of the seeds. */
+    /** Waits for all runs and returns their checks in the order of the seeds. A run that throws becomes a failed check. */
     static List<Check> play(long firstSeed, int seeds, int atATime, Run run) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(atATime);
         try {
             List<Future<Check>> runs = new ArrayList<>();
             for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
-                long s = seed;
-                runs.add(pool.submit(() -> run.play(s)));
+                long runSeed = seed;
+                runs.add(pool.submit(() -> run.play(runSeed)));
             }
             List<Check> checks = new ArrayList<>();
-            for (Future<Check> r : runs) {
+            for (Future<Check> result : runs) {
                 try {
-                    checks.add(r.get());
+                    checks.add(result.get());
                 } catch (ExecutionException e) {
-                    checks.add(new Check("a day that was not played", String.valueOf(e.getCause()), false));
+                    checks.add(new Check("run that ended with an exception", String.valueOf(e.getCause()), false));
                 }
             }
             return checks;
--- a/tools/src/main/java/ploverdale/tools/rig/Soak.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Soak.java
@@ -9,11 +9,11 @@
 import ploverdale.tools.fleet.Workload;
 import ploverdale.tools.fleet.Workload.Crowd;
 
-/** Gateways as processes through drawn days on which servers drain, are removed and return under all other faults. */
+/** Runs gateways as processes while servers drain, are removed and return, under all other kinds of faults. */
 final class Soak {
     private static final double REQUESTS_PER_SECOND = 80; // of each gateway
-    private static final Crowd CROWD = new Crowd(60, 160); // near the limit of descriptors
-    private static final int CROWDED_EVERY = 3; // seeds
+    private static final Crowd CROWD = new Crowd(60, 160); // close to the descriptor limit
+    private static final int CROWDED_SEED_INTERVAL = 3; // every third seed has many connections
 
     private Soak() {}
 
@@ -22,23 +22,23 @@
         try {
             launch = Launch.found(List.of());
         } catch (IOException e) {
-            return List.of(new Check("gateways as processes", e.getMessage(), false));
+            return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
         return SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule day = day(seed);
-            return Faults.check(day, workload(launch, day));
+            FaultSchedule schedule = schedule(seed);
+            return Faults.check(schedule, workload(launch, schedule));
         });
     }
 
-    /** The day of that seed. */
-    static FaultSchedule day(long seed) {
+    /** Returns the fault schedule of that seed. */
+    static FaultSchedule schedule(long seed) {
         return SoakScheduleGenerator.day(seed, Fleet.SERVERS);
     }
 
-    /** What is asked on that day. */
-    static Workload workload(Launch launch, FaultSchedule day) {
+    /** Returns the load for that schedule. */
+    static Workload workload(Launch launch, FaultSchedule schedule) {
         Workload workload =
-                Workload.even(launch, day.gateways(), REQUESTS_PER_SECOND).withOwnAgents();
-        return day.seed() % CROWDED_EVERY == 0 ? workload.with(CROWD) : workload;
+                Workload.even(launch, schedule.gateways(), REQUESTS_PER_SECOND).withOwnAgents();
+        return schedule.seed() % CROWDED_SEED_INTERVAL == 0 ? workload.with(CROWD) : workload;
     }
 }
--- a/tools/src/main/java/ploverdale/tools/rig/package-info.java
+++ b/tools/src/main/java/ploverdale/tools/rig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the scenarios: each plays real gateways among stand-ins on loopback, by a seed, and gives its figures and checks.
- * Must never judge by absolute times, or let a broken rule pass.
+ * The scenarios of the test rig. Each runs real gateways among test doubles on loopback, driven by a seed, and returns figures
+ * and checks. A check must not depend on absolute times, and must fail if a rule is broken.
  */
 package ploverdale.tools.rig;
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -17,32 +17,32 @@
 import ploverdale.tools.fleet.MutationCheck;
 import ploverdale.tools.fleet.Workload;
 
-/** Budgets among processes: what is out is counted at the servers. */
+/** Shared limits among gateway processes; attempts in flight are counted at the servers. */
 @Timeout(180)
 class BudgetsRigTest {
-    private static final int WHOLE = 4;
+    private static final int LIMIT = 4;
 
-    private static final String TIMES = ",\"loan_ms\":600,\"steward_ms\":900,\"floor_share\":0.1}";
+    private static final String LEASE_SETTINGS = ",\"loan_ms\":600,\"steward_ms\":900,\"floor_share\":0.1}";
 
-    private static Path file(int whole) throws IOException {
-        return Files.writeString(Files.createTempFile("fleet", ".json"), "{\"sends_at_server\":" + whole + TIMES);
+    private static Path writeFleetFile(int limit) throws IOException {
+        return Files.writeString(Files.createTempFile("fleet", ".json"), "{\"sends_at_server\":" + limit + LEASE_SETTINGS);
     }
 
-    private static FleetResult play(BudgetsRig.Out out, String day) throws Exception {
-        Path file = file(WHOLE);
+    private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText) throws Exception {
+        Path file = writeFleetFile(LIMIT);
         try {
-            return play(out, day, Launch.found(List.of("--fleet", file.toString())));
+            return play(counter, scheduleText, Launch.found(List.of("--fleet", file.toString())));
         } finally {
             Files.delete(file);
         }
     }
 
-    private static FleetResult play(BudgetsRig.Out out, String day, Launch launch) throws Exception {
-        return Fleet.play(FaultSchedule.read(day), new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, out));
+    private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText, Launch launch) throws Exception {
+        return Fleet.play(FaultSchedule.read(scheduleText), new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, counter));
     }
 
-    /** All ways of words between these and the others, both directions. */
-    private static String words(long at, String weather, int... side) {
+    /** Returns steps that set the link conditions between these gateways and all others, in both directions. */
+    private static String linkSteps(long atMs, String conditions, int... side) {
         StringBuilder b = new StringBuilder();
         for (int i = 0; i < 4; i++) {
             for (int k = 0; k < 4; k++) {
@@ -50,35 +50,35 @@
                 int to = k;
                 boolean across = IntStream.of(side).anyMatch(x -> x == from)
                         != IntStream.of(side).anyMatch(x -> x == to);
-                b.append(across ? at + " words n" + i + " n" + k + " " + weather + "\n" : "");
+                b.append(across ? atMs + " words n" + i + " n" + k + " " + conditions + "\n" : "");
             }
         }
         return b.toString();
     }
 
-    private static void wholeHolds(BudgetsRig.Out out, FleetResult s) {
-        assertThat(s.broken()).as(() -> String.join("\n", s.log())).isEmpty();
-        assertThat(out.firstOver()).as(() -> String.join("\n", s.log())).isNull();
-        assertThat(out.most()).as("parts were spent").isPositive();
+    private static void assertLimitHolds(BudgetsRig.InFlightCounter counter, FleetResult result) {
+        assertThat(result.broken()).as(() -> String.join("\n", result.log())).isEmpty();
+        assertThat(counter.firstAboveLimit()).as(() -> String.join("\n", result.log())).isNull();
+        assertThat(counter.highest()).as("attempts were sent").isPositive();
     }
 
     @Test
-    void twoHalvesThatTakeEachOtherForDeadHoldTheWholeAndOneInTenDatagramsIsEnoughToGoOn() throws Exception {
-        BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-        FleetResult s = play(
-                out,
-                "day seed=21 gateways=4 lasts=9000\n" + words(500, "loss:1", 0, 1) + words(5500, "loss:0.9", 0, 1)
-                        + words(7500, "usual", 0, 1));
-        wholeHolds(out, s);
-        assertThat(s.log())
-                .as("neither half has a majority of all keepers")
+    void limitHoldsBetweenPartitionedHalvesAndWithNineOfTenDatagramsLost() throws Exception {
+        BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
+        FleetResult result = play(
+                counter,
+                "day seed=21 gateways=4 lasts=9000\n" + linkSteps(500, "loss:1", 0, 1) + linkSteps(5500, "loss:0.9", 0, 1)
+                        + linkSteps(7500, "usual", 0, 1));
+        assertLimitHolds(counter, result);
+        assertThat(result.log())
+                .as("neither half has a majority of the acceptors")
                 .anyMatch(l -> l.contains("falls to its floor"));
     }
 
     @Test
-    void threeOfFourKilledAtOnceAndBackTogetherUseNothingThatMayStillBeLent() throws Exception {
-        BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-        wholeHolds(out, play(out, """
+    void gatewaysRestartedTogetherDoNotUseUnitsThatMayStillBeLeased() throws Exception {
+        BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
+        assertLimitHolds(counter, play(counter, """
                 day seed=22 gateways=4 lasts=9000
                 1500 kill n0
                 1500 kill n1
@@ -90,50 +90,53 @@
     }
 
     @Test
-    void halfOfTheFleetGoesByAFileThatHalvesTheWholeAndOneKnowsNothingOfBudgets() throws Exception {
-        Path all = file(WHOLE);
-        Path half = file(WHOLE / 2);
+    void limitHoldsWithDifferentFleetFilesAndAGatewayWithoutSharedLimits() throws Exception {
+        Path fullFile = writeFleetFile(LIMIT);
+        Path halfFile = writeFleetFile(LIMIT / 2);
         try {
-            BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-            List<String> less = List.of("--fleet", half.toString());
-            FleetResult s = play(
-                    out,
+            BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
+            List<String> halfLimit = List.of("--fleet", halfFile.toString());
+            FleetResult result = play(
+                    counter,
                     "day seed=23 gateways=4 lasts=6000\n1000 stop n0\n2500 go_on n0\n",
-                    Launch.found(List.of("--fleet", all.toString()))
-                            .with("n2", less)
-                            .with("n3", less));
-            wholeHolds(out, s);
-            assertThat(s.log()).anyMatch(l -> l.contains("another division"));
-            FleetResult old = play(
-                    new BudgetsRig.Out(WHOLE),
+                    Launch.found(List.of("--fleet", fullFile.toString()))
+                            .with("n2", halfLimit)
+                            .with("n3", halfLimit));
+            assertLimitHolds(counter, result);
+            assertThat(result.log()).anyMatch(l -> l.contains("another division"));
+            FleetResult mixed = play(
+                    new BudgetsRig.InFlightCounter(LIMIT),
                     "day seed=24 gateways=4 lasts=4000\n",
-                    Launch.found(List.of("--fleet", all.toString())).with("n3", List.of()));
-            assertThat(old.broken()).as(() -> String.join("\n", old.log())).isEmpty();
-            assertThat(old.log()).as("it leaves their parcels unread").noneMatch(l -> l.contains("fault"));
+                    Launch.found(List.of("--fleet", fullFile.toString())).with("n3", List.of()));
+            assertThat(mixed.broken()).as(() -> String.join("\n", mixed.log())).isEmpty();
+            assertThat(mixed.log()).as("a gateway without shared limits ignores the quota messages").noneMatch(l -> l.contains("fault"));
         } finally {
-            Files.delete(all);
-            Files.delete(half);
+            Files.delete(fullFile);
+            Files.delete(halfFile);
         }
     }
 
     @Test
-    void oneThatStartsAndHearsNobodyLeavesTheOthersServing() throws Exception {
-        BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-        FleetResult s = play(
-                out,
+    void gatewayThatStartsWithoutReceivingGossipDoesNotStopTheOthers() throws Exception {
+        BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
+        FleetResult result = play(
+                counter,
                 "day seed=26 gateways=4 lasts=9000\n"
                         + IntStream.of(0, 2, 3)
                                 .mapToObj(i -> "100 words n" + i + " n1 loss:1\n")
                                 .collect(Collectors.joining())
                         + "200 kill n1\n400 start n1\n");
-        wholeHolds(out, s);
-        assertThat(s.readsAcked())
-                .as(() -> s.figures() + "\n" + String.join("\n", s.log()))
-                .isGreaterThan(s.readsAsked() / 2);
+        assertLimitHolds(counter, result);
+        assertThat(result.readsAcked())
+                .as(() -> result.figures() + "\n" + String.join("\n", result.log()))
+                .isGreaterThan(result.readsAsked() / 2);
     }
 
-    /** One alone is asked and borrows all that the others have; then they are asked too, twice. */
-    private static String othersWantTheirPartsBack() {
+    /**
+     * Returns a schedule in which only the first gateway has load and leases all units; then, twice, the others get load too
+     * and need their units back.
+     */
+    private static String othersNeedTheirUnitsBack() {
         StringBuilder b = new StringBuilder("day seed=25 gateways=4 lasts=8000\n");
         for (int at : new int[] {1, 2500, 4500, 6500}) {
             for (int i = 1; i < 4; i++) {
@@ -149,32 +152,32 @@
     }
 
     @Test
-    void withoutTheGuardThatWaitsUntilALoanIsOverTheCountAtTheServersIsTooMuch() throws Exception {
-        Path file = file(WHOLE);
-        Launch sound = Launch.found(List.of("--fleet", file.toString()));
-        List<Double> all = List.of(250.0, 250.0, 250.0, 250.0);
-        FaultSchedule day = FaultSchedule.read(othersWantTheirPartsBack());
-        try (MutationCheck none = MutationCheck.of(
-                sound,
+    void limitIsExceededIfAHolderDoesNotWaitForTheEndOfALease() throws Exception {
+        Path file = writeFleetFile(LIMIT);
+        Launch original = Launch.found(List.of("--fleet", file.toString()));
+        List<Double> rates = List.of(250.0, 250.0, 250.0, 250.0);
+        FaultSchedule schedule = FaultSchedule.read(othersNeedTheirUnitsBack());
+        try (MutationCheck mutation = MutationCheck.of(
+                original,
                 "quota/LeaseDurations.java",
                 "(long) Math.ceil(lease * (1 + clockDrift) / (1 - clockDrift)) + 1",
                 "lease / 20")) {
-            BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-            FleetResult s = Fleet.play(day, new Workload(none.launch(sound), all, 5500, out));
-            assertThat(out.firstOver())
-                    .as(() -> out.most() + " out\n" + String.join("\n", s.log()))
+            BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
+            FleetResult result = Fleet.play(schedule, new Workload(mutation.launch(original), rates, 5500, counter));
+            assertThat(counter.firstAboveLimit())
+                    .as(() -> counter.highest() + " in flight\n" + String.join("\n", result.log()))
                     .isNotNull();
-            BudgetsRig.Out with = new BudgetsRig.Out(WHOLE);
-            wholeHolds(with, Fleet.play(day, new Workload(sound, all, 5500, with)));
+            BudgetsRig.InFlightCounter unmutated = new BudgetsRig.InFlightCounter(LIMIT);
+            assertLimitHolds(unmutated, Fleet.play(schedule, new Workload(original, rates, 5500, unmutated)));
         } finally {
             Files.delete(file);
         }
     }
 
     @Test
-    void theOneWithAllTheTrafficIsStoppedKilledAndCutOffAndTheWholeHolds() throws Exception {
-        BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-        FleetResult s = play(out, """
+    void limitHoldsWhenTheBusiestGatewayIsPausedAndCutOffAndAnotherIsKilled() throws Exception {
+        BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
+        FleetResult result = play(counter, """
                 day seed=11 gateways=4 lasts=9000
                 1500 stop n0
                 3500 go_on n0
@@ -187,9 +190,9 @@
                 6500 kill n1
                 6900 start n1
                 """);
-        wholeHolds(out, s);
-        assertThat(s.log())
-                .as("it was its estate's steward, and fell to its floor")
+        assertLimitHolds(counter, result);
+        assertThat(result.log())
+                .as("it held the leases of its partition, and fell to its guaranteed minimum")
                 .anyMatch(l -> l.contains("n0") && l.contains("has its whole share"))
                 .anyMatch(l -> l.contains("n0") && l.contains("falls to its floor"));
     }
--- a/tools/src/test/java/ploverdale/tools/rig/PausesTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/PausesTest.java
@@ -10,20 +10,20 @@
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 
-/** Real gateways as processes that are paused, short days. */
+/** Gateway processes that are paused repeatedly. */
 @Timeout(120)
 class PausesTest {
     @Test
-    void whatIsAcceptedDuringAPauseIsAnswered() throws Exception {
-        FaultSchedule day = Pauses.day(1);
-        FleetResult s = Fleet.play(day, Pauses.shape(Launch.found(List.of())));
-        // A pause may fall between the last look at a connection and the end of its output, two system calls apart:
-        // two ops in 24 such days were lost so, two to seventeen a day where nothing was read before the end.
-        assertThat(s.broken().size())
-                .as(() -> day.text() + s.broken() + "\n" + String.join("\n", s.log()))
+    void requestsThatArriveDuringAPauseAreAnswered() throws Exception {
+        FaultSchedule schedule = Pauses.schedule(1);
+        FleetResult result = Fleet.play(schedule, Pauses.workload(Launch.found(List.of())));
+        // One request may be lost if the pause falls between the last read from a connection and its close, two system
+        // calls apart: 24 such runs lost two requests. Without that read, each run lost two to seventeen.
+        assertThat(result.broken().size())
+                .as(() -> schedule.text() + result.broken() + "\n" + String.join("\n", result.log()))
                 .isLessThanOrEqualTo(1);
-        // A pause of the gateway is not taken for silence of its servers.
-        assertThat(s.readsAcked()).as(s::figures).isGreaterThan(s.readsAsked() * 98 / 100);
-        assertThat(s.writesAcked()).as(s::figures).isGreaterThan(s.writesAsked() * 98 / 100);
+        // The gateway must not take its own pause for unresponsive servers.
+        assertThat(result.readsAcked()).as(result::figures).isGreaterThan(result.readsAsked() * 98 / 100);
+        assertThat(result.writesAcked()).as(result::figures).isGreaterThan(result.writesAsked() * 98 / 100);
     }
 }
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -18,46 +18,46 @@
 import ploverdale.tools.ledger.Ledger.Rule;
 import ploverdale.tools.stand.ReconnectingClients;
 
-/** What processes keep together: few sessions, whose ops follow one another closely, at any gateway. */
+/** Replication among gateway processes, for few sessions whose requests follow one another closely at any gateway. */
 @Timeout(120)
 class ReplicasRigTest {
-    private static final ReconnectingClients.Behavior CLOSE = new ReconnectingClients.Behavior(12, 400, true);
+    private static final ReconnectingClients.Behavior FEW_SESSIONS = new ReconnectingClients.Behavior(12, 400, true);
 
-    private static Path file;
+    private static Path fleetFile;
 
     @BeforeAll
-    static void writes() throws Exception {
-        file = ReplicasRig.file(true);
+    static void writeFleetFile() throws Exception {
+        fleetFile = ReplicasRig.writeFleetFile(true);
     }
 
     @AfterAll
-    static void deletes() throws Exception {
-        Files.delete(file);
+    static void deleteFleetFile() throws Exception {
+        Files.delete(fleetFile);
     }
 
-    private static FleetResult play(String day, List<String> more) throws Exception {
-        FaultSchedule d = FaultSchedule.read(day);
+    private static FleetResult play(String scheduleText, List<String> arguments) throws Exception {
+        FaultSchedule schedule = FaultSchedule.read(scheduleText);
         return Fleet.play(
-                d,
+                schedule,
                 new Workload(
-                        Launch.found(more),
-                        Collections.nCopies(d.gateways(), 5.0),
+                        Launch.found(arguments),
+                        Collections.nCopies(schedule.gateways(), 5.0),
                         4500,
                         (request, server, now, started) -> {},
-                        CLOSE));
+                        FEW_SESSIONS));
     }
 
-    private static FleetResult kept(String day) throws Exception {
-        FleetResult s = play(day, List.of("--fleet", file.toString()));
-        assertThat(s.broken()).as(() -> String.join("\n", s.log())).isEmpty();
-        assertThat(s.roamers().reads().getTotalCount()).as("reads acked").isGreaterThan(100);
-        assertThat(s.roamers().writes().getTotalCount()).as("writes acked").isGreaterThan(50);
-        return s;
+    private static FleetResult playWithReplication(String scheduleText) throws Exception {
+        FleetResult result = play(scheduleText, List.of("--fleet", fleetFile.toString()));
+        assertThat(result.broken()).as(() -> String.join("\n", result.log())).isEmpty();
+        assertThat(result.roamers().reads().getTotalCount()).as("succeeded reads").isGreaterThan(100);
+        assertThat(result.roamers().writes().getTotalCount()).as("succeeded writes").isGreaterThan(50);
+        return result;
     }
 
     @Test
-    void eachKeeperInTurnIsKilledAndBackBeforeTheNextGoesAndNoPromiseBreaks() throws Exception {
-        FleetResult s = kept("""
+    void noRuleIsBrokenWhenEachGatewayIsRestartedInTurn() throws Exception {
+        FleetResult result = playWithReplication("""
                 day seed=31 gateways=3 lasts=15000
                 1000 kill n0
                 1100 start n0
@@ -66,14 +66,14 @@
                 11000 kill n2
                 11100 start n2
                 """);
-        assertThat(s.log())
+        assertThat(result.log())
                 .filteredOn(l -> l.contains("caught up with all others"))
                 .hasSizeGreaterThan(3);
     }
 
     @Test
-    void oneThatStoodStillOneCutOneWayAndHalfOfAllDatagramsLostBreakNoPromise() throws Exception {
-        kept("""
+    void noRuleIsBrokenByAPausedGatewayAOneWayCutAndHalfOfTheDatagramsLost() throws Exception {
+        playWithReplication("""
                 day seed=32 gateways=3 lasts=8000
                 500 words n0 n1 loss:0.5
                 500 words n1 n0 loss:0.5
@@ -86,8 +86,8 @@
     }
 
     @Test
-    void withoutWhatIsKeptASessionThatRoamsReadsFromBeforeItsAckedWrite() throws Exception {
-        FleetResult s = play("day seed=33 gateways=3 lasts=6000\n", List.of());
-        assertThat(s.broken()).extracting(b -> b.rule()).contains(Rule.NO_STALE_READ);
+    void withoutReplicationASessionReadsStaleDataAfterChangingGateways() throws Exception {
+        FleetResult result = play("day seed=33 gateways=3 lasts=6000\n", List.of());
+        assertThat(result.broken()).extracting(b -> b.rule()).contains(Rule.NO_STALE_READ);
     }
 }
--- a/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
@@ -12,38 +12,40 @@
 import ploverdale.tools.ledger.Ledger.Broken;
 import ploverdale.tools.ledger.Ledger.Rule;
 
-/** Short seeded soak; the long one is started by hand: {@code rig soak --seeds 50}. */
+/** A short soak run; a long one is started by hand with {@code rig soak --seeds 50}. */
 @Timeout(300)
 class SoakTest {
     private static final int SEEDS = 6;
 
     @Test
-    void noRuleBreaksOnDaysOfDrainsAndOutdatedKnowledge() throws Exception {
+    void noRuleIsBrokenUnderDrainsAndOutdatedEndpointLists() throws Exception {
         List<Check> checks = Soak.play(1, SEEDS, 2);
         assertThat(checks)
                 .hasSize(SEEDS)
                 .allSatisfy(check -> assertThat(check.holds()).as("%s", check).isTrue());
     }
 
-    private static List<Broken> play(Launch launch, String script) throws Exception {
-        FaultSchedule day = FaultSchedule.read(script);
-        return Fleet.play(day, Soak.workload(launch, day)).broken();
+    private static List<Broken> play(Launch launch, String scheduleText) throws Exception {
+        FaultSchedule schedule = FaultSchedule.read(scheduleText);
+        return Fleet.play(schedule, Soak.workload(launch, schedule)).broken();
     }
 
-    private static void isFoundOnlyWithoutItsGuard(String script, String file, String guard, String instead)
+    /** Checks that the schedule breaks the draining rule with the mutation of the source file, and no rule without it. */
+    private static void assertBrokenOnlyByMutation(
+            String scheduleText, String file, String original, String replacement)
             throws Exception {
         Launch launch = Launch.found(List.of());
-        assertThat(play(launch, script)).isEmpty();
-        try (MutationCheck mutation = MutationCheck.of(launch, file, guard, instead)) {
-            assertThat(play(mutation.launch(launch), script))
+        assertThat(play(launch, scheduleText)).isEmpty();
+        try (MutationCheck mutation = MutationCheck.of(launch, file, original, replacement)) {
+            assertThat(play(mutation.launch(launch), scheduleText))
                     .extracting(Broken::rule)
                     .contains(Rule.NOTHING_TO_DRAINING);
         }
     }
 
     @Test
-    void aStartThatDoesNotWaitForItsAgentIsFound() throws Exception {
-        isFoundOnlyWithoutItsGuard(
+    void drainedServerGetsRequestsIfTheStartDoesNotWaitForDiscovery() throws Exception {
+        assertBrokenOnlyByMutation(
                 """
                 day seed=1 gateways=2 lasts=8000
                 300 server s-second drains
@@ -54,8 +56,8 @@
     }
 
     @Test
-    void anOlderListThatUndoesADrainIsFound() throws Exception {
-        isFoundOnlyWithoutItsGuard(
+    void drainedServerGetsRequestsIfAnOlderListUndoesTheDrain() throws Exception {
+        assertBrokenOnlyByMutation(
                 """
                 day seed=2 gateways=2 lasts=4500
                 200 agent n0 b BEHIND
--- a/tools/src/test/java/ploverdale/tools/rig/TierTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/TierTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of instances in simulated time, once. */
+/** Gossip among hundreds of gateways in simulated time, for one seed. */
 class TierTest {
     @Test
-    void newsReachesAllForLittleAndNothingGrows() {
+    void gossipReachesNearlyAllGatewaysAtBoundedCostAndMemory() {
         System.out.println("tier, seed 5");
         assertThat(Tier.play(5, 1, 1)).hasSize(6).allMatch(Check::holds);
     }
--- a/tools/src/test/java/ploverdale/tools/rig/WarmStartTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/WarmStartTest.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The scenario, shortly; more seeds by the command line. */
+/** Two seeds of the scenario; the command line runs more. */
 class WarmStartTest {
     private static final long SEED = 1;
 
     @Test
-    void noRuleIsBrokenAndTheOldPrimaryGetsNoWrite() throws InterruptedException {
+    void noRuleIsBrokenAndTheFormerPrimaryGetsNoWrite() throws InterruptedException {
         System.out.println("warm-start, seed " + SEED);
         List<Check> checks = WarmStart.play(SEED, 2, 2);
         assertThat(checks).hasSize(13).allMatch(Check::holds);
