--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -24,26 +24,26 @@
 import ploverdale.tools.scale.RouterLoad.Condition;
 import ploverdale.tools.scale.RouterScale;
 
-/** The command line of the tools. Exit codes: 0 all checks hold, 1 one does not, 2 not understood. */
+/** The command line of the tools. Exit codes: 0 all checks passed, 1 a check failed, 2 invalid arguments. */
 public final class Main {
     private static final String USAGE = """
             usage: java -jar ploverdale-tools.jar rig list
                    java -jar ploverdale-tools.jar rig NAME [--seed N] [--seeds N] [--at-a-time N] [--json]
-              plays a scenario with real gateways among stand-ins on loopback, and tells a line a check
+              runs a scenario with real gateways among test doubles on loopback, and prints one line per check
                    java -jar ploverdale-tools.jar lab sweep [--sizes 16,128,512] [--seed N] [--seeds N] [--loss SHARE] [--out FILE]
-              plays fleets of these sizes in simulated time, and writes a row for each
+              simulates fleets of these sizes, and writes one CSV row for each
                    java -jar ploverdale-tools.jar lab plot --out FILE.png FILE
-              draws the rows
+              plots the rows of a sweep
                    java -jar ploverdale-tools.jar lab explore [--every N]
-              tries each fault and every so manieth pair of faults in the small world
+              explores the bounded model with each single fault and with every N-th pair of faults
                    java -jar ploverdale-tools.jar lab replicas [--seed N] [--seeds N]
-              plays days of faults in simulated time, and tells which promises of what is kept were broken
+              simulates replication under random faults, and prints which promises to clients were broken
                    java -jar ploverdale-tools.jar lab copies [--sizes 2,10,100] [--facts N] [--out FILE]
-              plays one that was cut off and catches up, with 10, 1,000 and as many facts as there are that differ
+              simulates a gateway that was partitioned and catches up, when 10, 1,000 or all of its entries differ
                    java -jar ploverdale-tools.jar scale router [--sizes 100,200,400,800,1600] [--reads N] [--zone-lost] [--seed N] [--out FILE]
-              measures the decision module among so many servers, fits slopes, predicts twice the largest size and measures there
+              measures the decision module with these numbers of servers, fits slopes, predicts the costs at twice the largest size and measures there
                    java -jar ploverdale-tools.jar scale table FILE
-              makes the table of docs/CAPACITY.md from those rows""";
+              prints the table of docs/CAPACITY.md from those rows""";
 
     @Argument(index = 0, required = true, metaVar = "rig")
     private String command;
@@ -54,41 +54,41 @@
     @Argument(index = 2, metaVar = "FILE")
     private String file;
 
-    @Option(name = "--sizes", usage = "gateways of each fleet")
+    @Option(name = "--sizes", usage = "numbers of gateways, or of servers for scale")
     private String sizes = "16,128,512";
 
     @Option(name = "--loss", usage = "share of datagrams lost")
     private double loss = 0.05;
 
-    @Option(name = "--out", usage = "where rows or the picture go")
+    @Option(name = "--out", usage = "file for the rows or the plot")
     private String out;
 
-    @Option(name = "--every", usage = "which pairs of faults are tried")
+    @Option(name = "--every", usage = "explore every N-th pair of faults")
     private int every = 499;
 
     @Option(name = "--seed", usage = "the first seed")
     private long seed = 1;
 
-    @Option(name = "--seeds", usage = "how many, one after the other")
+    @Option(name = "--seeds", usage = "number of consecutive seeds")
     private int seeds = 3;
 
-    @Option(name = "--at-a-time", usage = "runs that go beside one another")
+    @Option(name = "--at-a-time", usage = "runs at the same time")
     private int atATime = 3;
 
-    @Option(name = "--json", usage = "one JSON object in place of lines")
+    @Option(name = "--json", usage = "print one JSON object instead of lines")
     private boolean json;
 
-    @Option(name = "--facts", usage = "facts held when one returns")
+    @Option(name = "--facts", usage = "entries held by the other gateways")
     private int facts = 20_000;
 
-    @Option(name = "--reads", usage = "a second, at the gateway that is measured")
+    @Option(name = "--reads", usage = "reads per second at the measured gateway")
     private double reads = 50;
 
-    @Option(name = "--zone-lost", usage = "the servers of one zone answer nothing")
+    @Option(name = "--zone-lost", usage = "the servers of one zone do not answer")
     private boolean zoneLost;
 
-    private static final long LOAN_MS = 2000;
-    private static final double CATCH_UP_BYTES = 400_000; // a second, of each
+    private static final long LEASE_MS = 2000;
+    private static final double CATCH_UP_BYTES_PER_SECOND = 400_000; // of each gateway
 
     private Main() {}
 
@@ -97,7 +97,7 @@
         try {
             new CmdLineParser(main).parseArgument(args);
             if (!List.of("rig", "lab", "scale").contains(main.command)) {
-                throw new IllegalArgumentException("no command " + main.command);
+                throw new IllegalArgumentException("unknown command " + main.command);
             }
         } catch (CmdLineException | IllegalArgumentException e) {
             System.err.println("ploverdale-tools: " + e.getMessage());
@@ -121,16 +121,16 @@
             return 0;
         }
         if (!name.equals("router")) {
-            System.err.println("ploverdale-tools: no scale " + name);
+            System.err.println("ploverdale-tools: unknown scale command " + name);
             System.err.println(USAGE);
             return 2;
         }
-        List<Integer> all = Arrays.stream(sizes.split(","))
+        List<Integer> serverCounts = Arrays.stream(sizes.split(","))
                 .map(String::strip)
                 .map(Integer::valueOf)
                 .toList();
         Condition condition = zoneLost ? Condition.ZONE_LOST : Condition.SERVING;
-        return RouterScale.run(condition, reads, all, seed, out == null ? null : Path.of(out), System.out) ? 0 : 1;
+        return RouterScale.run(condition, reads, serverCounts, seed, out == null ? null : Path.of(out), System.out) ? 0 : 1;
     }
 
     private int lab() throws IOException {
@@ -139,10 +139,10 @@
                 List<String> rows = new ArrayList<>(List.of(Trial.Found.HEAD));
                 boolean holds = true;
                 for (String size : sizes.split(",")) {
-                    Trial.Found f = Trial.play(Integer.parseInt(size.strip()), LOAN_MS, loss, seed, seeds);
-                    holds &= f.over() == 0;
-                    rows.add(f.row());
-                    System.out.println(f.row()); // also the progress of a long run
+                    Trial.Found found = Trial.play(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
+                    holds &= found.over() == 0;
+                    rows.add(found.row());
+                    System.out.println(found.row()); // shows the progress of a long run
                 }
                 if (out != null) {
                     Files.write(Path.of(out), rows);
@@ -153,7 +153,7 @@
                 Plot.draw(
                         Path.of(file),
                         Path.of(out),
-                        "Parts follow (simulated)",
+                        "Time until leases follow the load (simulated)",
                         "ms",
                         List.of("shift_p50_ms", "shift_p99_ms", "death_p50_ms", "death_p99_ms"));
                 return 0;
@@ -161,29 +161,29 @@
             case "explore" -> {
                 Explorer.Seen seen = new Explorer(SmallWorld.leaseDurations(0.1), 0.1, SmallWorld.use()).explore(every);
                 System.out.println(
-                        seen.worlds() + " worlds, " + (seen.firstBad() == null ? "nothing wrong" : seen.firstBad()));
+                        seen.worlds() + " fault combinations, " + (seen.firstBad() == null ? "no rule broken" : seen.firstBad()));
                 return seen.firstBad() == null ? 0 : 1;
             }
             case "replicas" -> {
                 int broken = 0;
-                for (long s = seed; s < seed + seeds; s++) {
-                    ReplicaModel m = ReplicaTrial.day(2 + (int) (s % 6), s);
-                    broken += m.broken().size();
-                    System.out.println("seed " + s + ": " + m.counts()[0] + " writes acked, " + m.counts()[1]
-                            + " reads with a known past, "
-                            + m.counts()[2] + " without, " + m.broken().size() + " promises broken"
-                            + (m.broken().isEmpty()
+                for (long modelSeed = seed; modelSeed < seed + seeds; modelSeed++) {
+                    ReplicaModel model = ReplicaTrial.day(2 + (int) (modelSeed % 6), modelSeed);
+                    broken += model.broken().size();
+                    System.out.println("seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
+                            + " reads with a known position, "
+                            + model.counts()[2] + " with an unknown one, " + model.broken().size() + " promises broken"
+                            + (model.broken().isEmpty()
                                     ? ""
-                                    : ", first " + m.broken().get(0)));
+                                    : ", first " + model.broken().get(0)));
                 }
                 return broken == 0 ? 0 : 1;
             }
             case "copies" -> {
                 List<String> rows = new ArrayList<>(List.of(ReplicaTrial.CaughtUp.HEAD));
                 for (String size : sizes.split(",")) {
-                    for (int differ : new int[] {10, 1000, facts}) {
+                    for (int differing : new int[] {10, 1000, facts}) {
                         rows.add(ReplicaTrial.catchesUp(
-                                        Integer.parseInt(size.strip()), facts, differ, CATCH_UP_BYTES, seed)
+                                        Integer.parseInt(size.strip()), facts, differing, CATCH_UP_BYTES_PER_SECOND, seed)
                                 .row());
                         System.out.println(rows.get(rows.size() - 1));
                     }
@@ -194,7 +194,7 @@
                 return 0;
             }
             default -> {
-                System.err.println("ploverdale-tools: no lab " + name);
+                System.err.println("ploverdale-tools: unknown lab command " + name);
                 System.err.println(USAGE);
                 return 2;
             }
@@ -203,45 +203,45 @@
 
     private int rig() throws IOException, InterruptedException {
         if (name.equals("list")) {
-            Rigs.ALL.forEach((n, r) -> System.out.println(n + "  " + r.shows()));
+            Rigs.ALL.forEach((rigName, scenario) -> System.out.println(rigName + "  " + scenario.shows()));
             return 0;
         }
         Rigs.Rig rig = Rigs.ALL.get(name);
         if (rig == null) {
-            System.err.println("ploverdale-tools: no rig " + name + "; rig list names them");
+            System.err.println("ploverdale-tools: unknown rig " + name + "; 'rig list' prints their names");
             return 2;
         }
         List<Check> checks = rig.play(seed, seeds, atATime);
         boolean holds = checks.stream().allMatch(Check::holds);
         if (json) {
-            write(checks, holds);
+            writeJson(checks, holds);
         } else {
-            for (Check c : checks) {
-                System.out.println((c.holds() ? "holds   " : "BROKEN  ") + c.name() + ": " + c.figures());
+            for (Check check : checks) {
+                System.out.println((check.holds() ? "holds   " : "BROKEN  ") + check.name() + ": " + check.figures());
             }
             System.out.println(name + ", seeds " + seed + " to " + (seed + seeds - 1) + ": "
-                    + (holds ? "all checks hold" : "a check is broken"));
+                    + (holds ? "all checks passed" : "a check failed"));
         }
         return holds ? 0 : 1;
     }
 
-    private void write(List<Check> checks, boolean holds) throws IOException {
-        try (JsonGenerator g = new JsonFactory().createGenerator(System.out)) {
-            g.writeStartObject();
-            g.writeStringField("rig", name);
-            g.writeNumberField("seed", seed);
-            g.writeNumberField("seeds", seeds);
-            g.writeBooleanField("holds", holds);
-            g.writeArrayFieldStart("checks");
-            for (Check c : checks) {
-                g.writeStartObject();
-                g.writeStringField("name", c.name());
-                g.writeStringField("figures", c.figures());
-                g.writeBooleanField("holds", c.holds());
-                g.writeEndObject();
+    private void writeJson(List<Check> checks, boolean holds) throws IOException {
+        try (JsonGenerator generator = new JsonFactory().createGenerator(System.out)) {
+            generator.writeStartObject();
+            generator.writeStringField("rig", name);
+            generator.writeNumberField("seed", seed);
+            generator.writeNumberField("seeds", seeds);
+            generator.writeBooleanField("holds", holds);
+            generator.writeArrayFieldStart("checks");
+            for (Check check : checks) {
+                generator.writeStartObject();
+                generator.writeStringField("name", check.name());
+                generator.writeStringField("figures", check.figures());
+                generator.writeBooleanField("holds", check.holds());
+                generator.writeEndObject();
             }
-            g.writeEndArray();
-            g.writeEndObject();
+            generator.writeEndArray();
+            generator.writeEndObject();
         }
         System.out.println();
     }
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -17,9 +17,9 @@
 import ploverdale.tools.stand.TestCluster;
 
 /**
- * Bounds the attempts in flight at each server by a shared limit. Gateways run as processes, one with five times the load
- * of the others, through random fault schedules; attempts in flight are counted at the servers. Each schedule is run again
- * without shared limits for comparison.
+ * Bounds the attempts in flight at each server by a shared limit. Gateways run as processes, one with five times the
+ * load of the others, through random fault schedules; attempts in flight are counted at the servers. Each schedule is
+ * run again without shared limits for comparison.
  */
 final class BudgetsRig {
     private static final int GATEWAYS = 5;
--- a/tools/src/main/java/ploverdale/tools/rig/Faults.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Faults.java
@@ -12,7 +12,8 @@
 
 /**
  * Runs gateways as processes through random fault schedules: kills, pauses, restarts, broken and slow links, and an
- * unresponsive server. If a rule is broken, the check prints a schedule that reproduces it, shortened in a few attempts.
+ * unresponsive server. If a rule is broken, the check prints a schedule that reproduces it, shortened in a few
+ * attempts.
  */
 final class Faults {
     private static final int GATEWAYS = 4;
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -17,9 +17,9 @@
 import ploverdale.tools.fleet.Workload.Crowd;
 
 /**
- * Runs gateways as processes that are repeatedly paused for a fraction of a second, as happens on a machine short of CPU,
- * while clients hold more connections open than a gateway keeps idle. A request that arrives during a pause must be answered;
- * it is lost if the gateway closes its connection as idle instead.
+ * Runs gateways as processes that are repeatedly paused for a fraction of a second, as happens on a machine short of
+ * CPU, while clients hold more connections open than a gateway keeps idle. A request that arrives during a pause must
+ * be answered; it is lost if the gateway closes its connection as idle instead.
  */
 final class Pauses {
     private static final int GATEWAYS = 2;
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -25,15 +25,18 @@
 
 /**
  * Checks the session positions and write claims that gateways replicate among one another. Gateways run as processes,
- * through random fault schedules and datagram loss between any two of them. Clients reconnect to other gateways and submit
- * writes again. The ledger checks what the clients were promised. Each schedule is run again without replication, which must
- * break rules: this shows that the check can fail.
+ * through random fault schedules and datagram loss between any two of them. Clients reconnect to other gateways and
+ * submit writes again. The ledger checks what the clients were promised. Each schedule is run again without
+ * replication, which must break rules: this shows that the check can fail.
  */
 final class ReplicasRig {
     private static final int[] FLEET_SIZES = {2, 3, 5};
     private static final long DURATION_MS = 9000;
 
-    /** Longer than the submit window: a gateway cannot vouch for writes submitted before its start until that has passed. */
+    /**
+     * Longer than the submit window: a gateway cannot vouch for writes submitted before its start until that has
+     * passed.
+     */
     private static final long SETTLE_MS = 4500;
 
     private static final double REQUESTS_PER_SECOND = 5; // of each gateway, from clients that stay with it
@@ -54,7 +57,9 @@
                 Files.createTempFile("fleet", ".json"), REPLICATION + (waits ? ",\"wait_for_copies\":[\"put\"]}" : "}"));
     }
 
-    /** Returns a random schedule in which none, a quarter or half of the datagrams between any two gateways are lost. */
+    /**
+     * Returns a random schedule in which none, a quarter or half of the datagrams between any two gateways are lost.
+     */
     private static FaultSchedule schedule(long seed) {
         int gateways = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
         FaultSchedule generated = ScheduleGenerator.day(seed, gateways, DURATION_MS, Fleet.SERVERS);
@@ -144,7 +149,9 @@
                 holds);
     }
 
-    /** Measures, without faults, the latency that is added by position lookups at peers and by the wait for replication. */
+    /**
+     * Measures, without faults, the latency that is added by position lookups at peers and by the wait for replication.
+     */
     private static Check latencies(Launch withWait, Launch withoutWait, Launch withoutReplication) {
         FaultSchedule noFaults = new FaultSchedule(77, 3, DURATION_MS, List.of());
         StringBuilder figures = new StringBuilder();
--- a/tools/src/main/java/ploverdale/tools/rig/SeedRuns.java
+++ b/tools/src/main/java/ploverdale/tools/rig/SeedRuns.java
@@ -16,7 +16,9 @@
 
     private SeedRuns() {}
 
-    /** Waits for all runs and returns their checks in the order of the seeds. A run that throws becomes a failed check. */
+    /**
+     * Waits for all runs and returns their checks in the order of the seeds. A run that throws becomes a failed check.
+     */
     static List<Check> play(long firstSeed, int seeds, int atATime, Run run) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(atATime);
         try {
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -16,52 +16,58 @@
 import ploverdale.model.ServerId;
 
 /**
- * Hundreds of instances that start at once, in simulated time: only what they tell one another, without sockets. Each hears
- * a position now and then from its own ops; servers are replaced under new ids all the time; one goes silent. Shows what the
- * words cost, how soon news has reached all, how fresh positions are, and that nothing grows.
+ * Simulates the gossip of hundreds of gateways that start at the same time, in simulated time and without sockets. Each
+ * gateway observes server positions through its own requests. Servers are replaced under new ids all the time, and one
+ * becomes unresponsive. Checks the cost of gossip, how soon an observation reaches nearly all gateways, how fresh the
+ * known positions are, and that memory does not grow with the number of servers seen.
  */
 public final class Tier {
-    private static final long MS = 10;
-    private static final int INSTANCES = 300;
+    private static final long MS = 10; // ticks in a millisecond
+    private static final int GATEWAYS = 300;
     private static final int SERVERS = 24;
-    private static final double OPS = 900;
-    private static final long BOUND = 500 * MS;
-    private static final long LENGTH = 60_000 * MS;
-    private static final double SECONDS = LENGTH / (1000.0 * MS);
+    private static final double REQUESTS_PER_SECOND = 900; // of all gateways
+    private static final long STALENESS_BOUND = 500 * MS;
+    private static final long DURATION = 60_000 * MS;
+    private static final double SECONDS = DURATION / (1000.0 * MS);
     private static final long STEP = 20 * MS;
-    private static final long REPLACED_EVERY = 500 * MS;
-    private static final long SILENT_AT = 20_000 * MS;
+    private static final long REPLACEMENT_INTERVAL = 500 * MS;
+    private static final long UNRESPONSIVE_AT = 20_000 * MS;
     private static final double LOSS = 0.05;
-    private static final double TOLD = 0.97; // of the instances; by chance one in some hundreds is told by nobody
-    private static final long LEAST_WAY = MS;
-    private static final int MOST_WAY = 40;
+
+    /**
+     * Share of the gateways that an observation must reach. By chance, one gateway in some hundreds receives no rumor.
+     */
+    private static final double REACHED_SHARE = 0.97;
+
+    private static final long MIN_LATENCY = MS;
+    private static final int LATENCY_SPREAD_MS = 40; // added at random
     private static final long START = 17_672_256_000_000L;
 
-    private record OnItsWay(long at, long order, int from, OutboundPacket letter) {}
+    private record InTransit(long arrivesAt, long order, int from, OutboundPacket packet) {}
 
     private final SplittableRandom random;
-    private final List<GossipProtocol> all = new ArrayList<>();
-    private final List<Map<ServerId, ServerObservation>> known = new ArrayList<>();
-    private final PriorityQueue<OnItsWay> ways =
-            new PriorityQueue<>(java.util.Comparator.comparingLong(OnItsWay::at).thenComparingLong(OnItsWay::order));
+    private final List<GossipProtocol> protocols = new ArrayList<>();
+    private final List<Map<ServerId, ServerObservation>> observations = new ArrayList<>();
+    private final PriorityQueue<InTransit> network =
+            new PriorityQueue<>(java.util.Comparator.comparingLong(InTransit::arrivesAt).thenComparingLong(InTransit::order));
     private final List<ServerId> servers = new ArrayList<>();
-    private int named;
-    private long letters;
+    private int serversNamed;
+    private long datagrams;
     private long bytes;
-    private int longest;
-    private long startBytes;
+    private int longestBytes;
+    private long startupBytes;
     private long order;
-    private double opsDue;
-    private ServerId lost; // once one has gone silent
-    private long reached = -1; // after how many ms that is known to nearly all
-    private long looked;
-    private long fresh;
+    private double requestsDue;
+    private ServerId unresponsive; // null before UNRESPONSIVE_AT
+    private long reachedAfterMs = -1; // until nearly all gateways knew of the unresponsive server; -1: not yet
+    private long positionsChecked;
+    private long freshPositions;
 
     private Tier(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    /** Plays each seed, one after the other. */
+    /** Runs the seeds one after the other; {@code atATime} is ignored. */
     static List<Check> play(long firstSeed, int seeds, int atATime) {
         List<Check> checks = new ArrayList<>();
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
@@ -71,79 +77,79 @@
     }
 
     private void run(long seed, List<Check> checks) {
-        long heapBefore = heap();
+        long heapBefore = usedHeap();
         start();
-        long cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        long heapHalf = 0;
-        for (long now = START; now < START + LENGTH; now += STEP) {
+        long cpuBefore = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+        long heapHalfway = 0;
+        for (long now = START; now < START + DURATION; now += STEP) {
             step(now);
-            heapHalf = now - START == LENGTH / 2 ? heap() : heapHalf;
+            heapHalfway = now - START == DURATION / 2 ? usedHeap() : heapHalfway;
         }
-        double cpuMs = (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1e6;
-        long heap = heap();
+        double cpuMs = (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpuBefore) / 1e6;
+        long heapAfter = usedHeap();
         String name = "seed " + seed + ": ";
-        checks.addAll(wordChecks(name));
+        checks.addAll(gossipChecks(name));
         checks.add(new Check(
                 name + "CPU",
                 String.format(
-                        Locale.ROOT, "%.2f ms an instance and second, stand-ins included", cpuMs / SECONDS / INSTANCES),
-                cpuMs / SECONDS / INSTANCES < 20));
+                        Locale.ROOT, "%.2f ms per gateway and second, simulation included", cpuMs / SECONDS / GATEWAYS),
+                cpuMs / SECONDS / GATEWAYS < 20));
         checks.add(new Check(
                 name + "memory does not grow with servers seen",
                 String.format(
                         Locale.ROOT,
-                        "%d servers seen; %.1f kB an instance half-way, %.1f at the end",
-                        named,
-                        (heapHalf - heapBefore) / 1024.0 / INSTANCES,
-                        (heap - heapBefore) / 1024.0 / INSTANCES),
-                heap - heapBefore < 1.3 * (heapHalf - heapBefore) + (1 << 20)));
+                        "%d servers seen; %.1f kB per gateway halfway, %.1f at the end",
+                        serversNamed,
+                        (heapHalfway - heapBefore) / 1024.0 / GATEWAYS,
+                        (heapAfter - heapBefore) / 1024.0 / GATEWAYS),
+                heapAfter - heapBefore < 1.3 * (heapHalfway - heapBefore) + (1 << 20)));
     }
 
     private void start() {
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new ServerId("s-" + named++));
+            servers.add(new ServerId("s-" + serversNamed++));
         }
-        for (int i = 0; i < INSTANCES; i++) {
-            Map<ServerId, ServerObservation> mine = new HashMap<>();
-            GossipProtocol h = new GossipProtocol(
-                    i, INSTANCES, OPS, BOUND, random.split(), id -> mine.getOrDefault(id, ServerObservation.NONE));
-            servers.forEach(h::addServer);
-            h.start(START);
-            all.add(h);
-            known.add(mine);
+        for (int i = 0; i < GATEWAYS; i++) {
+            Map<ServerId, ServerObservation> own = new HashMap<>();
+            GossipProtocol protocol = new GossipProtocol(
+                    i, GATEWAYS, REQUESTS_PER_SECOND, STALENESS_BOUND, random.split(), id -> own.getOrDefault(id, ServerObservation.NONE));
+            servers.forEach(protocol::addServer);
+            protocol.start(START);
+            protocols.add(protocol);
+            observations.add(own);
         }
     }
 
     private void step(long now) {
-        long passed = now - START;
-        if (passed == SILENT_AT) {
-            goesSilent(now);
+        long elapsed = now - START;
+        if (elapsed == UNRESPONSIVE_AT) {
+            becomeUnresponsive(now);
         }
-        for (opsDue += OPS * STEP / (1000.0 * MS); opsDue >= 1; opsDue--) {
-            request(now, lost);
+        for (requestsDue += REQUESTS_PER_SECOND * STEP / (1000.0 * MS); requestsDue >= 1; requestsDue--) {
+            request(now, unresponsive);
         }
-        if (passed % REPLACED_EVERY == 0 && passed > 0) {
-            replace(lost);
+        if (elapsed % REPLACEMENT_INTERVAL == 0 && elapsed > 0) {
+            replace(unresponsive);
         }
         deliver(now);
-        for (int i = 0; i < INSTANCES; i++) {
-            order = send(now, i, all.get(i).due(now), order);
+        for (int i = 0; i < GATEWAYS; i++) {
+            order = send(now, i, protocols.get(i).due(now), order);
         }
-        startBytes = passed == 2000 * MS ? bytes : startBytes;
-        if (lost != null && reached < 0) {
-            long silent = known.stream()
-                    .filter(m -> m.getOrDefault(lost, ServerObservation.NONE).isUnresponsive())
+        startupBytes = elapsed == 2000 * MS ? bytes : startupBytes;
+        if (unresponsive != null && reachedAfterMs < 0) {
+            long reached = observations.stream()
+                    .filter(m -> m.getOrDefault(unresponsive, ServerObservation.NONE).isUnresponsive())
                     .count();
-            reached = silent >= INSTANCES * TOLD ? (passed - SILENT_AT) / MS : -1;
+            reachedAfterMs = reached >= GATEWAYS * REACHED_SHARE ? (elapsed - UNRESPONSIVE_AT) / MS : -1;
         }
-        if (passed % (100 * MS) == 0 && passed > 5000 * MS) {
-            countFresh(now);
+        if (elapsed % (100 * MS) == 0 && elapsed > 5000 * MS) {
+            countFreshPositions(now);
         }
     }
 
-    private void goesSilent(long now) {
-        lost = servers.get(1);
-        ServerObservation silent = new ServerObservation(
+    private void becomeUnresponsive(long now) {
+        unresponsive = servers.get(1);
+        ServerObservation observation = new ServerObservation(
                 Role.UNKNOWN,
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME,
@@ -152,66 +158,66 @@
                 now,
                 LoadReport.UNKNOWN_TIME,
                 LoadReport.UNKNOWN_TIME);
-        known.get(3).merge(lost, silent, ServerObservation::join);
-        all.get(3).onObservationChanged(now, lost);
+        observations.get(3).merge(unresponsive, observation, ServerObservation::join);
+        protocols.get(3).onObservationChanged(now, unresponsive);
     }
 
     private void deliver(long now) {
-        while (!ways.isEmpty() && ways.peek().at() <= now) {
-            OnItsWay w = ways.poll();
-            int to = w.letter().peer();
-            GossipProtocol.ReceivedGossip h =
-                    all.get(to).onDatagram(now, w.from(), w.letter().bytes());
-            h.observations().forEach((id, x) -> known.get(to).merge(id, x, ServerObservation::join));
-            order = send(now, to, h.replies(), order);
+        while (!network.isEmpty() && network.peek().arrivesAt() <= now) {
+            InTransit arrived = network.poll();
+            int to = arrived.packet().peer();
+            GossipProtocol.ReceivedGossip gossip =
+                    protocols.get(to).onDatagram(now, arrived.from(), arrived.packet().bytes());
+            gossip.observations().forEach((id, observation) -> observations.get(to).merge(id, observation, ServerObservation::join));
+            order = send(now, to, gossip.replies(), order);
         }
     }
 
-    private void countFresh(long now) {
-        for (Map<ServerId, ServerObservation> m : known) {
+    private void countFreshPositions(long now) {
+        for (Map<ServerId, ServerObservation> gatewayObservations : observations) {
             for (ServerId id : servers) {
-                if (!id.equals(lost)) {
-                    looked++;
-                    fresh += now - m.getOrDefault(id, ServerObservation.NONE).position() <= BOUND ? 1 : 0;
+                if (!id.equals(unresponsive)) {
+                    positionsChecked++;
+                    freshPositions += now - gatewayObservations.getOrDefault(id, ServerObservation.NONE).position() <= STALENESS_BOUND ? 1 : 0;
                 }
             }
         }
     }
 
-    /** What holds of the words that were told, and what they cost. */
-    private List<Check> wordChecks(String name) {
-        double share = fresh / (double) looked;
-        double messages = bytes / 256.0 / (OPS * SECONDS);
+    /** Returns the checks of the spread and the cost of gossip. */
+    private List<Check> gossipChecks(String name) {
+        double freshShare = freshPositions / (double) positionsChecked;
+        double fullDatagrams = bytes / 256.0 / (REQUESTS_PER_SECOND * SECONDS);
         return List.of(
                 new Check(
                         name + "no datagram over 256 bytes",
-                        letters + " datagrams, the longest " + longest + " bytes",
-                        longest <= 256),
+                        datagrams + " datagrams, the longest " + longestBytes + " bytes",
+                        longestBytes <= 256),
                 new Check(
-                        name + "a silent server is known to 97 of 100 within a second",
-                        reached + " ms",
-                        reached >= 0 && reached <= 1000),
+                        name + "an unresponsive server is known to 97 % of the gateways within a second",
+                        reachedAfterMs + " ms",
+                        reachedAfterMs >= 0 && reachedAfterMs <= 1000),
                 new Check(
-                        name + "positions within the bound at most instances",
-                        String.format(Locale.ROOT, "%.3f of all pairs of instance and server", share),
-                        share > 0.5),
+                        name + "most known positions are within the staleness bound",
+                        String.format(Locale.ROOT, "%.3f of all pairs of gateway and server", freshShare),
+                        freshShare > 0.5),
                 new Check(
-                        name + "what words cost",
+                        name + "cost of gossip",
                         String.format(
                                 Locale.ROOT,
-                                "%.0f bytes an instance and second, %.2f full messages an op; %.0f bytes an instance in its first 2 s",
-                                bytes / SECONDS / INSTANCES,
-                                messages,
-                                startBytes / (double) INSTANCES),
-                        messages < 1));
+                                "%.0f bytes per gateway and second, %.2f full datagrams per request; %.0f bytes per gateway in the first 2 s",
+                                bytes / SECONDS / GATEWAYS,
+                                fullDatagrams,
+                                startupBytes / (double) GATEWAYS),
+                        fullDatagrams < 1));
     }
 
-    private void request(long now, ServerId lost) {
-        int at = random.nextInt(INSTANCES);
+    private void request(long now, ServerId unresponsive) {
+        int gateway = random.nextInt(GATEWAYS);
         ServerId id = servers.get(random.nextInt(servers.size()));
-        if (!id.equals(lost)) {
+        if (!id.equals(unresponsive)) {
             Role role = servers.indexOf(id) % 4 == 0 ? Role.PRIMARY : Role.REPLICA;
-            known.get(at)
+            observations.get(gateway)
                     .merge(
                             id,
                             new ServerObservation(
@@ -224,38 +230,38 @@
                                     LoadReport.UNKNOWN_TIME,
                                     LoadReport.UNKNOWN_TIME),
                             ServerObservation::join);
-            all.get(at).onPositionObserved(now, id);
-            all.get(at).onObservationChanged(now, id);
+            protocols.get(gateway).onPositionObserved(now, id);
+            protocols.get(gateway).onObservationChanged(now, id);
         }
-        all.get(at).onRequest();
+        protocols.get(gateway).onRequest();
     }
 
-    private void replace(ServerId lost) {
-        int i = 2 + random.nextInt(servers.size() - 2); // not the one that goes silent
+    private void replace(ServerId unresponsive) {
+        int i = 2 + random.nextInt(servers.size() - 2); // not the one that becomes unresponsive
         ServerId old = servers.get(i);
-        servers.set(i, new ServerId("s-" + named++));
-        for (int k = 0; k < INSTANCES; k++) {
-            all.get(k).removeServer(old);
-            known.get(k).remove(old);
-            all.get(k).addServer(servers.get(i));
+        servers.set(i, new ServerId("s-" + serversNamed++));
+        for (int k = 0; k < GATEWAYS; k++) {
+            protocols.get(k).removeServer(old);
+            observations.get(k).remove(old);
+            protocols.get(k).addServer(servers.get(i));
         }
     }
 
-    private long send(long now, int from, List<OutboundPacket> out, long order) {
-        for (OutboundPacket l : out) {
-            letters++;
-            bytes += l.bytes().length;
-            longest = Math.max(longest, l.bytes().length);
+    private long send(long now, int from, List<OutboundPacket> packets, long order) {
+        for (OutboundPacket packet : packets) {
+            datagrams++;
+            bytes += packet.bytes().length;
+            longestBytes = Math.max(longestBytes, packet.bytes().length);
             if (random.nextDouble() >= LOSS) {
-                ways.add(new OnItsWay(now + LEAST_WAY + random.nextInt(MOST_WAY) * MS, order++, from, l));
+                network.add(new InTransit(now + MIN_LATENCY + random.nextInt(LATENCY_SPREAD_MS) * MS, order++, from, packet));
             }
         }
         return order;
     }
 
-    private static long heap() {
+    private static long usedHeap() {
         System.gc();
-        Runtime r = Runtime.getRuntime();
-        return r.totalMemory() - r.freeMemory();
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 }
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Returns a schedule in which only the first gateway has load and leases all units; then, twice, the others get load too
-     * and need their units back.
+     * Returns a schedule in which only the first gateway has load and leases all units; then, twice, the others get
+     * load too and need their units back.
      */
     private static String othersNeedTheirUnitsBack() {
         StringBuilder b = new StringBuilder("day seed=25 gateways=4 lasts=8000\n");
--- a/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
@@ -30,7 +30,9 @@
         return Fleet.play(schedule, Soak.workload(launch, schedule)).broken();
     }
 
-    /** Checks that the schedule breaks the draining rule with the mutation of the source file, and no rule without it. */
+    /**
+     * Checks that the schedule breaks the draining rule with the mutation of the source file, and no rule without it.
+     */
     private static void assertBrokenOnlyByMutation(
             String scheduleText, String file, String original, String replacement)
             throws Exception {
