--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -26,7 +26,7 @@
 import ploverdale.tools.stand.Clients;
 import ploverdale.tools.stand.GatewayConfiguration;
 import ploverdale.tools.stand.LossyLink;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 import ploverdale.tools.stand.TestCluster;
 
 /**
@@ -63,7 +63,7 @@
     private final long began = System.nanoTime();
     private final DiscoveryAgents agents;
     private LossyLink link;
-    private RoamingClients roamers;
+    private ReconnectingClients roamers;
 
     private Fleet(Vertx vertx, FaultSchedule day, Workload shape) {
         this.vertx = vertx;
@@ -86,8 +86,8 @@
         GroupModel model =
                 new GroupModel(plan, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
         world = new TestCluster(vertx, model, ledger, SERVERS, LIST_LATE_MS);
-        world.traffic(shape.traffic());
-        world.hearsLists(g -> !cutOff.getOrDefault(g, false));
+        world.setRequestListener(shape.traffic());
+        world.setDiscoveryReachable(g -> !cutOff.getOrDefault(g, false));
         agents = new DiscoveryAgents(vertx, world, ledger);
     }
 
@@ -119,7 +119,7 @@
     }
 
     private Future<FleetResult> play(List<GatewayProcess> started) {
-        Future<?> ready = world.servers()
+        Future<?> ready = world.startServers()
                 .compose(x -> LossyLink.open(vertx, random.split(), 0, day.gateways()))
                 .onSuccess(l -> link = l);
         for (int i = 0; i < day.gateways(); i++) {
@@ -144,7 +144,7 @@
                         for (int i = 0; i < day.gateways(); i++) {
                             ports.add(ways.get("n" + i + " clients").port());
                         }
-                        roamers = new RoamingClients(vertx, ledger, random.split(), ports, shape.roams());
+                        roamers = new ReconnectingClients(vertx, ledger, random.split(), ports, shape.roams());
                         roamers.start();
                     }
                     for (Step s : day.steps()) {
@@ -178,13 +178,13 @@
         ways.values().forEach(FaultyLink::close);
         link.close();
         int[] sums = new int[4];
-        Histogram late = new Histogram(Clients.LONGEST_US, 3);
+        Histogram late = new Histogram(Clients.MAX_LATENCY_US, 3);
         for (Clients c : clients) {
-            late.add(c.late());
-            sums[0] += c.tally(false, false).asked();
-            sums[1] += c.tally(false, false).acked();
-            sums[2] += c.tally(true, false).asked();
-            sums[3] += c.tally(true, false).acked();
+            late.add(c.lateness());
+            sums[0] += c.tally(false, false).requests();
+            sums[1] += c.tally(false, false).succeeded();
+            sums[2] += c.tally(true, false).requests();
+            sums[3] += c.tally(true, false).succeeded();
         }
         List<Ledger.Broken> broken = ledger.close(Clock.system().now());
         broken.forEach(b -> note("ledger", b.toString()));
@@ -214,20 +214,20 @@
                 .onSuccess(w -> {
                     Clients c =
                             new Clients(vertx, ledger, random.split(), Integer.toString(me), w.port(), BOUND_MS * MS);
-                    c.gatewayIs(() -> gateways.get(me).alive());
-                    c.holds(shape.crowd().connections());
+                    c.setGatewayAlive(() -> gateways.get(me).alive());
+                    c.setConnectionPoolSize(shape.crowd().connections());
                     clients.add(c);
                 })
                 .compose(x -> shape.ownAgents() ? agents.open(Integer.toString(me)) : discovery(me));
         for (String s : SERVERS) {
             all = all.compose(x -> way(me, s, "127.0.0.1", world.port(s)))
-                    .onSuccess(w -> world.seenAt(Integer.toString(me), s, ((FaultyLink) w).port()));
+                    .onSuccess(w -> world.setServerPort(Integer.toString(me), s, ((FaultyLink) w).port()));
         }
         return all;
     }
 
     private Future<Void> discovery(int me) {
-        return world.discovery(Integer.toString(me))
+        return world.startDiscovery(Integer.toString(me))
                 .compose(port -> way(me, "discovery", "127.0.0.1", port))
                 .onSuccess(w -> discoveries.add(w.port()))
                 .mapEmpty();
@@ -249,7 +249,7 @@
                 peers,
                 day.gateways() > 1,
                 shape.ownAgents() ? agents.port(name) : discoveries.get(me),
-                shape.ownAgents() ? agents.firstList(name) : world.list(name, true),
+                shape.ownAgents() ? agents.firstList(name) : world.endpointList(name, true),
                 random.nextLong(),
                 BOUND_MS,
                 shape.crowd().descriptors());
@@ -300,7 +300,7 @@
                 }
                 case LEAVE -> gateways.get(me).term();
                 case WAY -> way(me, w.get(1), w.get(2));
-                case WORDS -> link.weather(me, Integer.parseInt(w.get(1).substring(1)), weather(w.get(2)));
+                case WORDS -> link.setConditions(me, Integer.parseInt(w.get(1).substring(1)), weather(w.get(2)));
                 case SERVER -> server(w.get(0), w.get(1));
                 case AGENT -> agents.behave(Integer.toString(me), w.get(1), w.get(2));
                 case HANG_UP -> {
@@ -337,25 +337,25 @@
         }
     }
 
-    private static LossyLink.Weather weather(String word) {
+    private static LossyLink.Conditions weather(String word) {
         double figure = word.equals("usual") ? 0 : Double.parseDouble(word.substring(word.indexOf(':') + 1));
         return word.equals("usual")
                 ? null
                 : word.startsWith("loss:")
-                        ? LossyLink.Weather.losing(figure)
+                        ? LossyLink.Conditions.withLoss(figure)
                         : word.startsWith("twice:")
-                                ? new LossyLink.Weather(0, figure, 20)
-                                : new LossyLink.Weather(0, 0.05, (int) figure);
+                                ? new LossyLink.Conditions(0, figure, 20)
+                                : new LossyLink.Conditions(0, 0.05, (int) figure);
     }
 
     private void server(String id, String what) {
         switch (what) {
-            case "heals" -> world.heals(id, false);
-            case "restarts" -> world.heals(id, true);
-            case "drains" -> world.drains(id);
-            case "removes" -> world.removes(id);
-            case "returns" -> world.returns(id);
-            default -> world.fault(id, Fault.valueOf(what));
+            case "heals" -> world.recoverServer(id, false);
+            case "restarts" -> world.recoverServer(id, true);
+            case "drains" -> world.drainServer(id);
+            case "removes" -> world.removeServer(id);
+            case "returns" -> world.relistServer(id);
+            default -> world.injectFault(id, Fault.valueOf(what));
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.stand.GatewayConfiguration;
-import ploverdale.tools.stand.RoamingClients;
+import ploverdale.tools.stand.ReconnectingClients;
 import ploverdale.tools.stand.TestCluster;
 
 /**
@@ -20,8 +20,8 @@
         Launch launch,
         List<Double> requestsPerSecond,
         long settlesMs,
-        TestCluster.Traffic traffic,
-        RoamingClients.Habit roams,
+        TestCluster.RequestListener traffic,
+        ReconnectingClients.Behavior roams,
         Crowd crowd,
         boolean ownAgents) {
     /** The same with as few connections as serve. */
@@ -29,13 +29,13 @@
             Launch launch,
             List<Double> requestsPerSecond,
             long settlesMs,
-            TestCluster.Traffic traffic,
-            RoamingClients.Habit roams) {
+            TestCluster.RequestListener traffic,
+            ReconnectingClients.Behavior roams) {
         this(launch, requestsPerSecond, settlesMs, traffic, roams, Crowd.NONE, false);
     }
 
     /** The same without clients that roam. */
-    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.Traffic traffic) {
+    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.RequestListener traffic) {
         this(launch, requestsPerSecond, settlesMs, traffic, null);
     }
 
@@ -62,6 +62,6 @@
      */
     public record Crowd(int connections, int descriptors) {
         /** As few as serve, and descriptors enough. */
-        public static final Crowd NONE = new Crowd(0, GatewayConfiguration.DESCRIPTORS);
+        public static final Crowd NONE = new Crowd(0, GatewayConfiguration.DEFAULT_DESCRIPTORS);
     }
 }
