--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -12,12 +12,12 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
+import ploverdale.tools.lab.BoundedQuotaModel;
 import ploverdale.tools.lab.Explorer;
 import ploverdale.tools.lab.Plot;
+import ploverdale.tools.lab.QuotaExperiment;
+import ploverdale.tools.lab.ReplicaExperiment;
 import ploverdale.tools.lab.ReplicaModel;
-import ploverdale.tools.lab.ReplicaTrial;
-import ploverdale.tools.lab.SmallWorld;
-import ploverdale.tools.lab.Trial;
 import ploverdale.tools.rig.Check;
 import ploverdale.tools.rig.Rigs;
 import ploverdale.tools.scale.CapacityTable;
@@ -136,13 +136,14 @@
     private int lab() throws IOException {
         switch (name) {
             case "sweep" -> {
-                List<String> rows = new ArrayList<>(List.of(Trial.Found.HEAD));
+                List<String> rows = new ArrayList<>(List.of(QuotaExperiment.Result.CSV_HEADER));
                 boolean holds = true;
                 for (String size : sizes.split(",")) {
-                    Trial.Found f = Trial.play(Integer.parseInt(size.strip()), LOAN_MS, loss, seed, seeds);
-                    holds &= f.over() == 0;
-                    rows.add(f.row());
-                    System.out.println(f.row()); // also the progress of a long run
+                    QuotaExperiment.Result f =
+                            QuotaExperiment.run(Integer.parseInt(size.strip()), LOAN_MS, loss, seed, seeds);
+                    holds &= f.violations() == 0;
+                    rows.add(f.csvRow());
+                    System.out.println(f.csvRow()); // also the progress of a long run
                 }
                 if (out != null) {
                     Files.write(Path.of(out), rows);
@@ -159,32 +160,34 @@
                 return 0;
             }
             case "explore" -> {
-                Explorer.Seen seen = new Explorer(SmallWorld.leaseDurations(0.1), 0.1, SmallWorld.use()).explore(every);
-                System.out.println(
-                        seen.worlds() + " worlds, " + (seen.firstBad() == null ? "nothing wrong" : seen.firstBad()));
-                return seen.firstBad() == null ? 0 : 1;
+                Explorer.Result result = new Explorer(
+                                BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime())
+                        .explore(every);
+                System.out.println(result.runs() + " worlds, "
+                        + (result.firstViolation() == null ? "nothing wrong" : result.firstViolation()));
+                return result.firstViolation() == null ? 0 : 1;
             }
             case "replicas" -> {
-                int broken = 0;
+                int violations = 0;
                 for (long s = seed; s < seed + seeds; s++) {
-                    ReplicaModel m = ReplicaTrial.day(2 + (int) (s % 6), s);
-                    broken += m.broken().size();
+                    ReplicaModel m = ReplicaExperiment.runWithRandomFaults(2 + (int) (s % 6), s);
+                    violations += m.violations().size();
                     System.out.println("seed " + s + ": " + m.counts()[0] + " writes acked, " + m.counts()[1]
                             + " reads with a known past, "
-                            + m.counts()[2] + " without, " + m.broken().size() + " promises broken"
-                            + (m.broken().isEmpty()
+                            + m.counts()[2] + " without, " + m.violations().size() + " promises broken"
+                            + (m.violations().isEmpty()
                                     ? ""
-                                    : ", first " + m.broken().get(0)));
+                                    : ", first " + m.violations().get(0)));
                 }
-                return broken == 0 ? 0 : 1;
+                return violations == 0 ? 0 : 1;
             }
             case "copies" -> {
-                List<String> rows = new ArrayList<>(List.of(ReplicaTrial.CaughtUp.HEAD));
+                List<String> rows = new ArrayList<>(List.of(ReplicaExperiment.CatchUpResult.CSV_HEADER));
                 for (String size : sizes.split(",")) {
                     for (int differ : new int[] {10, 1000, facts}) {
-                        rows.add(ReplicaTrial.catchesUp(
+                        rows.add(ReplicaExperiment.measureCatchUp(
                                         Integer.parseInt(size.strip()), facts, differ, CATCH_UP_BYTES, seed)
-                                .row());
+                                .csvRow());
                         System.out.println(rows.get(rows.size() - 1));
                     }
                 }
--- a/tools/src/main/java/ploverdale/tools/lab/SmallSubmits.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
@@ -22,9 +22,9 @@
  * once more at another, with each message delivered at any time or lost, and one gateway started anew at any time. The classes
  * are those of a gateway. Each state is reached from the beginning, choice by choice, and gone on from once.
  */
-public final class SmallSubmits {
+public final class BoundedClaimModel {
     /** What came of it: courses played, states told apart, and the choices of the first course that grants a write twice. */
-    public record Seen(long courses, int states, String firstBad) {}
+    public record Result(long transitions, int states, String firstViolation) {}
 
     private static final int GATEWAYS = 3;
     private static final long SECOND = 10_000;
@@ -133,30 +133,30 @@
         }
     }
 
-    private SmallSubmits() {}
+    private BoundedClaimModel() {}
 
     /** Plays all that can happen, state by state; a state that was seen before is not gone on from once more. */
-    public static Seen explore(long startsAsIf) {
+    public static Result explore(long startsAsIf) {
         Set<String> seen = new HashSet<>();
         Deque<List<String>> paths = new ArrayDeque<>(List.of(List.of()));
-        long courses = 0;
+        long transitions = 0;
         while (!paths.isEmpty()) {
             List<String> path = paths.poll();
             for (String choice : played(startsAsIf, path).choices()) {
-                courses++;
+                transitions++;
                 State w = played(startsAsIf, path);
                 w.happens(choice);
                 List<String> longer = new ArrayList<>(path);
                 longer.add(choice);
                 if (w.granted > 1) {
-                    return new Seen(courses, seen.size(), String.join(", ", longer));
+                    return new Result(transitions, seen.size(), String.join(", ", longer));
                 }
                 if (seen.add(w.state())) {
                     paths.add(longer);
                 }
             }
         }
-        return new Seen(courses, seen.size(), null);
+        return new Result(transitions, seen.size(), null);
     }
 
     private static State played(long startsAsIf, List<String> path) {
--- a/tools/src/main/java/ploverdale/tools/lab/SmallWorld.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
@@ -18,7 +18,7 @@
  * given and not drawn. One clock runs slow and one fast. The classes are those of a gateway. In each step all messages come
  * in their order but for the one that a fault names.
  */
-public final class SmallWorld {
+public final class BoundedQuotaModel {
     /** What goes wrong in a step. */
     public enum Kind {
         DROP,
@@ -123,7 +123,7 @@
      * @param told for how long the budget says a part may be in use; too short a time is a mistake that must be found
      * @param startsAlike whether a process that was killed speaks as the one before it, another such mistake
      */
-    private SmallWorld(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
+    private BoundedQuotaModel(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
         this.startsAlike = startsAlike;
         this.leaseDurations = leaseDurations;
         this.drift = drift;
@@ -140,19 +140,19 @@
     }
 
     /** For how long a part is in use here. */
-    public static long use() {
+    public static long holdTime() {
         return USE;
     }
 
     /** Plays it; null if all is well, or what was not: too much in use, or parts lost for ever. */
-    public static String play(
+    public static String run(
             LeaseDurations leaseDurations,
             double drift,
             long told,
             boolean startsAlike,
             Demand demand,
             List<Fault> faults) {
-        SmallWorld w = new SmallWorld(leaseDurations, drift, told, startsAlike);
+        BoundedQuotaModel w = new BoundedQuotaModel(leaseDurations, drift, told, startsAlike);
         for (int s = 0; s < STEPS + HEALS; s++) {
             List<Fault> now = new ArrayList<>();
             for (Fault f : faults) {
--- a/tools/src/main/java/ploverdale/tools/lab/Spending.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
@@ -11,7 +11,7 @@
  * What all gateways together spend of one budget, counted where it is spent, and whether that is more than the whole: at any
  * instant for what is in use, in any window for a rate. Times in tenths of a millisecond.
  */
-public final class Spending {
+public final class ConsumptionRecorder {
     private static final long WINDOW =
             50_000; // kept for this long; every window that ends now and begins in it is looked at
     private static final double SECOND = 10_000;
@@ -19,14 +19,14 @@
     private final SharedLimit budget;
     private final double slack;
     private final Deque<Long> spent = new ArrayDeque<>();
-    private final List<String> over = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private int inUse;
     private int mostInUse;
     private double worst; // of a rate: most spent in a window, as a share of what may be
     private long all;
 
     /** @param slack parts by which arrival may be crowded on the way; 0 where the count is at the source */
-    public Spending(SharedLimit budget, double slack) {
+    public ConsumptionRecorder(SharedLimit budget, double slack) {
         this.budget = budget;
         this.slack = slack;
     }
@@ -37,7 +37,7 @@
         if (budget.kind() == SharedLimit.Kind.CONCURRENCY) {
             mostInUse = Math.max(mostInUse, ++inUse);
             if (inUse > budget.capacity()) {
-                over.add(String.format(
+                violations.add(String.format(
                         Locale.ROOT,
                         "%.1f ms: %s takes %s to %d of %d in use",
                         now / 10.0,
@@ -57,7 +57,7 @@
             double may = budget.capacity() * ((now - first) + budget.maxHoldTime()) / SECOND + slack;
             worst = Math.max(worst, n / may);
             if (n > may + 1e-6) {
-                over.add(String.format(
+                violations.add(String.format(
                         Locale.ROOT,
                         "%.1f ms: %s spends %s, %d in %.1f ms, where %.2f may be",
                         now / 10.0,
@@ -83,8 +83,8 @@
     }
 
     /** Each time that it was too much. */
-    public List<String> over() {
-        return over;
+    public List<String> violations() {
+        return violations;
     }
 
     public long all() {
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import ploverdale.quota.LeaseDurations;
-import ploverdale.tools.lab.SmallWorld.Demand;
-import ploverdale.tools.lab.SmallWorld.Fault;
-import ploverdale.tools.lab.SmallWorld.Kind;
+import ploverdale.tools.lab.BoundedQuotaModel.Demand;
+import ploverdale.tools.lab.BoundedQuotaModel.Fault;
+import ploverdale.tools.lab.BoundedQuotaModel.Kind;
 
 /**
  * Tries all that can go wrong in the small world: each fault alone, and each pair of faults, under each demand. For longer
@@ -13,7 +13,7 @@
  */
 public final class Explorer {
     /** What came of it. */
-    public record Seen(long worlds, String firstBad) {}
+    public record Result(long runs, String firstViolation) {}
 
     /** Who wants parts: one and then the others, one and then all, each in turn, two of three. */
     public static final List<Demand> DEMANDS = List.of(
@@ -41,9 +41,9 @@
 
     private static List<Fault> all() {
         List<Fault> all = new ArrayList<>();
-        for (int s = SmallWorld.FROM; s < SmallWorld.STEPS; s++) {
+        for (int s = BoundedQuotaModel.FROM; s < BoundedQuotaModel.STEPS; s++) {
             for (Kind k : Kind.values()) {
-                int n = k.ordinal() >= Kind.KILL.ordinal() ? SmallWorld.GATEWAYS : SmallWorld.MESSAGES;
+                int n = k.ordinal() >= Kind.KILL.ordinal() ? BoundedQuotaModel.GATEWAYS : BoundedQuotaModel.MESSAGES;
                 for (int i = 0; i < n; i++) {
                     all.add(new Fault(s, k, i));
                 }
@@ -53,9 +53,9 @@
     }
 
     /** Plays each fault alone and every so manieth pair, until one goes wrong. */
-    public Seen explore(int everyPair) {
+    public Result explore(int everyPair) {
         List<Fault> all = all();
-        long worlds = 0;
+        long runs = 0;
         for (Demand d : DEMANDS) {
             for (int a = 0; a < all.size(); a++) {
                 for (int b = a; b < all.size(); b++) {
@@ -63,14 +63,14 @@
                         continue;
                     }
                     List<Fault> faults = b == a ? List.of(all.get(a)) : List.of(all.get(a), all.get(b));
-                    worlds++;
-                    String bad = SmallWorld.play(leaseDurations, drift, told, startsAlike, d, faults);
+                    runs++;
+                    String bad = BoundedQuotaModel.run(leaseDurations, drift, told, startsAlike, d, faults);
                     if (bad != null) {
-                        return new Seen(worlds, bad + " with " + faults + ", demand " + DEMANDS.indexOf(d));
+                        return new Result(runs, bad + " with " + faults + ", demand " + DEMANDS.indexOf(d));
                     }
                 }
             }
         }
-        return new Seen(worlds, null);
+        return new Result(runs, null);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -176,7 +176,7 @@
             if (!runs() || !budgets.tryAcquire(local(), budget)) {
                 return false;
             }
-            Spending s = spending.get(budget);
+            ConsumptionRecorder s = spending.get(budget);
             s.spends(now(), "n" + number);
             if (world.division.limits().get(budget).kind() == SharedLimit.Kind.CONCURRENCY) {
                 int p = process;
@@ -203,7 +203,7 @@
     private final Settings world;
     private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
-    private final List<Spending> spending = new ArrayList<>();
+    private final List<ConsumptionRecorder> spending = new ArrayList<>();
     private final SimulatedNetwork network;
 
     public FleetModel(Settings world, long seed) {
@@ -220,7 +220,7 @@
         for (int i = 0; i < n; i++) {
             instances.add(new Instance(i));
         }
-        world.division.limits().forEach(b -> spending.add(new Spending(b, 0)));
+        world.division.limits().forEach(b -> spending.add(new ConsumptionRecorder(b, 0)));
     }
 
     public long now() {
@@ -235,14 +235,14 @@
         return instances;
     }
 
-    public Spending spending(int budget) {
+    public ConsumptionRecorder spending(int budget) {
         return spending.get(budget);
     }
 
     /** Whatever was spent beyond a whole. */
-    public List<String> over() {
+    public List<String> violations() {
         List<String> all = new ArrayList<>();
-        spending.forEach(s -> all.addAll(s.over()));
+        spending.forEach(s -> all.addAll(s.violations()));
         return all;
     }
 
--- a/tools/src/main/java/ploverdale/tools/lab/Trial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -13,7 +13,7 @@
  * Some runs of one fleet in simulated time: how soon parts follow a shift of demand to one gateway, how soon the parts of a
  * gateway that was killed are divided anew, what is idle, and what it costs in bytes.
  */
-public final class Trial {
+public final class QuotaExperiment {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long LOOK = 50 * MS;
@@ -31,7 +31,7 @@
      * @param bytes an instance and second
      * @param idle share of the whole that nobody could spend, on the average after the start and before the faults
      */
-    public record Found(
+    public record Result(
             int gateways,
             long loanMs,
             double loss,
@@ -41,12 +41,12 @@
             long deathP99,
             double bytes,
             double idle,
-            int over) {
+            int violations) {
         /** The names of the fields, for a file. */
-        public static final String HEAD = "gateways,loan_ms,loss,shift_p50_ms,shift_p99_ms,death_p50_ms,death_p99_ms,"
+        public static final String CSV_HEADER = "gateways,loan_ms,loss,shift_p50_ms,shift_p99_ms,death_p50_ms,death_p99_ms,"
                 + "bytes_a_second,idle,over";
 
-        public String row() {
+        public String csvRow() {
             return String.format(
                     Locale.ROOT,
                     "%d,%d,%.2f,%d,%d,%d,%d,%.0f,%.3f,%d",
@@ -59,19 +59,19 @@
                     deathP99,
                     bytes,
                     idle,
-                    over);
+                    violations);
         }
     }
 
-    private Trial() {}
+    private QuotaExperiment() {}
 
     /** Plays so many seeds. */
-    public static Found play(int gateways, long loanMs, double loss, long firstSeed, int seeds) {
+    public static Result run(int gateways, long loanMs, double loss, long firstSeed, int seeds) {
         Histogram shift = new Histogram(3);
         Histogram death = new Histogram(3);
         double bytes = 0;
         double idle = 0;
-        int over = 0;
+        int violations = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
             QuotaAllocation d = new QuotaAllocation(
                     List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, PARTS * gateways, SECOND)),
@@ -118,9 +118,9 @@
                 m.until(m.now() + LOOK);
             }
             death.recordValue((m.now() - diedAt) / MS);
-            over += m.over().size();
+            violations += m.violations().size();
         }
-        return new Found(
+        return new Result(
                 gateways,
                 loanMs,
                 loss,
@@ -130,7 +130,7 @@
                 death.getValueAtPercentile(99),
                 bytes / seeds,
                 idle / seeds,
-                over);
+                violations);
     }
 
     private static long bytes(FleetModel m) {
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaTrial.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
@@ -8,13 +8,13 @@
 import ploverdale.tools.lab.ReplicaModel.Settings;
 
 /** Runs of replicated state in simulated time: days of faults by chance, and what catching up takes. */
-public final class ReplicaTrial {
+public final class ReplicaExperiment {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final int SESSIONS = 40;
     private static final long WITHIN = 120 * SECOND;
 
-    private ReplicaTrial() {}
+    private ReplicaExperiment() {}
 
     /** What is kept in these runs. */
     public static ReplicationSettings keeping(int copies) {
@@ -74,7 +74,7 @@
     }
 
     /** A day of 24 s with sessions that roam and writes that are submitted up to four times, anywhere. */
-    public static ReplicaModel day(int n, long seed) {
+    public static ReplicaModel runWithRandomFaults(int n, long seed) {
         ReplicaModel m = new ReplicaModel(new Settings(n, keeping(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
         SplittableRandom random = new SplittableRandom(~seed);
         faults(m, random, n, 2 * SECOND, 20 * SECOND);
@@ -96,18 +96,18 @@
     }
 
     /** What came of one catching up. */
-    public record CaughtUp(int gateways, int facts, int differ, long afterMs, long bytes, double bytesIdle) {
+    public record CatchUpResult(int gateways, int facts, int differ, long afterMs, long bytes, double bytesIdle) {
         /** The names of the fields, for a file. */
-        public static final String HEAD = "gateways,facts,differ,after_ms,bytes_of_all,bytes_a_second_idle";
+        public static final String CSV_HEADER = "gateways,facts,differ,after_ms,bytes_of_all,bytes_a_second_idle";
 
-        public String row() {
+        public String csvRow() {
             return String.format(
                     Locale.ROOT, "%d,%d,%d,%d,%d,%.0f", gateways, facts, differ, afterMs, bytes, bytesIdle);
         }
     }
 
     /** One gateway is cut off while so many facts come that it does not get; told is how long it then takes, and its bytes. */
-    public static CaughtUp catchesUp(int n, int facts, int differ, double bytesPerSecond, long seed) {
+    public static CatchUpResult measureCatchUp(int n, int facts, int differ, double bytesPerSecond, long seed) {
         ReplicationSettings keeps = new ReplicationSettings(
                 3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
         ReplicaModel m = new ReplicaModel(new Settings(n, keeps, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
@@ -129,7 +129,7 @@
         });
         long before = bytes(m);
         long took = settles(m);
-        return new CaughtUp(n, m.instance(0).replicas().size(), differ, took / MS, bytes(m) - before, idle);
+        return new CatchUpResult(n, m.instance(0).replicas().size(), differ, took / MS, bytes(m) - before, idle);
     }
 
     private static void fill(ReplicaModel m, String name, int facts, int writers) {
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -190,7 +190,7 @@
     private final SimulatedNetwork network;
     private final Map<String, Long> promised = new HashMap<>(); // by session, the position of the last write seen acked
     private final Map<String, Integer> sent = new LinkedHashMap<>(); // by write, how often it may have run
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private int acked;
     private int known;
     private int unknown;
@@ -224,8 +224,8 @@
     }
 
     /** What was promised and not kept. */
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
     /** Writes whose clients saw an ack; reads whose past was known; reads whose past was not. */
@@ -288,7 +288,7 @@
                 unknown += d.status() == Status.POSITION_KNOWN ? 0 : 1;
                 long reach = d.status() == Status.POSITION_KNOWN ? d.position() : arrived;
                 if (reach < must) {
-                    broken.add("at " + now() / MS + " ms n" + gateway + " reads " + session + " from "
+                    violations.add("at " + now() / MS + " ms n" + gateway + " reads " + session + " from "
                             + (must - reach) / MS + " ms before its last acked write");
                 }
             });
@@ -306,7 +306,7 @@
         g.asks(g.replicas.claimWrite(g.local(), key, first, g.wall(), g.packing), d -> {
             if (d.status() == Status.GRANTED) {
                 if (runs && sent.merge(id, 1, Integer::sum) > 1) {
-                    broken.add("at " + now() / MS + " ms n" + gateway + " sends " + id + " once more though it ran");
+                    violations.add("at " + now() / MS + " ms n" + gateway + " sends " + id + " once more though it ran");
                 }
                 at(now() + takes, () -> proves(g, process, key, d.claim(), runs));
             }
--- a/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
+++ b/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
@@ -31,7 +31,7 @@
         Map<String, List<Point>> all = new LinkedHashMap<>();
         for (String row : rows) {
             String[] cells = row.split(",");
-            if (row.isBlank() || row.equals(RouterScale.HEAD)) {
+            if (row.isBlank() || row.equals(RouterScale.CSV_HEADER)) {
                 continue;
             }
             if (cells.length != COLUMNS) {
--- a/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
@@ -17,7 +17,7 @@
  */
 public final class RouterScale {
     /** The first line of the rows. */
-    public static final String HEAD =
+    public static final String CSV_HEADER =
             "condition,reads_per_second,servers,cpu_ms_per_s,allocated_kb_per_s,events_per_s,probes_per_s,served_per_s,refused_per_s";
 
     private static final double SECONDS = 20; // of simulated time, half of it warm-up
@@ -55,7 +55,7 @@
             Condition condition, double readsPerSecond, List<Integer> sizes, long seed, Path out, PrintStream progress)
             throws IOException {
         RouterScale scale = new RouterScale(condition, readsPerSecond, seed, progress);
-        progress.println(HEAD);
+        progress.println(CSV_HEADER);
         scale.measure(sizes.get(sizes.size() - 1)); // not counted, so that no size pays for compiling
         scale.rows.clear();
         List<Cost> costs = new ArrayList<>();
@@ -65,7 +65,7 @@
         boolean holds = scale.check(sizes, costs);
         if (out != null) {
             boolean fresh = !Files.exists(out);
-            List<String> lines = new ArrayList<>(fresh ? List.of(HEAD) : Files.readAllLines(out));
+            List<String> lines = new ArrayList<>(fresh ? List.of(CSV_HEADER) : Files.readAllLines(out));
             lines.addAll(scale.rows);
             Files.write(out, lines);
         }
--- a/tools/src/test/java/ploverdale/tools/lab/SmallSubmitsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/BoundedClaimModelTest.java
@@ -3,20 +3,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import ploverdale.tools.lab.SmallSubmits.Seen;
+import ploverdale.tools.lab.BoundedClaimModel.Result;
 
 /** All that can happen to one write that is submitted twice among three gateways. */
-class SmallSubmitsTest {
+class BoundedClaimModelTest {
     @Test
     void noCourseGrantsTheWriteTwice() {
-        Seen seen = SmallSubmits.explore(0);
+        Result seen = BoundedClaimModel.explore(0);
         System.out.println(seen);
-        assertThat(seen.firstBad()).isNull();
+        assertThat(seen.firstViolation()).isNull();
         assertThat(seen.states()).isGreaterThan(1000);
     }
 
     @Test
     void aKeeperThatStartedWithNothingAndTakesItselfToKnowAllIsFound() {
-        assertThat(SmallSubmits.explore(100_000).firstBad()).contains("restart");
+        assertThat(BoundedClaimModel.explore(100_000).firstViolation()).contains("restart");
     }
 }
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import ploverdale.tools.lab.Explorer.Seen;
+import ploverdale.tools.lab.Explorer.Result;
 
 /** All that can go wrong in a small world, and a mistake that must be found; another is in {@link FleetModelTest}. */
 class ExplorerTest {
@@ -11,24 +11,24 @@
 
     @Test
     void noFaultAloneAndNoneOfManyPairsSpendsTooMuchOrLosesAPart() {
-        Seen seen = new Explorer(SmallWorld.leaseDurations(DRIFT), DRIFT, SmallWorld.use()).explore(1999);
-        assertThat(seen.firstBad()).isNull();
-        assertThat(seen.worlds()).isGreaterThan(3000);
+        Result seen = new Explorer(BoundedQuotaModel.leaseDurations(DRIFT), DRIFT, BoundedQuotaModel.holdTime()).explore(1999);
+        assertThat(seen.firstViolation()).isNull();
+        assertThat(seen.runs()).isGreaterThan(3000);
     }
 
     @Test
     void aTimeOfUseThatIsToldTooShortIsFound() {
-        assertThat(new Explorer(SmallWorld.leaseDurations(0.001), 0, 10)
+        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(0.001), 0, 10)
                         .explore(1999)
-                        .firstBad())
+                        .firstViolation())
                 .contains("in use");
     }
 
     @Test
     void aProcessThatSpeaksAsTheOneBeforeItIsFound() {
-        assertThat(new Explorer(SmallWorld.leaseDurations(DRIFT), DRIFT, SmallWorld.use(), true)
+        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(DRIFT), DRIFT, BoundedQuotaModel.holdTime(), true)
                         .explore(499)
-                        .firstBad())
+                        .firstViolation())
                 .isNotNull();
     }
 }
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -103,7 +103,7 @@
         }
     }
 
-    private static List<String> play(int n, long seed, LeaseDurations leaseDurations) {
+    private static List<String> run(int n, long seed, LeaseDurations leaseDurations) {
         FleetModel m = started(world(n, leaseDurations), seed);
         SplittableRandom random = new SplittableRandom(~seed);
         for (int i = 0; i < n; i++) {
@@ -112,14 +112,14 @@
         faults(m, random, n, 6 * SECOND, 22 * SECOND);
         m.until(30 * SECOND);
         worst = Math.max(worst, Math.min(m.spending(0).worst(), m.spending(1).worst()));
-        return m.over();
+        return m.violations();
     }
 
     @Test
     void neverIsMoreSpentThanTheWholeThroughFaultsByChance() {
         for (long seed = 1; seed <= 60; seed++) {
             int n = 2 + (int) (seed % 9);
-            assertThat(play(n, seed, LEASING))
+            assertThat(run(n, seed, LEASING))
                     .as("seed %d, %d gateways", seed, n)
                     .isEmpty();
         }
@@ -128,7 +128,7 @@
 
     /** One borrows nearly all and is then cut off, while all others want what comes back. */
     private static List<String> cutOffWithAllLent(LeaseDurations leaseDurations) {
-        List<String> over = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (long seed = 1; seed <= 30; seed++) {
             FleetModel m = started(new Settings(division(4), leaseDurations, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
@@ -145,9 +145,9 @@
                         m.cut(3, i, true);
                     }));
             m.until(24 * SECOND);
-            over.addAll(m.over());
+            violations.addAll(m.violations());
         }
-        return over;
+        return violations;
     }
 
     @Test
@@ -166,7 +166,7 @@
         m.until(6 * SECOND);
         int[] got = asks(m, random, 0, 160, 6 * SECOND, 16 * SECOND);
         m.until(16 * SECOND);
-        assertThat(m.over()).isEmpty();
+        assertThat(m.violations()).isEmpty();
         assertThat(got[0]).as("of 60 a second, 6 its own").isGreaterThan(250);
         assertThat(m.instance(0).parts(0)).isGreaterThan(24);
         m.until(24 * SECOND);
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -11,7 +11,7 @@
 import ploverdale.replication.Replicas;
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.tools.lab.ReplicaModel.Settings;
-import ploverdale.tools.lab.ReplicaTrial.CaughtUp;
+import ploverdale.tools.lab.ReplicaExperiment.CatchUpResult;
 
 /** Replicated state in simulated time, through faults by chance; what clients were promised is held from outside. */
 class ReplicaModelTest {
@@ -20,7 +20,7 @@
 
     private static ReplicaModel model(int gateways, int copies, double loss, long seed) {
         return new ReplicaModel(
-                new Settings(gateways, ReplicaTrial.keeping(copies), 0.05, loss, 0.05, 10 * MS, 200_000), seed);
+                new Settings(gateways, ReplicaExperiment.keeping(copies), 0.05, loss, 0.05, 10 * MS, 200_000), seed);
     }
 
     @Test
@@ -29,8 +29,8 @@
         int known = 0;
         for (long seed = 1; seed <= 24; seed++) {
             int n = 2 + (int) (seed % 6);
-            ReplicaModel m = ReplicaTrial.day(n, seed);
-            assertThat(m.broken()).as("seed %d, %d gateways", seed, n).isEmpty();
+            ReplicaModel m = ReplicaExperiment.runWithRandomFaults(n, seed);
+            assertThat(m.violations()).as("seed %d, %d gateways", seed, n).isEmpty();
             acked += m.counts()[0];
             known += m.counts()[1];
         }
@@ -41,10 +41,10 @@
     @Test
     void afterFaultsEndAllCopiesAreEqualWithinSixSeconds() {
         for (long seed = 1; seed <= 10; seed++) {
-            ReplicaModel m = ReplicaTrial.day(5, seed);
+            ReplicaModel m = ReplicaExperiment.runWithRandomFaults(5, seed);
             IntStream.range(0, 5).forEach(i -> {
                 m.instance(i).goOn();
-                ReplicaTrial.starts(m, i);
+                ReplicaExperiment.starts(m, i);
             });
             IntStream.range(0, 25).forEach(i -> m.cut(i / 5, i % 5, false));
             m.loses(0.05);
@@ -64,7 +64,7 @@
         m.until(3 * SECOND);
         m.reads(4, "s");
         m.until(4 * SECOND);
-        assertThat(m.broken()).isEmpty();
+        assertThat(m.violations()).isEmpty();
         assertThat(m.counts()[1]).as("known by what no keeper can vouch for").isEqualTo(1);
     }
 
@@ -108,14 +108,14 @@
         m.until(13 * SECOND);
         m.submits(1, "w", false, MS, true, e -> ends[1] = e);
         m.until(14 * SECOND);
-        assertThat(m.broken()).isEmpty();
+        assertThat(m.violations()).isEmpty();
         assertThat(ends).containsExactly(Status.GRANTED.ordinal(), Status.IN_DOUBT.ordinal());
     }
 
     @Test
     void aFirstSubmitThatWaitedInAGatewayThatStoodStillIsNotLetInByAKeeperThatStartedSince() {
         long[] wall = {17_000_000_000_000L};
-        Replicas one = new Replicas(0, 1, 1, ReplicaTrial.keeping(1), new SplittableRandom(1), () -> wall[0]);
+        Replicas one = new Replicas(0, 1, 1, ReplicaExperiment.keeping(1), new SplittableRandom(1), () -> wall[0]);
         PacketQueue none = new PacketQueue(1000, 0);
         long arrived = wall[0]
                 - SECOND; // its client may have submitted it elsewhere since, and the keepers' copies may be gone
@@ -128,16 +128,16 @@
     @Test
     void oneThatReturnsTakesOnlyWhatDiffers() {
         for (int differ : new int[] {10, 1000}) {
-            CaughtUp c = ReplicaTrial.catchesUp(3, 20_000, differ, 400_000, 6);
-            assertThat(c.afterMs()).as(c.row()).isLessThan(10_000);
-            assertThat(c.bytes()).as(c.row()).isLessThan(20_000 + differ * 800L);
+            CatchUpResult c = ReplicaExperiment.measureCatchUp(3, 20_000, differ, 400_000, 6);
+            assertThat(c.afterMs()).as(c.csvRow()).isLessThan(10_000);
+            assertThat(c.bytes()).as(c.csvRow()).isLessThan(20_000 + differ * 800L);
         }
     }
 
     @Test
     void twoHundredThousandSessionsTakeLessThanAThirdOfWhatAGatewayMayTake() {
         Replicas one =
-                new Replicas(0, 1, 1, ReplicaTrial.keeping(1), new SplittableRandom(1), () -> 17_000_000_000_000L);
+                new Replicas(0, 1, 1, ReplicaExperiment.keeping(1), new SplittableRandom(1), () -> 17_000_000_000_000L);
         PacketQueue none = new PacketQueue(1000, 0);
         System.gc();
         long before = used();
--- a/tools/src/test/java/ploverdale/tools/scale/CapacityTableTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/CapacityTableTest.java
@@ -10,7 +10,7 @@
 /** The table says where a cost goes over its bound, and says nothing of a slope that was refuted. */
 class CapacityTableTest {
     private static List<String> rows(double msPerServer, double lastMsPerServer) {
-        List<String> rows = new ArrayList<>(List.of(RouterScale.HEAD));
+        List<String> rows = new ArrayList<>(List.of(RouterScale.CSV_HEADER));
         for (int n : new int[] {100, 200, 400, 800, 1600}) {
             rows.add("serving,50," + n + "," + n * msPerServer + ",1,1,1,1,0");
         }
