--- a/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
@@ -18,12 +18,19 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * A world small enough to try all that can happen in it: three gateways that keep the fate of one write, submitted at one and
- * once more at another, with each message delivered at any time or lost, and one gateway started anew at any time. The classes
- * are those of a gateway. Each state is reached from the beginning, choice by choice, and gone on from once.
+ * A bounded model of write claims that is small enough for exhaustive exploration: three gateways replicate the outcome of
+ * one write, which is submitted at one gateway and again at another. Each message may be delivered at any time; one message
+ * may be lost, and one gateway may restart at any time. The model runs the gateway's own classes. A state is reached by
+ * replaying its choices from the beginning, and each distinct state is expanded once. Times are in tenths of a millisecond.
  */
 public final class BoundedClaimModel {
-    /** What came of it: courses played, states told apart, and the choices of the first course that grants a write twice. */
+    /**
+     * The result of an exploration.
+     *
+     * @param transitions number of transitions that were run
+     * @param states number of distinct states that were reached
+     * @param firstViolation the choices of the first execution that grants the write twice; null if none does
+     */
     public record Result(long transitions, int states, String firstViolation) {}
 
     private static final int GATEWAYS = 3;
@@ -36,7 +43,7 @@
 
     private record Message(int from, long start, int to, byte[] bytes) {}
 
-    /** One course. */
+    /** One execution of the model. */
     private static final class State {
         private final Replicas[] gateways = new Replicas[GATEWAYS];
         private final PacketQueue[] packing = new PacketQueue[GATEWAYS];
@@ -49,13 +56,16 @@
         private int restarts;
         private int granted;
 
-        /** @param startsAsIf by which a start is taken to be longer ago than it is; more than none is a mistake that must be found */
+        /**
+         * @param startsAsIf how far the start time of a restarted gateway is set back; any value but 0 is a deliberate
+         *     defect that exploration must find
+         */
         private State(long startsAsIf) {
             this.startsAsIf = startsAsIf;
             for (int i = 0; i < GATEWAYS; i++) {
                 starts(i, 0);
             }
-            wall += 2 * WINDOW; // all vouch for what they know
+            wall += 2 * WINDOW; // from now on each gateway's history covers the whole resubmission window
         }
 
         private void starts(int i, long ago) {
@@ -66,7 +76,7 @@
             wall = now;
         }
 
-        /** What can happen next; the first ones are the messages on the way. */
+        /** Returns the choices that are possible next, deliveries of messages in flight first. */
         private List<String> choices() {
             List<String> all = new ArrayList<>();
             for (int m = 0; m < onTheWay.size(); m++) {
@@ -118,6 +128,7 @@
                     .thenComparing(Message::bytes, Arrays::compare));
         }
 
+        /** Returns a text that is equal for equal states. */
         private String state() {
             StringBuilder b = new StringBuilder()
                     .append(submits)
@@ -135,7 +146,11 @@
 
     private BoundedClaimModel() {}
 
-    /** Plays all that can happen, state by state; a state that was seen before is not gone on from once more. */
+    /**
+     * Explores all reachable states breadth first, until the write is granted twice.
+     *
+     * @param startsAsIf how far the start time of a restarted gateway is set back; any value but 0 is a deliberate defect
+     */
     public static Result explore(long startsAsIf) {
         Set<String> seen = new HashSet<>();
         Deque<List<String>> paths = new ArrayDeque<>(List.of(List.of()));
--- a/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
@@ -14,25 +14,41 @@
 import ploverdale.quota.SharedLimit;
 
 /**
- * A world small enough to try all that can happen in it: three gateways, four parts, time in steps, and faults that are
- * given and not drawn. One clock runs slow and one fast. The classes are those of a gateway. In each step all messages come
- * in their order but for the one that a fault names.
+ * A bounded model of the quota protocol that is small enough for exhaustive exploration: three gateways share a limit of
+ * four units, time advances in steps, and faults are given by the caller instead of being random. One gateway's clock runs
+ * slow and one runs fast. The model runs the gateway's own classes. In each step all messages are delivered in the order in
+ * which they were sent, except those that a fault affects. Times are in tenths of a millisecond.
  */
 public final class BoundedQuotaModel {
-    /** What goes wrong in a step. */
+    /** Kinds of faults. The first three affect a message, the others a gateway; this order is relied on. */
     public enum Kind {
+        /** The message is lost. */
         DROP,
+        /** The message is delivered one step late. */
         LATE,
+        /** The message is delivered at once and again in the next step. */
         TWICE,
+        /** The process is killed, and started again a few steps later. */
         KILL,
+        /** The process is paused for longer than any lease lasts. */
         STOP,
+        /** All messages from and to the gateway are lost for longer than any lease lasts. */
         CUT
     }
 
-    /** One fault: of a message, which one of the step; of a gateway, which one. */
+    /**
+     * One fault.
+     *
+     * @param step the step in which it occurs
+     * @param which index of the affected message among those delivered in the step, or index of the affected gateway
+     */
     public record Fault(int step, Kind kind, int which) {}
 
-    /** Who wants parts in each step: bit by bit. */
+    /**
+     * The gateways that acquire units in each step; the sequence repeats.
+     *
+     * @param byStep for each step a bit mask in which bit i stands for gateway i
+     */
     public record Demand(int[] byStep) {
         int at(int step) {
             return byStep[step % byStep.length];
@@ -40,14 +56,32 @@
     }
 
     public static final int GATEWAYS = 3;
+
+    /** Capacity of the shared limit, in units. */
     public static final int WHOLE = 4;
-    public static final int FROM = 12; // a step at which each is the steward of its estate
+
+    /** First step with faults; by then each gateway holds the lease of its own partition. */
+    public static final int FROM = 12;
+
+    /** First step after those with faults. */
     public static final int STEPS = 30;
-    public static final int MESSAGES = 20; // of a step that a fault may be of; there are hardly more
-    private static final int HEALS = 60; // steps without faults, at the end
-    private static final long STEP = 1000; // tenths of a millisecond
-    private static final int STOPPED = 8; // steps, longer than any lease; the same for one that is cut off
+
+    /** Number of messages of a step that a fault may affect; a step rarely has more. */
+    public static final int MESSAGES = 20;
+
+    /** Steps without faults at the end of a run. */
+    private static final int HEALS = 60;
+
+    /** Length of a step. */
+    private static final long STEP = 1000;
+
+    /** Steps for which a gateway is paused or cut off; longer than any lease. */
+    private static final int STOPPED = 8;
+
+    /** Steps from a kill to the restart. */
     private static final int DEAD = 2;
+
+    /** How long a unit stays in use, by the clock of the gateway that acquired it. */
     private static final long USE = 3300;
 
     private record Message(int from, long start, int to, byte[] bytes) {}
@@ -61,7 +95,9 @@
         private int stoppedFor;
         private int cutUntil;
         private int deadFor;
-        private int owes; // parts whose use has ended while it stood still
+        /** Units that became free while the process was paused; it releases them when it resumes. */
+        private int owes;
+
         private final List<Message> held = new ArrayList<>();
 
         private Gateway(int number) {
@@ -105,7 +141,7 @@
         }
     }
 
-    /** A part in use. */
+    /** A unit in use until the given simulated time. */
     private record Use(int gateway, long start, long until) {}
 
     private final QuotaAllocation division;
@@ -120,8 +156,10 @@
     private int most;
 
     /**
-     * @param told for how long the budget says a part may be in use; too short a time is a mistake that must be found
-     * @param startsAlike whether a process that was killed speaks as the one before it, another such mistake
+     * @param drift the share by which gateway 0's clock runs slow and gateway 2's runs fast
+     * @param told the longest hold time that the shared limit declares; a value below the real one is a deliberate defect
+     *     that exploration must find
+     * @param startsAlike whether a restarted process uses the same epoch as the one before it, another deliberate defect
      */
     private BoundedQuotaModel(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
         this.startsAlike = startsAlike;
@@ -134,17 +172,22 @@
         }
     }
 
-    /** Leases that suit this world. */
+    /** Returns lease durations that fit the steps of this model. */
     public static LeaseDurations leaseDurations(double clocksApart) {
         return new LeaseDurations(3 * STEP, 3 * STEP, clocksApart);
     }
 
-    /** For how long a part is in use here. */
+    /** Returns how long a unit stays in use in this model. */
     public static long holdTime() {
         return USE;
     }
 
-    /** Plays it; null if all is well, or what was not: too much in use, or parts lost for ever. */
+    /**
+     * Runs the model once.
+     *
+     * @return null if no rule was violated; otherwise a description: more units in use than the capacity, or units that
+     *     were still missing at the end, long after the last fault
+     */
     public static String run(
             LeaseDurations leaseDurations,
             double drift,
@@ -169,7 +212,7 @@
         for (Gateway g : w.gateways) {
             parts += g.budgets.heldUnits(g.local(), 0);
         }
-        return parts == WHOLE ? null : parts + " of " + WHOLE + " parts left";
+        return parts == WHOLE ? null : parts + " of " + WHOLE + " units left";
     }
 
     private void step(List<Fault> faults, int wants) {
--- a/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
@@ -8,12 +8,13 @@
 import ploverdale.quota.SharedLimit;
 
 /**
- * What all gateways together spend of one budget, counted where it is spent, and whether that is more than the whole: at any
- * instant for what is in use, in any window for a rate. Times in tenths of a millisecond.
+ * Records what all gateways together consume of one shared limit, and checks it against the limit's capacity: at any instant
+ * for a concurrency limit, in any window for a rate limit. Times are in tenths of a millisecond.
  */
 public final class ConsumptionRecorder {
-    private static final long WINDOW =
-            50_000; // kept for this long; every window that ends now and begins in it is looked at
+    /** Longest window over which a rate is checked; every window that ends at an acquisition and is no longer is checked. */
+    private static final long WINDOW = 50_000;
+
     private static final double SECOND = 10_000;
 
     private final SharedLimit budget;
@@ -22,16 +23,22 @@
     private final List<String> violations = new ArrayList<>();
     private int inUse;
     private int mostInUse;
-    private double worst; // of a rate: most spent in a window, as a share of what may be
+
+    /** Of a rate limit, the highest consumption in any window as a share of what is allowed there. */
+    private double worst;
+
     private long all;
 
-    /** @param slack parts by which arrival may be crowded on the way; 0 where the count is at the source */
+    /**
+     * @param slack units by which a window may exceed a rate because delays on the network bunch them; 0 if units are counted
+     *     where they are acquired
+     */
     public ConsumptionRecorder(SharedLimit budget, double slack) {
         this.budget = budget;
         this.slack = slack;
     }
 
-    /** A part is spent, or taken into use. */
+    /** Records that a gateway acquired a unit. */
     public void spends(long now, String who) {
         all++;
         if (budget.kind() == SharedLimit.Kind.CONCURRENCY) {
@@ -39,7 +46,7 @@
             if (inUse > budget.capacity()) {
                 violations.add(String.format(
                         Locale.ROOT,
-                        "%.1f ms: %s takes %s to %d of %d in use",
+                        "%.1f ms: %s acquires %s, %d of %d in use",
                         now / 10.0,
                         who,
                         budget.name(),
@@ -59,7 +66,7 @@
             if (n > may + 1e-6) {
                 violations.add(String.format(
                         Locale.ROOT,
-                        "%.1f ms: %s spends %s, %d in %.1f ms, where %.2f may be",
+                        "%.1f ms: %s acquires %s, %d in %.1f ms where %.2f are allowed",
                         now / 10.0,
                         who,
                         budget.name(),
@@ -72,26 +79,27 @@
         }
     }
 
-    /** A part is in use no more. */
+    /** Records that a unit of a concurrency limit is no longer in use. */
     public void ended() {
         inUse--;
     }
 
-    /** In use now. */
+    /** Returns the number of units that are in use. */
     public int inUse() {
         return inUse;
     }
 
-    /** Each time that it was too much. */
+    /** Returns a description of each time that the limit was exceeded. */
     public List<String> violations() {
         return violations;
     }
 
+    /** Returns the number of units that have been acquired. */
     public long all() {
         return all;
     }
 
-    /** The most there was, as a share of what may be. */
+    /** Returns the highest consumption as a share of what the limit allows. */
     public double worst() {
         return budget.kind() == SharedLimit.Kind.CONCURRENCY
                 ? mostInUse / (double) Math.max(1, budget.capacity())
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -8,14 +8,19 @@
 import ploverdale.tools.lab.BoundedQuotaModel.Kind;
 
 /**
- * Tries all that can go wrong in the small world: each fault alone, and each pair of faults, under each demand. For longer
- * runs a share of the pairs can be left out, evenly.
+ * Explores the bounded quota model exhaustively: runs it with each single fault and with each pair of faults, under each
+ * demand. To shorten a run, only an evenly spread sample of the pairs can be used.
  */
 public final class Explorer {
-    /** What came of it. */
+    /**
+     * The result of an exploration.
+     *
+     * @param runs number of runs of the model
+     * @param firstViolation description of the first run that violated a rule; null if none did
+     */
     public record Result(long runs, String firstViolation) {}
 
-    /** Who wants parts: one and then the others, one and then all, each in turn, two of three. */
+    /** One gateway and then the others; one gateway and then all; each in turn; two of three. */
     public static final List<Demand> DEMANDS = List.of(
             new Demand(new int[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6}),
             new Demand(new int[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7}),
@@ -31,7 +36,7 @@
         this(leaseDurations, drift, told, false);
     }
 
-    /** With a mistake perhaps: each start of a name speaks alike. */
+    /** @param startsAlike whether each process of a gateway uses the same epoch, which is a deliberate defect */
     Explorer(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
         this.startsAlike = startsAlike;
         this.leaseDurations = leaseDurations;
@@ -52,7 +57,11 @@
         return all;
     }
 
-    /** Plays each fault alone and every so manieth pair, until one goes wrong. */
+    /**
+     * Runs the model with each single fault and with a sample of the pairs, until a run violates a rule.
+     *
+     * @param everyPair about one pair in this many is run; 1 for all pairs
+     */
     public Result explore(int everyPair) {
         List<Fault> all = all();
         long runs = 0;
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -14,21 +14,30 @@
 import ploverdale.quota.SharedLimit;
 
 /**
- * Instances of membership and budgets in simulated time, with clocks of their own that run fast or slow, datagrams that are
- * lost, doubled and late, and processes that are killed, stopped and started. What is spent is counted from outside. Times in
- * tenths of a millisecond.
+ * A simulation of gateways that run membership and quotas, with clocks that run fast or slow, datagrams that are lost,
+ * duplicated and delayed, and processes that are killed, paused and restarted. The model itself counts the consumption of
+ * each shared limit. Times are in tenths of a millisecond.
  */
 public final class FleetModel {
     private static final long MS = 10;
-    private static final long LOOK = 20 * MS; // each instance, by its own clock
-    private static final long STEPS_MS = 1_700_000_000_000L; // a Unix time to begin with; only differences matter
-    private static final int HELD_WHILE_STOPPED = 200; // datagrams; the system keeps so many
+
+    /** Interval of a gateway's periodic tick, by its own clock. */
+    private static final long LOOK = 20 * MS;
+
+    /** Unix time at which a simulation begins; only differences matter. */
+    private static final long STEPS_MS = 1_700_000_000_000L;
+
+    /** Number of deferred events from which a paused process drops datagrams, as a full socket buffer does. */
+    private static final int HELD_WHILE_STOPPED = 200;
 
     /**
-     * The world.
+     * Settings of a simulation.
      *
-     * @param drift by which clocks run fast or slow, at most, as a share
-     * @param delay of a datagram, at most
+     * @param drift largest share by which a clock runs fast or slow
+     * @param loss share of datagrams that are lost
+     * @param twice share of datagrams that are duplicated
+     * @param delay longest delay of a datagram
+     * @param bytesPerSecond largest rate at which a gateway sends
      */
     public record Settings(
             QuotaAllocation division,
@@ -39,7 +48,7 @@
             long delay,
             double bytesPerSecond) {}
 
-    /** One instance; it may be dead or stopped. */
+    /** One gateway; its process may be dead or paused. */
     public final class Instance {
         private final int number;
         private final double rate;
@@ -48,7 +57,9 @@
         private QuotaProtocol budgets;
         private PacketQueue packing;
         private boolean stopped;
-        private int process; // counts its starts
+        /** Number of processes started so far, which identifies the current one. */
+        private int process;
+
         private final List<Runnable> held = new ArrayList<>();
         private long bytes;
 
@@ -58,7 +69,7 @@
             zero = random.nextLong(1_000_000_000L);
         }
 
-        /** Its own clock: it never steps, and says nothing about any other's. */
+        /** Returns the time of this gateway's monotonic clock, which cannot be compared with that of another gateway. */
         private long local() {
             return zero + (long) (now() * rate);
         }
@@ -79,7 +90,7 @@
             return membership;
         }
 
-        /** Parts that it may spend now. */
+        /** Returns the units of a limit that this gateway holds; 0 if its process is dead or paused. */
         public int parts(int budget) {
             return runs() ? budgets.heldUnits(local(), budget) : 0;
         }
@@ -88,7 +99,11 @@
             return bytes + (packing == null ? 0 : packing.bytesSent());
         }
 
-        /** Starts it, with nothing but its name; the clock by which it names its start may have stepped. */
+        /**
+         * Starts a process with empty memory.
+         *
+         * @param stepMs step of the Unix clock from which the start time is taken; negative if the clock was set back
+         */
         public void start(long stepMs) {
             long startedMs = STEPS_MS + now() / MS + stepMs;
             membership = new Membership(number, world.division.gateways(), startedMs, random.split());
@@ -105,7 +120,7 @@
             at(now() + 1, () -> look(p));
         }
 
-        /** Killed outright: what it held in memory is gone; what it has in use at servers ends there in its time. */
+        /** Kills the process; its memory is lost. Units that are in use at servers stay in use until their time is over. */
         public void kill() {
             bytes = bytes();
             membership = null;
@@ -114,11 +129,12 @@
             held.clear();
         }
 
-        /** Stands still without noticing. */
+        /** Pauses the process; until it resumes, its ticks, releases and the datagrams it receives are deferred. */
         public void stop() {
             stopped = budgets != null;
         }
 
+        /** Resumes a paused process, which first handles what was deferred. */
         public void goOn() {
             if (stopped) {
                 stopped = false;
@@ -171,7 +187,12 @@
             }
         }
 
-        /** Wants to spend a part; true where it could. What is in use stays so for that long by its own clock. */
+        /**
+         * Acquires one unit if the gateway has one free. A unit of a concurrency limit is released after the given time.
+         *
+         * @param uses how long the unit stays in use, by this gateway's clock
+         * @return whether a unit was acquired
+         */
         public boolean spend(int budget, long uses) {
             if (!runs() || !budgets.tryAcquire(local(), budget)) {
                 return false;
@@ -239,34 +260,34 @@
         return spending.get(budget);
     }
 
-    /** Whatever was spent beyond a whole. */
+    /** Returns a description of each time that a shared limit was exceeded. */
     public List<String> violations() {
         List<String> all = new ArrayList<>();
         spending.forEach(s -> all.addAll(s.violations()));
         return all;
     }
 
-    /** Parts that all who run may spend now. */
+    /** Returns the units of a limit that all running gateways hold together. */
     public int parts(int budget) {
         return instances.stream().mapToInt(i -> i.parts(budget)).sum();
     }
 
-    /** What happens at a time. */
+    /** Schedules an action for the given time. */
     public void at(long time, Runnable what) {
         network.at(time, what);
     }
 
-    /** Plays on until then. */
+    /** Runs the simulation up to and including the given time. */
     public void until(long time) {
         network.until(time);
     }
 
-    /** One direction between two is cut or healed. */
+    /** Blocks or unblocks one direction of the link between two gateways. */
     public void cut(int from, int to, boolean is) {
         network.cut(from, to, is);
     }
 
-    /** From now on this share of datagrams is lost. */
+    /** Sets the share of datagrams that are lost from now on. */
     public void loses(double share) {
         network.loses(share);
     }
--- a/tools/src/main/java/ploverdale/tools/lab/Plot.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Plot.java
@@ -15,14 +15,20 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Curves of what the lab found, as a picture. */
+/** Draws line charts of CSV files that experiments wrote. */
 public final class Plot {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 500;
 
     private Plot() {}
 
-    /** Draws some columns of a file of rows over its first column. */
+    /**
+     * Draws columns of a CSV file over its first column, on a logarithmic axis, and writes the chart as a PNG image.
+     *
+     * @param rows the CSV file, with a header line
+     * @param unit label of the vertical axis
+     * @param columns names of the columns to draw, as in the header line
+     */
     public static void draw(Path rows, Path picture, String title, String unit, List<String> columns)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -10,26 +10,42 @@
 import ploverdale.tools.lab.FleetModel.Settings;
 
 /**
- * Some runs of one fleet in simulated time: how soon parts follow a shift of demand to one gateway, how soon the parts of a
- * gateway that was killed are divided anew, what is idle, and what it costs in bytes.
+ * Experiments with a shared rate limit in simulated time. Measures how soon units follow a shift of demand to one gateway, how
+ * soon the units of a killed gateway are available to others, what share of the capacity nobody holds, and the bytes sent.
  */
 public final class QuotaExperiment {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long LOOK = 50 * MS;
-    private static final int PARTS = 8; // of each gateway by right
+
+    /** Units that each gateway is entitled to. */
+    private static final int PARTS = 8;
+
+    /** Share of its entitlement that a gateway is guaranteed. */
     private static final double FLOOR = 0.5;
-    private static final double USES = 0.25; // of what each holds, before the shift
-    private static final int WANTS = 40; // parts, by the one to whom demand shifts: five times its right
-    private static final double SHIFTED =
-            0.8; // of what it wants, or of what floors and the others' own use leave to it
+
+    /** Share of its entitlement that each gateway consumes before the shift. */
+    private static final double USES = 0.25;
+
+    /** Units per second that gateway 0 consumes after the shift: five times its entitlement. */
+    private static final int WANTS = 40;
+
+    /** The shift is complete when gateway 0 holds this share of what it can get. */
+    private static final double SHIFTED = 0.8;
+
+    /** A shift or a takeover that takes longer is recorded with this time. */
     private static final long WITHIN = 60 * SECOND;
 
     /**
-     * What was found. Times in milliseconds; of those that took longer than a minute, the minute.
+     * The result of the runs of one fleet. Times are in milliseconds; those above a minute are recorded as a minute.
      *
-     * @param bytes an instance and second
-     * @param idle share of the whole that nobody could spend, on the average after the start and before the faults
+     * @param loanMs term of a sub-lease
+     * @param loss share of datagrams that are lost
+     * @param shiftP50 time until units have followed the shift of demand
+     * @param deathP50 time until the units of the killed gateway are available to others
+     * @param bytes bytes per second that a gateway sends
+     * @param idle average share of the capacity that no gateway held, after the start and before the shift
+     * @param violations number of times that the limit was exceeded
      */
     public record Result(
             int gateways,
@@ -42,7 +58,7 @@
             double bytes,
             double idle,
             int violations) {
-        /** The names of the fields, for a file. */
+        /** Header line of the CSV file. */
         public static final String CSV_HEADER = "gateways,loan_ms,loss,shift_p50_ms,shift_p99_ms,death_p50_ms,death_p99_ms,"
                 + "bytes_a_second,idle,over";
 
@@ -65,7 +81,7 @@
 
     private QuotaExperiment() {}
 
-    /** Plays so many seeds. */
+    /** Runs the experiment once for each of a range of seeds. */
     public static Result run(int gateways, long loanMs, double loss, long firstSeed, int seeds) {
         Histogram shift = new Histogram(3);
         Histogram death = new Histogram(3);
@@ -110,7 +126,7 @@
             int dead = 1 + random.nextInt(gateways - 1);
             long diedAt = m.now();
             m.instance(dead).kill();
-            // Two gateways have no keepers: what is the dead one's stays idle until it is back.
+            // With two gateways there is a single acceptor, so the units of a dead gateway stay idle until it is back.
             int all = d.acceptorCount() == 1
                     ? d.entitlement(0, 0)
                     : d.limits().get(0).capacity() - d.guaranteedUnits(dead, 0);
@@ -137,6 +153,7 @@
         return m.instances().stream().mapToLong(FleetModel.Instance::bytes).sum();
     }
 
+    /** Schedules random acquisitions by gateways for the next interval, at the given rate for each of them. */
     private static void asks(FleetModel m, SplittableRandom random, int from, double perSecond) {
         for (int i = from; i < m.instances().size(); i++) {
             if (random.nextDouble() < perSecond * LOOK / SECOND) {
@@ -146,6 +163,7 @@
         }
     }
 
+    /** Schedules the demand of gateway 0 for the next interval. */
     private static void wants(FleetModel m, SplittableRandom random) {
         for (int n = 0; n < WANTS * LOOK / SECOND; n++) {
             m.at(m.now() + random.nextLong(LOOK), () -> m.instance(0).spend(0, 0));
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
@@ -7,7 +7,7 @@
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.tools.lab.ReplicaModel.Settings;
 
-/** Runs of replicated state in simulated time: days of faults by chance, and what catching up takes. */
+/** Experiments with replication in simulated time: runs with random faults, and the cost of catching up after a partition. */
 public final class ReplicaExperiment {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
@@ -16,7 +16,7 @@
 
     private ReplicaExperiment() {}
 
-    /** What is kept in these runs. */
+    /** Returns the replication settings of the runs with random faults. */
     public static ReplicationSettings keeping(int copies) {
         return new ReplicationSettings(
                 copies, true, 20 * SECOND, 60 * MS, 8 * SECOND, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
@@ -49,7 +49,7 @@
                     m.at(a, () -> m.loses(0.5));
                     m.at(b, () -> m.loses(0.05));
                 }
-                default -> { // one after the other, each back before the next goes
+                default -> { // a rolling restart: each gateway is back before the next one is killed
                     for (int i = 0; i < n; i++) {
                         int who = i;
                         m.at(a + i * 400 * MS, () -> m.instance(who).kill());
@@ -60,20 +60,24 @@
         }
     }
 
-    /** Starts it if it is dead. */
+    /** Starts the given gateway if its process is dead. */
     static void starts(ReplicaModel m, int x) {
         if (!m.instance(x).alive()) {
             m.instance(x).start();
         }
     }
 
+    /** Blocks or unblocks all links between the two halves of the fleet. */
     private static void halves(ReplicaModel m, int n, boolean cut) {
         IntStream.range(0, n * n)
                 .filter(i -> (i / n < n / 2) != (i % n < n / 2))
                 .forEach(i -> m.cut(i / n, i % n, cut));
     }
 
-    /** A day of 24 s with sessions that roam and writes that are submitted up to four times, anywhere. */
+    /**
+     * Simulates 24 s with random faults, in which sessions use a random gateway for each request and each write is submitted
+     * up to four times, each time at a random gateway.
+     */
     public static ReplicaModel runWithRandomFaults(int n, long seed) {
         ReplicaModel m = new ReplicaModel(new Settings(n, keeping(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
         SplittableRandom random = new SplittableRandom(~seed);
@@ -95,9 +99,17 @@
         return m;
     }
 
-    /** What came of one catching up. */
+    /**
+     * The result of one measurement of catching up.
+     *
+     * @param facts entries that gateway 0 holds at the end
+     * @param differ entries that the gateway missed while it was partitioned
+     * @param afterMs time from the end of the partition until all replicas were equal
+     * @param bytes sent by all gateways in that time
+     * @param bytesIdle bytes per second that a gateway sends when nothing is written
+     */
     public record CatchUpResult(int gateways, int facts, int differ, long afterMs, long bytes, double bytesIdle) {
-        /** The names of the fields, for a file. */
+        /** Header line of the CSV file. */
         public static final String CSV_HEADER = "gateways,facts,differ,after_ms,bytes_of_all,bytes_a_second_idle";
 
         public String csvRow() {
@@ -106,7 +118,14 @@
         }
     }
 
-    /** One gateway is cut off while so many facts come that it does not get; told is how long it then takes, and its bytes. */
+    /**
+     * Partitions one gateway from the others, writes entries that it misses, and measures how long it takes to catch up and
+     * how many bytes that costs.
+     *
+     * @param facts entries that are written before the partition
+     * @param differ entries that are written during the partition
+     * @param bytesPerSecond largest rate at which a gateway sends
+     */
     public static CatchUpResult measureCatchUp(int n, int facts, int differ, double bytesPerSecond, long seed) {
         ReplicationSettings keeps = new ReplicationSettings(
                 3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
@@ -140,6 +159,7 @@
         m.until(m.now() + facts / 4 + 2 * SECOND);
     }
 
+    /** Runs the model until all replicas are equal, or for {@link #WITHIN} at most, and returns the time taken. */
     private static long settles(ReplicaModel m) {
         long from = m.now();
         while (m.differing() > 0 && m.now() < from + WITHIN) {
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -21,22 +21,35 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * Instances of membership and replicated state in simulated time, with clients that roam, datagrams that are lost, doubled and
- * late, and processes that are killed, stopped and started. What clients were promised is held from outside: the position of
- * each session's last acked write, and how often each write was sent. Times in tenths of a millisecond.
+ * A simulation of gateways that run membership and replication, with clients that reconnect to other gateways, datagrams that
+ * are lost, duplicated and delayed, and processes that are killed, paused and restarted. The model itself records what clients
+ * rely on, and checks the gateways against it: the position of each session's last acknowledged write, and how often each
+ * write may have been executed. Times are in tenths of a millisecond.
  */
 public final class ReplicaModel {
     private static final long MS = 10;
+
+    /** Interval of a gateway's periodic tick, by its own clock. */
     private static final long LOOK = 20 * MS;
-    private static final long ZERO = 17_000_000_000_000L; // a Unix time to begin with
-    private static final long LASTS_ON = 1000 * MS; // facts that end within this are not looked at
+
+    /** Unix time at which a simulation begins. */
+    private static final long ZERO = 17_000_000_000_000L;
+
+    /** Entries that expire within this time are left out when replicas are compared. */
+    private static final long LASTS_ON = 1000 * MS;
+
+    /** Number of deferred events from which a paused process drops datagrams, as a full socket buffer does. */
     private static final int HELD_WHILE_STOPPED = 200;
 
     /**
-     * The world.
+     * Settings of a simulation.
      *
-     * @param drift by which clocks that never step run fast or slow, at most; the Unix clock is off by less than is told
-     * @param delay of a datagram, at most
+     * @param keeping settings of replication; Unix clocks differ by less than their largest clock difference
+     * @param drift largest share by which a monotonic clock runs fast or slow
+     * @param loss share of datagrams that are lost
+     * @param twice share of datagrams that are duplicated
+     * @param delay longest delay of a datagram
+     * @param bytesPerSecond largest rate at which a gateway sends
      */
     public record Settings(
             int gateways,
@@ -47,7 +60,7 @@
             long delay,
             double bytesPerSecond) {}
 
-    /** One instance; it may be dead or stopped. */
+    /** One gateway; its process may be dead or paused. */
     public final class Instance {
         private final int number;
         private final double rate;
@@ -88,7 +101,7 @@
             return bytes + (packing == null ? 0 : packing.bytesSent());
         }
 
-        /** Starts it with nothing but its name. */
+        /** Starts a process with empty memory. */
         public void start() {
             membership = new Membership(number, world.gateways, wall() / MS, random.split());
             packing = new PacketQueue(world.bytesPerSecond, local());
@@ -104,7 +117,7 @@
             at(now() + 1, () -> look(p));
         }
 
-        /** Killed outright. */
+        /** Kills the process; its memory and all that it had deferred are lost. */
         public void kill() {
             bytes = bytes();
             replicas = null;
@@ -113,11 +126,12 @@
             tickets.clear();
         }
 
-        /** Stands still without noticing. */
+        /** Pauses the process; until it resumes, its ticks and the datagrams it receives are deferred. */
         public void stop() {
             stopped = replicas != null;
         }
 
+        /** Resumes a paused process, which first handles what was deferred. */
         public void goOn() {
             if (stopped) {
                 stopped = false;
@@ -188,8 +202,13 @@
     private final SplittableRandom random;
     private final List<Instance> instances = new ArrayList<>();
     private final SimulatedNetwork network;
-    private final Map<String, Long> promised = new HashMap<>(); // by session, the position of the last write seen acked
-    private final Map<String, Integer> sent = new LinkedHashMap<>(); // by write, how often it may have run
+
+    /** By session, the position of the last write whose acknowledgement its client received. */
+    private final Map<String, Long> promised = new HashMap<>();
+
+    /** By write, how often it may have been executed. */
+    private final Map<String, Integer> sent = new LinkedHashMap<>();
+
     private final List<String> violations = new ArrayList<>();
     private int acked;
     private int known;
@@ -223,39 +242,40 @@
         return instances;
     }
 
-    /** What was promised and not kept. */
+    /** Returns a description of each stale read and of each write that was executed again. */
     public List<String> violations() {
         return violations;
     }
 
-    /** Writes whose clients saw an ack; reads whose past was known; reads whose past was not. */
+    /** Returns the number of acknowledged writes, of reads whose session position was known, and of the other reads. */
     public int[] counts() {
         return new int[] {acked, known, unknown};
     }
 
-    /** What happens at a time. */
+    /** Schedules an action for the given time. */
     public void at(long time, Runnable what) {
         network.at(time, what);
     }
 
-    /** Plays on until then. */
+    /** Runs the simulation up to and including the given time. */
     public void until(long time) {
         network.until(time);
     }
 
-    /** One direction between two is cut or healed. */
+    /** Blocks or unblocks one direction of the link between two gateways. */
     public void cut(int from, int to, boolean is) {
         network.cut(from, to, is);
     }
 
-    /** From now on this share of datagrams is lost. */
+    /** Sets the share of datagrams that are lost from now on. */
     public void loses(double share) {
         network.loses(share);
     }
 
-    // -- Clients
-
-    /** A session's write through one gateway, acked by a server just now; its client sees the ack once it is copied. */
+    /**
+     * Simulates a session's write through one gateway that a server has just acknowledged. The client receives the
+     * acknowledgement once the session's position is replicated.
+     */
     public void writes(int gateway, String session) {
         Instance g = instances.get(gateway);
         if (g.runs()) {
@@ -277,7 +297,7 @@
         }
     }
 
-    /** A session's read through another; it must reach what its client has seen acked before. */
+    /** Simulates a session's read, and checks that it covers the last write whose acknowledgement the client received. */
     public void reads(int gateway, String session) {
         Instance g = instances.get(gateway);
         if (g.runs()) {
@@ -295,7 +315,16 @@
         }
     }
 
-    /** A write under an id, first or once more; where it is granted it may run, and what is proven of that comes later. */
+    /**
+     * Simulates a write that is submitted under an idempotency key. If its claim is granted, the write is sent to a server,
+     * and the gateway records the outcome later.
+     *
+     * @param id the idempotency key
+     * @param first whether this is the first submission
+     * @param takes time from the grant to the outcome
+     * @param runs whether the server executes the write
+     * @param then receives the ordinal of the {@link Status} with which the claim ended
+     */
     public void submits(int gateway, String id, boolean first, long takes, boolean runs, LongConsumer then) {
         Instance g = instances.get(gateway);
         if (!g.runs()) {
@@ -306,7 +335,7 @@
         g.asks(g.replicas.claimWrite(g.local(), key, first, g.wall(), g.packing), d -> {
             if (d.status() == Status.GRANTED) {
                 if (runs && sent.merge(id, 1, Integer::sum) > 1) {
-                    violations.add("at " + now() / MS + " ms n" + gateway + " sends " + id + " once more though it ran");
+                    violations.add("at " + now() / MS + " ms n" + gateway + " executes " + id + " again");
                 }
                 at(now() + takes, () -> proves(g, process, key, d.claim(), runs));
             }
@@ -329,7 +358,7 @@
         }
     }
 
-    /** Pairs of gateways whose copies differ. */
+    /** Returns the number of pairs of live gateways whose replicas differ, apart from entries that expire soon. */
     public int differing() {
         int n = 0;
         long until = ZERO + now() + LASTS_ON;
--- a/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
@@ -4,11 +4,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Simulated time, and datagrams between instances that are lost, doubled and late. Events at the same time happen in the
- * order in which they were added. Times in tenths of a millisecond.
+ * A discrete-event simulation of a datagram network that loses, duplicates and delays datagrams between gateways. Events
+ * that are due at the same time run in the order in which they were scheduled. Times are in tenths of a millisecond.
  */
 final class SimulatedNetwork {
-    /** Is handed each datagram that arrives. */
+    /** Receives each datagram that arrives. */
     interface Receiver {
         void receive(int from, int to, byte[] bytes);
     }
@@ -31,9 +31,9 @@
     private long order;
 
     /**
-     * @param loss share of datagrams that never arrive
-     * @param twice share of datagrams that are sent twice
-     * @param delay of a datagram, at most
+     * @param loss share of datagrams that are lost
+     * @param twice share of datagrams that are duplicated
+     * @param delay longest delay of a datagram
      */
     SimulatedNetwork(int instances, double loss, double twice, long delay, RandomGenerator random, Receiver receiver) {
         this.loss = loss;
@@ -48,12 +48,12 @@
         return now;
     }
 
-    /** Has this happen at that time, or now if the time has passed. */
+    /** Schedules an action for the given time, or for now if that time has passed. */
     void at(long time, Runnable what) {
         events.add(new Event(Math.max(now, time), order++, what));
     }
 
-    /** Plays on until that time. */
+    /** Runs the simulation up to and including the given time. */
     void until(long time) {
         while (!events.isEmpty() && events.peek().at <= time) {
             Event e = events.poll();
@@ -63,12 +63,12 @@
         now = time;
     }
 
-    /** Cuts or heals one direction between two instances. */
+    /** Blocks or unblocks one direction of the link between two gateways. */
     void cut(int from, int to, boolean is) {
         cut[from][to] = is;
     }
 
-    /** From now on this share of datagrams is lost. */
+    /** Sets the share of datagrams that are lost from now on. */
     void loses(double share) {
         loss = share;
     }
--- a/tools/src/main/java/ploverdale/tools/lab/package-info.java
+++ b/tools/src/main/java/ploverdale/tools/lab/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns the same classes that run in a gateway, by the hundred and in simulated time: membership and budgets without sockets,
- * under demand that shifts and faults by chance or by script. A tool for deciding; what it shows is always called simulated.
- * Must never hold a decision of its own about members or budgets.
+ * Runs the gateway's own membership, quota and replication classes for hundreds of gateways in simulated time, without sockets,
+ * under shifting demand and under random or scheduled faults. Its results support design decisions and are always labelled as
+ * simulated. This package must not contain logic of its own for membership, quotas or replication.
  */
 package ploverdale.tools.lab;
--- a/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
+++ b/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
@@ -8,14 +8,15 @@
 import ploverdale.tools.scale.Slope.Point;
 
 /**
- * Makes the tables of docs/CAPACITY.md from the rows that {@link RouterScale} wrote: the slope of the processor time, what it
- * misses at the size that it was not fitted to, and where it goes over the bound. The largest size of each condition is that one.
+ * Formats the rows that {@link RouterScale} wrote as the Markdown table of docs/CAPACITY.md: the curve fitted to the CPU time,
+ * its error at a size that it was not fitted to, and the size at which it exceeds the bound. The last row of each condition
+ * and read rate is the one that the curve is checked at.
  */
 public final class CapacityTable {
-    /** The size that the design has to carry. */
+    /** Number of servers that a gateway must be able to handle. */
     public static final int SERVERS = 17_000;
 
-    /** What control may use of a core, in milliseconds a second. */
+    /** Largest CPU time that routing decisions may take, in milliseconds per second of one core. */
     public static final double CPU_MS_MOST = 17;
 
     private static final int CONDITION = 0;
@@ -26,7 +27,12 @@
 
     private CapacityTable() {}
 
-    /** The lines of the table, for rows with or without their head. */
+    /**
+     * Returns the lines of the table.
+     *
+     * @param rows rows of {@link RouterScale}, with or without their header line; blank lines are skipped
+     * @throws IllegalArgumentException if a row does not have the columns of {@link RouterScale}
+     */
     public static List<String> of(List<String> rows) {
         Map<String, List<Point>> all = new LinkedHashMap<>();
         for (String row : rows) {
@@ -35,7 +41,7 @@
                 continue;
             }
             if (cells.length != COLUMNS) {
-                throw new IllegalArgumentException("not a row of scale: " + row);
+                throw new IllegalArgumentException("not a row of \"scale router\": " + row);
             }
             String what = cells[CONDITION].replace('_', ' ') + ", " + cells[READS] + " reads/s";
             all.computeIfAbsent(what, x -> new ArrayList<>())
--- a/tools/src/main/java/ploverdale/tools/scale/GrowthShape.java
+++ b/tools/src/main/java/ploverdale/tools/scale/GrowthShape.java
@@ -1,11 +1,11 @@
 package ploverdale.tools.scale;
 
-/** How a cost may grow with a size, from the flattest to the steepest. */
+/** The shapes in which a cost may grow with a size, in order from the flattest to the steepest. */
 public enum GrowthShape {
     CONSTANT("1") {
         @Override
         public double of(double size) {
-            return 0; // the base of a slope is the whole of it
+            return 0; // a constant cost consists of the base alone
         }
     },
     LOGARITHMIC("log n") {
@@ -39,10 +39,10 @@
         this.formula = formula;
     }
 
-    /** The growing part at a size of 1 or more, without factor and base. */
+    /** Returns the value of the shape at a size of 1 or more, without the factor and the base of a curve. */
     public abstract double of(double size);
 
-    /** As written in tables. */
+    /** Returns the formula as it is printed in tables. */
     public String formula() {
         return formula;
     }
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -30,25 +30,28 @@
 import ploverdale.routing.Router;
 
 /**
- * One gateway's decision module, as it runs in service, on a simulated clock among stand-in servers: groups of three, reads
- * of one type whose data may be a second old, answers and probes within five milliseconds. Half of a run is warm-up. Times in
- * tenths of a millisecond.
+ * Measures the cost of the {@link Router} of one gateway on a simulated clock with simulated servers. Replica groups have
+ * three servers; clients send reads of one request class with a staleness bound of a second; servers answer reads and health
+ * checks within five milliseconds. The first half of a run is warm-up. Times are in tenths of a millisecond.
  */
 public final class RouterLoad {
-    /** What goes on. */
+    /** The conditions under which the cost is measured. */
     public enum Condition {
-        /** Reads at the given rate, all servers well. */
+        /** Reads arrive at the given rate, and all servers respond. */
         SERVING,
-        /** The same, and the servers of one zone answer nothing from the middle of the warm-up on. */
+        /** As above, but from the middle of the warm-up the servers of one zone do not respond. */
         ZONE_LOST
     }
 
     /**
-     * What one run took, each a second of simulated time.
+     * The cost of a run, per second of simulated time.
      *
-     * @param cpuMs processor time of the module
-     * @param allocatedBytes that the module allocated
-     * @param served reads answered with a value
+     * @param cpuMs CPU time of the router, in milliseconds
+     * @param allocatedBytes bytes that the router allocated
+     * @param events events that the router handled
+     * @param probes health checks that the router started
+     * @param served reads that a server answered
+     * @param refused reads that the router rejected
      */
     public record Cost(
             double cpuMs, double allocatedBytes, double events, double probes, double served, double refused) {}
@@ -60,7 +63,10 @@
     private static final long ANSWERS_WITHIN = 5 * MS;
     private static final long REPLICA_LAG = 5 * MS;
     private static final long CLIENT_WAITS = 2000 * MS;
-    private static final long START = 17_000_000_000_000L; // a Unix time to begin with
+
+    /** Unix time at which a run begins. */
+    private static final long START = 17_000_000_000_000L;
+
     private static final com.sun.management.ThreadMXBean THREADS =
             (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
 
@@ -99,7 +105,11 @@
         }
     }
 
-    /** Runs so many seconds of simulated time; the second half is measured. */
+    /**
+     * Runs the router and measures the second half of the run.
+     *
+     * @param seconds length of the run in simulated time
+     */
     public static Cost measure(int servers, double readsPerSecond, Condition condition, double seconds, long seed) {
         return new RouterLoad(servers, condition, seed).run(readsPerSecond, seconds);
     }
@@ -206,7 +216,7 @@
         refused = 0;
     }
 
-    /** Hands the module one event, counts what that took, and has its actions carried out. */
+    /** Passes one event to the router, adds up its cost, and carries out the resulting actions. */
     private void tell(Event event) {
         long thread = Thread.currentThread().getId();
         long bytesBefore = THREADS.getThreadAllocatedBytes(thread);
--- a/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
@@ -12,17 +12,19 @@
 import ploverdale.tools.scale.RouterLoad.Cost;
 
 /**
- * Measures the decision module at growing numbers of servers, fits a slope to each cost, predicts twice the largest size and
- * then measures there. A slope that misses by more than {@link Slope#MISSES_MOST} is reported as not usable.
+ * Measures the costs of the router at increasing numbers of servers, fits a growth curve to each cost, predicts the cost at
+ * twice the largest size, and then measures there. A curve whose error exceeds {@link Slope#MISSES_MOST} is reported as not
+ * usable.
  */
 public final class RouterScale {
-    /** The first line of the rows. */
+    /** Header line of the CSV rows. */
     public static final String CSV_HEADER =
             "condition,reads_per_second,servers,cpu_ms_per_s,allocated_kb_per_s,events_per_s,probes_per_s,served_per_s,refused_per_s";
 
-    private static final double SECONDS = 20; // of simulated time, half of it warm-up
+    /** Length of a run in simulated time; half of it is warm-up. */
+    private static final double SECONDS = 20;
 
-    /** A cost that a slope is fitted to. */
+    /** A cost to which a curve is fitted. */
     private enum Figure {
         CPU("cpu_ms_per_s", Cost::cpuMs),
         ALLOCATED("allocated_kb_per_s", c -> c.allocatedBytes() / 1000),
@@ -50,13 +52,20 @@
         this.progress = progress;
     }
 
-    /** Measures at each size and at twice the largest; true where each slope holds there. Rows go to the file, if any. */
+    /**
+     * Measures at each size and at twice the largest.
+     *
+     * @param sizes numbers of servers, in ascending order
+     * @param out CSV file to which the rows are appended; null for none
+     * @param progress receives each row as soon as it is measured, and the fitted curves
+     * @return whether the curve of each cost is usable
+     */
     public static boolean run(
             Condition condition, double readsPerSecond, List<Integer> sizes, long seed, Path out, PrintStream progress)
             throws IOException {
         RouterScale scale = new RouterScale(condition, readsPerSecond, seed, progress);
         progress.println(CSV_HEADER);
-        scale.measure(sizes.get(sizes.size() - 1)); // not counted, so that no size pays for compiling
+        scale.measure(sizes.get(sizes.size() - 1)); // not recorded: warms up the JIT compiler for all sizes
         scale.rows.clear();
         List<Cost> costs = new ArrayList<>();
         for (int size : sizes) {
@@ -121,7 +130,7 @@
             holds &= usable;
             progress.printf(
                     Locale.ROOT,
-                    "# %s at %d: measured %.4g, the prediction is off by %+.1f %%: %s%n",
+                    "# %s at %d: measured %.4g, error of the prediction %+.1f %%: %s%n",
                     f.column,
                     twice,
                     measured,
--- a/tools/src/main/java/ploverdale/tools/scale/Slope.java
+++ b/tools/src/main/java/ploverdale/tools/scale/Slope.java
@@ -5,47 +5,53 @@
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
 /**
- * A cost as a function of a size: base + factor x shape(size).
+ * A growth curve, which gives a cost as a function of a size: base + factor x shape(size).
  *
- * @param residual the root of the mean square of the relative errors at the fitted sizes
+ * @param residual root mean square of the relative errors at the fitted sizes
  */
 public record Slope(GrowthShape shape, double base, double factor, double residual) {
-    /** One size and the cost measured there; both above zero. */
+    /** A size of at least 1, and the cost above 0 that was measured there. */
     public record Point(double size, double cost) {
         public Point {
             if (!(size >= 1 && cost > 0)) {
                 throw new IllegalArgumentException(
-                        "a size from 1 and a cost above 0 are wanted, not " + size + ", " + cost);
+                        "a point needs a size of at least 1 and a cost above 0, but has " + size + ", " + cost);
             }
         }
     }
 
-    /** Sizes that a fit takes at the least. */
+    /** Smallest number of points that a curve can be fitted to. */
     public static final int LEAST_POINTS = 5;
 
-    private static final double CLEARLY_BETTER =
-            0.8; // a steeper shape must bring the residual under this part of a flatter one's
+    /** A steeper shape is preferred only if its residual is below this share of the flatter shape's. */
+    private static final double CLEARLY_BETTER = 0.8;
 
-    /** By how much a slope may miss, at the sizes it was fitted to and at one that it was not, as a share. */
+    /** Largest relative error of a usable curve, both as residual and at a size that it was not fitted to. */
     public static final double MISSES_MOST = 0.2;
 
-    /** Whether it may be used: it follows its points, and missed a size that it was not fitted to by this share. */
+    /**
+     * Returns whether predictions of this curve may be used.
+     *
+     * @param miss relative error at a size that the curve was not fitted to
+     */
     public boolean isUsable(double miss) {
         return residual <= MISSES_MOST && Math.abs(miss) <= MISSES_MOST;
     }
 
-    /** The cost at a size, whether it was fitted there or not. */
+    /** Returns the cost that this curve gives for any size. */
     public double at(double size) {
         return base + factor * shape.of(size);
     }
 
     /**
-     * The shape that the points follow most closely by relative error; of two that are about as close the flatter one, since a
-     * steeper one has to be shown.
+     * Fits the curve with the smallest relative errors. Of two shapes that fit about equally well, the flatter one is used,
+     * because the data must show that a cost grows faster.
+     *
+     * @throws IllegalArgumentException if there are fewer than {@link #LEAST_POINTS} points
      */
     public static Slope fit(List<Point> points) {
         if (points.size() < LEAST_POINTS) {
-            throw new IllegalArgumentException("a fit takes " + LEAST_POINTS + " sizes, not " + points.size());
+            throw new IllegalArgumentException("a fit needs at least " + LEAST_POINTS + " sizes, but got " + points.size());
         }
         Slope best = constant(points);
         for (GrowthShape shape : GrowthShape.values()) {
@@ -58,13 +64,13 @@
     }
 
     private static Slope constant(List<Point> points) {
-        // The constant with the least relative errors: the sum of 1/y over the sum of 1/y^2.
+        // The least-squares solution for the relative errors of a constant is the sum of 1/y divided by the sum of 1/y^2.
         double inverses = points.stream().mapToDouble(p -> 1 / p.cost).sum();
         double squares = points.stream().mapToDouble(p -> 1 / (p.cost * p.cost)).sum();
         return new Slope(GrowthShape.CONSTANT, inverses / squares, 0, 0).withResidual(points);
     }
 
-    /** Least squares of the relative errors: each row is divided by its cost. */
+    /** Fits one shape by least squares of the relative errors, for which each row is divided by its cost. */
     private static Slope fit(GrowthShape shape, List<Point> points) {
         double[] ones = new double[points.size()];
         Arrays.fill(ones, 1);
--- a/tools/src/test/java/ploverdale/tools/lab/BoundedClaimModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/BoundedClaimModelTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.tools.lab.BoundedClaimModel.Result;
 
-/** All that can happen to one write that is submitted twice among three gateways. */
+/** Explores all executions of one write that is submitted twice among three gateways. */
 class BoundedClaimModelTest {
     @Test
     void noCourseGrantsTheWriteTwice() {
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -5,7 +5,10 @@
 import org.junit.jupiter.api.Test;
 import ploverdale.tools.lab.Explorer.Result;
 
-/** All that can go wrong in a small world, and a mistake that must be found; another is in {@link FleetModelTest}. */
+/**
+ * Explores the bounded quota model, and checks that deliberate defects are found. {@link FleetModelTest} has a further
+ * defect.
+ */
 class ExplorerTest {
     private static final double DRIFT = 0.1;
 
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -14,14 +14,15 @@
 import ploverdale.tools.lab.FleetModel.Instance;
 import ploverdale.tools.lab.FleetModel.Settings;
 
-/** Fleets in simulated time, through faults by chance; what is spent is counted from outside. */
+/** Runs simulated fleets through random faults, and checks that they never exceed a shared limit. */
 class FleetModelTest {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final long USE = 400 * MS;
     private static final LeaseDurations LEASING = new LeaseDurations(1500 * MS, 1000 * MS, 0.05);
 
-    private static double worst; // the most that was spent of what may be, of both budgets, on any day
+    /** The highest share of its capacity that any run consumed of both limits. */
+    private static double worst;
 
     private static QuotaAllocation division(int gateways) {
         return new QuotaAllocation(
@@ -42,7 +43,11 @@
         return m;
     }
 
-    /** Each of them wants parts at this many a second, for so long; what is in use is used for up to its longest. */
+    /**
+     * Schedules random acquisitions by one gateway, of both limits; a unit stays in use for a random time up to {@link #USE}.
+     *
+     * @return the number of units acquired of each limit, updated while the simulation runs
+     */
     private static int[] asks(FleetModel m, SplittableRandom random, int who, double perSecond, long from, long to) {
         int[] got = new int[2];
         for (long t = from; t < to; t += 1 + (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond)) {
@@ -64,7 +69,7 @@
                     m.at(a, () -> m.instance(x).kill());
                     m.at(b, () -> {
                         if (!m.instance(x).alive()) {
-                            m.instance(x).start(random.nextBoolean() ? 0 : -60_000); // its clock may have stepped back
+                            m.instance(x).start(random.nextBoolean() ? 0 : -60_000); // its Unix clock may have been set back
                         }
                     });
                 }
@@ -76,7 +81,7 @@
                     m.at(a, () -> m.cut(x, y, true));
                     m.at(b, () -> m.cut(x, y, false));
                 }
-                case 3 -> { // two halves
+                case 3 -> { // a partition into two halves
                     m.at(
                             a,
                             () -> IntStream.range(0, n * n)
@@ -123,10 +128,10 @@
                     .as("seed %d, %d gateways", seed, n)
                     .isEmpty();
         }
-        assertThat(worst).as("about all of the whole was used").isBetween(0.75, 1.0);
+        assertThat(worst).as("highest consumption as a share of the capacity").isBetween(0.75, 1.0);
     }
 
-    /** One borrows nearly all and is then cut off, while all others want what comes back. */
+    /** Has one gateway borrow nearly all units and cuts it off, while all others try to acquire the units it lost. */
     private static List<String> cutOffWithAllLent(LeaseDurations leaseDurations) {
         List<String> violations = new ArrayList<>();
         for (long seed = 1; seed <= 30; seed++) {
@@ -155,7 +160,7 @@
         assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0.25)))
                 .isEmpty();
         assertThat(cutOffWithAllLent(new LeaseDurations(4000 * MS, 3000 * MS, 0)))
-                .as("without that guard")
+                .as("without an allowance for clock drift")
                 .isNotEmpty();
     }
 
@@ -167,11 +172,11 @@
         int[] got = asks(m, random, 0, 160, 6 * SECOND, 16 * SECOND);
         m.until(16 * SECOND);
         assertThat(m.violations()).isEmpty();
-        assertThat(got[0]).as("of 60 a second, 6 its own").isGreaterThan(250);
+        assertThat(got[0]).as("acquired in 10 s with an entitlement of 6 of 60 per second").isGreaterThan(250);
         assertThat(m.instance(0).parts(0)).isGreaterThan(24);
         m.until(24 * SECOND);
         assertThat(m.instance(0).parts(0))
-                .as("given back when it wants them no more")
+                .as("units left after its demand ended")
                 .isLessThanOrEqualTo(6);
         assertThat(m.parts(0)).isEqualTo(60);
         assertThat(m.parts(1)).isEqualTo(24);
@@ -185,9 +190,9 @@
         m.instance(0).kill();
         assertThat(m.parts(0)).isEqualTo(48);
         m.until(7 * SECOND);
-        assertThat(m.parts(0)).as("not yet: it may only be cut off").isEqualTo(48);
+        assertThat(m.parts(0)).as("units of the dead gateway stay reserved, as it may only be partitioned").isEqualTo(48);
         m.until(18 * SECOND);
-        assertThat(m.parts(0)).as("all but its floor").isEqualTo(54);
+        assertThat(m.parts(0)).as("all units but those that are guaranteed to the dead gateway").isEqualTo(54);
         m.instance(0).start(0);
         m.until(30 * SECOND);
         assertThat(m.parts(0)).isEqualTo(60);
@@ -222,12 +227,12 @@
         QuotaAllocation d =
                 new QuotaAllocation(List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, 900, SECOND)), 300, 0.5);
         FleetModel m = started(new Settings(d, LEASING, 0.05, 0.05, 0.05, 30 * MS, 2000), 8);
-        m.until(30 * SECOND); // each is asked by somebody twice a second; all hear of all a little later
+        m.until(30 * SECOND); // each gateway is pinged about twice a second, and gossip reaches all a little later
         for (Instance i : m.instances()) {
             assertThat(i.membership().presentCount()).isGreaterThan(290);
         }
         m.instance(17).kill();
-        m.until(37 * SECOND); // a round of asking, a few who look for themselves, and the news of it
+        m.until(37 * SECOND); // a round of pings, the suspicion time-out, and the spread of the rumor
         long know = m.instances().stream()
                 .filter(i -> i.alive() && i.membership().state(17) == MemberState.DEAD)
                 .count();
@@ -239,7 +244,7 @@
                     .filter(i -> i.alive() && i.membership().state(of) == MemberState.DEAD)
                     .count();
             assertThat(of == 17 || wrong < 3)
-                    .as("n%d is taken for dead by %d", of, wrong)
+                    .as("%2$d gateways wrongly regard n%1$d as dead", of, wrong)
                     .isTrue();
         }
     }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -11,7 +11,10 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.MutationCheck;
 
-/** With each guard of what is kept taken out in turn, the days of faults break promises: the search can fail. */
+/**
+ * Checks that the runs with random faults can detect defects: with each safeguard of replication removed in turn, they must
+ * report a stale read or a write that was executed twice.
+ */
 class ReplicaGuardsTest {
     @ParameterizedTest
     @CsvSource(
@@ -40,7 +43,7 @@
                     .redirectErrorStream(true)
                     .start();
             String told = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            System.out.println(guard + " out: " + told);
+            System.out.println("without " + guard + ": " + told);
             assertThat(p.waitFor()).as(told).isEqualTo(1);
             assertThat(told).contains("promises broken, first");
         }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -13,7 +13,7 @@
 import ploverdale.tools.lab.ReplicaModel.Settings;
 import ploverdale.tools.lab.ReplicaExperiment.CatchUpResult;
 
-/** Replicated state in simulated time, through faults by chance; what clients were promised is held from outside. */
+/** Runs simulated gateways with replication through random faults, and checks what clients rely on. */
 class ReplicaModelTest {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
@@ -34,8 +34,8 @@
             acked += m.counts()[0];
             known += m.counts()[1];
         }
-        assertThat(acked).as("writes whose acks were promised").isGreaterThan(24 * 2000);
-        assertThat(known).as("reads whose past was known").isGreaterThan(24 * 2000);
+        assertThat(acked).as("acknowledged writes").isGreaterThan(24 * 2000);
+        assertThat(known).as("reads whose session position was known").isGreaterThan(24 * 2000);
     }
 
     @Test
@@ -65,13 +65,13 @@
         m.reads(4, "s");
         m.until(4 * SECOND);
         assertThat(m.violations()).isEmpty();
-        assertThat(m.counts()[1]).as("known by what no keeper can vouch for").isEqualTo(1);
+        assertThat(m.counts()[1]).as("reads whose session position was known").isEqualTo(1);
     }
 
     @Test
     void aSecondSubmitWaitsWhileTheFirstMayRunAndGoesOnOnceItIsProvenNotTo() {
         ReplicaModel m = model(3, 3, 0, 4);
-        long from = 10 * SECOND; // all started with nothing, and vouch for no submit before the window has passed
+        long from = 10 * SECOND; // until the resubmission window has passed since their start, gateways grant no claim
         m.until(from);
         long[] ends = {-1, -1, -1, -1};
         m.submits(0, "w", true, 500 * MS, false, e -> ends[0] = e);
@@ -117,8 +117,8 @@
         long[] wall = {17_000_000_000_000L};
         Replicas one = new Replicas(0, 1, 1, ReplicaExperiment.keeping(1), new SplittableRandom(1), () -> wall[0]);
         PacketQueue none = new PacketQueue(1000, 0);
-        long arrived = wall[0]
-                - SECOND; // its client may have submitted it elsewhere since, and the keepers' copies may be gone
+        // The client may have submitted the write elsewhere since, and the replicas of its outcome may be lost.
+        long arrived = wall[0] - SECOND;
         wall[0] += SECOND;
         one.claimWrite(0, Replicas.key(false, "w"), true, arrived, none);
         one.claimWrite(0, Replicas.key(false, "v"), true, wall[0], none);
@@ -169,7 +169,7 @@
         one.readPosition(0, Replicas.key(true, "s0"), none);
         assertThat(one.size()).isEqualTo(100);
         assertThat(one.takeResults().get(0).position())
-                .as("s0 was written then, or before")
+                .as("bound on the position of s0, which was evicted")
                 .isGreaterThanOrEqualTo(wall[0] - 299);
     }
 }
--- a/tools/src/test/java/ploverdale/tools/scale/RouterLoadTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/RouterLoadTest.java
@@ -8,7 +8,10 @@
 import ploverdale.tools.scale.RouterLoad.Condition;
 import ploverdale.tools.scale.RouterLoad.Cost;
 
-/** The short form of scale: shapes by what is counted, bytes allocated and events, not by time. */
+/**
+ * A short form of the measurement by {@link RouterScale}: checks how allocated bytes and events grow with the number of
+ * servers. It does not check CPU time, which varies too much between runs.
+ */
 class RouterLoadTest {
     private static final double SECONDS = 4;
     private static final double READS = 50;
@@ -34,7 +37,7 @@
     @Test
     void whatTheModuleAllocatesGrowsNoFasterThanTheServers() {
         List<Slope.Point> points = new ArrayList<>();
-        cost(SIZES[0], Condition.SERVING); // once before, so that no class is loaded while it is counted
+        cost(SIZES[0], Condition.SERVING); // not counted: loads the classes
         for (int n : SIZES) {
             points.add(new Slope.Point(n, cost(n, Condition.SERVING).allocatedBytes()));
         }
--- a/tools/src/test/java/ploverdale/tools/scale/SlopeTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/SlopeTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A slope is found with its shape and holds where it was not fitted; what does not follow it is told by the residual. */
+/** Checks that a fit finds the shape of a cost and predicts other sizes, and that a bad fit shows in the residual. */
 class SlopeTest {
     private static final double[] SIZES = {100, 200, 400, 800, 1600, 3200};
 
