--- a/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
@@ -35,112 +35,112 @@
 
     private static final int GATEWAYS = 3;
     private static final long SECOND = 10_000;
-    private static final long ZERO = 17_000_000_000_000L;
-    private static final long WINDOW = 5 * SECOND;
+    private static final long START_TIME = 17_000_000_000_000L;
+    private static final long RESUBMISSION_WINDOW = 5 * SECOND;
     private static final long KEY = Replicas.key(false, "w");
-    private static final ReplicationSettings KEEPING =
-            new ReplicationSettings(GATEWAYS, false, SECOND, SECOND / 10, WINDOW, true, Set.of(), 1, 100, 100);
+    private static final ReplicationSettings SETTINGS =
+            new ReplicationSettings(GATEWAYS, false, SECOND, SECOND / 10, RESUBMISSION_WINDOW, true, Set.of(), 1, 100, 100);
 
-    private record Message(int from, long start, int to, byte[] bytes) {}
+    private record Message(int from, long incarnation, int to, byte[] bytes) {}
 
     /** One execution of the model. */
-    private static final class State {
+    private static final class Execution {
         private final Replicas[] gateways = new Replicas[GATEWAYS];
-        private final PacketQueue[] packing = new PacketQueue[GATEWAYS];
-        private final long[] start = new long[GATEWAYS];
-        private final List<Message> onTheWay = new ArrayList<>();
-        private final long startsAsIf;
-        private long wall = ZERO;
-        private int submits;
-        private int lost;
+        private final PacketQueue[] outboxes = new PacketQueue[GATEWAYS];
+        private final long[] incarnations = new long[GATEWAYS];
+        private final List<Message> inFlight = new ArrayList<>();
+        private final long restartBackdating;
+        private long wallTime = START_TIME;
+        private int submissions;
+        private int losses;
         private int restarts;
-        private int granted;
+        private int grants;
 
         /**
-         * @param startsAsIf how far the start time of a restarted gateway is set back; any value but 0 is a deliberate
-         *     defect that exploration must find
+         * @param restartBackdating how far the start time of a restarted gateway is set back; any value but 0 is a
+         *     deliberate defect that exploration must find
          */
-        private State(long startsAsIf) {
-            this.startsAsIf = startsAsIf;
-            for (int i = 0; i < GATEWAYS; i++) {
-                starts(i, 0);
+        private Execution(long restartBackdating) {
+            this.restartBackdating = restartBackdating;
+            for (int gateway = 0; gateway < GATEWAYS; gateway++) {
+                startGateway(gateway, 0);
             }
-            wall += 2 * WINDOW; // from now on each gateway's history covers the whole resubmission window
+            wallTime += 2 * RESUBMISSION_WINDOW; // from now on each gateway's history covers the whole resubmission window
         }
 
-        private void starts(int i, long ago) {
-            long now = wall;
-            wall -= ago;
-            gateways[i] = new Replicas(i, GATEWAYS, ++start[i], KEEPING, new SplittableRandom(i), () -> wall);
-            packing[i] = new PacketQueue(1e9, 0);
-            wall = now;
+        private void startGateway(int gateway, long backdatedBy) {
+            long actualTime = wallTime;
+            wallTime -= backdatedBy;
+            gateways[gateway] = new Replicas(gateway, GATEWAYS, ++incarnations[gateway], SETTINGS, new SplittableRandom(gateway), () -> wallTime);
+            outboxes[gateway] = new PacketQueue(1e9, 0);
+            wallTime = actualTime;
         }
 
         /** Returns the choices that are possible next, deliveries of messages in flight first. */
         private List<String> choices() {
-            List<String> all = new ArrayList<>();
-            for (int m = 0; m < onTheWay.size(); m++) {
-                all.add("deliver " + m);
+            List<String> choices = new ArrayList<>();
+            for (int index = 0; index < inFlight.size(); index++) {
+                choices.add("deliver " + index);
             }
-            if (submits < 2) {
-                all.add("submit");
+            if (submissions < 2) {
+                choices.add("submit");
             }
-            for (int m = 0; lost < 1 && m < onTheWay.size(); m++) {
-                all.add("lose " + m);
+            for (int index = 0; losses < 1 && index < inFlight.size(); index++) {
+                choices.add("lose " + index);
             }
-            for (int i = 0; restarts < 1 && submits > 0 && i < GATEWAYS; i++) {
-                all.add("restart " + i);
+            for (int gateway = 0; restarts < 1 && submissions > 0 && gateway < GATEWAYS; gateway++) {
+                choices.add("restart " + gateway);
             }
-            return all;
+            return choices;
         }
 
-        private void happens(String choice) {
-            int n = choice.endsWith("submit") ? 0 : Integer.parseInt(choice.substring(choice.indexOf(' ') + 1));
+        private void apply(String choice) {
+            int argument = choice.endsWith("submit") ? 0 : Integer.parseInt(choice.substring(choice.indexOf(' ') + 1));
             if (choice.startsWith("deliver")) {
-                Message m = onTheWay.remove(n);
-                for (Packet.Part p : PacketCodec.decode(m.bytes).parts()) {
-                    gateways[m.to].onMessage(0, m.from, m.start, p, packing[m.to]);
+                Message message = inFlight.remove(argument);
+                for (Packet.Part p : PacketCodec.decode(message.bytes).parts()) {
+                    gateways[message.to].onMessage(0, message.from, message.incarnation, p, outboxes[message.to]);
                 }
-                sends(m.to);
+                sendQueued(message.to);
             } else if (choice.startsWith("lose")) {
-                lost++;
-                onTheWay.remove(n);
+                losses++;
+                inFlight.remove(argument);
             } else if (choice.startsWith("restart")) {
                 restarts++;
-                starts(n, startsAsIf);
+                startGateway(argument, restartBackdating);
             } else {
-                wall++;
-                gateways[submits].claimWrite(0, KEY, submits == 0, wall, packing[submits]);
-                sends(submits++);
+                wallTime++;
+                gateways[submissions].claimWrite(0, KEY, submissions == 0, wallTime, outboxes[submissions]);
+                sendQueued(submissions++);
             }
-            for (Replicas g : gateways) {
-                for (QuorumResult d : g.takeResults()) {
-                    granted += d.status() == Status.GRANTED ? 1 : 0;
+            for (Replicas replicas : gateways) {
+                for (QuorumResult result : replicas.takeResults()) {
+                    grants += result.status() == Status.GRANTED ? 1 : 0;
                 }
             }
         }
 
-        private void sends(int i) {
-            for (PacketQueue.OutboundPacket l : packing[i].drain(0, start[i], 1)) {
-                onTheWay.add(new Message(i, start[i], l.to(), l.bytes()));
+        private void sendQueued(int gateway) {
+            for (PacketQueue.OutboundPacket p : outboxes[gateway].drain(0, incarnations[gateway], 1)) {
+                inFlight.add(new Message(gateway, incarnations[gateway], p.to(), p.bytes()));
             }
-            onTheWay.sort(Comparator.comparingInt((Message m) -> m.from * GATEWAYS + m.to)
+            inFlight.sort(Comparator.comparingInt((Message message) -> message.from * GATEWAYS + message.to)
                     .thenComparing(Message::bytes, Arrays::compare));
         }
 
         /** Returns a text that is equal for equal states. */
-        private String state() {
-            StringBuilder b = new StringBuilder()
-                    .append(submits)
-                    .append(lost)
+        private String fingerprint() {
+            StringBuilder text = new StringBuilder()
+                    .append(submissions)
+                    .append(losses)
                     .append(restarts)
-                    .append(granted);
-            for (int i = 0; i < GATEWAYS; i++) {
-                b.append(" | ").append(start[i]).append(' ').append(gateways[i].describeState(KEY));
+                    .append(grants);
+            for (int gateway = 0; gateway < GATEWAYS; gateway++) {
+                text.append(" | ").append(incarnations[gateway]).append(' ').append(gateways[gateway].describeState(KEY));
             }
-            onTheWay.forEach(
-                    m -> b.append(' ').append(m.from).append('>').append(m.to).append(Arrays.hashCode(m.bytes)));
-            return b.toString();
+            inFlight.forEach(
+                    message -> text.append(' ').append(message.from).append('>').append(message.to).append(Arrays.hashCode(message.bytes)));
+            return text.toString();
         }
     }
 
@@ -149,34 +149,35 @@
     /**
      * Explores all reachable states breadth first, until the write is granted twice.
      *
-     * @param startsAsIf how far the start time of a restarted gateway is set back; any value but 0 is a deliberate defect
+     * @param restartBackdating how far the start time of a restarted gateway is set back; any value but 0 is a
+     *     deliberate defect
      */
-    public static Result explore(long startsAsIf) {
-        Set<String> seen = new HashSet<>();
+    public static Result explore(long restartBackdating) {
+        Set<String> visited = new HashSet<>();
         Deque<List<String>> paths = new ArrayDeque<>(List.of(List.of()));
         long transitions = 0;
         while (!paths.isEmpty()) {
             List<String> path = paths.poll();
-            for (String choice : played(startsAsIf, path).choices()) {
+            for (String choice : replay(restartBackdating, path).choices()) {
                 transitions++;
-                State w = played(startsAsIf, path);
-                w.happens(choice);
-                List<String> longer = new ArrayList<>(path);
-                longer.add(choice);
-                if (w.granted > 1) {
-                    return new Result(transitions, seen.size(), String.join(", ", longer));
+                Execution execution = replay(restartBackdating, path);
+                execution.apply(choice);
+                List<String> extended = new ArrayList<>(path);
+                extended.add(choice);
+                if (execution.grants > 1) {
+                    return new Result(transitions, visited.size(), String.join(", ", extended));
                 }
-                if (seen.add(w.state())) {
-                    paths.add(longer);
+                if (visited.add(execution.fingerprint())) {
+                    paths.add(extended);
                 }
             }
         }
-        return new Result(transitions, seen.size(), null);
+        return new Result(transitions, visited.size(), null);
     }
 
-    private static State played(long startsAsIf, List<String> path) {
-        State w = new State(startsAsIf);
-        path.forEach(w::happens);
-        return w;
+    private static Execution replay(long restartBackdating, List<String> path) {
+        Execution execution = new Execution(restartBackdating);
+        path.forEach(execution::apply);
+        return execution;
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
@@ -21,7 +21,7 @@
  */
 public final class BoundedQuotaModel {
     /** Kinds of faults. The first three affect a message, the others a gateway; this order is relied on. */
-    public enum Kind {
+    public enum FaultKind {
         /** The message is lost. */
         DROP,
         /** The message is delivered one step late. */
@@ -40,146 +40,147 @@
      * One fault.
      *
      * @param step the step in which it occurs
-     * @param which index of the affected message among those delivered in the step, or index of the affected gateway
+     * @param target index of the affected message among those delivered in the step, or index of the affected gateway
      */
-    public record Fault(int step, Kind kind, int which) {}
+    public record Fault(int step, FaultKind kind, int target) {}
 
     /**
      * The gateways that acquire units in each step; the sequence repeats.
      *
-     * @param byStep for each step a bit mask in which bit i stands for gateway i
+     * @param gatewayMasks for each step a bit mask in which bit i stands for gateway i
      */
-    public record Demand(int[] byStep) {
-        int at(int step) {
-            return byStep[step % byStep.length];
+    public record Demand(int[] gatewayMasks) {
+        int maskAt(int step) {
+            return gatewayMasks[step % gatewayMasks.length];
         }
     }
 
     public static final int GATEWAYS = 3;
 
     /** Capacity of the shared limit, in units. */
-    public static final int WHOLE = 4;
+    public static final int CAPACITY = 4;
 
     /** First step with faults; by then each gateway holds the lease of its own partition. */
-    public static final int FROM = 12;
+    public static final int FIRST_FAULT_STEP = 12;
 
     /** First step after those with faults. */
-    public static final int STEPS = 30;
+    public static final int FAULTS_END_STEP = 30;
 
     /** Number of messages of a step that a fault may affect; a step rarely has more. */
-    public static final int MESSAGES = 20;
+    public static final int MESSAGES_PER_STEP = 20;
 
     /** Steps without faults at the end of a run. */
-    private static final int HEALS = 60;
+    private static final int RECOVERY_STEPS = 60;
 
     /** Length of a step. */
-    private static final long STEP = 1000;
+    private static final long STEP_TICKS = 1000;
 
     /** Steps for which a gateway is paused or cut off; longer than any lease. */
-    private static final int STOPPED = 8;
+    private static final int OUTAGE_STEPS = 8;
 
     /** Steps from a kill to the restart. */
-    private static final int DEAD = 2;
+    private static final int RESTART_DELAY_STEPS = 2;
 
     /** How long a unit stays in use, by the clock of the gateway that acquired it. */
-    private static final long USE = 3300;
+    private static final long HOLD_TICKS = 3300;
 
-    private record Message(int from, long start, int to, byte[] bytes) {}
+    private record Message(int from, long epoch, int to, byte[] bytes) {}
 
     private final class Gateway {
-        private final int number;
-        private final double rate;
-        private QuotaProtocol budgets;
-        private PacketQueue packing;
-        private long start;
-        private int stoppedFor;
-        private int cutUntil;
-        private int deadFor;
+        private final int index;
+        private final double clockRate;
+        private QuotaProtocol quota;
+        private PacketQueue outbox;
+        private long epoch;
+        private int stepsUntilResume;
+        private int partitionedUntilStep;
+        private int stepsUntilRestart;
+
         /** Units that became free while the process was paused; it releases them when it resumes. */
-        private int owes;
+        private int deferredReleases;
 
-        private final List<Message> held = new ArrayList<>();
+        private final List<Message> deferredMessages = new ArrayList<>();
 
-        private Gateway(int number) {
-            this.number = number;
-            rate = 1 + (number - 1) * drift;
-            starts();
+        private Gateway(int index) {
+            this.index = index;
+            clockRate = 1 + (index - 1) * clockDrift;
+            startProcess();
         }
 
-        private long local() {
-            return 5_000 + (long) (step * STEP * rate);
+        private long localTime() {
+            return 5_000 + (long) (step * STEP_TICKS * clockRate);
         }
 
-        private void starts() {
-            start += startsAlike ? 0 : 1;
-            budgets = new QuotaProtocol(number, start, division, leaseDurations, new SplittableRandom(number), local());
-            packing = new PacketQueue(1e9, local());
+        private void startProcess() {
+            epoch += reusesEpoch ? 0 : 1;
+            quota = new QuotaProtocol(index, epoch, allocation, leaseDurations, new SplittableRandom(index), localTime());
+            outbox = new PacketQueue(1e9, localTime());
         }
 
-        private boolean runs() {
-            return budgets != null && stoppedFor == 0;
+        private boolean isRunning() {
+            return quota != null && stepsUntilResume == 0;
         }
 
-        private void sends() {
-            for (PacketQueue.OutboundPacket l : packing.drain(local(), start, 1)) {
-                onTheWay.add(new Message(number, start, l.to(), l.bytes()));
+        private void sendQueued() {
+            for (PacketQueue.OutboundPacket p : outbox.drain(localTime(), epoch, 1)) {
+                inFlight.add(new Message(index, epoch, p.to(), p.bytes()));
             }
         }
 
-        private void hears(Message m) {
-            if (budgets == null) {
+        private void receive(Message message) {
+            if (quota == null) {
                 return;
             }
-            if (stoppedFor > 0) {
-                held.add(m);
+            if (stepsUntilResume > 0) {
+                deferredMessages.add(message);
                 return;
             }
-            for (Packet.Part p : PacketCodec.decode(m.bytes).parts()) {
-                budgets.onMessage(local(), m.from, m.start, p, packing);
+            for (Packet.Part p : PacketCodec.decode(message.bytes).parts()) {
+                quota.onMessage(localTime(), message.from, message.epoch, p, outbox);
             }
-            sends();
+            sendQueued();
         }
     }
 
     /** A unit in use until the given simulated time. */
-    private record Use(int gateway, long start, long until) {}
+    private record HeldUnit(int gateway, long epoch, long until) {}
 
-    private final QuotaAllocation division;
+    private final QuotaAllocation allocation;
     private final LeaseDurations leaseDurations;
-    private final double drift;
-    private final boolean startsAlike;
+    private final double clockDrift;
+    private final boolean reusesEpoch;
     private final List<Gateway> gateways = new ArrayList<>();
-    private final Deque<Message> onTheWay = new ArrayDeque<>();
-    private final List<Message> late = new ArrayList<>();
-    private final List<Use> uses = new ArrayList<>();
+    private final Deque<Message> inFlight = new ArrayDeque<>();
+    private final List<Message> delayed = new ArrayList<>();
+    private final List<HeldUnit> unitsInUse = new ArrayList<>();
     private int step;
-    private int most;
+    private int peakInUse;
 
     /**
-     * @param drift the share by which gateway 0's clock runs slow and gateway 2's runs fast
-     * @param told the longest hold time that the shared limit declares; a value below the real one is a deliberate defect
-     *     that exploration must find
-     * @param startsAlike whether a restarted process uses the same epoch as the one before it, another deliberate defect
+     * @param clockDrift the share by which gateway 0's clock runs slow and gateway 2's runs fast
+     * @param declaredHoldTime the longest hold time that the shared limit declares; a value below the real one is a
+     *     deliberate defect that exploration must find
+     * @param reusesEpoch whether a restarted process uses the same epoch as the one before it, another deliberate defect
      */
-    private BoundedQuotaModel(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
-        this.startsAlike = startsAlike;
+    private BoundedQuotaModel(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
+        this.reusesEpoch = reusesEpoch;
         this.leaseDurations = leaseDurations;
-        this.drift = drift;
-        division = new QuotaAllocation(
-                List.of(new SharedLimit("server", SharedLimit.Kind.CONCURRENCY, WHOLE, told)), GATEWAYS, 0);
+        this.clockDrift = clockDrift;
+        allocation = new QuotaAllocation(
+                List.of(new SharedLimit("server", SharedLimit.Kind.CONCURRENCY, CAPACITY, declaredHoldTime)), GATEWAYS, 0);
         for (int i = 0; i < GATEWAYS; i++) {
             gateways.add(new Gateway(i));
         }
     }
 
     /** Returns lease durations that fit the steps of this model. */
-    public static LeaseDurations leaseDurations(double clocksApart) {
-        return new LeaseDurations(3 * STEP, 3 * STEP, clocksApart);
+    public static LeaseDurations leaseDurations(double clockDrift) {
+        return new LeaseDurations(3 * STEP_TICKS, 3 * STEP_TICKS, clockDrift);
     }
 
     /** Returns how long a unit stays in use in this model. */
     public static long holdTime() {
-        return USE;
+        return HOLD_TICKS;
     }
 
     /**
@@ -190,106 +191,106 @@
      */
     public static String run(
             LeaseDurations leaseDurations,
-            double drift,
-            long told,
-            boolean startsAlike,
+            double clockDrift,
+            long declaredHoldTime,
+            boolean reusesEpoch,
             Demand demand,
             List<Fault> faults) {
-        BoundedQuotaModel w = new BoundedQuotaModel(leaseDurations, drift, told, startsAlike);
-        for (int s = 0; s < STEPS + HEALS; s++) {
-            List<Fault> now = new ArrayList<>();
+        BoundedQuotaModel model = new BoundedQuotaModel(leaseDurations, clockDrift, declaredHoldTime, reusesEpoch);
+        for (int s = 0; s < FAULTS_END_STEP + RECOVERY_STEPS; s++) {
+            List<Fault> faultsOfStep = new ArrayList<>();
             for (Fault f : faults) {
                 if (f.step == s) {
-                    now.add(f);
+                    faultsOfStep.add(f);
                 }
             }
-            w.step(now, s < STEPS + HEALS / 2 ? demand.at(s) : 0);
-            if (w.most > WHOLE) {
-                return "step " + s + ": " + w.most + " of " + WHOLE + " in use";
+            model.runStep(faultsOfStep, s < FAULTS_END_STEP + RECOVERY_STEPS / 2 ? demand.maskAt(s) : 0);
+            if (model.peakInUse > CAPACITY) {
+                return "step " + s + ": " + model.peakInUse + " of " + CAPACITY + " in use";
             }
         }
-        int parts = 0;
-        for (Gateway g : w.gateways) {
-            parts += g.budgets.heldUnits(g.local(), 0);
+        int remaining = 0;
+        for (Gateway g : model.gateways) {
+            remaining += g.quota.heldUnits(g.localTime(), 0);
         }
-        return parts == WHOLE ? null : parts + " of " + WHOLE + " units left";
+        return remaining == CAPACITY ? null : remaining + " of " + CAPACITY + " units left";
     }
 
-    private void step(List<Fault> faults, int wants) {
+    private void runStep(List<Fault> faults, int demandMask) {
         step++;
         for (Fault f : faults) {
-            Gateway g = gateways.get(f.which % GATEWAYS);
-            if (f.kind == Kind.KILL && g.budgets != null) {
-                g.budgets = null;
-                g.held.clear();
-                g.stoppedFor = 0;
-                g.owes = 0;
-                g.deadFor = DEAD;
-            } else if (f.kind == Kind.STOP && g.runs()) {
-                g.stoppedFor = STOPPED;
-            } else if (f.kind == Kind.CUT) {
-                g.cutUntil = step + STOPPED;
+            Gateway g = gateways.get(f.target % GATEWAYS);
+            if (f.kind == FaultKind.KILL && g.quota != null) {
+                g.quota = null;
+                g.deferredMessages.clear();
+                g.stepsUntilResume = 0;
+                g.deferredReleases = 0;
+                g.stepsUntilRestart = RESTART_DELAY_STEPS;
+            } else if (f.kind == FaultKind.STOP && g.isRunning()) {
+                g.stepsUntilResume = OUTAGE_STEPS;
+            } else if (f.kind == FaultKind.CUT) {
+                g.partitionedUntilStep = step + OUTAGE_STEPS;
             }
         }
         for (Gateway g : gateways) {
-            if (g.budgets == null && g.deadFor-- == 0) {
-                g.starts();
-            } else if (g.stoppedFor > 0 && --g.stoppedFor == 0) {
-                for (; g.owes > 0; g.owes--) {
-                    g.budgets.release(0);
+            if (g.quota == null && g.stepsUntilRestart-- == 0) {
+                g.startProcess();
+            } else if (g.stepsUntilResume > 0 && --g.stepsUntilResume == 0) {
+                for (; g.deferredReleases > 0; g.deferredReleases--) {
+                    g.quota.release(0);
                 }
-                List<Message> all = List.copyOf(g.held);
-                g.held.clear();
-                all.forEach(g::hears);
+                List<Message> deferred = List.copyOf(g.deferredMessages);
+                g.deferredMessages.clear();
+                deferred.forEach(g::receive);
             }
         }
-        ends();
-        onTheWay.addAll(late);
-        late.clear();
+        releaseExpiredUnits();
+        inFlight.addAll(delayed);
+        delayed.clear();
         for (Gateway g : gateways) {
-            if (g.runs()) {
-                g.budgets.onTick(g.local(), i -> gateways.get(i).budgets != null, g.packing);
-                g.sends();
+            if (g.isRunning()) {
+                g.quota.onTick(g.localTime(), i -> gateways.get(i).quota != null, g.outbox);
+                g.sendQueued();
             }
         }
-        carry(faults);
+        deliverMessages(faults);
         for (Gateway g : gateways) {
-            while (g.runs() && (wants >> g.number & 1) == 1 && g.budgets.tryAcquire(g.local(), 0)) {
-                uses.add(new Use(g.number, g.start, step * STEP + (long) (USE / g.rate)));
+            while (g.isRunning() && (demandMask >> g.index & 1) == 1 && g.quota.tryAcquire(g.localTime(), 0)) {
+                unitsInUse.add(new HeldUnit(g.index, g.epoch, step * STEP_TICKS + (long) (HOLD_TICKS / g.clockRate)));
             }
         }
-        most = Math.max(most, uses.size());
+        peakInUse = Math.max(peakInUse, unitsInUse.size());
     }
 
-    private void ends() {
-        uses.removeIf(u -> {
-            boolean over = u.until <= step * STEP;
-            Gateway g = gateways.get(u.gateway);
-            if (over && g.budgets != null && g.start == u.start) {
-                if (g.stoppedFor > 0) {
-                    g.owes++;
+    private void releaseExpiredUnits() {
+        unitsInUse.removeIf(unit -> {
+            boolean isExpired = unit.until <= step * STEP_TICKS;
+            Gateway g = gateways.get(unit.gateway);
+            if (isExpired && g.quota != null && g.epoch == unit.epoch) {
+                if (g.stepsUntilResume > 0) {
+                    g.deferredReleases++;
                 } else {
-                    g.budgets.release(0);
+                    g.quota.release(0);
                 }
             }
-            return over;
+            return isExpired;
         });
     }
 
-    private void carry(List<Fault> faults) {
-        for (int n = 0; !onTheWay.isEmpty(); n++) {
-            Message m = onTheWay.poll();
-            boolean comes = step >= gateways.get(m.from).cutUntil && step >= gateways.get(m.to).cutUntil;
+    private void deliverMessages(List<Fault> faults) {
+        for (int index = 0; !inFlight.isEmpty(); index++) {
+            Message message = inFlight.poll();
+            boolean isDelivered = step >= gateways.get(message.from).partitionedUntilStep && step >= gateways.get(message.to).partitionedUntilStep;
             for (Fault f : faults) {
-                if (f.which == n && f.kind.ordinal() <= Kind.TWICE.ordinal()) {
-                    comes &= f.kind == Kind.TWICE;
-                    if (f.kind != Kind.DROP) {
-                        late.add(m);
+                if (f.target == index && f.kind.ordinal() <= FaultKind.TWICE.ordinal()) {
+                    isDelivered &= f.kind == FaultKind.TWICE;
+                    if (f.kind != FaultKind.DROP) {
+                        delayed.add(message);
                     }
                 }
             }
-            if (comes) {
-                gateways.get(m.to).hears(m);
+            if (isDelivered) {
+                gateways.get(message.to).receive(message);
             }
         }
     }
--- a/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
@@ -13,74 +13,74 @@
  */
 public final class ConsumptionRecorder {
     /** Longest window over which a rate is checked; every window that ends at an acquisition and is no longer is checked. */
-    private static final long WINDOW = 50_000;
+    private static final long MAX_WINDOW_TICKS = 50_000;
 
-    private static final double SECOND = 10_000;
+    private static final double TICKS_PER_SECOND = 10_000;
 
-    private final SharedLimit budget;
+    private final SharedLimit limit;
     private final double slack;
-    private final Deque<Long> spent = new ArrayDeque<>();
+    private final Deque<Long> acquiredAt = new ArrayDeque<>();
     private final List<String> violations = new ArrayList<>();
     private int inUse;
-    private int mostInUse;
+    private int peakInUse;
 
     /** Of a rate limit, the highest consumption in any window as a share of what is allowed there. */
-    private double worst;
+    private double peakShare;
 
-    private long all;
+    private long total;
 
     /**
      * @param slack units by which a window may exceed a rate because delays on the network bunch them; 0 if units are counted
      *     where they are acquired
      */
-    public ConsumptionRecorder(SharedLimit budget, double slack) {
-        this.budget = budget;
+    public ConsumptionRecorder(SharedLimit limit, double slack) {
+        this.limit = limit;
         this.slack = slack;
     }
 
     /** Records that a gateway acquired a unit. */
-    public void spends(long now, String who) {
-        all++;
-        if (budget.kind() == SharedLimit.Kind.CONCURRENCY) {
-            mostInUse = Math.max(mostInUse, ++inUse);
-            if (inUse > budget.capacity()) {
+    public void recordAcquired(long now, String gateway) {
+        total++;
+        if (limit.kind() == SharedLimit.Kind.CONCURRENCY) {
+            peakInUse = Math.max(peakInUse, ++inUse);
+            if (inUse > limit.capacity()) {
                 violations.add(String.format(
                         Locale.ROOT,
                         "%.1f ms: %s acquires %s, %d of %d in use",
                         now / 10.0,
-                        who,
-                        budget.name(),
+                        gateway,
+                        limit.name(),
                         inUse,
-                        budget.capacity()));
+                        limit.capacity()));
             }
             return;
         }
-        spent.addLast(now);
-        while (now - spent.peekFirst() > WINDOW) {
-            spent.pollFirst();
+        acquiredAt.addLast(now);
+        while (now - acquiredAt.peekFirst() > MAX_WINDOW_TICKS) {
+            acquiredAt.pollFirst();
         }
-        int n = spent.size();
-        for (long first : spent) {
-            double may = budget.capacity() * ((now - first) + budget.maxHoldTime()) / SECOND + slack;
-            worst = Math.max(worst, n / may);
-            if (n > may + 1e-6) {
+        int unitsInWindow = acquiredAt.size();
+        for (long windowStart : acquiredAt) {
+            double allowed = limit.capacity() * ((now - windowStart) + limit.maxHoldTime()) / TICKS_PER_SECOND + slack;
+            peakShare = Math.max(peakShare, unitsInWindow / allowed);
+            if (unitsInWindow > allowed + 1e-6) {
                 violations.add(String.format(
                         Locale.ROOT,
                         "%.1f ms: %s acquires %s, %d in %.1f ms where %.2f are allowed",
                         now / 10.0,
-                        who,
-                        budget.name(),
-                        n,
-                        (now - first) / 10.0,
-                        may));
+                        gateway,
+                        limit.name(),
+                        unitsInWindow,
+                        (now - windowStart) / 10.0,
+                        allowed));
                 break;
             }
-            n--;
+            unitsInWindow--;
         }
     }
 
     /** Records that a unit of a concurrency limit is no longer in use. */
-    public void ended() {
+    public void recordReleased() {
         inUse--;
     }
 
@@ -95,14 +95,14 @@
     }
 
     /** Returns the number of units that have been acquired. */
-    public long all() {
-        return all;
+    public long total() {
+        return total;
     }
 
     /** Returns the highest consumption as a share of what the limit allows. */
-    public double worst() {
-        return budget.kind() == SharedLimit.Kind.CONCURRENCY
-                ? mostInUse / (double) Math.max(1, budget.capacity())
-                : worst;
+    public double peakShare() {
+        return limit.kind() == SharedLimit.Kind.CONCURRENCY
+                ? peakInUse / (double) Math.max(1, limit.capacity())
+                : peakShare;
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -5,7 +5,7 @@
 import ploverdale.quota.LeaseDurations;
 import ploverdale.tools.lab.BoundedQuotaModel.Demand;
 import ploverdale.tools.lab.BoundedQuotaModel.Fault;
-import ploverdale.tools.lab.BoundedQuotaModel.Kind;
+import ploverdale.tools.lab.BoundedQuotaModel.FaultKind;
 
 /**
  * Explores the bounded quota model exhaustively: runs it with each single fault and with each pair of faults, under each
@@ -28,54 +28,54 @@
             new Demand(new int[] {3, 3, 3, 3, 5, 5}));
 
     private final LeaseDurations leaseDurations;
-    private final double drift;
-    private final long told;
-    private final boolean startsAlike;
+    private final double clockDrift;
+    private final long declaredHoldTime;
+    private final boolean reusesEpoch;
 
-    public Explorer(LeaseDurations leaseDurations, double drift, long told) {
-        this(leaseDurations, drift, told, false);
+    public Explorer(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime) {
+        this(leaseDurations, clockDrift, declaredHoldTime, false);
     }
 
-    /** @param startsAlike whether each process of a gateway uses the same epoch, which is a deliberate defect */
-    Explorer(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
-        this.startsAlike = startsAlike;
+    /** @param reusesEpoch whether each process of a gateway uses the same epoch, which is a deliberate defect */
+    Explorer(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
+        this.reusesEpoch = reusesEpoch;
         this.leaseDurations = leaseDurations;
-        this.drift = drift;
-        this.told = told;
+        this.clockDrift = clockDrift;
+        this.declaredHoldTime = declaredHoldTime;
     }
 
-    private static List<Fault> all() {
-        List<Fault> all = new ArrayList<>();
-        for (int s = BoundedQuotaModel.FROM; s < BoundedQuotaModel.STEPS; s++) {
-            for (Kind k : Kind.values()) {
-                int n = k.ordinal() >= Kind.KILL.ordinal() ? BoundedQuotaModel.GATEWAYS : BoundedQuotaModel.MESSAGES;
-                for (int i = 0; i < n; i++) {
-                    all.add(new Fault(s, k, i));
+    private static List<Fault> allFaults() {
+        List<Fault> allFaults = new ArrayList<>();
+        for (int step = BoundedQuotaModel.FIRST_FAULT_STEP; step < BoundedQuotaModel.FAULTS_END_STEP; step++) {
+            for (FaultKind kind : FaultKind.values()) {
+                int targets = kind.ordinal() >= FaultKind.KILL.ordinal() ? BoundedQuotaModel.GATEWAYS : BoundedQuotaModel.MESSAGES_PER_STEP;
+                for (int i = 0; i < targets; i++) {
+                    allFaults.add(new Fault(step, kind, i));
                 }
             }
         }
-        return all;
+        return allFaults;
     }
 
     /**
      * Runs the model with each single fault and with a sample of the pairs, until a run violates a rule.
      *
-     * @param everyPair about one pair in this many is run; 1 for all pairs
+     * @param pairInterval about one pair in this many is run; 1 for all pairs
      */
-    public Result explore(int everyPair) {
-        List<Fault> all = all();
+    public Result explore(int pairInterval) {
+        List<Fault> allFaults = allFaults();
         long runs = 0;
-        for (Demand d : DEMANDS) {
-            for (int a = 0; a < all.size(); a++) {
-                for (int b = a; b < all.size(); b++) {
-                    if (b > a && (a * 31L + b) % everyPair != 0) {
+        for (Demand demand : DEMANDS) {
+            for (int first = 0; first < allFaults.size(); first++) {
+                for (int second = first; second < allFaults.size(); second++) {
+                    if (second > first && (first * 31L + second) % pairInterval != 0) {
                         continue;
                     }
-                    List<Fault> faults = b == a ? List.of(all.get(a)) : List.of(all.get(a), all.get(b));
+                    List<Fault> faults = second == first ? List.of(allFaults.get(first)) : List.of(allFaults.get(first), allFaults.get(second));
                     runs++;
-                    String bad = BoundedQuotaModel.run(leaseDurations, drift, told, startsAlike, d, faults);
-                    if (bad != null) {
-                        return new Result(runs, bad + " with " + faults + ", demand " + DEMANDS.indexOf(d));
+                    String violation = BoundedQuotaModel.run(leaseDurations, clockDrift, declaredHoldTime, reusesEpoch, demand, faults);
+                    if (violation != null) {
+                        return new Result(runs, violation + " with " + faults + ", demand " + DEMANDS.indexOf(demand));
                     }
                 }
             }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -22,68 +22,69 @@
     private static final long MS = 10;
 
     /** Interval of a gateway's periodic tick, by its own clock. */
-    private static final long LOOK = 20 * MS;
+    private static final long TICK_INTERVAL = 20 * MS;
 
     /** Unix time at which a simulation begins; only differences matter. */
-    private static final long STEPS_MS = 1_700_000_000_000L;
+    private static final long START_UNIX_MS = 1_700_000_000_000L;
 
     /** Number of deferred events from which a paused process drops datagrams, as a full socket buffer does. */
-    private static final int HELD_WHILE_STOPPED = 200;
+    private static final int MAX_DEFERRED_EVENTS = 200;
 
     /**
      * Settings of a simulation.
      *
-     * @param drift largest share by which a clock runs fast or slow
+     * @param clockDrift largest share by which a clock runs fast or slow
      * @param loss share of datagrams that are lost
-     * @param twice share of datagrams that are duplicated
-     * @param delay longest delay of a datagram
+     * @param duplication share of datagrams that are duplicated
+     * @param maxDelay longest delay of a datagram
      * @param bytesPerSecond largest rate at which a gateway sends
      */
     public record Settings(
-            QuotaAllocation division,
+            QuotaAllocation allocation,
             LeaseDurations leaseDurations,
-            double drift,
+            double clockDrift,
             double loss,
-            double twice,
-            long delay,
+            double duplication,
+            long maxDelay,
             double bytesPerSecond) {}
 
     /** One gateway; its process may be dead or paused. */
-    public final class Instance {
-        private final int number;
-        private final double rate;
-        private final long zero;
+    public final class Gateway {
+        private final int index;
+        private final double clockRate;
+        private final long clockOffset;
         private Membership membership;
-        private QuotaProtocol budgets;
-        private PacketQueue packing;
-        private boolean stopped;
+        private QuotaProtocol quota;
+        private PacketQueue outbox;
+        private boolean paused;
+
         /** Number of processes started so far, which identifies the current one. */
-        private int process;
+        private int currentProcess;
 
-        private final List<Runnable> held = new ArrayList<>();
-        private long bytes;
+        private final List<Runnable> deferredEvents = new ArrayList<>();
+        private long bytesOfEarlierProcesses;
 
-        private Instance(int number) {
-            this.number = number;
-            rate = 1 + world.drift * (2 * random.nextDouble() - 1);
-            zero = random.nextLong(1_000_000_000L);
+        private Gateway(int index) {
+            this.index = index;
+            clockRate = 1 + settings.clockDrift * (2 * random.nextDouble() - 1);
+            clockOffset = random.nextLong(1_000_000_000L);
         }
 
         /** Returns the time of this gateway's monotonic clock, which cannot be compared with that of another gateway. */
-        private long local() {
-            return zero + (long) (now() * rate);
+        private long localTime() {
+            return clockOffset + (long) (now() * clockRate);
         }
 
-        public boolean alive() {
-            return budgets != null;
+        public boolean isAlive() {
+            return quota != null;
         }
 
-        public boolean runs() {
-            return budgets != null && !stopped;
+        public boolean isRunning() {
+            return quota != null && !paused;
         }
 
-        public QuotaProtocol budgets() {
-            return budgets;
+        public QuotaProtocol quota() {
+            return quota;
         }
 
         public Membership membership() {
@@ -91,128 +92,128 @@
         }
 
         /** Returns the units of a limit that this gateway holds; 0 if its process is dead or paused. */
-        public int parts(int budget) {
-            return runs() ? budgets.heldUnits(local(), budget) : 0;
+        public int heldUnits(int limit) {
+            return isRunning() ? quota.heldUnits(localTime(), limit) : 0;
         }
 
-        public long bytes() {
-            return bytes + (packing == null ? 0 : packing.bytesSent());
+        public long bytesSent() {
+            return bytesOfEarlierProcesses + (outbox == null ? 0 : outbox.bytesSent());
         }
 
         /**
          * Starts a process with empty memory.
          *
-         * @param stepMs step of the Unix clock from which the start time is taken; negative if the clock was set back
+         * @param clockStepMs step of the Unix clock from which the start time is taken; negative if the clock was set back
          */
-        public void start(long stepMs) {
-            long startedMs = STEPS_MS + now() / MS + stepMs;
-            membership = new Membership(number, world.division.gateways(), startedMs, random.split());
-            budgets = new QuotaProtocol(
-                    number,
+        public void start(long clockStepMs) {
+            long startUnixMs = START_UNIX_MS + now() / MS + clockStepMs;
+            membership = new Membership(index, settings.allocation.gateways(), startUnixMs, random.split());
+            quota = new QuotaProtocol(
+                    index,
                     Incarnation.startOf(membership.incarnation()),
-                    world.division,
-                    world.leaseDurations,
+                    settings.allocation,
+                    settings.leaseDurations,
                     random.split(),
-                    local());
-            packing = new PacketQueue(world.bytesPerSecond, local());
-            stopped = false;
-            int p = ++process;
-            at(now() + 1, () -> look(p));
+                    localTime());
+            outbox = new PacketQueue(settings.bytesPerSecond, localTime());
+            paused = false;
+            int processNumber = ++currentProcess;
+            schedule(now() + 1, () -> tick(processNumber));
         }
 
         /** Kills the process; its memory is lost. Units that are in use at servers stay in use until their time is over. */
         public void kill() {
-            bytes = bytes();
+            bytesOfEarlierProcesses = bytesSent();
             membership = null;
-            budgets = null;
-            packing = null;
-            held.clear();
+            quota = null;
+            outbox = null;
+            deferredEvents.clear();
         }
 
         /** Pauses the process; until it resumes, its ticks, releases and the datagrams it receives are deferred. */
-        public void stop() {
-            stopped = budgets != null;
+        public void pause() {
+            paused = quota != null;
         }
 
         /** Resumes a paused process, which first handles what was deferred. */
-        public void goOn() {
-            if (stopped) {
-                stopped = false;
-                List<Runnable> all = List.copyOf(held);
-                held.clear();
-                all.forEach(Runnable::run);
+        public void resume() {
+            if (paused) {
+                paused = false;
+                List<Runnable> deferred = List.copyOf(deferredEvents);
+                deferredEvents.clear();
+                deferred.forEach(Runnable::run);
             }
         }
 
-        private void look(int p) {
-            if (p != process || budgets == null) {
+        private void tick(int processNumber) {
+            if (processNumber != currentProcess || quota == null) {
                 return;
             }
-            if (stopped) {
-                held.add(() -> look(p));
+            if (paused) {
+                deferredEvents.add(() -> tick(processNumber));
                 return;
             }
-            membership.onTick(local(), packing);
-            budgets.setEpoch(Incarnation.startOf(membership.incarnation()));
-            budgets.onTick(local(), membership::isPresent, packing);
-            sends();
-            at(now() + (long) (LOOK / rate), () -> look(p));
+            membership.onTick(localTime(), outbox);
+            quota.setEpoch(Incarnation.startOf(membership.incarnation()));
+            quota.onTick(localTime(), membership::isPresent, outbox);
+            sendQueued();
+            schedule(now() + (long) (TICK_INTERVAL / clockRate), () -> tick(processNumber));
         }
 
-        private void sends() {
-            for (PacketQueue.OutboundPacket l : packing.drain(local(), membership.incarnation(), world.division.id())) {
-                network.send(number, l.to(), l.bytes());
+        private void sendQueued() {
+            for (PacketQueue.OutboundPacket p : outbox.drain(localTime(), membership.incarnation(), settings.allocation.id())) {
+                network.send(index, p.to(), p.bytes());
             }
         }
 
-        private void hears(int from, byte[] bytes) {
-            if (budgets == null) {
+        private void receive(int from, byte[] bytes) {
+            if (quota == null) {
                 return;
             }
-            if (stopped) {
-                if (held.size() < HELD_WHILE_STOPPED) {
-                    held.add(() -> hears(from, bytes));
+            if (paused) {
+                if (deferredEvents.size() < MAX_DEFERRED_EVENTS) {
+                    deferredEvents.add(() -> receive(from, bytes));
                 }
                 return;
             }
             Packet p = PacketCodec.decode(bytes);
-            if (p != null && membership.acceptPacket(local(), from, p.incarnation())) {
+            if (p != null && membership.acceptPacket(localTime(), from, p.incarnation())) {
                 for (Packet.Part part : p.parts()) {
-                    membership.onPart(local(), from, part, packing);
-                    if (p.allocationId() == world.division.id()) {
-                        budgets.onMessage(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
+                    membership.onPart(localTime(), from, part, outbox);
+                    if (p.allocationId() == settings.allocation.id()) {
+                        quota.onMessage(localTime(), from, Incarnation.startOf(p.incarnation()), part, outbox);
                     }
                 }
-                sends();
+                sendQueued();
             }
         }
 
         /**
          * Acquires one unit if the gateway has one free. A unit of a concurrency limit is released after the given time.
          *
-         * @param uses how long the unit stays in use, by this gateway's clock
+         * @param holdTime how long the unit stays in use, by this gateway's clock
          * @return whether a unit was acquired
          */
-        public boolean spend(int budget, long uses) {
-            if (!runs() || !budgets.tryAcquire(local(), budget)) {
+        public boolean tryAcquire(int limit, long holdTime) {
+            if (!isRunning() || !quota.tryAcquire(localTime(), limit)) {
                 return false;
             }
-            ConsumptionRecorder s = spending.get(budget);
-            s.spends(now(), "n" + number);
-            if (world.division.limits().get(budget).kind() == SharedLimit.Kind.CONCURRENCY) {
-                int p = process;
-                at(now() + (long) (uses / rate), () -> {
-                    s.ended();
-                    if (p == process && budgets != null) {
-                        Runnable gives = () -> {
-                            if (p == process && budgets != null) {
-                                budgets.release(budget);
+            ConsumptionRecorder recorder = consumption.get(limit);
+            recorder.recordAcquired(now(), "n" + index);
+            if (settings.allocation.limits().get(limit).kind() == SharedLimit.Kind.CONCURRENCY) {
+                int processNumber = currentProcess;
+                schedule(now() + (long) (holdTime / clockRate), () -> {
+                    recorder.recordReleased();
+                    if (processNumber == currentProcess && quota != null) {
+                        Runnable release = () -> {
+                            if (processNumber == currentProcess && quota != null) {
+                                quota.release(limit);
                             }
                         };
-                        if (stopped) {
-                            held.add(gives);
+                        if (paused) {
+                            deferredEvents.add(release);
                         } else {
-                            gives.run();
+                            release.run();
                         }
                     }
                 });
@@ -221,74 +222,74 @@
         }
     }
 
-    private final Settings world;
+    private final Settings settings;
     private final SplittableRandom random;
-    private final List<Instance> instances = new ArrayList<>();
-    private final List<ConsumptionRecorder> spending = new ArrayList<>();
+    private final List<Gateway> gateways = new ArrayList<>();
+    private final List<ConsumptionRecorder> consumption = new ArrayList<>();
     private final SimulatedNetwork network;
 
-    public FleetModel(Settings world, long seed) {
-        this.world = world;
+    public FleetModel(Settings settings, long seed) {
+        this.settings = settings;
         random = new SplittableRandom(seed);
-        int n = world.division.gateways();
+        int gatewayCount = settings.allocation.gateways();
         network = new SimulatedNetwork(
-                n,
-                world.loss,
-                world.twice,
-                world.delay,
+                gatewayCount,
+                settings.loss,
+                settings.duplication,
+                settings.maxDelay,
                 random,
-                (from, to, bytes) -> instances.get(to).hears(from, bytes));
-        for (int i = 0; i < n; i++) {
-            instances.add(new Instance(i));
+                (from, to, bytes) -> gateways.get(to).receive(from, bytes));
+        for (int i = 0; i < gatewayCount; i++) {
+            gateways.add(new Gateway(i));
         }
-        world.division.limits().forEach(b -> spending.add(new ConsumptionRecorder(b, 0)));
+        settings.allocation.limits().forEach(limit -> consumption.add(new ConsumptionRecorder(limit, 0)));
     }
 
     public long now() {
         return network.now();
     }
 
-    public Instance instance(int i) {
-        return instances.get(i);
+    public Gateway gateway(int i) {
+        return gateways.get(i);
     }
 
-    public List<Instance> instances() {
-        return instances;
+    public List<Gateway> gateways() {
+        return gateways;
     }
 
-    public ConsumptionRecorder spending(int budget) {
-        return spending.get(budget);
+    public ConsumptionRecorder consumption(int limit) {
+        return consumption.get(limit);
     }
 
     /** Returns a description of each time that a shared limit was exceeded. */
     public List<String> violations() {
-        List<String> all = new ArrayList<>();
-        spending.forEach(s -> all.addAll(s.violations()));
-        return all;
+        List<String> violations = new ArrayList<>();
+        consumption.forEach(recorder -> violations.addAll(recorder.violations()));
+        return violations;
     }
 
     /** Returns the units of a limit that all running gateways hold together. */
-    public int parts(int budget) {
-        return instances.stream().mapToInt(i -> i.parts(budget)).sum();
+    public int heldUnits(int limit) {
+        return gateways.stream().mapToInt(gateway -> gateway.heldUnits(limit)).sum();
     }
 
     /** Schedules an action for the given time. */
-    public void at(long time, Runnable what) {
-        network.at(time, what);
+    public void schedule(long time, Runnable action) {
+        network.schedule(time, action);
     }
 
     /** Runs the simulation up to and including the given time. */
-    public void until(long time) {
-        network.until(time);
+    public void runUntil(long time) {
+        network.runUntil(time);
     }
 
     /** Blocks or unblocks one direction of the link between two gateways. */
-    public void cut(int from, int to, boolean is) {
-        network.cut(from, to, is);
+    public void setBlocked(int from, int to, boolean isBlocked) {
+        network.setBlocked(from, to, isBlocked);
     }
 
     /** Sets the share of datagrams that are lost from now on. */
-    public void loses(double share) {
-        network.loses(share);
+    public void setLoss(double share) {
+        network.setLoss(share);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/Plot.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Plot.java
@@ -25,31 +25,31 @@
     /**
      * Draws columns of a CSV file over its first column, on a logarithmic axis, and writes the chart as a PNG image.
      *
-     * @param rows the CSV file, with a header line
-     * @param unit label of the vertical axis
+     * @param csv the CSV file, with a header line
+     * @param valueLabel label of the vertical axis
      * @param columns names of the columns to draw, as in the header line
      */
-    public static void draw(Path rows, Path picture, String title, String unit, List<String> columns)
+    public static void draw(Path csv, Path image, String title, String valueLabel, List<String> columns)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
-        List<String> lines = Files.readAllLines(rows);
-        List<String> head = Arrays.asList(lines.get(0).split(","));
-        XYSeriesCollection all = new XYSeriesCollection();
-        for (String c : columns) {
-            XYSeries s = new XYSeries(c);
-            for (String l : lines.subList(1, lines.size())) {
-                String[] cells = l.split(",");
-                s.add(Double.parseDouble(cells[0]), Double.parseDouble(cells[head.indexOf(c)]));
+        List<String> lines = Files.readAllLines(csv);
+        List<String> header = Arrays.asList(lines.get(0).split(","));
+        XYSeriesCollection dataset = new XYSeriesCollection();
+        for (String column : columns) {
+            XYSeries series = new XYSeries(column);
+            for (String line : lines.subList(1, lines.size())) {
+                String[] cells = line.split(",");
+                series.add(Double.parseDouble(cells[0]), Double.parseDouble(cells[header.indexOf(column)]));
             }
-            all.addSeries(s);
+            dataset.addSeries(series);
         }
-        JFreeChart chart = ChartFactory.createXYLineChart(title, head.get(0), unit, all);
-        LogAxis x = new LogAxis(head.get(0));
-        x.setBase(2);
-        chart.getXYPlot().setDomainAxis(x);
+        JFreeChart chart = ChartFactory.createXYLineChart(title, header.get(0), valueLabel, dataset);
+        LogAxis axis = new LogAxis(header.get(0));
+        axis.setBase(2);
+        chart.getXYPlot().setDomainAxis(axis);
         chart.getXYPlot().setBackgroundPaint(Color.WHITE);
         chart.getXYPlot().setRangeGridlinePaint(Color.LIGHT_GRAY);
         chart.getXYPlot().setRenderer(new XYLineAndShapeRenderer(true, true));
-        ChartUtils.saveChartAsPNG(new File(picture.toString()), chart, WIDTH, HEIGHT);
+        ChartUtils.saveChartAsPNG(new File(image.toString()), chart, WIDTH, HEIGHT);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -16,47 +16,47 @@
 public final class QuotaExperiment {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
-    private static final long LOOK = 50 * MS;
+    private static final long CHECK_INTERVAL = 50 * MS;
 
     /** Units that each gateway is entitled to. */
-    private static final int PARTS = 8;
+    private static final int UNITS_PER_GATEWAY = 8;
 
     /** Share of its entitlement that a gateway is guaranteed. */
-    private static final double FLOOR = 0.5;
+    private static final double GUARANTEED_SHARE = 0.5;
 
     /** Share of its entitlement that each gateway consumes before the shift. */
-    private static final double USES = 0.25;
+    private static final double STEADY_DEMAND_SHARE = 0.25;
 
     /** Units per second that gateway 0 consumes after the shift: five times its entitlement. */
-    private static final int WANTS = 40;
+    private static final int SHIFTED_DEMAND = 40;
 
     /** The shift is complete when gateway 0 holds this share of what it can get. */
-    private static final double SHIFTED = 0.8;
+    private static final double SHIFT_COMPLETE_SHARE = 0.8;
 
     /** A shift or a takeover that takes longer is recorded with this time. */
-    private static final long WITHIN = 60 * SECOND;
+    private static final long MAX_WAIT = 60 * SECOND;
 
     /**
      * The result of the runs of one fleet. Times are in milliseconds; those above a minute are recorded as a minute.
      *
-     * @param loanMs term of a sub-lease
+     * @param subLeaseMs term of a sub-lease
      * @param loss share of datagrams that are lost
      * @param shiftP50 time until units have followed the shift of demand
-     * @param deathP50 time until the units of the killed gateway are available to others
-     * @param bytes bytes per second that a gateway sends
-     * @param idle average share of the capacity that no gateway held, after the start and before the shift
+     * @param takeoverP50 time until the units of the killed gateway are available to others
+     * @param bytesPerSecond bytes per second that a gateway sends
+     * @param idleShare average share of the capacity that no gateway held, after the start and before the shift
      * @param violations number of times that the limit was exceeded
      */
     public record Result(
             int gateways,
-            long loanMs,
+            long subLeaseMs,
             double loss,
             long shiftP50,
             long shiftP99,
-            long deathP50,
-            long deathP99,
-            double bytes,
-            double idle,
+            long takeoverP50,
+            long takeoverP99,
+            double bytesPerSecond,
+            double idleShare,
             int violations) {
         /** Header line of the CSV file. */
         public static final String CSV_HEADER = "gateways,loan_ms,loss,shift_p50_ms,shift_p99_ms,death_p50_ms,death_p99_ms,"
@@ -67,14 +67,14 @@
                     Locale.ROOT,
                     "%d,%d,%.2f,%d,%d,%d,%d,%.0f,%.3f,%d",
                     gateways,
-                    loanMs,
+                    subLeaseMs,
                     loss,
                     shiftP50,
                     shiftP99,
-                    deathP50,
-                    deathP99,
-                    bytes,
-                    idle,
+                    takeoverP50,
+                    takeoverP99,
+                    bytesPerSecond,
+                    idleShare,
                     violations);
         }
     }
@@ -82,91 +82,91 @@
     private QuotaExperiment() {}
 
     /** Runs the experiment once for each of a range of seeds. */
-    public static Result run(int gateways, long loanMs, double loss, long firstSeed, int seeds) {
-        Histogram shift = new Histogram(3);
-        Histogram death = new Histogram(3);
-        double bytes = 0;
-        double idle = 0;
+    public static Result run(int gateways, long subLeaseMs, double loss, long firstSeed, int seeds) {
+        Histogram shiftTimes = new Histogram(3);
+        Histogram takeoverTimes = new Histogram(3);
+        double bytesPerSecond = 0;
+        double idleShare = 0;
         int violations = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
-            QuotaAllocation d = new QuotaAllocation(
-                    List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, PARTS * gateways, SECOND)),
+            QuotaAllocation allocation = new QuotaAllocation(
+                    List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, UNITS_PER_GATEWAY * gateways, SECOND)),
                     gateways,
-                    FLOOR);
-            LeaseDurations leaseDurations = new LeaseDurations(loanMs * MS * 3 / 2, loanMs * MS, 0.05);
-            FleetModel m = new FleetModel(new Settings(d, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
+                    GUARANTEED_SHARE);
+            LeaseDurations leaseDurations = new LeaseDurations(subLeaseMs * MS * 3 / 2, subLeaseMs * MS, 0.05);
+            FleetModel model = new FleetModel(new Settings(allocation, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
-            m.instances().forEach(i -> i.start(0));
-            m.until(2 * leaseDurations.grantorTerm(leaseDurations.partitionLease())
+            model.gateways().forEach(gateway -> gateway.start(0));
+            model.runUntil(2 * leaseDurations.grantorTerm(leaseDurations.partitionLease())
                     + 2 * leaseDurations.grantorTerm(leaseDurations.subLease()));
-            long calmFrom = m.now();
-            long bytesFrom = bytes(m);
-            double sum = 0;
-            int looks = 0;
-            for (; m.now() < calmFrom + 5 * SECOND; looks++) {
-                asks(m, random, 1, USES * PARTS);
-                m.until(m.now() + LOOK);
-                sum += m.parts(0);
+            long steadyFrom = model.now();
+            long bytesFrom = bytesSent(model);
+            double heldUnitsSum = 0;
+            int checks = 0;
+            for (; model.now() < steadyFrom + 5 * SECOND; checks++) {
+                scheduleSteadyDemand(model, random, 1, STEADY_DEMAND_SHARE * UNITS_PER_GATEWAY);
+                model.runUntil(model.now() + CHECK_INTERVAL);
+                heldUnitsSum += model.heldUnits(0);
             }
-            idle += 1 - sum / looks / d.limits().get(0).capacity();
-            bytes += (bytes(m) - bytesFrom) / 5.0 / gateways;
-            long shiftFrom = m.now();
-            int othersFloors = 0;
+            idleShare += 1 - heldUnitsSum / checks / allocation.limits().get(0).capacity();
+            bytesPerSecond += (bytesSent(model) - bytesFrom) / 5.0 / gateways;
+            long shiftFrom = model.now();
+            int othersGuaranteedUnits = 0;
             for (int i = 1; i < gateways; i++) {
-                othersFloors += d.guaranteedUnits(i, 0);
+                othersGuaranteedUnits += allocation.guaranteedUnits(i, 0);
             }
-            double enough = SHIFTED
-                    * Math.min(WANTS, d.limits().get(0).capacity() - othersFloors - USES * PARTS * (gateways - 1) / 2);
-            while (m.instance(0).parts(0) < enough && m.now() < shiftFrom + WITHIN) {
-                asks(m, random, 1, USES * PARTS);
-                wants(m, random);
-                m.until(m.now() + LOOK);
+            double targetUnits = SHIFT_COMPLETE_SHARE
+                    * Math.min(SHIFTED_DEMAND, allocation.limits().get(0).capacity() - othersGuaranteedUnits - STEADY_DEMAND_SHARE * UNITS_PER_GATEWAY * (gateways - 1) / 2);
+            while (model.gateway(0).heldUnits(0) < targetUnits && model.now() < shiftFrom + MAX_WAIT) {
+                scheduleSteadyDemand(model, random, 1, STEADY_DEMAND_SHARE * UNITS_PER_GATEWAY);
+                scheduleShiftedDemand(model, random);
+                model.runUntil(model.now() + CHECK_INTERVAL);
             }
-            shift.recordValue((m.now() - shiftFrom) / MS);
-            int dead = 1 + random.nextInt(gateways - 1);
-            long diedAt = m.now();
-            m.instance(dead).kill();
+            shiftTimes.recordValue((model.now() - shiftFrom) / MS);
+            int killed = 1 + random.nextInt(gateways - 1);
+            long killedAt = model.now();
+            model.gateway(killed).kill();
             // With two gateways there is a single acceptor, so the units of a dead gateway stay idle until it is back.
-            int all = d.acceptorCount() == 1
-                    ? d.entitlement(0, 0)
-                    : d.limits().get(0).capacity() - d.guaranteedUnits(dead, 0);
-            while (m.parts(0) < all && m.now() < diedAt + WITHIN) {
-                m.until(m.now() + LOOK);
+            int availableUnits = allocation.acceptorCount() == 1
+                    ? allocation.entitlement(0, 0)
+                    : allocation.limits().get(0).capacity() - allocation.guaranteedUnits(killed, 0);
+            while (model.heldUnits(0) < availableUnits && model.now() < killedAt + MAX_WAIT) {
+                model.runUntil(model.now() + CHECK_INTERVAL);
             }
-            death.recordValue((m.now() - diedAt) / MS);
-            violations += m.violations().size();
+            takeoverTimes.recordValue((model.now() - killedAt) / MS);
+            violations += model.violations().size();
         }
         return new Result(
                 gateways,
-                loanMs,
+                subLeaseMs,
                 loss,
-                shift.getValueAtPercentile(50),
-                shift.getValueAtPercentile(99),
-                death.getValueAtPercentile(50),
-                death.getValueAtPercentile(99),
-                bytes / seeds,
-                idle / seeds,
+                shiftTimes.getValueAtPercentile(50),
+                shiftTimes.getValueAtPercentile(99),
+                takeoverTimes.getValueAtPercentile(50),
+                takeoverTimes.getValueAtPercentile(99),
+                bytesPerSecond / seeds,
+                idleShare / seeds,
                 violations);
     }
 
-    private static long bytes(FleetModel m) {
-        return m.instances().stream().mapToLong(FleetModel.Instance::bytes).sum();
+    private static long bytesSent(FleetModel model) {
+        return model.gateways().stream().mapToLong(FleetModel.Gateway::bytesSent).sum();
     }
 
-    /** Schedules random acquisitions by gateways for the next interval, at the given rate for each of them. */
-    private static void asks(FleetModel m, SplittableRandom random, int from, double perSecond) {
-        for (int i = from; i < m.instances().size(); i++) {
-            if (random.nextDouble() < perSecond * LOOK / SECOND) {
-                int who = i;
-                m.at(m.now() + random.nextLong(LOOK), () -> m.instance(who).spend(0, 0));
+    /** Schedules random acquisitions for the next interval by all gateways from the given one on, each at the given rate. */
+    private static void scheduleSteadyDemand(FleetModel model, SplittableRandom random, int firstGateway, double perSecond) {
+        for (int i = firstGateway; i < model.gateways().size(); i++) {
+            if (random.nextDouble() < perSecond * CHECK_INTERVAL / SECOND) {
+                int gateway = i;
+                model.schedule(model.now() + random.nextLong(CHECK_INTERVAL), () -> model.gateway(gateway).tryAcquire(0, 0));
             }
         }
     }
 
     /** Schedules the demand of gateway 0 for the next interval. */
-    private static void wants(FleetModel m, SplittableRandom random) {
-        for (int n = 0; n < WANTS * LOOK / SECOND; n++) {
-            m.at(m.now() + random.nextLong(LOOK), () -> m.instance(0).spend(0, 0));
+    private static void scheduleShiftedDemand(FleetModel model, SplittableRandom random) {
+        for (int n = 0; n < SHIFTED_DEMAND * CHECK_INTERVAL / SECOND; n++) {
+            model.schedule(model.now() + random.nextLong(CHECK_INTERVAL), () -> model.gateway(0).tryAcquire(0, 0));
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
@@ -12,48 +12,48 @@
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
     private static final int SESSIONS = 40;
-    private static final long WITHIN = 120 * SECOND;
+    private static final long MAX_CATCH_UP = 120 * SECOND;
 
     private ReplicaExperiment() {}
 
     /** Returns the replication settings of the runs with random faults. */
-    public static ReplicationSettings keeping(int copies) {
+    public static ReplicationSettings replicationSettings(int replicationFactor) {
         return new ReplicationSettings(
-                copies, true, 20 * SECOND, 60 * MS, 8 * SECOND, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
+                replicationFactor, true, 20 * SECOND, 60 * MS, 8 * SECOND, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
     }
 
-    private static void faults(ReplicaModel m, SplittableRandom random, int n, long from, long to) {
+    private static void scheduleRandomFaults(ReplicaModel model, SplittableRandom random, int gateways, long from, long to) {
         for (int f = 0; f < 8; f++) {
-            long a = from + random.nextLong(to - from);
-            long b = a + random.nextLong(to - a) + 1;
-            int x = random.nextInt(n);
-            int y = random.nextInt(n);
+            long faultStart = from + random.nextLong(to - from);
+            long faultEnd = faultStart + random.nextLong(to - faultStart) + 1;
+            int gateway = random.nextInt(gateways);
+            int peer = random.nextInt(gateways);
             switch (random.nextInt(6)) {
                 case 0 -> {
-                    m.at(a, () -> m.instance(x).kill());
-                    m.at(a + 300 * MS, () -> starts(m, x));
+                    model.schedule(faultStart, () -> model.gateway(gateway).kill());
+                    model.schedule(faultStart + 300 * MS, () -> startIfDead(model, gateway));
                 }
                 case 1 -> {
-                    m.at(a, () -> m.instance(x).stop());
-                    m.at(b, () -> m.instance(x).goOn());
+                    model.schedule(faultStart, () -> model.gateway(gateway).pause());
+                    model.schedule(faultEnd, () -> model.gateway(gateway).resume());
                 }
                 case 2 -> {
-                    m.at(a, () -> m.cut(x, y, true));
-                    m.at(b, () -> m.cut(x, y, false));
+                    model.schedule(faultStart, () -> model.setBlocked(gateway, peer, true));
+                    model.schedule(faultEnd, () -> model.setBlocked(gateway, peer, false));
                 }
                 case 3 -> {
-                    m.at(a, () -> halves(m, n, true));
-                    m.at(b, () -> halves(m, n, false));
+                    model.schedule(faultStart, () -> setSplit(model, gateways, true));
+                    model.schedule(faultEnd, () -> setSplit(model, gateways, false));
                 }
                 case 4 -> {
-                    m.at(a, () -> m.loses(0.5));
-                    m.at(b, () -> m.loses(0.05));
+                    model.schedule(faultStart, () -> model.setLoss(0.5));
+                    model.schedule(faultEnd, () -> model.setLoss(0.05));
                 }
                 default -> { // a rolling restart: each gateway is back before the next one is killed
-                    for (int i = 0; i < n; i++) {
-                        int who = i;
-                        m.at(a + i * 400 * MS, () -> m.instance(who).kill());
-                        m.at(a + i * 400 * MS + 350 * MS, () -> starts(m, who));
+                    for (int i = 0; i < gateways; i++) {
+                        int index = i;
+                        model.schedule(faultStart + i * 400 * MS, () -> model.gateway(index).kill());
+                        model.schedule(faultStart + i * 400 * MS + 350 * MS, () -> startIfDead(model, index));
                     }
                 }
             }
@@ -61,60 +61,60 @@
     }
 
     /** Starts the given gateway if its process is dead. */
-    static void starts(ReplicaModel m, int x) {
-        if (!m.instance(x).alive()) {
-            m.instance(x).start();
+    static void startIfDead(ReplicaModel model, int gateway) {
+        if (!model.gateway(gateway).isAlive()) {
+            model.gateway(gateway).start();
         }
     }
 
     /** Blocks or unblocks all links between the two halves of the fleet. */
-    private static void halves(ReplicaModel m, int n, boolean cut) {
-        IntStream.range(0, n * n)
-                .filter(i -> (i / n < n / 2) != (i % n < n / 2))
-                .forEach(i -> m.cut(i / n, i % n, cut));
+    private static void setSplit(ReplicaModel model, int gateways, boolean isBlocked) {
+        IntStream.range(0, gateways * gateways)
+                .filter(i -> (i / gateways < gateways / 2) != (i % gateways < gateways / 2))
+                .forEach(i -> model.setBlocked(i / gateways, i % gateways, isBlocked));
     }
 
     /**
      * Simulates 24 s with random faults, in which sessions use a random gateway for each request and each write is submitted
      * up to four times, each time at a random gateway.
      */
-    public static ReplicaModel runWithRandomFaults(int n, long seed) {
-        ReplicaModel m = new ReplicaModel(new Settings(n, keeping(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
+    public static ReplicaModel runWithRandomFaults(int gateways, long seed) {
+        ReplicaModel model = new ReplicaModel(new Settings(gateways, replicationSettings(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
         SplittableRandom random = new SplittableRandom(~seed);
-        faults(m, random, n, 2 * SECOND, 20 * SECOND);
-        for (long t = SECOND; t < 24 * SECOND; t += 5 * MS) {
+        scheduleRandomFaults(model, random, gateways, 2 * SECOND, 20 * SECOND);
+        for (long time = SECOND; time < 24 * SECOND; time += 5 * MS) {
             String session = "s" + random.nextInt(SESSIONS);
-            String id = "w" + t;
-            m.at(t, () -> m.writes(random.nextInt(n), session));
-            m.at(t + MS, () -> m.reads(random.nextInt(n), "s" + random.nextInt(SESSIONS)));
-            boolean runs = random.nextInt(3) > 0;
-            m.at(t, () -> m.submits(random.nextInt(n), id, true, random.nextLong(300 * MS), runs, e -> {}));
-            for (int again = 1; again < 4; again++) {
-                m.at(
-                        t + again * random.nextLong(1, SECOND),
-                        () -> m.submits(random.nextInt(n), id, false, 10 * MS, true, e -> {}));
+            String id = "w" + time;
+            model.schedule(time, () -> model.write(random.nextInt(gateways), session));
+            model.schedule(time + MS, () -> model.read(random.nextInt(gateways), "s" + random.nextInt(SESSIONS)));
+            boolean executes = random.nextInt(3) > 0;
+            model.schedule(time, () -> model.submit(random.nextInt(gateways), id, true, random.nextLong(300 * MS), executes, status -> {}));
+            for (int resubmission = 1; resubmission < 4; resubmission++) {
+                model.schedule(
+                        time + resubmission * random.nextLong(1, SECOND),
+                        () -> model.submit(random.nextInt(gateways), id, false, 10 * MS, true, status -> {}));
             }
         }
-        m.until(24 * SECOND);
-        return m;
+        model.runUntil(24 * SECOND);
+        return model;
     }
 
     /**
      * The result of one measurement of catching up.
      *
-     * @param facts entries that gateway 0 holds at the end
-     * @param differ entries that the gateway missed while it was partitioned
+     * @param entries entries that gateway 0 holds at the end
+     * @param missedEntries entries that the gateway missed while it was partitioned
      * @param afterMs time from the end of the partition until all replicas were equal
-     * @param bytes sent by all gateways in that time
-     * @param bytesIdle bytes per second that a gateway sends when nothing is written
+     * @param bytesSent sent by all gateways in that time
+     * @param idleBytesPerSecond bytes per second that a gateway sends when nothing is written
      */
-    public record CatchUpResult(int gateways, int facts, int differ, long afterMs, long bytes, double bytesIdle) {
+    public record CatchUpResult(int gateways, int entries, int missedEntries, long afterMs, long bytesSent, double idleBytesPerSecond) {
         /** Header line of the CSV file. */
         public static final String CSV_HEADER = "gateways,facts,differ,after_ms,bytes_of_all,bytes_a_second_idle";
 
         public String csvRow() {
             return String.format(
-                    Locale.ROOT, "%d,%d,%d,%d,%d,%.0f", gateways, facts, differ, afterMs, bytes, bytesIdle);
+                    Locale.ROOT, "%d,%d,%d,%d,%d,%.0f", gateways, entries, missedEntries, afterMs, bytesSent, idleBytesPerSecond);
         }
     }
 
@@ -122,53 +122,53 @@
      * Partitions one gateway from the others, writes entries that it misses, and measures how long it takes to catch up and
      * how many bytes that costs.
      *
-     * @param facts entries that are written before the partition
-     * @param differ entries that are written during the partition
+     * @param entries entries that are written before the partition
+     * @param missedEntries entries that are written during the partition
      * @param bytesPerSecond largest rate at which a gateway sends
      */
-    public static CatchUpResult measureCatchUp(int n, int facts, int differ, double bytesPerSecond, long seed) {
-        ReplicationSettings keeps = new ReplicationSettings(
+    public static CatchUpResult measureCatchUp(int gateways, int entries, int missedEntries, double bytesPerSecond, long seed) {
+        ReplicationSettings replication = new ReplicationSettings(
                 3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
-        ReplicaModel m = new ReplicaModel(new Settings(n, keeps, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
-        m.until(3 * SECOND);
-        fill(m, "s", facts, n);
-        settles(m);
-        long idleFrom = bytes(m);
-        m.until(m.now() + 5 * SECOND);
-        double idle = (bytes(m) - idleFrom) / 5.0 / n;
-        IntStream.range(0, n).forEach(i -> {
-            m.cut(i, n - 1, true);
-            m.cut(n - 1, i, true);
+        ReplicaModel model = new ReplicaModel(new Settings(gateways, replication, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
+        model.runUntil(3 * SECOND);
+        fill(model, "s", entries, gateways);
+        runUntilEqual(model);
+        long idleStartBytes = bytesSent(model);
+        model.runUntil(model.now() + 5 * SECOND);
+        double idleRate = (bytesSent(model) - idleStartBytes) / 5.0 / gateways;
+        IntStream.range(0, gateways).forEach(i -> {
+            model.setBlocked(i, gateways - 1, true);
+            model.setBlocked(gateways - 1, i, true);
         });
-        fill(m, "more", differ, n - 1);
-        m.until(m.now() + 8 * SECOND);
-        IntStream.range(0, n).forEach(i -> {
-            m.cut(i, n - 1, false);
-            m.cut(n - 1, i, false);
+        fill(model, "more", missedEntries, gateways - 1);
+        model.runUntil(model.now() + 8 * SECOND);
+        IntStream.range(0, gateways).forEach(i -> {
+            model.setBlocked(i, gateways - 1, false);
+            model.setBlocked(gateways - 1, i, false);
         });
-        long before = bytes(m);
-        long took = settles(m);
-        return new CatchUpResult(n, m.instance(0).replicas().size(), differ, took / MS, bytes(m) - before, idle);
+        long bytesBefore = bytesSent(model);
+        long elapsed = runUntilEqual(model);
+        return new CatchUpResult(gateways, model.gateway(0).replicas().size(), missedEntries, elapsed / MS, bytesSent(model) - bytesBefore, idleRate);
     }
 
-    private static void fill(ReplicaModel m, String name, int facts, int writers) {
-        for (int i = 0; i < facts; i++) {
-            int f = i;
-            m.at(m.now() + i / 4, () -> m.writes(f % writers, name + f));
+    private static void fill(ReplicaModel model, String sessionPrefix, int entries, int writerCount) {
+        for (int i = 0; i < entries; i++) {
+            int entry = i;
+            model.schedule(model.now() + i / 4, () -> model.write(entry % writerCount, sessionPrefix + entry));
         }
-        m.until(m.now() + facts / 4 + 2 * SECOND);
+        model.runUntil(model.now() + entries / 4 + 2 * SECOND);
     }
 
-    /** Runs the model until all replicas are equal, or for {@link #WITHIN} at most, and returns the time taken. */
-    private static long settles(ReplicaModel m) {
-        long from = m.now();
-        while (m.differing() > 0 && m.now() < from + WITHIN) {
-            m.until(m.now() + 100 * MS);
+    /** Runs the model until all replicas are equal, or for {@link #MAX_CATCH_UP} at most, and returns the time taken. */
+    private static long runUntilEqual(ReplicaModel model) {
+        long from = model.now();
+        while (model.differingPairs() > 0 && model.now() < from + MAX_CATCH_UP) {
+            model.runUntil(model.now() + 100 * MS);
         }
-        return m.now() - from;
+        return model.now() - from;
     }
 
-    private static long bytes(ReplicaModel m) {
-        return m.instances().stream().mapToLong(ReplicaModel.Instance::bytes).sum();
+    private static long bytesSent(ReplicaModel model) {
+        return model.gateways().stream().mapToLong(ReplicaModel.Gateway::bytesSent).sum();
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -30,66 +30,69 @@
     private static final long MS = 10;
 
     /** Interval of a gateway's periodic tick, by its own clock. */
-    private static final long LOOK = 20 * MS;
+    private static final long TICK_INTERVAL = 20 * MS;
 
     /** Unix time at which a simulation begins. */
-    private static final long ZERO = 17_000_000_000_000L;
+    private static final long START_TIME = 17_000_000_000_000L;
 
     /** Entries that expire within this time are left out when replicas are compared. */
-    private static final long LASTS_ON = 1000 * MS;
+    private static final long EXPIRY_MARGIN = 1000 * MS;
 
     /** Number of deferred events from which a paused process drops datagrams, as a full socket buffer does. */
-    private static final int HELD_WHILE_STOPPED = 200;
+    private static final int MAX_DEFERRED_EVENTS = 200;
 
     /**
      * Settings of a simulation.
      *
-     * @param keeping settings of replication; Unix clocks differ by less than their largest clock difference
-     * @param drift largest share by which a monotonic clock runs fast or slow
+     * @param replication settings of replication; Unix clocks differ by less than their largest clock difference
+     * @param clockDrift largest share by which a monotonic clock runs fast or slow
      * @param loss share of datagrams that are lost
-     * @param twice share of datagrams that are duplicated
-     * @param delay longest delay of a datagram
+     * @param duplication share of datagrams that are duplicated
+     * @param maxDelay longest delay of a datagram
      * @param bytesPerSecond largest rate at which a gateway sends
      */
     public record Settings(
             int gateways,
-            ReplicationSettings keeping,
-            double drift,
+            ReplicationSettings replication,
+            double clockDrift,
             double loss,
-            double twice,
-            long delay,
+            double duplication,
+            long maxDelay,
             double bytesPerSecond) {}
 
     /** One gateway; its process may be dead or paused. */
-    public final class Instance {
-        private final int number;
-        private final double rate;
-        private final long wallOff;
+    public final class Gateway {
+        private final int index;
+        private final double clockRate;
+        private final long wallClockOffset;
         private Membership membership;
         private Replicas replicas;
-        private PacketQueue packing;
-        private boolean stopped;
-        private int process;
-        private long bytes;
-        private final List<Runnable> held = new ArrayList<>();
-        private final Map<Long, Consumer<QuorumResult>> tickets = new HashMap<>();
-
-        private Instance(int number) {
-            this.number = number;
-            rate = 1 + world.drift * (2 * random.nextDouble() - 1);
-            wallOff = random.nextLong(world.keeping.maxClockDifference() / 2 + 1)
-                    - world.keeping.maxClockDifference() / 4;
+        private PacketQueue outbox;
+        private boolean paused;
+
+        /** Number of processes started so far, which identifies the current one. */
+        private int currentProcess;
+
+        private long bytesOfEarlierProcesses;
+        private final List<Runnable> deferredEvents = new ArrayList<>();
+        private final Map<Long, Consumer<QuorumResult>> callbacks = new HashMap<>();
+
+        private Gateway(int index) {
+            this.index = index;
+            clockRate = 1 + settings.clockDrift * (2 * random.nextDouble() - 1);
+            wallClockOffset = random.nextLong(settings.replication.maxClockDifference() / 2 + 1)
+                    - settings.replication.maxClockDifference() / 4;
         }
 
-        private long local() {
-            return (long) (now() * rate);
+        private long localTime() {
+            return (long) (now() * clockRate);
         }
 
-        private long wall() {
-            return ZERO + now() + wallOff;
+        private long wallTime() {
+            return START_TIME + now() + wallClockOffset;
         }
 
-        public boolean alive() {
+        public boolean isAlive() {
             return replicas != null;
         }
 
@@ -97,149 +100,149 @@
             return replicas;
         }
 
-        public long bytes() {
-            return bytes + (packing == null ? 0 : packing.bytesSent());
+        public long bytesSent() {
+            return bytesOfEarlierProcesses + (outbox == null ? 0 : outbox.bytesSent());
         }
 
         /** Starts a process with empty memory. */
         public void start() {
-            membership = new Membership(number, world.gateways, wall() / MS, random.split());
-            packing = new PacketQueue(world.bytesPerSecond, local());
+            membership = new Membership(index, settings.gateways, wallTime() / MS, random.split());
+            outbox = new PacketQueue(settings.bytesPerSecond, localTime());
             replicas = new Replicas(
-                    number,
-                    world.gateways,
+                    index,
+                    settings.gateways,
                     Incarnation.startOf(membership.incarnation()),
-                    world.keeping,
+                    settings.replication,
                     random.split(),
-                    this::wall);
-            stopped = false;
-            int p = ++process;
-            at(now() + 1, () -> look(p));
+                    this::wallTime);
+            paused = false;
+            int processNumber = ++currentProcess;
+            schedule(now() + 1, () -> tick(processNumber));
         }
 
         /** Kills the process; its memory and all that it had deferred are lost. */
         public void kill() {
-            bytes = bytes();
+            bytesOfEarlierProcesses = bytesSent();
             replicas = null;
-            packing = null;
-            held.clear();
-            tickets.clear();
+            outbox = null;
+            deferredEvents.clear();
+            callbacks.clear();
         }
 
         /** Pauses the process; until it resumes, its ticks and the datagrams it receives are deferred. */
-        public void stop() {
-            stopped = replicas != null;
+        public void pause() {
+            paused = replicas != null;
         }
 
         /** Resumes a paused process, which first handles what was deferred. */
-        public void goOn() {
-            if (stopped) {
-                stopped = false;
-                List<Runnable> all = List.copyOf(held);
-                held.clear();
-                all.forEach(Runnable::run);
+        public void resume() {
+            if (paused) {
+                paused = false;
+                List<Runnable> deferred = List.copyOf(deferredEvents);
+                deferredEvents.clear();
+                deferred.forEach(Runnable::run);
             }
         }
 
-        private void look(int p) {
-            if (p != process || replicas == null) {
+        private void tick(int processNumber) {
+            if (processNumber != currentProcess || replicas == null) {
                 return;
             }
-            if (stopped) {
-                held.add(() -> look(p));
+            if (paused) {
+                deferredEvents.add(() -> tick(processNumber));
                 return;
             }
-            membership.onTick(local(), packing);
+            membership.onTick(localTime(), outbox);
             replicas.setIncarnation(Incarnation.startOf(membership.incarnation()));
-            replicas.onTick(local(), membership::isPresent, packing);
-            sends();
-            at(now() + (long) (LOOK / rate), () -> look(p));
+            replicas.onTick(localTime(), membership::isPresent, outbox);
+            sendQueued();
+            schedule(now() + (long) (TICK_INTERVAL / clockRate), () -> tick(processNumber));
         }
 
-        private void sends() {
-            for (PacketQueue.OutboundPacket l : packing.drain(local(), membership.incarnation(), 1)) {
-                network.send(number, l.to(), l.bytes());
+        private void sendQueued() {
+            for (PacketQueue.OutboundPacket p : outbox.drain(localTime(), membership.incarnation(), 1)) {
+                network.send(index, p.to(), p.bytes());
             }
-            for (QuorumResult d : replicas.takeResults()) {
-                Consumer<QuorumResult> then = tickets.remove(d.ticket());
-                if (then != null) {
-                    then.accept(d);
+            for (QuorumResult result : replicas.takeResults()) {
+                Consumer<QuorumResult> callback = callbacks.remove(result.ticket());
+                if (callback != null) {
+                    callback.accept(result);
                 }
             }
         }
 
-        private void hears(int from, byte[] bytes) {
+        private void receive(int from, byte[] bytes) {
             if (replicas == null) {
                 return;
             }
-            if (stopped) {
-                if (held.size() < HELD_WHILE_STOPPED) {
-                    held.add(() -> hears(from, bytes));
+            if (paused) {
+                if (deferredEvents.size() < MAX_DEFERRED_EVENTS) {
+                    deferredEvents.add(() -> receive(from, bytes));
                 }
                 return;
             }
             Packet p = PacketCodec.decode(bytes);
-            if (p != null && membership.acceptPacket(local(), from, p.incarnation())) {
+            if (p != null && membership.acceptPacket(localTime(), from, p.incarnation())) {
                 for (Packet.Part part : p.parts()) {
-                    membership.onPart(local(), from, part, packing);
-                    replicas.onMessage(local(), from, Incarnation.startOf(p.incarnation()), part, packing);
+                    membership.onPart(localTime(), from, part, outbox);
+                    replicas.onMessage(localTime(), from, Incarnation.startOf(p.incarnation()), part, outbox);
                 }
-                sends();
+                sendQueued();
             }
         }
 
-        private void asks(long ticket, Consumer<QuorumResult> then) {
-            tickets.put(ticket, then);
-            sends();
+        private void awaitResult(long ticket, Consumer<QuorumResult> callback) {
+            callbacks.put(ticket, callback);
+            sendQueued();
         }
 
-        private boolean runs() {
-            return replicas != null && !stopped;
+        private boolean isRunning() {
+            return replicas != null && !paused;
         }
     }
 
-    private final Settings world;
+    private final Settings settings;
     private final SplittableRandom random;
-    private final List<Instance> instances = new ArrayList<>();
+    private final List<Gateway> gateways = new ArrayList<>();
     private final SimulatedNetwork network;
 
     /** By session, the position of the last write whose acknowledgement its client received. */
-    private final Map<String, Long> promised = new HashMap<>();
+    private final Map<String, Long> lastAckedPositions = new HashMap<>();
 
     /** By write, how often it may have been executed. */
-    private final Map<String, Integer> sent = new LinkedHashMap<>();
+    private final Map<String, Integer> executions = new LinkedHashMap<>();
 
     private final List<String> violations = new ArrayList<>();
-    private int acked;
-    private int known;
-    private int unknown;
+    private int ackedWrites;
+    private int readsWithPosition;
+    private int readsWithoutPosition;
 
-    public ReplicaModel(Settings world, long seed) {
-        this.world = world;
+    public ReplicaModel(Settings settings, long seed) {
+        this.settings = settings;
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(
-                world.gateways,
-                world.loss,
-                world.twice,
-                world.delay,
+                settings.gateways,
+                settings.loss,
+                settings.duplication,
+                settings.maxDelay,
                 random,
-                (from, to, bytes) -> instances.get(to).hears(from, bytes));
-        for (int i = 0; i < world.gateways; i++) {
-            instances.add(new Instance(i));
+                (from, to, bytes) -> gateways.get(to).receive(from, bytes));
+        for (int i = 0; i < settings.gateways; i++) {
+            gateways.add(new Gateway(i));
         }
-        instances.forEach(Instance::start);
+        gateways.forEach(Gateway::start);
     }
 
     public long now() {
         return network.now();
     }
 
-    public Instance instance(int i) {
-        return instances.get(i);
+    public Gateway gateway(int i) {
+        return gateways.get(i);
     }
 
-    public List<Instance> instances() {
-        return instances;
+    public List<Gateway> gateways() {
+        return gateways;
     }
 
     /** Returns a description of each stale read and of each write that was executed again. */
@@ -249,67 +252,67 @@
 
     /** Returns the number of acknowledged writes, of reads whose session position was known, and of the other reads. */
     public int[] counts() {
-        return new int[] {acked, known, unknown};
+        return new int[] {ackedWrites, readsWithPosition, readsWithoutPosition};
     }
 
     /** Schedules an action for the given time. */
-    public void at(long time, Runnable what) {
-        network.at(time, what);
+    public void schedule(long time, Runnable action) {
+        network.schedule(time, action);
     }
 
     /** Runs the simulation up to and including the given time. */
-    public void until(long time) {
-        network.until(time);
+    public void runUntil(long time) {
+        network.runUntil(time);
     }
 
     /** Blocks or unblocks one direction of the link between two gateways. */
-    public void cut(int from, int to, boolean is) {
-        network.cut(from, to, is);
+    public void setBlocked(int from, int to, boolean isBlocked) {
+        network.setBlocked(from, to, isBlocked);
     }
 
     /** Sets the share of datagrams that are lost from now on. */
-    public void loses(double share) {
-        network.loses(share);
+    public void setLoss(double share) {
+        network.setLoss(share);
     }
 
     /**
      * Simulates a session's write through one gateway that a server has just acknowledged. The client receives the
      * acknowledgement once the session's position is replicated.
      */
-    public void writes(int gateway, String session) {
-        Instance g = instances.get(gateway);
-        if (g.runs()) {
-            long position = ZERO + now();
+    public void write(int gateway, String session) {
+        Gateway g = gateways.get(gateway);
+        if (g.isRunning()) {
+            long position = START_TIME + now();
             long ticket = g.replicas.writePosition(
-                    g.local(),
+                    g.localTime(),
                     Replicas.key(true, session),
                     position,
                     1,
-                    world.keeping.synchronousTimeout(),
+                    settings.replication.synchronousTimeout(),
                     true,
-                    g.packing);
-            g.asks(ticket, d -> {
-                if (d.status() == Status.REPLICATED) {
-                    acked++;
-                    promised.merge(session, position, Math::max);
+                    g.outbox);
+            g.awaitResult(ticket, result -> {
+                if (result.status() == Status.REPLICATED) {
+                    ackedWrites++;
+                    lastAckedPositions.merge(session, position, Math::max);
                 }
             });
         }
     }
 
     /** Simulates a session's read, and checks that it covers the last write whose acknowledgement the client received. */
-    public void reads(int gateway, String session) {
-        Instance g = instances.get(gateway);
-        if (g.runs()) {
-            long must = promised.getOrDefault(session, Long.MIN_VALUE);
-            long arrived = ZERO + now();
-            g.asks(g.replicas.readPosition(g.local(), Replicas.key(true, session), g.packing), d -> {
-                known += d.status() == Status.POSITION_KNOWN ? 1 : 0;
-                unknown += d.status() == Status.POSITION_KNOWN ? 0 : 1;
-                long reach = d.status() == Status.POSITION_KNOWN ? d.position() : arrived;
-                if (reach < must) {
-                    violations.add("at " + now() / MS + " ms n" + gateway + " reads " + session + " from "
-                            + (must - reach) / MS + " ms before its last acked write");
+    public void read(int gateway, String session) {
+        Gateway g = gateways.get(gateway);
+        if (g.isRunning()) {
+            long requiredPosition = lastAckedPositions.getOrDefault(session, Long.MIN_VALUE);
+            long arrivedAt = START_TIME + now();
+            g.awaitResult(g.replicas.readPosition(g.localTime(), Replicas.key(true, session), g.outbox), result -> {
+                readsWithPosition += result.status() == Status.POSITION_KNOWN ? 1 : 0;
+                readsWithoutPosition += result.status() == Status.POSITION_KNOWN ? 0 : 1;
+                long coveredPosition = result.status() == Status.POSITION_KNOWN ? result.position() : arrivedAt;
+                if (coveredPosition < requiredPosition) {
+                    violations.add("at " + now() / MS + " ms n" + gateway + " reads " + session + " at a position "
+                            + (requiredPosition - coveredPosition) / MS + " ms before its last acknowledged write");
                 }
             });
         }
@@ -320,58 +323,58 @@
      * and the gateway records the outcome later.
      *
      * @param id the idempotency key
-     * @param first whether this is the first submission
-     * @param takes time from the grant to the outcome
-     * @param runs whether the server executes the write
-     * @param then receives the ordinal of the {@link Status} with which the claim ended
+     * @param firstSubmission whether this is the first submission
+     * @param duration time from the grant to the outcome
+     * @param executes whether the server executes the write
+     * @param onStatus receives the ordinal of the {@link Status} with which the claim ended
      */
-    public void submits(int gateway, String id, boolean first, long takes, boolean runs, LongConsumer then) {
-        Instance g = instances.get(gateway);
-        if (!g.runs()) {
+    public void submit(int gateway, String id, boolean firstSubmission, long duration, boolean executes, LongConsumer onStatus) {
+        Gateway g = gateways.get(gateway);
+        if (!g.isRunning()) {
             return;
         }
         long key = Replicas.key(false, id);
-        int process = g.process;
-        g.asks(g.replicas.claimWrite(g.local(), key, first, g.wall(), g.packing), d -> {
-            if (d.status() == Status.GRANTED) {
-                if (runs && sent.merge(id, 1, Integer::sum) > 1) {
+        int processNumber = g.currentProcess;
+        g.awaitResult(g.replicas.claimWrite(g.localTime(), key, firstSubmission, g.wallTime(), g.outbox), result -> {
+            if (result.status() == Status.GRANTED) {
+                if (executes && executions.merge(id, 1, Integer::sum) > 1) {
                     violations.add("at " + now() / MS + " ms n" + gateway + " executes " + id + " again");
                 }
-                at(now() + takes, () -> proves(g, process, key, d.claim(), runs));
+                schedule(now() + duration, () -> recordOutcome(g, processNumber, key, result.claim(), executes));
             }
-            then.accept(d.status().ordinal());
+            onStatus.accept(result.status().ordinal());
         });
     }
 
-    private void proves(Instance g, int process, long key, ClaimId claim, boolean ran) {
-        if (g.runs() && g.process == process) {
+    private void recordOutcome(Gateway g, int processNumber, long key, ClaimId claim, boolean executed) {
+        if (g.isRunning() && g.currentProcess == processNumber) {
             g.replicas.writeOutcome(
-                    g.local(),
+                    g.localTime(),
                     key,
                     claim,
-                    ran ? ClaimState.SUCCEEDED : ClaimState.NEVER_RAN,
+                    executed ? ClaimState.SUCCEEDED : ClaimState.NEVER_RAN,
                     new byte[] {1},
                     0,
                     false,
-                    g.packing);
-            g.sends();
+                    g.outbox);
+            g.sendQueued();
         }
     }
 
     /** Returns the number of pairs of live gateways whose replicas differ, apart from entries that expire soon. */
-    public int differing() {
-        int n = 0;
-        long until = ZERO + now() + LASTS_ON;
-        for (int a = 0; a < instances.size(); a++) {
-            for (int b = a + 1; b < instances.size(); b++) {
-                boolean both = instances.get(a).alive() && instances.get(b).alive();
-                n += both
-                                && instances.get(a).replicas.digest(b, until)
-                                        != instances.get(b).replicas.digest(a, until)
+    public int differingPairs() {
+        int pairs = 0;
+        long unexpiredAt = START_TIME + now() + EXPIRY_MARGIN;
+        for (int a = 0; a < gateways.size(); a++) {
+            for (int b = a + 1; b < gateways.size(); b++) {
+                boolean bothAlive = gateways.get(a).isAlive() && gateways.get(b).isAlive();
+                pairs += bothAlive
+                                && gateways.get(a).replicas.digest(b, unexpiredAt)
+                                        != gateways.get(b).replicas.digest(a, unexpiredAt)
                         ? 1
                         : 0;
             }
         }
-        return n;
+        return pairs;
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
@@ -13,35 +13,35 @@
         void receive(int from, int to, byte[] bytes);
     }
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record ScheduledAction(long at, long sequence, Runnable action) implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(ScheduledAction other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final RandomGenerator random;
     private final Receiver receiver;
-    private final double twice;
-    private final long delay;
-    private final boolean[][] cut;
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final double duplication;
+    private final long maxDelay;
+    private final boolean[][] blocked;
+    private final PriorityQueue<ScheduledAction> events = new PriorityQueue<>();
     private double loss;
     private long now;
-    private long order;
+    private long sequence;
 
     /**
      * @param loss share of datagrams that are lost
-     * @param twice share of datagrams that are duplicated
-     * @param delay longest delay of a datagram
+     * @param duplication share of datagrams that are duplicated
+     * @param maxDelay longest delay of a datagram
      */
-    SimulatedNetwork(int instances, double loss, double twice, long delay, RandomGenerator random, Receiver receiver) {
+    SimulatedNetwork(int gateways, double loss, double duplication, long maxDelay, RandomGenerator random, Receiver receiver) {
         this.loss = loss;
-        this.twice = twice;
-        this.delay = delay;
+        this.duplication = duplication;
+        this.maxDelay = maxDelay;
         this.random = random;
         this.receiver = receiver;
-        cut = new boolean[instances][instances];
+        blocked = new boolean[gateways][gateways];
     }
 
     long now() {
@@ -49,34 +49,34 @@
     }
 
     /** Schedules an action for the given time, or for now if that time has passed. */
-    void at(long time, Runnable what) {
-        events.add(new Event(Math.max(now, time), order++, what));
+    void schedule(long time, Runnable action) {
+        events.add(new ScheduledAction(Math.max(now, time), sequence++, action));
     }
 
     /** Runs the simulation up to and including the given time. */
-    void until(long time) {
+    void runUntil(long time) {
         while (!events.isEmpty() && events.peek().at <= time) {
-            Event e = events.poll();
-            now = e.at;
-            e.what.run();
+            ScheduledAction next = events.poll();
+            now = next.at;
+            next.action.run();
         }
         now = time;
     }
 
     /** Blocks or unblocks one direction of the link between two gateways. */
-    void cut(int from, int to, boolean is) {
-        cut[from][to] = is;
+    void setBlocked(int from, int to, boolean isBlocked) {
+        blocked[from][to] = isBlocked;
     }
 
     /** Sets the share of datagrams that are lost from now on. */
-    void loses(double share) {
+    void setLoss(double share) {
         loss = share;
     }
 
     void send(int from, int to, byte[] bytes) {
-        for (int copies = random.nextDouble() < twice ? 2 : 1; copies > 0; copies--) {
-            if (!cut[from][to] && random.nextDouble() >= loss) {
-                at(now + 1 + random.nextLong(delay), () -> receiver.receive(from, to, bytes));
+        for (int copies = random.nextDouble() < duplication ? 2 : 1; copies > 0; copies--) {
+            if (!blocked[from][to] && random.nextDouble() >= loss) {
+                schedule(now + 1 + random.nextLong(maxDelay), () -> receiver.receive(from, to, bytes));
             }
         }
     }
--- a/tools/src/main/java/ploverdale/tools/scale/Slope.java
+++ b/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
@@ -9,7 +9,7 @@
  *
  * @param residual root mean square of the relative errors at the fitted sizes
  */
-public record Slope(GrowthShape shape, double base, double factor, double residual) {
+public record GrowthCurve(GrowthShape shape, double base, double factor, double residual) {
     /** A size of at least 1, and the cost above 0 that was measured there. */
     public record Point(double size, double cost) {
         public Point {
@@ -21,13 +21,13 @@
     }
 
     /** Smallest number of points that a curve can be fitted to. */
-    public static final int LEAST_POINTS = 5;
+    public static final int MIN_POINTS = 5;
 
     /** A steeper shape is preferred only if its residual is below this share of the flatter shape's. */
-    private static final double CLEARLY_BETTER = 0.8;
+    private static final double MAX_RESIDUAL_RATIO = 0.8;
 
     /** Largest relative error of a usable curve, both as residual and at a size that it was not fitted to. */
-    public static final double MISSES_MOST = 0.2;
+    public static final double MAX_MISS = 0.2;
 
     /**
      * Returns whether predictions of this curve may be used.
@@ -35,11 +35,11 @@
      * @param miss relative error at a size that the curve was not fitted to
      */
     public boolean isUsable(double miss) {
-        return residual <= MISSES_MOST && Math.abs(miss) <= MISSES_MOST;
+        return residual <= MAX_MISS && Math.abs(miss) <= MAX_MISS;
     }
 
     /** Returns the cost that this curve gives for any size. */
-    public double at(double size) {
+    public double costAt(double size) {
         return base + factor * shape.of(size);
     }
 
@@ -47,31 +47,31 @@
      * Fits the curve with the smallest relative errors. Of two shapes that fit about equally well, the flatter one is used,
      * because the data must show that a cost grows faster.
      *
-     * @throws IllegalArgumentException if there are fewer than {@link #LEAST_POINTS} points
+     * @throws IllegalArgumentException if there are fewer than {@link #MIN_POINTS} points
      */
-    public static Slope fit(List<Point> points) {
-        if (points.size() < LEAST_POINTS) {
-            throw new IllegalArgumentException("a fit needs at least " + LEAST_POINTS + " sizes, but got " + points.size());
+    public static GrowthCurve fit(List<Point> points) {
+        if (points.size() < MIN_POINTS) {
+            throw new IllegalArgumentException("a fit needs at least " + MIN_POINTS + " sizes, but got " + points.size());
         }
-        Slope best = constant(points);
+        GrowthCurve best = constant(points);
         for (GrowthShape shape : GrowthShape.values()) {
-            Slope s = shape == GrowthShape.CONSTANT ? best : fit(shape, points);
-            if (s.factor > 0 && s.residual < CLEARLY_BETTER * best.residual) {
+            GrowthCurve s = shape == GrowthShape.CONSTANT ? best : fit(shape, points);
+            if (s.factor > 0 && s.residual < MAX_RESIDUAL_RATIO * best.residual) {
                 best = s;
             }
         }
         return best;
     }
 
-    private static Slope constant(List<Point> points) {
+    private static GrowthCurve constant(List<Point> points) {
         // The least-squares solution for the relative errors of a constant is the sum of 1/y divided by the sum of 1/y^2.
-        double inverses = points.stream().mapToDouble(p -> 1 / p.cost).sum();
-        double squares = points.stream().mapToDouble(p -> 1 / (p.cost * p.cost)).sum();
-        return new Slope(GrowthShape.CONSTANT, inverses / squares, 0, 0).withResidual(points);
+        double sumOfInverses = points.stream().mapToDouble(p -> 1 / p.cost).sum();
+        double sumOfInverseSquares = points.stream().mapToDouble(p -> 1 / (p.cost * p.cost)).sum();
+        return new GrowthCurve(GrowthShape.CONSTANT, sumOfInverses / sumOfInverseSquares, 0, 0).withResidual(points);
     }
 
     /** Fits one shape by least squares of the relative errors, for which each row is divided by its cost. */
-    private static Slope fit(GrowthShape shape, List<Point> points) {
+    private static GrowthCurve fit(GrowthShape shape, List<Point> points) {
         double[] ones = new double[points.size()];
         Arrays.fill(ones, 1);
         double[][] rows = points.stream()
@@ -80,14 +80,14 @@
         OLSMultipleLinearRegression regression = new OLSMultipleLinearRegression();
         regression.setNoIntercept(true);
         regression.newSampleData(ones, rows);
-        double[] found = regression.estimateRegressionParameters();
-        return new Slope(shape, found[0], found[1], 0).withResidual(points);
+        double[] coefficients = regression.estimateRegressionParameters();
+        return new GrowthCurve(shape, coefficients[0], coefficients[1], 0).withResidual(points);
     }
 
-    private Slope withResidual(List<Point> points) {
+    private GrowthCurve withResidual(List<Point> points) {
         double sum = points.stream()
-                .mapToDouble(p -> Math.pow(at(p.size) / p.cost - 1, 2))
+                .mapToDouble(p -> Math.pow(costAt(p.size) / p.cost - 1, 2))
                 .sum();
-        return new Slope(shape, base, factor, Math.sqrt(sum / points.size()));
+        return new GrowthCurve(shape, base, factor, Math.sqrt(sum / points.size()));
     }
 }
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -49,31 +49,31 @@
      * @param cpuMs CPU time of the router, in milliseconds
      * @param allocatedBytes bytes that the router allocated
      * @param events events that the router handled
-     * @param probes health checks that the router started
+     * @param healthChecks health checks that the router started
      * @param served reads that a server answered
-     * @param refused reads that the router rejected
+     * @param rejected reads that the router rejected
      */
     public record Cost(
-            double cpuMs, double allocatedBytes, double events, double probes, double served, double refused) {}
+            double cpuMs, double allocatedBytes, double events, double healthChecks, double served, double rejected) {}
 
     private static final long MS = 10;
-    private static final int GROUP = 3;
-    private static final int ZONES = 28;
-    private static final long BOUND = 1000 * MS;
-    private static final long ANSWERS_WITHIN = 5 * MS;
+    private static final int GROUP_SIZE = 3;
+    private static final int ZONE_COUNT = 28;
+    private static final long STALENESS_BOUND = 1000 * MS;
+    private static final long MAX_RESPONSE_TIME = 5 * MS;
     private static final long REPLICA_LAG = 5 * MS;
-    private static final long CLIENT_WAITS = 2000 * MS;
+    private static final long CLIENT_TIMEOUT = 2000 * MS;
 
     /** Unix time at which a run begins. */
-    private static final long START = 17_000_000_000_000L;
+    private static final long START_TIME = 17_000_000_000_000L;
 
     private static final com.sun.management.ThreadMXBean THREADS =
             (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-    private record Due(long at, long order, Event event) implements Comparable<Due> {
+    private record ScheduledEvent(long at, long sequence, Event event) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Due o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(ScheduledEvent o) {
+            return at != o.at ? Long.compare(at, o.at) : Long.compare(sequence, o.sequence);
         }
     }
 
@@ -81,27 +81,27 @@
     private final SplittableRandom random;
     private final int servers;
     private final Condition condition;
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final Map<RequestId, Integer> sends = new HashMap<>();
-    private final List<ServerId> ids = new ArrayList<>();
-    private final Map<ServerId, Integer> numbers = new HashMap<>();
-    private long order;
-    private long now = START;
+    private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
+    private final Map<RequestId, Integer> attempts = new HashMap<>();
+    private final List<ServerId> serverIds = new ArrayList<>();
+    private final Map<ServerId, Integer> indexes = new HashMap<>();
+    private long sequence;
+    private long now = START_TIME;
     private boolean zoneLost;
     private long cpuNanos;
     private long allocated;
     private int events;
-    private int probes;
+    private int healthChecks;
     private int served;
-    private int refused;
+    private int rejected;
 
     private RouterLoad(int servers, Condition condition, long seed) {
         this.servers = servers;
         this.condition = condition;
         random = new SplittableRandom(seed);
         for (int i = 0; i < servers; i++) {
-            ids.add(new ServerId("s-" + i));
-            numbers.put(ids.get(i), i);
+            serverIds.add(new ServerId("s-" + i));
+            indexes.put(serverIds.get(i), i);
         }
     }
 
@@ -116,29 +116,29 @@
 
     private Cost run(double readsPerSecond, double seconds) {
         long length = (long) (seconds * 1000 * MS);
-        tell(started(readsPerSecond));
-        tell(new Event.EndpointUpdate(true, false, endpoints()));
+        dispatch(started(readsPerSecond));
+        dispatch(new Event.EndpointUpdate(true, false, endpoints()));
         scheduleReads(readsPerSecond, length);
-        playUntil(START + length / 4);
+        runUntil(START_TIME + length / 4);
         zoneLost = condition == Condition.ZONE_LOST;
-        playUntil(START + length / 2);
-        forgetCosts();
-        playUntil(START + length);
-        double measured = seconds / 2;
+        runUntil(START_TIME + length / 2);
+        resetCounters();
+        runUntil(START_TIME + length);
+        double measuredSeconds = seconds / 2;
         return new Cost(
-                cpuNanos / 1e6 / measured,
-                allocated / measured,
-                events / measured,
-                probes / measured,
-                served / measured,
-                refused / measured);
+                cpuNanos / 1e6 / measuredSeconds,
+                allocated / measuredSeconds,
+                events / measuredSeconds,
+                healthChecks / measuredSeconds,
+                served / measuredSeconds,
+                rejected / measuredSeconds);
     }
 
     private static Event.Started started(double readsPerSecond) {
         RequestClass read = new RequestClass(
                 500 * MS,
                 0,
-                CLIENT_WAITS,
+                CLIENT_TIMEOUT,
                 Idempotence.IDEMPOTENT,
                 RequestClass.Scope.GROUP,
                 0,
@@ -146,7 +146,7 @@
                 0,
                 false,
                 Consistency.BOUNDED,
-                BOUND);
+                STALENESS_BOUND);
         return new Event.Started(
                 7,
                 1,
@@ -161,25 +161,25 @@
     }
 
     private List<Endpoint> endpoints() {
-        List<Endpoint> all = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Endpoint(
-                    ids.get(i),
-                    new GroupId(i / GROUP),
-                    new ZoneId(i % ZONES),
+            endpoints.add(new Endpoint(
+                    serverIds.get(i),
+                    new GroupId(i / GROUP_SIZE),
+                    new ZoneId(i % ZONE_COUNT),
                     Endpoint.EndpointState.IN,
-                    i % GROUP == 0,
+                    i % GROUP_SIZE == 0,
                     0));
         }
-        return all;
+        return endpoints;
     }
 
     private void scheduleReads(double perSecond, long length) {
-        int groups = (servers + GROUP - 1) / GROUP;
+        int groups = (servers + GROUP_SIZE - 1) / GROUP_SIZE;
         int count = (int) (perSecond * length / (1000 * MS));
         for (int i = 0; i < count; i++) {
-            long at = START + (long) (i * 1000 * MS / perSecond);
-            add(
+            long at = START_TIME + (long) (i * 1000 * MS / perSecond);
+            schedule(
                     at,
                     new Event.RequestArrived(
                             new RequestId("r" + i),
@@ -187,99 +187,99 @@
                             new TenantId(0),
                             new GroupId(random.nextInt(groups)),
                             null,
-                            at + CLIENT_WAITS,
+                            at + CLIENT_TIMEOUT,
                             false,
                             0,
                             0));
         }
     }
 
-    private void add(long at, Event event) {
-        due.add(new Due(Math.max(at, now), order++, event));
+    private void schedule(long at, Event event) {
+        queue.add(new ScheduledEvent(Math.max(at, now), sequence++, event));
     }
 
-    private void playUntil(long end) {
-        while (!due.isEmpty() && due.peek().at < end) {
-            Due d = due.poll();
-            now = d.at;
-            tell(d.event);
+    private void runUntil(long end) {
+        while (!queue.isEmpty() && queue.peek().at < end) {
+            ScheduledEvent next = queue.poll();
+            now = next.at;
+            dispatch(next.event);
         }
         now = end;
     }
 
-    private void forgetCosts() {
+    private void resetCounters() {
         cpuNanos = 0;
         allocated = 0;
         events = 0;
-        probes = 0;
+        healthChecks = 0;
         served = 0;
-        refused = 0;
+        rejected = 0;
     }
 
     /** Passes one event to the router, adds up its cost, and carries out the resulting actions. */
-    private void tell(Event event) {
-        long thread = Thread.currentThread().getId();
-        long bytesBefore = THREADS.getThreadAllocatedBytes(thread);
-        long before = THREADS.getCurrentThreadCpuTime();
+    private void dispatch(Event event) {
+        long threadId = Thread.currentThread().getId();
+        long bytesBefore = THREADS.getThreadAllocatedBytes(threadId);
+        long cpuBefore = THREADS.getCurrentThreadCpuTime();
         List<Action> actions = router.on(now, event);
-        cpuNanos += THREADS.getCurrentThreadCpuTime() - before;
-        allocated += THREADS.getThreadAllocatedBytes(thread) - bytesBefore;
+        cpuNanos += THREADS.getCurrentThreadCpuTime() - cpuBefore;
+        allocated += THREADS.getThreadAllocatedBytes(threadId) - bytesBefore;
         events++;
-        actions.forEach(this::carryOut);
+        actions.forEach(this::execute);
     }
 
-    private void carryOut(Action action) {
-        if (action instanceof Action.StartAttempt send) {
-            int number = sends.merge(send.request(), 1, Integer::sum) - 1;
-            answer(send, number);
-        } else if (action instanceof Action.CheckHealth probe) {
-            probes++;
-            long at = now + 1 + random.nextLong(ANSWERS_WITHIN);
-            add(
+    private void execute(Action action) {
+        if (action instanceof Action.StartAttempt attempt) {
+            int attemptIndex = attempts.merge(attempt.request(), 1, Integer::sum) - 1;
+            respond(attempt, attemptIndex);
+        } else if (action instanceof Action.CheckHealth check) {
+            healthChecks++;
+            long at = now + 1 + random.nextLong(MAX_RESPONSE_TIME);
+            schedule(
                     at,
-                    answers(probe.server())
-                            ? new Event.HealthCheckEnded(probe.server(), Outcome.SUCCEEDED, report(probe.server(), at))
-                            : new Event.HealthCheckEnded(probe.server(), Outcome.TIMED_OUT, null));
-        } else if (action instanceof Action.SetTimer wake) {
-            add(wake.at(), new Event.TimerFired(wake.mark()));
-        } else if (action instanceof Action.RejectRequest reply) {
-            refused++;
-            sends.remove(reply.request());
+                    isResponsive(check.server())
+                            ? new Event.HealthCheckEnded(check.server(), Outcome.SUCCEEDED, report(check.server(), at))
+                            : new Event.HealthCheckEnded(check.server(), Outcome.TIMED_OUT, null));
+        } else if (action instanceof Action.SetTimer timer) {
+            schedule(timer.at(), new Event.TimerFired(timer.mark()));
+        } else if (action instanceof Action.RejectRequest rejection) {
+            rejected++;
+            attempts.remove(rejection.request());
         }
     }
 
-    private void answer(Action.StartAttempt send, int number) {
-        if (!answers(send.server())) {
-            long at = now + send.timeLimit();
-            add(
+    private void respond(Action.StartAttempt attempt, int attemptIndex) {
+        if (!isResponsive(attempt.server())) {
+            long at = now + attempt.timeLimit();
+            schedule(
                     at,
                     new Event.AttemptEnded(
-                            send.request(),
-                            number,
-                            send.server(),
+                            attempt.request(),
+                            attemptIndex,
+                            attempt.server(),
                             Outcome.TIMED_OUT,
-                            send.timeLimit(),
+                            attempt.timeLimit(),
                             false,
                             null,
                             null));
             return;
         }
-        long took = 1 + random.nextLong(ANSWERS_WITHIN);
+        long responseTime = 1 + random.nextLong(MAX_RESPONSE_TIME);
         served++;
-        sends.remove(send.request());
-        LoadReport note = report(send.server(), now + took);
-        add(
-                now + took,
+        attempts.remove(attempt.request());
+        LoadReport loadReport = report(attempt.server(), now + responseTime);
+        schedule(
+                now + responseTime,
                 new Event.AttemptEnded(
-                        send.request(), number, send.server(), Outcome.SUCCEEDED, took, true, note, null));
+                        attempt.request(), attemptIndex, attempt.server(), Outcome.SUCCEEDED, responseTime, true, loadReport, null));
     }
 
-    private boolean answers(ServerId server) {
-        return !zoneLost || numbers.get(server) % ZONES != 0;
+    private boolean isResponsive(ServerId server) {
+        return !zoneLost || indexes.get(server) % ZONE_COUNT != 0;
     }
 
     private LoadReport report(ServerId server, long at) {
-        boolean primary = numbers.get(server) % GROUP == 0;
+        boolean primary = indexes.get(server) % GROUP_SIZE == 0;
         return new LoadReport(primary ? Role.PRIMARY : Role.REPLICA, primary ? at : at - REPLICA_LAG, 0.3);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
@@ -13,7 +13,7 @@
 
 /**
  * Measures the costs of the router at increasing numbers of servers, fits a growth curve to each cost, predicts the cost at
- * twice the largest size, and then measures there. A curve whose error exceeds {@link Slope#MISSES_MOST} is reported as not
+ * twice the largest size, and then measures there. A curve whose error exceeds {@link GrowthCurve#MAX_MISS} is reported as not
  * usable.
  */
 public final class RouterScale {
@@ -25,7 +25,7 @@
     private static final double SECONDS = 20;
 
     /** A cost to which a curve is fitted. */
-    private enum Figure {
+    private enum Metric {
         CPU("cpu_ms_per_s", Cost::cpuMs),
         ALLOCATED("allocated_kb_per_s", c -> c.allocatedBytes() / 1000),
         EVENTS("events_per_s", Cost::events);
@@ -33,7 +33,7 @@
         private final String column;
         private final ToDoubleFunction<Cost> value;
 
-        Figure(String column, ToDoubleFunction<Cost> value) {
+        Metric(String column, ToDoubleFunction<Cost> value) {
             this.column = column;
             this.value = value;
         }
@@ -73,8 +73,8 @@
         }
         boolean holds = scale.check(sizes, costs);
         if (out != null) {
-            boolean fresh = !Files.exists(out);
-            List<String> lines = new ArrayList<>(fresh ? List.of(CSV_HEADER) : Files.readAllLines(out));
+            boolean isNew = !Files.exists(out);
+            List<String> lines = new ArrayList<>(isNew ? List.of(CSV_HEADER) : Files.readAllLines(out));
             lines.addAll(scale.rows);
             Files.write(out, lines);
         }
@@ -92,24 +92,24 @@
                 c.cpuMs(),
                 c.allocatedBytes() / 1000,
                 c.events(),
-                c.probes(),
+                c.healthChecks(),
                 c.served(),
-                c.refused());
+                c.rejected());
         rows.add(row);
         progress.println(row);
         return c;
     }
 
     private boolean check(List<Integer> sizes, List<Cost> costs) {
-        int twice = 2 * sizes.get(sizes.size() - 1);
-        List<Slope> slopes = new ArrayList<>();
-        for (Figure f : Figure.values()) {
-            List<Slope.Point> points = new ArrayList<>();
+        int checkSize = 2 * sizes.get(sizes.size() - 1);
+        List<GrowthCurve> curves = new ArrayList<>();
+        for (Metric f : Metric.values()) {
+            List<GrowthCurve.Point> points = new ArrayList<>();
             for (int i = 0; i < sizes.size(); i++) {
-                points.add(new Slope.Point(sizes.get(i), f.value.applyAsDouble(costs.get(i))));
+                points.add(new GrowthCurve.Point(sizes.get(i), f.value.applyAsDouble(costs.get(i))));
             }
-            Slope s = Slope.fit(points);
-            slopes.add(s);
+            GrowthCurve s = GrowthCurve.fit(points);
+            curves.add(s);
             progress.printf(
                     Locale.ROOT,
                     "# %s: %.4g + %.4g x %s, residual %.1f %%; predicted at %d: %.4g%n",
@@ -118,21 +118,21 @@
                     s.factor(),
                     s.shape().formula(),
                     100 * s.residual(),
-                    twice,
-                    s.at(twice));
+                    checkSize,
+                    s.costAt(checkSize));
         }
-        Cost there = measure(twice);
+        Cost costAtCheckSize = measure(checkSize);
         boolean holds = true;
-        for (Figure f : Figure.values()) {
-            double measured = f.value.applyAsDouble(there);
-            double miss = slopes.get(f.ordinal()).at(twice) / measured - 1;
-            boolean usable = slopes.get(f.ordinal()).isUsable(miss);
+        for (Metric f : Metric.values()) {
+            double measured = f.value.applyAsDouble(costAtCheckSize);
+            double miss = curves.get(f.ordinal()).costAt(checkSize) / measured - 1;
+            boolean usable = curves.get(f.ordinal()).isUsable(miss);
             holds &= usable;
             progress.printf(
                     Locale.ROOT,
                     "# %s at %d: measured %.4g, error of the prediction %+.1f %%: %s%n",
                     f.column,
-                    twice,
+                    checkSize,
                     measured,
                     100 * miss,
                     usable ? "holds" : "not to be used");
--- a/tools/src/test/java/ploverdale/tools/lab/BoundedClaimModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/BoundedClaimModelTest.java
@@ -8,15 +8,15 @@
 /** Explores all executions of one write that is submitted twice among three gateways. */
 class BoundedClaimModelTest {
     @Test
-    void noCourseGrantsTheWriteTwice() {
-        Result seen = BoundedClaimModel.explore(0);
-        System.out.println(seen);
-        assertThat(seen.firstViolation()).isNull();
-        assertThat(seen.states()).isGreaterThan(1000);
+    void noExecutionGrantsTheWriteTwice() {
+        Result result = BoundedClaimModel.explore(0);
+        System.out.println(result);
+        assertThat(result.firstViolation()).isNull();
+        assertThat(result.states()).isGreaterThan(1000);
     }
 
     @Test
-    void aKeeperThatStartedWithNothingAndTakesItselfToKnowAllIsFound() {
+    void findsAViolationIfARestartedReplicaClaimsACompleteHistory() {
         assertThat(BoundedClaimModel.explore(100_000).firstViolation()).contains("restart");
     }
 }
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -10,17 +10,17 @@
  * defect.
  */
 class ExplorerTest {
-    private static final double DRIFT = 0.1;
+    private static final double CLOCK_DRIFT = 0.1;
 
     @Test
-    void noFaultAloneAndNoneOfManyPairsSpendsTooMuchOrLosesAPart() {
-        Result seen = new Explorer(BoundedQuotaModel.leaseDurations(DRIFT), DRIFT, BoundedQuotaModel.holdTime()).explore(1999);
-        assertThat(seen.firstViolation()).isNull();
-        assertThat(seen.runs()).isGreaterThan(3000);
+    void singleFaultsAndSampledPairsNeitherExceedTheLimitNorLoseUnits() {
+        Result result = new Explorer(BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime()).explore(1999);
+        assertThat(result.firstViolation()).isNull();
+        assertThat(result.runs()).isGreaterThan(3000);
     }
 
     @Test
-    void aTimeOfUseThatIsToldTooShortIsFound() {
+    void findsAViolationIfTheDeclaredHoldTimeIsTooShort() {
         assertThat(new Explorer(BoundedQuotaModel.leaseDurations(0.001), 0, 10)
                         .explore(1999)
                         .firstViolation())
@@ -28,8 +28,8 @@
     }
 
     @Test
-    void aProcessThatSpeaksAsTheOneBeforeItIsFound() {
-        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(DRIFT), DRIFT, BoundedQuotaModel.holdTime(), true)
+    void findsAViolationIfARestartedGatewayReusesItsEpoch() {
+        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime(), true)
                         .explore(499)
                         .firstViolation())
                 .isNotNull();
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -26,13 +26,13 @@
                 "WriteOutcome.java -> isFreeExceptFor(claim) && hasCapacityFor(claim)"
                         + " -> (claims.containsKey(claim) || isFree())"
             })
-    void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
-        try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replication/" + file, guard, instead)) {
+    void removedSafeguardIsDetected(String file, String safeguard, String replacement) throws Exception {
+        try (MutationCheck mutated = MutationCheck.of(Launch.found(List.of()), "replication/" + file, safeguard, replacement)) {
             Process p = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
                             "-cp",
-                            none.classes() + File.pathSeparator + System.getProperty("java.class.path"),
+                            mutated.classes() + File.pathSeparator + System.getProperty("java.class.path"),
                             "ploverdale.tools.Main",
                             "lab",
                             "replicas",
@@ -42,10 +42,10 @@
                             "4")
                     .redirectErrorStream(true)
                     .start();
-            String told = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            System.out.println("without " + guard + ": " + told);
-            assertThat(p.waitFor()).as(told).isEqualTo(1);
-            assertThat(told).contains("promises broken, first");
+            String output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            System.out.println("without " + safeguard + ": " + output);
+            assertThat(p.waitFor()).as(output).isEqualTo(1);
+            assertThat(output).contains("promises broken, first");
         }
     }
 }
--- a/tools/src/test/java/ploverdale/tools/scale/CapacityTableTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/CapacityTableTest.java
@@ -19,24 +19,24 @@
     }
 
     @Test
-    void aCostOverItsBoundBreaksAtTheSizeThatReachesIt() {
+    void reportsTheSizeAtWhichACostExceedsItsBound() {
         assertThat(CapacityTable.of(rows(0.0101, 0.0101)).get(2)).endsWith("| 171.7 | 17 | breaks at 1,684 |");
     }
 
     @Test
-    void aCostWithinItsBoundFits() {
+    void reportsThatACostWithinItsBoundFits() {
         assertThat(CapacityTable.of(rows(0.0005, 0.0005)).get(2)).endsWith("| 8.500 | 17 | fits |");
     }
 
     @Test
-    void aSlopeThatMissesTheCheckIsNotUsed() {
+    void reportsThatACurveThatFailsItsCheckIsNotToBeUsed() {
         assertThat(CapacityTable.of(rows(0.01, 0.02)).get(2))
                 .contains("| -50.0 % |")
                 .endsWith("not to be used |");
     }
 
     @Test
-    void whatIsNoRowIsNamed() {
+    void malformedRowIsQuotedInTheError() {
         assertThatThrownBy(() -> CapacityTable.of(List.of("serving,50"))).hasMessageContaining("serving,50");
     }
 }
--- a/tools/src/test/java/ploverdale/tools/scale/RouterLoadTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/RouterLoadTest.java
@@ -10,7 +10,7 @@
 
 /**
  * A short form of the measurement by {@link RouterScale}: checks how allocated bytes and events grow with the number of
- * servers. It does not check CPU time, which varies too much between runs.
+ * servers. It checks counts only, not CPU time.
  */
 class RouterLoadTest {
     private static final double SECONDS = 4;
@@ -22,36 +22,36 @@
     }
 
     @Test
-    void allReadsAreServedWhereAllServersAreWell() {
+    void allReadsAreServedIfAllServersRespond() {
         Cost c = cost(60, Condition.SERVING);
         assertThat(c.served()).isEqualTo(READS);
-        assertThat(c.refused()).isZero();
+        assertThat(c.rejected()).isZero();
     }
 
     @Test
-    void mostReadsAreServedWhereAZoneIsLost() {
+    void mostReadsAreServedIfAZoneIsLost() {
         Cost c = cost(168, Condition.ZONE_LOST);
         assertThat(c.served()).isGreaterThan(0.9 * READS);
     }
 
     @Test
-    void whatTheModuleAllocatesGrowsNoFasterThanTheServers() {
-        List<Slope.Point> points = new ArrayList<>();
+    void allocationGrowsAtMostLinearlyWithTheServers() {
+        List<GrowthCurve.Point> points = new ArrayList<>();
         cost(SIZES[0], Condition.SERVING); // not counted: loads the classes
         for (int n : SIZES) {
-            points.add(new Slope.Point(n, cost(n, Condition.SERVING).allocatedBytes()));
+            points.add(new GrowthCurve.Point(n, cost(n, Condition.SERVING).allocatedBytes()));
         }
-        Slope s = Slope.fit(points);
+        GrowthCurve s = GrowthCurve.fit(points);
         assertThat(s.shape()).as(s + " through " + points).isLessThanOrEqualTo(GrowthShape.LINEAR);
-        assertThat(s.residual()).as(s + " through " + points).isLessThan(Slope.MISSES_MOST);
+        assertThat(s.residual()).as(s + " through " + points).isLessThan(GrowthCurve.MAX_MISS);
     }
 
     @Test
-    void eventsDoNotGrowFasterThanTheServers() {
-        List<Slope.Point> points = new ArrayList<>();
+    void eventsGrowAtMostLinearlyWithTheServers() {
+        List<GrowthCurve.Point> points = new ArrayList<>();
         for (int n : SIZES) {
-            points.add(new Slope.Point(n, cost(n, Condition.SERVING).events()));
+            points.add(new GrowthCurve.Point(n, cost(n, Condition.SERVING).events()));
         }
-        assertThat(Slope.fit(points).shape()).as(points::toString).isLessThanOrEqualTo(GrowthShape.LINEAR);
+        assertThat(GrowthCurve.fit(points).shape()).as(points::toString).isLessThanOrEqualTo(GrowthShape.LINEAR);
     }
 }
