--- a/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
@@ -18,10 +18,12 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * A bounded model of write claims that is small enough for exhaustive exploration: three gateways replicate the outcome of
- * one write, which is submitted at one gateway and again at another. Each message may be delivered at any time; one message
- * may be lost, and one gateway may restart at any time. The model runs the gateway's own classes. A state is reached by
- * replaying its choices from the beginning, and each distinct state is expanded once. Times are in tenths of a millisecond.
+ * A bounded model of write claims that is small enough for exhaustive exploration: three gateways replicate the
+ * outcome of one write, which is submitted at one gateway and again at another. Each message may be delivered at
+ * any time; one message may be lost, and one gateway may restart at any time. The model runs the gateway's own
+ * classes. A state is reached by replaying its choices from the beginning, and each distinct state is expanded
+ * once. Times are in tenths of a millisecond.
+ *
  */
 public final class BoundedClaimModel {
     /**
--- a/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
@@ -14,10 +14,12 @@
 import ploverdale.quota.SharedLimit;
 
 /**
- * A bounded model of the quota protocol that is small enough for exhaustive exploration: three gateways share a limit of
- * four units, time advances in steps, and faults are given by the caller instead of being random. One gateway's clock runs
- * slow and one runs fast. The model runs the gateway's own classes. In each step all messages are delivered in the order in
- * which they were sent, except those that a fault affects. Times are in tenths of a millisecond.
+ * A bounded model of the quota protocol that is small enough for exhaustive exploration: three gateways share a
+ * limit of four units, time advances in steps, and faults are given by the caller instead of being random. One
+ * gateway's clock runs slow and one runs fast. The model runs the gateway's own classes. In each step all messages
+ * are delivered in the order in which they were sent, except those that a fault affects. Times are in tenths of a
+ * millisecond.
+ *
  */
 public final class BoundedQuotaModel {
     /** Kinds of faults. The first three affect a message, the others a gateway; this order is relied on. */
@@ -160,7 +162,9 @@
      * @param clockDrift the share by which gateway 0's clock runs slow and gateway 2's runs fast
      * @param declaredHoldTime the longest hold time that the shared limit declares; a value below the real one is a
      *     deliberate defect that exploration must find
-     * @param reusesEpoch whether a restarted process uses the same epoch as the one before it, another deliberate defect
+     * @param reusesEpoch whether a restarted process uses the same epoch as the one before it, another deliberate
+     *     defect
+     *
      */
     private BoundedQuotaModel(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
         this.reusesEpoch = reusesEpoch;
--- a/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
@@ -8,11 +8,15 @@
 import ploverdale.quota.SharedLimit;
 
 /**
- * Records what all gateways together consume of one shared limit, and checks it against the limit's capacity: at any instant
- * for a concurrency limit, in any window for a rate limit. Times are in tenths of a millisecond.
+ * Records what all gateways together consume of one shared limit, and checks it against the limit's capacity: at
+ * any instant for a concurrency limit, in any window for a rate limit. Times are in tenths of a millisecond.
+ *
  */
 public final class ConsumptionRecorder {
-    /** Longest window over which a rate is checked; every window that ends at an acquisition and is no longer is checked. */
+    /**
+     * Longest window over which a rate is checked; every window that ends at an acquisition and is no longer is
+     * checked.
+     */
     private static final long MAX_WINDOW_TICKS = 50_000;
 
     private static final double TICKS_PER_SECOND = 10_000;
@@ -30,8 +34,9 @@
     private long total;
 
     /**
-     * @param slack units by which a window may exceed a rate because delays on the network bunch them; 0 if units are counted
-     *     where they are acquired
+     * @param slack units by which a window may exceed a rate because delays on the network bunch them; 0 if units
+     *     are counted where they are acquired
+     *
      */
     public ConsumptionRecorder(SharedLimit limit, double slack) {
         this.limit = limit;
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -14,9 +14,10 @@
 import ploverdale.quota.SharedLimit;
 
 /**
- * A simulation of gateways that run membership and quotas, with clocks that run fast or slow, datagrams that are lost,
- * duplicated and delayed, and processes that are killed, paused and restarted. The model itself counts the consumption of
- * each shared limit. Times are in tenths of a millisecond.
+ * A simulation of gateways that run membership and quotas, with clocks that run fast or slow, datagrams that are
+ * lost, duplicated and delayed, and processes that are killed, paused and restarted. The model itself counts the
+ * consumption of each shared limit. Times are in tenths of a millisecond.
+ *
  */
 public final class FleetModel {
     private static final long MS = 10;
@@ -70,7 +71,10 @@
             clockOffset = random.nextLong(1_000_000_000L);
         }
 
-        /** Returns the time of this gateway's monotonic clock, which cannot be compared with that of another gateway. */
+        /**
+         * Returns the time of this gateway's monotonic clock, which cannot be compared with that of another
+         * gateway.
+         */
         private long localTime() {
             return clockOffset + (long) (now() * clockRate);
         }
@@ -103,7 +107,9 @@
         /**
          * Starts a process with empty memory.
          *
-         * @param clockStepMs step of the Unix clock from which the start time is taken; negative if the clock was set back
+         * @param clockStepMs step of the Unix clock from which the start time is taken; negative if the clock was
+         *     set back
+         *
          */
         public void start(long clockStepMs) {
             long startUnixMs = START_UNIX_MS + now() / MS + clockStepMs;
@@ -121,7 +127,10 @@
             schedule(now() + 1, () -> tick(processNumber));
         }
 
-        /** Kills the process; its memory is lost. Units that are in use at servers stay in use until their time is over. */
+        /**
+         * Kills the process; its memory is lost. Units that are in use at servers stay in use until their time is
+         * over.
+         */
         public void kill() {
             bytesOfEarlierProcesses = bytesSent();
             membership = null;
@@ -189,10 +198,12 @@
         }
 
         /**
-         * Acquires one unit if the gateway has one free. A unit of a concurrency limit is released after the given time.
+         * Acquires one unit if the gateway has one free. A unit of a concurrency limit is released after the given
+         * time.
          *
          * @param holdTime how long the unit stays in use, by this gateway's clock
          * @return whether a unit was acquired
+         *
          */
         public boolean tryAcquire(int limit, long holdTime) {
             if (!isRunning() || !quota.tryAcquire(localTime(), limit)) {
--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -10,8 +10,10 @@
 import ploverdale.tools.lab.FleetModel.Settings;
 
 /**
- * Experiments with a shared rate limit in simulated time. Measures how soon units follow a shift of demand to one gateway, how
- * soon the units of a killed gateway are available to others, what share of the capacity nobody holds, and the bytes sent.
+ * Experiments with a shared rate limit in simulated time. Measures how soon units follow a shift of demand to one
+ * gateway, how soon the units of a killed gateway are available to others, what share of the capacity nobody holds,
+ * and the bytes sent.
+ *
  */
 public final class QuotaExperiment {
     private static final long MS = 10;
@@ -153,7 +155,10 @@
         return model.gateways().stream().mapToLong(FleetModel.Gateway::bytesSent).sum();
     }
 
-    /** Schedules random acquisitions for the next interval by all gateways from the given one on, each at the given rate. */
+    /**
+     * Schedules random acquisitions for the next interval by all gateways from the given one on, each at the given
+     * rate.
+     */
     private static void scheduleSteadyDemand(FleetModel model, SplittableRandom random, int firstGateway, double perSecond) {
         for (int i = firstGateway; i < model.gateways().size(); i++) {
             if (random.nextDouble() < perSecond * CHECK_INTERVAL / SECOND) {
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
@@ -7,7 +7,10 @@
 import ploverdale.replication.ReplicationSettings;
 import ploverdale.tools.lab.ReplicaModel.Settings;
 
-/** Experiments with replication in simulated time: runs with random faults, and the cost of catching up after a partition. */
+/**
+ * Experiments with replication in simulated time: runs with random faults, and the cost of catching up after a
+ * partition.
+ */
 public final class ReplicaExperiment {
     private static final long MS = 10;
     private static final long SECOND = 1000 * MS;
@@ -75,8 +78,9 @@
     }
 
     /**
-     * Simulates 24 s with random faults, in which sessions use a random gateway for each request and each write is submitted
-     * up to four times, each time at a random gateway.
+     * Simulates 24 s with random faults, in which sessions use a random gateway for each request and each write is
+     * submitted up to four times, each time at a random gateway.
+     *
      */
     public static ReplicaModel runWithRandomFaults(int gateways, long seed) {
         ReplicaModel model = new ReplicaModel(new Settings(gateways, replicationSettings(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
@@ -119,12 +123,13 @@
     }
 
     /**
-     * Partitions one gateway from the others, writes entries that it misses, and measures how long it takes to catch up and
-     * how many bytes that costs.
+     * Partitions one gateway from the others, writes entries that it misses, and measures how long it takes to
+     * catch up and how many bytes that costs.
      *
      * @param entries entries that are written before the partition
      * @param missedEntries entries that are written during the partition
      * @param bytesPerSecond largest rate at which a gateway sends
+     *
      */
     public static CatchUpResult measureCatchUp(int gateways, int entries, int missedEntries, double bytesPerSecond, long seed) {
         ReplicationSettings replication = new ReplicationSettings(
@@ -159,7 +164,10 @@
         model.runUntil(model.now() + entries / 4 + 2 * SECOND);
     }
 
-    /** Runs the model until all replicas are equal, or for {@link #MAX_CATCH_UP} at most, and returns the time taken. */
+    /**
+     * Runs the model until all replicas are equal, or for {@link #MAX_CATCH_UP} at most, and returns the time
+     * taken.
+     */
     private static long runUntilEqual(ReplicaModel model) {
         long from = model.now();
         while (model.differingPairs() > 0 && model.now() < from + MAX_CATCH_UP) {
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -21,10 +21,11 @@
 import ploverdale.replication.ReplicationSettings;
 
 /**
- * A simulation of gateways that run membership and replication, with clients that reconnect to other gateways, datagrams that
- * are lost, duplicated and delayed, and processes that are killed, paused and restarted. The model itself records what clients
- * rely on, and checks the gateways against it: the position of each session's last acknowledged write, and how often each
- * write may have been executed. Times are in tenths of a millisecond.
+ * A simulation of gateways that run membership and replication, with clients that reconnect to other gateways,
+ * datagrams that are lost, duplicated and delayed, and processes that are killed, paused and restarted. The model
+ * itself records what clients rely on, and checks the gateways against it: the position of each session's last
+ * acknowledged write, and how often each write may have been executed. Times are in tenths of a millisecond.
+ *
  */
 public final class ReplicaModel {
     private static final long MS = 10;
@@ -300,7 +301,10 @@
         }
     }
 
-    /** Simulates a session's read, and checks that it covers the last write whose acknowledgement the client received. */
+    /**
+     * Simulates a session's read, and checks that it covers the last write whose acknowledgement the client
+     * received.
+     */
     public void read(int gateway, String session) {
         Gateway g = gateways.get(gateway);
         if (g.isRunning()) {
@@ -319,14 +323,15 @@
     }
 
     /**
-     * Simulates a write that is submitted under an idempotency key. If its claim is granted, the write is sent to a server,
-     * and the gateway records the outcome later.
+     * Simulates a write that is submitted under an idempotency key. If its claim is granted, the write is sent to a
+     * server, and the gateway records the outcome later.
      *
      * @param id the idempotency key
      * @param firstSubmission whether this is the first submission
      * @param duration time from the grant to the outcome
      * @param executes whether the server executes the write
      * @param onStatus receives the ordinal of the {@link Status} with which the claim ended
+     *
      */
     public void submit(int gateway, String id, boolean firstSubmission, long duration, boolean executes, LongConsumer onStatus) {
         Gateway g = gateways.get(gateway);
--- a/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
@@ -4,8 +4,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A discrete-event simulation of a datagram network that loses, duplicates and delays datagrams between gateways. Events
- * that are due at the same time run in the order in which they were scheduled. Times are in tenths of a millisecond.
+ * A discrete-event simulation of a datagram network that loses, duplicates and delays datagrams between gateways.
+ * Events that are due at the same time run in the order in which they were scheduled. Times are in tenths of a
+ * millisecond.
+ *
  */
 final class SimulatedNetwork {
     /** Receives each datagram that arrives. */
--- a/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
+++ b/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
@@ -44,10 +44,11 @@
     }
 
     /**
-     * Fits the curve with the smallest relative errors. Of two shapes that fit about equally well, the flatter one is used,
-     * because the data must show that a cost grows faster.
+     * Fits the curve with the smallest relative errors. Of two shapes that fit about equally well, the flatter one
+     * is used, because the data must show that a cost grows faster.
      *
      * @throws IllegalArgumentException if there are fewer than {@link #MIN_POINTS} points
+     *
      */
     public static GrowthCurve fit(List<Point> points) {
         if (points.size() < MIN_POINTS) {
@@ -64,7 +65,7 @@
     }
 
     private static GrowthCurve constant(List<Point> points) {
-        // The least-squares solution for the relative errors of a constant is the sum of 1/y divided by the sum of 1/y^2.
+        // By least squares of the relative errors, the constant is the sum of 1/y divided by the sum of 1/y^2.
         double sumOfInverses = points.stream().mapToDouble(p -> 1 / p.cost).sum();
         double sumOfInverseSquares = points.stream().mapToDouble(p -> 1 / (p.cost * p.cost)).sum();
         return new GrowthCurve(GrowthShape.CONSTANT, sumOfInverses / sumOfInverseSquares, 0, 0).withResidual(points);
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -30,9 +30,11 @@
 import ploverdale.routing.Router;
 
 /**
- * Measures the cost of the {@link Router} of one gateway on a simulated clock with simulated servers. Replica groups have
- * three servers; clients send reads of one request class with a staleness bound of a second; servers answer reads and health
- * checks within five milliseconds. The first half of a run is warm-up. Times are in tenths of a millisecond.
+ * Measures the cost of the {@link Router} of one gateway on a simulated clock with simulated servers. Replica
+ * groups have three servers; clients send reads of one request class with a staleness bound of a second; servers
+ * answer reads and health checks within five milliseconds. The first half of a run is warm-up. Times are in tenths
+ * of a millisecond.
+ *
  */
 public final class RouterLoad {
     /** The conditions under which the cost is measured. */
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -44,9 +44,11 @@
     }
 
     /**
-     * Schedules random acquisitions by one gateway, of both limits; a unit stays in use for a random time up to {@link #MAX_HOLD_TIME}.
+     * Schedules random acquisitions by one gateway, of both limits; a unit stays in use for a random time up to
+     * {@link #MAX_HOLD_TIME}.
      *
      * @return the number of units acquired of each limit, updated while the simulation runs
+     *
      */
     private static int[] scheduleAcquisitions(FleetModel model, SplittableRandom random, int gateway, double perSecond, long from, long to) {
         int[] acquired = new int[2];
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -12,8 +12,9 @@
 import ploverdale.tools.fleet.MutationCheck;
 
 /**
- * Checks that the runs with random faults can detect defects: with each safeguard of replication removed in turn, they must
- * report a stale read or a write that was executed twice.
+ * Checks that the runs with random faults can detect defects: with each safeguard of replication removed in turn,
+ * they must report a stale read or a write that was executed twice.
+ *
  */
 class ReplicaGuardsTest {
     @ParameterizedTest
--- a/tools/src/test/java/ploverdale/tools/scale/CapacityTableTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/CapacityTableTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks that the table shows where a cost exceeds its bound, and draws no conclusion from a curve that failed its check. */
+/**
+ * Checks that the table shows where a cost exceeds its bound, and draws no conclusion from a curve that failed its
+ * check.
+ */
 class CapacityTableTest {
     private static List<String> rows(double msPerServer, double lastMsPerServer) {
         List<String> rows = new ArrayList<>(List.of(RouterScale.CSV_HEADER));
