--- a/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
@@ -23,7 +23,6 @@
  * any time; one message may be lost, and one gateway may restart at any time. The model runs the gateway's own
  * classes. A state is reached by replaying its choices from the beginning, and each distinct state is expanded
  * once. Times are in tenths of a millisecond.
- *
  */
 public final class BoundedClaimModel {
     /**
@@ -67,7 +66,8 @@
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
                 startGateway(gateway, 0);
             }
-            wallTime += 2 * RESUBMISSION_WINDOW; // from now on each gateway's history covers the whole resubmission window
+            // From now on each gateway's history covers the whole resubmission window.
+            wallTime += 2 * RESUBMISSION_WINDOW;
         }
 
         private void startGateway(int gateway, long backdatedBy) {
--- a/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
@@ -19,7 +19,6 @@
  * gateway's clock runs slow and one runs fast. The model runs the gateway's own classes. In each step all messages
  * are delivered in the order in which they were sent, except those that a fault affects. Times are in tenths of a
  * millisecond.
- *
  */
 public final class BoundedQuotaModel {
     /** Kinds of faults. The first three affect a message, the others a gateway; this order is relied on. */
@@ -164,7 +163,6 @@
      *     deliberate defect that exploration must find
      * @param reusesEpoch whether a restarted process uses the same epoch as the one before it, another deliberate
      *     defect
-     *
      */
     private BoundedQuotaModel(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
         this.reusesEpoch = reusesEpoch;
--- a/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ConsumptionRecorder.java
@@ -10,7 +10,6 @@
 /**
  * Records what all gateways together consume of one shared limit, and checks it against the limit's capacity: at
  * any instant for a concurrency limit, in any window for a rate limit. Times are in tenths of a millisecond.
- *
  */
 public final class ConsumptionRecorder {
     /**
@@ -36,7 +35,6 @@
     /**
      * @param slack units by which a window may exceed a rate because delays on the network bunch them; 0 if units
      *     are counted where they are acquired
-     *
      */
     public ConsumptionRecorder(SharedLimit limit, double slack) {
         this.limit = limit;
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -10,7 +10,6 @@
 /**
  * Explores the bounded quota model exhaustively: runs it with each single fault and with each pair of faults, under
  * each demand. To shorten a run, only an evenly spread sample of the pairs can be used.
- *
  */
 public final class Explorer {
     /**
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -17,7 +17,6 @@
  * A simulation of gateways that run membership and quotas, with clocks that run fast or slow, datagrams that are
  * lost, duplicated and delayed, and processes that are killed, paused and restarted. The model itself counts the
  * consumption of each shared limit. Times are in tenths of a millisecond.
- *
  */
 public final class FleetModel {
     private static final long MS = 10;
@@ -109,7 +108,6 @@
          *
          * @param clockStepMs step of the Unix clock from which the start time is taken; negative if the clock was
          *     set back
-         *
          */
         public void start(long clockStepMs) {
             long startUnixMs = START_UNIX_MS + now() / MS + clockStepMs;
@@ -203,7 +201,6 @@
          *
          * @param holdTime how long the unit stays in use, by this gateway's clock
          * @return whether a unit was acquired
-         *
          */
         public boolean tryAcquire(int limit, long holdTime) {
             if (!isRunning() || !quota.tryAcquire(localTime(), limit)) {
--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -13,7 +13,6 @@
  * Experiments with a shared rate limit in simulated time. Measures how soon units follow a shift of demand to one
  * gateway, how soon the units of a killed gateway are available to others, what share of the capacity nobody holds,
  * and the bytes sent.
- *
  */
 public final class QuotaExperiment {
     private static final long MS = 10;
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
@@ -80,7 +80,6 @@
     /**
      * Simulates 24 s with random faults, in which sessions use a random gateway for each request and each write is
      * submitted up to four times, each time at a random gateway.
-     *
      */
     public static ReplicaModel runWithRandomFaults(int gateways, long seed) {
         ReplicaModel model = new ReplicaModel(new Settings(gateways, replicationSettings(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
@@ -129,7 +128,6 @@
      * @param entries entries that are written before the partition
      * @param missedEntries entries that are written during the partition
      * @param bytesPerSecond largest rate at which a gateway sends
-     *
      */
     public static CatchUpResult measureCatchUp(int gateways, int entries, int missedEntries, double bytesPerSecond, long seed) {
         ReplicationSettings replication = new ReplicationSettings(
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -25,7 +25,6 @@
  * datagrams that are lost, duplicated and delayed, and processes that are killed, paused and restarted. The model
  * itself records what clients rely on, and checks the gateways against it: the position of each session's last
  * acknowledged write, and how often each write may have been executed. Times are in tenths of a millisecond.
- *
  */
 public final class ReplicaModel {
     private static final long MS = 10;
@@ -331,7 +330,6 @@
      * @param duration time from the grant to the outcome
      * @param executes whether the server executes the write
      * @param onStatus receives the ordinal of the {@link Status} with which the claim ended
-     *
      */
     public void submit(int gateway, String id, boolean firstSubmission, long duration, boolean executes, LongConsumer onStatus) {
         Gateway g = gateways.get(gateway);
--- a/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
@@ -7,7 +7,6 @@
  * A discrete-event simulation of a datagram network that loses, duplicates and delays datagrams between gateways.
  * Events that are due at the same time run in the order in which they were scheduled. Times are in tenths of a
  * millisecond.
- *
  */
 final class SimulatedNetwork {
     /** Receives each datagram that arrives. */
--- a/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
+++ b/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
@@ -11,7 +11,6 @@
  * Formats the rows that {@link RouterScale} wrote as the Markdown table of docs/CAPACITY.md: the curve fitted to
  * the CPU time, its error at a size that it was not fitted to, and the size at which it exceeds the bound. The last
  * row of each condition and read rate is the one that the curve is checked at.
- *
  */
 public final class CapacityTable {
     /** Number of servers that a gateway must be able to handle. */
--- a/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
+++ b/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
@@ -48,7 +48,6 @@
      * is used, because the data must show that a cost grows faster.
      *
      * @throws IllegalArgumentException if there are fewer than {@link #MIN_POINTS} points
-     *
      */
     public static GrowthCurve fit(List<Point> points) {
         if (points.size() < MIN_POINTS) {
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -34,7 +34,6 @@
  * groups have three servers; clients send reads of one request class with a staleness bound of a second; servers
  * answer reads and health checks within five milliseconds. The first half of a run is warm-up. Times are in tenths
  * of a millisecond.
- *
  */
 public final class RouterLoad {
     /** The conditions under which the cost is measured. */
--- a/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
@@ -15,7 +15,6 @@
  * Measures the costs of the router at increasing numbers of servers, fits a growth curve to each cost, predicts the
  * cost at twice the largest size, and then measures there. A curve whose error exceeds {@link GrowthCurve#MAX_MISS}
  * is reported as not usable.
- *
  */
 public final class RouterScale {
     /** Header line of the CSV rows. */
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -48,7 +48,6 @@
      * {@link #MAX_HOLD_TIME}.
      *
      * @return the number of units acquired of each limit, updated while the simulation runs
-     *
      */
     private static int[] scheduleAcquisitions(FleetModel model, SplittableRandom random, int gateway, double perSecond, long from, long to) {
         int[] acquired = new int[2];
@@ -71,7 +70,8 @@
                     model.schedule(faultStart, () -> model.gateway(gateway).kill());
                     model.schedule(faultEnd, () -> {
                         if (!model.gateway(gateway).isAlive()) {
-                            model.gateway(gateway).start(random.nextBoolean() ? 0 : -60_000); // its Unix clock may have been set back
+                            // The Unix clock may have been set back.
+                            model.gateway(gateway).start(random.nextBoolean() ? 0 : -60_000);
                         }
                     });
                 }
@@ -229,12 +229,14 @@
         QuotaAllocation allocation =
                 new QuotaAllocation(List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, 900, SECOND)), 300, 0.5);
         FleetModel model = started(new Settings(allocation, LEASE_DURATIONS, 0.05, 0.05, 0.05, 30 * MS, 2000), 8);
-        model.runUntil(30 * SECOND); // each gateway is pinged about twice a second, and gossip reaches all a little later
+        // Each gateway is pinged about twice a second, and gossip reaches all a little later.
+        model.runUntil(30 * SECOND);
         for (Gateway gateway : model.gateways()) {
             assertThat(gateway.membership().presentCount()).isGreaterThan(290);
         }
         model.gateway(17).kill();
-        model.runUntil(37 * SECOND); // a round of pings, further pings by a few other gateways, and the spread of the rumor
+        // A round of pings, further pings by a few other gateways, and the spread of the rumor.
+        model.runUntil(37 * SECOND);
         long detections = model.gateways().stream()
                 .filter(i -> i.isAlive() && i.membership().state(17) == MemberState.DEAD)
                 .count();
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -14,7 +14,6 @@
 /**
  * Checks that the runs with random faults can detect defects: with each safeguard of replication removed in turn,
  * they must report a stale read or a write that was executed twice.
- *
  */
 class ReplicaGuardsTest {
     @ParameterizedTest
@@ -44,7 +43,7 @@
                     .redirectErrorStream(true)
                     .start();
             String output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            System.out.println("without " + safeguard + ": " + output);
+            System.out.println(safeguard + " removed: " + output);
             assertThat(p.waitFor()).as(output).isEqualTo(1);
             assertThat(output).contains("promises broken, first");
         }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -71,7 +71,8 @@
     @Test
     void resubmissionIsGrantedOnlyOnceTheFirstSubmissionIsKnownNotToHaveRun() {
         ReplicaModel model = model(3, 3, 0, 4);
-        long start = 10 * SECOND; // gateways deny resubmissions until the resubmission window has passed since their start
+        // Gateways deny resubmissions until the resubmission window has passed since their start.
+        long start = 10 * SECOND;
         model.runUntil(start);
         long[] statuses = {-1, -1, -1, -1};
         model.submit(0, "w", true, 500 * MS, false, status -> statuses[0] = status);
