--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -42,8 +42,10 @@
      *
      * @param subLeaseMs term of a sub-lease
      * @param loss share of datagrams that are lost
-     * @param shiftP50 time until units have followed the shift of demand
-     * @param takeoverP50 time until the units of the killed gateway are available to others
+     * @param shiftP50 median time until units have followed the shift of demand
+     * @param shiftP99 99th percentile of that time
+     * @param takeoverP50 median time until the units of the killed gateway are available to others
+     * @param takeoverP99 99th percentile of that time
      * @param bytesPerSecond bytes per second that a gateway sends
      * @param idleShare average share of the capacity that no gateway held, after the start and before the shift
      * @param violations number of times that the limit was exceeded
