--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -15,9 +15,9 @@
 import ploverdale.tools.lab.Explorer;
 import ploverdale.tools.lab.Plot;
 import ploverdale.tools.lab.ReplicaModel;
-import ploverdale.tools.lab.ReplicaTrial;
-import ploverdale.tools.lab.SmallWorld;
-import ploverdale.tools.lab.Trial;
+import ploverdale.tools.lab.ReplicaExperiment;
+import ploverdale.tools.lab.BoundedQuotaModel;
+import ploverdale.tools.lab.QuotaExperiment;
 import ploverdale.tools.rig.Check;
 import ploverdale.tools.rig.Rigs;
 import ploverdale.tools.scale.CapacityTable;
@@ -136,13 +136,13 @@
     private int lab() throws IOException {
         switch (name) {
             case "sweep" -> {
-                List<String> rows = new ArrayList<>(List.of(Trial.Found.HEAD));
+                List<String> rows = new ArrayList<>(List.of(QuotaExperiment.Result.CSV_HEADER));
                 boolean holds = true;
                 for (String size : sizes.split(",")) {
-                    Trial.Found found = Trial.play(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
-                    holds &= found.over() == 0;
-                    rows.add(found.row());
-                    System.out.println(found.row()); // shows the progress of a long run
+                    QuotaExperiment.Result found = QuotaExperiment.run(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
+                    holds &= found.violations() == 0;
+                    rows.add(found.csvRow());
+                    System.out.println(found.csvRow()); // shows the progress of a long run
                 }
                 if (out != null) {
                     Files.write(Path.of(out), rows);
@@ -159,32 +159,32 @@
                 return 0;
             }
             case "explore" -> {
-                Explorer.Seen seen = new Explorer(SmallWorld.leaseDurations(0.1), 0.1, SmallWorld.use()).explore(every);
+                Explorer.Result result = new Explorer(BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime()).explore(every);
                 System.out.println(
-                        seen.worlds() + " fault combinations, " + (seen.firstBad() == null ? "no rule broken" : seen.firstBad()));
-                return seen.firstBad() == null ? 0 : 1;
+                        result.runs() + " fault combinations, " + (result.firstViolation() == null ? "no rule broken" : result.firstViolation()));
+                return result.firstViolation() == null ? 0 : 1;
             }
             case "replicas" -> {
-                int broken = 0;
+                int violations = 0;
                 for (long modelSeed = seed; modelSeed < seed + seeds; modelSeed++) {
-                    ReplicaModel model = ReplicaTrial.day(2 + (int) (modelSeed % 6), modelSeed);
-                    broken += model.broken().size();
+                    ReplicaModel model = ReplicaExperiment.runWithRandomFaults(2 + (int) (modelSeed % 6), modelSeed);
+                    violations += model.violations().size();
                     System.out.println("seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
                             + " reads with a known position, "
-                            + model.counts()[2] + " with an unknown one, " + model.broken().size() + " promises broken"
-                            + (model.broken().isEmpty()
+                            + model.counts()[2] + " with an unknown one, " + model.violations().size() + " promises broken"
+                            + (model.violations().isEmpty()
                                     ? ""
-                                    : ", first " + model.broken().get(0)));
+                                    : ", first " + model.violations().get(0)));
                 }
-                return broken == 0 ? 0 : 1;
+                return violations == 0 ? 0 : 1;
             }
             case "copies" -> {
-                List<String> rows = new ArrayList<>(List.of(ReplicaTrial.CaughtUp.HEAD));
+                List<String> rows = new ArrayList<>(List.of(ReplicaExperiment.CatchUpResult.CSV_HEADER));
                 for (String size : sizes.split(",")) {
                     for (int differing : new int[] {10, 1000, facts}) {
-                        rows.add(ReplicaTrial.catchesUp(
+                        rows.add(ReplicaExperiment.measureCatchUp(
                                         Integer.parseInt(size.strip()), facts, differing, CATCH_UP_BYTES_PER_SECOND, seed)
-                                .row());
+                                .csvRow());
                         System.out.println(rows.get(rows.size() - 1));
                     }
                 }
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -3,19 +3,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import ploverdale.quota.LeaseDurations;
-import ploverdale.tools.lab.SmallWorld.Demand;
-import ploverdale.tools.lab.SmallWorld.Fault;
-import ploverdale.tools.lab.SmallWorld.Kind;
+import ploverdale.tools.lab.BoundedQuotaModel.Demand;
+import ploverdale.tools.lab.BoundedQuotaModel.Fault;
+import ploverdale.tools.lab.BoundedQuotaModel.FaultKind;
 
 /**
- * Tries all that can go wrong in the small world: each fault alone, and each pair of faults, under each demand. For longer
- * runs a share of the pairs can be left out, evenly.
+ * Explores the bounded quota model exhaustively: runs it with each single fault and with each pair of faults, under
+ * each demand. To shorten a run, only an evenly spread sample of the pairs can be used.
  */
 public final class Explorer {
-    /** What came of it. */
-    public record Seen(long worlds, String firstBad) {}
+    /**
+     * The result of an exploration.
+     *
+     * @param runs number of runs of the model
+     * @param firstViolation description of the first run that violated a rule; null if none did
+     */
+    public record Result(long runs, String firstViolation) {}
 
-    /** Who wants parts: one and then the others, one and then all, each in turn, two of three. */
+    /** One gateway and then the others; one gateway and then all; each in turn; two of three. */
     public static final List<Demand> DEMANDS = List.of(
             new Demand(new int[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6, 6}),
             new Demand(new int[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7, 7}),
@@ -23,54 +28,58 @@
             new Demand(new int[] {3, 3, 3, 3, 5, 5}));
 
     private final LeaseDurations leaseDurations;
-    private final double drift;
-    private final long told;
-    private final boolean startsAlike;
+    private final double clockDrift;
+    private final long declaredHoldTime;
+    private final boolean reusesEpoch;
 
-    public Explorer(LeaseDurations leaseDurations, double drift, long told) {
-        this(leaseDurations, drift, told, false);
+    public Explorer(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime) {
+        this(leaseDurations, clockDrift, declaredHoldTime, false);
     }
 
-    /** With a mistake perhaps: each start of a name speaks alike. */
-    Explorer(LeaseDurations leaseDurations, double drift, long told, boolean startsAlike) {
-        this.startsAlike = startsAlike;
+    /** @param reusesEpoch whether each process of a gateway uses the same epoch, which is a deliberate defect */
+    Explorer(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
+        this.reusesEpoch = reusesEpoch;
         this.leaseDurations = leaseDurations;
-        this.drift = drift;
-        this.told = told;
+        this.clockDrift = clockDrift;
+        this.declaredHoldTime = declaredHoldTime;
     }
 
-    private static List<Fault> all() {
-        List<Fault> all = new ArrayList<>();
-        for (int s = SmallWorld.FROM; s < SmallWorld.STEPS; s++) {
-            for (Kind k : Kind.values()) {
-                int n = k.ordinal() >= Kind.KILL.ordinal() ? SmallWorld.GATEWAYS : SmallWorld.MESSAGES;
-                for (int i = 0; i < n; i++) {
-                    all.add(new Fault(s, k, i));
+    private static List<Fault> allFaults() {
+        List<Fault> allFaults = new ArrayList<>();
+        for (int step = BoundedQuotaModel.FIRST_FAULT_STEP; step < BoundedQuotaModel.FAULTS_END_STEP; step++) {
+            for (FaultKind kind : FaultKind.values()) {
+                int targets = kind.ordinal() >= FaultKind.KILL.ordinal() ? BoundedQuotaModel.GATEWAYS : BoundedQuotaModel.MESSAGES_PER_STEP;
+                for (int i = 0; i < targets; i++) {
+                    allFaults.add(new Fault(step, kind, i));
                 }
             }
         }
-        return all;
+        return allFaults;
     }
 
-    /** Plays each fault alone and every so manieth pair, until one goes wrong. */
-    public Seen explore(int everyPair) {
-        List<Fault> all = all();
-        long worlds = 0;
-        for (Demand d : DEMANDS) {
-            for (int a = 0; a < all.size(); a++) {
-                for (int b = a; b < all.size(); b++) {
-                    if (b > a && (a * 31L + b) % everyPair != 0) {
+    /**
+     * Runs the model with each single fault and with a sample of the pairs, until a run violates a rule.
+     *
+     * @param pairInterval about one pair in this many is run; 1 for all pairs
+     */
+    public Result explore(int pairInterval) {
+        List<Fault> allFaults = allFaults();
+        long runs = 0;
+        for (Demand demand : DEMANDS) {
+            for (int first = 0; first < allFaults.size(); first++) {
+                for (int second = first; second < allFaults.size(); second++) {
+                    if (second > first && (first * 31L + second) % pairInterval != 0) {
                         continue;
                     }
-                    List<Fault> faults = b == a ? List.of(all.get(a)) : List.of(all.get(a), all.get(b));
-                    worlds++;
-                    String bad = SmallWorld.play(leaseDurations, drift, told, startsAlike, d, faults);
-                    if (bad != null) {
-                        return new Seen(worlds, bad + " with " + faults + ", demand " + DEMANDS.indexOf(d));
+                    List<Fault> faults = second == first ? List.of(allFaults.get(first)) : List.of(allFaults.get(first), allFaults.get(second));
+                    runs++;
+                    String violation = BoundedQuotaModel.run(leaseDurations, clockDrift, declaredHoldTime, reusesEpoch, demand, faults);
+                    if (violation != null) {
+                        return new Result(runs, violation + " with " + faults + ", demand " + DEMANDS.indexOf(demand));
                     }
                 }
             }
         }
-        return new Seen(worlds, null);
+        return new Result(runs, null);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterScale.java
@@ -12,18 +12,20 @@
 import ploverdale.tools.scale.RouterLoad.Cost;
 
 /**
- * Measures the decision module at growing numbers of servers, fits a slope to each cost, predicts twice the largest size and
- * then measures there. A slope that misses by more than {@link Slope#MISSES_MOST} is reported as not usable.
+ * Measures the costs of the router at increasing numbers of servers, fits a growth curve to each cost, predicts the
+ * cost at twice the largest size, and then measures there. A curve whose error exceeds {@link GrowthCurve#MAX_MISS}
+ * is reported as not usable.
  */
 public final class RouterScale {
-    /** The first line of the rows. */
-    public static final String HEAD =
+    /** Header line of the CSV rows. */
+    public static final String CSV_HEADER =
             "condition,reads_per_second,servers,cpu_ms_per_s,allocated_kb_per_s,events_per_s,probes_per_s,served_per_s,refused_per_s";
 
-    private static final double SECONDS = 20; // of simulated time, half of it warm-up
+    /** Length of a run in simulated time; half of it is warm-up. */
+    private static final double SECONDS = 20;
 
-    /** A cost that a slope is fitted to. */
-    private enum Figure {
+    /** A cost to which a curve is fitted. */
+    private enum Metric {
         CPU("cpu_ms_per_s", Cost::cpuMs),
         ALLOCATED("allocated_kb_per_s", c -> c.allocatedBytes() / 1000),
         EVENTS("events_per_s", Cost::events);
@@ -31,7 +33,7 @@
         private final String column;
         private final ToDoubleFunction<Cost> value;
 
-        Figure(String column, ToDoubleFunction<Cost> value) {
+        Metric(String column, ToDoubleFunction<Cost> value) {
             this.column = column;
             this.value = value;
         }
@@ -50,13 +52,20 @@
         this.progress = progress;
     }
 
-    /** Measures at each size and at twice the largest; true where each slope holds there. Rows go to the file, if any. */
+    /**
+     * Measures at each size and at twice the largest.
+     *
+     * @param sizes numbers of servers, in ascending order
+     * @param out CSV file to which the rows are appended; null for none
+     * @param progress receives each row as soon as it is measured, and the fitted curves
+     * @return whether the curve of each cost is usable
+     */
     public static boolean run(
             Condition condition, double readsPerSecond, List<Integer> sizes, long seed, Path out, PrintStream progress)
             throws IOException {
         RouterScale scale = new RouterScale(condition, readsPerSecond, seed, progress);
-        progress.println(HEAD);
-        scale.measure(sizes.get(sizes.size() - 1)); // not counted, so that no size pays for compiling
+        progress.println(CSV_HEADER);
+        scale.measure(sizes.get(sizes.size() - 1)); // not recorded: warms up the JIT compiler for all sizes
         scale.rows.clear();
         List<Cost> costs = new ArrayList<>();
         for (int size : sizes) {
@@ -64,8 +73,8 @@
         }
         boolean holds = scale.check(sizes, costs);
         if (out != null) {
-            boolean fresh = !Files.exists(out);
-            List<String> lines = new ArrayList<>(fresh ? List.of(HEAD) : Files.readAllLines(out));
+            boolean isNew = !Files.exists(out);
+            List<String> lines = new ArrayList<>(isNew ? List.of(CSV_HEADER) : Files.readAllLines(out));
             lines.addAll(scale.rows);
             Files.write(out, lines);
         }
@@ -83,24 +92,24 @@
                 c.cpuMs(),
                 c.allocatedBytes() / 1000,
                 c.events(),
-                c.probes(),
+                c.healthChecks(),
                 c.served(),
-                c.refused());
+                c.rejected());
         rows.add(row);
         progress.println(row);
         return c;
     }
 
     private boolean check(List<Integer> sizes, List<Cost> costs) {
-        int twice = 2 * sizes.get(sizes.size() - 1);
-        List<Slope> slopes = new ArrayList<>();
-        for (Figure f : Figure.values()) {
-            List<Slope.Point> points = new ArrayList<>();
+        int checkSize = 2 * sizes.get(sizes.size() - 1);
+        List<GrowthCurve> curves = new ArrayList<>();
+        for (Metric f : Metric.values()) {
+            List<GrowthCurve.Point> points = new ArrayList<>();
             for (int i = 0; i < sizes.size(); i++) {
-                points.add(new Slope.Point(sizes.get(i), f.value.applyAsDouble(costs.get(i))));
+                points.add(new GrowthCurve.Point(sizes.get(i), f.value.applyAsDouble(costs.get(i))));
             }
-            Slope s = Slope.fit(points);
-            slopes.add(s);
+            GrowthCurve s = GrowthCurve.fit(points);
+            curves.add(s);
             progress.printf(
                     Locale.ROOT,
                     "# %s: %.4g + %.4g x %s, residual %.1f %%; predicted at %d: %.4g%n",
@@ -109,21 +118,21 @@
                     s.factor(),
                     s.shape().formula(),
                     100 * s.residual(),
-                    twice,
-                    s.at(twice));
+                    checkSize,
+                    s.costAt(checkSize));
         }
-        Cost there = measure(twice);
+        Cost costAtCheckSize = measure(checkSize);
         boolean holds = true;
-        for (Figure f : Figure.values()) {
-            double measured = f.value.applyAsDouble(there);
-            double miss = slopes.get(f.ordinal()).at(twice) / measured - 1;
-            boolean usable = slopes.get(f.ordinal()).isUsable(miss);
+        for (Metric f : Metric.values()) {
+            double measured = f.value.applyAsDouble(costAtCheckSize);
+            double miss = curves.get(f.ordinal()).costAt(checkSize) / measured - 1;
+            boolean usable = curves.get(f.ordinal()).isUsable(miss);
             holds &= usable;
             progress.printf(
                     Locale.ROOT,
-                    "# %s at %d: measured %.4g, the prediction is off by %+.1f %%: %s%n",
+                    "# %s at %d: measured %.4g, error of the prediction %+.1f %%: %s%n",
                     f.column,
-                    twice,
+                    checkSize,
                     measured,
                     100 * miss,
                     usable ? "holds" : "not to be used");
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -3,32 +3,35 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import ploverdale.tools.lab.Explorer.Seen;
+import ploverdale.tools.lab.Explorer.Result;
 
-/** All that can go wrong in a small world, and a mistake that must be found; another is in {@link FleetModelTest}. */
+/**
+ * Explores the bounded quota model, and checks that deliberate defects are found. {@link FleetModelTest} has a further
+ * defect.
+ */
 class ExplorerTest {
-    private static final double DRIFT = 0.1;
+    private static final double CLOCK_DRIFT = 0.1;
 
     @Test
-    void noFaultAloneAndNoneOfManyPairsSpendsTooMuchOrLosesAPart() {
-        Seen seen = new Explorer(SmallWorld.leaseDurations(DRIFT), DRIFT, SmallWorld.use()).explore(1999);
-        assertThat(seen.firstBad()).isNull();
-        assertThat(seen.worlds()).isGreaterThan(3000);
+    void singleFaultsAndSampledPairsNeitherExceedTheLimitNorLoseUnits() {
+        Result result = new Explorer(BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime()).explore(1999);
+        assertThat(result.firstViolation()).isNull();
+        assertThat(result.runs()).isGreaterThan(3000);
     }
 
     @Test
-    void aTimeOfUseThatIsToldTooShortIsFound() {
-        assertThat(new Explorer(SmallWorld.leaseDurations(0.001), 0, 10)
+    void findsAViolationIfTheDeclaredHoldTimeIsTooShort() {
+        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(0.001), 0, 10)
                         .explore(1999)
-                        .firstBad())
+                        .firstViolation())
                 .contains("in use");
     }
 
     @Test
-    void aProcessThatSpeaksAsTheOneBeforeItIsFound() {
-        assertThat(new Explorer(SmallWorld.leaseDurations(DRIFT), DRIFT, SmallWorld.use(), true)
+    void findsAViolationIfARestartedGatewayReusesItsEpoch() {
+        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime(), true)
                         .explore(499)
-                        .firstBad())
+                        .firstViolation())
                 .isNotNull();
     }
 }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -11,7 +11,10 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.MutationCheck;
 
-/** With each guard of what is kept taken out in turn, the days of faults break promises: the search can fail. */
+/**
+ * Checks that the runs with random faults can detect defects: with each safeguard of replication removed in turn,
+ * they must report a stale read or a write that was executed twice.
+ */
 class ReplicaGuardsTest {
     @ParameterizedTest
     @CsvSource(
@@ -23,13 +26,13 @@
                 "WriteOutcome.java -> isFreeExceptFor(claim) && hasCapacityFor(claim)"
                         + " -> (claims.containsKey(claim) || isFree())"
             })
-    void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
-        try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replication/" + file, guard, instead)) {
+    void removedSafeguardIsDetected(String file, String safeguard, String replacement) throws Exception {
+        try (MutationCheck mutated = MutationCheck.of(Launch.found(List.of()), "replication/" + file, safeguard, replacement)) {
             Process p = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
                             "-cp",
-                            none.classes() + File.pathSeparator + System.getProperty("java.class.path"),
+                            mutated.classes() + File.pathSeparator + System.getProperty("java.class.path"),
                             "ploverdale.tools.Main",
                             "lab",
                             "replicas",
@@ -39,10 +42,10 @@
                             "4")
                     .redirectErrorStream(true)
                     .start();
-            String told = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            System.out.println(guard + " out: " + told);
-            assertThat(p.waitFor()).as(told).isEqualTo(1);
-            assertThat(told).contains("promises broken, first");
+            String output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            System.out.println(safeguard + " removed: " + output);
+            assertThat(p.waitFor()).as(output).isEqualTo(1);
+            assertThat(output).contains("promises broken, first");
         }
     }
 }
