--- a/gateway/src/test/java/ploverdale/ClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/ClassArchiveTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whatever becomes of the class archive, a gateway starts and serves. */
+/** Checks that a gateway starts and serves whether its class data archive is complete, missing or corrupt. */
 @Timeout(180)
 class ClassArchiveTest {
     @TempDir
     static Path root;
 
     private static DeployedGateway deployed;
-    private static byte[] whole;
+    private static byte[] complete;
 
     private Net net;
     private Path configuration;
@@ -35,11 +35,11 @@
         deployed = new DeployedGateway(root);
         deployed.launcher(Map.of());
         deployed.archive("");
-        whole = Files.readAllBytes(deployed.classArchive());
+        complete = Files.readAllBytes(deployed.classArchive());
     }
 
     @BeforeEach
-    void standIns() throws IOException {
+    void createNet() throws IOException {
         net = new Net("p", "r1").readable();
         configuration = root.resolve("gateway.json");
         Files.writeString(configuration, Net.configuration(net.registry, 256, 30_000));
@@ -49,11 +49,11 @@
     void close() throws Exception {
         net.close();
         Files.deleteIfExists(deployed.classArchive());
-        Files.write(deployed.classArchive(), whole);
+        Files.write(deployed.classArchive(), complete);
     }
 
-    private ServingProcess serves(String before, String behind) throws Exception {
-        ServingProcess gateway = deployed.start(configuration, before, behind);
+    private ServingProcess startAndServe(String before, String after) throws Exception {
+        ServingProcess gateway = deployed.start(configuration, before, after);
         try (Client client = new Client(gateway.port()).greeted()) {
             System.out.println("ready after " + gateway.ageMs() + " ms");
             for (int i = 0; i < 20; i++) {
@@ -63,9 +63,9 @@
         return gateway;
     }
 
-    private void servesWith(byte[] archive) throws Exception {
+    private void assertServesWith(byte[] archive) throws Exception {
         Files.write(deployed.classArchive(), archive);
-        serves("", "").close();
+        startAndServe("", "").close();
     }
 
     private static boolean mapsArchive(ServingProcess gateway) throws IOException {
@@ -74,36 +74,36 @@
     }
 
     @Test
-    void aWholeArchiveIsUsed() throws Exception {
-        try (ServingProcess gateway = serves("", "")) {
+    void aCompleteArchiveIsUsed() throws Exception {
+        try (ServingProcess gateway = startAndServe("", "")) {
             assertThat(mapsArchive(gateway)).isTrue();
         }
     }
 
     @Test
-    void aMissingArchiveDoesNoHarm() throws Exception {
+    void theGatewayServesWithoutAnArchive() throws Exception {
         Files.delete(deployed.classArchive());
-        serves("", "").close();
+        startAndServe("", "").close();
     }
 
     @Test
-    void anEmptyArchiveDoesNoHarm() throws Exception {
-        servesWith(new byte[0]);
+    void theGatewayServesWithAnEmptyArchive() throws Exception {
+        assertServesWith(new byte[0]);
     }
 
     @Test
-    void anArchiveThatFindsNoRoomOnTheDiskIsNotPutInPlace() throws Exception {
-        deployed.archive("ulimit -f 8000; "); // a file may have 4 MB
+    void anArchiveThatDoesNotFitOnTheDiskIsNotInstalled() throws Exception {
+        deployed.archive("ulimit -f 8000; "); // files are limited to 4 MB
         assertThat(deployed.classArchive()).doesNotExist();
-        serves("", "").close();
+        startAndServe("", "").close();
     }
 
     @Test
-    void anArchiveOfAnotherBuildDoesNoHarm() throws Exception {
+    void anArchiveOfAnotherBuildIsNotUsed() throws Exception {
         Path jar = root.resolve("gateway/target/ploverdale.jar");
         FileTime built = Files.getLastModifiedTime(jar);
         Files.setLastModifiedTime(jar, FileTime.fromMillis(0));
-        try (ServingProcess gateway = serves("", "")) {
+        try (ServingProcess gateway = startAndServe("", "")) {
             assertThat(mapsArchive(gateway)).isFalse();
         } finally {
             Files.setLastModifiedTime(jar, built);
@@ -111,20 +111,20 @@
     }
 
     @RepeatedTest(12)
-    void anArchiveWithABitTurnedDoesNoHarm(RepetitionInfo repetition) throws Exception {
+    void theGatewayServesWithAFlippedBitInTheArchive(RepetitionInfo repetition) throws Exception {
         long seed = repetition.getCurrentRepetition();
-        byte[] spoilt = whole.clone();
-        int at = new SplittableRandom(seed).nextInt(spoilt.length);
-        spoilt[at] ^= 1 << (seed % 8);
-        System.out.println("seed " + seed + ": byte " + at + " of " + spoilt.length);
-        servesWith(spoilt);
+        byte[] corrupt = complete.clone();
+        int position = new SplittableRandom(seed).nextInt(corrupt.length);
+        corrupt[position] ^= 1 << (seed % 8);
+        System.out.println("seed " + seed + ": byte " + position + " of " + corrupt.length);
+        assertServesWith(corrupt);
     }
 
     @Test
-    void anArchiveWithAPageOfZeroesDoesNoHarm() throws Exception { // as a system that crashed while writing leaves it
-        byte[] spoilt = whole.clone();
-        int from = spoilt.length / 2 / 4096 * 4096;
-        Arrays.fill(spoilt, from, from + 4096, (byte) 0);
-        servesWith(spoilt);
+    void theGatewayServesWithAPageOfZeroesInTheArchive() throws Exception { // as after a system crash during the write
+        byte[] corrupt = complete.clone();
+        int from = corrupt.length / 2 / 4096 * 4096;
+        Arrays.fill(corrupt, from, from + 4096, (byte) 0);
+        assertServesWith(corrupt);
     }
 }
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -18,11 +18,16 @@
 import ploverdale.AttemptRecorder.Arrival;
 import ploverdale.net.postgres.MessageWriter;
 
-/** No attempt begins later than the grace after its client closed or cancelled, whatever the request waits for by then. */
+/**
+ * Checks that no attempt begins more than {@link AttemptRecorder#GRACE_MS} after its client closed its connection or cancelled the request,
+ * whatever the request is waiting for at that time.
+ */
 @Timeout(120)
 class ClientDepartureTest {
-    private static final int IN_HAND_MOST = 8; // pipelined requests that are forwarded at a time
-    private static final long SETTLES_MS = 600; // several times the grace; what would begin late begins by then
+    /** Number of pipelined requests of one client that are forwarded at a time. */
+    private static final int PIPELINE_SLOTS = 8;
+    /** Time in which any late attempt would begin; several times the grace. */
+    private static final long SETTLE_MS = 600;
     private static final int STATEMENT_BYTES = 9_000;
 
     /** How a client leaves. */
@@ -34,12 +39,12 @@
         CANCEL
     }
 
-    /** A client whose socket the test drives itself; its greeting has been answered. */
+    /** A client whose socket the test controls directly. The constructor completes the startup handshake. */
     private static final class LeavingClient implements AutoCloseable {
         private final int port;
         private final Socket socket;
-        private int process;
-        private int secret;
+        private int processId;
+        private int secretKey;
 
         LeavingClient(int port) throws IOException {
             this.port = port;
@@ -51,8 +56,8 @@
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 int length = in.readInt();
                 if (type == 'K') {
-                    process = in.readInt();
-                    secret = in.readInt();
+                    processId = in.readInt();
+                    secretKey = in.readInt();
                 } else {
                     in.readFully(new byte[length - 4]);
                 }
@@ -65,25 +70,25 @@
             return this;
         }
 
-        LeavingClient ask(String text) throws IOException {
-            return write(MessageWriter.query(text));
+        LeavingClient ask(String sql) throws IOException {
+            return write(MessageWriter.query(sql));
         }
 
-        /** Leaves; returns the time by the monotonic clock. */
-        long leave(Departure how) throws IOException {
-            long at = System.nanoTime();
-            switch (how) {
+        /** Leaves in the given way and returns the {@link System#nanoTime} from just before. */
+        long leave(Departure departure) throws IOException {
+            long leftAt = System.nanoTime();
+            switch (departure) {
                 case CLOSE -> socket.close();
                 case RESET -> {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 }
                 case HALF_CLOSE -> socket.shutdownOutput();
-                case TERMINATE -> write(Buffer.buffer().appendByte((byte) 'X').appendInt(4)); // and stays connected
+                case TERMINATE -> write(Buffer.buffer().appendByte((byte) 'X').appendInt(4)); // the socket stays open
                 case CANCEL -> cancel();
-                default -> throw new IllegalArgumentException(how.name());
+                default -> throw new IllegalArgumentException(departure.name());
             }
-            return at;
+            return leftAt;
         }
 
         private void cancel() throws IOException {
@@ -92,21 +97,21 @@
                         .write(Buffer.buffer()
                                 .appendInt(16)
                                 .appendInt(80877102)
-                                .appendInt(process)
-                                .appendInt(secret)
+                                .appendInt(processId)
+                                .appendInt(secretKey)
                                 .getBytes());
                 other.getInputStream().read();
             }
         }
 
-        /** The code of the next ErrorResponse. */
+        /** Reads an ErrorResponse and returns its SQLSTATE. */
         String errorCode() throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             assertThat((char) in.read()).isEqualTo('E');
             byte[] body = new byte[in.readInt() - 4];
             in.readFully(body);
-            String text = new String(body, java.nio.charset.StandardCharsets.UTF_8);
-            return text.substring(text.indexOf("\0C") + 2, text.indexOf("\0C") + 7);
+            String fields = new String(body, java.nio.charset.StandardCharsets.UTF_8);
+            return fields.substring(fields.indexOf("\0C") + 2, fields.indexOf("\0C") + 7);
         }
 
         @Override
@@ -115,132 +120,135 @@
         }
     }
 
-    /** Blocks the event loop for so long; what is written meanwhile is read after it, in one turn. */
-    private static void holdUp(Net net, long ms, Net.ThrowingRunnable meanwhile) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch on = new CountDownLatch(1);
+    /**
+     * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is read after the pause, in one
+     * turn of the loop.
+     */
+    private static void pauseLoop(Net net, long pauseMs, Net.ThrowingRunnable meanwhile) throws Exception {
+        CountDownLatch paused = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
-            held.countDown();
+            paused.countDown();
             try {
-                on.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        paused.await();
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pauseMs);
         meanwhile.run();
-        Thread.sleep(Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())));
-        on.countDown();
+        Thread.sleep(Math.max(0, TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime())));
+        resume.countDown();
     }
 
     private static String longStatement(Net net) {
         return net.request("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
     }
 
-    /** Lets whatever could still begin do so, and asserts that nothing began late. */
-    private static void assertNothingBeginsAfter(long leftAt, Net net, AttemptRecorder recorder) throws Exception {
-        Thread.sleep(SETTLES_MS);
+    /** Waits until any late attempt would have begun, and asserts that none did. */
+    private static void assertNoAttemptBeginsAfter(long leftAt, Net net, AttemptRecorder recorder) throws Exception {
+        Thread.sleep(SETTLE_MS);
         assertThat(recorder.begunAfter(leftAt)).as(net::log).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource
-    void noRequestBehindThoseInHandIsForwardedOnceItsClientHasLeft(Departure how) throws Exception {
+    void noQueuedPipelinedRequestIsForwardedOnceItsClientHasLeft(Departure departure) throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
-                Buffer all = Buffer.buffer();
-                for (int i = 0; i < 3 * IN_HAND_MOST; i++) {
-                    all.appendBuffer(MessageWriter.query(net.request("order")));
+                Buffer pipelined = Buffer.buffer();
+                for (int i = 0; i < 3 * PIPELINE_SLOTS; i++) {
+                    pipelined.appendBuffer(MessageWriter.query(net.request("order")));
                 }
-                client.write(all);
-                List<Arrival> inHand = recorder.await(IN_HAND_MOST);
-                long leftAt = client.leave(how);
+                client.write(pipelined);
+                List<Arrival> inFlight = recorder.await(PIPELINE_SLOTS);
+                long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                for (Arrival a : inHand) {
-                    tryToAnswer(a); // each answer would let one more be forwarded
+                for (Arrival arrival : inFlight) {
+                    tryToAnswer(arrival); // each answer frees a slot, in which one more request could be forwarded
                 }
-                assertNothingBeginsAfter(leftAt, net, recorder);
+                assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
     }
 
-    private static void tryToAnswer(Arrival a) {
+    private static void tryToAnswer(Arrival arrival) {
         try {
-            a.attempt().row(new byte[] {7});
+            arrival.attempt().row(new byte[] {7});
         } catch (IOException e) {
-            assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*"); // given up, as it should be
+            assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*"); // expected: the attempt was cancelled
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE"})
-    void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure how) throws Exception {
+    void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure departure) throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
-                Buffer all = Buffer.buffer();
-                for (int i = 0; i < 200; i++) { // 1.8 MB, taken by the systems on the way
-                    all.appendBuffer(MessageWriter.query(longStatement(net)));
+                Buffer pipelined = Buffer.buffer();
+                for (int i = 0; i < 200; i++) { // 1.8 MB in total, which the socket buffers take
+                    pipelined.appendBuffer(MessageWriter.query(longStatement(net)));
                 }
-                client.write(all);
-                List<Arrival> inHand = recorder.await(IN_HAND_MOST);
-                long leftAt = client.leave(how);
+                client.write(pipelined);
+                List<Arrival> inFlight = recorder.await(PIPELINE_SLOTS);
+                long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                for (Arrival a : inHand) {
-                    tryToAnswer(a);
+                for (Arrival arrival : inFlight) {
+                    tryToAnswer(arrival);
                 }
-                assertNothingBeginsAfter(leftAt, net, recorder);
+                assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void aRequestThatWaitsForAConnectionThatComesUpLateIsNotWrittenThen(Departure how) throws Exception {
+    void aRequestWaitingForASlowConnectionIsNotWrittenOnceItsClientHasLeft(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // the router cannot call it off
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // the router can't cancel the attempt
             net.started();
-            Server p = net.servers.get("p");
-            try (AttemptRecorder recorder = new AttemptRecorder(p);
+            Server primary = net.servers.get("p");
+            try (AttemptRecorder recorder = new AttemptRecorder(primary);
                     LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
-                recorder.await(1); // has the connection that the health check opened
-                p.holdsGreetings = new CountDownLatch(1);
-                p.connects.clear();
+                recorder.await(1); // uses the connection that the health check opened
+                primary.holdsGreetings = new CountDownLatch(1);
+                primary.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
-                long leftAt = client.leave(how);
+                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                p.holdsGreetings.countDown();
-                assertNothingBeginsAfter(leftAt, net, recorder);
+                primary.holdsGreetings.countDown();
+                assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
     }
 
-    /** Both are read in one turn of the loop, the server's connection first. */
+    /** Both events are read in one turn of the loop, first the one of the server's connection. */
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE", "TERMINATE"})
-    void aConnectionThatComesUpDuringAPauseIsNotUsedForAClientThatLeftInIt(Departure how) throws Exception {
+    void aConnectionEstablishedDuringAPauseIsNotUsedForAClientThatLeftDuringThePause(Departure departure) throws Exception {
         try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            try (AttemptRecorder recorder = new AttemptRecorder(p);
+            Server primary = net.servers.get("p");
+            try (AttemptRecorder recorder = new AttemptRecorder(primary);
                     LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1);
-                p.holdsGreetings = new CountDownLatch(1);
-                p.connects.clear();
+                primary.holdsGreetings = new CountDownLatch(1);
+                primary.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
-                holdUp(net, 180, () -> {
-                    p.holdsGreetings.countDown();
+                pauseLoop(net, 180, () -> {
+                    primary.holdsGreetings.countDown();
                     Thread.sleep(20);
-                    leftAt[0] = client.leave(how);
+                    leftAt[0] = client.leave(departure);
                 });
-                assertNothingBeginsAfter(leftAt[0], net, recorder);
+                assertNoAttemptBeginsAfter(leftAt[0], net, recorder);
                 assertThat(recorder.count()).as(net::log).isEqualTo(1);
                 other.close();
             }
@@ -249,43 +257,43 @@
 
     @ParameterizedTest
     @EnumSource
-    void aRequestHeldForAPrimaryIsNotForwardedWhenThatIsHeard(Departure how) throws Exception {
+    void aRequestWaitingForItsPrimaryIsNotForwardedWhenThePrimaryAnswersAfterItsClientLeft(Departure departure) throws Exception {
         try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            p.holdsProbes = new CountDownLatch(1);
-            Thread.sleep(2200); // by now the primary was last heard too long ago, and a health check is under way
-            try (AttemptRecorder recorder = new AttemptRecorder(p);
+            Server primary = net.servers.get("p");
+            primary.holdsProbes = new CountDownLatch(1);
+            Thread.sleep(2200); // by now the primary's last answer is too old and a health check is in flight
+            try (AttemptRecorder recorder = new AttemptRecorder(primary);
                     LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
-                Thread.sleep(50); // held
+                Thread.sleep(50); // the request waits for the primary
                 assertThat(recorder.count()).isZero();
-                long leftAt = client.leave(how);
+                long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                p.holdsProbes.countDown();
-                assertNothingBeginsAfter(leftAt, net, recorder);
+                primary.holdsProbes.countDown();
+                assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure how) throws Exception {
+    void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // so that it stays out
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // so that the attempt stays in flight
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
                 Arrival first = recorder.await(1).get(0);
-                long leftAt = client.leave(how);
+                long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                first.attempt().problem("53300"); // proves that it never ran, so it may go again
-                assertNothingBeginsAfter(leftAt, net, recorder);
+                first.attempt().problem("53300"); // proves that the query did not run, so a retry would be allowed
+                assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void aRequestAndItsClientsDepartureDuringAPauseOfTheLoopCauseNoAttempt(Departure how) throws Exception {
+    void noAttemptBeginsForAClientThatAskedAndLeftDuringAPause(Departure departure) throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             List<LeavingClient> clients = new ArrayList<>();
@@ -293,91 +301,91 @@
                 clients.add(new LeavingClient(net.gateway.port()));
             }
             long[] leftAt = {0};
-            Thread[] cancels = {null};
-            holdUp(net, 150, () -> {
-                for (LeavingClient c : clients) {
-                    c.ask(net.request("order"));
+            Thread[] departures = {null};
+            pauseLoop(net, 150, () -> {
+                for (LeavingClient client : clients) {
+                    client.ask(net.request("order"));
                 }
-                Runnable leave = () -> leaveAll(clients, how);
+                Runnable leaveAll = () -> leaveAll(clients, departure);
                 leftAt[0] = System.nanoTime();
-                cancels[0] = new Thread(leave); // a cancel waits for its connection's end
-                cancels[0].start();
-                if (how != Departure.CANCEL) {
-                    cancels[0].join();
+                departures[0] = new Thread(leaveAll); // a cancel request blocks until the gateway, which is paused, closes its connection
+                departures[0].start();
+                if (departure != Departure.CANCEL) {
+                    departures[0].join();
                 }
             });
-            cancels[0].join();
-            assertNothingBeginsAfter(leftAt[0], net, recorder);
-            for (LeavingClient c : clients) {
-                c.close();
+            departures[0].join();
+            assertNoAttemptBeginsAfter(leftAt[0], net, recorder);
+            for (LeavingClient client : clients) {
+                client.close();
             }
         }
     }
 
-    private static void leaveAll(List<LeavingClient> clients, Departure how) {
-        List<Thread> all = clients.stream()
-                .map(c -> new Thread(() -> {
+    private static void leaveAll(List<LeavingClient> clients, Departure departure) {
+        List<Thread> threads = clients.stream()
+                .map(client -> new Thread(() -> {
                     try {
-                        c.leave(how);
+                        client.leave(departure);
                     } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
                     }
                 }))
                 .toList();
-        all.forEach(Thread::start);
-        for (Thread t : all) {
+        threads.forEach(Thread::start);
+        for (Thread thread : threads) {
             try {
-                t.join();
+                thread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    /** The pause falls between the reading of the request and the turn that forwards it. */
+    /** The loop pauses between reading the request and the turn that forwards it. */
     @ParameterizedTest
     @EnumSource
-    void aDepartureDuringAPauseBetweenReadingARequestAndForwardingItCausesNoAttempt(Departure how) throws Exception {
+    void noAttemptBeginsForAClientThatLeftBetweenReadingAndForwardingOfItsRequest(Departure departure) throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
-            // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
-            Buffer both = MessageWriter.query(net.request("order"))
+            // The first would be forwarded; the error of the second is logged in the same turn, and the gateway pauses there.
+            Buffer queries = MessageWriter.query(net.request("order"))
                     .appendBuffer(MessageWriter.query(net.request("no such type")));
-            net.pauseWhileReading(() -> client.write(both));
+            net.pauseWhileReading(() -> client.write(queries));
             long leftAt = System.nanoTime();
-            Thread leaves = new Thread(() -> leaveAll(List.of(client), how));
-            leaves.start();
-            Thread.sleep(150); // the pause itself
+            Thread departing = new Thread(() -> leaveAll(List.of(client), departure));
+            departing.start();
+            Thread.sleep(150); // duration of the pause
             net.goOn();
-            leaves.join();
-            assertNothingBeginsAfter(leftAt, net, recorder);
+            departing.join();
+            assertNoAttemptBeginsAfter(leftAt, net, recorder);
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void noAttemptBeginsForAClientThatLeftDuringAGracefulShutdown(Departure how) throws Exception {
+    void noAttemptBeginsForAClientThatLeftDuringAGracefulShutdown(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false");
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
-                CountDownLatch ended = new CountDownLatch(1);
-                net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+                CountDownLatch shutdownEnded = new CountDownLatch(1);
+                net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
                 net.logged("planned restart: 1 connections");
                 client.ask(net.request("order"));
                 Arrival first = recorder.await(1).get(0);
-                long leftAt = client.leave(how);
+                long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
                 first.attempt().problem("53300");
-                assertNothingBeginsAfter(leftAt, net, recorder);
+                assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
     }
 
     @Test
-    void aCancelMessageIsAnsweredOnTheConnectionThatItNamesAndTheAttemptIsGivenUp() throws Exception {
+    void aCancelRequestIsAnsweredOnTheConnectionItNamesAndTheAttemptIsCancelled() throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
@@ -389,12 +397,12 @@
     }
 
     @Test
-    void aCancelMessageWithAnotherSecretCancelsNothing() throws Exception {
+    void aCancelRequestWithAWrongSecretKeyCancelsNothing() throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
-            client.secret++;
+            client.secretKey++;
             client.leave(Departure.CANCEL);
             first.attempt().row(new byte[] {7});
             assertThat((char) client.socket.getInputStream().read())
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -16,10 +16,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** New configurations, one soon after another, while discovery is slow or does not answer. */
+/** Checks reloads of the configuration that follow each other quickly while discovery is slow or does not answer. */
 @Timeout(120)
 class ConfigurationReloadTest {
-    private static final long IN_FORCE_WITHIN_MS = 4000; // after SIGHUP, the list of the discovery that it names
+    /** Time after SIGHUP in which the endpoint list of the newly configured discovery takes effect. */
+    private static final long IN_FORCE_WITHIN_MS = 4000;
     private static final int SOCKETS = 256;
     private static final int RELOADS = 24;
 
@@ -39,13 +40,13 @@
         net.gateway.reloadConfiguration(file);
     }
 
-    private static long msSince(long began) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+    private static long msSince(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1100, 1500, 2500})
-    void theListOfASlowDiscoveryIsInForceInTimeAfterTheLastOfManyConfigurations(long answersAfterMs) throws Exception {
+    void theListOfASlowDiscoveryTakesEffectInTimeAfterTheLastOfManyReloads(long answersAfterMs) throws Exception {
         try (Net net = new Net("p", "r1", "r2").started();
                 Registry silent = new Registry(net.list(9, true, "p"));
                 SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r2"), answersAfterMs);
@@ -64,12 +65,12 @@
                     .toList();
             assertThat(r1.isEmpty() || r1.get(r1.size() - 1).endsWith(" IN"))
                     .as(net::log)
-                    .isTrue(); // also where a former list held
+                    .isTrue(); // even if the list of a former discovery took effect in between
         }
     }
 
     @Test
-    void noConnectionToAFormerDiscoveryStaysOpen() throws Exception {
+    void noConnectionToAFormerDiscoveryStaysOpenAfterAReload() throws Exception {
         try (Net net = new Net("p", "r1").started();
                 SlowDiscovery one = new SlowDiscovery(net.list(3, true, "p", "r1"), 100);
                 SlowDiscovery other = new SlowDiscovery(net.list(4, true, "p", "r1"), 100);
@@ -77,7 +78,7 @@
             List<SlowDiscovery> former = List.of(one, other);
             for (int i = 0; i < RELOADS; i++) {
                 reload(net, former.get(i % 2).port());
-                Thread.sleep(i % 3 * 60L); // some calls are answered before the next configuration, some not
+                Thread.sleep(i % 3 * 60L); // some calls are answered before the next reload, some are not
             }
             reload(net, last.port());
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
@@ -90,16 +91,16 @@
                 Thread.sleep(20);
             }
             int calls = one.calls.get() + other.calls.get();
-            Thread.sleep(3000); // longer than a watch
+            Thread.sleep(3000); // longer than a watch is held
             assertThat(one.calls.get() + other.calls.get())
-                    .as("calls to former ones")
+                    .as("calls to former discoveries")
                     .isEqualTo(calls);
             assertThat(last.open.get()).as(net::log).isBetween(1, 3);
         }
     }
 
     @Test
-    void theConfigurationReadLastHoldsWhereAnEarlierReadTakesLonger() throws Exception {
+    void theLatestReloadTakesEffectThoughAnEarlierReadTakesLonger() throws Exception {
         Path file = directory.resolve("gateway.json");
         try (Net net = new Net("p", "r1", "r2").started();
                 SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r1"), 0);
@@ -107,7 +108,7 @@
             assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor())
                     .isZero();
             Thread first = new Thread(
-                    () -> net.gateway.reloadConfiguration(file)); // as the JVM does: each signal on a thread of its own
+                    () -> net.gateway.reloadConfiguration(file)); // the JVM runs each signal handler on a new thread
             Thread second = new Thread(() -> net.gateway.reloadConfiguration(file));
             try (RandomAccessFile slow = new RandomAccessFile(file.toFile(), "rw")) {
                 first.start();
@@ -116,28 +117,28 @@
                 Files.writeString(next, configuration(last.port(), net));
                 Files.move(next, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
                 second.start();
-                second.join(500); // done by now, unless it waits for the first
+                second.join(500); // time for the second read to finish, unless it waits for the first
                 slow.write(configuration(former.port(), net).getBytes(StandardCharsets.UTF_8));
             }
             first.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
             second.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
-            List<String> taken = new ArrayList<>(net.log()
+            List<String> reloads = new ArrayList<>(net.log()
                     .lines()
                     .filter(l -> l.contains("new configuration: "))
                     .toList());
             for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
-                    taken.size() < 2 && System.nanoTime() < end;
+                    reloads.size() < 2 && System.nanoTime() < end;
                     Thread.sleep(20)) {
-                taken = new ArrayList<>(net.log()
+                reloads = new ArrayList<>(net.log()
                         .lines()
                         .filter(l -> l.contains("new configuration: "))
                         .toList());
             }
-            assertThat(taken).as(net::log).hasSize(2).last().asString().contains(":" + last.port() + ",");
+            assertThat(reloads).as(net::log).hasSize(2).last().asString().contains(":" + last.port() + ",");
         }
     }
 
-    /** Waits until this thread is in the system call that reads the named pipe. */
+    /** Waits until the thread is in the system call that reads the named pipe. */
     private static void awaitReading(Thread reader) throws InterruptedException {
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
                 System.nanoTime() < end;
@@ -150,17 +151,17 @@
     }
 
     @Test
-    void aConfigurationThatIsCutOffAnywhereChangesNothing() throws Exception {
+    void aConfigurationTruncatedAnywhereChangesNothing() throws Exception {
         try (Net net = new Net("p", "r1").started();
                 SlowDiscovery elsewhere = new SlowDiscovery(net.list(3, true, "p"), 0)) {
             Path file = directory.resolve("gateway.json");
-            String whole = configuration(elsewhere.port(), net);
-            for (int length = 0; length < whole.length(); length++) {
-                Files.writeString(file, whole.substring(0, length));
+            String complete = configuration(elsewhere.port(), net);
+            for (int length = 0; length < complete.length(); length++) {
+                Files.writeString(file, complete.substring(0, length));
                 net.gateway.reloadConfiguration(file);
             }
             Files.delete(file);
-            net.gateway.reloadConfiguration(file); // between the removal and the new file of a deployment
+            net.gateway.reloadConfiguration(file); // as when a deployment has removed the old file and not yet written the new one
             net.gateway.reloadConfiguration(directory);
             assertThat(net.log()).doesNotContain("new configuration: ").contains("new configuration not taken");
             assertThat(elsewhere.calls).hasValue(0);
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -14,25 +14,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Requests that cross the end of a resting connection: what was forwarded has an answer, whatever ends the connection. */
+/**
+ * Checks requests that cross the close of an idle connection: the client sends while the gateway closes. Whatever made the gateway close, it must
+ * not forward a request that its client gets no answer to.
+ */
 @Timeout(120)
 class CrossingCloseTest {
-    private static final int CLIENTS = 20; // more than are left idle for long among 64 descriptors
+    private static final int CLIENTS = 20; // with 64 descriptors, so many idle connections are evicted soon
     private static final int FEW_DESCRIPTORS = 64;
     private static final int MANY_DESCRIPTORS = 512;
-    private static final long PLAYS_MS = 5000;
-    private static final int RESTS_LEAST_MS = 90; // idle connections end after 100 ms where there are many
-    private static final int RESTS_MOST_MS = 140;
+    private static final long DURATION_MS = 5000;
+    private static final int MIN_IDLE_MS = 90; // idle connections are evicted after 100 ms if there are many
+    private static final int MAX_IDLE_MS = 140;
 
-    /** What ends resting connections. */
-    enum End {
+    /** Why the gateway closes idle connections. */
+    enum CloseCause {
         EVICTION,
         FEWER_DESCRIPTORS,
         GRACEFUL_SHUTDOWN
     }
 
-    /** Clients that ask, rest and ask again, each on a thread of its own, until they are to stop. */
-    private static final class RestingClients {
+    /** Clients that send a request, idle and send again, each on its own thread, until {@link #stop}. */
+    private static final class IdlingClients {
         final List<String> unanswered = new CopyOnWriteArrayList<>();
         final AtomicInteger answered = new AtomicInteger();
         private final int port;
@@ -40,12 +43,12 @@
         private final AtomicInteger ids = new AtomicInteger(0x1000);
         private volatile boolean stopped;
 
-        RestingClients(int port, long seed) {
+        IdlingClients(int port, long seed) {
             this.port = port;
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < CLIENTS; i++) {
-                SplittableRandom own = random.split();
-                Thread thread = new Thread(() -> run(own), "resting-client-" + i);
+                SplittableRandom clientRandom = random.split();
+                Thread thread = new Thread(() -> run(clientRandom), "idling-client-" + i);
                 thread.setDaemon(true);
                 thread.start();
                 threads.add(thread);
@@ -57,7 +60,7 @@
                 try (Client client = new Client(port).greeted()) {
                     session(client, random);
                 } catch (IOException | AssertionError e) {
-                    Thread.onSpinWait(); // turned away or not let in; another connection is tried
+                    Thread.onSpinWait(); // the connection was refused or reset; the loop opens another one
                 } catch (InterruptedException e) {
                     return;
                 }
@@ -67,7 +70,7 @@
         private void session(Client client, SplittableRandom random) throws InterruptedException {
             boolean open = true;
             while (open && !stopped) {
-                Thread.sleep(random.nextInt(RESTS_LEAST_MS, RESTS_MOST_MS));
+                Thread.sleep(random.nextInt(MIN_IDLE_MS, MAX_IDLE_MS));
                 String id = Integer.toHexString(ids.getAndIncrement());
                 open = ask(client, id);
             }
@@ -99,29 +102,29 @@
     }
 
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whatWasForwardedHasAnAnswer(End end) throws Exception {
+    @EnumSource(CloseCause.class)
+    void noUnansweredRequestWasForwarded(CloseCause cause) throws Exception {
         long seed = System.nanoTime();
-        System.out.println("CrossingCloseTest " + end + " seed " + seed);
-        int descriptors = end == End.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
+        System.out.println("CrossingCloseTest " + cause + " seed " + seed);
+        int descriptors = cause == CloseCause.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
         try (Net net = new Net("p", "r1").readable().started(descriptors, 30_000);
                 AnsweringServer answers =
                         new AnsweringServer(net.servers.get("p"), query -> query.row(new byte[] {7}))) {
-            RestingClients clients = new RestingClients(net.gateway.port(), seed);
-            Thread.sleep(PLAYS_MS / 2);
-            CountDownLatch ended = new CountDownLatch(1);
-            if (end == End.FEWER_DESCRIPTORS) {
+            IdlingClients clients = new IdlingClients(net.gateway.port(), seed);
+            Thread.sleep(DURATION_MS / 2);
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            if (cause == CloseCause.FEWER_DESCRIPTORS) {
                 net.renew(FEW_DESCRIPTORS);
-            } else if (end == End.GRACEFUL_SHUTDOWN) {
-                net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-                assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+            } else if (cause == CloseCause.GRACEFUL_SHUTDOWN) {
+                net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
+                assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isTrue();
             }
-            Thread.sleep(PLAYS_MS / 2);
+            Thread.sleep(DURATION_MS / 2);
             clients.stop();
             assertThat(clients.answered).as(net::log).hasValueGreaterThan(CLIENTS);
-            assertThat(clients.unanswered).as("some requests crossed an end").isNotEmpty();
+            assertThat(clients.unanswered).as("requests that crossed a close").isNotEmpty();
             assertThat(clients.unanswered)
                     .allSatisfy(id -> assertThat(answers.attempts(id))
                             .as("attempts of %s, seed %d:\n%s", id, seed, net.log())
--- a/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -12,28 +12,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A class archive that was cut short under its final name. The commands of {@code build} leave none such. */
+/**
+ * Checks that a gateway serves though its class data archive is truncated. The commands of {@code build} never leave a truncated archive under the
+ * final name.
+ */
 @Timeout(180)
 class CutClassArchiveTest {
     @TempDir
     static Path root;
 
     private static DeployedGateway deployed;
-    private static byte[] whole;
+    private static byte[] complete;
 
     @BeforeAll
     static void build() throws Exception {
         deployed = new DeployedGateway(root);
         deployed.launcher(Map.of());
         deployed.archive("");
-        whole = Files.readAllBytes(deployed.classArchive());
+        complete = Files.readAllBytes(deployed.classArchive());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 100, 4096, 100_000, 7_000_000})
-    void aGatewayServesWithoutIt(int length) throws Exception {
+    void theGatewayServesWithATruncatedArchive(int length) throws Exception {
         Files.delete(deployed.classArchive());
-        Files.write(deployed.classArchive(), Arrays.copyOf(whole, length));
+        Files.write(deployed.classArchive(), Arrays.copyOf(complete, length));
         try (Net net = new Net("p", "r1").readable()) {
             Path configuration = root.resolve("gateway.json");
             Files.writeString(configuration, Net.configuration(net.registry, 256, 30_000));
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -14,285 +14,290 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.net.postgres.MessageWriter;
 
-/** Stories of what meets an end: each holds one side back until the event that it is to meet. docs/endings.md has them in order. */
+/**
+ * Checks requests and connections that end while something else happens: an answer is on its way, the process is paused, descriptors run
+ * out, the gateway shuts down, discovery is away. Each test holds one side back until that event. docs/endings.md lists the cases in order.
+ */
 @Timeout(120)
 class EndingsTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final long TOLD_WITHIN_MS = 6000; // after discovery had a change and could be reached
+    /** Time in which a change takes effect once discovery has it and can be reached. */
+    private static final long CHANGE_WITHIN_MS = 6000;
 
-    private static Buffer begun(int length) {
+    /** Returns the first bytes of a query message of the given length. */
+    private static Buffer startOfQuery(int length) {
         return Buffer.buffer().appendByte((byte) 'Q').appendInt(length).appendString("SELECT");
     }
 
-    private static long since(long began) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+    private static long msSince(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     @Test
-    void aClientThatAskedForMuchAtOnceAndWentIsSeenToHaveGone() throws Exception {
+    void attemptsAreCancelledWhenAClientWithManyPipelinedRequestsCloses() throws Exception {
         try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client c = net.client();
+            Server primary = net.servers.get("p");
+            Client client = net.client();
             for (int i = 0; i < 60; i++) {
-                c.ask(net.request("order"));
-                Thread.sleep(2); // so that each is read by itself
+                client.ask(net.request("order"));
+                Thread.sleep(2); // so that the gateway reads each of them separately
             }
-            List<Got> out = new ArrayList<>();
+            List<Got> inFlight = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                out.add(p.next()); // as many as are taken before the first answer
+                inFlight.add(primary.next()); // as many as are forwarded before the first answer
             }
-            long gone = System.nanoTime();
-            c.close();
-            for (Got g : out) {
-                g.endedByGateway();
+            long closedAt = System.nanoTime();
+            client.close();
+            for (Got query : inFlight) {
+                query.endedByGateway();
             }
-            assertThat(since(gone)).as(net::log).isLessThan(5000); // not when their time is up
-            assertThat(p.got).isEmpty();
+            assertThat(msSince(closedAt)).as(net::log).isLessThan(5000); // long before their deadlines
+            assertThat(primary.got).isEmpty();
         }
     }
 
     @Test
-    void whatAClientStillWritesDoesNotTakeBackTheAnswersBeforeAnEnd() throws Exception {
+    void answersArriveInFullThoughTheClientKeepsWritingAfterAProtocolError() throws Exception {
         try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client c = new Client(net.gateway.port(), 4000).greeted(); // takes little at a time
-            c.ask(net.request("order"));
-            Got g = p.next();
-            Thread writes = new Thread(() -> {
+            Server primary = net.servers.get("p");
+            Client client = new Client(net.gateway.port(), 4000).greeted(); // a small receive buffer
+            client.ask(net.request("order"));
+            Got query = primary.next();
+            Thread writer = new Thread(() -> {
                 try {
-                    c.write(Buffer.buffer().appendByte((byte) '?').appendInt(4));
+                    client.write(Buffer.buffer().appendByte((byte) '?').appendInt(4));
                     for (int i = 0; i < 2000; i++) {
-                        c.write(Buffer.buffer(new byte[100_000]));
+                        client.write(Buffer.buffer(new byte[100_000]));
                     }
                 } catch (IOException e) {
-                    return; // what it writes is of no use to anybody
+                    return; // expected: the gateway closes the connection
                 }
             });
-            writes.start();
+            writer.start();
             net.logged("bad input from a client");
-            g.row(new byte[60_000]);
-            Thread.sleep(200); // the gateway has written its last by now, and most of it is still on its way
-            assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(60_000) + " ready");
-            assertThat(c.answer()).isEqualTo("08P01 closed");
-            assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
-            c.close();
-            writes.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            query.row(new byte[60_000]);
+            Thread.sleep(200); // the gateway has written everything by now; most of it has not reached the client
+            assertThat(client.answer()).as(net::log).isEqualTo("row " + "00".repeat(60_000) + " ready");
+            assertThat(client.answer()).isEqualTo("08P01 closed");
+            assertThat(client.howItEnds()).as(net::log).isEqualTo("end");
+            client.close();
+            writer.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
         }
     }
 
     @Test
-    void aSendThatWaitsForItsConnectionIsNotWrittenForAClientThatHasGone() throws Exception {
+    void anAttemptWaitingForAConnectionIsNotWrittenOnceItsClientHasClosed() throws Exception {
         try (Net net = new Net("p")) {
             net.settings =
-                    told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
+                    configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // the router can't cancel attempts
             net.started();
-            Server p = net.servers.get("p");
+            Server primary = net.servers.get("p");
             Client other = net.client().ask(net.request("order"));
-            Got first = p.next(); // has the connection that the probe opened
-            p.holdsGreetings = new CountDownLatch(1);
-            p.connects.clear();
-            Client c = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
-            c.close();
+            Got first = primary.next(); // uses the connection that the health check opened
+            primary.holdsGreetings = new CountDownLatch(1);
+            primary.connects.clear();
+            Client client = net.client().ask(net.request("order"));
+            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+            client.close();
             other.ask(net.request("order"));
-            first.row(new byte[] {7}); // read after the close
+            first.row(new byte[] {7}); // the gateway reads this after the close
             assertThat(other.answer()).isEqualTo(ROW_7);
-            p.holdsGreetings.countDown();
-            Got next = p.next();
+            primary.holdsGreetings.countDown();
+            Got next = primary.next();
             assertThat(next.text()).contains("id=3,");
             next.row(new byte[] {7});
             assertThat(other.answer()).isEqualTo(ROW_7);
-            assertThat(p.got).isEmpty();
+            assertThat(primary.got).isEmpty();
         }
     }
 
     @Test
-    void whatWasAskedAndLeftWhileTheGatewayStoodStillIsNotSentOn() throws Exception {
+    void requestsWhoseClientsClosedDuringAPauseAreNotForwarded() throws Exception {
         try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            CountDownLatch still = new CountDownLatch(1);
-            CountDownLatch on = new CountDownLatch(1);
-            List<Client> left = new ArrayList<>();
+            Server primary = net.servers.get("p");
+            CountDownLatch paused = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
+            List<Client> leavingClients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                left.add(net.client());
+                leavingClients.add(net.client());
             }
             net.gateway.runOnLoop(() -> {
-                still.countDown();
+                paused.countDown();
                 try {
-                    on.await();
+                    resume.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            still.await();
-            for (Client c : left) {
-                c.ask(net.request("order")).close();
+            paused.await();
+            for (Client client : leavingClients) {
+                client.ask(net.request("order")).close();
             }
-            Thread.sleep(500); // the standstill itself
-            on.countDown();
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
-            assertThat(g.text()).as(net::log).contains("id=b,");
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
-            assertThat(p.got).isEmpty();
+            Thread.sleep(500); // duration of the pause
+            resume.countDown();
+            Client client = net.client().ask(net.request("order"));
+            Got query = primary.next();
+            assertThat(query.text()).as(net::log).contains("id=b,");
+            query.row(new byte[] {7});
+            assertThat(client.answer()).isEqualTo(ROW_7);
+            assertThat(primary.got).isEmpty();
         }
     }
 
-    private static List<Client> clients(Net net, int many) throws IOException {
-        List<Client> all = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            all.add(net.client());
+    private static List<Client> clients(Net net, int count) throws IOException {
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            clients.add(net.client());
         }
-        return all;
+        return clients;
     }
 
     @Test
-    void whatWasAskedDuringAPauseIsAnsweredAlsoWhereIdleConnectionsAreToEnd() throws Exception {
+    void requestsSentDuringAPauseAreAnsweredThoughIdleConnectionsAreToBeEvicted() throws Exception {
         try (Net net = new Net("p").started(512, 30_000)) {
             net.servers.get("p").writes = true;
             List<Client> idle = clients(net, 80);
-            net.pauseBeforeTimers(() -> net.renew(256)); // 80 clients are too many then, and idle ones end
-            for (Client c : idle) {
-                c.ask(net.request("order"));
+            net.pauseBeforeTimers(() -> net.renew(256)); // too few for 80 clients, so idle connections are evicted
+            for (Client client : idle) {
+                client.ask(net.request("order"));
             }
-            Thread.sleep(400); // the pause itself, longer than idle ones are left then
+            Thread.sleep(400); // duration of the pause, longer than the idle time after which they are evicted
             net.goOn();
-            for (Client c : idle) {
-                assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
+            for (Client client : idle) {
+                assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
             }
             net.logged("256 descriptors");
         }
     }
 
     @Test
-    void whatWasAskedDuringAPauseIsAnsweredAlsoWhereAPlannedRestartEndsIdleConnections() throws Exception {
+    void requestsSentDuringAPauseAreAnsweredThoughAShutdownClosesIdleConnections() throws Exception {
         try (Net net = new Net("p").started()) {
             net.servers.get("p").writes = true;
             List<Client> idle = clients(net, 20);
-            CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             net.logged("planned restart: 20 connections");
             net.pauseBeforeTimers(() -> {});
-            for (Client c : idle) {
-                c.ask(net.request("order"));
+            for (Client client : idle) {
+                client.ask(net.request("order"));
             }
-            Thread.sleep(2600); // so that idle ones are to end by then
+            Thread.sleep(2600); // duration of the pause; idle connections are due to close before it ends
             net.goOn();
-            for (Client c : idle) { // refused, since no server has been heard for so long
-                assertThat(c.answer()).as(net::log).matches("53300 after \\d+ ready");
-                assertThat(c.answer()).isEqualTo("closed");
+            for (Client client : idle) { // rejected: no server was heard from during the pause
+                assertThat(client.answer()).as(net::log).matches("53300 after \\d+ ready");
+                assertThat(client.answer()).isEqualTo("closed");
             }
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
-    void whoGreetedAndAskedDuringAPauseIsAnsweredAlsoWhereThoseWithoutAGreetingAreToEnd() throws Exception {
+    void clientsThatStartUpDuringAPauseAreAnsweredThoughPreStartupConnectionsAreToBeEvicted() throws Exception {
         try (Net net = new Net("p").started(512, 30_000)) {
             net.servers.get("p").writes = true;
-            List<Client> strangers = new ArrayList<>();
+            List<Client> preStartupClients = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                strangers.add(new Client(net.gateway.port()));
+                preStartupClients.add(new Client(net.gateway.port()));
             }
-            net.client(); // greeted behind those, so they have been let in
-            net.pauseBeforeTimers(() -> net.renew(64)); // 20 without a greeting are too many then
-            for (Client c : strangers) {
-                c.write(MessageWriter.startup()).ask(net.request("order"));
+            net.client(); // connected after the others, so those have been accepted too
+            net.pauseBeforeTimers(() -> net.renew(64)); // too few for 20 pre-startup connections, so these are evicted
+            for (Client client : preStartupClients) {
+                client.write(MessageWriter.startup()).ask(net.request("order"));
             }
-            Thread.sleep(400); // the pause itself
+            Thread.sleep(400); // duration of the pause
             net.goOn();
-            for (Client c : strangers) {
-                assertThat(c.answer()).as(net::log).isEqualTo("ready");
-                assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
-                c.close();
+            for (Client client : preStartupClients) {
+                assertThat(client.answer()).as(net::log).isEqualTo("ready");
+                assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+                client.close();
             }
             net.logged("64 descriptors");
         }
     }
 
     @Test
-    void anAnswerThatCameDuringAPauseCountsThoughItsAttemptTimedOutMeanwhile() throws Exception {
+    void anAnswerReceivedDuringAPauseIsUsedThoughItsAttemptTimedOutMeanwhile() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("quick", 5000)); // an attempt is given up after some 600 ms
-            Got g = net.servers.get("p").next();
+            Client client = net.client().ask(net.request("quick", 5000)); // an attempt times out after about 600 ms
+            Got query = net.servers.get("p").next();
             net.pauseWhileReading();
-            g.row(new byte[] {7});
-            Thread.sleep(800); // the pause itself
+            query.row(new byte[] {7});
+            Thread.sleep(800); // duration of the pause
             net.goOn();
-            assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void aMessageInPiecesIsRefusedBeforeAPlannedRestartEnds() throws Exception {
+    void anIncompleteMessageIsAnsweredWithAnErrorBeforeAGracefulShutdownEnds() throws Exception {
         try (Net net = new Net("p", "r1").readable()) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
+            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // the shutdown ends after 1.7 s
             net.started();
-            Client c = net.client();
-            CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            Client client = net.client();
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             net.logged("planned restart: 1 connections");
-            c.write(begun(200)); // its own time for being whole, 2.2 s, is later than the end
-            assertThat(c.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            client.write(startOfQuery(200)); // an incomplete message would time out after 2.2 s, later than the shutdown ends
+            assertThat(client.answer()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
-    void aWatchThatFallsSilentAtOnceIsGivenUpInTime() throws Exception {
+    void aWatchThatIsNeverAnsweredIsAbandonedInTime() throws Exception {
         try (Net net = new Net("p", "r1").started()) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000"); // never answered
-            long silent = System.nanoTime();
+            long watchStarted = System.nanoTime();
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.logged("server r1 listed DRAINING");
-            assertThat(since(silent)).as(net::log).isLessThan(TOLD_WITHIN_MS);
+            assertThat(msSince(watchStarted)).as(net::log).isLessThan(CHANGE_WITHIN_MS);
         }
     }
 
     @Test
-    void whatDiscoveryHasAtItsReturnIsHeardInTimeHoweverLongItWasAway() throws Exception {
+    void aChangeIsReceivedInTimeAfterAnOutageOfDiscovery() throws Exception {
         try (Net net = new Net("p", "r1").started()) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             net.registry.mute = true;
             net.logged("discovery lost: no answer");
-            for (int i = 0; i < 5; i++) { // so many further calls have failed
+            for (int i = 0; i < 5; i++) { // until this many further calls have failed
                 assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isNotNull();
             }
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.mute = false;
-            long back = System.nanoTime();
+            long reachable = System.nanoTime();
             net.logged("server r1 listed DRAINING");
-            assertThat(since(back))
+            assertThat(msSince(reachable))
                     .as(net::log)
                     .isLessThan(
-                            4000); // 1.8 s, a call that is out and the wait behind it, on a machine that may be slow
+                            4000); // 1.8 s for a call in flight and the delay after it, and slack for a slow machine
         }
     }
 
     @Test
-    void aServerThatTellsEverMoreOnAConnectionThatNobodyUsesLosesIt() throws Exception {
+    void aServerThatSendsTooManyNoticesOnAnIdleConnectionLosesIt() throws Exception {
         try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("order"));
-            Got g = net.servers.get("p").next();
+            Client client = net.client().ask(net.request("order"));
+            Got query = net.servers.get("p").next();
             Buffer notices = Buffer.buffer();
             for (int i = 0; i < 1100; i++) {
                 notices.appendByte((byte) 'N').appendInt(5).appendByte((byte) 0);
             }
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
-            Server.write(g.socket(), notices, false);
-            long began = System.nanoTime();
-            g.endedByGateway();
-            assertThat(since(began)).isLessThan(5000); // not when it has been idle for long
+            query.row(new byte[] {7});
+            assertThat(client.answer()).isEqualTo(ROW_7);
+            Server.write(query.socket(), notices, false);
+            long noticesWritten = System.nanoTime();
+            query.endedByGateway();
+            assertThat(msSince(noticesWritten)).isLessThan(5000); // long before the idle timeout
             net.logged("values and notices beside an answer");
         }
     }
 
     @Test
-    void aProcessStartedWhereHangUpsAreIgnoredSaysThatItWillNotReadNewConfigurations() throws Exception {
+    void aProcessStartedWithSighupIgnoredLogsThatItWillNotReadNewConfigurations() throws Exception {
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGHUP that comes while a gateway is still starting, as when restarts and new configurations fall together. */
+/** Checks that SIGHUP does not terminate a gateway that is still starting, as when a restart and a new configuration coincide. */
 @Timeout(120)
 class HangUpDuringStartTest {
     @TempDir
     private Path directory;
 
     @Test
-    void theGatewayStartsAndThenFollowsTheNewConfiguration() throws Exception {
+    void theGatewayStartsAndThenReadsTheNewConfiguration() throws Exception {
         Path file = directory.resolve("gateway.json");
         Path log = directory.resolve("gateway.log");
         Process gateway = null;
         try (Net net = new Net("p", "r1").readable();
                 Registry elsewhere = new Registry(net.list(5, true, "p"))) {
-            CountDownLatch probes = new CountDownLatch(1);
-            net.servers.values().forEach(server -> server.holdsProbes = probes); // service begins once they have ended
+            CountDownLatch healthChecks = new CountDownLatch(1);
+            net.servers.values().forEach(server -> server.holdsProbes = healthChecks); // the gateway serves once these health checks are answered
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
@@ -44,9 +44,9 @@
                             .waitFor())
                     .isZero();
             assertThat(gateway.waitFor(500, TimeUnit.MILLISECONDS))
-                    .as("ended: %s", Files.readString(log))
+                    .as("terminated: %s", Files.readString(log))
                     .isFalse();
-            probes.countDown();
+            healthChecks.countDown();
             elsewhere.asked("/registry/instances");
             elsewhere.asked("/registry/instances?from=5&hold_ms=2000");
         } finally {
--- a/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Gateways started by {@code run} of deploy/balancer.toml from a shell that ignores SIGHUP, as nohup makes it. */
+/**
+ * Checks that a gateway started by {@code run} of deploy/balancer.toml still reloads its configuration if its parent ignores SIGHUP, as nohup does, and
+ * that it serves even if the signal cannot be reset.
+ */
 @Timeout(120)
 class HangUpIgnoredTest {
     private static final String IGNORED = "trap '' HUP; ";
@@ -25,7 +28,7 @@
     private Path configuration;
 
     @BeforeEach
-    void lay() throws IOException {
+    void createDeployment() throws IOException {
         deployed = new DeployedGateway(root);
         configuration = root.resolve("gateway.json");
     }
@@ -34,20 +37,20 @@
         Files.writeString(configuration, Net.configuration(discovery, 256, 30_000));
     }
 
-    private static void serves(Net net, ServingProcess gateway) throws Exception {
+    private static void assertServes(Net net, ServingProcess gateway) throws Exception {
         try (Client client = new Client(gateway.port()).greeted()) {
             assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
         }
     }
 
     @Test
-    void aHangUpMovesDiscovery() throws Exception {
+    void aHangUpReloadsTheConfigurationThoughTheParentIgnoresSighup() throws Exception {
         deployed.launcher(Map.of());
         try (Net net = new Net("p", "r1").readable();
                 Registry elsewhere = new Registry(net.list(5, true, "p"))) {
             configure(net.registry);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "")) {
-                serves(net, gateway);
+                assertServes(net, gateway);
                 configure(elsewhere);
                 gateway.hangUp();
                 gateway.line("new configuration: discovery at 127.0.0.1:" + elsewhere.port());
@@ -59,7 +62,7 @@
     }
 
     @Test
-    void whereEnvCannotResetSignalsTheGatewayServesAndSaysThatItWillNotReadConfigurations() throws Exception {
+    void theGatewayServesAndLogsThatItWillNotReadConfigurationsWhenEnvCannotResetSignals() throws Exception {
         Path tools = Files.createDirectory(root.resolve("tools"));
         Path env = Files.writeString(tools.resolve("env"), "#!/bin/sh\necho env: unrecognized option >&2; exit 125\n");
         Files.setPosixFilePermissions(env, PosixFilePermissions.fromString("rwxr-xr-x"));
@@ -68,20 +71,20 @@
         try (Net net = new Net("p", "r1").readable()) {
             configure(net.registry);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "", path)) {
-                serves(net, gateway);
+                assertServes(net, gateway);
                 gateway.line(WILL_NOT_BE_READ);
                 gateway.hangUp();
-                serves(net, gateway);
+                assertServes(net, gateway);
             }
         }
     }
 
     @Test
-    void withoutTheFileOfTheLauncherTheGatewayServes() throws Exception {
+    void theGatewayServesWithoutTheLauncherFile() throws Exception {
         try (Net net = new Net("p", "r1").readable()) {
             configure(net.registry);
             try (ServingProcess gateway = deployed.start(configuration, "", "")) {
-                serves(net, gateway);
+                assertServes(net, gateway);
             }
         }
     }
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -11,14 +11,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Database servers that hang through the whole of a graceful shutdown: each request taken is answered before its end. */
+/** Checks that each request is answered before a graceful shutdown ends though the database servers hang all the while. */
 @Timeout(120)
 class HungServerShutdownTest {
-    private static final long KILLED_AFTER_MS = 700; // beyond the longest deadline, which counts as 3 s at most
-    private static final long LONGEST_COUNTED_MS = 3000;
-    private static final List<String> CLASSES = List.of("page", "quick", "order");
+    /** Time that the shutdown may take beyond the longest deadline; the process is killed after it. */
+    private static final long KILLED_AFTER_MS = 700;
+    /** Cap of the longest deadline in the duration of a shutdown. */
+    private static final long MAX_COUNTED_DEADLINE_MS = 3000;
+    private static final List<String> REQUEST_CLASSES = List.of("page", "quick", "order");
 
-    /** From when on no server answers anything. */
+    /** When the servers stop answering, and whether new connections hang too. */
     enum Hang {
         BEFORE_SIGTERM,
         AFTER_SIGTERM,
@@ -46,14 +48,14 @@
     private static void askAll(Net net, List<Client> clients, int pipelined) throws Exception {
         for (int i = 0; i < clients.size(); i++) {
             for (int j = 0; j < pipelined; j++) {
-                clients.get(i).ask(net.request(CLASSES.get((i + j) % CLASSES.size()), 9000));
+                clients.get(i).ask(net.request(REQUEST_CLASSES.get((i + j) % REQUEST_CLASSES.size()), 9000));
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource(Hang.class)
-    void eachRequestTakenIsAnsweredBeforeTheEnd(Hang hang) throws Exception {
+    void eachRequestIsAnsweredBeforeTheShutdownEnds(Hang hang) throws Exception {
         try (Net net = new Net("p", "r1", "r2").readable().started()) {
             net.servers.get("p").writes = true;
             List<Client> clients = new ArrayList<>();
@@ -65,21 +67,21 @@
                 hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
             }
             askAll(net, clients, 2);
-            CountDownLatch ended = new CountDownLatch(1);
-            long sigterm = System.nanoTime();
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            long sigtermNanos = System.nanoTime();
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             net.logged("planned restart: 12 connections");
             hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
-            askAll(net, clients, 3); // clients go on on open connections
+            askAll(net, clients, 3); // clients keep sending on their open connections
             for (Client client : clients) {
                 for (int i = 0; i < 5; i++) {
                     assertThat(client.answer()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
                 }
             }
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
+            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos))
                     .as(net::log)
-                    .isLessThan(LONGEST_COUNTED_MS + KILLED_AFTER_MS);
+                    .isLessThan(MAX_COUNTED_DEADLINE_MS + KILLED_AFTER_MS);
             assertThat(net.log()).contains(" 0 ops unanswered");
             resume(net);
         }
@@ -87,9 +89,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {100, 400, 1000})
-    void withShortDeadlinesToo(long deadlineMs) throws Exception {
+    void eachRequestIsAnsweredBeforeTheShutdownEndsWithShortDeadlines(long deadlineMs) throws Exception {
         try (Net net = new Net("p", "r1").readable()) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
+            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
                     .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
@@ -97,17 +99,17 @@
             Client client = net.client();
             net.read(client);
             hang(net, false);
-            CountDownLatch ended = new CountDownLatch(1);
-            long sigterm = System.nanoTime();
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            long sigtermNanos = System.nanoTime();
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
-                answer = client.ask(net.request(CLASSES.get(answered % CLASSES.size()), deadlineMs))
+                answer = client.ask(net.request(REQUEST_CLASSES.get(answered % REQUEST_CLASSES.size()), deadlineMs))
                         .answer();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
+            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos))
                     .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
             assertThat(net.log()).contains(" 0 ops unanswered");
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -8,32 +8,32 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The deadline that an attempt passes to its database server is at most what its client has left when it arrives there, with
- * 0.15 s of slack. Each test holds something back for longer than that.
+ * Checks that the deadline that an attempt passes to its database server is at most the time that its client has left when the attempt arrives
+ * there, with 0.15 s of slack. Each test delays the attempt for longer than that.
  */
 @Timeout(120)
 class ServerDeadlineTest {
     private static final long SLACK_MS = 150;
-    private static final long HELD_MS = 500;
+    private static final long DELAY_MS = 500;
     private static final long DEADLINE_MS = 2000;
 
-    /** A request that a client sends now. */
-    private record Sent(Client client, long atNanos, long deadlineMs) {
-        static Sent by(Client client, Net net, String type, long deadlineMs) throws Exception {
+    /** A request that a client has sent. */
+    private record SentRequest(Client client, long atNanos, long deadlineMs) {
+        static SentRequest send(Client client, Net net, String type, long deadlineMs) throws Exception {
             String query = net.request(type, deadlineMs);
             long now = System.nanoTime();
             client.ask(query);
-            return new Sent(client, now, deadlineMs);
+            return new SentRequest(client, now, deadlineMs);
         }
 
-        /** What the client has left now. */
+        /** Returns the time until the client's deadline, in milliseconds. */
         long leftMs() {
             return deadlineMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - atNanos);
         }
     }
 
-    /** The next query at the server, with a deadline that its client can still wait for. */
-    private static Got arrivesInTime(Net net, Server server, Sent sent) throws Exception {
+    /** Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the slack. */
+    private static Got awaitQueryWithinDeadline(Net net, Server server, SentRequest sent) throws Exception {
         Got query = server.next();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
@@ -43,72 +43,72 @@
         return query;
     }
 
-    private static void holdLoop(Net net, CountDownLatch goesOn) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    private static void pauseLoop(Net net, CountDownLatch resume) throws Exception {
+        CountDownLatch paused = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
-            held.countDown();
+            paused.countDown();
             try {
-                goesOn.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        paused.await();
     }
 
     @Test
-    void ofAFirstAttempt() throws Exception {
+    void aFirstAttemptPassesTheTimeLeft() throws Exception {
         try (Net net = new Net("p").started()) {
             for (long deadlineMs : new long[] {100, 300, DEADLINE_MS}) {
-                Sent sent = Sent.by(net.client(), net, "quick", deadlineMs);
-                arrivesInTime(net, net.servers.get("p"), sent).row(new byte[] {7});
+                SentRequest sent = SentRequest.send(net.client(), net, "quick", deadlineMs);
+                awaitQueryWithinDeadline(net, net.servers.get("p"), sent).row(new byte[] {7});
                 sent.client.answer();
             }
         }
     }
 
     @Test
-    void ofARequestThatWasReadLate() throws Exception {
+    void anAttemptOfARequestReadLatePassesTheTimeLeft() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client();
-            CountDownLatch goesOn = new CountDownLatch(1);
-            holdLoop(net, goesOn);
-            Sent sent = Sent.by(client, net, "order", DEADLINE_MS);
-            Thread.sleep(HELD_MS); // the pause itself
-            goesOn.countDown();
-            arrivesInTime(net, net.servers.get("p"), sent);
+            CountDownLatch resume = new CountDownLatch(1);
+            pauseLoop(net, resume);
+            SentRequest sent = SentRequest.send(client, net, "order", DEADLINE_MS);
+            Thread.sleep(DELAY_MS); // duration of the pause
+            resume.countDown();
+            awaitQueryWithinDeadline(net, net.servers.get("p"), sent);
         }
     }
 
     @Test
-    void ofARetryBehindAnError() throws Exception {
-        retry(first -> first.problem("XX000"));
+    void aRetryAfterAnErrorPassesTheTimeLeft() throws Exception {
+        assertRetryArrivesInTime(first -> first.problem("XX000"));
     }
 
     @Test
-    void ofARetryBehindABrokenConnection() throws Exception {
-        retry(Got::reset);
+    void aRetryAfterABrokenConnectionPassesTheTimeLeft() throws Exception {
+        assertRetryArrivesInTime(Got::reset);
     }
 
-    /** How a first attempt fails. */
+    /** The way in which the first attempt fails. */
     private interface Failure {
-        void of(Got first) throws Exception;
+        void inject(Got first) throws Exception;
     }
 
-    private static void retry(Failure failure) throws Exception {
+    private static void assertRetryArrivesInTime(Failure failure) throws Exception {
         try (Net net = new Net("p", "r1")) {
             net.settings =
-                    told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
+                    configuration -> configuration.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
             net.started();
-            Sent sent = Sent.by(net.client(), net, "quick", DEADLINE_MS);
-            Got first = arrivesInTime(net, firstAsked(net), sent);
-            Thread.sleep(HELD_MS); // in which the server worked in vain
-            failure.of(first);
-            arrivesInTime(net, firstAsked(net), sent);
+            SentRequest sent = SentRequest.send(net.client(), net, "quick", DEADLINE_MS);
+            Got first = awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
+            Thread.sleep(DELAY_MS); // time that the failed attempt takes
+            failure.inject(first);
+            awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
         }
     }
 
-    private static Server firstAsked(Net net) {
+    private static Server firstServerWithAQuery(Net net) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
         while (true) {
             for (Server server : net.servers.values()) {
@@ -122,51 +122,52 @@
     }
 
     @Test
-    void ofAnAttemptThatWaitedForItsConnection() throws Exception {
+    void anAttemptThatWaitedForItsConnectionPassesTheTimeLeft() throws Exception {
         try (Net net = new Net("p").started()) {
             Server server = net.servers.get("p");
             net.client().ask(net.request("order"));
-            server.next(); // has the connection that the health check opened
+            server.next(); // uses the connection that the health check opened
             server.holdsGreetings = new CountDownLatch(1);
-            Sent sent = Sent.by(net.client(), net, "order", DEADLINE_MS);
-            Thread.sleep(HELD_MS); // while the connection does not come up
+            SentRequest sent = SentRequest.send(net.client(), net, "order", DEADLINE_MS);
+            Thread.sleep(DELAY_MS); // the connection is not established meanwhile
             server.holdsGreetings.countDown();
-            arrivesInTime(net, server, sent);
+            awaitQueryWithinDeadline(net, server, sent);
         }
     }
 
     /**
-     * The write waits for its primary, which is silent; the health check that it answers has the module log that and send the write
-     * in the same turn, which pauses in between.
+     * Pauses the event loop between the decision to start an attempt and its write. A write request waits for its primary, which does not answer health
+     * checks. Once it answers one, the gateway logs the readmission and starts the attempt in the same turn of the loop; the pause begins at the log
+     * line. Returns the request once the pause has ended.
      */
-    private static Sent pausedBetweenDecidingAndWriting(Net net, long deadlineMs, long heldMs) throws Exception {
+    private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs) throws Exception {
         Server server = net.servers.get("p");
         server.holdsProbes = new CountDownLatch(1);
-        net.settings = told -> told.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
+        net.settings = configuration -> configuration.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
                 .replace("\"aimMs\":10000", "\"aimMs\":400");
-        net.started(); // without an answer from anyone
+        net.started(); // no server has answered a health check
         Client client = net.client();
         CountDownLatch paused = net.pauseAtLog("server p returns");
-        Sent sent = Sent.by(client, net, "order", deadlineMs);
+        SentRequest sent = SentRequest.send(client, net, "order", deadlineMs);
         server.holdsProbes.countDown();
         assertThat(paused.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
-        Thread.sleep(heldMs);
+        Thread.sleep(pauseMs);
         net.goOn();
         return sent;
     }
 
     @Test
-    void ofAnAttemptWrittenLongAfterItWasDecidedOn() throws Exception {
+    void anAttemptWrittenLongAfterItWasDecidedOnPassesTheTimeLeft() throws Exception {
         try (Net net = new Net("p")) {
-            Sent sent = pausedBetweenDecidingAndWriting(net, 4000, HELD_MS);
-            arrivesInTime(net, net.servers.get("p"), sent);
+            SentRequest sent = sendWithPauseBetweenDecisionAndWrite(net, 4000, DELAY_MS);
+            awaitQueryWithinDeadline(net, net.servers.get("p"), sent);
         }
     }
 
     @Test
     void anAttemptWhoseClientHasNoTimeLeftIsNotWritten() throws Exception {
         try (Net net = new Net("p")) {
-            Sent sent = pausedBetweenDecidingAndWriting(net, 1000, 1100);
+            SentRequest sent = sendWithPauseBetweenDecisionAndWrite(net, 1000, 1100);
             assertThat(sent.client.answer()).as(net::log).startsWith("53300");
             assertThat(net.servers.get("p").got).isEmpty();
         }
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -20,13 +20,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import ploverdale.net.postgres.MessageWriter;
 
-/** A gateway as a process, its deadlines 300 ms, which gets SIGTERM under load and SIGKILL 1.0 s later. */
+/**
+ * Checks that a gateway process that receives SIGTERM under load answers what it has read and exits by itself. All deadlines are 300 ms, and
+ * SIGKILL follows 1.0 s after SIGTERM. Also checks SIGHUP while the process starts.
+ */
 @Timeout(120)
 class ShutdownProcessTest {
     private static final long DEADLINE_MS = 300;
     private static final long KILLED_AFTER_MS = DEADLINE_MS + 700;
     private static final int CLIENTS = 20;
-    /** A request sent so shortly before its connection was seen to end has crossed that end. */
+    /** A request sent at most this long before its client saw the close has crossed the close. */
     private static final long CROSSING_MS = 100;
 
     @TempDir
@@ -40,44 +43,44 @@
         return Files.writeString(directory.resolve("gateway.json"), settings);
     }
 
-    /** Clients that go on sending, on new connections where theirs have ended, until there is nobody to connect to. */
+    /** Clients that keep sending requests, reconnect when their connection is closed, and stop when connecting is refused. */
     private static final class Load {
         private final int port;
         private final Net net;
-        private final AtomicInteger names = new AtomicInteger();
+        private final AtomicInteger nextId = new AtomicInteger();
         private final Map<String, String> answers = new ConcurrentHashMap<>();
-        private final Map<String, Long> lost = new ConcurrentHashMap<>(); // how long before the end it was sent
+        private final Map<String, Long> lost = new ConcurrentHashMap<>(); // ms from sending to the close
         private final List<Thread> threads = new ArrayList<>();
 
         private Load(Net net, int port) {
             this.net = net;
             this.port = port;
             for (int i = 0; i < CLIENTS; i++) {
-                Thread thread = new Thread(this::sendsOn);
+                Thread thread = new Thread(this::sendUntilRefused);
                 threads.add(thread);
                 thread.start();
             }
         }
 
-        private void sendsOn() {
+        private void sendUntilRefused() {
             while (true) {
                 try (Client client = new Client(port)) {
                     client.write(MessageWriter.startup());
                     if (client.answer().equals("ready")) {
-                        asksUntilItEnds(client);
+                        sendUntilClosed(client);
                     }
                 } catch (ConnectException e) {
                     return;
                 } catch (IOException e) {
-                    Thread.onSpinWait(); // reset before anything was asked on it
+                    Thread.onSpinWait(); // the connection was reset before a request was sent on it
                 }
             }
         }
 
-        private void asksUntilItEnds(Client client) throws IOException {
+        private void sendUntilClosed(Client client) throws IOException {
             while (true) {
-                String id = "f" + Integer.toHexString(names.incrementAndGet());
-                long sent = System.nanoTime();
+                String id = "f" + Integer.toHexString(nextId.incrementAndGet());
+                long sentNanos = System.nanoTime();
                 String answer;
                 try {
                     client.ask(net.request("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
@@ -86,7 +89,7 @@
                     answer = "closed";
                 }
                 if (answer.equals("closed")) {
-                    lost.put(id, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent));
+                    lost.put(id, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos));
                     return;
                 }
                 answers.put(id, answer);
@@ -100,8 +103,8 @@
         }
     }
 
-    /** Queries that have reached the server, answered or not. */
-    private static List<String> forwarded(Server server) {
+    /** Returns the ids of the queries that have reached the server, answered or not. */
+    private static List<String> forwardedIds(Server server) {
         List<String> ids = new ArrayList<>();
         for (Got query = server.got.poll(); query != null; query = server.got.poll()) {
             ids.add(query.text().replaceAll("(?s).*id=([0-9a-f]+),.*", "$1"));
@@ -118,33 +121,33 @@
             Server server = net.servers.get("p");
             server.writes = serversAnswer;
             Load load = new Load(net, gateway.port());
-            Thread.sleep(1000); // of load
+            Thread.sleep(1000); // time under load
             CountDownLatch exited = new CountDownLatch(1);
             gateway.process.onExit().thenRun(exited::countDown);
-            long signalled = System.nanoTime();
+            long sigtermNanos = System.nanoTime();
             gateway.process.destroy();
-            boolean byItself =
-                    exited.await(KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - signalled), TimeUnit.NANOSECONDS);
+            boolean exitedByItself =
+                    exited.await(KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - sigtermNanos), TimeUnit.NANOSECONDS);
             gateway.process.destroyForcibly();
             load.join();
             System.out.println("shutdown with deadlines of " + DEADLINE_MS + " ms: "
                     + gateway.line("planned restart: ends") + "; " + load.answers.size() + " answered, "
-                    + load.lost.size() + " crossed an end");
+                    + load.lost.size() + " crossed a close");
 
-            assertThat(byItself).as(gateway.log()).isTrue();
+            assertThat(exitedByItself).as(gateway.log()).isTrue();
             assertThat(gateway.process.exitValue()).isZero();
             assertThat(gateway.line("planned restart: ends")).contains(" 0 ops unanswered");
             assertThat(load.lost.values()).as(gateway.log()).allMatch(ms -> ms < CROSSING_MS);
-            assertThat(forwarded(server)).doesNotContainAnyElementsOf(load.lost.keySet());
+            assertThat(forwardedIds(server)).doesNotContainAnyElementsOf(load.lost.keySet());
         }
     }
 
     @Test
-    void aHangUpDuringTheStartIsActedOnBehindIt() throws Exception {
+    void aHangUpDuringTheStartIsHandledAfterIt() throws Exception {
         Path file = directory.resolve("gateway.json");
         try (Net net = new Net("p");
                 Registry elsewhere = new Registry(net.list(5, true, "p"))) {
-            net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these are in
+            net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these health checks are answered
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
                 gateway.line("warm-up took");
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.net.postgres.MessageWriter;
 
-/** Clients that stop in the middle of something and stay connected: each is owed an error or a close within 3 s. */
+/** Checks that clients that stop writing in the middle of a message and stay connected get an error or a close within 3 s. */
 @Timeout(120)
 class StalledClientTest {
-    private static final long OWED_WITHIN_MS = 3000;
+    private static final long ANSWER_WITHIN_MS = 3000;
     private static final int SSL_REQUEST = 80877103;
     private static final int CANCEL_REQUEST = 80877102;
-    private static final int PIPELINED = 12; // more than a gateway takes of one client at once
+    private static final int PIPELINED = 12; // more than the pipeline slots of one client
 
-    /** Where a client stops before its first request is whole. */
-    enum EndpointState {
+    /** Where a client stops writing before its first request is complete. */
+    enum StallPoint {
         CONNECTED(Buffer.buffer()),
         PART_OF_A_LENGTH(Buffer.buffer().appendByte((byte) 0).appendByte((byte) 0)),
         LENGTH_OF_A_STARTUP(Buffer.buffer().appendInt(40)),
@@ -41,12 +41,12 @@
 
         private final Buffer written;
 
-        EndpointState(Buffer written) {
+        StallPoint(Buffer written) {
             this.written = written;
         }
 
-        private static Buffer firstHalf(Buffer whole) {
-            return whole.getBuffer(0, whole.length() / 2);
+        private static Buffer firstHalf(Buffer message) {
+            return message.getBuffer(0, message.length() / 2);
         }
     }
 
@@ -57,69 +57,69 @@
     }
 
     @Test
-    void clientsThatStopBeforeTheirFirstRequestIsWholeAreEndedInTimeAtEveryStage() throws Exception {
+    void connectionsThatStallBeforeTheirFirstRequestIsCompleteAreClosedInTime() throws Exception {
         try (Net net = new Net("p").started()) {
-            Map<EndpointState, Client> stalled = new EnumMap<>(EndpointState.class);
-            long stopped = System.nanoTime();
-            for (EndpointState stage : EndpointState.values()) {
-                stalled.put(stage, new Client(net.gateway.port()).write(stage.written));
+            Map<StallPoint, Client> stalled = new EnumMap<>(StallPoint.class);
+            long stalledNanos = System.nanoTime();
+            for (StallPoint stallPoint : StallPoint.values()) {
+                stalled.put(stallPoint, new Client(net.gateway.port()).write(stallPoint.written));
             }
-            for (EndpointState stage : EndpointState.values()) {
-                readToTheEnd(stalled.get(stage));
-                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stopped))
-                        .as("%s:\n%s", stage, net.log())
-                        .isLessThan(OWED_WITHIN_MS);
+            for (StallPoint stallPoint : StallPoint.values()) {
+                readToTheEnd(stalled.get(stallPoint));
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - stalledNanos))
+                        .as("%s:\n%s", stallPoint, net.log())
+                        .isLessThan(ANSWER_WITHIN_MS);
             }
         }
     }
 
     @Test
-    void aClientThatStopsInAMessageThatIsNotTakenHasItsErrorByThen() throws Exception {
+    void aClientThatStallsInAMessageThatIsNotAcceptedGetsItsErrorInTime() throws Exception {
         try (Net net = new Net("p").started()) {
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Client tooLong = net.client()
                     .write(Buffer.buffer()
                             .appendByte((byte) 'Q')
                             .appendInt(1_000_000)
                             .appendInt(0));
             assertThat(tooLong.answer()).as(net::log).isEqualTo("54000 ready");
-            Client notSpoken = net.client()
+            Client unsupported = net.client()
                     .write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
-            assertThat((char) notSpoken.readByte()).as(net::log).isEqualTo('E');
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
+            assertThat((char) unsupported.readByte()).as(net::log).isEqualTo('E');
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos))
                     .as(net::log)
-                    .isLessThan(OWED_WITHIN_MS);
+                    .isLessThan(ANSWER_WITHIN_MS);
         }
     }
 
     @Test
-    void aClientThatWritesAByteNowAndThenIsEndedInTime() throws Exception {
+    void aClientThatWritesOneByteAtATimeIsClosedInTime() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client();
             Buffer query = MessageWriter.query(net.request("page"));
-            long began = System.nanoTime();
-            Thread writes = new Thread(() -> {
+            long startNanos = System.nanoTime();
+            Thread writer = new Thread(() -> {
                 try {
                     for (int i = 0; i < query.length() - 1; i++) {
                         client.write(query.getBuffer(i, i + 1));
                         Thread.sleep(200);
                     }
                 } catch (java.io.IOException | InterruptedException e) {
-                    return; // ended, as it should be
+                    return; // expected: the gateway closes the connection
                 }
             });
-            writes.start();
+            writer.start();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos))
                     .as(net::log)
-                    .isLessThan(OWED_WITHIN_MS);
+                    .isLessThan(ANSWER_WITHIN_MS);
             client.close();
-            writes.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            writer.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
         }
     }
 
     @Test
-    void aClientThatStopsInItsSecondRequestGetsTheFirstAnswerAndThenItsError() throws Exception {
+    void aClientThatStallsInItsSecondRequestGetsTheFirstAnswerAndThenAnError() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client().ask(net.request("order"));
             Got first = net.servers.get("p").next();
@@ -128,40 +128,40 @@
             net.logged("client with an unfinished message");
             first.row(new byte[] {7});
             assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
-            long answered = System.nanoTime();
+            long answeredNanos = System.nanoTime();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
-                    .isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answeredNanos))
+                    .isLessThan(ANSWER_WITHIN_MS);
             assertThat(net.servers.get("p").got).isEmpty();
         }
     }
 
     @Test
-    void aClientThatStopsBehindMoreRequestsThanAreTakenAtOnceGetsItsAnswersAndThenItsError() throws Exception {
+    void aClientThatStallsAfterMoreRequestsThanPipelineSlotsGetsItsAnswersAndThenAnError() throws Exception {
         try (Net net = new Net("p").started()) {
             net.servers.get("p").writes = true;
             Client client = net.client();
-            Buffer all = Buffer.buffer();
+            Buffer messages = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
-                all.appendBuffer(MessageWriter.query(net.request("order")));
+                messages.appendBuffer(MessageWriter.query(net.request("order")));
             }
             Buffer last = MessageWriter.query(net.request("order"));
-            client.write(all.appendBuffer(last.getBuffer(0, last.length() / 2)));
+            client.write(messages.appendBuffer(last.getBuffer(0, last.length() / 2)));
             for (int i = 0; i < PIPELINED; i++) {
                 assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
             }
-            long answered = System.nanoTime();
+            long answeredNanos = System.nanoTime();
             assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
-                    .isLessThan(OWED_WITHIN_MS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answeredNanos))
+                    .isLessThan(ANSWER_WITHIN_MS);
         }
     }
 
     @Test
-    void clientsThatStopInTheirSecondRequestKeepNoOtherFromBeingServed() throws Exception {
+    void clientsThatStallInAMessageDoNotKeepOthersFromBeingServed() throws Exception {
         try (Net net = new Net("p", "r1").started(64, 30_000).readable()) {
             List<Client> stalled = new ArrayList<>();
-            for (int i = 0; i < 20; i++) { // of 28 that clients may hold
+            for (int i = 0; i < 20; i++) { // of 28 client connections allowed
                 stalled.add(net.client()
                         .write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
             }
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -31,35 +31,43 @@
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.net.postgres.MessageWriter;
 
-/** A real gateway whose system calls fail as Linux documents, between stand-ins on loopback. */
+/**
+ * Checks that failed system calls do no more harm than they must. A real gateway runs between fake servers, clients and discovery on loopback,
+ * and its calls fail with the error numbers that Linux documents for them.
+ */
 @Timeout(120)
 class SystemCallFailuresTest {
     private static final String ROW_7 = "row 07 ready";
     private static final List<Logger> LIBRARIES = List.of(Logger.getLogger("io.netty"), Logger.getLogger("io.vertx"));
-    private static final int LASTING = Integer.MAX_VALUE;
-    private static final int A_MOMENT = 3; // calls
-    private static final int SHORT_IDLE_MS = 400; // idle connections to servers end so soon that requests need new ones
-    private static final int TOLD_WITHIN_MS = 6000; // after discovery had a change and could be reached
-    private static final int NETTY_PAUSE_MS = 1000; // for which its acceptor would accept nothing
-
-    private final FaultyTransport system = new FaultyTransport();
+    /** Number of calls that fail in a fault that lasts until the test ends it. */
+    private static final int UNLIMITED_CALLS = Integer.MAX_VALUE;
+    /** Number of calls that fail in a temporary fault. */
+    private static final int FEW_CALLS = 3;
+    /** Idle timeout of connections to servers, so short that requests need new connections. */
+    private static final int SHORT_IDLE_MS = 400;
+    /** Time in which a change takes effect once discovery has it and can be reached. */
+    private static final int CHANGE_WITHIN_MS = 6000;
+    /** Time for which Netty's own acceptor would accept nothing after a failure. */
+    private static final int NETTY_ACCEPT_PAUSE_MS = 1000;
+
+    private final FaultyTransport systemCalls = new FaultyTransport();
 
     @BeforeAll
-    static void keepLibrariesFromLoggingEachFailure() {
+    static void muteLibraryLogs() {
         LIBRARIES.forEach(l -> l.setLevel(Level.OFF));
     }
 
     @AfterAll
-    static void letLibrariesLog() {
+    static void restoreLibraryLogs() {
         LIBRARIES.forEach(l -> l.setLevel(null));
     }
 
     private Net net(String... servers) throws IOException {
-        return new Net(SingleLoopVertx.create(system), servers);
+        return new Net(SingleLoopVertx.create(systemCalls), servers);
     }
 
-    private static long since(long began) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+    private static long msSince(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     private static void waitForNoConnection(Net net, Server server) throws InterruptedException {
@@ -74,11 +82,11 @@
 
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
-    void aGatewayStartsThoughItsListenerCannotBeOpenedForAMoment(Errno errno) throws Exception {
-        Fault fault = system.fail(Call.LISTENER_SOCKET, errno, A_MOMENT); // the first of them is the practice's
+    void aGatewayStartsThoughItsListenerTemporarilyCannotBeOpened(Errno errno) throws Exception {
+        Fault fault = systemCalls.fail(Call.LISTENER_SOCKET, errno, FEW_CALLS); // the first of them fails the warm-up run
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
-            assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
+            assertThat(fault.failed()).as(net::log).isEqualTo(FEW_CALLS);
             assertThat(net.client().ask(net.request("order")).answer())
                     .as(net::log)
                     .isEqualTo(ROW_7);
@@ -86,74 +94,74 @@
     }
 
     @Test
-    void anAddressThatIsTakenIsToldAtOnce() throws Exception {
+    void anAddressInUseIsReportedAtOnce() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Net net = net("p")) {
-            net.settings = told ->
-                    told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
+            net.settings = configuration ->
+                    configuration.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long began = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
-            assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            assertThat(msSince(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
             assertThat(net.log()).doesNotContain("cannot listen yet");
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR"})
-    void aClientIsServedSoonAfterAcceptsThatFailedForAMoment(Errno errno) throws Exception {
+    void aClientIsServedSoonAfterAcceptsFailedTemporarily(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             Client other = net.client();
-            Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
+            Fault fault = systemCalls.fail(Call.ACCEPT, errno, FEW_CALLS);
             long began = System.nanoTime();
-            Client c = net.client();
-            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
-            assertThat(fault.failed()).isEqualTo(A_MOMENT);
+            Client client = net.client();
+            assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(msSince(began)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
+            assertThat(fault.failed()).isEqualTo(FEW_CALLS);
             assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void acceptsThatFailForLongNeitherEndTheListenerNorSpin() throws Exception {
+    void acceptsThatKeepFailingNeitherCloseTheListenerNorSpin() throws Exception {
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             Client other = net.client();
-            Fault fault = system.fail(Call.ACCEPT, Errno.EMFILE, LASTING);
-            long callsBefore = system.calls(Call.ACCEPT);
+            Fault fault = systemCalls.fail(Call.ACCEPT, Errno.EMFILE, UNLIMITED_CALLS);
+            long callsBefore = systemCalls.calls(Call.ACCEPT);
             long began = System.nanoTime();
-            Client waits = new Client(net.gateway.port());
-            while (since(began) < 500) {
+            Client waiting = new Client(net.gateway.port());
+            while (msSince(began) < 500) {
                 assertThat(other.ask(net.request("order")).answer())
                         .as(net::log)
                         .isEqualTo(ROW_7);
             }
-            assertThat(system.calls(Call.ACCEPT) - callsBefore)
+            assertThat(systemCalls.calls(Call.ACCEPT) - callsBefore)
                     .as("accepts in half a second")
                     .isBetween(2L, 200L);
             fault.end();
-            long ended = System.nanoTime();
-            assertThat(waits.greeted().ask(net.request("order")).answer())
+            long faultEnded = System.nanoTime();
+            assertThat(waiting.greeted().ask(net.request("order")).answer())
                     .as(net::log)
                     .isEqualTo(ROW_7);
-            assertThat(since(ended)).isLessThan(NETTY_PAUSE_MS / 2);
-            waits.close();
+            assertThat(msSince(faultEnded)).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
+            waiting.close();
         }
     }
 
     @Test
-    void aClientWhoseSocketTakesNoOptionsHarmsNoOther() throws Exception {
+    void aClientWhoseSocketOptionsCannotBeSetDoesNotAffectOthers() throws Exception {
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             Client other = net.client();
-            Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
-            Client reset = new Client(net.gateway.port());
+            Fault fault = systemCalls.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
+            Client failing = new Client(net.gateway.port());
             assertThat(net.client().ask(net.request("order")).answer())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(1);
             assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
-            reset.close();
+            failing.close();
         }
     }
 
@@ -174,43 +182,43 @@
         "FINISH_CONNECT,ENETUNREACH",
         "SET_OPTION,EINVAL"
     })
-    void aRequestWhoseConnectionCannotBeMadeForAMomentIsServedAllTheSame(Call call, Errno errno) throws Exception {
+    void aRequestIsServedThoughItsConnectionTemporarilyCannotBeOpened(Call call, Errno errno) throws Exception {
         try (Net net = net("p").started(256, SHORT_IDLE_MS)) {
-            Server p = net.servers.get("p");
-            p.writes = true;
-            Client c = net.client();
-            waitForNoConnection(net, p);
-            boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
-            Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
-            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            Server primary = net.servers.get("p");
+            primary.writes = true;
+            Client client = net.client();
+            waitForNoConnection(net, primary);
+            boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION; // these two precede connect, so they can't be matched by address
+            Fault fault = matchedByAddress ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS) : systemCalls.fail(call, errno, FEW_CALLS);
+            assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed())
-                    .isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
+                    .isEqualTo(errno == Errno.EINTR ? 1 : FEW_CALLS); // the kernel completes an interrupted connect
             assertThat(net.log()).doesNotContain("silent");
         }
     }
 
     @ParameterizedTest
     @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENOMEM"})
-    void aLackOfThisMachineEjectsNoServerHoweverLongItLasts(Call call, Errno errno) throws Exception {
+    void aLackOfLocalResourcesEjectsNoServerHoweverLongItLasts(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            Client c = net.client();
-            assertThat(net.read(c)).isEqualTo(ROW_7);
-            Fault fault = system.fail(call, errno, LASTING);
-            for (Server s : net.servers.values()) {
-                waitForNoConnection(net, s);
+            Client client = net.client();
+            assertThat(net.read(client)).isEqualTo(ROW_7);
+            Fault fault = systemCalls.fail(call, errno, UNLIMITED_CALLS);
+            for (Server server : net.servers.values()) {
+                waitForNoConnection(net, server);
             }
             long began = System.nanoTime();
             int rejected = 0;
-            while (since(began) < 3500) { // longer than a server counts as heard, so that health checks come in, too
-                rejected += c.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
+            while (msSince(began) < 3500) { // longer than a server's last answer is valid, so that health checks are sent as well
+                rejected += client.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
             assertThat(net.log()).doesNotContain("silent");
             fault.end();
-            long ended = System.nanoTime();
-            while (!c.ask(net.request("quick", 200)).answer().equals(ROW_7)) {
-                assertThat(since(ended)).as(net::log).isLessThan(1500);
+            long faultEnded = System.nanoTime();
+            while (!client.ask(net.request("quick", 200)).answer().equals(ROW_7)) {
+                assertThat(msSince(faultEnded)).as(net::log).isLessThan(1500);
             }
             assertThat(net.log()).doesNotContain("silent");
         }
@@ -223,24 +231,24 @@
         "FINISH_CONNECT,ETIMEDOUT",
         "FINISH_CONNECT,ECONNREFUSED"
     })
-    void aServerThatCannotBeReachedLeavesItsRequestsToOthers(Call call, Errno errno) throws Exception {
+    void requestsOfAnUnreachableServerAreServedByOthers(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            Client c = net.client();
-            assertThat(net.read(c)).isEqualTo(ROW_7);
+            Client client = net.client();
+            assertThat(net.read(client)).isEqualTo(ROW_7);
             Server r1 = net.servers.get("r1");
-            Fault fault = system.fail(call, r1.port(), errno, LASTING);
+            Fault fault = systemCalls.fail(call, r1.port(), errno, UNLIMITED_CALLS);
             waitForNoConnection(net, r1);
-            int before = r1.ran.size();
+            int queriesBefore = r1.ran.size();
             for (int i = 0; i < 40; i++) {
-                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+                assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
             }
             assertThat(fault.failed()).isPositive();
-            assertThat(r1.ran).as(net::log).hasSize(before);
+            assertThat(r1.ran).as(net::log).hasSize(queriesBefore);
             fault.end();
-            long ended = System.nanoTime();
-            while (r1.ran.size() == before) {
-                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
-                assertThat(since(ended)).as(net::log).isLessThan(10_000);
+            long faultEnded = System.nanoTime();
+            while (r1.ran.size() == queriesBefore) {
+                assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+                assertThat(msSince(faultEnded)).as(net::log).isLessThan(10_000);
             }
         }
     }
@@ -249,65 +257,65 @@
 
     @ParameterizedTest
     @CsvSource({"1,ETIMEDOUT", "1,EHOSTUNREACH", "40,ECONNRESET", "40,ENOBUFS", "40,ENOMEM"})
-    void aQueryOfWhichAPartWasTakenCountsAsNotRun(int taken, Errno errno) throws Exception {
+    void aQueryOfWhichOnlyAPartWasWrittenCountsAsNotRun(int bytesTaken, Errno errno) throws Exception {
         try (Net net = net("p").started()) {
-            aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteAfter(taken, port, errno));
+            assertPartlyWrittenQueryRunsOnce(net, port -> systemCalls.failWriteAfter(bytesTaken, port, errno));
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"})
-    void aQueryOfWhichOnlyTheLastByteWasNotTakenCountsAsNotRun(Errno errno) throws Exception {
+    void aQueryOfWhichOnlyTheLastByteWasNotWrittenCountsAsNotRun(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
-            aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteBeforeLastByte(port, errno));
+            assertPartlyWrittenQueryRunsOnce(net, port -> systemCalls.failWriteBeforeLastByte(port, errno));
         }
     }
 
-    private static void aQueryNotTakenWholeRunsOnce(Net net, IntFunction<Fault> installs) throws Exception {
-        Server p = net.servers.get("p");
-        p.writes = true;
-        Client c = net.client();
-        assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
-        Fault fault = installs.apply(p.port());
-        assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+    private static void assertPartlyWrittenQueryRunsOnce(Net net, IntFunction<Fault> installFault) throws Exception {
+        Server primary = net.servers.get("p");
+        primary.writes = true;
+        Client client = net.client();
+        assertThat(client.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+        Fault fault = installFault.apply(primary.port());
+        assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
-        assertThat(p.ran).as("queries that came whole").hasSize(2);
+        assertThat(primary.ran).as("queries received in full").hasSize(2);
         net.logged("NOT_WRITTEN");
         assertThat(net.log()).doesNotContain("silent");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENOMEM"})
-    void aQueryThatWasTakenWholeIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
+    void aQueryWrittenInFullIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
-            Server p = net.servers.get("p");
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
-            Fault fault = system.fail(Call.READ, p.port(), errno, 1);
-            g.row(new byte[] {7});
-            assertThat(c.answer()).as(net::log).isEqualTo("58000 ready");
+            Server primary = net.servers.get("p");
+            Client client = net.client().ask(net.request("order"));
+            Got query = primary.next();
+            Fault fault = systemCalls.fail(Call.READ, primary.port(), errno, 1);
+            query.row(new byte[] {7});
+            assertThat(client.answer()).as(net::log).isEqualTo("58000 ready");
             assertThat(fault.failed()).isEqualTo(1);
-            c.ask(net.request("order"));
-            p.next().row(new byte[] {7});
-            assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(p.ran).hasSize(2);
+            client.ask(net.request("order"));
+            primary.next().row(new byte[] {7});
+            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(primary.ran).hasSize(2);
         }
     }
 
     @Test
     void readsAndWritesOfAByteAtATimeChangeNothing() throws Exception {
         try (Net net = net("p", "r1").started()) {
-            Server p = net.servers.get("p");
-            system.shorten(1);
-            Client c = net.client();
+            Server primary = net.servers.get("p");
+            systemCalls.shorten(1);
+            Client client = net.client();
             byte[] value = new byte[1000];
             for (int i = 0; i < 3; i++) {
-                c.ask(net.request("order"));
-                Got g = p.next();
-                g.row(value);
-                assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
+                client.ask(net.request("order"));
+                Got query = primary.next();
+                query.row(value);
+                assertThat(client.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
             }
-            assertThat(p.ran).hasSize(3);
+            assertThat(primary.ran).hasSize(3);
             net.registry.news.add(net.list(2, false, "r1:DRAINING"));
             net.logged("server r1 listed DRAINING");
         }
@@ -315,51 +323,51 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOMEM"})
-    void aClientWhoseConnectionFailsToBeReadHasGone(Errno errno) throws Exception {
+    void attemptsAreCancelledWhenTheirClientsConnectionCannotBeRead(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
-            Server p = net.servers.get("p");
+            Server primary = net.servers.get("p");
             Client other = net.client();
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
-            Fault fault = system.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
-            c.ask(net.request("order"));
-            g.endedByGateway();
+            Client client = net.client().ask(net.request("order"));
+            Got query = primary.next();
+            Fault fault = systemCalls.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
+            client.ask(net.request("order"));
+            query.endedByGateway();
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(p.got).isEmpty();
+            assertThat(primary.got).isEmpty();
             other.ask(net.request("order"));
-            p.next().row(new byte[] {7});
+            primary.next().row(new byte[] {7});
             assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"})
-    void aClientWhoseConnectionFailsToBeWrittenHarmsNoOther(Errno errno) throws Exception {
+    void aClientWhoseConnectionCannotBeWrittenDoesNotAffectOthers(Errno errno) throws Exception {
         try (Net net = net("p").started()) {
-            Server p = net.servers.get("p");
+            Server primary = net.servers.get("p");
             Client other = net.client();
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
-            Fault fault = system.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
-            g.row(new byte[] {7});
-            assertThat(c.answer()).as(net::log).isEqualTo("closed");
+            Client client = net.client().ask(net.request("order"));
+            Got query = primary.next();
+            Fault fault = systemCalls.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
+            query.row(new byte[] {7});
+            assertThat(client.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
             other.ask(net.request("order"));
-            p.next().row(new byte[] {7});
+            primary.next().row(new byte[] {7});
             assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void anIdleClientWhoseOutputCannotBeShutIsClosedAllTheSame() throws Exception {
+    void anIdleConnectionIsClosedThoughItsOutputCannotBeShutDown() throws Exception {
         try (Net net = net("p").started()) {
             Client idle = net.client();
-            Fault fault = system.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
-            CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            Fault fault = systemCalls.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             assertThat(idle.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
         }
@@ -379,31 +387,31 @@
         "WRITE,ETIMEDOUT",
         "READ,EHOSTUNREACH"
     })
-    void aChangeIsHeardInTimeThoughCallsToDiscoveryFail(Call call, Errno errno) throws Exception {
+    void aChangeIsReceivedInTimeThoughCallsToDiscoveryFailed(Call call, Errno errno) throws Exception {
         try (Net net = net("p", "r1").started()) {
             int port = net.registry.port();
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             Fault fault =
-                    call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
+                    call == Call.SOCKET ? systemCalls.fail(call, errno, UNLIMITED_CALLS) : systemCalls.fail(call, port, errno, UNLIMITED_CALLS);
             net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.registry.closeConnections(); // so that the next call needs a new one
+            net.registry.closeConnections(); // so that the next call needs a new connection
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
-            while (fault.failed() < A_MOMENT) {
+            while (fault.failed() < FEW_CALLS) {
                 assertThat(System.nanoTime()).as(net::log).isLessThan(end);
                 Thread.sleep(5);
             }
             fault.end();
             long reachable = System.nanoTime();
             net.logged("server r1 listed DRAINING");
-            assertThat(since(reachable)).as(net::log).isLessThan(TOLD_WITHIN_MS);
+            assertThat(msSince(reachable)).as(net::log).isLessThan(CHANGE_WITHIN_MS);
         }
     }
 
-    // -- all at once
+    // -- all of them together
 
     @ParameterizedTest
     @CsvSource({"1,true", "2,true", "3,false", "4,false"})
-    void whateverFailsEachRequestRunsOnceAtMostAndIsAnsweredForWhatItIs(long seed, boolean clientsToo)
+    void underRandomFaultsEachRequestRunsAtMostOnceAndItsAnswerIsTrue(long seed, boolean clientsToo)
             throws Exception {
         Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
         errnos.put(
@@ -415,44 +423,44 @@
         errnos.put(Call.READ, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
         errnos.put(Call.WRITE, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
         try (Net net = net("p", "r1").readable().started()) {
-            Server p = net.servers.get("p");
-            p.writes = true;
-            system.storm(seed, 0.05, errnos, clientsToo);
-            system.shorten(50);
-            Map<String, String> answers = new LinkedHashMap<>(); // by the id of a request
-            Client c = null;
+            Server primary = net.servers.get("p");
+            primary.writes = true;
+            systemCalls.storm(seed, 0.05, errnos, clientsToo);
+            systemCalls.shorten(50);
+            Map<String, String> answers = new LinkedHashMap<>(); // by request id
+            Client client = null;
             for (int i = 0; i < 300; i++) {
-                c = c == null ? clientInStorm(net) : c;
+                client = client == null ? connectDespiteFaults(net) : client;
                 String query = net.request("order");
-                String answer = answerInStorm(c, query);
+                String answer = answerOrClosed(client, query);
                 answers.put(query.replaceAll(".* id=(\\w+),.*", "$1"), answer);
-                c = answer.endsWith("closed") ? null : c;
+                client = answer.endsWith("closed") ? null : client;
             }
-            system.calm();
+            systemCalls.calm();
             Client after = net.client();
             long began = System.nanoTime();
             String last = "";
-            while (!last.equals(ROW_7) && since(began) < 5000) {
+            while (!last.equals(ROW_7) && msSince(began) < 5000) {
                 last = after.ask(net.request("order")).answer();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
-            for (Map.Entry<String, String> e : answers.entrySet()) {
-                long runs = p.ran.stream()
-                        .filter(q -> q.contains(" id=" + e.getKey() + ","))
+            for (Map.Entry<String, String> answered : answers.entrySet()) {
+                long runs = primary.ran.stream()
+                        .filter(q -> q.contains(" id=" + answered.getKey() + ","))
                         .count();
-                String what =
-                        "seed " + seed + ", request " + e.getKey() + " answered " + e.getValue() + "\n" + net.log();
-                assertThat(runs).as(what).isLessThanOrEqualTo(1);
-                assertThat(e.getValue())
-                        .as(what)
+                String description =
+                        "seed " + seed + ", request " + answered.getKey() + " answered " + answered.getValue() + "\n" + net.log();
+                assertThat(runs).as(description).isLessThanOrEqualTo(1);
+                assertThat(answered.getValue())
+                        .as(description)
                         .matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
                 if (!clientsToo) {
-                    assertThat(e.getValue()).as(what).endsWith(" ready"); // each has its answer
+                    assertThat(answered.getValue()).as(description).endsWith(" ready"); // only clients' faults can lose an answer
                 }
-                if (e.getValue().equals(ROW_7)) {
-                    assertThat(runs).as(what).isEqualTo(1);
-                } else if (e.getValue().startsWith("53300")) {
-                    assertThat(runs).as(what).isZero();
+                if (answered.getValue().equals(ROW_7)) {
+                    assertThat(runs).as(description).isEqualTo(1);
+                } else if (answered.getValue().startsWith("53300")) {
+                    assertThat(runs).as(description).isZero();
                 }
             }
             assertThat(answers.values().stream().filter(ROW_7::equals).count())
@@ -461,25 +469,25 @@
         }
     }
 
-    /** Its connection may fail as well; then it comes back. */
-    private static Client clientInStorm(Net net) throws IOException {
+    /** Connects a client; retries where its connection fails as well. */
+    private static Client connectDespiteFaults(Net net) throws IOException {
         for (int i = 0; i < 50; i++) {
-            Client c = new Client(net.gateway.port());
+            Client client = new Client(net.gateway.port());
             try {
-                if (c.write(MessageWriter.startup()).answer().equals("ready")) {
-                    return c;
+                if (client.write(MessageWriter.startup()).answer().equals("ready")) {
+                    return client;
                 }
             } catch (EOFException | SocketException e) {
-                c.close();
+                client.close();
             }
         }
-        throw new IOException("no connection came up");
+        throw new IOException("none of 50 connections completed its startup");
     }
 
-    /** What the client got, "closed" where its connection failed. */
-    private static String answerInStorm(Client c, String query) throws IOException {
+    /** Sends the query and returns its answer, or "closed" if the connection failed. */
+    private static String answerOrClosed(Client client, String query) throws IOException {
         try {
-            return c.ask(query).answer();
+            return client.ask(query).answer();
         } catch (EOFException | SocketException e) {
             return "closed";
         }
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -10,13 +10,14 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.net.postgres.MessageWriter;
 
-/** A request that has been read is answered before the gateway ends its connection, on a new connection too. */
+/** Checks that each request that the gateway has read is answered before the gateway closes its connection, also on a new connection. */
 @Timeout(120)
 class UnansweredCloseTest {
     private static final String SERVED = "row 07 ready";
-    private static final String REFUSED = "53300 ready";
-    private static final int FEW_DESCRIPTORS = 64; // 28 connections of clients
-    private static final int CLIENTS_MOST = 28;
+    private static final String REJECTED = "53300 ready";
+    private static final int FEW_DESCRIPTORS = 64;
+    /** Number of client connections allowed with {@link #FEW_DESCRIPTORS}. */
+    private static final int MAX_CLIENTS = 28;
     private static final Buffer UNKNOWN_MESSAGE =
             Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
@@ -24,18 +25,20 @@
         return MessageWriter.query(net.request("order"));
     }
 
-    /** As many clients as there may be, each with a request that waits for a group without servers, so that none is idle. */
-    private static void fill(Net net) throws Exception {
-        for (int i = 0; i < CLIENTS_MOST; i++) {
+    /**
+     * Connects as many clients as are allowed. Each has a request waiting for a replica group without servers, so that no connection is idle and could be evicted.
+     */
+    private static void occupyAllClientConnections(Net net) throws Exception {
+        for (int i = 0; i < MAX_CLIENTS; i++) {
             net.client().ask(net.request("order").replace("cluster=1", "cluster=2"));
         }
-        Thread.sleep(50); // all have been read
+        Thread.sleep(50); // the gateway has read all of them by now
     }
 
     @Test
-    void aRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
+    void aRequestAfterAStartupMessageIsRejectedWhenThereIsNoCapacityForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            fill(net);
+            occupyAllClientConnections(net);
             Client client =
                     new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo("53300 closed");
@@ -44,9 +47,9 @@
     }
 
     @Test
-    void eachRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
+    void eachRequestAfterAStartupMessageIsRejectedWhenThereIsNoCapacityForItsConnection() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            fill(net);
+            occupyAllClientConnections(net);
             Buffer all = MessageWriter.startup()
                     .appendBuffer(order(net))
                     .appendBuffer(order(net))
@@ -54,14 +57,14 @@
             Client client = new Client(net.gateway.port()).write(all);
             assertThat(client.answer())
                     .as(net::log)
-                    .isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
-            assertThat(client.answer()).isEqualTo(REFUSED);
+                    .isEqualTo("53300 53300 ready"); // the first error is FATAL and has no ReadyForQuery
+            assertThat(client.answer()).isEqualTo(REJECTED);
             assertThat(client.answer()).isEqualTo("closed");
         }
     }
 
     @Test
-    void aRequestBehindAMalformedMessageIsRefusedBeforeTheConnectionEnds() throws Exception {
+    void aRequestAfterAMalformedMessageIsRejectedBeforeTheConnectionCloses() throws Exception {
         try (Net net = new Net("p").started()) {
             net.servers.get("p").writes = true;
             Client client =
@@ -73,14 +76,14 @@
     }
 
     @Test
-    void aRequestReadWhileTheAnswerBeforeAMalformedMessageIsAwaitedIsRefusedAndNotForwarded() throws Exception {
+    void aRequestReadAfterAMalformedMessageIsRejectedThoughAnEarlierRequestIsInFlight() throws Exception {
         try (Net net = new Net("p").started()) {
             Client client = net.client().ask(net.request("order"));
             Got first = net.servers.get("p").next();
             client.write(UNKNOWN_MESSAGE);
             net.logged("bad input from a client");
             client.write(order(net));
-            Thread.sleep(100); // read by now
+            Thread.sleep(100); // the gateway has read it by now
             first.row(new byte[] {7});
             assertThat(client.answer()).as(net::log).isEqualTo(SERVED);
             assertThat(client.answer()).isEqualTo("08P01 53300 ready");
@@ -90,16 +93,16 @@
     }
 
     @Test
-    void anUnfinishedRequestBehindOneInHandIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
+    void anIncompleteRequestAfterOneInFlightIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
+            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // the shutdown ends after 1.7 s
             net.started();
             Client client = net.client();
             Buffer order = order(net);
             client.ask(net.request("order")).write(order.getBuffer(0, 20));
             net.servers.get("p").next();
-            CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             assertThat(client.answer()).as(net::log).startsWith("58000");
             assertThat(client.answer()).as(net::log).isEqualTo("57P03 closed");
         }
@@ -115,14 +118,14 @@
                 all.appendBuffer(MessageWriter.query(net.request("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
-            List<Got> inHand = new ArrayList<>();
+            List<Got> inFlight = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                inHand.add(net.servers.get("p").next());
+                inFlight.add(net.servers.get("p").next());
             }
-            Thread.sleep(100); // the others have been read meanwhile
+            Thread.sleep(100); // the gateway reads the others meanwhile
             net.servers.get("p").writes = true;
-            for (Got g : inHand) {
-                g.row(new byte[] {7});
+            for (Got query : inFlight) {
+                query.row(new byte[] {7});
             }
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < requests; i++) {
@@ -134,58 +137,58 @@
     }
 
     @Test
-    void aNewConnectionWithoutAStartupMessageIsRefusedNotFailedWhenAGracefulShutdownEndsIt() throws Exception {
+    void aPreStartupConnectionIsRefusedNotFailedWhenAGracefulShutdownClosesIt() throws Exception {
         try (Net net = new Net("p").started()) {
             Client other = net.client();
-            CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
+            CountDownLatch shutdownEnded = new CountDownLatch(1);
+            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             net.logged("planned restart: 1 connections");
-            Client silent = new Client(net.gateway.port());
-            assertThat(silent.answer()).as(net::log).isEqualTo("57P03 closed");
+            Client preStartup = new Client(net.gateway.port());
+            assertThat(preStartup.answer()).as(net::log).isEqualTo("57P03 closed");
             assertThat(other.answer()).isEqualTo("closed");
         }
     }
 
     @Test
-    void aNewConnectionThatEndsForLackOfRoomBeforeItsStartupMessageIsRefusedNotFailed() throws Exception {
+    void aPreStartupConnectionIsRefusedNotFailedWhenItIsEvicted() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            List<Client> silent = new ArrayList<>();
-            for (int i = 0; i < CLIENTS_MOST / 2; i++) { // more than a third of the clients' share
-                silent.add(new Client(net.gateway.port()));
+            List<Client> preStartup = new ArrayList<>();
+            for (int i = 0; i < MAX_CLIENTS / 2; i++) { // more than a third of the client connections allowed
+                preStartup.add(new Client(net.gateway.port()));
             }
-            assertThat(silent.get(0).answer()).as(net::log).isEqualTo("53300 closed");
-            for (Client c : silent) {
-                c.close();
+            assertThat(preStartup.get(0).answer()).as(net::log).isEqualTo("53300 closed");
+            for (Client client : preStartup) {
+                client.close();
             }
         }
     }
 
     @Test
-    void anUnfinishedRequestThatEndsForLackOfMemoryIsRefusedNotFailed() throws Exception {
+    void anIncompleteRequestIsRefusedNotFailedWhenItIsDroppedForLackOfMemory() throws Exception {
         try (Net net = new Net("p").started()) {
-            List<Client> unfinished = new ArrayList<>();
+            List<Client> incomplete = new ArrayList<>();
             for (int i = 0; i < 140; i++) {
-                Buffer begun = Buffer.buffer()
+                Buffer truncated = Buffer.buffer()
                         .appendByte((byte) 'Q')
                         .appendInt(130_000)
                         .appendBytes(new byte[125_000]);
-                unfinished.add(net.client().write(begun));
+                incomplete.add(net.client().write(truncated));
             }
-            assertThat(unfinished.get(0).answer()).as(net::log).isEqualTo("53300 closed");
+            assertThat(incomplete.get(0).answer()).as(net::log).isEqualTo("53300 closed");
         }
     }
 
     @Test
-    void aRequestThatCrossesTheEndOfAnIdleConnectionIsNotForwardedAndItsClientSeesAnOrderlyEnd() throws Exception {
+    void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotForwardedAndItsClientSeesAnOrderlyClose() throws Exception {
         try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
             List<Client> idle = new ArrayList<>();
-            for (int i = 0; i < 15; i++) { // so many that idle connections end soon
+            for (int i = 0; i < 15; i++) { // so many that idle connections are evicted soon
                 idle.add(net.client());
             }
-            for (Client c : idle.subList(0, 3)) {
-                assertThat(c.readByte()).isEqualTo(-1);
-                c.ask(net.request("order")); // written before the end was known, for all that the gateway can tell
-                assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
+            for (Client client : idle.subList(0, 3)) {
+                assertThat(client.readByte()).isEqualTo(-1);
+                client.ask(net.request("order")); // the gateway must assume that this was written before the close arrived
+                assertThat(client.howItEnds()).as(net::log).isEqualTo("end");
             }
             Thread.sleep(600); // until the gateway has closed these connections
             assertThat(net.servers.get("p").got).isEmpty();
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A gateway serves, and follows its signals, where neither its log nor any other file can be written. */
+/** Checks that a gateway serves and obeys SIGTERM though neither its log nor any other file can be written. */
 @Timeout(120)
 class UnwritableFilesTest {
     @TempDir
@@ -34,8 +34,8 @@
         }
     }
 
-    /** A client of a gateway whose log cannot be read, once that serves. */
-    private static Client connects(int port, Process gateway) throws Exception {
+    /** Retries until the gateway accepts connections, and returns a connected client. The log, which may not be written, can't tell when. */
+    private static Client connect(int port, Process gateway) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
         while (true) {
             try {
@@ -48,9 +48,9 @@
         }
     }
 
-    private Process start(Path configuration, Path workingDirectory, String before, String behind, String... options)
+    private Process start(Path configuration, Path workingDirectory, String before, String after, String... options)
             throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "exec \"$@\"" + behind, "sh"));
+        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "exec \"$@\"" + after, "sh"));
         command.addAll(ServingProcess.java());
         command.addAll(List.of(options));
         command.addAll(List.of("-cp", ServingProcess.classPath(), "ploverdale.Main", "serve", "--config"));
@@ -61,13 +61,13 @@
                 .start();
     }
 
-    /** It serves, logs what it cannot write, and ends in order. */
-    private static void serves(Net net, Process gateway, int port) throws Exception {
-        try (Client client = connects(port, gateway)) {
+    /** Asserts that the gateway serves, also after it tried to log, and exits normally on SIGTERM. */
+    private static void assertServes(Net net, Process gateway, int port) throws Exception {
+        try (Client client = connect(port, gateway)) {
             for (int i = 0; i < 20; i++) {
                 assertThat(net.read(client)).isEqualTo("row 07 ready");
                 assertThat(client.ask(net.request("no such type")).answer())
-                        .isEqualTo("22023 ready"); // which is logged
+                        .isEqualTo("22023 ready"); // the gateway tries to log this
             }
         }
         gateway.destroy();
@@ -77,19 +77,19 @@
 
     @ParameterizedTest
     @ValueSource(strings = {" 2>/dev/full", " 2>&-", " <&- >&- 2>&-", " >/dev/full 2>/dev/full"})
-    void whereItsLogCannotBeWritten(String redirection) throws Exception {
+    void theGatewayServesWhenItsLogCannotBeWritten(String redirection) throws Exception {
         int port = freePort();
         try (Net net = new Net("p", "r1").readable()) {
             Process gateway = start(configuration(net, port), directory, "", redirection);
             try {
-                connects(port, gateway).close();
+                connect(port, gateway).close();
                 for (int descriptor = 0; descriptor <= 2; descriptor++) {
                     Path open = Path.of("/proc/" + gateway.pid() + "/fd/" + descriptor);
-                    if (Files.exists(open, LinkOption.NOFOLLOW_LINKS)) { // no log line may go to a connection
+                    if (Files.exists(open, LinkOption.NOFOLLOW_LINKS)) { // no log line may be written to a connection
                         assertThat(Files.readSymbolicLink(open).toString()).doesNotStartWith("socket:");
                     }
                 }
-                serves(net, gateway, port);
+                assertServes(net, gateway, port);
             } finally {
                 gateway.destroyForcibly();
             }
@@ -97,13 +97,13 @@
     }
 
     @Test
-    void whereTheDiskIsFull() throws Exception { // of no file, the log included, may any byte be written
+    void theGatewayServesWhenTheDiskIsFull() throws Exception { // no byte may be written to any file, including the log
         int port = freePort();
         try (Net net = new Net("p", "r1").readable()) {
             Path log = directory.resolve("log");
             Process gateway = start(configuration(net, port), directory, "ulimit -f 0; ", " 2>" + log);
             try {
-                serves(net, gateway, port);
+                assertServes(net, gateway, port);
                 assertThat(log).isEmptyFile();
             } finally {
                 gateway.destroyForcibly();
@@ -112,12 +112,12 @@
     }
 
     @Test
-    void whereWorkingAndTemporaryDirectoriesCannotBeWritten() throws Exception {
+    void theGatewayServesWhenWorkingAndTemporaryDirectoriesCannotBeWritten() throws Exception {
         int port = freePort();
         try (Net net = new Net("p", "r1").readable()) {
             Process gateway = start(configuration(net, port), Path.of("/proc"), "", "", "-Djava.io.tmpdir=/proc/none");
             try {
-                serves(net, gateway, port);
+                assertServes(net, gateway, port);
             } finally {
                 gateway.destroyForcibly();
             }
--- a/gateway/src/test/java/ploverdale/net/GossipTransportFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportFailuresTest.java
@@ -42,7 +42,7 @@
     private final FaultyTransport systemCalls = new FaultyTransport();
     private final Vertx vertx = SingleLoopVertx.create(systemCalls);
     private final BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
-    private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private DatagramSocket peer;
     private InetSocketAddress address;
     private GossipTransport transport;
@@ -67,7 +67,7 @@
         CompletableFuture<Void> listened = new CompletableFuture<>();
         vertx.runOnContext(ignored -> {
             transport = new GossipTransport(
-                    vertx, new Log(new PrintStream(lines, true)), null, List.of(address, (InetSocketAddress)
+                    vertx, new Log(new PrintStream(logOutput, true)), null, List.of(address, (InetSocketAddress)
                             peer.getLocalSocketAddress()));
             transport.setDatagramInterceptor((from, bytes) -> received.add(bytes));
             transport.listen(address).onComplete(result -> listened.complete(null));
@@ -83,7 +83,7 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         byte[] bytes = null;
         while (bytes == null || bytes[0] != payload) {
-            assertThat(System.nanoTime()).as(lines.toString()).isLessThan(end);
+            assertThat(System.nanoTime()).as(logOutput.toString()).isLessThan(end);
             peer.send(new DatagramPacket(new byte[] {(byte) payload}, 1, address));
             bytes = received.poll(20, TimeUnit.MILLISECONDS);
         }
@@ -98,7 +98,7 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         DatagramPacket packet = new DatagramPacket(new byte[1], 1);
         do {
-            assertThat(System.nanoTime()).as(lines.toString()).isLessThan(end);
+            assertThat(System.nanoTime()).as(logOutput.toString()).isLessThan(end);
             send(payload);
             try {
                 peer.receive(packet);
@@ -143,7 +143,7 @@
     void aSocketWhoseAddressWasInUseIsBoundOnceTheAddressIsFree() throws Exception {
         DatagramSocket addressHolder = new DatagramSocket(address);
         listen();
-        assertThat(lines.toString()).contains("no words with other instances");
+        assertThat(logOutput.toString()).contains("no words with other instances");
         addressHolder.close();
         assertReceives(1);
         assertSends(2);
