--- a/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/RouterEventLoop.java
@@ -90,7 +90,8 @@
         loopLag.onTimer();
         reportPause(loopLag.previousFiredAt(), loopLag.lastFiredAt());
         if (loopLag.lastInterval() > LOGGED_PAUSE_MS * TICKS_PER_MS) {
-            log.rateLimited("stood still", "for " + loopLag.lastInterval() / TICKS_PER_MS + " ms"); // log line: on-call guide
+            log.rateLimited(
+                    "stood still", "for " + loopLag.lastInterval() / TICKS_PER_MS + " ms"); // log line: on-call guide
         }
     }
 
--- a/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
+++ b/gateway/src/main/java/ploverdale/routing/OutlierDetector.java
@@ -69,7 +69,8 @@
         List<PendingRequest> attempts = server.attemptsSinceReadmission();
         long oldestAttempt = attempts.isEmpty() ? now : attempts.get(0).attemptStartedAt();
         long unresponsiveFor = now - Math.max(server.liveness().attemptAnsweredAt(), oldestAttempt);
-        if (unresponsiveFor < MIN_UNRESPONSIVE_TIME || missingAnswers(server, attempts, unresponsiveFor) <= MAX_MISSING_ANSWERS) {
+        if (unresponsiveFor < MIN_UNRESPONSIVE_TIME
+                || missingAnswers(server, attempts, unresponsiveFor) <= MAX_MISSING_ANSWERS) {
             return;
         }
         if (isReportedByPeersWithin(server, unresponsiveFor)) {
--- a/gateway/src/main/java/ploverdale/routing/ServerObservations.java
+++ b/gateway/src/main/java/ploverdale/routing/ServerObservations.java
@@ -72,7 +72,8 @@
         if (observation.unresponsiveAt() > liveness.aliveAt()) {
             boolean neverAlive = liveness.aliveAt() == LoadReport.UNKNOWN_TIME;
             liveness.expireConfirmation(context.now());
-            server.ejection().recheckNotBefore(neverAlive ? observation.unresponsiveAt() + OutlierDetector.MAX_BACKOFF : 0);
+            server.ejection()
+                    .recheckNotBefore(neverAlive ? observation.unresponsiveAt() + OutlierDetector.MAX_BACKOFF : 0);
             return;
         }
         long knownAt = Math.max(liveness.confirmedAt(), server.connections().connectFailedAt());
