--- a/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedClaimModel.java
@@ -39,8 +39,8 @@
     private static final long START_TIME = 17_000_000_000_000L;
     private static final long RESUBMISSION_WINDOW = 5 * SECOND;
     private static final long KEY = Replicas.key(false, "w");
-    private static final ReplicationSettings SETTINGS =
-            new ReplicationSettings(GATEWAYS, false, SECOND, SECOND / 10, RESUBMISSION_WINDOW, true, Set.of(), 1, 100, 100);
+    private static final ReplicationSettings SETTINGS = new ReplicationSettings(
+            GATEWAYS, false, SECOND, SECOND / 10, RESUBMISSION_WINDOW, true, Set.of(), 1, 100, 100);
 
     private record Message(int from, long incarnation, int to, byte[] bytes) {}
 
@@ -73,7 +73,13 @@
         private void startGateway(int gateway, long backdatedBy) {
             long actualTime = wallTime;
             wallTime -= backdatedBy;
-            gateways[gateway] = new Replicas(gateway, GATEWAYS, ++incarnations[gateway], SETTINGS, new SplittableRandom(gateway), () -> wallTime);
+            gateways[gateway] = new Replicas(
+                    gateway,
+                    GATEWAYS,
+                    ++incarnations[gateway],
+                    SETTINGS,
+                    new SplittableRandom(gateway),
+                    () -> wallTime);
             outboxes[gateway] = new PacketQueue(1e9, 0);
             wallTime = actualTime;
         }
@@ -138,10 +144,16 @@
                     .append(restarts)
                     .append(grants);
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
-                text.append(" | ").append(incarnations[gateway]).append(' ').append(gateways[gateway].describeState(KEY));
+                text.append(" | ")
+                        .append(incarnations[gateway])
+                        .append(' ')
+                        .append(gateways[gateway].describeState(KEY));
             }
-            inFlight.forEach(
-                    message -> text.append(' ').append(message.from).append('>').append(message.to).append(Arrays.hashCode(message.bytes)));
+            inFlight.forEach(message -> text.append(' ')
+                    .append(message.from)
+                    .append('>')
+                    .append(message.to)
+                    .append(Arrays.hashCode(message.bytes)));
             return text.toString();
         }
     }
--- a/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/BoundedQuotaModel.java
@@ -114,7 +114,8 @@
 
         private void startProcess() {
             epoch += reusesEpoch ? 0 : 1;
-            quota = new QuotaProtocol(index, epoch, allocation, leaseDurations, new SplittableRandom(index), localTime());
+            quota = new QuotaProtocol(
+                    index, epoch, allocation, leaseDurations, new SplittableRandom(index), localTime());
             outbox = new PacketQueue(1e9, localTime());
         }
 
@@ -164,12 +165,15 @@
      * @param reusesEpoch whether a restarted process uses the same epoch as the one before it, another deliberate
      *     defect
      */
-    private BoundedQuotaModel(LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
+    private BoundedQuotaModel(
+            LeaseDurations leaseDurations, double clockDrift, long declaredHoldTime, boolean reusesEpoch) {
         this.reusesEpoch = reusesEpoch;
         this.leaseDurations = leaseDurations;
         this.clockDrift = clockDrift;
         allocation = new QuotaAllocation(
-                List.of(new SharedLimit("server", SharedLimit.Kind.CONCURRENCY, CAPACITY, declaredHoldTime)), GATEWAYS, 0);
+                List.of(new SharedLimit("server", SharedLimit.Kind.CONCURRENCY, CAPACITY, declaredHoldTime)),
+                GATEWAYS,
+                0);
         for (int i = 0; i < GATEWAYS; i++) {
             gateways.add(new Gateway(i));
         }
@@ -282,7 +286,8 @@
     private void deliverMessages(List<Fault> faults) {
         for (int index = 0; !inFlight.isEmpty(); index++) {
             Message message = inFlight.poll();
-            boolean isDelivered = step >= gateways.get(message.from).partitionedUntilStep && step >= gateways.get(message.to).partitionedUntilStep;
+            boolean isDelivered = step >= gateways.get(message.from).partitionedUntilStep
+                    && step >= gateways.get(message.to).partitionedUntilStep;
             for (Fault f : faults) {
                 if (f.target == index && f.kind.ordinal() <= FaultKind.TWICE.ordinal()) {
                     isDelivered &= f.kind == FaultKind.TWICE;
--- a/tools/src/main/java/ploverdale/tools/lab/Explorer.java
+++ b/tools/src/main/java/ploverdale/tools/lab/Explorer.java
@@ -48,7 +48,9 @@
         List<Fault> allFaults = new ArrayList<>();
         for (int step = BoundedQuotaModel.FIRST_FAULT_STEP; step < BoundedQuotaModel.FAULTS_END_STEP; step++) {
             for (FaultKind kind : FaultKind.values()) {
-                int targets = kind.ordinal() >= FaultKind.KILL.ordinal() ? BoundedQuotaModel.GATEWAYS : BoundedQuotaModel.MESSAGES_PER_STEP;
+                int targets = kind.ordinal() >= FaultKind.KILL.ordinal()
+                        ? BoundedQuotaModel.GATEWAYS
+                        : BoundedQuotaModel.MESSAGES_PER_STEP;
                 for (int i = 0; i < targets; i++) {
                     allFaults.add(new Fault(step, kind, i));
                 }
@@ -71,9 +73,12 @@
                     if (second > first && (first * 31L + second) % pairInterval != 0) {
                         continue;
                     }
-                    List<Fault> faults = second == first ? List.of(allFaults.get(first)) : List.of(allFaults.get(first), allFaults.get(second));
+                    List<Fault> faults = second == first
+                            ? List.of(allFaults.get(first))
+                            : List.of(allFaults.get(first), allFaults.get(second));
                     runs++;
-                    String violation = BoundedQuotaModel.run(leaseDurations, clockDrift, declaredHoldTime, reusesEpoch, demand, faults);
+                    String violation = BoundedQuotaModel.run(
+                            leaseDurations, clockDrift, declaredHoldTime, reusesEpoch, demand, faults);
                     if (violation != null) {
                         return new Result(runs, violation + " with " + faults + ", demand " + DEMANDS.indexOf(demand));
                     }
--- a/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/FleetModel.java
@@ -168,7 +168,8 @@
         }
 
         private void sendQueued() {
-            for (PacketQueue.OutboundPacket p : outbox.drain(localTime(), membership.incarnation(), settings.allocation.id())) {
+            for (PacketQueue.OutboundPacket p :
+                    outbox.drain(localTime(), membership.incarnation(), settings.allocation.id())) {
                 network.send(index, p.to(), p.bytes());
             }
         }
--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -62,8 +62,9 @@
             double idleShare,
             int violations) {
         /** Header line of the CSV file. */
-        public static final String CSV_HEADER = "gateways,loan_ms,loss,shift_p50_ms,shift_p99_ms,death_p50_ms,death_p99_ms,"
-                + "bytes_a_second,idle,over";
+        public static final String CSV_HEADER =
+                "gateways,loan_ms,loss,shift_p50_ms,shift_p99_ms,death_p50_ms,death_p99_ms,"
+                        + "bytes_a_second,idle,over";
 
         public String csvRow() {
             return String.format(
@@ -97,7 +98,8 @@
                     gateways,
                     GUARANTEED_SHARE);
             LeaseDurations leaseDurations = new LeaseDurations(subLeaseMs * MS * 3 / 2, subLeaseMs * MS, 0.05);
-            FleetModel model = new FleetModel(new Settings(allocation, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
+            FleetModel model =
+                    new FleetModel(new Settings(allocation, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
             model.gateways().forEach(gateway -> gateway.start(0));
             model.runUntil(2 * leaseDurations.grantorTerm(leaseDurations.partitionLease())
@@ -119,7 +121,11 @@
                 othersGuaranteedUnits += allocation.guaranteedUnits(i, 0);
             }
             double targetUnits = SHIFT_COMPLETE_SHARE
-                    * Math.min(SHIFTED_DEMAND, allocation.limits().get(0).capacity() - othersGuaranteedUnits - STEADY_DEMAND_SHARE * UNITS_PER_GATEWAY * (gateways - 1) / 2);
+                    * Math.min(
+                            SHIFTED_DEMAND,
+                            allocation.limits().get(0).capacity()
+                                    - othersGuaranteedUnits
+                                    - STEADY_DEMAND_SHARE * UNITS_PER_GATEWAY * (gateways - 1) / 2);
             while (model.gateway(0).heldUnits(0) < targetUnits && model.now() < shiftFrom + MAX_WAIT) {
                 scheduleSteadyDemand(model, random, 1, STEADY_DEMAND_SHARE * UNITS_PER_GATEWAY);
                 scheduleShiftedDemand(model, random);
@@ -153,18 +159,23 @@
     }
 
     private static long bytesSent(FleetModel model) {
-        return model.gateways().stream().mapToLong(FleetModel.Gateway::bytesSent).sum();
+        return model.gateways().stream()
+                .mapToLong(FleetModel.Gateway::bytesSent)
+                .sum();
     }
 
     /**
      * Schedules random acquisitions for the next interval by all gateways from the given one on, each at the given
      * rate.
      */
-    private static void scheduleSteadyDemand(FleetModel model, SplittableRandom random, int firstGateway, double perSecond) {
+    private static void scheduleSteadyDemand(
+            FleetModel model, SplittableRandom random, int firstGateway, double perSecond) {
         for (int i = firstGateway; i < model.gateways().size(); i++) {
             if (random.nextDouble() < perSecond * CHECK_INTERVAL / SECOND) {
                 int gateway = i;
-                model.schedule(model.now() + random.nextLong(CHECK_INTERVAL), () -> model.gateway(gateway).tryAcquire(0, 0));
+                model.schedule(
+                        model.now() + random.nextLong(CHECK_INTERVAL),
+                        () -> model.gateway(gateway).tryAcquire(0, 0));
             }
         }
     }
@@ -172,7 +183,9 @@
     /** Schedules the demand of gateway 0 for the next interval. */
     private static void scheduleShiftedDemand(FleetModel model, SplittableRandom random) {
         for (int n = 0; n < SHIFTED_DEMAND * CHECK_INTERVAL / SECOND; n++) {
-            model.schedule(model.now() + random.nextLong(CHECK_INTERVAL), () -> model.gateway(0).tryAcquire(0, 0));
+            model.schedule(
+                    model.now() + random.nextLong(CHECK_INTERVAL),
+                    () -> model.gateway(0).tryAcquire(0, 0));
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaExperiment.java
@@ -22,10 +22,20 @@
     /** Returns the replication settings of the runs with random faults. */
     public static ReplicationSettings replicationSettings(int replicationFactor) {
         return new ReplicationSettings(
-                replicationFactor, true, 20 * SECOND, 60 * MS, 8 * SECOND, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
+                replicationFactor,
+                true,
+                20 * SECOND,
+                60 * MS,
+                8 * SECOND,
+                true,
+                Set.of("put"),
+                100 * MS,
+                400_000,
+                50 * MS);
     }
 
-    private static void scheduleRandomFaults(ReplicaModel model, SplittableRandom random, int gateways, long from, long to) {
+    private static void scheduleRandomFaults(
+            ReplicaModel model, SplittableRandom random, int gateways, long from, long to) {
         for (int f = 0; f < 8; f++) {
             long faultStart = from + random.nextLong(to - from);
             long faultEnd = faultStart + random.nextLong(to - faultStart) + 1;
@@ -55,7 +65,9 @@
                 default -> { // a rolling restart: each gateway is back before the next one is killed
                     for (int i = 0; i < gateways; i++) {
                         int index = i;
-                        model.schedule(faultStart + i * 400 * MS, () -> model.gateway(index).kill());
+                        model.schedule(
+                                faultStart + i * 400 * MS,
+                                () -> model.gateway(index).kill());
                         model.schedule(faultStart + i * 400 * MS + 350 * MS, () -> startIfDead(model, index));
                     }
                 }
@@ -82,7 +94,8 @@
      * submitted up to four times, each time at a random gateway.
      */
     public static ReplicaModel runWithRandomFaults(int gateways, long seed) {
-        ReplicaModel model = new ReplicaModel(new Settings(gateways, replicationSettings(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
+        ReplicaModel model = new ReplicaModel(
+                new Settings(gateways, replicationSettings(3), 0.05, 0.05, 0.05, 10 * MS, 200_000), seed);
         SplittableRandom random = new SplittableRandom(~seed);
         scheduleRandomFaults(model, random, gateways, 2 * SECOND, 20 * SECOND);
         for (long time = SECOND; time < 24 * SECOND; time += 5 * MS) {
@@ -91,7 +104,10 @@
             model.schedule(time, () -> model.write(random.nextInt(gateways), session));
             model.schedule(time + MS, () -> model.read(random.nextInt(gateways), "s" + random.nextInt(SESSIONS)));
             boolean executes = random.nextInt(3) > 0;
-            model.schedule(time, () -> model.submit(random.nextInt(gateways), id, true, random.nextLong(300 * MS), executes, status -> {}));
+            model.schedule(
+                    time,
+                    () -> model.submit(
+                            random.nextInt(gateways), id, true, random.nextLong(300 * MS), executes, status -> {}));
             for (int resubmission = 1; resubmission < 4; resubmission++) {
                 model.schedule(
                         time + resubmission * random.nextLong(1, SECOND),
@@ -111,13 +127,21 @@
      * @param bytesSent sent by all gateways in that time
      * @param idleBytesPerSecond bytes per second that a gateway sends when nothing is written
      */
-    public record CatchUpResult(int gateways, int entries, int missedEntries, long afterMs, long bytesSent, double idleBytesPerSecond) {
+    public record CatchUpResult(
+            int gateways, int entries, int missedEntries, long afterMs, long bytesSent, double idleBytesPerSecond) {
         /** Header line of the CSV file. */
         public static final String CSV_HEADER = "gateways,facts,differ,after_ms,bytes_of_all,bytes_a_second_idle";
 
         public String csvRow() {
             return String.format(
-                    Locale.ROOT, "%d,%d,%d,%d,%d,%.0f", gateways, entries, missedEntries, afterMs, bytesSent, idleBytesPerSecond);
+                    Locale.ROOT,
+                    "%d,%d,%d,%d,%d,%.0f",
+                    gateways,
+                    entries,
+                    missedEntries,
+                    afterMs,
+                    bytesSent,
+                    idleBytesPerSecond);
         }
     }
 
@@ -129,10 +153,12 @@
      * @param missedEntries entries that are written during the partition
      * @param bytesPerSecond largest rate at which a gateway sends
      */
-    public static CatchUpResult measureCatchUp(int gateways, int entries, int missedEntries, double bytesPerSecond, long seed) {
+    public static CatchUpResult measureCatchUp(
+            int gateways, int entries, int missedEntries, double bytesPerSecond, long seed) {
         ReplicationSettings replication = new ReplicationSettings(
                 3, true, 600 * SECOND, 60 * MS, 0, true, Set.of("put"), 100 * MS, 400_000, 50 * MS);
-        ReplicaModel model = new ReplicaModel(new Settings(gateways, replication, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
+        ReplicaModel model =
+                new ReplicaModel(new Settings(gateways, replication, 0.05, 0, 0, 2 * MS, bytesPerSecond), seed);
         model.runUntil(3 * SECOND);
         fill(model, "s", entries, gateways);
         runUntilEqual(model);
@@ -151,7 +177,13 @@
         });
         long bytesBefore = bytesSent(model);
         long elapsed = runUntilEqual(model);
-        return new CatchUpResult(gateways, model.gateway(0).replicas().size(), missedEntries, elapsed / MS, bytesSent(model) - bytesBefore, idleRate);
+        return new CatchUpResult(
+                gateways,
+                model.gateway(0).replicas().size(),
+                missedEntries,
+                elapsed / MS,
+                bytesSent(model) - bytesBefore,
+                idleRate);
     }
 
     private static void fill(ReplicaModel model, String sessionPrefix, int entries, int writerCount) {
@@ -175,6 +207,8 @@
     }
 
     private static long bytesSent(ReplicaModel model) {
-        return model.gateways().stream().mapToLong(ReplicaModel.Gateway::bytesSent).sum();
+        return model.gateways().stream()
+                .mapToLong(ReplicaModel.Gateway::bytesSent)
+                .sum();
     }
 }
--- a/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
+++ b/tools/src/main/java/ploverdale/tools/lab/ReplicaModel.java
@@ -331,7 +331,8 @@
      * @param executes whether the server executes the write
      * @param onStatus receives the ordinal of the {@link Status} with which the claim ended
      */
-    public void submit(int gateway, String id, boolean firstSubmission, long duration, boolean executes, LongConsumer onStatus) {
+    public void submit(
+            int gateway, String id, boolean firstSubmission, long duration, boolean executes, LongConsumer onStatus) {
         Gateway g = gateways.get(gateway);
         if (!g.isRunning()) {
             return;
--- a/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
+++ b/tools/src/main/java/ploverdale/tools/lab/SimulatedNetwork.java
@@ -36,7 +36,8 @@
      * @param duplication share of datagrams that are duplicated
      * @param maxDelay longest delay of a datagram
      */
-    SimulatedNetwork(int gateways, double loss, double duplication, long maxDelay, RandomGenerator random, Receiver receiver) {
+    SimulatedNetwork(
+            int gateways, double loss, double duplication, long maxDelay, RandomGenerator random, Receiver receiver) {
         this.loss = loss;
         this.duplication = duplication;
         this.maxDelay = maxDelay;
--- a/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
+++ b/tools/src/main/java/ploverdale/tools/scale/CapacityTable.java
@@ -44,7 +44,8 @@
                 throw new IllegalArgumentException("not a row of \"scale router\": " + row);
             }
             String condition = cells[CONDITION_COLUMN].replace('_', ' ') + ", " + cells[READS_COLUMN] + " reads/s";
-            pointsByCondition.computeIfAbsent(condition, x -> new ArrayList<>())
+            pointsByCondition
+                    .computeIfAbsent(condition, x -> new ArrayList<>())
                     .add(new Point(Double.parseDouble(cells[SERVERS_COLUMN]), Double.parseDouble(cells[CPU_COLUMN])));
         }
         List<String> lines = new ArrayList<>(List.of(
--- a/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
+++ b/tools/src/main/java/ploverdale/tools/scale/GrowthCurve.java
@@ -51,7 +51,8 @@
      */
     public static GrowthCurve fit(List<Point> points) {
         if (points.size() < MIN_POINTS) {
-            throw new IllegalArgumentException("a fit needs at least " + MIN_POINTS + " sizes, but got " + points.size());
+            throw new IllegalArgumentException(
+                    "a fit needs at least " + MIN_POINTS + " sizes, but got " + points.size());
         }
         GrowthCurve best = constant(points);
         for (GrowthShape shape : GrowthShape.values()) {
@@ -66,7 +67,8 @@
     private static GrowthCurve constant(List<Point> points) {
         // By least squares of the relative errors, the constant is the sum of 1/y divided by the sum of 1/y^2.
         double sumOfInverses = points.stream().mapToDouble(p -> 1 / p.cost).sum();
-        double sumOfInverseSquares = points.stream().mapToDouble(p -> 1 / (p.cost * p.cost)).sum();
+        double sumOfInverseSquares =
+                points.stream().mapToDouble(p -> 1 / (p.cost * p.cost)).sum();
         return new GrowthCurve(GrowthShape.CONSTANT, sumOfInverses / sumOfInverseSquares, 0, 0).withResidual(points);
     }
 
--- a/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
+++ b/tools/src/main/java/ploverdale/tools/scale/RouterLoad.java
@@ -272,7 +272,14 @@
         schedule(
                 now + responseTime,
                 new Event.AttemptEnded(
-                        attempt.request(), attemptIndex, attempt.server(), Outcome.SUCCEEDED, responseTime, true, loadReport, null));
+                        attempt.request(),
+                        attemptIndex,
+                        attempt.server(),
+                        Outcome.SUCCEEDED,
+                        responseTime,
+                        true,
+                        loadReport,
+                        null));
     }
 
     private boolean isResponsive(ServerId server) {
--- a/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ExplorerTest.java
@@ -14,7 +14,9 @@
 
     @Test
     void singleFaultsAndSampledPairsNeitherExceedTheLimitNorLoseUnits() {
-        Result result = new Explorer(BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime()).explore(1999);
+        Result result = new Explorer(
+                        BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime())
+                .explore(1999);
         assertThat(result.firstViolation()).isNull();
         assertThat(result.runs()).isGreaterThan(3000);
     }
@@ -29,7 +31,11 @@
 
     @Test
     void findsAViolationIfARestartedGatewayReusesItsEpoch() {
-        assertThat(new Explorer(BoundedQuotaModel.leaseDurations(CLOCK_DRIFT), CLOCK_DRIFT, BoundedQuotaModel.holdTime(), true)
+        assertThat(new Explorer(
+                                BoundedQuotaModel.leaseDurations(CLOCK_DRIFT),
+                                CLOCK_DRIFT,
+                                BoundedQuotaModel.holdTime(),
+                                true)
                         .explore(499)
                         .firstViolation())
                 .isNotNull();
--- a/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/FleetModelTest.java
@@ -49,7 +49,8 @@
      *
      * @return the number of units acquired of each limit, updated while the simulation runs
      */
-    private static int[] scheduleAcquisitions(FleetModel model, SplittableRandom random, int gateway, double perSecond, long from, long to) {
+    private static int[] scheduleAcquisitions(
+            FleetModel model, SplittableRandom random, int gateway, double perSecond, long from, long to) {
         int[] acquired = new int[2];
         for (long t = from; t < to; t += 1 + (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond)) {
             int limit = random.nextInt(2);
@@ -59,7 +60,8 @@
         return acquired;
     }
 
-    private static void scheduleRandomFaults(FleetModel model, SplittableRandom random, int gateways, long from, long to) {
+    private static void scheduleRandomFaults(
+            FleetModel model, SplittableRandom random, int gateways, long from, long to) {
         for (int f = 0; f < 6; f++) {
             long faultStart = from + random.nextLong(to - from);
             long faultEnd = faultStart + random.nextLong(to - faultStart) + 1;
@@ -89,7 +91,10 @@
                             () -> IntStream.range(0, gateways * gateways)
                                     .filter(i -> (i / gateways < gateways / 2) != (i % gateways < gateways / 2))
                                     .forEach(i -> model.setBlocked(i / gateways, i % gateways, true)));
-                    model.schedule(faultEnd, () -> IntStream.range(0, gateways * gateways).forEach(i -> model.setBlocked(i / gateways, i % gateways, false)));
+                    model.schedule(
+                            faultEnd,
+                            () -> IntStream.range(0, gateways * gateways)
+                                    .forEach(i -> model.setBlocked(i / gateways, i % gateways, false)));
                 }
                 case 4 -> {
                     model.schedule(faultStart, () -> model.setLoss(0.9));
@@ -118,7 +123,9 @@
         }
         scheduleRandomFaults(model, random, gateways, 6 * SECOND, 22 * SECOND);
         model.runUntil(30 * SECOND);
-        peakConsumption = Math.max(peakConsumption, Math.min(model.consumption(0).peakShare(), model.consumption(1).peakShare()));
+        peakConsumption = Math.max(
+                peakConsumption,
+                Math.min(model.consumption(0).peakShare(), model.consumption(1).peakShare()));
         return model.violations();
     }
 
@@ -130,19 +137,23 @@
                     .as("seed %d, %d gateways", seed, gateways)
                     .isEmpty();
         }
-        assertThat(peakConsumption).as("highest consumption as a share of the capacity").isBetween(0.75, 1.0);
+        assertThat(peakConsumption)
+                .as("highest consumption as a share of the capacity")
+                .isBetween(0.75, 1.0);
     }
 
     /** Has one gateway borrow nearly all units and cuts it off, while all others try to acquire the units it lost. */
     private static List<String> violationsAfterIsolatingTheBorrower(LeaseDurations leaseDurations) {
         List<String> violations = new ArrayList<>();
         for (long seed = 1; seed <= 30; seed++) {
-            FleetModel model = started(new Settings(allocation(4), leaseDurations, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
+            FleetModel model =
+                    started(new Settings(allocation(4), leaseDurations, 0.25, 0.05, 0.05, 30 * MS, 4000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
             for (long t = 10 * SECOND; t < 24 * SECOND; t += MS) {
                 for (int i = t < 16 * SECOND ? 3 : 0; i < 4; i++) {
                     int gateway = i;
-                    model.schedule(t + random.nextInt(10), () -> model.gateway(gateway).tryAcquire(1, MAX_HOLD_TIME));
+                    model.schedule(
+                            t + random.nextInt(10), () -> model.gateway(gateway).tryAcquire(1, MAX_HOLD_TIME));
                 }
             }
             model.schedule(
@@ -174,7 +185,9 @@
         int[] acquired = scheduleAcquisitions(model, random, 0, 160, 6 * SECOND, 16 * SECOND);
         model.runUntil(16 * SECOND);
         assertThat(model.violations()).isEmpty();
-        assertThat(acquired[0]).as("acquired in 10 s with an entitlement of 6 of 60 per second").isGreaterThan(250);
+        assertThat(acquired[0])
+                .as("acquired in 10 s with an entitlement of 6 of 60 per second")
+                .isGreaterThan(250);
         assertThat(model.gateway(0).heldUnits(0)).isGreaterThan(24);
         model.runUntil(24 * SECOND);
         assertThat(model.gateway(0).heldUnits(0))
@@ -192,9 +205,13 @@
         model.gateway(0).kill();
         assertThat(model.heldUnits(0)).isEqualTo(48);
         model.runUntil(7 * SECOND);
-        assertThat(model.heldUnits(0)).as("units of the dead gateway stay reserved, as it may only be partitioned").isEqualTo(48);
+        assertThat(model.heldUnits(0))
+                .as("units of the dead gateway stay reserved, as it may only be partitioned")
+                .isEqualTo(48);
         model.runUntil(18 * SECOND);
-        assertThat(model.heldUnits(0)).as("all units but those that are guaranteed to the dead gateway").isEqualTo(54);
+        assertThat(model.heldUnits(0))
+                .as("all units but those that are guaranteed to the dead gateway")
+                .isEqualTo(54);
         model.gateway(0).start(0);
         model.runUntil(30 * SECOND);
         assertThat(model.heldUnits(0)).isEqualTo(60);
@@ -242,8 +259,8 @@
                 .count();
         assertThat(detections).isGreaterThan(295);
         model.runUntil(60 * SECOND);
-        for (int i = 0; i < 300; i++) {
-            int member = i;
+        for (int number = 0; number < 300; number++) {
+            int member = number;
             long falseDetections = model.gateways().stream()
                     .filter(i -> i.isAlive() && i.membership().state(member) == MemberState.DEAD)
                     .count();
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -27,7 +27,8 @@
                         + " -> (claims.containsKey(claim) || isFree())"
             })
     void removedSafeguardIsDetected(String file, String safeguard, String replacement) throws Exception {
-        try (MutationCheck mutated = MutationCheck.of(Launch.found(List.of()), "replication/" + file, safeguard, replacement)) {
+        try (MutationCheck mutated =
+                MutationCheck.of(Launch.found(List.of()), "replication/" + file, safeguard, replacement)) {
             Process p = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaModelTest.java
@@ -10,8 +10,8 @@
 import ploverdale.replication.QuorumResult.Status;
 import ploverdale.replication.Replicas;
 import ploverdale.replication.ReplicationSettings;
-import ploverdale.tools.lab.ReplicaModel.Settings;
 import ploverdale.tools.lab.ReplicaExperiment.CatchUpResult;
+import ploverdale.tools.lab.ReplicaModel.Settings;
 
 /** Runs simulated gateways with replication through random faults, and checks what clients rely on. */
 class ReplicaModelTest {
@@ -20,7 +20,15 @@
 
     private static ReplicaModel model(int gateways, int replicationFactor, double loss, long seed) {
         return new ReplicaModel(
-                new Settings(gateways, ReplicaExperiment.replicationSettings(replicationFactor), 0.05, loss, 0.05, 10 * MS, 200_000), seed);
+                new Settings(
+                        gateways,
+                        ReplicaExperiment.replicationSettings(replicationFactor),
+                        0.05,
+                        loss,
+                        0.05,
+                        10 * MS,
+                        200_000),
+                seed);
     }
 
     @Test
@@ -30,12 +38,16 @@
         for (long seed = 1; seed <= 24; seed++) {
             int gateways = 2 + (int) (seed % 6);
             ReplicaModel model = ReplicaExperiment.runWithRandomFaults(gateways, seed);
-            assertThat(model.violations()).as("seed %d, %d gateways", seed, gateways).isEmpty();
+            assertThat(model.violations())
+                    .as("seed %d, %d gateways", seed, gateways)
+                    .isEmpty();
             ackedWrites += model.counts()[0];
             readsWithPosition += model.counts()[1];
         }
         assertThat(ackedWrites).as("acknowledged writes").isGreaterThan(24 * 2000);
-        assertThat(readsWithPosition).as("reads whose session position was known").isGreaterThan(24 * 2000);
+        assertThat(readsWithPosition)
+                .as("reads whose session position was known")
+                .isGreaterThan(24 * 2000);
     }
 
     @Test
@@ -65,7 +77,9 @@
         model.read(4, "s");
         model.runUntil(4 * SECOND);
         assertThat(model.violations()).isEmpty();
-        assertThat(model.counts()[1]).as("reads whose session position was known").isEqualTo(1);
+        assertThat(model.counts()[1])
+                .as("reads whose session position was known")
+                .isEqualTo(1);
     }
 
     @Test
@@ -116,14 +130,17 @@
     @Test
     void firstSubmissionDelayedByAPauseIsInDoubtIfTheReplicaStartedSince() {
         long[] wallTime = {17_000_000_000_000L};
-        Replicas replicas = new Replicas(0, 1, 1, ReplicaExperiment.replicationSettings(1), new SplittableRandom(1), () -> wallTime[0]);
+        Replicas replicas = new Replicas(
+                0, 1, 1, ReplicaExperiment.replicationSettings(1), new SplittableRandom(1), () -> wallTime[0]);
         PacketQueue outbox = new PacketQueue(1000, 0);
         // The client may have submitted the write elsewhere since, and the replicas of its outcome may be lost.
         long arrived = wallTime[0] - SECOND;
         wallTime[0] += SECOND;
         replicas.claimWrite(0, Replicas.key(false, "w"), true, arrived, outbox);
         replicas.claimWrite(0, Replicas.key(false, "v"), true, wallTime[0], outbox);
-        assertThat(replicas.takeResults()).extracting(result -> result.status()).containsExactly(Status.IN_DOUBT, Status.GRANTED);
+        assertThat(replicas.takeResults())
+                .extracting(result -> result.status())
+                .containsExactly(Status.IN_DOUBT, Status.GRANTED);
     }
 
     @Test
@@ -137,8 +154,8 @@
 
     @Test
     void twoHundredThousandSessionsUseLessThan30MiB() {
-        Replicas replicas =
-                new Replicas(0, 1, 1, ReplicaExperiment.replicationSettings(1), new SplittableRandom(1), () -> 17_000_000_000_000L);
+        Replicas replicas = new Replicas(
+                0, 1, 1, ReplicaExperiment.replicationSettings(1), new SplittableRandom(1), () -> 17_000_000_000_000L);
         PacketQueue outbox = new PacketQueue(1000, 0);
         System.gc();
         long before = usedHeap();
@@ -158,7 +175,8 @@
 
     @Test
     void readOfAnEvictedSessionGetsAPositionThatCoversEvictedEntries() {
-        ReplicationSettings settings = new ReplicationSettings(1, true, 600 * SECOND, MS, 0, false, Set.of(), MS, 100, 0);
+        ReplicationSettings settings =
+                new ReplicationSettings(1, true, 600 * SECOND, MS, 0, false, Set.of(), MS, 100, 0);
         long[] wallTime = {17_000_000_000_000L};
         Replicas replicas = new Replicas(0, 1, 1, settings, new SplittableRandom(1), () -> wallTime[0]);
         PacketQueue outbox = new PacketQueue(1000, 0);
--- a/tools/src/test/java/ploverdale/tools/scale/GrowthCurveTest.java
+++ b/tools/src/test/java/ploverdale/tools/scale/GrowthCurveTest.java
@@ -37,7 +37,8 @@
 
     @Test
     void noiseAroundAConstantIsNotTakenForGrowth() {
-        assertThat(GrowthCurve.fit(points(GrowthShape.CONSTANT, 10, 0, 0.1)).shape()).isEqualTo(GrowthShape.CONSTANT);
+        assertThat(GrowthCurve.fit(points(GrowthShape.CONSTANT, 10, 0, 0.1)).shape())
+                .isEqualTo(GrowthShape.CONSTANT);
     }
 
     @Test
@@ -49,7 +50,8 @@
 
     @Test
     void fewerThanFivePointsAreRejected() {
-        assertThatThrownBy(() -> GrowthCurve.fit(points(GrowthShape.LINEAR, 1, 1, 0).subList(0, 4)))
+        assertThatThrownBy(() ->
+                        GrowthCurve.fit(points(GrowthShape.LINEAR, 1, 1, 0).subList(0, 4)))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
