--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -130,7 +130,9 @@
                 .map(Integer::valueOf)
                 .toList();
         Condition condition = zoneLost ? Condition.ZONE_LOST : Condition.SERVING;
-        return RouterScale.run(condition, reads, serverCounts, seed, out == null ? null : Path.of(out), System.out) ? 0 : 1;
+        return RouterScale.run(condition, reads, serverCounts, seed, out == null ? null : Path.of(out), System.out)
+                ? 0
+                : 1;
     }
 
     private int lab() throws IOException {
@@ -160,8 +162,8 @@
             }
             case "explore" -> {
                 Explorer.Seen seen = new Explorer(SmallWorld.leaseDurations(0.1), 0.1, SmallWorld.use()).explore(every);
-                System.out.println(
-                        seen.worlds() + " fault combinations, " + (seen.firstBad() == null ? "no rule broken" : seen.firstBad()));
+                System.out.println(seen.worlds() + " fault combinations, "
+                        + (seen.firstBad() == null ? "no rule broken" : seen.firstBad()));
                 return seen.firstBad() == null ? 0 : 1;
             }
             case "replicas" -> {
@@ -169,12 +171,14 @@
                 for (long modelSeed = seed; modelSeed < seed + seeds; modelSeed++) {
                     ReplicaModel model = ReplicaTrial.day(2 + (int) (modelSeed % 6), modelSeed);
                     broken += model.broken().size();
-                    System.out.println("seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
-                            + " reads with a known position, "
-                            + model.counts()[2] + " with an unknown one, " + model.broken().size() + " promises broken"
-                            + (model.broken().isEmpty()
-                                    ? ""
-                                    : ", first " + model.broken().get(0)));
+                    System.out.println(
+                            "seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
+                                    + " reads with a known position, "
+                                    + model.counts()[2] + " with an unknown one, "
+                                    + model.broken().size() + " promises broken"
+                                    + (model.broken().isEmpty()
+                                            ? ""
+                                            : ", first " + model.broken().get(0)));
                 }
                 return broken == 0 ? 0 : 1;
             }
@@ -183,7 +187,11 @@
                 for (String size : sizes.split(",")) {
                     for (int differing : new int[] {10, 1000, facts}) {
                         rows.add(ReplicaTrial.catchesUp(
-                                        Integer.parseInt(size.strip()), facts, differing, CATCH_UP_BYTES_PER_SECOND, seed)
+                                        Integer.parseInt(size.strip()),
+                                        facts,
+                                        differing,
+                                        CATCH_UP_BYTES_PER_SECOND,
+                                        seed)
                                 .row());
                         System.out.println(rows.get(rows.size() - 1));
                     }
--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgents.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgents.java
@@ -24,8 +24,7 @@
         this.vertx = vertx;
         this.cluster = cluster;
         this.ledger = ledger;
-        cluster.onListChange(
-                () -> agents.values().forEach(own -> own.values().forEach(DiscoveryAgent::listChanged)));
+        cluster.onListChange(() -> agents.values().forEach(own -> own.values().forEach(DiscoveryAgent::listChanged)));
     }
 
     /** Opens the agents of a gateway, to whom the servers' addresses are known. */
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -35,7 +35,8 @@
     }
 
     /** The same without clients that roam. */
-    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.RequestListener traffic) {
+    public Workload(
+            Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.RequestListener traffic) {
         this(launch, requestsPerSecond, settlesMs, traffic, null);
     }
 
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -85,7 +85,8 @@
                 add(sums, 4, unlimited);
             }
             // Prevents a pass because hardly anything was sent. A quarter suffices: a loaded machine serves less.
-            boolean servesEnough = 4 * (limited.readsAcked() + limited.writesAcked()) > unlimited.readsAcked() + unlimited.writesAcked();
+            boolean servesEnough = 4 * (limited.readsAcked() + limited.writesAcked())
+                    > unlimited.readsAcked() + unlimited.writesAcked();
             boolean holds = counter.firstAboveLimit == null && limited.broken().isEmpty() && servesEnough;
             return new Check(
                     "seed " + schedule.seed() + ", " + schedule.steps().size() + " steps: never more than " + LIMIT
@@ -93,8 +94,9 @@
                     "at most " + counter.highest + " in flight; " + limited.figures()
                             + (holds
                                     ? ""
-                                    : ", first above the limit: " + counter.firstAboveLimit + ", broken: " + limited.broken() + "\n"
-                                            + schedule.text() + "log:\n" + String.join("\n", limited.log())),
+                                    : ", first above the limit: " + counter.firstAboveLimit + ", broken: "
+                                            + limited.broken() + "\n" + schedule.text() + "log:\n"
+                                            + String.join("\n", limited.log())),
                     holds);
         }));
         checks.add(new Check("service with shared limits", figures(sums, 0), true));
--- a/tools/src/main/java/ploverdale/tools/rig/Faults.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Faults.java
@@ -44,7 +44,8 @@
         if (result.broken().isEmpty()) {
             return new Check(name, result.figures(), true);
         }
-        FaultSchedule shortest = new ScheduleShrinker(candidate -> breaksRule(candidate, workload), SHRINK_ATTEMPTS).of(schedule);
+        FaultSchedule shortest =
+                new ScheduleShrinker(candidate -> breaksRule(candidate, workload), SHRINK_ATTEMPTS).of(schedule);
         List<String> log = result.log();
         return new Check(
                 name,
--- a/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
+++ b/tools/src/main/java/ploverdale/tools/rig/GatewayUnderTest.java
@@ -31,11 +31,14 @@
     Future<GatewayUnderTest> start() {
         long startedNs = System.nanoTime();
         Log discardedLog = new Log(new PrintStream(OutputStream.nullOutputStream()));
-        return Gateway.builder(vertx, discardedLog, file).withoutWarmUp().start().map(gateway -> {
-            port = gateway.port();
-            readyAfterMs = (System.nanoTime() - startedNs) / 1_000_000;
-            return this;
-        });
+        return Gateway.builder(vertx, discardedLog, file)
+                .withoutWarmUp()
+                .start()
+                .map(gateway -> {
+                    port = gateway.port();
+                    readyAfterMs = (System.nanoTime() - startedNs) / 1_000_000;
+                    return this;
+                });
     }
 
     /** Returns the milliseconds from the start until it accepted clients. */
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -77,7 +77,8 @@
                         lateness.getValueAtPercentile(50) / 1000.0,
                         lateness.getValueAtPercentile(99) / 1000.0,
                         lateness.getMaxValue() / 1000.0);
-        String name = "seed " + result.day().seed() + ", " + result.day().steps().size() / 2 + " pauses: no rule broken";
+        String name =
+                "seed " + result.day().seed() + ", " + result.day().steps().size() / 2 + " pauses: no rule broken";
         if (result.broken().isEmpty()) {
             return new Check(name, figures, true);
         }
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -54,7 +54,8 @@
      */
     static Path writeFleetFile(boolean waits) throws IOException {
         return Files.writeString(
-                Files.createTempFile("fleet", ".json"), REPLICATION + (waits ? ",\"wait_for_copies\":[\"put\"]}" : "}"));
+                Files.createTempFile("fleet", ".json"),
+                REPLICATION + (waits ? ",\"wait_for_copies\":[\"put\"]}" : "}"));
     }
 
     /**
@@ -96,7 +97,8 @@
             for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
                 FaultSchedule schedule = schedule(seed);
                 runs.add(pool.submit(() -> new FleetResult[] {
-                    Fleet.play(schedule, workload(withReplication, schedule, BEHAVIOR)), Fleet.play(schedule, workload(withoutReplication, schedule, BEHAVIOR))
+                    Fleet.play(schedule, workload(withReplication, schedule, BEHAVIOR)),
+                    Fleet.play(schedule, workload(withoutReplication, schedule, BEHAVIOR))
                 }));
             }
             int sessions = 0;
@@ -114,10 +116,11 @@
             pool.shutdown();
             checks.add(new Check(
                     "without replication, the same schedules break rules",
-                    sessions + " sessions, " + resubmissions + " writes submitted again; rules broken " + brokenWith + " times with replication and "
-                            + brokenWithout + " without",
+                    sessions + " sessions, " + resubmissions + " writes submitted again; rules broken " + brokenWith
+                            + " times with replication and " + brokenWithout + " without",
                     brokenWithout > 0));
-            checks.add(latencies(withReplication, Launch.found(List.of("--fleet", withoutWaitFile.toString())), withoutReplication));
+            checks.add(latencies(
+                    withReplication, Launch.found(List.of("--fleet", withoutWaitFile.toString())), withoutReplication));
             Files.delete(withWaitFile);
             Files.delete(withoutWaitFile);
         } catch (IOException e) {
@@ -138,14 +141,15 @@
         boolean holds = replicated.broken().isEmpty() && 2 * succeeded > succeededWithout;
         return new Check(
                 "seed " + replicated.day().seed() + ", " + replicated.day().gateways() + " gateways, "
-                        + replicated.day().steps().size() + " steps: no rule broken, at least half as many successes as without",
+                        + replicated.day().steps().size()
+                        + " steps: no rule broken, at least half as many successes as without",
                 replicated.roamers().sessions() + " sessions, " + succeeded + " of "
                         + replicated.roamers().requests() + " requests succeeded, " + succeededWithout + " without, "
                         + replicated.roamers().resubmissions() + " submitted again"
                         + (holds
                                 ? ""
-                                : ", broken: " + replicated.broken() + "\n" + replicated.day().text() + "log:\n"
-                                        + String.join("\n", replicated.log())),
+                                : ", broken: " + replicated.broken() + "\n"
+                                        + replicated.day().text() + "log:\n" + String.join("\n", replicated.log())),
                 holds);
     }
 
--- a/tools/src/main/java/ploverdale/tools/rig/Tier.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Tier.java
@@ -48,8 +48,8 @@
     private final SplittableRandom random;
     private final List<GossipProtocol> protocols = new ArrayList<>();
     private final List<Map<ServerId, ServerObservation>> observations = new ArrayList<>();
-    private final PriorityQueue<InTransit> network =
-            new PriorityQueue<>(java.util.Comparator.comparingLong(InTransit::arrivesAt).thenComparingLong(InTransit::order));
+    private final PriorityQueue<InTransit> network = new PriorityQueue<>(
+            java.util.Comparator.comparingLong(InTransit::arrivesAt).thenComparingLong(InTransit::order));
     private final List<ServerId> servers = new ArrayList<>();
     private int serversNamed;
     private long datagrams;
@@ -112,7 +112,12 @@
         for (int i = 0; i < GATEWAYS; i++) {
             Map<ServerId, ServerObservation> own = new HashMap<>();
             GossipProtocol protocol = new GossipProtocol(
-                    i, GATEWAYS, REQUESTS_PER_SECOND, STALENESS_BOUND, random.split(), id -> own.getOrDefault(id, ServerObservation.NONE));
+                    i,
+                    GATEWAYS,
+                    REQUESTS_PER_SECOND,
+                    STALENESS_BOUND,
+                    random.split(),
+                    id -> own.getOrDefault(id, ServerObservation.NONE));
             servers.forEach(protocol::addServer);
             protocol.start(START);
             protocols.add(protocol);
@@ -138,7 +143,8 @@
         startupBytes = elapsed == 2000 * MS ? bytes : startupBytes;
         if (unresponsive != null && reachedAfterMs < 0) {
             long reached = observations.stream()
-                    .filter(m -> m.getOrDefault(unresponsive, ServerObservation.NONE).isUnresponsive())
+                    .filter(m ->
+                            m.getOrDefault(unresponsive, ServerObservation.NONE).isUnresponsive())
                     .count();
             reachedAfterMs = reached >= GATEWAYS * REACHED_SHARE ? (elapsed - UNRESPONSIVE_AT) / MS : -1;
         }
@@ -166,9 +172,11 @@
         while (!network.isEmpty() && network.peek().arrivesAt() <= now) {
             InTransit arrived = network.poll();
             int to = arrived.packet().peer();
-            GossipProtocol.ReceivedGossip gossip =
-                    protocols.get(to).onDatagram(now, arrived.from(), arrived.packet().bytes());
-            gossip.observations().forEach((id, observation) -> observations.get(to).merge(id, observation, ServerObservation::join));
+            GossipProtocol.ReceivedGossip gossip = protocols
+                    .get(to)
+                    .onDatagram(now, arrived.from(), arrived.packet().bytes());
+            gossip.observations()
+                    .forEach((id, observation) -> observations.get(to).merge(id, observation, ServerObservation::join));
             order = send(now, to, gossip.replies(), order);
         }
     }
@@ -178,7 +186,13 @@
             for (ServerId id : servers) {
                 if (!id.equals(unresponsive)) {
                     positionsChecked++;
-                    freshPositions += now - gatewayObservations.getOrDefault(id, ServerObservation.NONE).position() <= STALENESS_BOUND ? 1 : 0;
+                    freshPositions += now
+                                            - gatewayObservations
+                                                    .getOrDefault(id, ServerObservation.NONE)
+                                                    .position()
+                                    <= STALENESS_BOUND
+                            ? 1
+                            : 0;
                 }
             }
         }
@@ -217,7 +231,8 @@
         ServerId id = servers.get(random.nextInt(servers.size()));
         if (!id.equals(unresponsive)) {
             Role role = servers.indexOf(id) % 4 == 0 ? Role.PRIMARY : Role.REPLICA;
-            observations.get(gateway)
+            observations
+                    .get(gateway)
                     .merge(
                             id,
                             new ServerObservation(
@@ -253,7 +268,8 @@
             bytes += packet.bytes().length;
             longestBytes = Math.max(longestBytes, packet.bytes().length);
             if (random.nextDouble() >= LOSS) {
-                network.add(new InTransit(now + MIN_LATENCY + random.nextInt(LATENCY_SPREAD_MS) * MS, order++, from, packet));
+                network.add(new InTransit(
+                        now + MIN_LATENCY + random.nextInt(LATENCY_SPREAD_MS) * MS, order++, from, packet));
             }
         }
         return order;
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -73,7 +73,6 @@
     /** How much smaller the share of succeeded reads may be with all gossip lost than without gossip. */
     private static final double MAX_SHARE_LOSS = 0.1;
 
-
     private WarmStart() {}
 
     /** Runs each seed with each kind of gossip, at most {@code atATime} runs concurrently. */
@@ -108,7 +107,8 @@
         for (Gossip gossip : Gossip.values()) {
             checks.addAll(checks(gossip, outcomes.get(gossip)));
         }
-        double difference = successShare(outcomes.get(Gossip.LOSS_100), false) - successShare(outcomes.get(Gossip.OFF), false);
+        double difference =
+                successShare(outcomes.get(Gossip.LOSS_100), false) - successShare(outcomes.get(Gossip.OFF), false);
         checks.add(new Check(
                 "all gossip lost is not worse than no gossip",
                 String.format(Locale.ROOT, "share of succeeded reads %+.3f", difference),
@@ -126,8 +126,10 @@
                 outcomes.stream().mapToInt(Outcome::requests).sum() + " requests, broken " + broken.size()
                         + (broken.isEmpty() ? "" : ", first " + broken.get(0)),
                 broken.isEmpty()));
-        int toFormerPrimary = outcomes.stream().mapToInt(Outcome::writesToFormerPrimary).sum();
-        checks.add(new Check(gossip + ": no write to the former primary", toFormerPrimary + " writes", toFormerPrimary == 0));
+        int toFormerPrimary =
+                outcomes.stream().mapToInt(Outcome::writesToFormerPrimary).sum();
+        checks.add(new Check(
+                gossip + ": no write to the former primary", toFormerPrimary + " writes", toFormerPrimary == 0));
         Histogram reads = new Histogram(60_000_000, 3);
         Histogram writes = new Histogram(60_000_000, 3);
         outcomes.forEach(outcome -> {
@@ -147,7 +149,10 @@
                         requests(outcomes, false),
                         reads.getMean() / 1000,
                         reads.getValueAtPercentile(99) / 1000.0,
-                        outcomes.stream().mapToLong(Outcome::readyAfterMs).average().orElse(0),
+                        outcomes.stream()
+                                .mapToLong(Outcome::readyAfterMs)
+                                .average()
+                                .orElse(0),
                         outcomes.stream().mapToInt(Outcome::datagrams).sum()),
                 true));
         return checks;
@@ -205,7 +210,18 @@
             joinsAfterMs = 50 + random.nextInt(1600);
             returnsAfterMs = detectMs + electMs + 200 + random.nextInt(400);
             Plan plan = new Plan(
-                    5 * MS, detectMs * MS, electMs * MS, 300 * MS, 4, 8 * MS, 0.3, 6000 * MS, 2.5, 1000 * MS, 5000 * MS, 4);
+                    5 * MS,
+                    detectMs * MS,
+                    electMs * MS,
+                    300 * MS,
+                    4,
+                    8 * MS,
+                    0.3,
+                    6000 * MS,
+                    2.5,
+                    1000 * MS,
+                    5000 * MS,
+                    4);
             model = new GroupModel(
                     plan,
                     random.split(),
@@ -237,7 +253,10 @@
                     })
                     .compose(x -> startGateway(1))
                     .compose(x -> {
-                        clients.get(1).start(REQUESTS_PER_SECOND, WINDOW_MS - gateways.get(1).readyAfterMs());
+                        clients.get(1)
+                                .start(
+                                        REQUESTS_PER_SECOND,
+                                        WINDOW_MS - gateways.get(1).readyAfterMs());
                         return vertx.timer(1300, TimeUnit.MILLISECONDS);
                     })
                     .compose(x -> {
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -162,7 +162,8 @@
         for (Tally t : request.tallies) {
             t.requests += retry ? 0 : 1;
         }
-        ClientConnection connection = poolSize == 0 ? idle.pollLast() : openConnections < poolSize ? null : idle.pollFirst();
+        ClientConnection connection =
+                poolSize == 0 ? idle.pollLast() : openConnections < poolSize ? null : idle.pollFirst();
         if (connection != null) {
             connection.write(request);
         } else {
@@ -186,7 +187,8 @@
             this.id = id;
             this.retry = retry;
             boolean initial = createdNs - startedNs < initialPeriodMs * 1_000_000;
-            tallies = initial ? new Tally[] {tally(write, true), tally(write, false)} : new Tally[] {tally(write, false)};
+            tallies =
+                    initial ? new Tally[] {tally(write, true), tally(write, false)} : new Tally[] {tally(write, false)};
         }
 
         private long timeoutMs() {
@@ -194,8 +196,8 @@
         }
 
         private Buffer queryMessage() {
-            String comment = " /* id=" + id + ",c=" + (write ? "put" : "view") + ",t=all,d=" + timeoutMs() + ",cluster=0"
-                    + (retry ? ",r=1" : "") + " */";
+            String comment = " /* id=" + id + ",c=" + (write ? "put" : "view") + ",t=all,d=" + timeoutMs()
+                    + ",cluster=0" + (retry ? ",r=1" : "") + " */";
             return MessageWriter.query((write
                             ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x00') RETURNING val"
                             : "SELECT val FROM state WHERE uid = '" + key + "'")
@@ -262,7 +264,13 @@
             long timeout = next.timeoutMs() * 10; // ticks
             next.writtenNs = System.nanoTime();
             long now = Clock.system().now();
-            ledger.taken(next.id, new Ledger.Kind(next.write, false, next.write ? 0 : stalenessBound), next.key, gateway, now, now + timeout);
+            ledger.taken(
+                    next.id,
+                    new Ledger.Kind(next.write, false, next.write ? 0 : stalenessBound),
+                    next.key,
+                    gateway,
+                    now,
+                    now + timeout);
             socket.write(next.queryMessage());
             vertx.setTimer(timeout / 10 + ABANDON_AFTER_TIMEOUT_MS, x -> {
                 if (request == next) {
@@ -289,7 +297,8 @@
                 } else if (m instanceof ServerMessage.CommandComplete) {
                     answer = Answer.ACKED;
                 } else if (m instanceof ServerMessage.ErrorResponse error) {
-                    answer = error.code().equals("53300") || error.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                    answer =
+                            error.code().equals("53300") || error.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
                 }
             }
         }
--- a/tools/src/main/java/ploverdale/tools/stand/GatewayConfiguration.java
+++ b/tools/src/main/java/ploverdale/tools/stand/GatewayConfiguration.java
@@ -38,7 +38,16 @@
             String initialList,
             long seed,
             long stalenessBoundMs) {
-        this(index, listenAddress, peers, gossip, discoveryPort, initialList, seed, stalenessBoundMs, DEFAULT_DESCRIPTORS);
+        this(
+                index,
+                listenAddress,
+                peers,
+                gossip,
+                discoveryPort,
+                initialList,
+                seed,
+                stalenessBoundMs,
+                DEFAULT_DESCRIPTORS);
     }
 
     /** Returns the text of the configuration file. */
--- a/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
+++ b/tools/src/main/java/ploverdale/tools/stand/LossyLink.java
@@ -38,6 +38,7 @@
 
     /** The port of each gateway on its own host address, which nothing else binds in the meantime. */
     private final int[] ports;
+
     private final String[] hosts;
     private int datagrams;
     private int lost;
--- a/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
@@ -52,7 +52,8 @@
     private boolean stopped;
 
     /** @param ports where the gateways accept clients on 127.0.0.1, by number */
-    public ReconnectingClients(Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Behavior behavior) {
+    public ReconnectingClients(
+            Vertx vertx, Ledger ledger, RandomGenerator random, List<Integer> ports, Behavior behavior) {
         this.vertx = vertx;
         this.ledger = ledger;
         this.random = random;
@@ -63,16 +64,19 @@
 
     /** Starts to send requests, until {@link #stop}. */
     public void start() {
-        vertx.setTimer(Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / behavior.requestsPerSecond())), x -> {
-            if (!stopped) {
-                int session = random.nextInt(behavior.sessions());
-                if (busySessions.add(session)) {
-                    usedSessions.add(session);
-                    new Submission(session, random.nextDouble() < WRITE_SHARE, "roam-" + nextNumber++, 0).connect();
-                }
-                start();
-            }
-        });
+        vertx.setTimer(
+                Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / behavior.requestsPerSecond())),
+                x -> {
+                    if (!stopped) {
+                        int session = random.nextInt(behavior.sessions());
+                        if (busySessions.add(session)) {
+                            usedSessions.add(session);
+                            new Submission(session, random.nextDouble() < WRITE_SHARE, "roam-" + nextNumber++, 0)
+                                    .connect();
+                        }
+                        start();
+                    }
+                });
     }
 
     public void stop() {
@@ -147,7 +151,9 @@
                             answer = Answer.ACKED;
                         } else if (m instanceof ServerMessage.ErrorResponse error) {
                             answer =
-                                    error.code().equals("53300") || error.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                                    error.code().equals("53300") || error.code().equals("57P03")
+                                            ? Answer.BUSY
+                                            : Answer.ERRORED;
                         }
                     }
                 });
@@ -165,7 +171,12 @@
             requests++;
             if (earlierSubmissions == 0) {
                 ledger.taken(
-                        id, new Ledger.Kind(write, false, 0), id, Integer.toString(gateway), now, now + TIMEOUT_MS * 10L);
+                        id,
+                        new Ledger.Kind(write, false, 0),
+                        id,
+                        Integer.toString(gateway),
+                        now,
+                        now + TIMEOUT_MS * 10L);
                 ledger.session(id, "s" + session);
             } else {
                 resubmissions++;
@@ -193,10 +204,16 @@
             if (result == Answer.ACKED) {
                 (write ? writes : reads).recordValue(Math.min(60_000_000, (System.nanoTime() - createdNs) / 1000));
             }
-            boolean resubmit =
-                    write && behavior.resubmitsWrites() && sent && result != Answer.ACKED && earlierSubmissions < MAX_RESUBMISSIONS && !stopped;
+            boolean resubmit = write
+                    && behavior.resubmitsWrites()
+                    && sent
+                    && result != Answer.ACKED
+                    && earlierSubmissions < MAX_RESUBMISSIONS
+                    && !stopped;
             if (resubmit) {
-                vertx.setTimer(1 + random.nextInt(60), x -> new Submission(session, true, id, earlierSubmissions + 1).connect());
+                vertx.setTimer(
+                        1 + random.nextInt(60),
+                        x -> new Submission(session, true, id, earlierSubmissions + 1).connect());
             } else {
                 busySessions.remove(session);
             }
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -25,7 +25,8 @@
     private static final String LEASE_SETTINGS = ",\"loan_ms\":600,\"steward_ms\":900,\"floor_share\":0.1}";
 
     private static Path writeFleetFile(int limit) throws IOException {
-        return Files.writeString(Files.createTempFile("fleet", ".json"), "{\"sends_at_server\":" + limit + LEASE_SETTINGS);
+        return Files.writeString(
+                Files.createTempFile("fleet", ".json"), "{\"sends_at_server\":" + limit + LEASE_SETTINGS);
     }
 
     private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText) throws Exception {
@@ -37,8 +38,11 @@
         }
     }
 
-    private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText, Launch launch) throws Exception {
-        return Fleet.play(FaultSchedule.read(scheduleText), new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, counter));
+    private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText, Launch launch)
+            throws Exception {
+        return Fleet.play(
+                FaultSchedule.read(scheduleText),
+                new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, counter));
     }
 
     /** Returns steps that set the link conditions between these gateways and all others, in both directions. */
@@ -58,7 +62,9 @@
 
     private static void assertLimitHolds(BudgetsRig.InFlightCounter counter, FleetResult result) {
         assertThat(result.broken()).as(() -> String.join("\n", result.log())).isEmpty();
-        assertThat(counter.firstAboveLimit()).as(() -> String.join("\n", result.log())).isNull();
+        assertThat(counter.firstAboveLimit())
+                .as(() -> String.join("\n", result.log()))
+                .isNull();
         assertThat(counter.highest()).as("attempts were sent").isPositive();
     }
 
@@ -67,8 +73,8 @@
         BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
         FleetResult result = play(
                 counter,
-                "day seed=21 gateways=4 lasts=9000\n" + linkSteps(500, "loss:1", 0, 1) + linkSteps(5500, "loss:0.9", 0, 1)
-                        + linkSteps(7500, "usual", 0, 1));
+                "day seed=21 gateways=4 lasts=9000\n" + linkSteps(500, "loss:1", 0, 1)
+                        + linkSteps(5500, "loss:0.9", 0, 1) + linkSteps(7500, "usual", 0, 1));
         assertLimitHolds(counter, result);
         assertThat(result.log())
                 .as("neither half has a majority of the acceptors")
@@ -109,7 +115,9 @@
                     "day seed=24 gateways=4 lasts=4000\n",
                     Launch.found(List.of("--fleet", fullFile.toString())).with("n3", List.of()));
             assertThat(mixed.broken()).as(() -> String.join("\n", mixed.log())).isEmpty();
-            assertThat(mixed.log()).as("a gateway without shared limits ignores the quota messages").noneMatch(l -> l.contains("fault"));
+            assertThat(mixed.log())
+                    .as("a gateway without shared limits ignores the quota messages")
+                    .noneMatch(l -> l.contains("fault"));
         } finally {
             Files.delete(fullFile);
             Files.delete(halfFile);
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -50,8 +50,12 @@
     private static FleetResult playWithReplication(String scheduleText) throws Exception {
         FleetResult result = play(scheduleText, List.of("--fleet", fleetFile.toString()));
         assertThat(result.broken()).as(() -> String.join("\n", result.log())).isEmpty();
-        assertThat(result.roamers().reads().getTotalCount()).as("succeeded reads").isGreaterThan(100);
-        assertThat(result.roamers().writes().getTotalCount()).as("succeeded writes").isGreaterThan(50);
+        assertThat(result.roamers().reads().getTotalCount())
+                .as("succeeded reads")
+                .isGreaterThan(100);
+        assertThat(result.roamers().writes().getTotalCount())
+                .as("succeeded writes")
+                .isGreaterThan(50);
         return result;
     }
 
--- a/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
@@ -34,8 +34,7 @@
      * Checks that the schedule breaks the draining rule with the mutation of the source file, and no rule without it.
      */
     private static void assertBrokenOnlyByMutation(
-            String scheduleText, String file, String original, String replacement)
-            throws Exception {
+            String scheduleText, String file, String original, String replacement) throws Exception {
         Launch launch = Launch.found(List.of());
         assertThat(play(launch, scheduleText)).isEmpty();
         try (MutationCheck mutation = MutationCheck.of(launch, file, original, replacement)) {
