--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -130,7 +130,9 @@
                 .map(Integer::valueOf)
                 .toList();
         Condition condition = zoneLost ? Condition.ZONE_LOST : Condition.SERVING;
-        return RouterScale.run(condition, reads, serverCounts, seed, out == null ? null : Path.of(out), System.out) ? 0 : 1;
+        return RouterScale.run(condition, reads, serverCounts, seed, out == null ? null : Path.of(out), System.out)
+                ? 0
+                : 1;
     }
 
     private int lab() throws IOException {
@@ -160,8 +162,8 @@
             }
             case "explore" -> {
                 Explorer.Result result = new Explorer(BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime()).explore(every);
-                System.out.println(
-                        result.runs() + " fault combinations, " + (result.firstViolation() == null ? "no rule broken" : result.firstViolation()));
+                System.out.println(result.runs() + " fault combinations, "
+                        + (result.firstViolation() == null ? "no rule broken" : result.firstViolation()));
                 return result.firstViolation() == null ? 0 : 1;
             }
             case "replicas" -> {
@@ -169,12 +171,14 @@
                 for (long modelSeed = seed; modelSeed < seed + seeds; modelSeed++) {
                     ReplicaModel model = ReplicaExperiment.runWithRandomFaults(2 + (int) (modelSeed % 6), modelSeed);
                     violations += model.violations().size();
-                    System.out.println("seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
-                            + " reads with a known position, "
-                            + model.counts()[2] + " with an unknown one, " + model.violations().size() + " promises broken"
-                            + (model.violations().isEmpty()
-                                    ? ""
-                                    : ", first " + model.violations().get(0)));
+                    System.out.println(
+                            "seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
+                                    + " reads with a known position, "
+                                    + model.counts()[2] + " with an unknown one, "
+                                    + model.violations().size() + " promises broken"
+                                    + (model.violations().isEmpty()
+                                            ? ""
+                                            : ", first " + model.violations().get(0)));
                 }
                 return violations == 0 ? 0 : 1;
             }
@@ -183,7 +187,11 @@
                 for (String size : sizes.split(",")) {
                     for (int differing : new int[] {10, 1000, facts}) {
                         rows.add(ReplicaExperiment.measureCatchUp(
-                                        Integer.parseInt(size.strip()), facts, differing, CATCH_UP_BYTES_PER_SECOND, seed)
+                                        Integer.parseInt(size.strip()),
+                                        facts,
+                                        differing,
+                                        CATCH_UP_BYTES_PER_SECOND,
+                                        seed)
                                 .csvRow());
                         System.out.println(rows.get(rows.size() - 1));
                     }
