--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -19,8 +19,8 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Checks that no attempt begins more than {@link AttemptRecorder#GRACE_MS} after its client closed its connection or cancelled the request,
- * whatever the request is waiting for at that time.
+ * Checks that no attempt begins more than {@link AttemptRecorder#GRACE_MS} after its client closed its connection or
+ * cancelled the request, whatever the request is waiting for at that time.
  */
 @Timeout(120)
 class ClientDepartureTest {
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is read after the pause, in one
-     * turn of the loop.
+     * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is
+     * read after the pause, in one turn of the loop.
      */
     private static void pauseLoop(Net net, long pauseMs, Net.ThrowingRunnable meanwhile) throws Exception {
         CountDownLatch paused = new CountDownLatch(1);
@@ -178,7 +178,8 @@
         try {
             arrival.attempt().row(new byte[] {7});
         } catch (IOException e) {
-            assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*"); // expected: the attempt was cancelled
+            // Expected: the attempt was cancelled.
+            assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*");
         }
     }
 
@@ -208,7 +209,8 @@
     @EnumSource
     void aRequestWaitingForASlowConnectionIsNotWrittenOnceItsClientHasLeft(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // the router can't cancel the attempt
+            // The router can't cancel the attempt.
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             Server primary = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
@@ -278,7 +280,8 @@
     @EnumSource
     void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // so that the attempt stays in flight
+            // So that the attempt stays in flight.
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
@@ -308,7 +311,8 @@
                 }
                 Runnable leaveAll = () -> leaveAll(clients, departure);
                 leftAt[0] = System.nanoTime();
-                departures[0] = new Thread(leaveAll); // a cancel request blocks until the gateway, which is paused, closes its connection
+                // A cancel request blocks until the gateway, which is paused, closes its connection.
+                departures[0] = new Thread(leaveAll);
                 departures[0].start();
                 if (departure != Departure.CANCEL) {
                     departures[0].join();
@@ -349,7 +353,8 @@
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
-            // The first would be forwarded; the error of the second is logged in the same turn, and the gateway pauses there.
+            // The first would be forwarded; the error of the second is logged in the same turn, and the gateway pauses
+            // there.
             Buffer queries = MessageWriter.query(net.request("order"))
                     .appendBuffer(MessageWriter.query(net.request("no such type")));
             net.pauseWhileReading(() -> client.write(queries));
--- a/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks that a gateway does not eject servers when a pause of the gateway or of all servers explains the missing answers, and that it
- * still finds servers that really stop answering. The gateway runs as a process with the JVM options of deploy/gateway.args, with up to 240 fake
- * servers. CommonCauseTest of routing checks the same without sockets.
+ * Checks that a gateway does not eject servers when a pause of the gateway or of all servers explains the missing
+ * answers, and that it still finds servers that really stop answering. The gateway runs as a process with the JVM
+ * options of deploy/gateway.args, with up to 240 fake servers. CommonCauseTest of routing checks the same without
+ * sockets.
  */
 @Timeout(120)
 class CommonCauseOnSocketsTest {
@@ -106,7 +107,8 @@
         stopLoad = true;
         load.join();
         assertThat(ejections).isZero();
-        assertThat(recoveryMs).isLessThan(3000); // 0.1 to 1.3 s on a loaded machine; over 8 s if a common cause is not recognized
+        // 0.1 to 1.3 s on a loaded machine; over 8 s if a common cause is not recognized.
+        assertThat(recoveryMs).isLessThan(3000);
     }
 
     @Test
@@ -132,8 +134,8 @@
         System.out.println("of " + unresponsive.size() + " unresponsive servers, half were ejected after " + halfMs + " ms, all after " + allMs + " ms");
         stopLoad = true;
         load.join();
-        // Usually 1.0 and 2.6 s, also without the recognition of a common cause; more if the machine delays the gateway.
-        // CommonCauseTest checks these times to the millisecond.
+        // Usually 1.0 and 2.6 s, with or without the recognition of a common cause; more if the machine delays the
+        // gateway. CommonCauseTest checks these times to the millisecond.
         assertThat(halfMs).isLessThan(4000);
         assertThat(allMs).isLessThan(8000);
     }
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -161,7 +161,8 @@
                 net.gateway.reloadConfiguration(file);
             }
             Files.delete(file);
-            net.gateway.reloadConfiguration(file); // as when a deployment has removed the old file and not yet written the new one
+            // As when a deployment has removed the old file and not yet written the new one.
+            net.gateway.reloadConfiguration(file);
             net.gateway.reloadConfiguration(directory);
             assertThat(net.log()).doesNotContain("new configuration: ").contains("new configuration not taken");
             assertThat(elsewhere.calls).hasValue(0);
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Checks requests that cross the close of an idle connection: the client sends while the gateway closes. Whatever made the gateway close, it must
- * not forward a request that its client gets no answer to.
+ * Checks requests that cross the close of an idle connection: the client sends while the gateway closes. Whatever made
+ * the gateway close, it must not forward a request that its client gets no answer to.
  */
 @Timeout(120)
 class CrossingCloseTest {
--- a/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks that a gateway serves though its class data archive is truncated. The commands of {@code build} never leave a truncated archive under the
- * final name.
+ * Checks that a gateway serves though its class data archive is truncated. The commands of {@code build} never leave a
+ * truncated archive under the final name.
  */
 @Timeout(180)
 class CutClassArchiveTest {
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -15,8 +15,9 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Checks requests and connections that end while something else happens: an answer is on its way, the process is paused, descriptors run
- * out, the gateway shuts down, discovery is away. Each test holds one side back until that event. docs/endings.md lists the cases in order.
+ * Checks requests and connections that end while something else happens: an answer is on its way, the process is
+ * paused, descriptors run out, the gateway shuts down, discovery is away. Each test holds one side back until that
+ * event. docs/endings.md lists the cases in order.
  */
 @Timeout(120)
 class EndingsTest {
@@ -89,7 +90,8 @@
     void anAttemptWaitingForAConnectionIsNotWrittenOnceItsClientHasClosed() throws Exception {
         try (Net net = new Net("p")) {
             net.settings =
-                    configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // the router can't cancel attempts
+                    // The router can't cancel attempts.
+                    configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             Server primary = net.servers.get("p");
             Client other = net.client().ask(net.request("order"));
@@ -232,13 +234,15 @@
     @Test
     void anIncompleteMessageIsAnsweredWithAnErrorBeforeAGracefulShutdownEnds() throws Exception {
         try (Net net = new Net("p", "r1").readable()) {
-            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // the shutdown ends after 1.7 s
+            // The shutdown ends after 1.7 s.
+            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
             net.started();
             Client client = net.client();
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             net.logged("planned restart: 1 connections");
-            client.write(startOfQuery(200)); // an incomplete message would time out after 2.2 s, later than the shutdown ends
+            // An incomplete message would time out after 2.2 s, later than the shutdown ends.
+            client.write(startOfQuery(200));
             assertThat(client.answer()).as(net::log).isEqualTo("57P03 closed");
             assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Checks that SIGHUP does not terminate a gateway that is still starting, as when a restart and a new configuration coincide. */
+/**
+ * Checks that SIGHUP does not terminate a gateway that is still starting, as when a restart and a new configuration
+ * coincide.
+ */
 @Timeout(120)
 class HangUpDuringStartTest {
     @TempDir
@@ -24,7 +27,8 @@
         try (Net net = new Net("p", "r1").readable();
                 Registry elsewhere = new Registry(net.list(5, true, "p"))) {
             CountDownLatch healthChecks = new CountDownLatch(1);
-            net.servers.values().forEach(server -> server.holdsProbes = healthChecks); // the gateway serves once these health checks are answered
+            // The gateway serves once these health checks are answered.
+            net.servers.values().forEach(server -> server.holdsProbes = healthChecks);
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
--- a/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Checks that a gateway started by {@code run} of deploy/balancer.toml still reloads its configuration if its parent ignores SIGHUP, as nohup does, and
- * that it serves even if the signal cannot be reset.
+ * Checks that a gateway started by {@code run} of deploy/balancer.toml still reloads its configuration if its parent
+ * ignores SIGHUP, as nohup does, and that it serves even if the signal cannot be reset.
  */
 @Timeout(120)
 class HangUpIgnoredTest {
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks that each request is answered before a graceful shutdown ends though the database servers hang all the while. */
+/**
+ * Checks that each request is answered before a graceful shutdown ends though the database servers hang all the while.
+ */
 @Timeout(120)
 class HungServerShutdownTest {
     /** Time that the shutdown may take beyond the longest deadline; the process is killed after it. */
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Checks that the deadline that an attempt passes to its database server is at most the time that its client has left when the attempt arrives
- * there, with 0.15 s of slack. Each test delays the attempt for longer than that.
+ * Checks that the deadline that an attempt passes to its database server is at most the time that its client has left
+ * when the attempt arrives there, with 0.15 s of slack. Each test delays the attempt for longer than that.
  */
 @Timeout(120)
 class ServerDeadlineTest {
@@ -32,7 +32,10 @@
         }
     }
 
-    /** Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the slack. */
+    /**
+     * Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the
+     * slack.
+     */
     private static Got awaitQueryWithinDeadline(Net net, Server server, SentRequest sent) throws Exception {
         Got query = server.next();
         long leftMs = sent.leftMs();
@@ -136,9 +139,10 @@
     }
 
     /**
-     * Pauses the event loop between the decision to start an attempt and its write. A write request waits for its primary, which does not answer health
-     * checks. Once it answers one, the gateway logs the readmission and starts the attempt in the same turn of the loop; the pause begins at the log
-     * line. Returns the request once the pause has ended.
+     * Pauses the event loop between the decision to start an attempt and its write. A write request waits for its
+     * primary, which does not answer health checks. Once it answers one, the gateway logs the readmission and starts
+     * the attempt in the same turn of the loop; the pause begins at the log line. Returns the request once the pause
+     * has ended.
      */
     private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs) throws Exception {
         Server server = net.servers.get("p");
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -21,8 +21,8 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Checks that a gateway process that receives SIGTERM under load answers what it has read and exits by itself. All deadlines are 300 ms, and
- * SIGKILL follows 1.0 s after SIGTERM. Also checks SIGHUP while the process starts.
+ * Checks that a gateway process that receives SIGTERM under load answers what it has read and exits by itself. All
+ * deadlines are 300 ms, and SIGKILL follows 1.0 s after SIGTERM. Also checks SIGHUP while the process starts.
  */
 @Timeout(120)
 class ShutdownProcessTest {
@@ -43,7 +43,10 @@
         return Files.writeString(directory.resolve("gateway.json"), settings);
     }
 
-    /** Clients that keep sending requests, reconnect when their connection is closed, and stop when connecting is refused. */
+    /**
+     * Clients that keep sending requests, reconnect when their connection is closed, and stop when connecting is
+     * refused.
+     */
     private static final class Load {
         private final int port;
         private final Net net;
@@ -147,7 +150,8 @@
         Path file = directory.resolve("gateway.json");
         try (Net net = new Net("p");
                 Registry elsewhere = new Registry(net.list(5, true, "p"))) {
-            net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these health checks are answered
+            // The gateway does not serve before these health checks are answered.
+            net.servers.get("p").holdsProbes = new CountDownLatch(1);
             Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
                 gateway.line("warm-up took");
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.net.postgres.MessageWriter;
 
-/** Checks that clients that stop writing in the middle of a message and stay connected get an error or a close within 3 s. */
+/** Checks that clients that stall in the middle of a message get an error or a close within 3 s. */
 @Timeout(120)
 class StalledClientTest {
     private static final long ANSWER_WITHIN_MS = 3000;
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -32,8 +32,8 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Checks that failed system calls do no more harm than they must. A real gateway runs between fake servers, clients and discovery on loopback,
- * and its calls fail with the error numbers that Linux documents for them.
+ * Checks that a failed system call affects only the request or connection that needed it. A real gateway runs between
+ * fake servers, clients and discovery on loopback, and its calls fail with the error numbers that Linux documents.
  */
 @Timeout(120)
 class SystemCallFailuresTest {
@@ -83,7 +83,8 @@
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void aGatewayStartsThoughItsListenerTemporarilyCannotBeOpened(Errno errno) throws Exception {
-        Fault fault = systemCalls.fail(Call.LISTENER_SOCKET, errno, FEW_CALLS); // the first of them fails the warm-up run
+        // The first of them hits the warm-up run.
+        Fault fault = systemCalls.fail(Call.LISTENER_SOCKET, errno, FEW_CALLS);
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(FEW_CALLS);
@@ -188,7 +189,8 @@
             primary.writes = true;
             Client client = net.client();
             waitForNoConnection(net, primary);
-            boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION; // these two precede connect, so they can't be matched by address
+            // These two precede connect, so they can't be matched by address.
+            boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION;
             Fault fault = matchedByAddress ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS) : systemCalls.fail(call, errno, FEW_CALLS);
             assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed())
@@ -209,7 +211,8 @@
             }
             long began = System.nanoTime();
             int rejected = 0;
-            while (msSince(began) < 3500) { // longer than a server's last answer is valid, so that health checks are sent as well
+            // Longer than a server's last answer is valid, so that health checks are sent as well.
+            while (msSince(began) < 3500) {
                 rejected += client.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
@@ -455,7 +458,8 @@
                         .as(description)
                         .matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
                 if (!clientsToo) {
-                    assertThat(answered.getValue()).as(description).endsWith(" ready"); // only clients' faults can lose an answer
+                    // An answer can be lost only where faults hit clients too.
+                    assertThat(answered.getValue()).as(description).endsWith(" ready");
                 }
                 if (answered.getValue().equals(ROW_7)) {
                     assertThat(runs).as(description).isEqualTo(1);
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.net.postgres.MessageWriter;
 
-/** Checks that each request that the gateway has read is answered before the gateway closes its connection, also on a new connection. */
+/**
+ * Checks that each request that the gateway has read is answered before the gateway closes its connection, also on a
+ * new connection.
+ */
 @Timeout(120)
 class UnansweredCloseTest {
     private static final String SERVED = "row 07 ready";
@@ -26,7 +29,8 @@
     }
 
     /**
-     * Connects as many clients as are allowed. Each has a request waiting for a replica group without servers, so that no connection is idle and could be evicted.
+     * Connects as many clients as are allowed. Each has a request waiting for a replica group without servers, so that
+     * no connection is idle and could be evicted.
      */
     private static void occupyAllClientConnections(Net net) throws Exception {
         for (int i = 0; i < MAX_CLIENTS; i++) {
@@ -95,7 +99,8 @@
     @Test
     void anIncompleteRequestAfterOneInFlightIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // the shutdown ends after 1.7 s
+            // The shutdown ends after 1.7 s.
+            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
             net.started();
             Client client = net.client();
             Buffer order = order(net);
@@ -187,7 +192,8 @@
             }
             for (Client client : idle.subList(0, 3)) {
                 assertThat(client.readByte()).isEqualTo(-1);
-                client.ask(net.request("order")); // the gateway must assume that this was written before the close arrived
+                // The gateway must assume that this was written before the close arrived.
+                client.ask(net.request("order"));
                 assertThat(client.howItEnds()).as(net::log).isEqualTo("end");
             }
             Thread.sleep(600); // until the gateway has closed these connections
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -34,7 +34,10 @@
         }
     }
 
-    /** Retries until the gateway accepts connections, and returns a connected client. The log, which may not be written, can't tell when. */
+    /**
+     * Retries until the gateway accepts connections, and returns a connected client. The log, which may not be written,
+     * can't tell when.
+     */
     private static Client connect(int port, Process gateway) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
         while (true) {
