--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -28,6 +28,7 @@
     private static final int PIPELINE_SLOTS = 8;
     /** Time in which any late attempt would begin; several times the grace. */
     private static final long SETTLE_MS = 600;
+
     private static final int STATEMENT_BYTES = 9_000;
 
     /** How a client leaves. */
@@ -220,7 +221,8 @@
                 primary.holdsGreetings = new CountDownLatch(1);
                 primary.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .isNotNull();
                 long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
                 primary.holdsGreetings.countDown();
@@ -232,7 +234,8 @@
     /** Both events are read in one turn of the loop, first the one of the server's connection. */
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE", "TERMINATE"})
-    void aConnectionEstablishedDuringAPauseIsNotUsedForAClientThatLeftDuringThePause(Departure departure) throws Exception {
+    void aConnectionEstablishedDuringAPauseIsNotUsedForAClientThatLeftDuringThePause(Departure departure)
+            throws Exception {
         try (Net net = new Net("p").started()) {
             Server primary = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
@@ -242,7 +245,8 @@
                 primary.holdsGreetings = new CountDownLatch(1);
                 primary.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
                 pauseLoop(net, 180, () -> {
@@ -259,7 +263,8 @@
 
     @ParameterizedTest
     @EnumSource
-    void aRequestWaitingForItsPrimaryIsNotForwardedWhenThePrimaryAnswersAfterItsClientLeft(Departure departure) throws Exception {
+    void aRequestWaitingForItsPrimaryIsNotForwardedWhenThePrimaryAnswersAfterItsClientLeft(Departure departure)
+            throws Exception {
         try (Net net = new Net("p").started()) {
             Server primary = net.servers.get("p");
             primary.holdsProbes = new CountDownLatch(1);
@@ -349,7 +354,8 @@
     /** The loop pauses between reading the request and the turn that forwards it. */
     @ParameterizedTest
     @EnumSource
-    void noAttemptBeginsForAClientThatLeftBetweenReadingAndForwardingOfItsRequest(Departure departure) throws Exception {
+    void noAttemptBeginsForAClientThatLeftBetweenReadingAndForwardingOfItsRequest(Departure departure)
+            throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
--- a/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
@@ -95,7 +95,8 @@
         long resumed = System.nanoTime();
         Thread load = startLoad(line("listens at"));
         await(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size() && ejectedServers().isEmpty(),
+                () -> count(i -> servers.get(i).probed > 0) == servers.size()
+                        && ejectedServers().isEmpty(),
                 "all servers have answered and none is ejected");
         long recoveryMs = millisSince(resumed);
         Thread.sleep(1000); // time in which a wrong ejection would be logged
@@ -117,7 +118,8 @@
         start();
         Thread load = startLoad(line("listens at"));
         await(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size() && ejectedServers().isEmpty(),
+                () -> count(i -> servers.get(i).probed > 0) == servers.size()
+                        && ejectedServers().isEmpty(),
                 "all servers have answered and none is ejected");
         Set<String> unresponsive = new HashSet<>();
         for (int i = 0; i < MANY_SERVERS; i++) {
@@ -131,7 +133,8 @@
         long halfMs = millisSince(stopped);
         await(() -> countEjected(unresponsive) == unresponsive.size(), "all of them are ejected");
         long allMs = millisSince(stopped);
-        System.out.println("of " + unresponsive.size() + " unresponsive servers, half were ejected after " + halfMs + " ms, all after " + allMs + " ms");
+        System.out.println("of " + unresponsive.size() + " unresponsive servers, half were ejected after " + halfMs
+                + " ms, all after " + allMs + " ms");
         stopLoad = true;
         load.join();
         // Usually 1.0 and 2.6 s, with or without the recognition of a common cause; more if the machine delays the
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -21,6 +21,7 @@
 class ConfigurationReloadTest {
     /** Time after SIGHUP in which the endpoint list of the newly configured discovery takes effect. */
     private static final long IN_FORCE_WITHIN_MS = 4000;
+
     private static final int SOCKETS = 256;
     private static final int RELOADS = 24;
 
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -20,6 +20,7 @@
     private static final long KILLED_AFTER_MS = 700;
     /** Cap of the longest deadline in the duration of a shutdown. */
     private static final long MAX_COUNTED_DEADLINE_MS = 3000;
+
     private static final List<String> REQUEST_CLASSES = List.of("page", "quick", "order");
 
     /** When the servers stop answering, and whether new connections hang too. */
@@ -93,7 +94,8 @@
     @ValueSource(longs = {100, 400, 1000})
     void eachRequestIsAnsweredBeforeTheShutdownEndsWithShortDeadlines(long deadlineMs) throws Exception {
         try (Net net = new Net("p", "r1").readable()) {
-            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
+            net.settings = configuration -> configuration
+                    .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
                     .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -100,8 +100,8 @@
 
     private static void assertRetryArrivesInTime(Failure failure) throws Exception {
         try (Net net = new Net("p", "r1")) {
-            net.settings =
-                    configuration -> configuration.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
+            net.settings = configuration ->
+                    configuration.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
             net.started();
             SentRequest sent = SentRequest.send(net.client(), net, "quick", DEADLINE_MS);
             Got first = awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
@@ -144,10 +144,12 @@
      * the attempt in the same turn of the loop; the pause begins at the log line. Returns the request once the pause
      * has ended.
      */
-    private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs) throws Exception {
+    private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs)
+            throws Exception {
         Server server = net.servers.get("p");
         server.holdsProbes = new CountDownLatch(1);
-        net.settings = configuration -> configuration.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
+        net.settings = configuration -> configuration
+                .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
                 .replace("\"aimMs\":10000", "\"aimMs\":400");
         net.started(); // no server has answered a health check
         Client client = net.client();
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -129,8 +129,8 @@
             gateway.process.onExit().thenRun(exited::countDown);
             long sigtermNanos = System.nanoTime();
             gateway.process.destroy();
-            boolean exitedByItself =
-                    exited.await(KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - sigtermNanos), TimeUnit.NANOSECONDS);
+            boolean exitedByItself = exited.await(
+                    KILLED_AFTER_MS * 1_000_000 - (System.nanoTime() - sigtermNanos), TimeUnit.NANOSECONDS);
             gateway.process.destroyForcibly();
             load.join();
             System.out.println("shutdown with deadlines of " + DEADLINE_MS + " ms: "
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -98,8 +98,8 @@
     void anAddressInUseIsReportedAtOnce() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Net net = net("p")) {
-            net.settings = configuration ->
-                    configuration.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
+            net.settings = configuration -> configuration.replaceFirst(
+                    "\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long began = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
             assertThat(msSince(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
@@ -191,7 +191,9 @@
             waitForNoConnection(net, primary);
             // These two precede connect, so they can't be matched by address.
             boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION;
-            Fault fault = matchedByAddress ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS) : systemCalls.fail(call, errno, FEW_CALLS);
+            Fault fault = matchedByAddress
+                    ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS)
+                    : systemCalls.fail(call, errno, FEW_CALLS);
             assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed())
                     .isEqualTo(errno == Errno.EINTR ? 1 : FEW_CALLS); // the kernel completes an interrupted connect
@@ -394,8 +396,9 @@
         try (Net net = net("p", "r1").started()) {
             int port = net.registry.port();
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            Fault fault =
-                    call == Call.SOCKET ? systemCalls.fail(call, errno, UNLIMITED_CALLS) : systemCalls.fail(call, port, errno, UNLIMITED_CALLS);
+            Fault fault = call == Call.SOCKET
+                    ? systemCalls.fail(call, errno, UNLIMITED_CALLS)
+                    : systemCalls.fail(call, port, errno, UNLIMITED_CALLS);
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.closeConnections(); // so that the next call needs a new connection
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
@@ -414,8 +417,7 @@
 
     @ParameterizedTest
     @CsvSource({"1,true", "2,true", "3,false", "4,false"})
-    void underRandomFaultsEachRequestRunsAtMostOnceAndItsAnswerIsTrue(long seed, boolean clientsToo)
-            throws Exception {
+    void underRandomFaultsEachRequestRunsAtMostOnceAndItsAnswerIsTrue(long seed, boolean clientsToo) throws Exception {
         Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
         errnos.put(
                 Call.ACCEPT,
@@ -451,8 +453,8 @@
                 long runs = primary.ran.stream()
                         .filter(q -> q.contains(" id=" + answered.getKey() + ","))
                         .count();
-                String description =
-                        "seed " + seed + ", request " + answered.getKey() + " answered " + answered.getValue() + "\n" + net.log();
+                String description = "seed " + seed + ", request " + answered.getKey() + " answered "
+                        + answered.getValue() + "\n" + net.log();
                 assertThat(runs).as(description).isLessThanOrEqualTo(1);
                 assertThat(answered.getValue())
                         .as(description)
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -21,6 +21,7 @@
     private static final int FEW_DESCRIPTORS = 64;
     /** Number of client connections allowed with {@link #FEW_DESCRIPTORS}. */
     private static final int MAX_CLIENTS = 28;
+
     private static final Buffer UNKNOWN_MESSAGE =
             Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
