--- a/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Checks that a gateway does not eject servers when a pause of the gateway or of all servers explains the missing
- * answers, and that it still finds servers that really stop answering. The gateway runs as a process with the JVM
+ * answers, and that it still ejects servers that really stop answering. The gateway runs as a process with the JVM
  * options of deploy/gateway.args, with up to 240 fake servers. CommonCauseTest of routing checks the same without
  * sockets.
  */
@@ -164,7 +164,7 @@
     }
 
     private Thread startLoad(String listeningLine) {
-        Thread load = new Thread(() -> queries(listeningLine, TimeUnit.SECONDS.toMillis(2 * Net.PATIENCE_S)));
+        Thread load = new Thread(() -> sendQueries(listeningLine, TimeUnit.SECONDS.toMillis(2 * Net.PATIENCE_S)));
         load.start();
         return load;
     }
@@ -188,7 +188,7 @@
     }
 
     /** Sends queries to each replica group at a fixed rate, without waiting for answers. */
-    private void queries(String listeningLine, long durationMs) {
+    private void sendQueries(String listeningLine, long durationMs) {
         int port = Integer.parseInt(listeningLine.replaceAll(".*:(\\d+), .*", "$1"));
         List<Client> clients = new ArrayList<>();
         try {
@@ -220,12 +220,12 @@
         }
     }
 
-    private static String query(int i, int group) {
-        boolean write = i % 4 == 0;
+    private static String query(int sequence, int group) {
+        boolean write = sequence % 4 == 0;
         return (write
                         ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
                         : "SELECT val FROM state WHERE uid = 'k'")
-                + " /* id=" + Integer.toHexString(i * 1000 + group)
+                + " /* id=" + Integer.toHexString(sequence * 1000 + group)
                 + ",c=" + (write ? "order" : "quick") + ",t=north,d=900,cluster=" + group + " */";
     }
 
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -89,9 +89,8 @@
     @Test
     void anAttemptWaitingForAConnectionIsNotWrittenOnceItsClientHasClosed() throws Exception {
         try (Net net = new Net("p")) {
-            net.settings =
-                    // The router can't cancel attempts.
-                    configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
+            // The router can't cancel attempts.
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             Server primary = net.servers.get("p");
             Client other = net.client().ask(net.request("order"));
@@ -146,7 +145,7 @@
         }
     }
 
-    private static List<Client> clients(Net net, int count) throws IOException {
+    private static List<Client> connectClients(Net net, int count) throws IOException {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             clients.add(net.client());
@@ -158,7 +157,7 @@
     void requestsSentDuringAPauseAreAnsweredThoughIdleConnectionsAreToBeEvicted() throws Exception {
         try (Net net = new Net("p").started(512, 30_000)) {
             net.servers.get("p").writes = true;
-            List<Client> idle = clients(net, 80);
+            List<Client> idle = connectClients(net, 80);
             net.pauseBeforeTimers(() -> net.renew(256)); // too few for 80 clients, so idle connections are evicted
             for (Client client : idle) {
                 client.ask(net.request("order"));
@@ -176,7 +175,7 @@
     void requestsSentDuringAPauseAreAnsweredThoughAShutdownClosesIdleConnections() throws Exception {
         try (Net net = new Net("p").started()) {
             net.servers.get("p").writes = true;
-            List<Client> idle = clients(net, 20);
+            List<Client> idle = connectClients(net, 20);
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             net.logged("planned restart: 20 connections");
