--- a/gateway/src/test/java/ploverdale/ClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/ClassArchiveTest.java
@@ -52,8 +52,8 @@
         Files.write(deployed.classArchive(), complete);
     }
 
-    private ServingProcess startAndServe(String before, String after) throws Exception {
-        ServingProcess gateway = deployed.start(configuration, before, after);
+    private ServingProcess startAndServe(String commandPrefix, String commandSuffix) throws Exception {
+        ServingProcess gateway = deployed.start(configuration, commandPrefix, commandSuffix);
         try (Client client = new Client(gateway.port()).greeted()) {
             System.out.println("ready after " + gateway.ageMs() + " ms");
             for (int i = 0; i < 20; i++) {
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -24,18 +24,18 @@
     enum StallPoint {
         CONNECTED(Buffer.buffer()),
         PART_OF_A_LENGTH(Buffer.buffer().appendByte((byte) 0).appendByte((byte) 0)),
-        LENGTH_OF_A_STARTUP(Buffer.buffer().appendInt(40)),
-        HALF_A_STARTUP(firstHalf(MessageWriter.startup())),
+        LENGTH_OF_A_STARTUP_MESSAGE(Buffer.buffer().appendInt(40)),
+        HALF_A_STARTUP_MESSAGE(firstHalf(MessageWriter.startup())),
         SSL_REQUESTED(Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST)),
         HALF_AN_SSL_REQUEST(Buffer.buffer().appendInt(8).appendShort((short) 1234)),
-        SSL_REQUESTED_AND_HALF_A_STARTUP(
+        SSL_REQUESTED_AND_HALF_A_STARTUP_MESSAGE(
                 Buffer.buffer().appendInt(8).appendInt(SSL_REQUEST).appendBuffer(firstHalf(MessageWriter.startup()))),
         HALF_A_CANCEL_REQUEST(
                 Buffer.buffer().appendInt(16).appendInt(CANCEL_REQUEST).appendInt(1)),
         TYPE_OF_A_QUERY(MessageWriter.startup().appendByte((byte) 'Q')),
         PART_OF_A_QUERY_LENGTH(MessageWriter.startup().appendByte((byte) 'Q').appendShort((short) 0)),
         HALF_A_QUERY(MessageWriter.startup().appendBuffer(firstHalf(MessageWriter.query("SELECT 1")))),
-        HALF_A_QUERY_BEHIND_AN_EMPTY_ONE(MessageWriter.startup()
+        HALF_A_QUERY_AFTER_AN_EMPTY_ONE(MessageWriter.startup()
                 .appendBuffer(MessageWriter.query(""))
                 .appendBuffer(firstHalf(MessageWriter.query("SELECT 1"))));
 
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -38,7 +38,8 @@
 @Timeout(120)
 class SystemCallFailuresTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final List<Logger> LIBRARIES = List.of(Logger.getLogger("io.netty"), Logger.getLogger("io.vertx"));
+    private static final List<Logger> LIBRARY_LOGGERS =
+            List.of(Logger.getLogger("io.netty"), Logger.getLogger("io.vertx"));
     /** Number of calls that fail in a fault that lasts until the test ends it. */
     private static final int UNLIMITED_CALLS = Integer.MAX_VALUE;
     /** Number of calls that fail in a temporary fault. */
@@ -54,12 +55,12 @@
 
     @BeforeAll
     static void muteLibraryLogs() {
-        LIBRARIES.forEach(l -> l.setLevel(Level.OFF));
+        LIBRARY_LOGGERS.forEach(l -> l.setLevel(Level.OFF));
     }
 
     @AfterAll
     static void restoreLibraryLogs() {
-        LIBRARIES.forEach(l -> l.setLevel(null));
+        LIBRARY_LOGGERS.forEach(l -> l.setLevel(null));
     }
 
     private Net net(String... servers) throws IOException {
@@ -100,9 +101,9 @@
                 Net net = net("p")) {
             net.settings = configuration -> configuration.replaceFirst(
                     "\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
-            assertThat(msSince(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            assertThat(msSince(startNanos)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
             assertThat(net.log()).doesNotContain("cannot listen yet");
         }
     }
@@ -114,10 +115,10 @@
             net.servers.get("p").writes = true;
             Client other = net.client();
             Fault fault = systemCalls.fail(Call.ACCEPT, errno, FEW_CALLS);
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Client client = net.client();
             assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(msSince(began)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
+            assertThat(msSince(startNanos)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(FEW_CALLS);
             assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         }
@@ -130,9 +131,9 @@
             Client other = net.client();
             Fault fault = systemCalls.fail(Call.ACCEPT, Errno.EMFILE, UNLIMITED_CALLS);
             long callsBefore = systemCalls.calls(Call.ACCEPT);
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Client waiting = new Client(net.gateway.port());
-            while (msSince(began) < 500) {
+            while (msSince(startNanos) < 500) {
                 assertThat(other.ask(net.request("order")).answer())
                         .as(net::log)
                         .isEqualTo(ROW_7);
@@ -211,10 +212,10 @@
             for (Server server : net.servers.values()) {
                 waitForNoConnection(net, server);
             }
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             int rejected = 0;
             // Longer than a server's last answer is valid, so that health checks are sent as well.
-            while (msSince(began) < 3500) {
+            while (msSince(startNanos) < 3500) {
                 rejected += client.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
@@ -443,9 +444,9 @@
             }
             systemCalls.calm();
             Client after = net.client();
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             String last = "";
-            while (!last.equals(ROW_7) && msSince(began) < 5000) {
+            while (!last.equals(ROW_7) && msSince(startNanos) < 5000) {
                 last = after.ask(net.request("order")).answer();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
