--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -51,9 +51,11 @@
         }
     }
 
-    private Process start(Path configuration, Path workingDirectory, String commandPrefix, String commandSuffix, String... options)
+    private Process start(
+            Path configuration, Path workingDirectory, String commandPrefix, String commandSuffix, String... options)
             throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", commandPrefix + "exec \"$@\"" + commandSuffix, "sh"));
+        List<String> command =
+                new ArrayList<>(List.of("sh", "-c", commandPrefix + "exec \"$@\"" + commandSuffix, "sh"));
         command.addAll(ServingProcess.java());
         command.addAll(List.of(options));
         command.addAll(List.of("-cp", ServingProcess.classPath(), "ploverdale.Main", "serve", "--config"));
