--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -19,8 +19,8 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Checks that no attempt begins more than {@link AttemptRecorder#GRACE_MS} after its client closed its connection or cancelled the request,
- * whatever the request is waiting for at that time.
+ * Checks that no attempt begins more than {@link AttemptRecorder#GRACE_MS} after its client closed its connection or
+ * cancelled the request, whatever the request is waiting for at that time.
  */
 @Timeout(120)
 class ClientDepartureTest {
@@ -28,6 +28,7 @@
     private static final int PIPELINE_SLOTS = 8;
     /** Time in which any late attempt would begin; several times the grace. */
     private static final long SETTLE_MS = 600;
+
     private static final int STATEMENT_BYTES = 9_000;
 
     /** How a client leaves. */
@@ -121,8 +122,8 @@
     }
 
     /**
-     * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is read after the pause, in one
-     * turn of the loop.
+     * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is
+     * read after the pause, in one turn of the loop.
      */
     private static void pauseLoop(Net net, long pauseMs, Net.ThrowingRunnable meanwhile) throws Exception {
         CountDownLatch paused = new CountDownLatch(1);
@@ -178,7 +179,8 @@
         try {
             arrival.attempt().row(new byte[] {7});
         } catch (IOException e) {
-            assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*"); // expected: the attempt was cancelled
+            // Expected: the attempt was cancelled.
+            assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*");
         }
     }
 
@@ -208,7 +210,8 @@
     @EnumSource
     void aRequestWaitingForASlowConnectionIsNotWrittenOnceItsClientHasLeft(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // the router can't cancel the attempt
+            // The router can't cancel the attempt.
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             Server primary = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
@@ -218,7 +221,8 @@
                 primary.holdsGreetings = new CountDownLatch(1);
                 primary.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .isNotNull();
                 long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
                 primary.holdsGreetings.countDown();
@@ -230,7 +234,8 @@
     /** Both events are read in one turn of the loop, first the one of the server's connection. */
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE", "TERMINATE"})
-    void aConnectionEstablishedDuringAPauseIsNotUsedForAClientThatLeftDuringThePause(Departure departure) throws Exception {
+    void aConnectionEstablishedDuringAPauseIsNotUsedForAClientThatLeftDuringThePause(Departure departure)
+            throws Exception {
         try (Net net = new Net("p").started()) {
             Server primary = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
@@ -240,7 +245,8 @@
                 primary.holdsGreetings = new CountDownLatch(1);
                 primary.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                        .isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
                 pauseLoop(net, 180, () -> {
@@ -257,7 +263,8 @@
 
     @ParameterizedTest
     @EnumSource
-    void aRequestWaitingForItsPrimaryIsNotForwardedWhenThePrimaryAnswersAfterItsClientLeft(Departure departure) throws Exception {
+    void aRequestWaitingForItsPrimaryIsNotForwardedWhenThePrimaryAnswersAfterItsClientLeft(Departure departure)
+            throws Exception {
         try (Net net = new Net("p").started()) {
             Server primary = net.servers.get("p");
             primary.holdsProbes = new CountDownLatch(1);
@@ -278,7 +285,8 @@
     @EnumSource
     void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure departure) throws Exception {
         try (Net net = new Net("p")) {
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false"); // so that the attempt stays in flight
+            // So that the attempt stays in flight.
+            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
@@ -308,7 +316,8 @@
                 }
                 Runnable leaveAll = () -> leaveAll(clients, departure);
                 leftAt[0] = System.nanoTime();
-                departures[0] = new Thread(leaveAll); // a cancel request blocks until the gateway, which is paused, closes its connection
+                // A cancel request blocks until the gateway, which is paused, closes its connection.
+                departures[0] = new Thread(leaveAll);
                 departures[0].start();
                 if (departure != Departure.CANCEL) {
                     departures[0].join();
@@ -345,11 +354,13 @@
     /** The loop pauses between reading the request and the turn that forwards it. */
     @ParameterizedTest
     @EnumSource
-    void noAttemptBeginsForAClientThatLeftBetweenReadingAndForwardingOfItsRequest(Departure departure) throws Exception {
+    void noAttemptBeginsForAClientThatLeftBetweenReadingAndForwardingOfItsRequest(Departure departure)
+            throws Exception {
         try (Net net = new Net("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
-            // The first would be forwarded; the error of the second is logged in the same turn, and the gateway pauses there.
+            // The first would be forwarded; the error of the second is logged in the same turn, and the gateway pauses
+            // there.
             Buffer queries = MessageWriter.query(net.request("order"))
                     .appendBuffer(MessageWriter.query(net.request("no such type")));
             net.pauseWhileReading(() -> client.write(queries));
--- a/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks that a gateway does not eject servers when a pause of the gateway or of all servers explains the missing answers, and that it
- * still finds servers that really stop answering. The gateway runs as a process with the JVM options of deploy/gateway.args, with up to 240 fake
- * servers. CommonCauseTest of routing checks the same without sockets.
+ * Checks that a gateway does not eject servers when a pause of the gateway or of all servers explains the missing
+ * answers, and that it still ejects servers that really stop answering. The gateway runs as a process with the JVM
+ * options of deploy/gateway.args, with up to 240 fake servers. CommonCauseTest of routing checks the same without
+ * sockets.
  */
 @Timeout(120)
 class CommonCauseOnSocketsTest {
@@ -94,7 +95,8 @@
         long resumed = System.nanoTime();
         Thread load = startLoad(line("listens at"));
         await(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size() && ejectedServers().isEmpty(),
+                () -> count(i -> servers.get(i).probed > 0) == servers.size()
+                        && ejectedServers().isEmpty(),
                 "all servers have answered and none is ejected");
         long recoveryMs = millisSince(resumed);
         Thread.sleep(1000); // time in which a wrong ejection would be logged
@@ -106,7 +108,8 @@
         stopLoad = true;
         load.join();
         assertThat(ejections).isZero();
-        assertThat(recoveryMs).isLessThan(3000); // 0.1 to 1.3 s on a loaded machine; over 8 s if a common cause is not recognized
+        // 0.1 to 1.3 s on a loaded machine; over 8 s if a common cause is not recognized.
+        assertThat(recoveryMs).isLessThan(3000);
     }
 
     @Test
@@ -115,7 +118,8 @@
         start();
         Thread load = startLoad(line("listens at"));
         await(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size() && ejectedServers().isEmpty(),
+                () -> count(i -> servers.get(i).probed > 0) == servers.size()
+                        && ejectedServers().isEmpty(),
                 "all servers have answered and none is ejected");
         Set<String> unresponsive = new HashSet<>();
         for (int i = 0; i < MANY_SERVERS; i++) {
@@ -129,11 +133,12 @@
         long halfMs = millisSince(stopped);
         await(() -> countEjected(unresponsive) == unresponsive.size(), "all of them are ejected");
         long allMs = millisSince(stopped);
-        System.out.println("of " + unresponsive.size() + " unresponsive servers, half were ejected after " + halfMs + " ms, all after " + allMs + " ms");
+        System.out.println("of " + unresponsive.size() + " unresponsive servers, half were ejected after " + halfMs
+                + " ms, all after " + allMs + " ms");
         stopLoad = true;
         load.join();
-        // Usually 1.0 and 2.6 s, also without the recognition of a common cause; more if the machine delays the gateway.
-        // CommonCauseTest checks these times to the millisecond.
+        // Usually 1.0 and 2.6 s, with or without the recognition of a common cause; more if the machine delays the
+        // gateway. CommonCauseTest checks these times to the millisecond.
         assertThat(halfMs).isLessThan(4000);
         assertThat(allMs).isLessThan(8000);
     }
@@ -159,7 +164,7 @@
     }
 
     private Thread startLoad(String listeningLine) {
-        Thread load = new Thread(() -> queries(listeningLine, TimeUnit.SECONDS.toMillis(2 * Net.PATIENCE_S)));
+        Thread load = new Thread(() -> sendQueries(listeningLine, TimeUnit.SECONDS.toMillis(2 * Net.PATIENCE_S)));
         load.start();
         return load;
     }
@@ -183,7 +188,7 @@
     }
 
     /** Sends queries to each replica group at a fixed rate, without waiting for answers. */
-    private void queries(String listeningLine, long durationMs) {
+    private void sendQueries(String listeningLine, long durationMs) {
         int port = Integer.parseInt(listeningLine.replaceAll(".*:(\\d+), .*", "$1"));
         List<Client> clients = new ArrayList<>();
         try {
@@ -215,12 +220,12 @@
         }
     }
 
-    private static String query(int i, int group) {
-        boolean write = i % 4 == 0;
+    private static String query(int sequence, int group) {
+        boolean write = sequence % 4 == 0;
         return (write
                         ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
                         : "SELECT val FROM state WHERE uid = 'k'")
-                + " /* id=" + Integer.toHexString(i * 1000 + group)
+                + " /* id=" + Integer.toHexString(sequence * 1000 + group)
                 + ",c=" + (write ? "order" : "quick") + ",t=north,d=900,cluster=" + group + " */";
     }
 
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -21,6 +21,7 @@
 class ConfigurationReloadTest {
     /** Time after SIGHUP in which the endpoint list of the newly configured discovery takes effect. */
     private static final long IN_FORCE_WITHIN_MS = 4000;
+
     private static final int SOCKETS = 256;
     private static final int RELOADS = 24;
 
@@ -161,7 +162,8 @@
                 net.gateway.reloadConfiguration(file);
             }
             Files.delete(file);
-            net.gateway.reloadConfiguration(file); // as when a deployment has removed the old file and not yet written the new one
+            // As when a deployment has removed the old file and not yet written the new one.
+            net.gateway.reloadConfiguration(file);
             net.gateway.reloadConfiguration(directory);
             assertThat(net.log()).doesNotContain("new configuration: ").contains("new configuration not taken");
             assertThat(elsewhere.calls).hasValue(0);
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -11,13 +11,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks that each request is answered before a graceful shutdown ends though the database servers hang all the while. */
+/**
+ * Checks that each request is answered before a graceful shutdown ends though the database servers hang all the while.
+ */
 @Timeout(120)
 class HungServerShutdownTest {
     /** Time that the shutdown may take beyond the longest deadline; the process is killed after it. */
     private static final long KILLED_AFTER_MS = 700;
     /** Cap of the longest deadline in the duration of a shutdown. */
     private static final long MAX_COUNTED_DEADLINE_MS = 3000;
+
     private static final List<String> REQUEST_CLASSES = List.of("page", "quick", "order");
 
     /** When the servers stop answering, and whether new connections hang too. */
@@ -91,7 +94,8 @@
     @ValueSource(longs = {100, 400, 1000})
     void eachRequestIsAnsweredBeforeTheShutdownEndsWithShortDeadlines(long deadlineMs) throws Exception {
         try (Net net = new Net("p", "r1").readable()) {
-            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
+            net.settings = configuration -> configuration
+                    .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
                     .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Checks that the deadline that an attempt passes to its database server is at most the time that its client has left when the attempt arrives
- * there, with 0.15 s of slack. Each test delays the attempt for longer than that.
+ * Checks that the deadline that an attempt passes to its database server is at most the time that its client has left
+ * when the attempt arrives there, with 0.15 s of slack. Each test delays the attempt for longer than that.
  */
 @Timeout(120)
 class ServerDeadlineTest {
@@ -32,7 +32,10 @@
         }
     }
 
-    /** Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the slack. */
+    /**
+     * Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the
+     * slack.
+     */
     private static Got awaitQueryWithinDeadline(Net net, Server server, SentRequest sent) throws Exception {
         Got query = server.next();
         long leftMs = sent.leftMs();
@@ -97,8 +100,8 @@
 
     private static void assertRetryArrivesInTime(Failure failure) throws Exception {
         try (Net net = new Net("p", "r1")) {
-            net.settings =
-                    configuration -> configuration.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
+            net.settings = configuration ->
+                    configuration.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
             net.started();
             SentRequest sent = SentRequest.send(net.client(), net, "quick", DEADLINE_MS);
             Got first = awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
@@ -136,14 +139,17 @@
     }
 
     /**
-     * Pauses the event loop between the decision to start an attempt and its write. A write request waits for its primary, which does not answer health
-     * checks. Once it answers one, the gateway logs the readmission and starts the attempt in the same turn of the loop; the pause begins at the log
-     * line. Returns the request once the pause has ended.
+     * Pauses the event loop between the decision to start an attempt and its write. A write request waits for its
+     * primary, which does not answer health checks. Once it answers one, the gateway logs the readmission and starts
+     * the attempt in the same turn of the loop; the pause begins at the log line. Returns the request once the pause
+     * has ended.
      */
-    private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs) throws Exception {
+    private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs)
+            throws Exception {
         Server server = net.servers.get("p");
         server.holdsProbes = new CountDownLatch(1);
-        net.settings = configuration -> configuration.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
+        net.settings = configuration -> configuration
+                .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
                 .replace("\"aimMs\":10000", "\"aimMs\":400");
         net.started(); // no server has answered a health check
         Client client = net.client();
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -32,13 +32,14 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /**
- * Checks that failed system calls do no more harm than they must. A real gateway runs between fake servers, clients and discovery on loopback,
- * and its calls fail with the error numbers that Linux documents for them.
+ * Checks that a failed system call affects only the request or connection that needed it. A real gateway runs between
+ * fake servers, clients and discovery on loopback, and its calls fail with the error numbers that Linux documents.
  */
 @Timeout(120)
 class SystemCallFailuresTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final List<Logger> LIBRARIES = List.of(Logger.getLogger("io.netty"), Logger.getLogger("io.vertx"));
+    private static final List<Logger> LIBRARY_LOGGERS =
+            List.of(Logger.getLogger("io.netty"), Logger.getLogger("io.vertx"));
     /** Number of calls that fail in a fault that lasts until the test ends it. */
     private static final int UNLIMITED_CALLS = Integer.MAX_VALUE;
     /** Number of calls that fail in a temporary fault. */
@@ -54,12 +55,12 @@
 
     @BeforeAll
     static void muteLibraryLogs() {
-        LIBRARIES.forEach(l -> l.setLevel(Level.OFF));
+        LIBRARY_LOGGERS.forEach(l -> l.setLevel(Level.OFF));
     }
 
     @AfterAll
     static void restoreLibraryLogs() {
-        LIBRARIES.forEach(l -> l.setLevel(null));
+        LIBRARY_LOGGERS.forEach(l -> l.setLevel(null));
     }
 
     private Net net(String... servers) throws IOException {
@@ -83,7 +84,8 @@
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void aGatewayStartsThoughItsListenerTemporarilyCannotBeOpened(Errno errno) throws Exception {
-        Fault fault = systemCalls.fail(Call.LISTENER_SOCKET, errno, FEW_CALLS); // the first of them fails the warm-up run
+        // The first of them hits the warm-up run.
+        Fault fault = systemCalls.fail(Call.LISTENER_SOCKET, errno, FEW_CALLS);
         try (Net net = net("p").started()) {
             net.servers.get("p").writes = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(FEW_CALLS);
@@ -97,11 +99,11 @@
     void anAddressInUseIsReportedAtOnce() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Net net = net("p")) {
-            net.settings = configuration ->
-                    configuration.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
-            long began = System.nanoTime();
+            net.settings = configuration -> configuration.replaceFirst(
+                    "\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
+            long startNanos = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
-            assertThat(msSince(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            assertThat(msSince(startNanos)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
             assertThat(net.log()).doesNotContain("cannot listen yet");
         }
     }
@@ -113,10 +115,10 @@
             net.servers.get("p").writes = true;
             Client other = net.client();
             Fault fault = systemCalls.fail(Call.ACCEPT, errno, FEW_CALLS);
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Client client = net.client();
             assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(msSince(began)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
+            assertThat(msSince(startNanos)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(FEW_CALLS);
             assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         }
@@ -129,9 +131,9 @@
             Client other = net.client();
             Fault fault = systemCalls.fail(Call.ACCEPT, Errno.EMFILE, UNLIMITED_CALLS);
             long callsBefore = systemCalls.calls(Call.ACCEPT);
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Client waiting = new Client(net.gateway.port());
-            while (msSince(began) < 500) {
+            while (msSince(startNanos) < 500) {
                 assertThat(other.ask(net.request("order")).answer())
                         .as(net::log)
                         .isEqualTo(ROW_7);
@@ -188,8 +190,11 @@
             primary.writes = true;
             Client client = net.client();
             waitForNoConnection(net, primary);
-            boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION; // these two precede connect, so they can't be matched by address
-            Fault fault = matchedByAddress ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS) : systemCalls.fail(call, errno, FEW_CALLS);
+            // These two precede connect, so they can't be matched by address.
+            boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION;
+            Fault fault = matchedByAddress
+                    ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS)
+                    : systemCalls.fail(call, errno, FEW_CALLS);
             assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed())
                     .isEqualTo(errno == Errno.EINTR ? 1 : FEW_CALLS); // the kernel completes an interrupted connect
@@ -207,9 +212,10 @@
             for (Server server : net.servers.values()) {
                 waitForNoConnection(net, server);
             }
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             int rejected = 0;
-            while (msSince(began) < 3500) { // longer than a server's last answer is valid, so that health checks are sent as well
+            // Longer than a server's last answer is valid, so that health checks are sent as well.
+            while (msSince(startNanos) < 3500) {
                 rejected += client.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
@@ -391,8 +397,9 @@
         try (Net net = net("p", "r1").started()) {
             int port = net.registry.port();
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            Fault fault =
-                    call == Call.SOCKET ? systemCalls.fail(call, errno, UNLIMITED_CALLS) : systemCalls.fail(call, port, errno, UNLIMITED_CALLS);
+            Fault fault = call == Call.SOCKET
+                    ? systemCalls.fail(call, errno, UNLIMITED_CALLS)
+                    : systemCalls.fail(call, port, errno, UNLIMITED_CALLS);
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.closeConnections(); // so that the next call needs a new connection
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
@@ -411,8 +418,7 @@
 
     @ParameterizedTest
     @CsvSource({"1,true", "2,true", "3,false", "4,false"})
-    void underRandomFaultsEachRequestRunsAtMostOnceAndItsAnswerIsTrue(long seed, boolean clientsToo)
-            throws Exception {
+    void underRandomFaultsEachRequestRunsAtMostOnceAndItsAnswerIsTrue(long seed, boolean clientsToo) throws Exception {
         Map<Call, List<Errno>> errnos = new EnumMap<>(Call.class);
         errnos.put(
                 Call.ACCEPT,
@@ -438,9 +444,9 @@
             }
             systemCalls.calm();
             Client after = net.client();
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             String last = "";
-            while (!last.equals(ROW_7) && msSince(began) < 5000) {
+            while (!last.equals(ROW_7) && msSince(startNanos) < 5000) {
                 last = after.ask(net.request("order")).answer();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
@@ -448,14 +454,15 @@
                 long runs = primary.ran.stream()
                         .filter(q -> q.contains(" id=" + answered.getKey() + ","))
                         .count();
-                String description =
-                        "seed " + seed + ", request " + answered.getKey() + " answered " + answered.getValue() + "\n" + net.log();
+                String description = "seed " + seed + ", request " + answered.getKey() + " answered "
+                        + answered.getValue() + "\n" + net.log();
                 assertThat(runs).as(description).isLessThanOrEqualTo(1);
                 assertThat(answered.getValue())
                         .as(description)
                         .matches("row 07 ready|58000 ready|53300 (after \\d+ )?ready|(.* )?closed");
                 if (!clientsToo) {
-                    assertThat(answered.getValue()).as(description).endsWith(" ready"); // only clients' faults can lose an answer
+                    // An answer can be lost only where faults hit clients too.
+                    assertThat(answered.getValue()).as(description).endsWith(" ready");
                 }
                 if (answered.getValue().equals(ROW_7)) {
                     assertThat(runs).as(description).isEqualTo(1);
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -34,7 +34,10 @@
         }
     }
 
-    /** Retries until the gateway accepts connections, and returns a connected client. The log, which may not be written, can't tell when. */
+    /**
+     * Retries until the gateway accepts connections, and returns a connected client. The log, which may not be written,
+     * can't tell when.
+     */
     private static Client connect(int port, Process gateway) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
         while (true) {
@@ -48,9 +51,11 @@
         }
     }
 
-    private Process start(Path configuration, Path workingDirectory, String before, String after, String... options)
+    private Process start(
+            Path configuration, Path workingDirectory, String commandPrefix, String commandSuffix, String... options)
             throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "exec \"$@\"" + after, "sh"));
+        List<String> command =
+                new ArrayList<>(List.of("sh", "-c", commandPrefix + "exec \"$@\"" + commandSuffix, "sh"));
         command.addAll(ServingProcess.java());
         command.addAll(List.of(options));
         command.addAll(List.of("-cp", ServingProcess.classPath(), "ploverdale.Main", "serve", "--config"));
