--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
@@ -15,21 +15,23 @@
 import ploverdale.tools.stand.TestCluster;
 
 /**
- * One discovery agent of one gateway: a copy of the registry's list, which may be behind, and answers that may be late, slow or
- * none. The ledger hears what each answer tells once it is written, and what the agent has when a process of its gateway starts.
+ * A fake discovery agent of one gateway. It keeps a copy of the registry's endpoint list, which may be outdated, and its
+ * answers may be late, slow or missing. It reports to the ledger what each answer says about the servers once the answer is
+ * written, and what the agent knows when a process of its gateway starts.
  */
 final class DiscoveryAgent {
-    /** How it learns and answers. */
+    /** Whether the agent follows the registry, and whether it answers. */
     enum State {
-        /** Learns each change at once. */
+        /** Takes over each change of the registry at once, and answers. */
         PROMPT,
-        /** Answers, but learns no change. */
+        /** Answers, but takes over no change. */
         BEHIND,
-        /** Learns nothing and answers nothing. */
+        /** Neither takes over changes nor answers. */
         SILENT
     }
 
-    private static final int PIECES = 4; // of an answer that trickles
+    /** The number of pieces in which a trickled answer is written. */
+    private static final int PIECES = 4;
 
     private final Vertx vertx;
     private final TestCluster cluster;
@@ -41,12 +43,15 @@
     private State state = State.PROMPT;
     private int revision;
     private long delayMs;
-    private long pieceMs;
-    private boolean awaitsFirstAnswer; // of the latest process of its gateway, which it was the agent of
+    private long pieceIntervalMs;
+    /** True from the start of a gateway process that follows this agent until the agent's first answer is written. */
+    private boolean awaitsFirstAnswer;
 
+    /** A server's entry, and the revision in which the agent last saw it change. */
     private record Known(ListedServer server, int changedIn) {}
 
-    private record Watch(HttpServerResponse response, int from) {}
+    /** A request that is answered when the list changes after the revision that the gateway has. */
+    private record Watch(HttpServerResponse response, int gatewayRevision) {}
 
     DiscoveryAgent(Vertx vertx, TestCluster cluster, Ledger ledger, String gateway) {
         this.vertx = vertx;
@@ -55,9 +60,9 @@
         this.gateway = gateway;
     }
 
-    /** Listens at a free port. */
+    /** Takes over the current list and listens on a free port of loopback. */
     Future<Void> open() {
-        learn();
+        pullList();
         return vertx.createHttpServer()
                 .requestHandler(this::onRequest)
                 .listen(0, "127.0.0.1")
@@ -65,50 +70,49 @@
                 .mapEmpty();
     }
 
-    /** Where it listens. */
     int port() {
         return server.actualPort();
     }
 
-    /** The registry's list has changed. */
+    /** Called when the registry's list has changed. */
     void listChanged() {
         if (state == State.PROMPT) {
-            learn();
+            pullList();
         }
     }
 
-    /** Behaves like this from now on; one that is prompt again learns at once what it missed. */
-    void state(State next) {
+    /** Changes the state. On a change to {@link State#PROMPT} the agent takes over the changes that it missed. */
+    void setState(State next) {
         state = next;
         if (next == State.SILENT) {
             watches.clear();
             if (awaitsFirstAnswer) {
-                ledger.forgetsLists(gateway); // nobody can tell the new process what this agent has
+                ledger.forgetEndpointLists(gateway); // the new process cannot learn what this agent knows
             }
         } else if (next == State.PROMPT) {
-            learn();
+            pullList();
         }
     }
 
-    /** Answers so much later from now on. */
-    void delay(long ms) {
+    /** Delays answers that could be given at once; 0 ends the delay. */
+    void setDelay(long ms) {
         delayMs = ms;
     }
 
-    /** Writes its answers in pieces from now on, so much after each other. */
-    void trickle(long ms) {
-        pieceMs = ms;
+    /** Writes answers in pieces with the given time between them; 0 writes them whole. */
+    void setPieceInterval(long ms) {
+        pieceIntervalMs = ms;
     }
 
-    /** A process of its gateway starts. */
+    /** Called when a process of a gateway that follows this agent starts. */
     void processStarts() {
         awaitsFirstAnswer = true;
         if (state != State.SILENT) {
-            known.values().forEach(entry -> tell(entry.server()));
+            known.values().forEach(entry -> report(entry.server()));
         }
     }
 
-    private void learn() {
+    private void pullList() {
         for (ListedServer listed : cluster.listed()) {
             Known before = known.get(listed.id());
             if (before == null || !before.server().equals(listed)) {
@@ -116,9 +120,9 @@
             }
         }
         revision = cluster.revision();
-        List<Watch> due = watches.stream().filter(w -> w.from() != revision).toList();
+        List<Watch> due = watches.stream().filter(w -> w.gatewayRevision() != revision).toList();
         watches.removeAll(due);
-        due.forEach(watch -> answer(watch.response(), watch.from()));
+        due.forEach(watch -> answer(watch.response(), watch.gatewayRevision()));
     }
 
     private void onRequest(HttpServerRequest request) {
@@ -134,7 +138,7 @@
         watches.add(watch);
         vertx.setTimer(Math.max(1, Long.parseLong(request.getParam("hold_ms"))), x -> {
             if (watches.remove(watch)) {
-                answer(watch.response(), watch.from());
+                answer(watch.response(), watch.gatewayRevision());
             }
         });
     }
@@ -151,7 +155,11 @@
         });
     }
 
-    /** The changes since that revision; the complete list where there was none, or one that this agent has not seen yet. */
+    /**
+     * Answers with the changes since a revision.
+     *
+     * @param from the gateway's revision; the answer is the complete list if it is 0 or higher than this agent's revision
+     */
     private void answer(HttpServerResponse response, int from) {
         boolean complete = from == 0 || from > revision;
         List<ListedServer> entries = known.values().stream()
@@ -162,49 +170,49 @@
                 entries.stream().map(entry -> cluster.entry(gateway, entry)).toList();
         String body = "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":["
                 + String.join(",", rows) + "]}";
-        int told = revision;
-        List<ListedServer> tells =
+        int answeredRevision = revision;
+        List<ListedServer> reported =
                 complete ? known.values().stream().map(Known::server).toList() : entries;
         write(response, body, () -> {
             awaitsFirstAnswer = false;
-            tells.forEach(entry -> tell(entry, told));
+            reported.forEach(entry -> report(entry, answeredRevision));
         });
     }
 
-    private void write(HttpServerResponse response, String body, Runnable written) {
+    private void write(HttpServerResponse response, String body, Runnable onWritten) {
         if (response.closed()) {
             return;
         }
-        if (pieceMs == 0) {
-            response.end(body).onSuccess(x -> written.run());
+        if (pieceIntervalMs == 0) {
+            response.end(body).onSuccess(x -> onWritten.run());
             return;
         }
         response.putHeader("content-length", Integer.toString(body.length()));
-        writePiece(response, body, 0, written);
+        writePiece(response, body, 0, onWritten);
     }
 
-    private void writePiece(HttpServerResponse response, String body, int from, Runnable written) {
+    private void writePiece(HttpServerResponse response, String body, int offset, Runnable onWritten) {
         if (response.closed() || state == State.SILENT) {
             return;
         }
-        int to = Math.min(body.length(), from + body.length() / PIECES + 1);
-        if (to == body.length()) {
-            response.end(body.substring(from)).onSuccess(x -> written.run());
+        int end = Math.min(body.length(), offset + body.length() / PIECES + 1);
+        if (end == body.length()) {
+            response.end(body.substring(offset)).onSuccess(x -> onWritten.run());
             return;
         }
-        response.write(body.substring(from, to));
-        vertx.setTimer(Math.max(1, pieceMs), x -> writePiece(response, body, to, written));
+        response.write(body.substring(offset, end));
+        vertx.setTimer(Math.max(1, pieceIntervalMs), x -> writePiece(response, body, end, onWritten));
     }
 
-    private void tell(ListedServer entry) {
-        tell(entry, revision);
+    private void report(ListedServer entry) {
+        report(entry, revision);
     }
 
-    private void tell(ListedServer entry, int inRevision) {
+    private void report(ListedServer entry, int inRevision) {
         if (entry.isServing()) {
-            ledger.toldInService(gateway, entry.id(), inRevision);
+            ledger.inServiceReported(gateway, entry.id(), inRevision);
         } else {
-            ledger.toldOutOfService(
+            ledger.outOfServiceReported(
                     gateway, entry.id(), inRevision, Clock.system().now());
         }
     }
--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgents.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgents.java
@@ -8,7 +8,7 @@
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.stand.TestCluster;
 
-/** The discovery agents of all gateways of a day: two for each, of which its configuration names one. */
+/** The fake discovery agents of all gateways of a run: two for each gateway, whose settings name one of them. */
 final class DiscoveryAgents {
     private static final String FIRST = "a";
     private static final String SECOND = "b";
@@ -16,8 +16,8 @@
     private final Vertx vertx;
     private final TestCluster cluster;
     private final Ledger ledger;
-    private final Map<String, Map<String, DiscoveryAgent>> agents = new LinkedHashMap<>(); // by gateway and agent
-    private final Map<String, String> followed = new HashMap<>();
+    private final Map<String, Map<String, DiscoveryAgent>> agents = new LinkedHashMap<>(); // by gateway, then by agent
+    private final Map<String, String> followed = new HashMap<>(); // gateway to the agent that its settings name
     private final Map<String, String> firstLists = new HashMap<>();
 
     DiscoveryAgents(Vertx vertx, TestCluster cluster, Ledger ledger) {
@@ -25,10 +25,10 @@
         this.cluster = cluster;
         this.ledger = ledger;
         cluster.whenListChanges(
-                () -> agents.values().forEach(own -> own.values().forEach(DiscoveryAgent::listChanged)));
+                () -> agents.values().forEach(ofGateway -> ofGateway.values().forEach(DiscoveryAgent::listChanged)));
     }
 
-    /** Opens the agents of a gateway, to whom the servers' addresses are known. */
+    /** Opens both agents of a gateway. The links from the gateway to the servers must be open by the first request. */
     Future<Void> open(String gateway) {
         followed.put(gateway, FIRST);
         agents.put(gateway, new HashMap<>());
@@ -41,36 +41,40 @@
         return agent.open();
     }
 
-    /** The port of the agent that the gateway's configuration names. */
+    /** Returns the port of the agent that the gateway's settings name. */
     int port(String gateway) {
         return agent(gateway).port();
     }
 
-    /** The list of the day's beginning, with which each process of the gateway is started. */
+    /** Returns the endpoint list of the run's beginning, with which each process of the gateway is started. */
     String firstList(String gateway) {
         return firstLists.computeIfAbsent(gateway, x -> cluster.list(gateway, true));
     }
 
-    /** The gateway's configuration names this agent from now on. */
+    /** Called when the gateway's settings are changed to name this agent. */
     void follow(String gateway, String name) {
         followed.put(gateway, name);
     }
 
-    /** A process of the gateway starts: what its agent has counts as told. */
+    /** Called when a process of the gateway starts. What its agent knows counts as reported to the gateway. */
     void processStarts(String gateway) {
-        ledger.forgetsLists(gateway);
+        ledger.forgetEndpointLists(gateway);
         agent(gateway).processStarts();
     }
 
-    /** An agent behaves like this from now on. */
-    void behave(String gateway, String name, String what) {
+    /**
+     * Changes an agent.
+     *
+     * @param change delay:MS, trickle:MS or the name of a {@link DiscoveryAgent.State}
+     */
+    void change(String gateway, String name, String change) {
         DiscoveryAgent agent = agents.get(gateway).get(name);
-        if (what.startsWith("delay:")) {
-            agent.delay(Long.parseLong(what.substring("delay:".length())));
-        } else if (what.startsWith("trickle:")) {
-            agent.trickle(Long.parseLong(what.substring("trickle:".length())));
+        if (change.startsWith("delay:")) {
+            agent.setDelay(Long.parseLong(change.substring("delay:".length())));
+        } else if (change.startsWith("trickle:")) {
+            agent.setPieceInterval(Long.parseLong(change.substring("trickle:".length())));
         } else {
-            agent.state(DiscoveryAgent.State.valueOf(what));
+            agent.setState(DiscoveryAgent.State.valueOf(change));
         }
     }
 
--- a/tools/src/main/java/ploverdale/tools/fleet/FaultSchedule.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FaultSchedule.java
@@ -6,61 +6,69 @@
 import java.util.stream.Collectors;
 
 /**
- * The script of a day: when what happens to whom. It is written as text, a line a step, so that a day that was played can
- * be kept, cut down by hand and played again. Times in milliseconds from the moment at which all gateways serve.
+ * A timed list of the faults of one run. Its text form has one line per step, so that a schedule can be kept, shortened by
+ * hand and run again. Times are in milliseconds after the moment at which all gateways serve.
  *
- * @param seed of all chance on that day
- * @param lastsMs until the clients ask no more
+ * @param seed of all random decisions of the run
+ * @param gateways how many gateways the run starts; their names are n0, n1, and so on
+ * @param lastsMs how long the clients send requests
+ * @param steps ordered by time
  */
 public record FaultSchedule(long seed, int gateways, long lastsMs, List<Step> steps) {
-    /** What may happen; in brackets what follows the word. */
-    public enum What {
-        /** SIGKILL (gateway). */
+    /** The kinds of steps. Their lower-case names are part of the text form; the arguments are given in brackets. */
+    public enum Action {
+        /** Kills a gateway with SIGKILL (gateway). */
         KILL(1),
-        /** It is started again under its name (gateway). */
+        /** Starts a gateway again under the same name (gateway). */
         START(1),
-        /** SIGSTOP (gateway). */
+        /** Pauses a gateway with SIGSTOP (gateway). */
         STOP(1),
-        /** SIGCONT (gateway). */
+        /** Resumes a gateway with SIGCONT (gateway). */
         GO_ON(1),
-        /** SIGTERM (gateway). */
+        /** Shuts a gateway down gracefully with SIGTERM (gateway). */
         LEAVE(1),
-        /** The way of connections (gateway, a server or "discovery" or "clients", a {@link FaultyLink.State} or delay:MS or bytes:N or reset). */
+        /**
+         * Changes a TCP link (gateway, a server or "discovery" or "clients", a {@link FaultyLink.State} or delay:MS or bytes:N
+         * or reset). Bytes are per second and direction.
+         */
         WAY(3),
-        /** Datagrams in one direction (from, to, loss:SHARE or twice:SHARE or delay:MS or usual). */
+        /** Changes the datagrams between gateways (sender, receiver, loss:SHARE or twice:SHARE or delay:MS or usual). */
         WORDS(3),
-        /** A database server (id, a fault, or heals, restarts, drains, removes or returns). */
+        /** Changes a database server (id, a fault, or heals, restarts, drains, removes or returns). */
         SERVER(2),
-        /** A new configuration that names another agent, and SIGHUP (gateway, agent). */
+        /** Writes settings that name another discovery agent and sends SIGHUP (gateway, agent). */
         HANG_UP(2),
-        /** A discovery agent (gateway, agent, a {@link DiscoveryAgent.State} or delay:MS or trickle:MS). */
+        /** Changes a discovery agent (gateway, agent, a {@link DiscoveryAgent.State} or delay:MS or trickle:MS). */
         AGENT(3);
 
-        private final int words;
+        private final int argumentCount;
 
-        What(int words) {
-            this.words = words;
+        Action(int argumentCount) {
+            this.argumentCount = argumentCount;
         }
     }
 
-    /** One step. */
-    public record Step(long atMs, What what, List<String> words) {
+    /** One action with its arguments, at one time. */
+    public record Step(long atMs, Action action, List<String> arguments) {
         public Step {
-            if (words.size() != what.words) {
-                throw new IllegalArgumentException(what + " takes " + what.words + " words, not " + words);
+            if (arguments.size() != action.argumentCount) {
+                throw new IllegalArgumentException(
+                        action + " takes " + action.argumentCount + " arguments, got " + arguments);
             }
         }
 
-        public static Step of(long atMs, What what, Object... words) {
+        /** Returns a step whose arguments are the texts of the given objects. */
+        public static Step of(long atMs, Action action, Object... arguments) {
             return new Step(
                     atMs,
-                    what,
-                    java.util.Arrays.stream(words).map(Object::toString).toList());
+                    action,
+                    java.util.Arrays.stream(arguments).map(Object::toString).toList());
         }
 
+        /** Returns the step's line of the text form. */
         @Override
         public String toString() {
-            return atMs + " " + what.name().toLowerCase(java.util.Locale.ROOT) + " " + String.join(" ", words);
+            return atMs + " " + action.name().toLowerCase(java.util.Locale.ROOT) + " " + String.join(" ", arguments);
         }
     }
 
@@ -68,48 +76,53 @@
         steps = steps.stream().sorted(Comparator.comparingLong(Step::atMs)).toList();
     }
 
-    /** The day with these steps in place of its own. */
-    public FaultSchedule with(List<Step> others) {
-        return new FaultSchedule(seed, gateways, lastsMs, others);
+    /** Returns this schedule with the given steps in place of its own. */
+    public FaultSchedule with(List<Step> replacement) {
+        return new FaultSchedule(seed, gateways, lastsMs, replacement);
     }
 
-    /** As it is written down. */
+    /** Returns the text form, which {@link #read} parses. */
     public String text() {
         return "day seed=" + seed + " gateways=" + gateways + " lasts=" + lastsMs + "\n"
                 + steps.stream().map(s -> s + "\n").collect(Collectors.joining());
     }
 
-    /** Reads what {@link #text} wrote; a mistake is named with its line. */
+    /**
+     * Parses the text form. Empty lines and lines that begin with # are skipped.
+     *
+     * @throws IllegalArgumentException if a line is malformed; the message quotes the line
+     */
     public static FaultSchedule read(String text) {
         List<String> lines = text.lines()
                 .map(String::strip)
                 .filter(l -> !l.isEmpty() && !l.startsWith("#"))
                 .toList();
         if (lines.isEmpty() || !lines.get(0).startsWith("day ")) {
-            throw new IllegalArgumentException("a day begins with: day seed=N gateways=N lasts=MS");
+            throw new IllegalArgumentException("a fault schedule begins with: day seed=N gateways=N lasts=MS");
         }
-        long seed = number(lines.get(0), "seed");
+        long seed = headerField(lines.get(0), "seed");
         List<Step> steps = new ArrayList<>();
-        for (String l : lines.subList(1, lines.size())) {
-            String[] words = l.split("\\s+");
+        for (String line : lines.subList(1, lines.size())) {
+            String[] words = line.split("\\s+");
             try {
                 steps.add(new Step(
                         Long.parseLong(words[0]),
-                        What.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
+                        Action.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
                         List.of(words).subList(2, words.length)));
             } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-                throw new IllegalArgumentException("not a step: " + l + " (" + e.getMessage() + ")");
+                throw new IllegalArgumentException("malformed step: " + line + " (" + e.getMessage() + ")");
             }
         }
-        return new FaultSchedule(seed, (int) number(lines.get(0), "gateways"), number(lines.get(0), "lasts"), steps);
+        return new FaultSchedule(
+                seed, (int) headerField(lines.get(0), "gateways"), headerField(lines.get(0), "lasts"), steps);
     }
 
-    private static long number(String line, String field) {
-        for (String word : line.split("\\s+")) {
+    private static long headerField(String header, String field) {
+        for (String word : header.split("\\s+")) {
             if (word.startsWith(field + "=")) {
                 return Long.parseLong(word.substring(field.length() + 1));
             }
         }
-        throw new IllegalArgumentException("a day without " + field + "=N: " + line);
+        throw new IllegalArgumentException("the first line of a fault schedule lacks " + field + "=N: " + header);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/FaultyLink.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FaultyLink.java
@@ -18,86 +18,92 @@
 import java.util.Set;
 
 /**
- * The way of connections from one party to another: carries their bytes, or for a time holds them silently, one direction
- * of them, cuts what is open with a reset, delays, or lets through so many bytes a second. What is held comes when it is
- * healed, as on a network that was away. Belongs to one event loop.
+ * A TCP proxy between two parties that injects network faults: it holds toSource the bytes of one or both directions, resets
+ * connections, adds a delay or limits the throughput. Held bytes are forwarded when the link is healed, as after a network
+ * partition. Must be used on one event loop.
  */
 public final class FaultyLink {
-    /** What it does with bytes. */
+    /** What the link does with connections and their bytes. */
     public enum State {
+        /** Forwards all bytes. */
         OPEN,
+        /** Accepts connections, but holds the bytes of both directions. */
         SILENT,
+        /** Holds the bytes from the connecting party to the target. */
         SILENT_THERE,
+        /** Holds the bytes from the target to the connecting party. */
         SILENT_BACK,
+        /** Resets all connections, open and new. */
         REFUSES
     }
 
-    private static final long STEP_MS = 5; // of a throttled way
+    /** The time between two writes of a throttled link. */
+    private static final long THROTTLE_INTERVAL_MS = 5;
 
     private final Vertx vertx;
-    private final NetClient net;
+    private final NetClient client;
     private final String host;
-    private final int target;
-    private final Set<Pair> pairs = new LinkedHashSet<>();
+    private final int targetPort;
+    private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
     private NetServer server;
     private State state = State.OPEN;
     private long delayMs;
-    private int bytesAStep; // 0: all
+    private int bytesPerInterval; // 0: unlimited
 
-    private FaultyLink(Vertx vertx, String host, int target) {
+    private FaultyLink(Vertx vertx, String host, int targetPort) {
         this.vertx = vertx;
         this.host = host;
-        this.target = target;
-        net = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
+        this.targetPort = targetPort;
+        client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
-    /** A way to an address of loopback; done when it can be used. */
-    public static Future<FaultyLink> open(Vertx vertx, String host, int target) {
-        FaultyLink way = new FaultyLink(vertx, host, target);
+    /** Opens a link to a port; the future completes when it accepts connections on a free port of loopback. */
+    public static Future<FaultyLink> open(Vertx vertx, String host, int targetPort) {
+        FaultyLink link = new FaultyLink(vertx, host, targetPort);
         return vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
-                .connectHandler(s -> way.new Pair(s))
+                .connectHandler(socket -> link.new ProxiedConnection(socket))
                 .listen(0, "127.0.0.1")
-                .map(s -> {
-                    way.server = s;
-                    return way;
+                .map(listening -> {
+                    link.server = listening;
+                    return link;
                 });
     }
 
-    /** Where it begins. */
+    /** Returns the port that the connecting party connects to. */
     public int port() {
         return server.actualPort();
     }
 
-    /** From now on it does this; a refusing one first resets what is open. */
-    public void state(State now) {
-        state = now;
-        if (now == State.REFUSES) {
-            List.copyOf(pairs).forEach(Pair::reset);
+    /** Changes the state; {@link State#REFUSES} also resets the open connections. */
+    public void setState(State next) {
+        state = next;
+        if (next == State.REFUSES) {
+            List.copyOf(connections).forEach(ProxiedConnection::reset);
         }
-        List.copyOf(pairs).forEach(Pair::flow);
+        List.copyOf(connections).forEach(ProxiedConnection::forward);
     }
 
-    /** Resets what is open; what comes after is carried as before. */
+    /** Resets the open connections; new ones are forwarded as before. */
     public void reset() {
-        List.copyOf(pairs).forEach(Pair::reset);
+        List.copyOf(connections).forEach(ProxiedConnection::reset);
     }
 
-    /** Each part of the bytes comes so much later. */
+    /** Delays all bytes of both directions. */
     public void delay(long ms) {
         delayMs = ms;
     }
 
-    /** So many bytes a second and direction; 0: all. */
+    /** Limits the throughput of each connection and direction; 0: unlimited. */
     public void throttle(int bytesPerSecond) {
-        bytesAStep = bytesPerSecond == 0 ? 0 : (int) Math.max(1, bytesPerSecond * STEP_MS / 1000);
-        List.copyOf(pairs).forEach(Pair::flow);
+        bytesPerInterval = bytesPerSecond == 0 ? 0 : (int) Math.max(1, bytesPerSecond * THROTTLE_INTERVAL_MS / 1000);
+        List.copyOf(connections).forEach(ProxiedConnection::forward);
     }
 
-    /** All of it is as at the beginning again. */
+    /** Removes all faults; held bytes are forwarded. */
     public void heal() {
         delayMs = 0;
-        bytesAStep = 0;
-        state(State.OPEN);
+        bytesPerInterval = 0;
+        setState(State.OPEN);
     }
 
     public void close() {
@@ -105,124 +111,125 @@
         server.close();
     }
 
-    private static void reset(NetSocket s) {
-        if (s != null) {
+    /** Closes a socket with a TCP reset; null is ignored. */
+    private static void resetSocket(NetSocket socket) {
+        if (socket != null) {
             try {
-                ((NetSocketInternal) s)
+                ((NetSocketInternal) socket)
                         .channelHandlerContext()
                         .channel()
                         .config()
                         .setOption(ChannelOption.SO_LINGER, 0);
             } catch (ChannelException e) {
-                return; // closed already
+                return; // already closed
             }
-            s.close();
+            socket.close();
         }
     }
 
-    /** One connection, both halves of it. */
-    private final class Pair {
-        private final Half there = new Half();
-        private final Half back = new Half();
-        private boolean over;
+    /** One forwarded connection: the socket of the connecting party and the one to the target. */
+    private final class ProxiedConnection {
+        private final Direction toTarget = new Direction();
+        private final Direction toSource = new Direction();
+        private boolean closed;
 
-        private Pair(NetSocket from) {
+        private ProxiedConnection(NetSocket from) {
             if (state == State.REFUSES) {
-                FaultyLink.reset(from);
+                resetSocket(from);
                 return;
             }
-            pairs.add(this);
-            back.to = from;
-            attach(from, there);
-            net.connect(target, host).onComplete(r -> {
-                if (r.failed() || over) {
+            connections.add(this);
+            toSource.to = from;
+            attach(from, toTarget);
+            client.connect(targetPort, host).onComplete(r -> {
+                if (r.failed() || closed) {
                     reset();
                     if (r.succeeded()) {
-                        FaultyLink.reset(r.result());
+                        resetSocket(r.result());
                     }
                     return;
                 }
-                there.to = r.result();
-                attach(there.to, back);
-                flow();
+                toTarget.to = r.result();
+                attach(toTarget.to, toSource);
+                forward();
             });
         }
 
-        private void attach(NetSocket from, Half half) {
+        private void attach(NetSocket from, Direction direction) {
             from.exceptionHandler(e -> {});
-            from.closeHandler(x -> half.ends());
-            from.handler(b -> {
+            from.closeHandler(x -> direction.onClosed());
+            from.handler(buffer -> {
                 if (delayMs > 0) {
-                    half.late++;
+                    direction.delayedBuffers++;
                     vertx.setTimer(delayMs, x -> {
-                        half.late--;
-                        half.takes(b);
+                        direction.delayedBuffers--;
+                        direction.enqueue(buffer);
                     });
                 } else {
-                    half.takes(b);
+                    direction.enqueue(buffer);
                 }
             });
         }
 
         private void reset() {
-            over = true;
-            pairs.remove(this);
-            FaultyLink.reset(there.to);
-            FaultyLink.reset(back.to);
+            closed = true;
+            connections.remove(this);
+            resetSocket(toTarget.to);
+            resetSocket(toSource.to);
         }
 
-        private void flow() {
-            there.flow();
-            back.flow();
+        private void forward() {
+            toTarget.forward();
+            toSource.forward();
         }
 
-        /** One direction. */
-        private final class Half {
-            private final Deque<Buffer> held = new ArrayDeque<>();
+        /** One direction of the connection. */
+        private final class Direction {
+            private final Deque<Buffer> queue = new ArrayDeque<>();
             private NetSocket to;
-            private int late;
-            private boolean ended;
-            private boolean stepping;
+            private int delayedBuffers;
+            private boolean sourceClosed;
+            private boolean awaitsInterval;
 
-            private void takes(Buffer b) {
-                held.add(b);
-                flow();
+            private void enqueue(Buffer buffer) {
+                queue.add(buffer);
+                forward();
             }
 
-            private void ends() {
-                ended = true;
+            private void onClosed() {
+                sourceClosed = true;
                 if (blocked()) {
-                    reset(); // what was on its way is lost with it
+                    reset(); // bytes in flight are lost with the connection
                 } else {
-                    flow();
+                    forward();
                 }
             }
 
             private boolean blocked() {
                 return to == null
                         || state == State.SILENT
-                        || state == (this == there ? State.SILENT_THERE : State.SILENT_BACK);
+                        || state == (this == toTarget ? State.SILENT_THERE : State.SILENT_BACK);
             }
 
-            private void flow() {
-                while (!over && !blocked() && !held.isEmpty() && !stepping) {
-                    Buffer next = held.poll();
-                    if (bytesAStep > 0 && next.length() > bytesAStep) {
-                        held.addFirst(next.getBuffer(bytesAStep, next.length()));
-                        next = next.getBuffer(0, bytesAStep);
+            private void forward() {
+                while (!closed && !blocked() && !queue.isEmpty() && !awaitsInterval) {
+                    Buffer next = queue.poll();
+                    if (bytesPerInterval > 0 && next.length() > bytesPerInterval) {
+                        queue.addFirst(next.getBuffer(bytesPerInterval, next.length()));
+                        next = next.getBuffer(0, bytesPerInterval);
                     }
                     to.write(next);
-                    if (bytesAStep > 0) {
-                        stepping = true;
-                        vertx.setTimer(STEP_MS, x -> {
-                            stepping = false;
-                            flow();
+                    if (bytesPerInterval > 0) {
+                        awaitsInterval = true;
+                        vertx.setTimer(THROTTLE_INTERVAL_MS, x -> {
+                            awaitsInterval = false;
+                            forward();
                         });
                     }
                 }
-                if (!over && ended && !blocked() && held.isEmpty() && late == 0 && !stepping) {
-                    over = true;
-                    pairs.remove(Pair.this);
+                if (!closed && sourceClosed && !blocked() && queue.isEmpty() && delayedBuffers == 0 && !awaitsInterval) {
+                    closed = true;
+                    connections.remove(ProxiedConnection.this);
                     to.close();
                 }
             }
--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -21,7 +21,7 @@
 import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
-import ploverdale.tools.model.Plan;
+import ploverdale.tools.model.GroupParameters;
 import ploverdale.tools.model.ServerModel.Fault;
 import ploverdale.tools.stand.Clients;
 import ploverdale.tools.stand.GatewayConfiguration;
@@ -30,48 +30,59 @@
 import ploverdale.tools.stand.TestCluster;
 
 /**
- * Plays one day: gateways as processes among stand-in servers, discovery and clients, with a way of its own between any
- * two, the ledger of the rules beside it, and all that anyone logs on one clock. What happens is the script's.
+ * Runs one fault schedule: gateway processes between fake servers, discovery agents and clients, with a separate link
+ * between any two parties. The ledger records every request, and all log lines carry times of one clock.
  */
 public final class Fleet {
-    /** The database servers, one group; the first is the morning's primary. */
+    /** The database servers of the one replica group; the first is the primary at the beginning of a run. */
     public static final List<String> SERVERS = List.of("s-morning", "s-second", "s-third");
 
+    /** Ticks (a tenth of a millisecond) per millisecond. */
     private static final long MS = 10;
-    private static final long SHIP_MS = 5; // of the log, to replicas
-    private static final long SHIP_ROAMING_MS = 60; // longer than from a session's write to its next read
-    private static final long BOUND_MS = 500;
+
+    private static final long REPLICATION_DELAY_MS = 5;
+
+    /** Longer than the time from a session's write to its next read, so that replicas lack the write by then. */
+    private static final long REPLICATION_DELAY_RECONNECTING_MS = 60;
+
+    private static final long STALENESS_BOUND_MS = 500;
     private static final long DRAIN_GRACE_MS = 500;
-    private static final long LIST_LATE_MS = 700;
+
+    /** The time from a change of a server to its change in the endpoint list. */
+    private static final long LIST_DELAY_MS = 700;
+
+    /** How long the last answers are awaited after the clients have stopped. */
     private static final long LAST_ANSWERS_MS = 4000;
-    private static final long ALL_START_WITHIN_S = 60;
+
+    /** The time limit for the start of all gateways. */
+    private static final long START_TIMEOUT_S = 60;
 
     private final Vertx vertx;
-    private final FaultSchedule day;
-    private final Workload shape;
+    private final FaultSchedule schedule;
+    private final Workload workload;
     private final SplittableRandom random;
     private final Ledger ledger = new Ledger(DRAIN_GRACE_MS * MS);
-    private final TestCluster world;
+    private final TestCluster cluster;
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    private final List<Integer> listens = new ArrayList<>();
+    private final List<Integer> listenPorts = new ArrayList<>();
     private final List<Clients> clients = new ArrayList<>();
-    private final List<Integer> discoveries = new ArrayList<>();
-    private final Map<String, FaultyLink> ways = new LinkedHashMap<>(); // by gateway and other end
-    private final Map<String, Boolean> cutOff = new HashMap<>(); // from discovery
-    private final List<Long> startsMs = Collections.synchronizedList(new ArrayList<>());
+    private final List<Integer> discoveryPorts = new ArrayList<>();
+    private final Map<String, FaultyLink> links = new LinkedHashMap<>(); // by gateway and other end, e.g. "n0 clients"
+    private final Map<String, Boolean> cutOffFromDiscovery = new HashMap<>(); // by gateway
+    private final List<Long> startDurationsMs = Collections.synchronizedList(new ArrayList<>());
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private final long began = System.nanoTime();
+    private final long startedAtNs = System.nanoTime();
     private final DiscoveryAgents agents;
-    private LossyLink link;
-    private RoamingClients roamers;
+    private LossyLink peerLink; // carries the datagrams between gateways
+    private RoamingClients reconnectingClients;
 
-    private Fleet(Vertx vertx, FaultSchedule day, Workload shape) {
+    private Fleet(Vertx vertx, FaultSchedule schedule, Workload workload) {
         this.vertx = vertx;
-        this.day = day;
-        this.shape = shape;
-        random = new SplittableRandom(day.seed());
-        Plan plan = new Plan(
-                (shape.roams() == null ? SHIP_MS : SHIP_ROAMING_MS) * MS,
+        this.schedule = schedule;
+        this.workload = workload;
+        random = new SplittableRandom(schedule.seed());
+        GroupParameters parameters = new GroupParameters(
+                (workload.reconnectingClients() == null ? REPLICATION_DELAY_MS : REPLICATION_DELAY_RECONNECTING_MS) * MS,
                 300 * MS,
                 600 * MS,
                 300 * MS,
@@ -84,78 +95,79 @@
                 5000 * MS,
                 4);
         GroupModel model =
-                new GroupModel(plan, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
-        world = new TestCluster(vertx, model, ledger, SERVERS, LIST_LATE_MS);
-        world.traffic(shape.traffic());
-        world.hearsLists(g -> !cutOff.getOrDefault(g, false));
-        agents = new DiscoveryAgents(vertx, world, ledger);
+                new GroupModel(parameters, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
+        cluster = new TestCluster(vertx, model, ledger, SERVERS, LIST_DELAY_MS);
+        cluster.traffic(workload.traffic());
+        cluster.hearsLists(g -> !cutOffFromDiscovery.getOrDefault(g, false));
+        agents = new DiscoveryAgents(vertx, cluster, ledger);
     }
 
-    /** Plays a day; waits for its end. */
-    public static FleetResult play(FaultSchedule day, Workload shape) throws Exception {
+    /** Runs a schedule and waits for its end. Kills the gateways that it started, also if it fails. */
+    public static FleetResult run(FaultSchedule schedule, Workload workload) throws Exception {
         Vertx vertx = Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         List<GatewayProcess> started = Collections.synchronizedList(new ArrayList<>());
         try {
             Promise<FleetResult> done = Promise.promise();
             vertx.runOnContext(x -> {
-                Fleet fleet = new Fleet(vertx, day, shape);
-                fleet.play(started).onComplete(done);
+                Fleet fleet = new Fleet(vertx, schedule, workload);
+                fleet.execute(started).onComplete(done);
             });
             return done.future()
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get(ALL_START_WITHIN_S + (day.lastsMs() + shape.settlesMs()) / 1000 + 30, TimeUnit.SECONDS);
+                    .get(START_TIMEOUT_S + (schedule.lastsMs() + workload.settleMs()) / 1000 + 30, TimeUnit.SECONDS);
         } finally {
-            for (GatewayProcess p : List.copyOf(started)) {
-                p.kill().get();
+            for (GatewayProcess process : List.copyOf(started)) {
+                process.kill().get();
             }
             vertx.close().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
         }
     }
 
     private void note(String who, String what) {
-        log.add(String.format(Locale.ROOT, "%9.3f %s %s", (System.nanoTime() - began) / 1e9, who, what));
+        log.add(String.format(Locale.ROOT, "%9.3f %s %s", (System.nanoTime() - startedAtNs) / 1e9, who, what));
     }
 
-    private Future<FleetResult> play(List<GatewayProcess> started) {
-        Future<?> ready = world.servers()
-                .compose(x -> LossyLink.open(vertx, random.split(), 0, day.gateways()))
-                .onSuccess(l -> link = l);
-        for (int i = 0; i < day.gateways(); i++) {
-            int me = i;
-            ready = ready.compose(x -> prepare(me));
+    /** @param started receives the gateways that may have a process, for the clean-up */
+    private Future<FleetResult> execute(List<GatewayProcess> started) {
+        Future<?> ready = cluster.servers()
+                .compose(x -> LossyLink.open(vertx, random.split(), 0, schedule.gateways()))
+                .onSuccess(opened -> peerLink = opened);
+        for (int i = 0; i < schedule.gateways(); i++) {
+            int number = i;
+            ready = ready.compose(x -> prepare(number));
         }
         return ready.compose(x -> {
-                    List<Future<?>> ups = new ArrayList<>();
-                    for (int i = 0; i < day.gateways(); i++) {
+                    List<Future<?>> serving = new ArrayList<>();
+                    for (int i = 0; i < schedule.gateways(); i++) {
                         started.add(gateways.get(i));
-                        ups.add(up(i));
+                        serving.add(startWhenEnded(i));
                     }
-                    return Future.all(ups);
+                    return Future.all(serving);
                 })
-                .compose(x -> vertx.timer(Math.max(1, shape.settlesMs()), TimeUnit.MILLISECONDS))
+                .compose(x -> vertx.timer(Math.max(1, workload.settleMs()), TimeUnit.MILLISECONDS))
                 .compose(x -> {
                     for (int i = 0; i < clients.size(); i++) {
-                        clients.get(i).start(shape.requestsPerSecond().get(i), 0);
+                        clients.get(i).start(workload.requestsPerSecond().get(i), 0);
                     }
-                    if (shape.roams() != null) {
+                    if (workload.reconnectingClients() != null) {
                         List<Integer> ports = new ArrayList<>();
-                        for (int i = 0; i < day.gateways(); i++) {
-                            ports.add(ways.get("n" + i + " clients").port());
+                        for (int i = 0; i < schedule.gateways(); i++) {
+                            ports.add(links.get("n" + i + " clients").port());
                         }
-                        roamers = new RoamingClients(vertx, ledger, random.split(), ports, shape.roams());
-                        roamers.start();
+                        reconnectingClients = new RoamingClients(vertx, ledger, random.split(), ports, workload.reconnectingClients());
+                        reconnectingClients.start();
                     }
-                    for (Step s : day.steps()) {
-                        vertx.setTimer(Math.max(1, s.atMs()), y -> happens(s));
+                    for (Step s : schedule.steps()) {
+                        vertx.setTimer(Math.max(1, s.atMs()), y -> apply(s));
                     }
-                    return vertx.timer(day.lastsMs(), TimeUnit.MILLISECONDS);
+                    return vertx.timer(schedule.lastsMs(), TimeUnit.MILLISECONDS);
                 })
                 .compose(x -> {
-                    ways.values().forEach(FaultyLink::heal);
-                    if (roamers != null) {
-                        roamers.stop();
+                    links.values().forEach(FaultyLink::heal);
+                    if (reconnectingClients != null) {
+                        reconnectingClients.stop();
                     }
                     Promise<Void> answered = Promise.promise();
                     int[] left = {clients.size()};
@@ -170,17 +182,17 @@
                 .compose(x -> Future.all(gateways.stream()
                         .map(g -> Future.fromCompletionStage(g.kill(), vertx.getOrCreateContext()))
                         .toList()))
-                .map(x -> shown());
+                .map(x -> result());
     }
 
-    private FleetResult shown() {
-        world.close();
-        ways.values().forEach(FaultyLink::close);
-        link.close();
-        int[] sums = new int[4];
-        Histogram late = new Histogram(Clients.LONGEST_US, 3);
+    private FleetResult result() {
+        cluster.close();
+        links.values().forEach(FaultyLink::close);
+        peerLink.close();
+        int[] sums = new int[4]; // reads sent and succeeded, writes sent and succeeded
+        Histogram lateness = new Histogram(Clients.LONGEST_US, 3);
         for (Clients c : clients) {
-            late.add(c.late());
+            lateness.add(c.late());
             sums[0] += c.tally(false, false).asked();
             sums[1] += c.tally(false, false).acked();
             sums[2] += c.tally(true, false).asked();
@@ -189,173 +201,176 @@
         List<Ledger.Broken> broken = ledger.close(Clock.system().now());
         broken.forEach(b -> note("ledger", b.toString()));
         return new FleetResult(
-                day,
+                schedule,
                 broken,
                 ledger.requests(),
                 sums[0],
                 sums[1],
                 sums[2],
                 sums[3],
-                List.copyOf(startsMs),
+                List.copyOf(startDurationsMs),
                 List.copyOf(log),
-                roamers,
-                late);
+                reconnectingClients,
+                lateness);
     }
 
-    private Future<?> prepare(int me) {
-        String name = "n" + me;
-        gateways.add(new GatewayProcess(name, shape.launch(), this::note));
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(link.host(me)))) {
-            listens.add(free.getLocalPort());
+    /** Opens the links of a gateway and creates its clients and its process, which is not started yet. */
+    private Future<?> prepare(int number) {
+        String name = "n" + number;
+        gateways.add(new GatewayProcess(name, workload.launch(), this::note));
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(peerLink.host(number)))) {
+            listenPorts.add(free.getLocalPort());
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
-        Future<?> all = way(me, "clients", link.host(me), listens.get(me))
-                .onSuccess(w -> {
+        Future<?> opened = openLink(number, "clients", peerLink.host(number), listenPorts.get(number))
+                .onSuccess(link -> {
                     Clients c =
-                            new Clients(vertx, ledger, random.split(), Integer.toString(me), w.port(), BOUND_MS * MS);
-                    c.gatewayIs(() -> gateways.get(me).alive());
-                    c.holds(shape.crowd().connections());
+                            new Clients(vertx, ledger, random.split(), Integer.toString(number), link.port(), STALENESS_BOUND_MS * MS);
+                    c.gatewayIs(() -> gateways.get(number).alive());
+                    c.holds(workload.connectionLoad().connections());
                     clients.add(c);
                 })
-                .compose(x -> shape.ownAgents() ? agents.open(Integer.toString(me)) : discovery(me));
-        for (String s : SERVERS) {
-            all = all.compose(x -> way(me, s, "127.0.0.1", world.port(s)))
-                    .onSuccess(w -> world.seenAt(Integer.toString(me), s, ((FaultyLink) w).port()));
+                .compose(x -> workload.ownAgents() ? agents.open(Integer.toString(number)) : openDiscovery(number));
+        for (String server : SERVERS) {
+            opened = opened.compose(x -> openLink(number, server, "127.0.0.1", cluster.port(server)))
+                    .onSuccess(link -> cluster.seenAt(Integer.toString(number), server, ((FaultyLink) link).port()));
         }
-        return all;
+        return opened;
     }
 
-    private Future<Void> discovery(int me) {
-        return world.discovery(Integer.toString(me))
-                .compose(port -> way(me, "discovery", "127.0.0.1", port))
-                .onSuccess(w -> discoveries.add(w.port()))
+    private Future<Void> openDiscovery(int number) {
+        return cluster.discovery(Integer.toString(number))
+                .compose(port -> openLink(number, "discovery", "127.0.0.1", port))
+                .onSuccess(link -> discoveryPorts.add(link.port()))
                 .mapEmpty();
     }
 
-    private Future<FaultyLink> way(int me, String end, String host, int port) {
-        return FaultyLink.open(vertx, host, port).onSuccess(w -> ways.put("n" + me + " " + end, w));
+    private Future<FaultyLink> openLink(int number, String end, String host, int port) {
+        return FaultyLink.open(vertx, host, port).onSuccess(link -> links.put("n" + number + " " + end, link));
     }
 
-    private GatewayConfiguration configuration(int me) {
+    private GatewayConfiguration settings(int number) {
         List<String> peers = new ArrayList<>();
-        for (int i = 0; i < day.gateways(); i++) {
-            peers.add(link.address(i, me));
+        for (int i = 0; i < schedule.gateways(); i++) {
+            peers.add(peerLink.address(i, number));
         }
-        String name = Integer.toString(me);
+        String name = Integer.toString(number);
         return new GatewayConfiguration(
-                me,
-                link.host(me) + ":" + listens.get(me),
+                number,
+                peerLink.host(number) + ":" + listenPorts.get(number),
                 peers,
-                day.gateways() > 1,
-                shape.ownAgents() ? agents.port(name) : discoveries.get(me),
-                shape.ownAgents() ? agents.firstList(name) : world.list(name, true),
+                schedule.gateways() > 1,
+                workload.ownAgents() ? agents.port(name) : discoveryPorts.get(number),
+                workload.ownAgents() ? agents.firstList(name) : cluster.list(name, true),
                 random.nextLong(),
-                BOUND_MS,
-                shape.crowd().descriptors());
+                STALENESS_BOUND_MS,
+                workload.connectionLoad().descriptors());
     }
 
-    /** Starts a gateway, also again, once an earlier process of its name has ended. */
-    private Future<Void> up(int me) {
-        GatewayProcess g = gateways.get(me);
-        long from = System.nanoTime();
-        return Future.fromCompletionStage(g.ended(), vertx.getOrCreateContext())
-                .compose(x -> start(me, g))
+    /** Starts a gateway once an earlier process of its name has ended; completes when it serves clients. */
+    private Future<Void> startWhenEnded(int number) {
+        GatewayProcess gateway = gateways.get(number);
+        long requestedAtNs = System.nanoTime();
+        return Future.fromCompletionStage(gateway.ended(), vertx.getOrCreateContext())
+                .compose(x -> start(number, gateway))
                 .onSuccess(x -> {
-                    startsMs.add((System.nanoTime() - from) / 1_000_000);
-                    ledger.answersAgain(Integer.toString(me), Clock.system().now());
+                    startDurationsMs.add((System.nanoTime() - requestedAtNs) / 1_000_000);
+                    ledger.availableAgain(Integer.toString(number), Clock.system().now());
                 });
     }
 
-    private Future<Void> start(int me, GatewayProcess g) {
-        GatewayConfiguration told = configuration(me);
-        if (shape.ownAgents()) {
-            agents.processStarts(Integer.toString(me));
+    private Future<Void> start(int number, GatewayProcess gateway) {
+        GatewayConfiguration settings = settings(number);
+        if (workload.ownAgents()) {
+            agents.processStarts(Integer.toString(number));
         }
         try {
-            return Future.fromCompletionStage(g.start(told.json()), vertx.getOrCreateContext());
+            return Future.fromCompletionStage(gateway.start(settings.json()), vertx.getOrCreateContext());
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
     }
 
-    private void happens(Step s) {
+    /** Carries out a step; a step that fails is logged and does not end the run. */
+    private void apply(Step s) {
         note("script", s.toString());
         try {
-            List<String> w = s.words();
-            int me = w.get(0).startsWith("n") ? Integer.parseInt(w.get(0).substring(1)) : -1;
-            switch (s.what()) {
+            List<String> arguments = s.arguments();
+            int number = arguments.get(0).startsWith("n") ? Integer.parseInt(arguments.get(0).substring(1)) : -1;
+            switch (s.action()) {
                 case KILL -> {
-                    ledger.excused(Integer.toString(me), Clock.system().now());
-                    gateways.get(me).kill();
+                    ledger.unavailable(Integer.toString(number), Clock.system().now());
+                    gateways.get(number).kill();
                 }
-                case START -> up(me).onFailure(e -> note("script", "start fails: " + e.getMessage()));
+                case START -> startWhenEnded(number).onFailure(e -> note("script", "start failed: " + e.getMessage()));
                 case STOP -> {
-                    ledger.paused(Integer.toString(me), Clock.system().now());
-                    gateways.get(me).stop();
+                    ledger.paused(Integer.toString(number), Clock.system().now());
+                    gateways.get(number).pause();
                 }
                 case GO_ON -> {
-                    gateways.get(me).goOn();
-                    ledger.answersAgain(Integer.toString(me), Clock.system().now());
+                    gateways.get(number).resume();
+                    ledger.availableAgain(Integer.toString(number), Clock.system().now());
                 }
-                case LEAVE -> gateways.get(me).term();
-                case WAY -> way(me, w.get(1), w.get(2));
-                case WORDS -> link.weather(me, Integer.parseInt(w.get(1).substring(1)), weather(w.get(2)));
-                case SERVER -> server(w.get(0), w.get(1));
-                case AGENT -> agents.behave(Integer.toString(me), w.get(1), w.get(2));
+                case LEAVE -> gateways.get(number).terminate();
+                case WAY -> changeLink(number, arguments.get(1), arguments.get(2));
+                case WORDS -> peerLink.weather(number, Integer.parseInt(arguments.get(1).substring(1)), linkConditions(arguments.get(2)));
+                case SERVER -> changeServer(arguments.get(0), arguments.get(1));
+                case AGENT -> agents.change(Integer.toString(number), arguments.get(1), arguments.get(2));
                 case HANG_UP -> {
-                    agents.follow(Integer.toString(me), w.get(1));
-                    gateways.get(me).hangUp(configuration(me).json());
+                    agents.follow(Integer.toString(number), arguments.get(1));
+                    gateways.get(number).reload(settings(number).json());
                 }
                 default -> throw new IllegalStateException(s.toString());
             }
         } catch (IOException | InterruptedException | RuntimeException e) {
-            note("script", "cannot: " + e);
+            note("script", "step failed: " + e);
         }
     }
 
-    private void way(int me, String end, String what) {
-        FaultyLink way = ways.get("n" + me + " " + end);
+    private void changeLink(int number, String end, String change) {
+        FaultyLink link = links.get("n" + number + " " + end);
         if (end.equals("discovery")) {
-            cutOff.put(Integer.toString(me), !what.equals("OPEN"));
+            cutOffFromDiscovery.put(Integer.toString(number), !change.equals("OPEN"));
         }
-        if (end.equals("clients") && !what.equals("OPEN")) {
-            ledger.excused(Integer.toString(me), Clock.system().now());
+        if (end.equals("clients") && !change.equals("OPEN")) {
+            ledger.unavailable(Integer.toString(number), Clock.system().now());
         } else if (end.equals("clients")) {
-            ledger.answersAgain(Integer.toString(me), Clock.system().now());
+            ledger.availableAgain(Integer.toString(number), Clock.system().now());
         }
-        if (what.startsWith("delay:")) {
-            way.delay(Long.parseLong(what.substring(6)));
-        } else if (what.startsWith("bytes:")) {
-            way.throttle(Integer.parseInt(what.substring(6)));
-        } else if (what.equals("reset")) {
-            way.reset();
-        } else if (what.equals("OPEN")) {
-            way.heal();
+        if (change.startsWith("delay:")) {
+            link.delay(Long.parseLong(change.substring(6)));
+        } else if (change.startsWith("bytes:")) {
+            link.throttle(Integer.parseInt(change.substring(6)));
+        } else if (change.equals("reset")) {
+            link.reset();
+        } else if (change.equals("OPEN")) {
+            link.heal();
         } else {
-            way.state(FaultyLink.State.valueOf(what));
+            link.setState(FaultyLink.State.valueOf(change));
         }
     }
 
-    private static LossyLink.Weather weather(String word) {
-        double figure = word.equals("usual") ? 0 : Double.parseDouble(word.substring(word.indexOf(':') + 1));
-        return word.equals("usual")
+    /** Parses the last argument of {@link FaultSchedule.Action#WORDS}; null stands for the link's usual conditions. */
+    private static LossyLink.Weather linkConditions(String change) {
+        double value = change.equals("usual") ? 0 : Double.parseDouble(change.substring(change.indexOf(':') + 1));
+        return change.equals("usual")
                 ? null
-                : word.startsWith("loss:")
-                        ? LossyLink.Weather.losing(figure)
-                        : word.startsWith("twice:")
-                                ? new LossyLink.Weather(0, figure, 20)
-                                : new LossyLink.Weather(0, 0.05, (int) figure);
+                : change.startsWith("loss:")
+                        ? LossyLink.Weather.losing(value)
+                        : change.startsWith("twice:")
+                                ? new LossyLink.Weather(0, value, 20)
+                                : new LossyLink.Weather(0, 0.05, (int) value);
     }
 
-    private void server(String id, String what) {
-        switch (what) {
-            case "heals" -> world.heals(id, false);
-            case "restarts" -> world.heals(id, true);
-            case "drains" -> world.drains(id);
-            case "removes" -> world.removes(id);
-            case "returns" -> world.returns(id);
-            default -> world.fault(id, Fault.valueOf(what));
+    private void changeServer(String id, String change) {
+        switch (change) {
+            case "heals" -> cluster.heals(id, false);
+            case "restarts" -> cluster.heals(id, true);
+            case "drains" -> cluster.drains(id);
+            case "removes" -> cluster.removes(id);
+            case "returns" -> cluster.returns(id);
+            default -> cluster.fault(id, Fault.valueOf(change));
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/FleetResult.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FleetResult.java
@@ -7,32 +7,38 @@
 import ploverdale.tools.stand.RoamingClients;
 
 /**
- * What came of a day.
+ * The result of running one fault schedule.
  *
- * @param late by how much answers came after their time, 0 for those in time, in microseconds
+ * @param broken the rule violations that the ledger found
+ * @param requests all requests in the ledger, those of the reconnecting clients included
+ * @param readsSent by the clients that stay with their gateway; the same holds for the next three
+ * @param startDurationsMs how long each start of a gateway took until it served clients
+ * @param log all log lines of the run, with their times and sources
+ * @param reconnectingClients null if the workload has none
+ * @param lateness by how much answers exceeded their timeouts, 0 for those in time, in microseconds
  */
 public record FleetResult(
-        FaultSchedule day,
+        FaultSchedule schedule,
         List<Ledger.Broken> broken,
         int requests,
-        int readsAsked,
-        int readsAcked,
-        int writesAsked,
-        int writesAcked,
-        List<Long> startsMs,
+        int readsSent,
+        int readsSucceeded,
+        int writesSent,
+        int writesSucceeded,
+        List<Long> startDurationsMs,
         List<String> log,
-        RoamingClients roamers,
-        Histogram late) {
-    /** A line of figures. */
+        RoamingClients reconnectingClients,
+        Histogram lateness) {
+    /** Returns the counts and start durations as one line. */
     public String figures() {
         return String.format(
                 Locale.ROOT,
-                "%d ops, reads acked %d of %d, writes %d of %d, starts %s ms",
+                "%d requests, reads succeeded %d of %d, writes %d of %d, starts %s ms",
                 requests,
-                readsAcked,
-                readsAsked,
-                writesAcked,
-                writesAsked,
-                startsMs);
+                readsSucceeded,
+                readsSent,
+                writesSucceeded,
+                writesSent,
+                startDurationsMs);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/GatewayProcess.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/GatewayProcess.java
@@ -17,108 +17,114 @@
 import java.util.function.BiConsumer;
 
 /**
- * One gateway as a process of its own, started as in service: from the built jar, within the bounds of deploy/gateway.args.
- * It can be killed outright, stopped without noticing and continued, asked to leave, and started again under its name.
+ * A gateway as a process of its own, started as in production: from the built jar, with the JVM options of
+ * deploy/gateway.args. It can be killed, paused and resumed, shut down gracefully, and started again under the same name.
  */
 public final class GatewayProcess {
-    private static final long ENDS_WITHIN_S = 20;
+    private static final long EXIT_TIMEOUT_S = 20;
+    /** Part of the log line that a gateway writes when it serves clients. */
     private static final String READY = " listens at ";
 
     private final String name;
     private final Launch launch;
     private final BiConsumer<String, String> log;
     private Process process;
-    private Path configurationFile;
+    private Path settingsFile;
     private boolean killed;
     private CompletableFuture<Void> ready;
 
     /**
-     * How gateways are started.
+     * How gateway processes are started.
      *
-     * @param root of the repository
-     * @param jar of the gateway
-     * @param more arguments of serve
-     * @param others the same for single gateways by name, in place of those
-     * @param before classes that stand before those of the jar, or null; see {@link MutationCheck}
+     * @param root the root directory of the repository
+     * @param jar the gateway's jar file
+     * @param serveArguments additional arguments of the command serve
+     * @param argumentOverrides arguments of single gateways, by name, that replace serveArguments
+     * @param classPathPrefix a directory of classes that take precedence over those of the jar, or null; see
+     *     {@link MutationCheck}
      */
-    public record Launch(Path root, Path jar, List<String> more, Map<String, List<String>> others, Path before) {
-        /** Finds the root above the working directory, and the jar that the build leaves there. */
-        public static Launch found(List<String> more) throws IOException {
+    public record Launch(Path root, Path jar, List<String> serveArguments, Map<String, List<String>> argumentOverrides, Path classPathPrefix) {
+        /**
+         * Finds the repository's root at or above the working directory, and the gateway's jar below it.
+         *
+         * @throws IOException if there is no such root, or the jar is not built
+         */
+        public static Launch locate(List<String> serveArguments) throws IOException {
             Path root = Path.of("").toAbsolutePath();
             while (root != null && !Files.exists(root.resolve("deploy/gateway.args"))) {
                 root = root.getParent();
             }
             if (root == null) {
-                throw new IOException("no deploy/gateway.args above the working directory");
+                throw new IOException("no deploy/gateway.args at or above the working directory");
             }
             Path jar = root.resolve("gateway/target/ploverdale.jar");
             if (!Files.exists(jar)) {
-                throw new IOException("no gateway/target/ploverdale.jar: mvn -q -DskipTests package makes it");
+                throw new IOException("no gateway/target/ploverdale.jar; build it with mvn -q -DskipTests package");
             }
-            return new Launch(root, jar, more, Map.of(), null);
+            return new Launch(root, jar, serveArguments, Map.of(), null);
         }
 
-        /** The same, with other arguments for one gateway. */
-        public Launch with(String name, List<String> its) {
-            Map<String, List<String>> all = new HashMap<>(others);
-            all.put(name, its);
-            return new Launch(root, jar, more, all, before);
+        /** Returns this launch with other arguments of serve for one gateway. */
+        public Launch with(String name, List<String> arguments) {
+            Map<String, List<String>> overrides = new HashMap<>(argumentOverrides);
+            overrides.put(name, arguments);
+            return new Launch(root, jar, serveArguments, overrides, classPathPrefix);
         }
     }
 
-    /** @param log hears each line of it with the gateway's name, on a thread of its own */
+    /** @param log receives the gateway's name and each line that the process writes, on a reader thread */
     GatewayProcess(String name, Launch launch, BiConsumer<String, String> log) {
         this.name = name;
         this.launch = launch;
         this.log = log;
     }
 
-    /** Starts it, also again; done when it takes clients. */
-    public CompletableFuture<Void> start(String configuration) throws IOException {
+    /** Starts the process, also after an earlier one has ended; completes when it serves clients. */
+    public CompletableFuture<Void> start(String settings) throws IOException {
         Path file = Files.createTempFile("gateway-" + name, ".json");
-        Files.writeString(file, configuration);
+        Files.writeString(file, settings);
         Path archive = launch.jar.resolveSibling("ploverdale.jsa");
-        List<String> line = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "@" + launch.root.resolve("deploy/gateway.args")));
-        if (Files.exists(archive) && launch.before == null) {
-            line.add("-XX:SharedArchiveFile=" + archive);
+        if (Files.exists(archive) && launch.classPathPrefix == null) {
+            command.add("-XX:SharedArchiveFile=" + archive);
         }
-        line.addAll(
-                launch.before == null
+        command.addAll(
+                launch.classPathPrefix == null
                         ? List.of("-jar", launch.jar.toString())
-                        : List.of("-cp", launch.before + File.pathSeparator + launch.jar, "ploverdale.Main"));
-        line.addAll(List.of("serve", "--config", file.toString()));
-        line.addAll(launch.others.getOrDefault(name, launch.more));
-        Process p = new ProcessBuilder(line).redirectErrorStream(true).start();
-        CompletableFuture<Void> up = new CompletableFuture<>();
-        process = p;
-        configurationFile = file;
+                        : List.of("-cp", launch.classPathPrefix + File.pathSeparator + launch.jar, "ploverdale.Main"));
+        command.addAll(List.of("serve", "--config", file.toString()));
+        command.addAll(launch.argumentOverrides.getOrDefault(name, launch.serveArguments));
+        Process started = new ProcessBuilder(command).redirectErrorStream(true).start();
+        CompletableFuture<Void> serving = new CompletableFuture<>();
+        process = started;
+        settingsFile = file;
         killed = false;
-        ready = up;
-        Thread reader = new Thread(() -> read(p, up, file), "log-of-" + name);
+        ready = serving;
+        Thread reader = new Thread(() -> readLog(started, serving, file), "log-of-" + name);
         reader.setDaemon(true);
         reader.start();
-        return up;
+        return serving;
     }
 
-    private void read(Process p, CompletableFuture<Void> up, Path file) {
+    private void readLog(Process started, CompletableFuture<Void> serving, Path file) {
         try (BufferedReader in =
-                new BufferedReader(new InputStreamReader(p.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String l = in.readLine(); l != null; l = in.readLine()) {
-                log.accept(name, l);
-                if (l.contains(READY)) {
-                    up.complete(null);
+                new BufferedReader(new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
+            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                log.accept(name, line);
+                if (line.contains(READY)) {
+                    serving.complete(null);
                 }
             }
         } catch (IOException e) {
-            log.accept(name, "its log ends: " + e.getMessage());
+            log.accept(name, "cannot read the log: " + e.getMessage());
         }
-        up.completeExceptionally(new IOException(name + " ended before it was ready"));
+        serving.completeExceptionally(new IOException(name + " ended before it served clients"));
         try {
             Files.deleteIfExists(file);
         } catch (IOException e) {
-            log.accept(name, "its configuration stays: " + e.getMessage());
+            log.accept(name, "cannot delete the settings file: " + e.getMessage());
         }
     }
 
@@ -134,51 +140,51 @@
         return process.pid();
     }
 
-    /** SIGKILL: gone at once; done when the system has taken all back that it had. */
+    /** Sends SIGKILL; completes when the process has ended and its resources are released. */
     public CompletableFuture<Void> kill() {
         killed = true;
         return process == null
                 ? CompletableFuture.completedFuture(null)
                 : process.destroyForcibly()
                         .onExit()
-                        .orTimeout(ENDS_WITHIN_S, TimeUnit.SECONDS)
+                        .orTimeout(EXIT_TIMEOUT_S, TimeUnit.SECONDS)
                         .thenApply(x -> null);
     }
 
-    /** Done when it has ended, by whatever. */
+    /** Completes when the process has ended for whatever reason; at once if none was started. */
     public CompletableFuture<Void> ended() {
         return process == null
                 ? CompletableFuture.completedFuture(null)
                 : process.onExit().thenApply(x -> null);
     }
 
-    /** SIGTERM: asked to leave. */
-    public void term() throws IOException, InterruptedException {
+    /** Sends SIGTERM, which starts a graceful shutdown. */
+    public void terminate() throws IOException, InterruptedException {
         signal("TERM");
     }
 
-    /** SIGHUP, with a new configuration in its file. */
-    public void hangUp(String configuration) throws IOException, InterruptedException {
+    /** Replaces the settings file and sends SIGHUP, on which the gateway reads it again. */
+    public void reload(String settings) throws IOException, InterruptedException {
         if (alive()) {
-            Path next = Files.writeString(Files.createTempFile("gateway-" + name, ".next"), configuration);
-            Files.move(next, configurationFile, StandardCopyOption.REPLACE_EXISTING);
+            Path next = Files.writeString(Files.createTempFile("gateway-" + name, ".next"), settings);
+            Files.move(next, settingsFile, StandardCopyOption.REPLACE_EXISTING);
             signal("HUP");
         }
     }
 
-    /** SIGSTOP: stands still, and no timer of it runs. */
-    public void stop() throws IOException, InterruptedException {
+    /** Sends SIGSTOP: the process is not scheduled until it is resumed. */
+    public void pause() throws IOException, InterruptedException {
         signal("STOP");
     }
 
-    /** SIGCONT: goes on as if nothing had been. */
-    public void goOn() throws IOException, InterruptedException {
+    /** Sends SIGCONT, which ends a pause. */
+    public void resume() throws IOException, InterruptedException {
         signal("CONT");
     }
 
-    private void signal(String which) throws IOException, InterruptedException {
+    private void signal(String signalName) throws IOException, InterruptedException {
         if (alive()) {
-            new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+            new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid()))
                     .inheritIO()
                     .start()
                     .waitFor();
--- a/tools/src/main/java/ploverdale/tools/fleet/MutationCheck.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/MutationCheck.java
@@ -11,8 +11,8 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 
 /**
- * A gateway with one of its guards taken out, to show that a rig sees what the guard is for: one source file is compiled
- * with one piece of its text replaced, and its classes stand before those of the jar. Nothing in the gateway knows of this.
+ * A mutation of the gateway, which shows that a test rig detects the absence of a check: one source file is compiled with
+ * one piece of its text replaced, and the classes take precedence over those of the jar. The gateway has no code for this.
  */
 public final class MutationCheck implements AutoCloseable {
     private static final String SOURCES = "gateway/src/main/java/ploverdale";
@@ -23,18 +23,24 @@
         this.classes = classes;
     }
 
-    /** The text must stand in the file exactly once, so that a guard that moved is noticed. */
-    public static MutationCheck of(Launch launch, String file, String guard, String instead) throws IOException {
+    /**
+     * Compiles a source file with a piece of its text replaced.
+     *
+     * @param file the path below the gateway's root package
+     * @param original the text to replace; it must occur in the file exactly once, so that a change of the code is noticed
+     * @throws IOException if it does not, or if the mutated file does not compile
+     */
+    public static MutationCheck of(Launch launch, String file, String original, String replacement) throws IOException {
         String text = Files.readString(launch.root().resolve(SOURCES).resolve(file));
-        int at = text.indexOf(guard);
-        if (at < 0 || text.indexOf(guard, at + 1) >= 0) {
-            throw new IOException(file + " holds this guard not exactly once: " + guard);
+        int at = text.indexOf(original);
+        if (at < 0 || text.indexOf(original, at + 1) >= 0) {
+            throw new IOException(file + " does not contain this text exactly once: " + original);
         }
-        Path sources = Files.createTempDirectory("without-guard-sources");
-        Path classes = Files.createTempDirectory("without-guard");
+        Path sources = Files.createTempDirectory("mutation-sources");
+        Path classes = Files.createTempDirectory("mutation-classes");
         try {
             Path source = sources.resolve(Path.of(file).getFileName());
-            Files.writeString(source, text.replace(guard, instead));
+            Files.writeString(source, text.replace(original, replacement));
             JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
             if (compiler == null
                     || compiler.run(
@@ -48,7 +54,7 @@
                                     classes.toString(),
                                     source.toString())
                             != 0) {
-                throw new IOException(file + " without its guard does not compile");
+                throw new IOException(file + " does not compile after the mutation");
             }
         } finally {
             delete(sources);
@@ -56,28 +62,29 @@
         return new MutationCheck(classes);
     }
 
-    /** The classes without it, to stand before the others. */
+    /** Returns the directory of the mutated classes, which belongs before the jar on the class path. */
     public Path classes() {
         return classes;
     }
 
-    /** The same launch, but for the guard. */
-    public Launch launch(Launch l) {
-        return new Launch(l.root(), l.jar(), l.more(), l.others(), classes);
+    /** Returns the given launch with the mutated classes. */
+    public Launch launch(Launch original) {
+        return new Launch(original.root(), original.jar(), original.serveArguments(), original.argumentOverrides(), classes);
     }
 
+    /** Deletes the mutated classes. */
     @Override
     public void close() throws IOException {
         delete(classes);
     }
 
-    private static void delete(Path folder) throws IOException {
-        List<Path> all;
-        try (Stream<Path> walk = Files.walk(folder)) {
-            all = walk.sorted(Comparator.reverseOrder()).toList();
+    private static void delete(Path directory) throws IOException {
+        List<Path> deepestFirst;
+        try (Stream<Path> walk = Files.walk(directory)) {
+            deepestFirst = walk.sorted(Comparator.reverseOrder()).toList();
         }
-        for (Path p : all) {
-            Files.delete(p);
+        for (Path path : deepestFirst) {
+            Files.delete(path);
         }
     }
 }
--- a/tools/src/main/java/ploverdale/tools/fleet/ScheduleGenerator.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/ScheduleGenerator.java
@@ -5,75 +5,82 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import ploverdale.tools.fleet.FaultSchedule.Step;
-import ploverdale.tools.fleet.FaultSchedule.What;
+import ploverdale.tools.fleet.FaultSchedule.Action;
 
-/** Draws days by seed: some faults, each over some time, each made good before the day ends. */
+/** Generates random fault schedules by seed: one to four faults, each of which is undone before the run ends. */
 public final class ScheduleGenerator {
-    private static final long CALM_MS = 500; // before the first fault
-    private static final long LAST_MS = 1500; // after the last one is made good
-    private static final int FAULTS_MOST = 4;
+    /** The time without faults at the beginning of a run. */
+    private static final long QUIET_START_MS = 500;
+
+    /** The time without faults at the end of a run. */
+    private static final long QUIET_END_MS = 1500;
+
+    private static final int MAX_FAULTS = 4;
 
     private ScheduleGenerator() {}
 
-    /** A day of that seed. */
-    public static FaultSchedule day(long seed, int gateways, long lastsMs, List<String> servers) {
+    /** Returns the schedule of the given seed. */
+    public static FaultSchedule generate(long seed, int gateways, long lastsMs, List<String> servers) {
         RandomGenerator random = new SplittableRandom(seed);
         List<Step> steps = new ArrayList<>();
-        int faults = 1 + random.nextInt(FAULTS_MOST);
+        int faults = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < faults; i++) {
-            long from = CALM_MS + random.nextLong(lastsMs - LAST_MS - CALM_MS - 400);
-            long to = from + 300 + random.nextLong(lastsMs - LAST_MS - from - 299);
+            long from = QUIET_START_MS + random.nextLong(lastsMs - QUIET_END_MS - QUIET_START_MS - 400);
+            long to = from + 300 + random.nextLong(lastsMs - QUIET_END_MS - from - 299);
             steps.addAll(fault(random, from, to, gateways, servers));
         }
         return new FaultSchedule(seed, gateways, lastsMs, consistent(steps));
     }
 
     private static List<Step> fault(RandomGenerator random, long from, long to, int gateways, List<String> servers) {
-        String g = "n" + random.nextInt(gateways);
-        String h = "n" + random.nextInt(gateways);
-        String s = servers.get(random.nextInt(servers.size()));
-        String end = random.nextInt(4) == 0 ? "discovery" : s;
+        String gateway = "n" + random.nextInt(gateways);
+        String peer = "n" + random.nextInt(gateways);
+        String server = servers.get(random.nextInt(servers.size()));
+        String linkEnd = random.nextInt(4) == 0 ? "discovery" : server;
         return switch (random.nextInt(9)) {
-            case 0 -> List.of(Step.of(from, What.KILL, g), Step.of(to, What.START, g));
-            case 1 -> List.of(Step.of(from, What.STOP, g), Step.of(to, What.GO_ON, g));
-            case 2 -> List.of(Step.of(from, What.LEAVE, g), Step.of(to, What.START, g));
+            case 0 -> List.of(Step.of(from, Action.KILL, gateway), Step.of(to, Action.START, gateway));
+            case 1 -> List.of(Step.of(from, Action.STOP, gateway), Step.of(to, Action.GO_ON, gateway));
+            case 2 -> List.of(Step.of(from, Action.LEAVE, gateway), Step.of(to, Action.START, gateway));
             case 3 ->
                 List.of(
-                        Step.of(from, What.WAY, g, end, random.nextBoolean() ? "SILENT" : "SILENT_BACK"),
-                        Step.of(to, What.WAY, g, end, "OPEN"));
-            case 4 -> List.of(Step.of(from, What.WAY, g, s, "REFUSES"), Step.of(to, What.WAY, g, s, "OPEN"));
+                        Step.of(from, Action.WAY, gateway, linkEnd, random.nextBoolean() ? "SILENT" : "SILENT_BACK"),
+                        Step.of(to, Action.WAY, gateway, linkEnd, "OPEN"));
+            case 4 -> List.of(Step.of(from, Action.WAY, gateway, server, "REFUSES"), Step.of(to, Action.WAY, gateway, server, "OPEN"));
             case 5 ->
                 List.of(
-                        Step.of(from, What.WAY, g, s, random.nextBoolean() ? "delay:40" : "bytes:4000"),
-                        Step.of(to, What.WAY, g, s, "OPEN"));
-            case 6 -> List.of(Step.of(from, What.WORDS, g, h, "loss:1"), Step.of(to, What.WORDS, g, h, "usual"));
-            case 7 -> List.of(Step.of(from, What.WAY, g, s, "reset"));
-            default -> List.of(Step.of(from, What.SERVER, s, "SILENT"), Step.of(to, What.SERVER, s, "restarts"));
+                        Step.of(from, Action.WAY, gateway, server, random.nextBoolean() ? "delay:40" : "bytes:4000"),
+                        Step.of(to, Action.WAY, gateway, server, "OPEN"));
+            case 6 -> List.of(Step.of(from, Action.WORDS, gateway, peer, "loss:1"), Step.of(to, Action.WORDS, gateway, peer, "usual"));
+            case 7 -> List.of(Step.of(from, Action.WAY, gateway, server, "reset"));
+            default -> List.of(Step.of(from, Action.SERVER, server, "SILENT"), Step.of(to, Action.SERVER, server, "restarts"));
         };
     }
 
-    /** Leaves out what a process cannot go through: stopped while it is dead, started while it lives, and the like. */
+    /**
+     * Returns the steps without those that are impossible in the state that the earlier ones lead to, such as pausing a dead
+     * process or starting a live one, and without faults of a second server while one has a fault.
+     */
     static List<Step> consistent(List<Step> steps) {
         List<Step> kept = new ArrayList<>();
-        java.util.Map<String, What> was = new java.util.HashMap<>();
-        java.util.Set<String> down = new java.util.HashSet<>();
-        for (Step s : new FaultSchedule(0, 0, 0, steps).steps()) {
-            String who = s.words().get(0);
-            boolean ok = switch (s.what()) {
-                case KILL, LEAVE, STOP -> !was.containsKey(who);
-                case START -> was.get(who) == What.KILL || was.get(who) == What.LEAVE;
-                case GO_ON -> was.get(who) == What.STOP;
+        java.util.Map<String, Action> lastProcessAction = new java.util.HashMap<>();
+        java.util.Set<String> faultyServers = new java.util.HashSet<>();
+        for (Step step : new FaultSchedule(0, 0, 0, steps).steps()) {
+            String target = step.arguments().get(0);
+            boolean possible = switch (step.action()) {
+                case KILL, LEAVE, STOP -> !lastProcessAction.containsKey(target);
+                case START -> lastProcessAction.get(target) == Action.KILL || lastProcessAction.get(target) == Action.LEAVE;
+                case GO_ON -> lastProcessAction.get(target) == Action.STOP;
                 case SERVER ->
-                    s.words().get(1).equals("restarts") || s.words().get(1).equals("heals")
-                            ? down.remove(who)
-                            : down.isEmpty() && down.add(who); // a group outlives one server, not two
+                    step.arguments().get(1).equals("restarts") || step.arguments().get(1).equals("heals")
+                            ? faultyServers.remove(target)
+                            : faultyServers.isEmpty() && faultyServers.add(target); // a group survives the loss of one server, not of two
                 default -> true;
             };
-            if (ok) {
-                kept.add(s);
-                switch (s.what()) {
-                    case KILL, LEAVE, STOP -> was.put(who, s.what());
-                    case START, GO_ON -> was.remove(who);
+            if (possible) {
+                kept.add(step);
+                switch (step.action()) {
+                    case KILL, LEAVE, STOP -> lastProcessAction.put(target, step.action());
+                    case START, GO_ON -> lastProcessAction.remove(target);
                     default -> {}
                 }
             }
--- a/tools/src/main/java/ploverdale/tools/fleet/ScheduleShrinker.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/ScheduleShrinker.java
@@ -6,43 +6,48 @@
 import ploverdale.tools.fleet.FaultSchedule.Step;
 
 /**
- * Makes a day that fails shorter for as long as it still does: leaves out ever smaller parts of its steps. Tries so many
- * days at most, since each takes its time.
+ * Shortens a failing fault schedule by leaving out ever smaller parts of its steps, as long as it still fails. The number
+ * of runs is limited, since each one takes the full length of the schedule.
  */
 public final class ScheduleShrinker {
     private final Predicate<FaultSchedule> fails;
-    private int triesLeft;
+    private int runsLeft;
 
-    public ScheduleShrinker(Predicate<FaultSchedule> fails, int triesMost) {
+    /**
+     * @param fails runs a schedule and returns whether it fails
+     * @param maxRuns how many schedules are run at most
+     */
+    public ScheduleShrinker(Predicate<FaultSchedule> fails, int maxRuns) {
         this.fails = fails;
-        triesLeft = triesMost;
+        runsLeft = maxRuns;
     }
 
-    /** The shortest that was found to fail; the day itself where none was. */
-    public FaultSchedule of(FaultSchedule day) {
-        List<Step> steps = day.steps();
-        for (int part = Math.max(1, steps.size() / 2); part >= 1 && !steps.isEmpty(); ) {
-            List<Step> shorter = without(day, steps, part);
+    /** Returns the shortest schedule that was found to fail; the given one if no shorter one does. */
+    public FaultSchedule of(FaultSchedule schedule) {
+        List<Step> steps = schedule.steps();
+        for (int length = Math.max(1, steps.size() / 2); length >= 1 && !steps.isEmpty(); ) {
+            List<Step> shorter = without(schedule, steps, length);
             if (shorter != null) {
                 steps = shorter;
-                part = Math.max(1, Math.min(part, steps.size() / 2));
-            } else if (part == 1) {
+                length = Math.max(1, Math.min(length, steps.size() / 2));
+            } else if (length == 1) {
                 break;
             } else {
-                part /= 2;
+                length /= 2;
             }
         }
-        return day.with(steps);
+        return schedule.with(steps);
     }
 
-    private List<Step> without(FaultSchedule day, List<Step> steps, int part) {
-        for (int from = 0; from < steps.size() && triesLeft > 0; from += part) {
-            List<Step> rest = new ArrayList<>(steps.subList(0, from));
-            rest.addAll(steps.subList(Math.min(steps.size(), from + part), steps.size()));
-            List<Step> kept = ScheduleGenerator.consistent(rest);
-            triesLeft--;
-            if (fails.test(day.with(kept))) {
-                return kept;
+    /** Leaves out one part of the given length at a time; returns the first remainder that fails, or null if none does. */
+    private List<Step> without(FaultSchedule schedule, List<Step> steps, int length) {
+        for (int from = 0; from < steps.size() && runsLeft > 0; from += length) {
+            List<Step> remaining = new ArrayList<>(steps.subList(0, from));
+            remaining.addAll(steps.subList(Math.min(steps.size(), from + length), steps.size()));
+            List<Step> consistent = ScheduleGenerator.consistent(remaining);
+            runsLeft--;
+            if (fails.test(schedule.with(consistent))) {
+                return consistent;
             }
         }
         return null;
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -8,60 +8,66 @@
 import ploverdale.tools.stand.TestCluster;
 
 /**
- * What gateways are started with on a day, and what their clients ask of them.
+ * How the gateways of a run are started, and what load their clients put on them.
  *
- * @param requestsPerSecond asked of each gateway, by number
- * @param settlesMs between the moment at which all serve and the first op; the day begins with the first op
- * @param roams how clients with sessions ask beside those, or null
- * @param crowd of client connections at each gateway
- * @param ownAgents whether each gateway has two discovery agents of its own, and starts with the list of the day's beginning
+ * @param launch how gateway processes are started
+ * @param requestsPerSecond sent to each gateway, by the gateway's number
+ * @param settleMs between the moment at which all gateways serve and the first request, with which the fault schedule begins
+ * @param traffic is notified of each request that reaches a server or ends there
+ * @param reconnectingClients the behaviour of additional clients that keep a session while they reconnect to other
+ *     gateways, or null for none
+ * @param connectionLoad the client connections and descriptors of each gateway
+ * @param ownAgents whether each gateway has two discovery agents of its own, and starts with the endpoint list of the run's
+ *     beginning
  */
 public record Workload(
         Launch launch,
         List<Double> requestsPerSecond,
-        long settlesMs,
+        long settleMs,
         TestCluster.Traffic traffic,
-        RoamingClients.Habit roams,
-        Crowd crowd,
+        RoamingClients.Habit reconnectingClients,
+        ConnectionLoad connectionLoad,
         boolean ownAgents) {
-    /** The same with as few connections as serve. */
+    /** Creates a workload with the minimum of connections and without own discovery agents. */
     public Workload(
             Launch launch,
             List<Double> requestsPerSecond,
-            long settlesMs,
+            long settleMs,
             TestCluster.Traffic traffic,
-            RoamingClients.Habit roams) {
-        this(launch, requestsPerSecond, settlesMs, traffic, roams, Crowd.NONE, false);
+            RoamingClients.Habit reconnectingClients) {
+        this(launch, requestsPerSecond, settleMs, traffic, reconnectingClients, ConnectionLoad.MINIMAL, false);
     }
 
-    /** The same without clients that roam. */
-    public Workload(Launch launch, List<Double> requestsPerSecond, long settlesMs, TestCluster.Traffic traffic) {
-        this(launch, requestsPerSecond, settlesMs, traffic, null);
+    /** Creates a workload that also has no reconnecting clients. */
+    public Workload(Launch launch, List<Double> requestsPerSecond, long settleMs, TestCluster.Traffic traffic) {
+        this(launch, requestsPerSecond, settleMs, traffic, null);
     }
 
-    /** The same with this crowd. */
-    public Workload with(Crowd others) {
-        return new Workload(launch, requestsPerSecond, settlesMs, traffic, roams, others, ownAgents);
+    /** Returns this workload with another connection load. */
+    public Workload with(ConnectionLoad replacement) {
+        return new Workload(
+                launch, requestsPerSecond, settleMs, traffic, reconnectingClients, replacement, ownAgents);
     }
 
-    /** The same with two discovery agents for each gateway. */
+    /** Returns this workload with two discovery agents for each gateway. */
     public Workload withOwnAgents() {
-        return new Workload(launch, requestsPerSecond, settlesMs, traffic, roams, crowd, true);
+        return new Workload(launch, requestsPerSecond, settleMs, traffic, reconnectingClients, connectionLoad, true);
     }
 
-    /** All gateways are asked as much, from the beginning. */
+    /** Returns a workload that sends the same rate to every gateway as soon as all gateways serve. */
     public static Workload even(Launch launch, int gateways, double requestsPerSecond) {
         return new Workload(
-                launch, Collections.nCopies(gateways, requestsPerSecond), 0, (request, server, now, comes) -> {});
+                launch, Collections.nCopies(gateways, requestsPerSecond), 0, (request, server, now, arrives) -> {});
     }
 
     /**
-     * How many connections clients hold at a gateway, and its descriptors.
+     * The client connections and the descriptors of a gateway.
      *
-     * @param connections that its clients open and use in turn; 0: as few as serve
+     * @param connections that the clients of a gateway open and use in turn; 0: as few as the request rate needs
+     * @param descriptors the gateway's limit of descriptors
      */
-    public record Crowd(int connections, int descriptors) {
-        /** As few as serve, and descriptors enough. */
-        public static final Crowd NONE = new Crowd(0, GatewayConfiguration.DESCRIPTORS);
+    public record ConnectionLoad(int connections, int descriptors) {
+        /** As few connections as the request rate needs, and more descriptors than they use. */
+        public static final ConnectionLoad MINIMAL = new ConnectionLoad(0, GatewayConfiguration.DESCRIPTORS);
     }
 }
--- a/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
+++ b/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
@@ -6,298 +6,355 @@
 import java.util.List;
 import java.util.Map;
 
-/** What happened to each op, and which rules that breaks. Times in tenths of a millisecond. */
+/**
+ * Records what happened to each request of a run as its clients and servers saw it, and which rules that breaks. Times are in
+ * ticks (a tenth of a millisecond).
+ */
 public final class Ledger {
-    /** The rules, in the order of the project's pages. */
+    /** The rules that a run must keep. */
     public enum Rule {
+        /** Each request gets exactly one final answer and no attempt after it; the answer comes at most {@link Ledger#SLACK_TICKS} after the timeout. */
         ONE_ANSWER_IN_TIME,
+        /**
+         * A write takes effect at most once and never has two attempts in flight. A write without a token is neither retried
+         * nor rejected once it may have run.
+         */
         NO_EFFECT_TWICE,
+        /** No attempt reaches a server that its gateway has known to drain for longer than the grace period. */
         NOTHING_TO_DRAINING,
-        NO_COLD_PUSHED_OVER,
+        /** No server in slow start gets so many requests that it crashes. */
+        NO_SLOW_START_OVERLOAD,
+        /** No read returns data older than its staleness bound, or than the last succeeded write of its session. */
         NO_STALE_READ
     }
 
-    /** A final answer. */
+    /** The kinds of final answers. */
     public enum Answer {
-        ACKED,
-        BUSY,
-        ERRORED
+        SUCCEEDED,
+        REJECTED,
+        FAILED
     }
 
-    /** A rule that was broken, and by what. */
+    /**
+     * A rule violation.
+     *
+     * @param what a description of the violation, with the request or server
+     */
     public record Broken(Rule rule, String what) {}
 
-    /** What an op may do, for the rules. */
-    public record Kind(boolean write, boolean tokened, long bound) {}
+    /**
+     * The properties of a request that the rules depend on.
+     *
+     * @param hasToken whether servers drop repeats of this write by its token
+     * @param stalenessBound the highest age of a read's data, or 0 for no bound
+     */
+    public record RequestTraits(boolean write, boolean hasToken, long stalenessBound) {}
 
     private static final long MS = 10;
-    private static final long SLACK = 500; // of the platform's rules on sockets, and for this account's own lateness
 
-    private static final long CROSSING =
-            1500; // between the end of a connection and an op that the other side wrote at that time
+    /** Added to every time limit, since sockets delay what passes them and the ledger is notified late. */
+    private static final long SLACK_TICKS = 500;
+
+    /** How long before the close of a connection a request may be written that the gateway could not have read by then. */
+    private static final long CLOSE_CROSSING_TICKS = 1500;
 
-    /** Why a gateway may be late: what it was sent within this time may stay unanswered. */
-    private static final class Excuse {
+    /** A time in which a gateway is down or paused; requests that were open in it may stay unanswered or be answered late. */
+    private static final class Outage {
         private final long from;
-        private final boolean paused; // it only stood still, and has to answer what came meanwhile
+
+        /** A paused gateway must still answer on the same connection what it received during the pause. */
+        private final boolean paused;
+
         private long to = Long.MAX_VALUE;
 
-        private Excuse(long from, boolean paused) {
+        private Outage(long from, boolean paused) {
             this.from = from;
             this.paused = paused;
         }
 
-        private boolean covers(Entry e) {
-            return e.takenAt <= to && e.timeoutAt + SLACK >= from;
+        private boolean covers(Entry entry) {
+            return entry.sentAt <= to && entry.timeoutAt + SLACK_TICKS >= from;
         }
     }
 
+    /** The record of one request. */
     private static final class Entry {
-        private final Kind kind;
+        private final RequestTraits traits;
         private final String write;
         private String gateway;
-        private long takenAt;
+        private long sentAt;
         private long timeoutAt;
         private String session;
-        private long mustReach = Long.MIN_VALUE / 2;
+
+        /** The log position that the data of a session's read must have reached. */
+        private long requiredPosition = Long.MIN_VALUE / 2;
+
+        /** The log position of a write's effect. */
         private long committedAt = Long.MIN_VALUE / 2;
+
         private int answers;
         private long answeredAt = Long.MAX_VALUE;
-        private boolean left;
-        private boolean sent;
+        private boolean clientLeft;
+
+        /** Whether an attempt has reached a server. */
+        private boolean attempted;
+
+        /** Whether an attempt has reached a server that has not reported that it had no effect. */
         private boolean mayHaveRun;
-        private int out;
 
-        private Entry(Kind kind, String write, String gateway, long takenAt, long timeoutAt) {
-            this.kind = kind;
+        private int attemptsInFlight;
+
+        private Entry(RequestTraits traits, String write, String gateway, long sentAt, long timeoutAt) {
+            this.traits = traits;
             this.write = write;
             this.gateway = gateway;
-            this.takenAt = takenAt;
+            this.sentAt = sentAt;
             this.timeoutAt = timeoutAt;
         }
     }
 
-    private final long grace;
+    private final long drainGrace;
     private final Map<String, Entry> requests = new LinkedHashMap<>();
     private final Map<String, Integer> applied = new HashMap<>();
-    private final Map<String, Long> sessions = new HashMap<>(); // by session, the position of its last acked write
-    private final Map<String, Long> drainingSince = new HashMap<>(); // by gateway and server
-    private final Map<String, Integer> outOfServiceRevisions = new HashMap<>(); // the same; the highest that told so
-    private final Map<String, Integer> sends = new HashMap<>(); // of writes, by gateway and server
-    private final Map<String, List<Excuse>> excuses = new HashMap<>(); // by gateway
+    private final Map<String, Long> sessions = new HashMap<>(); // session to the log position of its last succeeded write
+    private final Map<String, Long> drainingSince = new HashMap<>(); // by "gateway server"
+
+    /** By "gateway server", the highest revision in which the gateway got the server as draining or removed. */
+    private final Map<String, Integer> outOfServiceRevisions = new HashMap<>();
+
+    private final Map<String, Integer> writeAttempts = new HashMap<>(); // by "gateway server"
+    private final Map<String, List<Outage>> outages = new HashMap<>(); // by gateway
     private final List<Broken> broken = new ArrayList<>();
 
-    /** @param grace after which nothing new goes to a draining server */
-    public Ledger(long grace) {
-        this.grace = grace;
+    /** @param drainGrace how long a gateway may still send attempts to a server after it learned that the server drains */
+    public Ledger(long drainGrace) {
+        this.drainGrace = drainGrace;
     }
 
-    private void breaks(Rule rule, String what) {
+    private void addViolation(Rule rule, String what) {
         broken.add(new Broken(rule, what));
     }
 
-    /** A client has sent an op whole. A write is known by a name that its repeats by the client share. */
-    public void taken(String request, Kind kind, String write, String gateway, long timeoutAt) {
-        taken(request, kind, write, gateway, Long.MIN_VALUE, timeoutAt);
+    /** Called when a client has sent a complete request, if outages need not be told apart by the time; see the other method. */
+    public void requestSent(String request, RequestTraits traits, String write, String gateway, long timeoutAt) {
+        requestSent(request, traits, write, gateway, Long.MIN_VALUE, timeoutAt);
     }
 
-    /** The same, with when; only so can an excuse of its gateway be told from one that has ended before. */
-    public void taken(String request, Kind kind, String write, String gateway, long at, long timeoutAt) {
-        requests.put(request, new Entry(kind, write, gateway, at, timeoutAt));
+    /**
+     * Called when a client has sent a complete request.
+     *
+     * @param write the name of a write, which repeats by its client under other request ids share
+     * @param at when it was sent, so that outages of the gateway that ended earlier do not count
+     */
+    public void requestSent(String request, RequestTraits traits, String write, String gateway, long at, long timeoutAt) {
+        requests.put(request, new Entry(traits, write, gateway, at, timeoutAt));
     }
 
-    /** Its client, which has no use any more for an answer to an earlier submit, has sent it whole once more under its id. */
-    public void takenAgain(String request, String gateway, long at, long timeoutAt) {
-        Entry e = requests.get(request);
-        e.gateway = gateway;
-        e.takenAt = at;
-        e.timeoutAt = timeoutAt;
-        e.answers = 0;
-        e.answeredAt = Long.MAX_VALUE;
-        e.left = false;
+    /** Called when a client has sent a request again under the same id; it no longer expects an answer to the earlier one. */
+    public void requestResent(String request, String gateway, long at, long timeoutAt) {
+        Entry entry = requests.get(request);
+        entry.gateway = gateway;
+        entry.sentAt = at;
+        entry.timeoutAt = timeoutAt;
+        entry.answers = 0;
+        entry.answeredAt = Long.MAX_VALUE;
+        entry.clientLeft = false;
     }
 
-    /** An op that was just taken is one of a session: a read has to reach the last write that its client saw acked. */
-    public void session(String request, String session) {
-        Entry e = requests.get(request);
-        e.session = session;
-        e.mustReach = sessions.getOrDefault(session, Long.MIN_VALUE / 2);
+    /** Assigns a request to a session: a read must include the last write of the session that has succeeded by now. */
+    public void inSession(String request, String session) {
+        Entry entry = requests.get(request);
+        entry.session = session;
+        entry.requiredPosition = sessions.getOrDefault(session, Long.MIN_VALUE / 2);
     }
 
-    /** This gateway is dead, stopped, or cut off from its clients from now on: what it has in hand may stay unanswered. */
-    public void excused(String gateway, long from) {
-        excuses.computeIfAbsent(gateway, x -> new ArrayList<>()).add(new Excuse(from, false));
+    /** Called when a gateway is killed or cut off from its clients: the requests in flight may stay unanswered. */
+    public void unavailable(String gateway, long from) {
+        outages.computeIfAbsent(gateway, x -> new ArrayList<>()).add(new Outage(from, false));
     }
 
-    /** It stands still from now on: its answers may be late, but it may not end a connection with an op that came meanwhile. */
+    /**
+     * Called when a gateway process is paused: its answers may be late, but it must not close a connection with a request that
+     * arrived during the pause.
+     */
     public void paused(String gateway, long from) {
-        excuses.computeIfAbsent(gateway, x -> new ArrayList<>()).add(new Excuse(from, true));
+        outages.computeIfAbsent(gateway, x -> new ArrayList<>()).add(new Outage(from, true));
     }
 
-    /** It answers again from now on; what it was sent meanwhile may still come late. */
-    public void answersAgain(String gateway, long at) {
-        excuses.getOrDefault(gateway, List.of()).forEach(e -> e.to = Math.min(e.to, at));
+    /** Called when a gateway answers again; requests sent during the outage may still be answered late. */
+    public void availableAgain(String gateway, long at) {
+        outages.getOrDefault(gateway, List.of()).forEach(outage -> outage.to = Math.min(outage.to, at));
     }
 
-    private boolean isExcused(Entry e) {
-        return excuses.getOrDefault(e.gateway, List.of()).stream().anyMatch(x -> x.covers(e));
+    private boolean hadOutage(Entry entry) {
+        return outages.getOrDefault(entry.gateway, List.of()).stream().anyMatch(outage -> outage.covers(entry));
     }
 
     /**
-     * Its connection was ended between ops, and this one crossed that: not taken, unless it was sent on. A gateway that was killed may
-     * have sent it on just before, on a way that takes a while.
+     * Called when a request was written to a connection that the gateway was closing between requests. The request does not
+     * count, unless an attempt has reached a server. If the gateway is down it stays in the ledger: the gateway may have sent
+     * an attempt before it was killed that reaches the server only later.
      */
-    public void crossed(String request) {
-        Entry e = requests.get(request);
-        if (e == null || e.sent) {
+    public void crossedClose(String request) {
+        Entry entry = requests.get(request);
+        if (entry == null || entry.attempted) {
             return;
         }
-        if (isDown(e)) {
-            e.left = true;
+        if (wasDown(entry)) {
+            entry.clientLeft = true;
         } else {
             requests.remove(request);
         }
     }
 
-    private boolean isDown(Entry e) {
-        return excuses.getOrDefault(e.gateway, List.of()).stream().anyMatch(x -> !x.paused && x.covers(e));
+    private boolean wasDown(Entry entry) {
+        return outages.getOrDefault(entry.gateway, List.of()).stream().anyMatch(outage -> !outage.paused && outage.covers(entry));
     }
 
     /**
-     * The gateway, which lives, ended a connection at that time with this op on it and no answer. That breaks a rule where the
-     * op was sent on, or had come so long before that the gateway could have read it; otherwise it crossed the end.
+     * Called when a gateway closed a connection with an unanswered request on it. Unless the gateway was down, that breaks a
+     * rule if an attempt had reached a server, or if the request was written so long before that the gateway could have read
+     * it. Otherwise the request crossed the close and does not count.
      */
-    public void endedUnanswered(String request, long at) {
-        Entry e = requests.get(request);
-        if (!isDown(e) && (e.sent || at - e.takenAt > CROSSING)) {
-            breaks(
+    public void closedUnanswered(String request, long at) {
+        Entry entry = requests.get(request);
+        if (!wasDown(entry) && (entry.attempted || at - entry.sentAt > CLOSE_CROSSING_TICKS)) {
+            addViolation(
                     Rule.ONE_ANSWER_IN_TIME,
-                    request + " lost its connection " + (at - e.takenAt) / 10 + " ms after it was written"
-                            + (e.sent ? ", sent on" : "") + ", with no answer");
+                    request + " lost its connection " + (at - entry.sentAt) / 10 + " ms after it was written"
+                            + (entry.attempted ? ", attempted" : "") + ", with no answer");
         }
         requests.remove(request);
     }
 
-    /** The client has gone. */
-    public void left(String request) {
-        requests.get(request).left = true;
+    /** Called when the client has closed its connection and expects no answer any more. */
+    public void clientLeft(String request) {
+        requests.get(request).clientLeft = true;
     }
 
-    /** A send has arrived whole at a server. */
-    public void sent(String request, String server, long at) {
-        Entry e = requests.get(request);
-        if (e == null) {
-            breaks(Rule.NO_EFFECT_TWICE, "an op that no client sent: " + request);
+    /** Called when a complete attempt has arrived at a server. */
+    public void attemptReceived(String request, String server, long at) {
+        Entry entry = requests.get(request);
+        if (entry == null) {
+            addViolation(Rule.NO_EFFECT_TWICE, "a request that no client sent: " + request);
             return;
         }
-        if (e.answeredAt < at - SLACK) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, request + " sent to " + server + " after its answer");
+        if (entry.answeredAt < at - SLACK_TICKS) {
+            addViolation(Rule.ONE_ANSWER_IN_TIME, request + " attempted at " + server + " after its answer");
         }
-        if (e.kind.write() && !e.kind.tokened() && e.mayHaveRun) {
-            breaks(Rule.NO_EFFECT_TWICE, request + " sent again though it may have run");
+        if (entry.traits.write() && !entry.traits.hasToken() && entry.mayHaveRun) {
+            addViolation(Rule.NO_EFFECT_TWICE, request + " retried though it may have run");
         }
-        if (e.out > 0 && e.kind.write()) {
-            breaks(Rule.NO_EFFECT_TWICE, request + " has two sends out");
+        if (entry.attemptsInFlight > 0 && entry.traits.write()) {
+            addViolation(Rule.NO_EFFECT_TWICE, request + " has two attempts in flight");
         }
-        if (drainingSince.getOrDefault(e.gateway + " " + server, Long.MAX_VALUE) < at - grace - SLACK) {
-            breaks(Rule.NOTHING_TO_DRAINING, request + " sent to draining " + server);
+        if (drainingSince.getOrDefault(entry.gateway + " " + server, Long.MAX_VALUE) < at - drainGrace - SLACK_TICKS) {
+            addViolation(Rule.NOTHING_TO_DRAINING, request + " attempted at draining " + server);
         }
-        e.out++;
-        e.sent = true;
-        e.mayHaveRun = true;
-        if (e.kind.write()) {
-            sends.merge(e.gateway + " " + server, 1, Integer::sum);
+        entry.attemptsInFlight++;
+        entry.attempted = true;
+        entry.mayHaveRun = true;
+        if (entry.traits.write()) {
+            writeAttempts.merge(entry.gateway + " " + server, 1, Integer::sum);
         }
     }
 
-    /** A send has ended at the server without an effect, and said so: turned away or full. */
-    public void proved(String request) {
-        Entry e = requests.get(request);
-        if (e != null) {
-            e.mayHaveRun = false;
-            e.out--;
+    /** Called when a server has rejected an attempt, which proves that it had no effect. */
+    public void attemptRejected(String request) {
+        Entry entry = requests.get(request);
+        if (entry != null) {
+            entry.mayHaveRun = false;
+            entry.attemptsInFlight--;
         }
     }
 
-    /** A send is out no more: answered, or its connection has ended. */
-    public void over(String request) {
-        Entry e = requests.get(request);
-        if (e != null) {
-            e.out = Math.max(0, e.out - 1);
+    /** Called when an attempt is no longer in flight: it was answered, or its connection was closed. */
+    public void attemptEnded(String request) {
+        Entry entry = requests.get(request);
+        if (entry != null) {
+            entry.attemptsInFlight = Math.max(0, entry.attemptsInFlight - 1);
         }
     }
 
-    /** A write has had its effect, at that position. */
+    /** Called when a write has taken effect at a log position. */
     public void applied(String request, long position) {
-        Entry e = requests.get(request);
-        if (e != null) {
-            e.committedAt = position;
+        Entry entry = requests.get(request);
+        if (entry != null) {
+            entry.committedAt = position;
         }
         applied(request);
     }
 
-    /** The same, where its position is of no interest. */
+    /** Called when a write has taken effect, if its log position does not matter. */
     public void applied(String request) {
-        Entry e = requests.get(request);
-        if (e != null && applied.merge(e.write, 1, Integer::sum) > 1) {
-            breaks(Rule.NO_EFFECT_TWICE, "write " + e.write + " has its effect " + applied.get(e.write) + " times");
+        Entry entry = requests.get(request);
+        if (entry != null && applied.merge(entry.write, 1, Integer::sum) > 1) {
+            addViolation(Rule.NO_EFFECT_TWICE, "write " + entry.write + " took effect " + applied.get(entry.write) + " times");
         }
     }
 
-    /** A server has answered a read from data of this position, for a send that arrived then. */
-    public void read(String request, long position, long arrivedAt) {
-        Entry e = requests.get(request);
-        if (e != null && e.kind.bound() > 0 && arrivedAt - position > e.kind.bound() + SLACK) {
-            breaks(Rule.NO_STALE_READ, request + " read from data " + (arrivedAt - position) / 10 + " ms old");
+    /**
+     * Called when a server has answered a read.
+     *
+     * @param position the log position of the data
+     * @param arrivedAt when the attempt arrived at the server
+     */
+    public void readServed(String request, long position, long arrivedAt) {
+        Entry entry = requests.get(request);
+        if (entry != null && entry.traits.stalenessBound() > 0 && arrivedAt - position > entry.traits.stalenessBound() + SLACK_TICKS) {
+            addViolation(Rule.NO_STALE_READ, request + " read from data " + (arrivedAt - position) / 10 + " ms old");
         }
     }
 
-    /** The same for a read of a session; a millisecond is lost in telling positions. */
-    public void readInSession(String request, long position) {
-        Entry e = requests.get(request);
-        if (e != null && position < e.mustReach - MS) {
-            breaks(
+    /** Called when a server has answered a session's read. Allows 1 ms, since gateways see positions only that exactly. */
+    public void sessionReadServed(String request, long position) {
+        Entry entry = requests.get(request);
+        if (entry != null && position < entry.requiredPosition - MS) {
+            addViolation(
                     Rule.NO_STALE_READ,
-                    request + " of " + e.session + " read from " + (e.mustReach - position) / 10
-                            + " ms before its last acked write");
+                    request + " of " + entry.session + " read from " + (entry.requiredPosition - position) / 10
+                            + " ms before its last succeeded write");
         }
     }
 
-    /** The client has its final answer. */
+    /** Called when the client has received a final answer. */
     public void answered(String request, Answer answer, long at) {
-        Entry e = requests.get(request);
-        e.answers++;
-        e.answeredAt = Math.min(e.answeredAt, at);
-        if (answer == Answer.ACKED && e.session != null && e.kind.write()) {
-            sessions.merge(e.session, e.committedAt, Math::max);
+        Entry entry = requests.get(request);
+        entry.answers++;
+        entry.answeredAt = Math.min(entry.answeredAt, at);
+        if (answer == Answer.SUCCEEDED && entry.session != null && entry.traits.write()) {
+            sessions.merge(entry.session, entry.committedAt, Math::max);
         }
-        if (e.answers > 1) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, request + " answered " + e.answers + " times");
+        if (entry.answers > 1) {
+            addViolation(Rule.ONE_ANSWER_IN_TIME, request + " answered " + entry.answers + " times");
         }
-        if (at > e.timeoutAt + SLACK && !isExcused(e)) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, request + " answered " + (at - e.timeoutAt) / 10 + " ms late");
+        if (at > entry.timeoutAt + SLACK_TICKS && !hadOutage(entry)) {
+            addViolation(Rule.ONE_ANSWER_IN_TIME, request + " answered " + (at - entry.timeoutAt) / 10 + " ms late");
         }
-        if (answer == Answer.BUSY && e.kind.write() && !e.kind.tokened() && e.mayHaveRun) {
-            breaks(Rule.NO_EFFECT_TWICE, request + " busy-replied though it may have run");
+        if (answer == Answer.REJECTED && entry.traits.write() && !entry.traits.hasToken() && entry.mayHaveRun) {
+            addViolation(Rule.NO_EFFECT_TWICE, request + " rejected though it may have run");
         }
-        if (answer == Answer.ACKED && e.kind.write() && !applied.containsKey(e.write)) {
-            breaks(Rule.ONE_ANSWER_IN_TIME, request + " acked without its effect");
+        if (answer == Answer.SUCCEEDED && entry.traits.write() && !applied.containsKey(entry.write)) {
+            addViolation(Rule.ONE_ANSWER_IN_TIME, request + " succeeded without its effect");
         }
     }
 
-    /** A gateway was told that a server drains. */
-    public void toldOfDrain(String gateway, String server, long at) {
+    /** Called when a gateway has learned that a server drains. */
+    public void drainReported(String gateway, String server, long at) {
         drainingSince.putIfAbsent(gateway + " " + server, at);
     }
 
-    /** A gateway was told by a list of this revision that a server drains or is removed. */
-    public void toldOutOfService(String gateway, String server, int revision, long at) {
-        toldOfDrain(gateway, server, at);
+    /** Called when a gateway has received an endpoint list of this revision in which a server drains or is removed. */
+    public void outOfServiceReported(String gateway, String server, int revision, long at) {
+        drainReported(gateway, server, at);
         outOfServiceRevisions.merge(gateway + " " + server, revision, Math::max);
     }
 
-    /** A gateway was told by a list of this revision that a server is in service; an older list than that of the drain says nothing. */
-    public void toldInService(String gateway, String server, int revision) {
+    /**
+     * Called when a gateway has received an endpoint list of this revision in which a server is in service. Has no effect if
+     * the revision is not higher than that of the drain.
+     */
+    public void inServiceReported(String gateway, String server, int revision) {
         String key = gateway + " " + server;
         if (outOfServiceRevisions.getOrDefault(key, Integer.MAX_VALUE) < revision) {
             outOfServiceRevisions.remove(key);
@@ -305,32 +362,32 @@
         }
     }
 
-    /** A new process has been told nothing yet. */
-    public void forgetsLists(String gateway) {
+    /** Called when a gateway process starts, which has received no endpoint list yet. */
+    public void forgetEndpointLists(String gateway) {
         outOfServiceRevisions.keySet().removeIf(key -> key.startsWith(gateway + " "));
         drainingSince.keySet().removeIf(key -> key.startsWith(gateway + " "));
     }
 
-    /** A cold server has fallen over. */
-    public void fell(String server) {
-        breaks(Rule.NO_COLD_PUSHED_OVER, server + " was pushed over");
+    /** Called when a server in slow start has crashed under too many requests. */
+    public void serverOverloaded(String server) {
+        addViolation(Rule.NO_SLOW_START_OVERLOAD, server + " crashed in slow start");
     }
 
-    /** Writes that a gateway sent to a server. */
+    /** Returns the number of write attempts of a gateway that have arrived at a server. */
     public int writesSent(String gateway, String server) {
-        return sends.getOrDefault(gateway + " " + server, 0);
+        return writeAttempts.getOrDefault(gateway + " " + server, 0);
     }
 
-    /** Ops taken. */
+    /** Returns the number of requests recorded. */
     public int requests() {
         return requests.size();
     }
 
-    /** All that is broken, at the end of a run: each op must have its answer by now. */
+    /** Returns all violations at the end of a run, including the requests that have no answer by now. */
     public List<Broken> close(long at) {
-        requests.forEach((request, e) -> {
-            if (e.answers == 0 && !e.left && at > e.timeoutAt + SLACK && !isExcused(e)) {
-                breaks(Rule.ONE_ANSWER_IN_TIME, request + " has no answer");
+        requests.forEach((request, entry) -> {
+            if (entry.answers == 0 && !entry.clientLeft && at > entry.timeoutAt + SLACK_TICKS && !hadOutage(entry)) {
+                addViolation(Rule.ONE_ANSWER_IN_TIME, request + " has no answer");
             }
         });
         return List.copyOf(broken);
--- a/tools/src/main/java/ploverdale/tools/ledger/package-info.java
+++ b/tools/src/main/java/ploverdale/tools/ledger/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns the account of a run as seen from outside: each op's answers, each send, each applied write, the age of each
- * answer's data; and the five rules, checked on it. Must never be told anything by the gateway that it checks.
+ * Owns the record of a run as seen from outside the gateways: the answers to each request, each attempt, each applied write
+ * and the age of the data of each answer; and the five rules that are checked against it. Must never get any of this from
+ * the gateway that it checks.
  */
 package ploverdale.tools.ledger;
--- a/tools/src/main/java/ploverdale/tools/model/GroupModel.java
+++ b/tools/src/main/java/ploverdale/tools/model/GroupModel.java
@@ -7,189 +7,221 @@
 import java.util.random.RandomGenerator;
 import ploverdale.tools.model.ServerModel.Fault;
 
-/** A primary and its replicas. */
+/** Models a replica group: a primary and its replicas. Times are in ticks (a tenth of a millisecond). */
 public final class GroupModel {
-    /** How a server takes an op. */
-    public enum Taking {
-        WORKS,
-        TURNS_AWAY,
-        FULL,
-        NOTHING,
-        REFUSES
+    /** What a server does with a request that arrives. */
+    public enum Disposition {
+        /** The server executes the request. */
+        ACCEPTED,
+        /** The server rejects a write, since it is not the primary or there is none at present. */
+        NOT_PRIMARY,
+        /** The server rejects the request, since its queue is full. */
+        QUEUE_FULL,
+        /** The server does not answer. */
+        UNRESPONSIVE,
+        /** The server accepts no connection. */
+        CONNECTION_REFUSED
     }
 
-    /** An op as it comes to a server; the token is null for ops without. */
-    public record Work(
+    /**
+     * A request that has arrived at a server.
+     *
+     * @param token by which repeats of a write are dropped, or null
+     * @param doneAt when the server completes it; -1 if its queue is full, the time of arrival for other requests that are not
+     *     accepted
+     * @param overloaded whether this request made a server in slow start crash
+     */
+    public record Execution(
             String request,
             boolean write,
             String token,
             String server,
-            long cameAt,
+            long arrivedAt,
             long doneAt,
-            Taking taking,
-            boolean pushedOver) {}
-
-    /** What came of it: applied now, answered or not, with the position of the data; garbled answers say nothing. */
-    public record Done(boolean applied, boolean answered, boolean garbled, long position) {}
-
-    /** Who hears of changes, in the order in which they happen. */
-    public interface Watcher {
+            Disposition disposition,
+            boolean overloaded) {}
+
+    /**
+     * The result of an execution.
+     *
+     * @param applied whether a write took effect now
+     * @param answered whether the server answers
+     * @param corrupt whether the answer is corrupt
+     * @param position the log position of the data
+     */
+    public record Completion(boolean applied, boolean answered, boolean corrupt, long position) {}
+
+    /** Is notified of changes in the group, in the order in which they happen. */
+    public interface ChangeListener {
         void changed(long now, String what);
     }
 
-    private final Plan plan;
+    private final GroupParameters parameters;
     private final RandomGenerator random;
-    private final Watcher watcher;
+    private final ChangeListener listener;
     private final Map<String, ServerModel> servers = new LinkedHashMap<>();
-    private final Map<String, Long> tokens = new HashMap<>();
+    private final Map<String, Long> tokens = new HashMap<>(); // token to the time at which its write took effect
     private String primary;
-    private String next; // will be primary at nextAt
-    private long nextAt = Long.MAX_VALUE;
-    private long lastCommit;
-    private long logEnd; // the log of a group without a primary stands still here
+    private String next; // never set
+
+    /** When a replica takes over; valid while {@link #leaderless}. */
+    private long electionAt = Long.MAX_VALUE;
+
+    private long lastCommit; // log position of the last write that took effect
+
+    /** The log position at which the primary was lost; valid while {@link #leaderless}. */
+    private long logEnd;
+
     private boolean leaderless;
 
-    public GroupModel(Plan plan, RandomGenerator random, List<String> ids, long now, Watcher watcher) {
-        this.plan = plan;
+    public GroupModel(GroupParameters parameters, RandomGenerator random, List<String> ids, long now, ChangeListener listener) {
+        this.parameters = parameters;
         this.random = random;
-        this.watcher = watcher;
-        ids.forEach(id -> servers.put(id, new ServerModel(id, plan.cores(), now)));
+        this.listener = listener;
+        ids.forEach(id -> servers.put(id, new ServerModel(id, parameters.cores(), now)));
         primary = ids.get(0);
         lastCommit = now;
     }
 
-    public Plan plan() {
-        return plan;
+    public GroupParameters parameters() {
+        return parameters;
     }
 
     public ServerModel server(String id) {
         return servers.get(id);
     }
 
-    /** The primary's id, also while it is silent and nobody has taken over; null while none is. */
+    /** Returns the primary's id. A primary that was lost stays the primary until a replica has taken over. */
     public String primary(long now) {
         advance(now);
         return primary;
     }
 
-    /** Where a server stands in the log. */
+    /** Returns the log position that a server has applied. */
     public long position(long now, String id) {
         advance(now);
         return id.equals(primary) && servers.get(id).answers()
                 ? now
-                : servers.get(id).position(now, log(now), plan);
+                : servers.get(id).position(now, replicatedPosition(now), parameters);
     }
 
-    /** How far the log has come to those who follow. */
-    private long log(long now) {
-        return leaderless ? logEnd : now - plan.ship();
+    /** Returns the log position that has reached the replicas. */
+    private long replicatedPosition(long now) {
+        return leaderless ? logEnd : now - parameters.replicationDelay();
     }
 
-    /** Elections whose time has come take place. */
+    /** Detects the loss of the primary, and elects the most advanced replica once the election is due. */
     public void advance(long now) {
         if (primary != null && !servers.get(primary).answers() && !leaderless) {
             leaderless = true;
             logEnd = servers.get(primary).faultSince();
-            nextAt = logEnd + plan.detect() + plan.elect();
+            electionAt = logEnd + parameters.detectionTime() + parameters.electionTime();
         }
-        if (leaderless && now >= nextAt) {
+        if (leaderless && now >= electionAt) {
             String best = null;
             for (ServerModel s : servers.values()) {
-                boolean may = s.answers() && !s.draining() && !s.id().equals(primary);
-                best = may
+                boolean eligible = s.answers() && !s.isDraining() && !s.id().equals(primary);
+                best = eligible
                                 && (best == null
-                                        || servers.get(best).position(now, logEnd, plan)
-                                                < s.position(now, logEnd, plan))
+                                        || servers.get(best).position(now, logEnd, parameters)
+                                                < s.position(now, logEnd, parameters))
                         ? s.id()
                         : best;
             }
             if (best != null) {
                 primary = best;
                 leaderless = false;
-                nextAt = Long.MAX_VALUE;
-                watcher.changed(now, "primary " + best);
+                electionAt = Long.MAX_VALUE;
+                listener.changed(now, "primary " + best);
             }
         }
     }
 
-    /** Something goes wrong with a server. */
+    /** Sets a fault of a server. */
     public void fault(long now, String id, Fault fault) {
         advance(now);
         if (id.equals(primary) && servers.get(id).answers()) {
-            servers.get(id).led(now);
+            servers.get(id).markUpToDate(now);
         } else {
             position(now, id);
         }
-        servers.get(id).fault(fault, now, plan, false);
-        watcher.changed(now, id + " " + fault);
+        servers.get(id).setFault(fault, now, parameters, false);
+        listener.changed(now, id + " " + fault);
         advance(now);
     }
 
-    /** A server is as before; after a restart it is cold. One that was primary follows, if another took over. */
-    public void heals(long now, String id, boolean restarted) {
+    /**
+     * Ends the fault of a server. A former primary remains the primary unless a replica has taken over.
+     *
+     * @param restarted whether the server was restarted, after which it is in slow start
+     */
+    public void heal(long now, String id, boolean restarted) {
         advance(now);
-        boolean led = id.equals(primary) && leaderless;
-        servers.get(id).position(now, log(now), plan);
-        servers.get(id).fault(Fault.NONE, now, plan, restarted);
-        if (led && now < nextAt) {
+        boolean wasPrimary = id.equals(primary) && leaderless;
+        servers.get(id).position(now, replicatedPosition(now), parameters);
+        servers.get(id).setFault(Fault.NONE, now, parameters, restarted);
+        if (wasPrimary && now < electionAt) {
             leaderless = false;
         }
-        watcher.changed(now, id + " back" + (restarted ? ", cold" : ""));
+        listener.changed(now, id + " back" + (restarted ? ", cold" : ""));
     }
 
-    /** A server is to go; a primary hands over. */
-    public void drains(long now, String id) {
+    /** Starts to drain a server; a primary hands over to a replica. */
+    public void drain(long now, String id) {
         advance(now);
-        servers.get(id).drains();
+        servers.get(id).drain();
         if (id.equals(primary)) {
             leaderless = true;
             logEnd = now;
-            nextAt = now + plan.switchOver();
+            electionAt = now + parameters.handoverTime();
         }
-        watcher.changed(now, id + " drains");
+        listener.changed(now, id + " drains");
     }
 
-    /** An op comes to a server. */
-    public Work comes(long now, String server, String request, boolean write, String token) {
+    /** Called when a request arrives at a server. */
+    public Execution arrive(long now, String server, String request, boolean write, String token) {
         advance(now);
         ServerModel s = servers.get(server);
-        boolean over = s.pushes(now, plan);
-        Taking taking;
+        boolean overloaded = s.recordArrival(now, parameters);
+        Disposition disposition;
         long doneAt = now;
         if (!s.answers()) {
-            taking = s.fault() == Fault.REFUSING ? Taking.REFUSES : Taking.NOTHING;
+            disposition = s.fault() == Fault.REFUSING ? Disposition.CONNECTION_REFUSED : Disposition.UNRESPONSIVE;
         } else if (write && (!server.equals(primary) || leaderless)) {
-            taking = Taking.TURNS_AWAY;
+            disposition = Disposition.NOT_PRIMARY;
         } else {
-            long work = (long) (-Math.log(1 - random.nextDouble()) * plan.meanWork());
-            doneAt = s.takes(now, work, plan);
-            taking = doneAt < 0 ? Taking.FULL : Taking.WORKS;
+            long serviceTime = (long) (-Math.log(1 - random.nextDouble()) * parameters.meanServiceTime());
+            doneAt = s.enqueue(now, serviceTime, parameters);
+            disposition = doneAt < 0 ? Disposition.QUEUE_FULL : Disposition.ACCEPTED;
         }
-        return new Work(request, write, token, server, now, doneAt, taking, over);
+        return new Execution(request, write, token, server, now, doneAt, disposition, overloaded);
     }
 
-    /** An op that was taken ends, at its time; a server that went silent meanwhile may have run it or not. */
-    public Done ends(long now, Work w) {
+    /**
+     * Called at the time at which an accepted request is done. If the server became unresponsive meanwhile, it is random
+     * whether the request ran.
+     */
+    public Completion complete(long now, Execution execution) {
         advance(now);
-        ServerModel s = servers.get(w.server());
+        ServerModel s = servers.get(execution.server());
         boolean answers =
-                s.answers() && s.faultSince() < w.cameAt() || s.fault() == Fault.NONE && s.startedAt() <= w.cameAt();
-        boolean runs = answers || s.startedAt() <= w.cameAt() && random.nextBoolean() && s.faultSince() > w.cameAt();
-        boolean known = w.token() != null && tokens.getOrDefault(w.token(), Long.MIN_VALUE) > now - plan.tokenWindow();
-        boolean leads = w.server().equals(primary) && (!leaderless || !answers);
-        boolean applied = w.write() && runs && leads && !known;
+                s.answers() && s.faultSince() < execution.arrivedAt() || s.fault() == Fault.NONE && s.startedAt() <= execution.arrivedAt();
+        boolean ran = answers || s.startedAt() <= execution.arrivedAt() && random.nextBoolean() && s.faultSince() > execution.arrivedAt();
+        boolean repeated = execution.token() != null && tokens.getOrDefault(execution.token(), Long.MIN_VALUE) > now - parameters.tokenWindow();
+        boolean isPrimary = execution.server().equals(primary) && (!leaderless || !answers);
+        boolean applied = execution.write() && ran && isPrimary && !repeated;
         if (applied) {
             lastCommit = now;
-            if (w.token() != null) {
-                tokens.values().removeIf(at -> at < now - plan.tokenWindow());
-                tokens.put(w.token(), now);
+            if (execution.token() != null) {
+                tokens.values().removeIf(at -> at < now - parameters.tokenWindow());
+                tokens.put(execution.token(), now);
             }
         }
-        boolean lost = w.write() && !leads;
-        return new Done(
+        boolean lost = execution.write() && !isPrimary;
+        return new Completion(
                 applied,
                 answers && !lost,
                 s.fault() == Fault.GARBLED,
-                w.write() ? lastCommit : position(now, w.server()));
+                execution.write() ? lastCommit : position(now, execution.server()));
     }
 }
--- a/tools/src/main/java/ploverdale/tools/model/package-info.java
+++ b/tools/src/main/java/ploverdale/tools/model/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Owns a model of one replicated group: who leads, how far each replica has applied the log, elections, cold servers,
- * drains, tokens that drop repeats, faults. Must never do I/O or look at a clock: time, in tenths of a millisecond, and
- * chance are handed in, so that the same model stands behind sockets and, later, runs in simulated time.
+ * Owns a model of one replica group: which server is the primary, how far each replica has applied the log, elections, slow
+ * start, drains, tokens by which repeats of writes are dropped, and faults. Must never do I/O or read a clock: the time, in
+ * ticks (a tenth of a millisecond), and the source of randomness are passed in, so that the model can back sockets and can
+ * also run in simulated time.
  */
 package ploverdale.tools.model;
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -68,23 +68,23 @@
             Files.writeString(
                     file,
                     "{\"sends_at_server\":" + WHOLE + ",\"loan_ms\":800,\"steward_ms\":1200,\"floor_share\":0.1}");
-            with = Launch.found(List.of("--fleet", file.toString()));
-            without = Launch.found(List.of());
+            with = Launch.locate(List.of("--fleet", file.toString()));
+            without = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("gateways as processes", e.getMessage(), false));
         }
         int[] sums = new int[8];
         List<Check> checks = new ArrayList<>(SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule day = ScheduleGenerator.day(seed, GATEWAYS, LASTS_MS, Fleet.SERVERS);
+            FaultSchedule day = ScheduleGenerator.generate(seed, GATEWAYS, LASTS_MS, Fleet.SERVERS);
             Out out = new Out(WHOLE);
-            FleetResult shown = Fleet.play(day, shape(with, out));
-            FleetResult plain = Fleet.play(day, shape(without, new Out(WHOLE)));
+            FleetResult shown = Fleet.run(day, shape(with, out));
+            FleetResult plain = Fleet.run(day, shape(without, new Out(WHOLE)));
             synchronized (sums) {
                 add(sums, 0, shown);
                 add(sums, 4, plain);
             }
             // Guards against a whole that holds because hardly anything was sent; a loaded machine costs some.
-            boolean serves = 4 * (shown.readsAcked() + shown.writesAcked()) > plain.readsAcked() + plain.writesAcked();
+            boolean serves = 4 * (shown.readsSucceeded() + shown.writesSucceeded()) > plain.readsSucceeded() + plain.writesSucceeded();
             boolean holds = out.firstOver == null && shown.broken().isEmpty() && serves;
             return new Check(
                     "seed " + day.seed() + ", " + day.steps().size() + " steps: never over " + WHOLE
@@ -115,10 +115,10 @@
     }
 
     private static void add(int[] sums, int from, FleetResult s) {
-        sums[from] += s.readsAsked();
-        sums[from + 1] += s.readsAcked();
-        sums[from + 2] += s.writesAsked();
-        sums[from + 3] += s.writesAcked();
+        sums[from] += s.readsSent();
+        sums[from + 1] += s.readsSucceeded();
+        sums[from + 2] += s.writesSent();
+        sums[from + 3] += s.writesSucceeded();
     }
 
     private static String figures(int[] sums, int from) {
--- a/tools/src/main/java/ploverdale/tools/rig/Faults.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Faults.java
@@ -26,19 +26,19 @@
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         Launch launch;
         try {
-            launch = Launch.found(List.of());
+            launch = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("gateways as processes", e.getMessage(), false));
         }
         return SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule day = ScheduleGenerator.day(seed, GATEWAYS, LASTS_MS, Fleet.SERVERS);
+            FaultSchedule day = ScheduleGenerator.generate(seed, GATEWAYS, LASTS_MS, Fleet.SERVERS);
             return check(day, Workload.even(launch, GATEWAYS, OPS_PER_SECOND));
         });
     }
 
     /** One day, and the shortest of its like that fails, too, if it does. */
     static Check check(FaultSchedule day, Workload shape) throws Exception {
-        FleetResult shown = Fleet.play(day, shape);
+        FleetResult shown = Fleet.run(day, shape);
         String name = "seed " + day.seed() + ", " + day.steps().size() + " steps: no rule broken";
         if (shown.broken().isEmpty()) {
             return new Check(name, shown.figures(), true);
@@ -55,7 +55,7 @@
 
     private static boolean breaks(FaultSchedule day, Workload shape) {
         try {
-            return !Fleet.play(day, shape).broken().isEmpty();
+            return !Fleet.run(day, shape).broken().isEmpty();
         } catch (Exception e) {
             return false; // not played, and so no proof
         }
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -9,12 +9,12 @@
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
 import ploverdale.tools.fleet.FaultSchedule.Step;
-import ploverdale.tools.fleet.FaultSchedule.What;
+import ploverdale.tools.fleet.FaultSchedule.Action;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.Workload;
-import ploverdale.tools.fleet.Workload.Crowd;
+import ploverdale.tools.fleet.Workload.ConnectionLoad;
 
 /**
  * Gateways as processes, each paused again and again for a part of a second (as on a machine that gives them too little
@@ -30,8 +30,8 @@
     private static final long BETWEEN_LEAST_MS = 150;
     private static final long BETWEEN_MOST_MS = 600;
     private static final double OPS_PER_SECOND = 120; // of each gateway
-    private static final Crowd CROWD =
-            new Crowd(60, 160); // idle connections end after a moment where there are over 40
+    private static final ConnectionLoad CROWD =
+            new ConnectionLoad(60, 160); // idle connections end after a moment where there are over 40
     private static final int LINES = 60; // of the log of a day that fails
 
     private Pauses() {}
@@ -39,11 +39,11 @@
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         Launch launch;
         try {
-            launch = Launch.found(List.of());
+            launch = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("gateways as processes", e.getMessage(), false));
         }
-        return SeedRuns.play(firstSeed, seeds, atATime, seed -> check(Fleet.play(day(seed), shape(launch))));
+        return SeedRuns.play(firstSeed, seeds, atATime, seed -> check(Fleet.run(day(seed), shape(launch))));
     }
 
     static Workload shape(Launch launch) {
@@ -58,8 +58,8 @@
             long at = FIRST_MS + random.nextLong(BETWEEN_MOST_MS);
             while (at < LASTS_MS - PAUSE_MOST_MS) {
                 long until = at + random.nextLong(PAUSE_LEAST_MS, PAUSE_MOST_MS);
-                steps.add(Step.of(at, What.STOP, "n" + i));
-                steps.add(Step.of(until, What.GO_ON, "n" + i));
+                steps.add(Step.of(at, Action.STOP, "n" + i));
+                steps.add(Step.of(until, Action.GO_ON, "n" + i));
                 at = until + random.nextLong(BETWEEN_LEAST_MS, BETWEEN_MOST_MS);
             }
         }
@@ -67,7 +67,7 @@
     }
 
     private static Check check(FleetResult s) {
-        Histogram late = s.late();
+        Histogram late = s.lateness();
         String figures = s.figures()
                 + String.format(
                         Locale.ROOT,
@@ -75,7 +75,7 @@
                         late.getValueAtPercentile(50) / 1000.0,
                         late.getValueAtPercentile(99) / 1000.0,
                         late.getMaxValue() / 1000.0);
-        String name = "seed " + s.day().seed() + ", " + s.day().steps().size() / 2 + " pauses: no rule broken";
+        String name = "seed " + s.schedule().seed() + ", " + s.schedule().steps().size() / 2 + " pauses: no rule broken";
         if (s.broken().isEmpty()) {
             return new Check(name, figures, true);
         }
@@ -83,7 +83,7 @@
         return new Check(
                 name,
                 figures + ", broken " + s.broken().size() + ", first "
-                        + s.broken().get(0) + "\n" + s.day().text() + "log:\n"
+                        + s.broken().get(0) + "\n" + s.schedule().text() + "log:\n"
                         + String.join("\n", log.subList(Math.max(0, log.size() - LINES), log.size())),
                 false);
     }
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -15,7 +15,7 @@
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
 import ploverdale.tools.fleet.FaultSchedule.Step;
-import ploverdale.tools.fleet.FaultSchedule.What;
+import ploverdale.tools.fleet.FaultSchedule.Action;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
@@ -48,13 +48,13 @@
     /** A drawn day on which some datagrams between any two are lost, up to half of them. */
     private static FaultSchedule day(long seed) {
         int gateways = SIZES[(int) (seed % SIZES.length)];
-        FaultSchedule drawn = ScheduleGenerator.day(seed, gateways, LASTS_MS, Fleet.SERVERS);
+        FaultSchedule drawn = ScheduleGenerator.generate(seed, gateways, LASTS_MS, Fleet.SERVERS);
         double loss = new SplittableRandom(~seed).nextInt(3) * 0.25;
         List<Step> steps = new ArrayList<>(drawn.steps());
         for (int i = 0; i < gateways && loss > 0; i++) {
             for (int k = 0; k < gateways; k++) {
                 if (i != k) {
-                    steps.add(Step.of(1, What.WORDS, "n" + i, "n" + k, "loss:" + loss));
+                    steps.add(Step.of(1, Action.WORDS, "n" + i, "n" + k, "loss:" + loss));
                 }
             }
         }
@@ -75,14 +75,14 @@
         try {
             Path file = file(true);
             Path sendsOn = file(false);
-            Launch with = Launch.found(List.of("--fleet", file.toString()));
-            Launch without = Launch.found(List.of());
+            Launch with = Launch.locate(List.of("--fleet", file.toString()));
+            Launch without = Launch.locate(List.of());
             ExecutorService pool = Executors.newFixedThreadPool(atATime);
             List<Future<FleetResult[]>> runs = new ArrayList<>();
             for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
                 FaultSchedule day = day(seed);
                 runs.add(pool.submit(() -> new FleetResult[] {
-                    Fleet.play(day, shape(with, day, HABIT)), Fleet.play(day, shape(without, day, HABIT))
+                    Fleet.run(day, shape(with, day, HABIT)), Fleet.run(day, shape(without, day, HABIT))
                 }));
             }
             int sessions = 0;
@@ -92,8 +92,8 @@
             for (Future<FleetResult[]> r : runs) {
                 FleetResult[] both = r.get();
                 checks.add(check(both[0], both[1]));
-                sessions += both[0].roamers().sessions();
-                again += both[0].roamers().submittedAgain();
+                sessions += both[0].reconnectingClients().sessions();
+                again += both[0].reconnectingClients().submittedAgain();
                 kept += both[0].broken().size();
                 broken += both[1].broken().size();
             }
@@ -103,7 +103,7 @@
                     sessions + " sessions, " + again + " writes submitted again; broken " + kept + " times with it and "
                             + broken + " without",
                     broken > 0));
-            checks.add(costs(with, Launch.found(List.of("--fleet", sendsOn.toString())), without));
+            checks.add(costs(with, Launch.locate(List.of("--fleet", sendsOn.toString())), without));
             Files.delete(file);
             Files.delete(sendsOn);
         } catch (IOException e) {
@@ -115,22 +115,22 @@
     }
 
     private static Check check(FleetResult s, FleetResult plain) {
-        int acked = s.roamers().sessions() == 0
+        int acked = s.reconnectingClients().sessions() == 0
                 ? 0
-                : (int) (s.roamers().writes().getTotalCount()
-                        + s.roamers().reads().getTotalCount());
-        int without = (int) (plain.roamers().writes().getTotalCount()
-                + plain.roamers().reads().getTotalCount());
+                : (int) (s.reconnectingClients().writes().getTotalCount()
+                        + s.reconnectingClients().reads().getTotalCount());
+        int without = (int) (plain.reconnectingClients().writes().getTotalCount()
+                + plain.reconnectingClients().reads().getTotalCount());
         boolean holds = s.broken().isEmpty() && 2 * acked > without;
         return new Check(
-                "seed " + s.day().seed() + ", " + s.day().gateways() + " gateways, "
-                        + s.day().steps().size() + " steps: no promise broken, half served of what is without",
-                s.roamers().sessions() + " sessions, " + acked + " of "
-                        + s.roamers().asked() + " ops acked, " + without + " without, "
-                        + s.roamers().submittedAgain() + " submitted again"
+                "seed " + s.schedule().seed() + ", " + s.schedule().gateways() + " gateways, "
+                        + s.schedule().steps().size() + " steps: no promise broken, half served of what is without",
+                s.reconnectingClients().sessions() + " sessions, " + acked + " of "
+                        + s.reconnectingClients().asked() + " ops acked, " + without + " without, "
+                        + s.reconnectingClients().submittedAgain() + " submitted again"
                         + (holds
                                 ? ""
-                                : ", broken: " + s.broken() + "\n" + s.day().text() + "log:\n"
+                                : ", broken: " + s.broken() + "\n" + s.schedule().text() + "log:\n"
                                         + String.join("\n", s.log())),
                 holds);
     }
@@ -142,12 +142,12 @@
         boolean holds = true;
         try {
             for (Launch l : List.of(without, sendsOn, waits)) {
-                FleetResult s = Fleet.play(calm, shape(l, calm, new RoamingClients.Habit(1000, 220, false)));
+                FleetResult s = Fleet.run(calm, shape(l, calm, new RoamingClients.Habit(1000, 220, false)));
                 b.append(l == without ? "without" : l == sendsOn ? "; kept" : "; acks wait")
                         .append(": writes ")
-                        .append(times(s.roamers().writes()))
+                        .append(times(s.reconnectingClients().writes()))
                         .append(", reads ")
-                        .append(times(s.roamers().reads()));
+                        .append(times(s.reconnectingClients().reads()));
                 holds &= l == without || s.broken().isEmpty();
             }
         } catch (Exception e) {
--- a/tools/src/main/java/ploverdale/tools/rig/Soak.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Soak.java
@@ -7,12 +7,12 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.SoakScheduleGenerator;
 import ploverdale.tools.fleet.Workload;
-import ploverdale.tools.fleet.Workload.Crowd;
+import ploverdale.tools.fleet.Workload.ConnectionLoad;
 
 /** Gateways as processes through drawn days on which servers drain, are removed and return under all other faults. */
 final class Soak {
     private static final double REQUESTS_PER_SECOND = 80; // of each gateway
-    private static final Crowd CROWD = new Crowd(60, 160); // near the limit of descriptors
+    private static final ConnectionLoad CROWD = new ConnectionLoad(60, 160); // near the limit of descriptors
     private static final int CROWDED_EVERY = 3; // seeds
 
     private Soak() {}
@@ -20,7 +20,7 @@
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         Launch launch;
         try {
-            launch = Launch.found(List.of());
+            launch = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("gateways as processes", e.getMessage(), false));
         }
@@ -32,7 +32,7 @@
 
     /** The day of that seed. */
     static FaultSchedule day(long seed) {
-        return SoakScheduleGenerator.day(seed, Fleet.SERVERS);
+        return SoakScheduleGenerator.generate(seed, Fleet.SERVERS);
     }
 
     /** What is asked on that day. */
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -19,7 +19,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
-import ploverdale.tools.model.Plan;
+import ploverdale.tools.model.GroupParameters;
 import ploverdale.tools.model.ServerModel.Fault;
 import ploverdale.tools.stand.Clients;
 import ploverdale.tools.stand.GatewayConfiguration;
@@ -190,7 +190,7 @@
             long elect = 300 + random.nextInt(900);
             joinsAfterMs = 50 + random.nextInt(1600);
             backAfterMs = detect + elect + 200 + random.nextInt(400);
-            Plan plan = new Plan(
+            GroupParameters plan = new GroupParameters(
                     5 * MS, detect * MS, elect * MS, 300 * MS, 4, 8 * MS, 0.3, 6000 * MS, 2.5, 1000 * MS, 5000 * MS, 4);
             model = new GroupModel(
                     plan,
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -190,15 +190,15 @@
             late.recordValue(Math.max(0, Math.min(LONGEST_US, tookUs - waitsMs() * 1000)));
             ledger.answered(id, answer, Clock.system().now());
             for (Tally t : counted) {
-                t.acked += answer == Answer.ACKED ? 1 : 0;
-                t.busy += answer == Answer.BUSY ? 1 : 0;
-                t.errored += answer == Answer.ERRORED ? 1 : 0;
-                if (answer == Answer.ACKED) {
+                t.acked += answer == Answer.SUCCEEDED ? 1 : 0;
+                t.busy += answer == Answer.REJECTED ? 1 : 0;
+                t.errored += answer == Answer.FAILED ? 1 : 0;
+                if (answer == Answer.SUCCEEDED) {
                     t.latency.recordValue(Math.min(LONGEST_US, (System.nanoTime() - at) / 1000));
                 }
             }
             over();
-            if (answer == Answer.BUSY && !again && !stopped) {
+            if (answer == Answer.REJECTED && !again && !stopped) {
                 vertx.setTimer(AGAIN_MS, x -> {
                     if (!stopped) {
                         ask(write, name, true);
@@ -244,7 +244,7 @@
             long waits = a.waitsMs() * 10;
             a.writtenAt = System.nanoTime();
             long now = Clock.system().now();
-            ledger.taken(a.id, new Ledger.Kind(a.write, false, a.write ? 0 : bound), a.name, gateway, now, now + waits);
+            ledger.requestSent(a.id, new Ledger.RequestTraits(a.write, false, a.write ? 0 : bound), a.name, gateway, now, now + waits);
             socket.write(a.text());
             vertx.setTimer(waits / 10 + GIVES_UP_AFTER_MS, x -> {
                 if (ask == a) {
@@ -266,12 +266,12 @@
                         Ask done = ask;
                         ask = null;
                         idle.addLast(this);
-                        done.ended(answer == null ? Answer.ERRORED : answer);
+                        done.ended(answer == null ? Answer.FAILED : answer);
                     }
                 } else if (m instanceof ServerMessage.CommandComplete) {
-                    answer = Answer.ACKED;
+                    answer = Answer.SUCCEEDED;
                 } else if (m instanceof ServerMessage.ErrorResponse p) {
-                    answer = p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                    answer = p.code().equals("53300") || p.code().equals("57P03") ? Answer.REJECTED : Answer.FAILED;
                 }
             }
         }
@@ -291,7 +291,7 @@
                     neverTaken(a); // turned away at the greeting
                 }
             } else if (alive.getAsBoolean()) {
-                ledger.endedUnanswered(a.id, Clock.system().now());
+                ledger.closedUnanswered(a.id, Clock.system().now());
                 new Conn(a); // it crossed the gateway's close: once more, on a new connection
             } else {
                 neverTaken(a);
@@ -300,7 +300,7 @@
 
         /** Also where it was written before, on a connection that was being ended: then it must not have been sent on. */
         private void neverTaken(Ask a) {
-            ledger.crossed(a.id);
+            ledger.crossedClose(a.id);
             a.over();
         }
     }
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -137,13 +137,13 @@
                             up[0] = true;
                             asks(socket);
                         } else if (m instanceof ServerMessage.ReadyForQuery) {
-                            ends(answer == null ? Answer.ERRORED : answer);
+                            ends(answer == null ? Answer.FAILED : answer);
                             socket.close();
                         } else if (m instanceof ServerMessage.CommandComplete) {
-                            answer = Answer.ACKED;
+                            answer = Answer.SUCCEEDED;
                         } else if (m instanceof ServerMessage.ErrorResponse p) {
                             answer =
-                                    p.code().equals("53300") || p.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                                    p.code().equals("53300") || p.code().equals("57P03") ? Answer.REJECTED : Answer.FAILED;
                         }
                     }
                 });
@@ -160,12 +160,12 @@
             taken = true;
             asked++;
             if (times == 0) {
-                ledger.taken(
-                        id, new Ledger.Kind(write, false, 0), id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
-                ledger.session(id, "s" + session);
+                ledger.requestSent(
+                        id, new Ledger.RequestTraits(write, false, 0), id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
+                ledger.inSession(id, "s" + session);
             } else {
                 again++;
-                ledger.takenAgain(id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
+                ledger.requestResent(id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
             }
             String comment = " /* id=" + id + ",c=" + (write ? "put" : "mine") + ",t=all,d=" + WAITS_MS + ",cluster=0"
                     + (times > 0 ? ",r=1" : "") + " */";
@@ -183,13 +183,13 @@
             if (taken && how != null) {
                 ledger.answered(id, how, Clock.system().now());
             } else if (taken) {
-                ledger.left(id);
+                ledger.clientLeft(id);
             }
-            if (how == Answer.ACKED) {
+            if (how == Answer.SUCCEEDED) {
                 (write ? writes : reads).recordValue(Math.min(60_000_000, (System.nanoTime() - at) / 1000));
             }
             boolean oncemore =
-                    write && habit.submitsAgain() && taken && how != Answer.ACKED && times < AGAIN_MOST && !stopped;
+                    write && habit.submitsAgain() && taken && how != Answer.SUCCEEDED && times < AGAIN_MOST && !stopped;
             if (oncemore) {
                 vertx.setTimer(1 + random.nextInt(60), x -> new Ask(session, true, id, times + 1).begins());
             } else {
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -24,8 +24,8 @@
 import ploverdale.net.postgres.ServerMessage;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
-import ploverdale.tools.model.GroupModel.Done;
-import ploverdale.tools.model.GroupModel.Work;
+import ploverdale.tools.model.GroupModel.Completion;
+import ploverdale.tools.model.GroupModel.Execution;
 import ploverdale.tools.model.ServerModel.Fault;
 
 /**
@@ -138,7 +138,7 @@
         to.end(list(gateway, true)); // an agent may always answer with the whole list
         phase.forEach((id, p) -> {
             if (p.equals("DRAINING") && hearsLists.test(gateway)) {
-                ledger.toldOfDrain(gateway, id, Clock.system().now());
+                ledger.drainReported(gateway, id, Clock.system().now());
             }
         });
     }
@@ -207,7 +207,7 @@
     /** It is back; after a restart its connections are reset and discovery tells of the start, late. */
     public void heals(String id, boolean restarted) {
         long now = Clock.system().now();
-        model.heals(now, id, restarted);
+        model.heal(now, id, restarted);
         if (restarted) {
             List.copyOf(open.get(id)).forEach(NetSocket::close);
             listLater(() -> startedAt.put(id, now / 10));
@@ -216,7 +216,7 @@
 
     /** It drains; discovery tells so, late. */
     public void drains(String id) {
-        model.drains(Clock.system().now(), id);
+        model.drain(Clock.system().now(), id);
         listLater(() -> phase.put(id, "DRAINING"));
     }
 
@@ -313,17 +313,17 @@
             String request = id.group(1);
             Matcher key = KEY.matcher(text);
             boolean write = text.startsWith("INSERT");
-            ledger.sent(request, server, now);
+            ledger.attemptReceived(request, server, now);
             traffic.request(request, server, now, true);
-            Work w = model.comes(now, server, request, write, null);
-            if (w.pushedOver()) {
-                ledger.fell(server);
+            Execution w = model.arrive(now, server, request, write, null);
+            if (w.overloaded()) {
+                ledger.serverOverloaded(server);
             }
-            switch (w.taking()) {
-                case TURNS_AWAY -> no(request, "25006");
-                case FULL -> no(request, "53300");
-                case REFUSES -> socket.close();
-                case NOTHING -> out.add(request);
+            switch (w.disposition()) {
+                case NOT_PRIMARY -> no(request, "25006");
+                case QUEUE_FULL -> no(request, "53300");
+                case CONNECTION_REFUSED -> socket.close();
+                case UNRESPONSIVE -> out.add(request);
                 default -> {
                     out.add(request);
                     String value = key.find() ? key.group(1) : "";
@@ -333,22 +333,22 @@
         }
 
         private void over(String request, long now) {
-            ledger.over(request);
+            ledger.attemptEnded(request);
             traffic.request(request, server, now, false);
         }
 
         private void no(String request, String code) {
-            ledger.proved(request);
+            ledger.attemptRejected(request);
             traffic.request(request, server, Clock.system().now(), false);
             socket.write(MessageWriter.errorResponse(code, "no", null, false, true));
         }
 
-        private void ends(Work w, String value) {
+        private void ends(Execution w, String value) {
             if (gone && !w.write()) {
                 return; // stopped with its connection
             }
             long now = Clock.system().now();
-            Done d = model.ends(now, w);
+            Completion d = model.complete(now, w);
             if (d.applied()) {
                 ledger.applied(w.request(), d.position());
             }
@@ -358,11 +358,11 @@
             out.remove(w.request());
             over(w.request(), now);
             if (!w.write()) {
-                ledger.read(w.request(), d.position(), w.cameAt());
-                ledger.readInSession(w.request(), d.position());
+                ledger.readServed(w.request(), d.position(), w.arrivedAt());
+                ledger.sessionReadServed(w.request(), d.position());
             }
             socket.write(
-                    d.garbled()
+                    d.corrupt()
                             ? Buffer.buffer("#~noise~#")
                             : row(now, value.getBytes(StandardCharsets.UTF_8), d.position()));
         }
@@ -388,7 +388,7 @@
                     "x0=%.3f,x1=%d,util=%.2f",
                     model.position(now, server) / 10_000.0 - 0.0005,
                     leads(now) ? 1 : 0,
-                    model.server(server).busy(now));
+                    model.server(server).utilization(now));
         }
     }
 }
--- a/tools/src/test/java/ploverdale/tools/fleet/FleetTest.java
+++ b/tools/src/test/java/ploverdale/tools/fleet/FleetTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 
-/** Real gateways as processes, short days. */
+/** Runs short fault schedules with real gateway processes. */
 @Timeout(180)
 class FleetTest {
-    private static FleetResult play(String day) throws Exception {
-        FaultSchedule d = FaultSchedule.read(day);
-        return Fleet.play(d, Workload.even(Launch.found(List.of()), d.gateways(), 40));
+    private static FleetResult run(String text) throws Exception {
+        FaultSchedule schedule = FaultSchedule.read(text);
+        return Fleet.run(schedule, Workload.even(Launch.locate(List.of()), schedule.gateways(), 40));
     }
 
-    private static String all(FleetResult s) {
-        return s.day().text() + String.join("\n", s.log());
+    private static String details(FleetResult result) {
+        return result.schedule().text() + String.join("\n", result.log());
     }
 
     @Test
-    void killsStopsRestartsAndCutWaysBreakNoRule() throws Exception {
-        FleetResult s = play("""
+    void killsPausesRestartsAndCutLinksBreakNoRule() throws Exception {
+        FleetResult result = run("""
                 day seed=5 gateways=3 lasts=9000
                 500 kill n0
                 900 way n1 s-second SILENT
@@ -36,31 +36,31 @@
                 3200 way n0 s-morning reset
                 3600 start n1
                 """);
-        assertThat(s.broken()).as(() -> all(s)).isEmpty();
-        assertThat(s.startsMs()).as(() -> all(s)).hasSize(5);
-        assertThat(s.writesAcked()).as(() -> all(s)).isGreaterThan(s.writesAsked() / 3);
+        assertThat(result.broken()).as(() -> details(result)).isEmpty();
+        assertThat(result.startDurationsMs()).as(() -> details(result)).hasSize(5);
+        assertThat(result.writesSucceeded()).as(() -> details(result)).isGreaterThan(result.writesSent() / 3);
     }
 
     @Test
-    void aSlowWayFromItsClientsIsNotAGatewaysFault() throws Exception {
-        FleetResult s = play("""
+    void aSlowLinkToItsClientsIsNotCountedAgainstAGateway() throws Exception {
+        FleetResult result = run("""
                 day seed=6 gateways=2 lasts=2500
                 500 way n0 clients delay:2000
                 """);
-        assertThat(s.broken()).isEmpty();
-        assertThat(s.readsAcked()).as(() -> all(s)).isLessThan(s.readsAsked());
+        assertThat(result.broken()).isEmpty();
+        assertThat(result.readsSucceeded()).as(() -> details(result)).isLessThan(result.readsSent());
     }
 
     @Test
-    void aGatewayIsOneProcessOverIpv4ThatStartsNoOther() throws Exception {
+    void aGatewayUsesOnlyIpv4AndNoNativeTransportAndStartsNoProcess() throws Exception {
         Path file = Files.createTempFile("gateway", ".json");
         List<String> log = new java.util.concurrent.CopyOnWriteArrayList<>();
-        GatewayProcess g = new GatewayProcess("n0", Launch.found(List.of()), (who, line) -> log.add(line));
+        GatewayProcess gateway = new GatewayProcess("n0", Launch.locate(List.of()), (who, line) -> log.add(line));
         int port;
         try (java.net.ServerSocket free = new java.net.ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        g.start(new ploverdale.tools.stand.GatewayConfiguration(
+        gateway.start(new ploverdale.tools.stand.GatewayConfiguration(
                                 0,
                                 "127.0.0.1:" + port,
                                 List.of("127.0.0.1:1"),
@@ -72,19 +72,19 @@
                         .json())
                 .get(60, java.util.concurrent.TimeUnit.SECONDS);
         try {
-            assertThat(ProcessHandle.of(g.pid()).orElseThrow().children()).isEmpty();
-            List<String> six = sockets("tcp6");
-            six.addAll(sockets("udp6"));
-            assertThat(descriptors(g.pid()))
+            assertThat(ProcessHandle.of(gateway.pid()).orElseThrow().children()).isEmpty();
+            List<String> ipv6Sockets = sockets("tcp6");
+            ipv6Sockets.addAll(sockets("udp6"));
+            assertThat(descriptors(gateway.pid()))
                     .as(() -> String.join("\n", log))
                     .isNotEmpty()
-                    .doesNotContainAnyElementsOf(six)
-                    .noneMatch(d -> d.contains("io_uring") || d.contains("deleted"));
-            assertThat(Files.readString(Path.of("/proc/" + g.pid() + "/maps")))
+                    .doesNotContainAnyElementsOf(ipv6Sockets)
+                    .noneMatch(target -> target.contains("io_uring") || target.contains("deleted"));
+            assertThat(Files.readString(Path.of("/proc/" + gateway.pid() + "/maps")))
                     .contains("libc.so")
                     .doesNotContain("libnetty");
         } finally {
-            g.kill().get();
+            gateway.kill().get();
             Files.delete(file);
         }
     }
@@ -92,8 +92,8 @@
     private static List<String> sockets(String kind) throws IOException {
         List<String> inodes = new java.util.ArrayList<>();
         Path table = Path.of("/proc/net/" + kind);
-        for (String l : Files.exists(table) ? Files.readAllLines(table) : List.<String>of()) {
-            String[] words = l.strip().split("\\s+");
+        for (String line : Files.exists(table) ? Files.readAllLines(table) : List.<String>of()) {
+            String[] words = line.strip().split("\\s+");
             inodes.add("socket:[" + words[Math.min(9, words.length - 1)] + "]");
         }
         return inodes;
@@ -101,9 +101,9 @@
 
     private static List<String> descriptors(long pid) throws IOException {
         List<String> targets = new java.util.ArrayList<>();
-        try (var all = Files.list(Path.of("/proc/" + pid + "/fd"))) {
-            for (Path p : all.toList()) {
-                targets.add(Files.readSymbolicLink(p).toString());
+        try (var links = Files.list(Path.of("/proc/" + pid + "/fd"))) {
+            for (Path link : links.toList()) {
+                targets.add(Files.readSymbolicLink(link).toString());
             }
         }
         return targets;
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -24,7 +24,7 @@
                         + " -> (claims.containsKey(claim) || isFree())"
             })
     void withoutOnePromisesBreak(String file, String guard, String instead) throws Exception {
-        try (MutationCheck none = MutationCheck.of(Launch.found(List.of()), "replication/" + file, guard, instead)) {
+        try (MutationCheck none = MutationCheck.of(Launch.locate(List.of()), "replication/" + file, guard, instead)) {
             Process p = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -31,14 +31,14 @@
     private static FleetResult play(BudgetsRig.Out out, String day) throws Exception {
         Path file = file(WHOLE);
         try {
-            return play(out, day, Launch.found(List.of("--fleet", file.toString())));
+            return play(out, day, Launch.locate(List.of("--fleet", file.toString())));
         } finally {
             Files.delete(file);
         }
     }
 
     private static FleetResult play(BudgetsRig.Out out, String day, Launch launch) throws Exception {
-        return Fleet.play(FaultSchedule.read(day), new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, out));
+        return Fleet.run(FaultSchedule.read(day), new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, out));
     }
 
     /** All ways of words between these and the others, both directions. */
@@ -99,7 +99,7 @@
             FleetResult s = play(
                     out,
                     "day seed=23 gateways=4 lasts=6000\n1000 stop n0\n2500 go_on n0\n",
-                    Launch.found(List.of("--fleet", all.toString()))
+                    Launch.locate(List.of("--fleet", all.toString()))
                             .with("n2", less)
                             .with("n3", less));
             wholeHolds(out, s);
@@ -107,7 +107,7 @@
             FleetResult old = play(
                     new BudgetsRig.Out(WHOLE),
                     "day seed=24 gateways=4 lasts=4000\n",
-                    Launch.found(List.of("--fleet", all.toString())).with("n3", List.of()));
+                    Launch.locate(List.of("--fleet", all.toString())).with("n3", List.of()));
             assertThat(old.broken()).as(() -> String.join("\n", old.log())).isEmpty();
             assertThat(old.log()).as("it leaves their parcels unread").noneMatch(l -> l.contains("fault"));
         } finally {
@@ -127,9 +127,9 @@
                                 .collect(Collectors.joining())
                         + "200 kill n1\n400 start n1\n");
         wholeHolds(out, s);
-        assertThat(s.readsAcked())
+        assertThat(s.readsSucceeded())
                 .as(() -> s.figures() + "\n" + String.join("\n", s.log()))
-                .isGreaterThan(s.readsAsked() / 2);
+                .isGreaterThan(s.readsSent() / 2);
     }
 
     /** One alone is asked and borrows all that the others have; then they are asked too, twice. */
@@ -151,7 +151,7 @@
     @Test
     void withoutTheGuardThatWaitsUntilALoanIsOverTheCountAtTheServersIsTooMuch() throws Exception {
         Path file = file(WHOLE);
-        Launch sound = Launch.found(List.of("--fleet", file.toString()));
+        Launch sound = Launch.locate(List.of("--fleet", file.toString()));
         List<Double> all = List.of(250.0, 250.0, 250.0, 250.0);
         FaultSchedule day = FaultSchedule.read(othersWantTheirPartsBack());
         try (MutationCheck none = MutationCheck.of(
@@ -160,12 +160,12 @@
                 "(long) Math.ceil(lease * (1 + clockDrift) / (1 - clockDrift)) + 1",
                 "lease / 20")) {
             BudgetsRig.Out out = new BudgetsRig.Out(WHOLE);
-            FleetResult s = Fleet.play(day, new Workload(none.launch(sound), all, 5500, out));
+            FleetResult s = Fleet.run(day, new Workload(none.launch(sound), all, 5500, out));
             assertThat(out.firstOver())
                     .as(() -> out.most() + " out\n" + String.join("\n", s.log()))
                     .isNotNull();
             BudgetsRig.Out with = new BudgetsRig.Out(WHOLE);
-            wholeHolds(with, Fleet.play(day, new Workload(sound, all, 5500, with)));
+            wholeHolds(with, Fleet.run(day, new Workload(sound, all, 5500, with)));
         } finally {
             Files.delete(file);
         }
--- a/tools/src/test/java/ploverdale/tools/rig/PausesTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/PausesTest.java
@@ -16,14 +16,14 @@
     @Test
     void whatIsAcceptedDuringAPauseIsAnswered() throws Exception {
         FaultSchedule day = Pauses.day(1);
-        FleetResult s = Fleet.play(day, Pauses.shape(Launch.found(List.of())));
+        FleetResult s = Fleet.run(day, Pauses.shape(Launch.locate(List.of())));
         // A pause may fall between the last look at a connection and the end of its output, two system calls apart:
         // two ops in 24 such days were lost so, two to seventeen a day where nothing was read before the end.
         assertThat(s.broken().size())
                 .as(() -> day.text() + s.broken() + "\n" + String.join("\n", s.log()))
                 .isLessThanOrEqualTo(1);
         // A pause of the gateway is not taken for silence of its servers.
-        assertThat(s.readsAcked()).as(s::figures).isGreaterThan(s.readsAsked() * 98 / 100);
-        assertThat(s.writesAcked()).as(s::figures).isGreaterThan(s.writesAsked() * 98 / 100);
+        assertThat(s.readsSucceeded()).as(s::figures).isGreaterThan(s.readsSent() * 98 / 100);
+        assertThat(s.writesSucceeded()).as(s::figures).isGreaterThan(s.writesSent() * 98 / 100);
     }
 }
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -37,10 +37,10 @@
 
     private static FleetResult play(String day, List<String> more) throws Exception {
         FaultSchedule d = FaultSchedule.read(day);
-        return Fleet.play(
+        return Fleet.run(
                 d,
                 new Workload(
-                        Launch.found(more),
+                        Launch.locate(more),
                         Collections.nCopies(d.gateways(), 5.0),
                         4500,
                         (request, server, now, comes) -> {},
@@ -50,8 +50,8 @@
     private static FleetResult kept(String day) throws Exception {
         FleetResult s = play(day, List.of("--fleet", file.toString()));
         assertThat(s.broken()).as(() -> String.join("\n", s.log())).isEmpty();
-        assertThat(s.roamers().reads().getTotalCount()).as("reads acked").isGreaterThan(100);
-        assertThat(s.roamers().writes().getTotalCount()).as("writes acked").isGreaterThan(50);
+        assertThat(s.reconnectingClients().reads().getTotalCount()).as("reads acked").isGreaterThan(100);
+        assertThat(s.reconnectingClients().writes().getTotalCount()).as("writes acked").isGreaterThan(50);
         return s;
     }
 
--- a/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
@@ -27,12 +27,12 @@
 
     private static List<Broken> play(Launch launch, String script) throws Exception {
         FaultSchedule day = FaultSchedule.read(script);
-        return Fleet.play(day, Soak.workload(launch, day)).broken();
+        return Fleet.run(day, Soak.workload(launch, day)).broken();
     }
 
     private static void isFoundOnlyWithoutItsGuard(String script, String file, String guard, String instead)
             throws Exception {
-        Launch launch = Launch.found(List.of());
+        Launch launch = Launch.locate(List.of());
         assertThat(play(launch, script)).isEmpty();
         try (MutationCheck mutation = MutationCheck.of(launch, file, guard, instead)) {
             assertThat(play(mutation.launch(launch), script))
