--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
@@ -120,7 +120,8 @@
             }
         }
         revision = cluster.revision();
-        List<Watch> due = watches.stream().filter(w -> w.gatewayRevision() != revision).toList();
+        List<Watch> due =
+                watches.stream().filter(w -> w.gatewayRevision() != revision).toList();
         watches.removeAll(due);
         due.forEach(watch -> answer(watch.response(), watch.gatewayRevision()));
     }
--- a/tools/src/main/java/ploverdale/tools/fleet/FaultyLink.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FaultyLink.java
@@ -227,7 +227,12 @@
                         });
                     }
                 }
-                if (!closed && sourceClosed && !blocked() && queue.isEmpty() && delayedBuffers == 0 && !awaitsInterval) {
+                if (!closed
+                        && sourceClosed
+                        && !blocked()
+                        && queue.isEmpty()
+                        && delayedBuffers == 0
+                        && !awaitsInterval) {
                     closed = true;
                     connections.remove(ProxiedConnection.this);
                     to.close();
--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -82,7 +82,8 @@
         this.workload = workload;
         random = new SplittableRandom(schedule.seed());
         GroupParameters parameters = new GroupParameters(
-                (workload.reconnectingClients() == null ? REPLICATION_DELAY_MS : REPLICATION_DELAY_RECONNECTING_MS) * MS,
+                (workload.reconnectingClients() == null ? REPLICATION_DELAY_MS : REPLICATION_DELAY_RECONNECTING_MS)
+                        * MS,
                 300 * MS,
                 600 * MS,
                 300 * MS,
@@ -94,8 +95,8 @@
                 1000 * MS,
                 5000 * MS,
                 4);
-        GroupModel model =
-                new GroupModel(parameters, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
+        GroupModel model = new GroupModel(
+                parameters, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
         cluster = new TestCluster(vertx, model, ledger, SERVERS, LIST_DELAY_MS);
         cluster.traffic(workload.traffic());
         cluster.hearsLists(g -> !cutOffFromDiscovery.getOrDefault(g, false));
@@ -156,7 +157,8 @@
                         for (int i = 0; i < schedule.gateways(); i++) {
                             ports.add(links.get("n" + i + " clients").port());
                         }
-                        reconnectingClients = new RoamingClients(vertx, ledger, random.split(), ports, workload.reconnectingClients());
+                        reconnectingClients = new RoamingClients(
+                                vertx, ledger, random.split(), ports, workload.reconnectingClients());
                         reconnectingClients.start();
                     }
                     for (Step s : schedule.steps()) {
@@ -225,8 +227,13 @@
         }
         Future<?> opened = openLink(number, "clients", peerLink.host(number), listenPorts.get(number))
                 .onSuccess(link -> {
-                    Clients c =
-                            new Clients(vertx, ledger, random.split(), Integer.toString(number), link.port(), STALENESS_BOUND_MS * MS);
+                    Clients c = new Clients(
+                            vertx,
+                            ledger,
+                            random.split(),
+                            Integer.toString(number),
+                            link.port(),
+                            STALENESS_BOUND_MS * MS);
                     c.gatewayIs(() -> gateways.get(number).alive());
                     c.holds(workload.connectionLoad().connections());
                     clients.add(c);
@@ -276,7 +283,8 @@
                 .compose(x -> start(number, gateway))
                 .onSuccess(x -> {
                     startDurationsMs.add((System.nanoTime() - requestedAtNs) / 1_000_000);
-                    ledger.availableAgain(Integer.toString(number), Clock.system().now());
+                    ledger.availableAgain(
+                            Integer.toString(number), Clock.system().now());
                 });
     }
 
@@ -297,7 +305,9 @@
         note("script", s.toString());
         try {
             List<String> arguments = s.arguments();
-            int number = arguments.get(0).startsWith("n") ? Integer.parseInt(arguments.get(0).substring(1)) : -1;
+            int number = arguments.get(0).startsWith("n")
+                    ? Integer.parseInt(arguments.get(0).substring(1))
+                    : -1;
             switch (s.action()) {
                 case KILL -> {
                     ledger.unavailable(Integer.toString(number), Clock.system().now());
@@ -310,11 +320,14 @@
                 }
                 case GO_ON -> {
                     gateways.get(number).resume();
-                    ledger.availableAgain(Integer.toString(number), Clock.system().now());
+                    ledger.availableAgain(
+                            Integer.toString(number), Clock.system().now());
                 }
                 case LEAVE -> gateways.get(number).terminate();
                 case WAY -> changeLink(number, arguments.get(1), arguments.get(2));
-                case WORDS -> peerLink.weather(number, Integer.parseInt(arguments.get(1).substring(1)), linkConditions(arguments.get(2)));
+                case WORDS ->
+                    peerLink.weather(
+                            number, Integer.parseInt(arguments.get(1).substring(1)), linkConditions(arguments.get(2)));
                 case SERVER -> changeServer(arguments.get(0), arguments.get(1));
                 case AGENT -> agents.change(Integer.toString(number), arguments.get(1), arguments.get(2));
                 case HANG_UP -> {
--- a/tools/src/main/java/ploverdale/tools/fleet/GatewayProcess.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/GatewayProcess.java
@@ -43,7 +43,12 @@
      * @param classPathPrefix a directory of classes that take precedence over those of the jar, or null; see
      *     {@link MutationCheck}
      */
-    public record Launch(Path root, Path jar, List<String> serveArguments, Map<String, List<String>> argumentOverrides, Path classPathPrefix) {
+    public record Launch(
+            Path root,
+            Path jar,
+            List<String> serveArguments,
+            Map<String, List<String>> argumentOverrides,
+            Path classPathPrefix) {
         /**
          * Finds the repository's root at or above the working directory, and the gateway's jar below it.
          *
--- a/tools/src/main/java/ploverdale/tools/fleet/MutationCheck.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/MutationCheck.java
@@ -69,7 +69,8 @@
 
     /** Returns the given launch with the mutated classes. */
     public Launch launch(Launch original) {
-        return new Launch(original.root(), original.jar(), original.serveArguments(), original.argumentOverrides(), classes);
+        return new Launch(
+                original.root(), original.jar(), original.serveArguments(), original.argumentOverrides(), classes);
     }
 
     /** Deletes the mutated classes. */
--- a/tools/src/main/java/ploverdale/tools/fleet/ScheduleGenerator.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/ScheduleGenerator.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 
 /** Generates random fault schedules by seed: one to four faults, each of which is undone before the run ends. */
 public final class ScheduleGenerator {
@@ -45,14 +45,21 @@
                 List.of(
                         Step.of(from, Action.WAY, gateway, linkEnd, random.nextBoolean() ? "SILENT" : "SILENT_BACK"),
                         Step.of(to, Action.WAY, gateway, linkEnd, "OPEN"));
-            case 4 -> List.of(Step.of(from, Action.WAY, gateway, server, "REFUSES"), Step.of(to, Action.WAY, gateway, server, "OPEN"));
+            case 4 ->
+                List.of(
+                        Step.of(from, Action.WAY, gateway, server, "REFUSES"),
+                        Step.of(to, Action.WAY, gateway, server, "OPEN"));
             case 5 ->
                 List.of(
                         Step.of(from, Action.WAY, gateway, server, random.nextBoolean() ? "delay:40" : "bytes:4000"),
                         Step.of(to, Action.WAY, gateway, server, "OPEN"));
-            case 6 -> List.of(Step.of(from, Action.WORDS, gateway, peer, "loss:1"), Step.of(to, Action.WORDS, gateway, peer, "usual"));
+            case 6 ->
+                List.of(
+                        Step.of(from, Action.WORDS, gateway, peer, "loss:1"),
+                        Step.of(to, Action.WORDS, gateway, peer, "usual"));
             case 7 -> List.of(Step.of(from, Action.WAY, gateway, server, "reset"));
-            default -> List.of(Step.of(from, Action.SERVER, server, "SILENT"), Step.of(to, Action.SERVER, server, "restarts"));
+            default ->
+                List.of(Step.of(from, Action.SERVER, server, "SILENT"), Step.of(to, Action.SERVER, server, "restarts"));
         };
     }
 
@@ -68,12 +75,15 @@
             String target = step.arguments().get(0);
             boolean possible = switch (step.action()) {
                 case KILL, LEAVE, STOP -> !lastProcessAction.containsKey(target);
-                case START -> lastProcessAction.get(target) == Action.KILL || lastProcessAction.get(target) == Action.LEAVE;
+                case START ->
+                    lastProcessAction.get(target) == Action.KILL || lastProcessAction.get(target) == Action.LEAVE;
                 case GO_ON -> lastProcessAction.get(target) == Action.STOP;
                 case SERVER ->
-                    step.arguments().get(1).equals("restarts") || step.arguments().get(1).equals("heals")
+                    step.arguments().get(1).equals("restarts")
+                                    || step.arguments().get(1).equals("heals")
                             ? faultyServers.remove(target)
-                            : faultyServers.isEmpty() && faultyServers.add(target); // a group survives the loss of one server, not of two
+                            : faultyServers.isEmpty()
+                                    && faultyServers.add(target); // a group survives the loss of one server, not of two
                 default -> true;
             };
             if (possible) {
--- a/tools/src/main/java/ploverdale/tools/fleet/SoakScheduleGenerator.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/SoakScheduleGenerator.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 
 /**
  * Generates random fault schedules in which the endpoint list changes together with every other fault: servers drain, are
@@ -22,6 +22,7 @@
     private static final int MAX_GATEWAYS = 4;
     /** The longest request deadline, 1.5 s, plus 0.7 s. */
     private static final long KILL_AFTER_TERM_MS = 2200;
+
     private static final long MAX_PAUSE_MS = 150;
     /** How long an agent stays slow after a start: as long as a start may take. */
     private static final long SLOW_AGENT_MS = 5000;
--- a/tools/src/main/java/ploverdale/tools/fleet/Workload.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Workload.java
@@ -45,8 +45,7 @@
 
     /** Returns this workload with another connection load. */
     public Workload with(ConnectionLoad replacement) {
-        return new Workload(
-                launch, requestsPerSecond, settleMs, traffic, reconnectingClients, replacement, ownAgents);
+        return new Workload(launch, requestsPerSecond, settleMs, traffic, reconnectingClients, replacement, ownAgents);
     }
 
     /** Returns this workload with two discovery agents for each gateway. */
--- a/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
+++ b/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
@@ -116,7 +116,8 @@
     private final long drainGrace;
     private final Map<String, Entry> requests = new LinkedHashMap<>();
     private final Map<String, Integer> applied = new HashMap<>();
-    private final Map<String, Long> sessions = new HashMap<>(); // session to the log position of its last succeeded write
+    private final Map<String, Long> sessions =
+            new HashMap<>(); // session to the log position of its last succeeded write
     private final Map<String, Long> drainingSince = new HashMap<>(); // by "gateway server"
 
     /** By "gateway server", the highest revision in which the gateway got the server as draining or removed. */
@@ -146,7 +147,8 @@
      * @param write the name of a write, which repeats by its client under other request ids share
      * @param at when it was sent, so that outages of the gateway that ended earlier do not count
      */
-    public void requestSent(String request, RequestTraits traits, String write, String gateway, long at, long timeoutAt) {
+    public void requestSent(
+            String request, RequestTraits traits, String write, String gateway, long at, long timeoutAt) {
         requests.put(request, new Entry(traits, write, gateway, at, timeoutAt));
     }
 
@@ -208,7 +210,8 @@
     }
 
     private boolean wasDown(Entry entry) {
-        return outages.getOrDefault(entry.gateway, List.of()).stream().anyMatch(outage -> !outage.paused && outage.covers(entry));
+        return outages.getOrDefault(entry.gateway, List.of()).stream()
+                .anyMatch(outage -> !outage.paused && outage.covers(entry));
     }
 
     /**
@@ -289,7 +292,9 @@
     public void applied(String request) {
         Entry entry = requests.get(request);
         if (entry != null && applied.merge(entry.write, 1, Integer::sum) > 1) {
-            addViolation(Rule.NO_EFFECT_TWICE, "write " + entry.write + " took effect " + applied.get(entry.write) + " times");
+            addViolation(
+                    Rule.NO_EFFECT_TWICE,
+                    "write " + entry.write + " took effect " + applied.get(entry.write) + " times");
         }
     }
 
@@ -301,7 +306,9 @@
      */
     public void readServed(String request, long position, long arrivedAt) {
         Entry entry = requests.get(request);
-        if (entry != null && entry.traits.stalenessBound() > 0 && arrivedAt - position > entry.traits.stalenessBound() + SLACK_TICKS) {
+        if (entry != null
+                && entry.traits.stalenessBound() > 0
+                && arrivedAt - position > entry.traits.stalenessBound() + SLACK_TICKS) {
             addViolation(Rule.NO_STALE_READ, request + " read from data " + (arrivedAt - position) / 10 + " ms old");
         }
     }
--- a/tools/src/main/java/ploverdale/tools/model/GroupModel.java
+++ b/tools/src/main/java/ploverdale/tools/model/GroupModel.java
@@ -74,7 +74,8 @@
 
     private boolean leaderless;
 
-    public GroupModel(GroupParameters parameters, RandomGenerator random, List<String> ids, long now, ChangeListener listener) {
+    public GroupModel(
+            GroupParameters parameters, RandomGenerator random, List<String> ids, long now, ChangeListener listener) {
         this.parameters = parameters;
         this.random = random;
         this.listener = listener;
@@ -204,10 +205,14 @@
     public Completion complete(long now, Execution execution) {
         advance(now);
         ServerModel s = servers.get(execution.server());
-        boolean answers =
-                s.answers() && s.faultSince() < execution.arrivedAt() || s.fault() == Fault.NONE && s.startedAt() <= execution.arrivedAt();
-        boolean ran = answers || s.startedAt() <= execution.arrivedAt() && random.nextBoolean() && s.faultSince() > execution.arrivedAt();
-        boolean repeated = execution.token() != null && tokens.getOrDefault(execution.token(), Long.MIN_VALUE) > now - parameters.tokenWindow();
+        boolean answers = s.answers() && s.faultSince() < execution.arrivedAt()
+                || s.fault() == Fault.NONE && s.startedAt() <= execution.arrivedAt();
+        boolean ran = answers
+                || s.startedAt() <= execution.arrivedAt()
+                        && random.nextBoolean()
+                        && s.faultSince() > execution.arrivedAt();
+        boolean repeated = execution.token() != null
+                && tokens.getOrDefault(execution.token(), Long.MIN_VALUE) > now - parameters.tokenWindow();
         boolean isPrimary = execution.server().equals(primary) && (!leaderless || !answers);
         boolean applied = execution.write() && ran && isPrimary && !repeated;
         if (applied) {
--- a/tools/src/main/java/ploverdale/tools/model/ServerModel.java
+++ b/tools/src/main/java/ploverdale/tools/model/ServerModel.java
@@ -133,7 +133,10 @@
         while (recentArrivals.peekFirst() < now - parameters.overloadWindow()) {
             recentArrivals.pollFirst();
         }
-        double capacity = capacityShare(now, parameters) * parameters.cores() * parameters.overloadWindow() / parameters.meanServiceTime();
+        double capacity = capacityShare(now, parameters)
+                * parameters.cores()
+                * parameters.overloadWindow()
+                / parameters.meanServiceTime();
         crashed = recentArrivals.size() > parameters.overloadFactor() * Math.max(1, capacity);
         return crashed;
     }
@@ -152,7 +155,8 @@
      */
     long position(long now, long log, GroupParameters parameters) {
         boolean stopped = !answers();
-        long reachable = stopped ? appliedPosition : appliedPosition + (long) ((now - appliedAsOf) * parameters.catchUpRate());
+        long reachable =
+                stopped ? appliedPosition : appliedPosition + (long) ((now - appliedAsOf) * parameters.catchUpRate());
         long position = Math.max(appliedPosition, Math.min(log, reachable));
         if (!stopped) {
             appliedPosition = position;
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -84,7 +84,8 @@
                 add(sums, 4, plain);
             }
             // Guards against a whole that holds because hardly anything was sent; a loaded machine costs some.
-            boolean serves = 4 * (shown.readsSucceeded() + shown.writesSucceeded()) > plain.readsSucceeded() + plain.writesSucceeded();
+            boolean serves = 4 * (shown.readsSucceeded() + shown.writesSucceeded())
+                    > plain.readsSucceeded() + plain.writesSucceeded();
             boolean holds = out.firstOver == null && shown.broken().isEmpty() && serves;
             return new Check(
                     "seed " + day.seed() + ", " + day.steps().size() + " steps: never over " + WHOLE
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
@@ -75,7 +75,8 @@
                         late.getValueAtPercentile(50) / 1000.0,
                         late.getValueAtPercentile(99) / 1000.0,
                         late.getMaxValue() / 1000.0);
-        String name = "seed " + s.schedule().seed() + ", " + s.schedule().steps().size() / 2 + " pauses: no rule broken";
+        String name =
+                "seed " + s.schedule().seed() + ", " + s.schedule().steps().size() / 2 + " pauses: no rule broken";
         if (s.broken().isEmpty()) {
             return new Check(name, figures, true);
         }
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.Future;
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
@@ -130,8 +130,8 @@
                         + s.reconnectingClients().submittedAgain() + " submitted again"
                         + (holds
                                 ? ""
-                                : ", broken: " + s.broken() + "\n" + s.schedule().text() + "log:\n"
-                                        + String.join("\n", s.log())),
+                                : ", broken: " + s.broken() + "\n"
+                                        + s.schedule().text() + "log:\n" + String.join("\n", s.log())),
                 holds);
     }
 
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -244,7 +244,13 @@
             long waits = a.waitsMs() * 10;
             a.writtenAt = System.nanoTime();
             long now = Clock.system().now();
-            ledger.requestSent(a.id, new Ledger.RequestTraits(a.write, false, a.write ? 0 : bound), a.name, gateway, now, now + waits);
+            ledger.requestSent(
+                    a.id,
+                    new Ledger.RequestTraits(a.write, false, a.write ? 0 : bound),
+                    a.name,
+                    gateway,
+                    now,
+                    now + waits);
             socket.write(a.text());
             vertx.setTimer(waits / 10 + GIVES_UP_AFTER_MS, x -> {
                 if (ask == a) {
--- a/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/RoamingClients.java
@@ -142,8 +142,9 @@
                         } else if (m instanceof ServerMessage.CommandComplete) {
                             answer = Answer.SUCCEEDED;
                         } else if (m instanceof ServerMessage.ErrorResponse p) {
-                            answer =
-                                    p.code().equals("53300") || p.code().equals("57P03") ? Answer.REJECTED : Answer.FAILED;
+                            answer = p.code().equals("53300") || p.code().equals("57P03")
+                                    ? Answer.REJECTED
+                                    : Answer.FAILED;
                         }
                     }
                 });
@@ -161,7 +162,12 @@
             asked++;
             if (times == 0) {
                 ledger.requestSent(
-                        id, new Ledger.RequestTraits(write, false, 0), id, Integer.toString(gateway), now, now + WAITS_MS * 10L);
+                        id,
+                        new Ledger.RequestTraits(write, false, 0),
+                        id,
+                        Integer.toString(gateway),
+                        now,
+                        now + WAITS_MS * 10L);
                 ledger.inSession(id, "s" + session);
             } else {
                 again++;
--- a/tools/src/test/java/ploverdale/tools/fleet/FaultScheduleTest.java
+++ b/tools/src/test/java/ploverdale/tools/fleet/FaultScheduleTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 
 /** Tests that fault schedules are written and read, generated and shortened. */
 class FaultScheduleTest {
@@ -46,7 +46,8 @@
     @Test
     void aFailingScheduleIsShortenedToTheStepsThatMakeItFail() {
         Predicate<FaultSchedule> fails = d -> d.steps().stream()
-                        .anyMatch(s -> s.action() == Action.KILL && s.arguments().contains("n2"))
+                        .anyMatch(
+                                s -> s.action() == Action.KILL && s.arguments().contains("n2"))
                 && d.steps().stream().anyMatch(s -> s.action() == Action.SERVER);
         List<Step> steps = List.of(
                 Step.of(1, Action.WORDS, "n0", "n1", "loss:1"),
--- a/tools/src/test/java/ploverdale/tools/model/GroupModelTest.java
+++ b/tools/src/test/java/ploverdale/tools/model/GroupModelTest.java
@@ -13,7 +13,8 @@
 
 /** Tests elections, restarts, drains and slow start of a modelled group. Times are in ticks (a tenth of a millisecond). */
 class GroupModelTest {
-    private static final GroupParameters PARAMETERS = new GroupParameters(50, 3000, 5000, 2000, 4, 100, 0.25, 40_000, 2.5, 10_000, 20_000, 4);
+    private static final GroupParameters PARAMETERS =
+            new GroupParameters(50, 3000, 5000, 2000, 4, 100, 0.25, 40_000, 2.5, 10_000, 20_000, 4);
     private final List<String> changes = new ArrayList<>();
     private final GroupModel group = new GroupModel(
             PARAMETERS,
@@ -39,7 +40,8 @@
         group.fault(110_000, "p", Fault.SILENT);
         assertThat(write(112_000, "p", null).disposition()).isEqualTo(Disposition.UNRESPONSIVE);
         assertThat(write(117_999, "r1", null).disposition()).isEqualTo(Disposition.NOT_PRIMARY);
-        assertThat(group.position(117_999, "r1")).isLessThanOrEqualTo(110_000); // nothing is committed without a primary
+        assertThat(group.position(117_999, "r1"))
+                .isLessThanOrEqualTo(110_000); // nothing is committed without a primary
         assertThat(group.primary(118_000)).isIn("r1", "r2");
         group.heal(120_000, "p", true);
         assertThat(group.primary(121_000)).isNotEqualTo("p");
@@ -62,8 +64,8 @@
     void aWriteInFlightWhenThePrimaryGoesSilentMayHaveRunButIsNotAnswered() {
         int ran = 0;
         for (int seed = 0; seed < 40; seed++) {
-            GroupModel seeded =
-                    new GroupModel(PARAMETERS, new SplittableRandom(seed), List.of("p", "r"), 100_000, (now, what) -> {});
+            GroupModel seeded = new GroupModel(
+                    PARAMETERS, new SplittableRandom(seed), List.of("p", "r"), 100_000, (now, what) -> {});
             Execution execution = seeded.arrive(110_000, "p", "op", true, null);
             seeded.fault(110_001, "p", Fault.SILENT);
             Completion completion = seeded.complete(Math.max(execution.doneAt(), 110_002), execution);
@@ -100,10 +102,12 @@
         boolean overloaded = false;
         int arrivals = 0;
         while (!overloaded && arrivals < 2000) { // the limit: 2.5 times a quarter of 400 requests in one second
-            overloaded = group.arrive(111_000 + arrivals++, "r1", "op" + arrivals, false, null).overloaded();
+            overloaded = group.arrive(111_000 + arrivals++, "r1", "op" + arrivals, false, null)
+                    .overloaded();
         }
         assertThat(arrivals).isBetween(240, 300);
-        assertThat(group.arrive(130_000, "r1", "later", false, null).disposition()).isEqualTo(Disposition.CONNECTION_REFUSED);
+        assertThat(group.arrive(130_000, "r1", "later", false, null).disposition())
+                .isEqualTo(Disposition.CONNECTION_REFUSED);
     }
 
     @Test
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -50,8 +50,12 @@
     private static FleetResult kept(String day) throws Exception {
         FleetResult s = play(day, List.of("--fleet", file.toString()));
         assertThat(s.broken()).as(() -> String.join("\n", s.log())).isEmpty();
-        assertThat(s.reconnectingClients().reads().getTotalCount()).as("reads acked").isGreaterThan(100);
-        assertThat(s.reconnectingClients().writes().getTotalCount()).as("writes acked").isGreaterThan(50);
+        assertThat(s.reconnectingClients().reads().getTotalCount())
+                .as("reads acked")
+                .isGreaterThan(100);
+        assertThat(s.reconnectingClients().writes().getTotalCount())
+                .as("writes acked")
+                .isGreaterThan(50);
         return s;
     }
 
