--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
@@ -44,6 +44,7 @@
     private int revision;
     private long delayMs;
     private long pieceIntervalMs;
+
     /** True from the start of a gateway process that follows this agent until the agent's first answer is written. */
     private boolean awaitsFirstAnswer;
 
--- a/tools/src/main/java/ploverdale/tools/fleet/FaultyLink.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/FaultyLink.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 
 /**
- * A TCP proxy between two parties that injects network faults: it holds toSource the bytes of one or both directions, resets
+ * A TCP proxy between two parties that injects network faults: it holds the bytes of one or both directions, resets
  * connections, adds a delay or limits the throughput. Held bytes are forwarded when the link is healed, as after a network
  * partition. Must be used on one event loop.
  */
--- a/tools/src/main/java/ploverdale/tools/fleet/GatewayProcess.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/GatewayProcess.java
@@ -22,6 +22,7 @@
  */
 public final class GatewayProcess {
     private static final long EXIT_TIMEOUT_S = 20;
+
     /** Part of the log line that a gateway writes when it serves clients. */
     private static final String READY = " listens at ";
 
@@ -133,10 +134,12 @@
         }
     }
 
+    /** Returns whether the process runs and has not been killed; true also while it is paused. */
     public boolean alive() {
         return process != null && !killed && process.isAlive();
     }
 
+    /** Returns whether the process runs and has begun to serve clients. */
     public boolean isReady() {
         return alive() && ready.isDone() && !ready.isCompletedExceptionally();
     }
--- a/tools/src/main/java/ploverdale/tools/fleet/SoakScheduleGenerator.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/SoakScheduleGenerator.java
@@ -20,12 +20,15 @@
     private static final long LAST_STEP_MS = 8500;
     private static final int MIN_GATEWAYS = 2;
     private static final int MAX_GATEWAYS = 4;
+
     /** The longest request deadline, 1.5 s, plus 0.7 s. */
     private static final long KILL_AFTER_TERM_MS = 2200;
 
     private static final long MAX_PAUSE_MS = 150;
+
     /** How long an agent stays slow after a start: as long as a start may take. */
     private static final long SLOW_AGENT_MS = 5000;
+
     /** The names of the two agents of each gateway; a process that is started follows the one named last. */
     private static final String[] AGENTS = {"a", "b"};
 
