--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -96,7 +96,7 @@
                 5000 * MS,
                 4);
         GroupModel model = new GroupModel(
-                parameters, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("world", what));
+                parameters, random.split(), SERVERS, Clock.system().now(), (now, what) -> note("cluster", what));
         cluster = new TestCluster(vertx, model, ledger, SERVERS, LIST_DELAY_MS);
         cluster.traffic(workload.traffic());
         cluster.hearsLists(g -> !cutOffFromDiscovery.getOrDefault(g, false));
@@ -302,7 +302,7 @@
 
     /** Carries out a step; a step that fails is logged and does not end the run. */
     private void apply(Step s) {
-        note("script", s.toString());
+        note("schedule", s.toString());
         try {
             List<String> arguments = s.arguments();
             int number = arguments.get(0).startsWith("n")
@@ -313,7 +313,7 @@
                     ledger.unavailable(Integer.toString(number), Clock.system().now());
                     gateways.get(number).kill();
                 }
-                case START -> startWhenEnded(number).onFailure(e -> note("script", "start failed: " + e.getMessage()));
+                case START -> startWhenEnded(number).onFailure(e -> note("schedule", "start failed: " + e.getMessage()));
                 case STOP -> {
                     ledger.paused(Integer.toString(number), Clock.system().now());
                     gateways.get(number).pause();
@@ -337,7 +337,7 @@
                 default -> throw new IllegalStateException(s.toString());
             }
         } catch (IOException | InterruptedException | RuntimeException e) {
-            note("script", "step failed: " + e);
+            note("schedule", "step failed: " + e);
         }
     }
 
--- a/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
+++ b/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
@@ -136,7 +136,7 @@
         broken.add(new Broken(rule, what));
     }
 
-    /** Called when a client has sent a complete request, if outages need not be told apart by the time; see the other method. */
+    /** Called when a client has sent a complete request. Without the time of sending, outages that have ended still count. */
     public void requestSent(String request, RequestTraits traits, String write, String gateway, long timeoutAt) {
         requestSent(request, traits, write, gateway, Long.MIN_VALUE, timeoutAt);
     }
--- a/tools/src/main/java/ploverdale/tools/model/GroupModel.java
+++ b/tools/src/main/java/ploverdale/tools/model/GroupModel.java
@@ -164,7 +164,7 @@
         if (wasPrimary && now < electionAt) {
             leaderless = false;
         }
-        listener.changed(now, id + " back" + (restarted ? ", cold" : ""));
+        listener.changed(now, id + " recovered" + (restarted ? ", in slow start" : ""));
     }
 
     /** Starts to drain a server; a primary hands over to a replica. */
