--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -69,24 +69,24 @@
             Files.writeString(
                     file,
                     "{\"sends_at_server\":" + LIMIT + ",\"loan_ms\":800,\"steward_ms\":1200,\"floor_share\":0.1}");
-            withLimits = Launch.found(List.of("--fleet", file.toString()));
-            withoutLimits = Launch.found(List.of());
+            withLimits = Launch.locate(List.of("--fleet", file.toString()));
+            withoutLimits = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
         int[] sums = new int[8];
         List<Check> checks = new ArrayList<>(SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule schedule = ScheduleGenerator.day(seed, GATEWAYS, DURATION_MS, Fleet.SERVERS);
+            FaultSchedule schedule = ScheduleGenerator.generate(seed, GATEWAYS, DURATION_MS, Fleet.SERVERS);
             InFlightCounter counter = new InFlightCounter(LIMIT);
-            FleetResult limited = Fleet.play(schedule, workload(withLimits, counter));
-            FleetResult unlimited = Fleet.play(schedule, workload(withoutLimits, new InFlightCounter(LIMIT)));
+            FleetResult limited = Fleet.run(schedule, workload(withLimits, counter));
+            FleetResult unlimited = Fleet.run(schedule, workload(withoutLimits, new InFlightCounter(LIMIT)));
             synchronized (sums) {
                 add(sums, 0, limited);
                 add(sums, 4, unlimited);
             }
             // Prevents a pass because hardly anything was sent. A quarter suffices: a loaded machine serves less.
-            boolean servesEnough = 4 * (limited.readsAcked() + limited.writesAcked())
-                    > unlimited.readsAcked() + unlimited.writesAcked();
+            boolean servesEnough = 4 * (limited.readsSucceeded() + limited.writesSucceeded())
+                    > unlimited.readsSucceeded() + unlimited.writesSucceeded();
             boolean holds = counter.firstAboveLimit == null && limited.broken().isEmpty() && servesEnough;
             return new Check(
                     "seed " + schedule.seed() + ", " + schedule.steps().size() + " steps: never more than " + LIMIT
@@ -118,10 +118,10 @@
     }
 
     private static void add(int[] sums, int offset, FleetResult result) {
-        sums[offset] += result.readsAsked();
-        sums[offset + 1] += result.readsAcked();
-        sums[offset + 2] += result.writesAsked();
-        sums[offset + 3] += result.writesAcked();
+        sums[offset] += result.readsSent();
+        sums[offset + 1] += result.readsSucceeded();
+        sums[offset + 2] += result.writesSent();
+        sums[offset + 3] += result.writesSucceeded();
     }
 
     private static String figures(int[] sums, int offset) {
--- a/tools/src/main/java/ploverdale/tools/rig/Faults.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Faults.java
@@ -27,19 +27,19 @@
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         Launch launch;
         try {
-            launch = Launch.found(List.of());
+            launch = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
         return SeedRuns.play(firstSeed, seeds, atATime, seed -> {
-            FaultSchedule schedule = ScheduleGenerator.day(seed, GATEWAYS, DURATION_MS, Fleet.SERVERS);
+            FaultSchedule schedule = ScheduleGenerator.generate(seed, GATEWAYS, DURATION_MS, Fleet.SERVERS);
             return check(schedule, Workload.even(launch, GATEWAYS, REQUESTS_PER_SECOND));
         });
     }
 
     /** Runs one schedule; if a rule is broken, looks for a shorter schedule that also breaks one. */
     static Check check(FaultSchedule schedule, Workload workload) throws Exception {
-        FleetResult result = Fleet.play(schedule, workload);
+        FleetResult result = Fleet.run(schedule, workload);
         String name = "seed " + schedule.seed() + ", " + schedule.steps().size() + " steps: no rule broken";
         if (result.broken().isEmpty()) {
             return new Check(name, result.figures(), true);
@@ -57,7 +57,7 @@
 
     private static boolean breaksRule(FaultSchedule schedule, Workload workload) {
         try {
-            return !Fleet.play(schedule, workload).broken().isEmpty();
+            return !Fleet.run(schedule, workload).broken().isEmpty();
         } catch (Exception e) {
             return false; // the run failed, so it shows nothing about the rules
         }
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -9,12 +9,12 @@
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
 import ploverdale.tools.fleet.FaultSchedule.Step;
-import ploverdale.tools.fleet.FaultSchedule.What;
+import ploverdale.tools.fleet.FaultSchedule.Action;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.Workload;
-import ploverdale.tools.fleet.Workload.Crowd;
+import ploverdale.tools.fleet.Workload.ConnectionLoad;
 
 /**
  * Runs gateways as processes that are repeatedly paused for a fraction of a second, as happens on a machine short of
@@ -32,7 +32,7 @@
     private static final double REQUESTS_PER_SECOND = 120; // of each gateway
 
     /** With this limit of descriptors, the gateway soon closes idle connections beyond 40. */
-    private static final Crowd CROWD = new Crowd(60, 160);
+    private static final ConnectionLoad CROWD = new ConnectionLoad(60, 160);
 
     private static final int LOG_LINES = 60; // last lines of the log that a failed check prints
 
@@ -41,11 +41,11 @@
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         Launch launch;
         try {
-            launch = Launch.found(List.of());
+            launch = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
-        return SeedRuns.play(firstSeed, seeds, atATime, seed -> check(Fleet.play(schedule(seed), workload(launch))));
+        return SeedRuns.play(firstSeed, seeds, atATime, seed -> check(Fleet.run(schedule(seed), workload(launch))));
     }
 
     static Workload workload(Launch launch) {
@@ -60,8 +60,8 @@
             long pauseAt = EARLIEST_PAUSE_MS + random.nextLong(MAX_BETWEEN_PAUSES_MS);
             while (pauseAt < DURATION_MS - MAX_PAUSE_MS) {
                 long resumeAt = pauseAt + random.nextLong(MIN_PAUSE_MS, MAX_PAUSE_MS);
-                steps.add(Step.of(pauseAt, What.STOP, "n" + i));
-                steps.add(Step.of(resumeAt, What.GO_ON, "n" + i));
+                steps.add(Step.of(pauseAt, Action.STOP, "n" + i));
+                steps.add(Step.of(resumeAt, Action.GO_ON, "n" + i));
                 pauseAt = resumeAt + random.nextLong(MIN_BETWEEN_PAUSES_MS, MAX_BETWEEN_PAUSES_MS);
             }
         }
@@ -69,7 +69,7 @@
     }
 
     private static Check check(FleetResult result) {
-        Histogram lateness = result.late();
+        Histogram lateness = result.lateness();
         String figures = result.figures()
                 + String.format(
                         Locale.ROOT,
@@ -78,7 +78,7 @@
                         lateness.getValueAtPercentile(99) / 1000.0,
                         lateness.getMaxValue() / 1000.0);
         String name =
-                "seed " + result.day().seed() + ", " + result.day().steps().size() / 2 + " pauses: no rule broken";
+                "seed " + result.schedule().seed() + ", " + result.schedule().steps().size() / 2 + " pauses: no rule broken";
         if (result.broken().isEmpty()) {
             return new Check(name, figures, true);
         }
@@ -86,7 +86,7 @@
         return new Check(
                 name,
                 figures + ", broken " + result.broken().size() + ", first "
-                        + result.broken().get(0) + "\n" + result.day().text() + "log:\n"
+                        + result.broken().get(0) + "\n" + result.schedule().text() + "log:\n"
                         + String.join("\n", log.subList(Math.max(0, log.size() - LOG_LINES), log.size())),
                 false);
     }
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -15,7 +15,7 @@
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
 import ploverdale.tools.fleet.FaultSchedule.Step;
-import ploverdale.tools.fleet.FaultSchedule.What;
+import ploverdale.tools.fleet.FaultSchedule.Action;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
@@ -63,13 +63,13 @@
      */
     private static FaultSchedule schedule(long seed) {
         int gateways = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
-        FaultSchedule generated = ScheduleGenerator.day(seed, gateways, DURATION_MS, Fleet.SERVERS);
+        FaultSchedule generated = ScheduleGenerator.generate(seed, gateways, DURATION_MS, Fleet.SERVERS);
         double loss = new SplittableRandom(~seed).nextInt(3) * 0.25;
         List<Step> steps = new ArrayList<>(generated.steps());
         for (int i = 0; i < gateways && loss > 0; i++) {
             for (int k = 0; k < gateways; k++) {
                 if (i != k) {
-                    steps.add(Step.of(1, What.WORDS, "n" + i, "n" + k, "loss:" + loss));
+                    steps.add(Step.of(1, Action.WORDS, "n" + i, "n" + k, "loss:" + loss));
                 }
             }
         }
@@ -90,15 +90,15 @@
         try {
             Path withWaitFile = writeFleetFile(true);
             Path withoutWaitFile = writeFleetFile(false);
-            Launch withReplication = Launch.found(List.of("--fleet", withWaitFile.toString()));
-            Launch withoutReplication = Launch.found(List.of());
+            Launch withReplication = Launch.locate(List.of("--fleet", withWaitFile.toString()));
+            Launch withoutReplication = Launch.locate(List.of());
             ExecutorService pool = Executors.newFixedThreadPool(atATime);
             List<Future<FleetResult[]>> runs = new ArrayList<>();
             for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
                 FaultSchedule schedule = schedule(seed);
                 runs.add(pool.submit(() -> new FleetResult[] {
-                    Fleet.play(schedule, workload(withReplication, schedule, BEHAVIOR)),
-                    Fleet.play(schedule, workload(withoutReplication, schedule, BEHAVIOR))
+                    Fleet.run(schedule, workload(withReplication, schedule, BEHAVIOR)),
+                    Fleet.run(schedule, workload(withoutReplication, schedule, BEHAVIOR))
                 }));
             }
             int sessions = 0;
@@ -108,8 +108,8 @@
             for (Future<FleetResult[]> run : runs) {
                 FleetResult[] both = run.get();
                 checks.add(check(both[0], both[1]));
-                sessions += both[0].roamers().sessions();
-                resubmissions += both[0].roamers().resubmissions();
+                sessions += both[0].reconnectingClients().sessions();
+                resubmissions += both[0].reconnectingClients().resubmissions();
                 brokenWith += both[0].broken().size();
                 brokenWithout += both[1].broken().size();
             }
@@ -120,7 +120,7 @@
                             + " times with replication and " + brokenWithout + " without",
                     brokenWithout > 0));
             checks.add(latencies(
-                    withReplication, Launch.found(List.of("--fleet", withoutWaitFile.toString())), withoutReplication));
+                    withReplication, Launch.locate(List.of("--fleet", withoutWaitFile.toString())), withoutReplication));
             Files.delete(withWaitFile);
             Files.delete(withoutWaitFile);
         } catch (IOException e) {
@@ -132,24 +132,24 @@
     }
 
     private static Check check(FleetResult replicated, FleetResult plain) {
-        int succeeded = replicated.roamers().sessions() == 0
+        int succeeded = replicated.reconnectingClients().sessions() == 0
                 ? 0
-                : (int) (replicated.roamers().writes().getTotalCount()
-                        + replicated.roamers().reads().getTotalCount());
-        int succeededWithout = (int) (plain.roamers().writes().getTotalCount()
-                + plain.roamers().reads().getTotalCount());
+                : (int) (replicated.reconnectingClients().writes().getTotalCount()
+                        + replicated.reconnectingClients().reads().getTotalCount());
+        int succeededWithout = (int) (plain.reconnectingClients().writes().getTotalCount()
+                + plain.reconnectingClients().reads().getTotalCount());
         boolean holds = replicated.broken().isEmpty() && 2 * succeeded > succeededWithout;
         return new Check(
-                "seed " + replicated.day().seed() + ", " + replicated.day().gateways() + " gateways, "
-                        + replicated.day().steps().size()
+                "seed " + replicated.schedule().seed() + ", " + replicated.schedule().gateways() + " gateways, "
+                        + replicated.schedule().steps().size()
                         + " steps: no rule broken, at least half as many successes as without",
-                replicated.roamers().sessions() + " sessions, " + succeeded + " of "
-                        + replicated.roamers().requests() + " requests succeeded, " + succeededWithout + " without, "
-                        + replicated.roamers().resubmissions() + " submitted again"
+                replicated.reconnectingClients().sessions() + " sessions, " + succeeded + " of "
+                        + replicated.reconnectingClients().requests() + " requests succeeded, " + succeededWithout + " without, "
+                        + replicated.reconnectingClients().resubmissions() + " submitted again"
                         + (holds
                                 ? ""
                                 : ", broken: " + replicated.broken() + "\n"
-                                        + replicated.day().text() + "log:\n" + String.join("\n", replicated.log())),
+                                        + replicated.schedule().text() + "log:\n" + String.join("\n", replicated.log())),
                 holds);
     }
 
@@ -162,16 +162,16 @@
         boolean holds = true;
         try {
             for (Launch launch : List.of(withoutReplication, withoutWait, withWait)) {
-                FleetResult result = Fleet.play(
+                FleetResult result = Fleet.run(
                         noFaults, workload(launch, noFaults, new ReconnectingClients.Behavior(1000, 220, false)));
                 figures.append(
                                 launch == withoutReplication
                                         ? "not replicated"
                                         : launch == withoutWait ? "; replicated" : "; writes wait for replicas")
                         .append(": writes ")
-                        .append(percentiles(result.roamers().writes()))
+                        .append(percentiles(result.reconnectingClients().writes()))
                         .append(", reads ")
-                        .append(percentiles(result.roamers().reads()));
+                        .append(percentiles(result.reconnectingClients().reads()));
                 holds &= launch == withoutReplication || result.broken().isEmpty();
             }
         } catch (Exception e) {
--- a/tools/src/main/java/ploverdale/tools/rig/Soak.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Soak.java
@@ -7,12 +7,12 @@
 import ploverdale.tools.fleet.GatewayProcess.Launch;
 import ploverdale.tools.fleet.SoakScheduleGenerator;
 import ploverdale.tools.fleet.Workload;
-import ploverdale.tools.fleet.Workload.Crowd;
+import ploverdale.tools.fleet.Workload.ConnectionLoad;
 
 /** Runs gateways as processes while servers drain, are removed and return, under all other kinds of faults. */
 final class Soak {
     private static final double REQUESTS_PER_SECOND = 80; // of each gateway
-    private static final Crowd CROWD = new Crowd(60, 160); // close to the descriptor limit
+    private static final ConnectionLoad CROWD = new ConnectionLoad(60, 160); // close to the descriptor limit
     private static final int CROWDED_SEED_INTERVAL = 3; // every third seed has many connections
 
     private Soak() {}
@@ -20,7 +20,7 @@
     static List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
         Launch launch;
         try {
-            launch = Launch.found(List.of());
+            launch = Launch.locate(List.of());
         } catch (IOException e) {
             return List.of(new Check("start of gateways as processes", e.getMessage(), false));
         }
@@ -32,7 +32,7 @@
 
     /** Returns the fault schedule of that seed. */
     static FaultSchedule schedule(long seed) {
-        return SoakScheduleGenerator.day(seed, Fleet.SERVERS);
+        return SoakScheduleGenerator.generate(seed, Fleet.SERVERS);
     }
 
     /** Returns the load for that schedule. */
--- a/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
+++ b/tools/src/main/java/ploverdale/tools/rig/WarmStart.java
@@ -19,7 +19,7 @@
 import ploverdale.clock.Clock;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
-import ploverdale.tools.model.Plan;
+import ploverdale.tools.model.GroupParameters;
 import ploverdale.tools.model.ServerModel.Fault;
 import ploverdale.tools.stand.Clients;
 import ploverdale.tools.stand.GatewayConfiguration;
@@ -209,7 +209,7 @@
             long electMs = 300 + random.nextInt(900);
             joinsAfterMs = 50 + random.nextInt(1600);
             returnsAfterMs = detectMs + electMs + 200 + random.nextInt(400);
-            Plan plan = new Plan(
+            GroupParameters plan = new GroupParameters(
                     5 * MS,
                     detectMs * MS,
                     electMs * MS,
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -209,15 +209,15 @@
             lateness.recordValue(Math.max(0, Math.min(MAX_LATENCY_US, tookUs - timeoutMs() * 1000)));
             ledger.answered(id, answer, Clock.system().now());
             for (Tally t : tallies) {
-                t.succeeded += answer == Answer.ACKED ? 1 : 0;
-                t.rejected += answer == Answer.BUSY ? 1 : 0;
-                t.failed += answer == Answer.ERRORED ? 1 : 0;
-                if (answer == Answer.ACKED) {
+                t.succeeded += answer == Answer.SUCCEEDED ? 1 : 0;
+                t.rejected += answer == Answer.REJECTED ? 1 : 0;
+                t.failed += answer == Answer.FAILED ? 1 : 0;
+                if (answer == Answer.SUCCEEDED) {
                     t.latency.recordValue(Math.min(MAX_LATENCY_US, (System.nanoTime() - createdNs) / 1000));
                 }
             }
             finish();
-            if (answer == Answer.BUSY && !retry && !stopped) {
+            if (answer == Answer.REJECTED && !retry && !stopped) {
                 vertx.setTimer(RETRY_DELAY_MS, x -> {
                     if (!stopped) {
                         send(write, key, true);
@@ -264,9 +264,9 @@
             long timeout = next.timeoutMs() * 10; // ticks
             next.writtenNs = System.nanoTime();
             long now = Clock.system().now();
-            ledger.taken(
+            ledger.requestSent(
                     next.id,
-                    new Ledger.Kind(next.write, false, next.write ? 0 : stalenessBound),
+                    new Ledger.RequestTraits(next.write, false, next.write ? 0 : stalenessBound),
                     next.key,
                     gateway,
                     now,
@@ -292,13 +292,13 @@
                         Request completed = request;
                         request = null;
                         idle.addLast(this);
-                        completed.complete(answer == null ? Answer.ERRORED : answer);
+                        completed.complete(answer == null ? Answer.FAILED : answer);
                     }
                 } else if (m instanceof ServerMessage.CommandComplete) {
-                    answer = Answer.ACKED;
+                    answer = Answer.SUCCEEDED;
                 } else if (m instanceof ServerMessage.ErrorResponse error) {
                     answer =
-                            error.code().equals("53300") || error.code().equals("57P03") ? Answer.BUSY : Answer.ERRORED;
+                            error.code().equals("53300") || error.code().equals("57P03") ? Answer.REJECTED : Answer.FAILED;
                 }
             }
         }
@@ -318,7 +318,7 @@
                     notAccepted(interrupted); // the gateway refused the connection at its startup message
                 }
             } else if (gatewayAlive.getAsBoolean()) {
-                ledger.endedUnanswered(interrupted.id, Clock.system().now());
+                ledger.closedUnanswered(interrupted.id, Clock.system().now());
                 // The query crossed the gateway's close on the wire: resend it on a new connection.
                 new ClientConnection(interrupted);
             } else {
@@ -331,7 +331,7 @@
          * closed it; the gateway must not have forwarded that one to a server.
          */
         private void notAccepted(Request rejected) {
-            ledger.crossed(rejected.id);
+            ledger.crossedClose(rejected.id);
             rejected.finish();
         }
     }
--- a/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/ReconnectingClients.java
@@ -145,15 +145,15 @@
                             ready[0] = true;
                             send(socket);
                         } else if (m instanceof ServerMessage.ReadyForQuery) {
-                            finish(answer == null ? Answer.ERRORED : answer);
+                            finish(answer == null ? Answer.FAILED : answer);
                             socket.close();
                         } else if (m instanceof ServerMessage.CommandComplete) {
-                            answer = Answer.ACKED;
+                            answer = Answer.SUCCEEDED;
                         } else if (m instanceof ServerMessage.ErrorResponse error) {
                             answer =
                                     error.code().equals("53300") || error.code().equals("57P03")
-                                            ? Answer.BUSY
-                                            : Answer.ERRORED;
+                                            ? Answer.REJECTED
+                                            : Answer.FAILED;
                         }
                     }
                 });
@@ -170,17 +170,17 @@
             sent = true;
             requests++;
             if (earlierSubmissions == 0) {
-                ledger.taken(
+                ledger.requestSent(
                         id,
-                        new Ledger.Kind(write, false, 0),
+                        new Ledger.RequestTraits(write, false, 0),
                         id,
                         Integer.toString(gateway),
                         now,
                         now + TIMEOUT_MS * 10L);
-                ledger.session(id, "s" + session);
+                ledger.inSession(id, "s" + session);
             } else {
                 resubmissions++;
-                ledger.takenAgain(id, Integer.toString(gateway), now, now + TIMEOUT_MS * 10L);
+                ledger.requestResent(id, Integer.toString(gateway), now, now + TIMEOUT_MS * 10L);
             }
             String comment = " /* id=" + id + ",c=" + (write ? "put" : "mine") + ",t=all,d=" + TIMEOUT_MS + ",cluster=0"
                     + (earlierSubmissions > 0 ? ",r=1" : "") + " */";
@@ -199,15 +199,15 @@
             if (sent && result != null) {
                 ledger.answered(id, result, Clock.system().now());
             } else if (sent) {
-                ledger.left(id);
+                ledger.clientLeft(id);
             }
-            if (result == Answer.ACKED) {
+            if (result == Answer.SUCCEEDED) {
                 (write ? writes : reads).recordValue(Math.min(60_000_000, (System.nanoTime() - createdNs) / 1000));
             }
             boolean resubmit = write
                     && behavior.resubmitsWrites()
                     && sent
-                    && result != Answer.ACKED
+                    && result != Answer.SUCCEEDED
                     && earlierSubmissions < MAX_RESUBMISSIONS
                     && !stopped;
             if (resubmit) {
--- a/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
+++ b/tools/src/main/java/ploverdale/tools/stand/TestCluster.java
@@ -24,8 +24,8 @@
 import ploverdale.net.postgres.ServerMessage;
 import ploverdale.tools.ledger.Ledger;
 import ploverdale.tools.model.GroupModel;
-import ploverdale.tools.model.GroupModel.Done;
-import ploverdale.tools.model.GroupModel.Work;
+import ploverdale.tools.model.GroupModel.Completion;
+import ploverdale.tools.model.GroupModel.Execution;
 import ploverdale.tools.model.ServerModel.Fault;
 
 /**
@@ -141,7 +141,7 @@
         response.end(endpointList(gateway, true)); // the protocol allows a complete list as any answer
         phases.forEach((id, p) -> {
             if (p.equals("DRAINING") && discoveryReachable.test(gateway)) {
-                ledger.toldOfDrain(gateway, id, Clock.system().now());
+                ledger.drainReported(gateway, id, Clock.system().now());
             }
         });
     }
@@ -210,7 +210,7 @@
     /** Ends a fault; a restart also closes the connections and, after the list delay, changes the listed start time. */
     public void recoverServer(String id, boolean restarted) {
         long now = Clock.system().now();
-        model.heals(now, id, restarted);
+        model.heal(now, id, restarted);
         if (restarted) {
             List.copyOf(openSockets.get(id)).forEach(NetSocket::close);
             changeListLater(() -> startedAtMs.put(id, now / 10));
@@ -219,7 +219,7 @@
 
     /** Drains a server; the endpoint list shows it after the list delay. */
     public void drainServer(String id) {
-        model.drains(Clock.system().now(), id);
+        model.drain(Clock.system().now(), id);
         changeListLater(() -> phases.put(id, "DRAINING"));
     }
 
@@ -316,17 +316,17 @@
             String request = requestId.group(1);
             Matcher key = KEY.matcher(sql);
             boolean write = sql.startsWith("INSERT");
-            ledger.sent(request, server, now);
+            ledger.attemptReceived(request, server, now);
             requestListener.onRequest(request, server, now, true);
-            Work work = model.comes(now, server, request, write, null);
-            if (work.pushedOver()) {
-                ledger.fell(server);
+            Execution work = model.arrive(now, server, request, write, null);
+            if (work.overloaded()) {
+                ledger.serverOverloaded(server);
             }
-            switch (work.taking()) {
-                case TURNS_AWAY -> reject(request, "25006");
-                case FULL -> reject(request, "53300");
-                case REFUSES -> socket.close();
-                case NOTHING -> inFlight.add(request);
+            switch (work.disposition()) {
+                case NOT_PRIMARY -> reject(request, "25006");
+                case QUEUE_FULL -> reject(request, "53300");
+                case CONNECTION_REFUSED -> socket.close();
+                case UNRESPONSIVE -> inFlight.add(request);
                 default -> {
                     inFlight.add(request);
                     String value = key.find() ? key.group(1) : "";
@@ -336,23 +336,23 @@
         }
 
         private void requestEnded(String request, long now) {
-            ledger.over(request);
+            ledger.attemptEnded(request);
             requestListener.onRequest(request, server, now, false);
         }
 
         /** Answers a request that was not executed. */
         private void reject(String request, String code) {
-            ledger.proved(request);
+            ledger.attemptRejected(request);
             requestListener.onRequest(request, server, Clock.system().now(), false);
             socket.write(MessageWriter.errorResponse(code, "no", null, false, true));
         }
 
-        private void complete(Work work, String value) {
+        private void complete(Execution work, String value) {
             if (closed && !work.write()) {
                 return; // the server cancels a read when its connection closes
             }
             long now = Clock.system().now();
-            Done done = model.ends(now, work);
+            Completion done = model.complete(now, work);
             if (done.applied()) {
                 ledger.applied(work.request(), done.position());
             }
@@ -362,11 +362,11 @@
             inFlight.remove(work.request());
             requestEnded(work.request(), now);
             if (!work.write()) {
-                ledger.read(work.request(), done.position(), work.cameAt());
-                ledger.readInSession(work.request(), done.position());
+                ledger.readServed(work.request(), done.position(), work.arrivedAt());
+                ledger.sessionReadServed(work.request(), done.position());
             }
             socket.write(
-                    done.garbled()
+                    done.corrupt()
                             ? Buffer.buffer("#~noise~#")
                             : row(now, value.getBytes(StandardCharsets.UTF_8), done.position()));
         }
@@ -393,7 +393,7 @@
                     "x0=%.3f,x1=%d,util=%.2f",
                     model.position(now, server) / 10_000.0 - 0.0005,
                     isPrimary(now) ? 1 : 0,
-                    model.server(server).busy(now));
+                    model.server(server).utilization(now));
         }
     }
 }
--- a/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
+++ b/tools/src/test/java/ploverdale/tools/lab/ReplicaGuardsTest.java
@@ -28,7 +28,7 @@
             })
     void removedSafeguardIsDetected(String file, String safeguard, String replacement) throws Exception {
         try (MutationCheck mutated =
-                MutationCheck.of(Launch.found(List.of()), "replication/" + file, safeguard, replacement)) {
+                MutationCheck.of(Launch.locate(List.of()), "replication/" + file, safeguard, replacement)) {
             Process p = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
--- a/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/BudgetsRigTest.java
@@ -32,7 +32,7 @@
     private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText) throws Exception {
         Path file = writeFleetFile(LIMIT);
         try {
-            return play(counter, scheduleText, Launch.found(List.of("--fleet", file.toString())));
+            return play(counter, scheduleText, Launch.locate(List.of("--fleet", file.toString())));
         } finally {
             Files.delete(file);
         }
@@ -40,7 +40,7 @@
 
     private static FleetResult play(BudgetsRig.InFlightCounter counter, String scheduleText, Launch launch)
             throws Exception {
-        return Fleet.play(
+        return Fleet.run(
                 FaultSchedule.read(scheduleText),
                 new Workload(launch, List.of(250.0, 20.0, 20.0, 20.0), 5500, counter));
     }
@@ -105,7 +105,7 @@
             FleetResult result = play(
                     counter,
                     "day seed=23 gateways=4 lasts=6000\n1000 stop n0\n2500 go_on n0\n",
-                    Launch.found(List.of("--fleet", fullFile.toString()))
+                    Launch.locate(List.of("--fleet", fullFile.toString()))
                             .with("n2", halfLimit)
                             .with("n3", halfLimit));
             assertLimitHolds(counter, result);
@@ -113,7 +113,7 @@
             FleetResult mixed = play(
                     new BudgetsRig.InFlightCounter(LIMIT),
                     "day seed=24 gateways=4 lasts=4000\n",
-                    Launch.found(List.of("--fleet", fullFile.toString())).with("n3", List.of()));
+                    Launch.locate(List.of("--fleet", fullFile.toString())).with("n3", List.of()));
             assertThat(mixed.broken()).as(() -> String.join("\n", mixed.log())).isEmpty();
             assertThat(mixed.log())
                     .as("a gateway without shared limits ignores the quota messages")
@@ -135,9 +135,9 @@
                                 .collect(Collectors.joining())
                         + "200 kill n1\n400 start n1\n");
         assertLimitHolds(counter, result);
-        assertThat(result.readsAcked())
+        assertThat(result.readsSucceeded())
                 .as(() -> result.figures() + "\n" + String.join("\n", result.log()))
-                .isGreaterThan(result.readsAsked() / 2);
+                .isGreaterThan(result.readsSent() / 2);
     }
 
     /**
@@ -162,7 +162,7 @@
     @Test
     void limitIsExceededIfAHolderDoesNotWaitForTheEndOfALease() throws Exception {
         Path file = writeFleetFile(LIMIT);
-        Launch original = Launch.found(List.of("--fleet", file.toString()));
+        Launch original = Launch.locate(List.of("--fleet", file.toString()));
         List<Double> rates = List.of(250.0, 250.0, 250.0, 250.0);
         FaultSchedule schedule = FaultSchedule.read(othersNeedTheirUnitsBack());
         try (MutationCheck mutation = MutationCheck.of(
@@ -171,12 +171,12 @@
                 "(long) Math.ceil(lease * (1 + clockDrift) / (1 - clockDrift)) + 1",
                 "lease / 20")) {
             BudgetsRig.InFlightCounter counter = new BudgetsRig.InFlightCounter(LIMIT);
-            FleetResult result = Fleet.play(schedule, new Workload(mutation.launch(original), rates, 5500, counter));
+            FleetResult result = Fleet.run(schedule, new Workload(mutation.launch(original), rates, 5500, counter));
             assertThat(counter.firstAboveLimit())
                     .as(() -> counter.highest() + " in flight\n" + String.join("\n", result.log()))
                     .isNotNull();
             BudgetsRig.InFlightCounter unmutated = new BudgetsRig.InFlightCounter(LIMIT);
-            assertLimitHolds(unmutated, Fleet.play(schedule, new Workload(original, rates, 5500, unmutated)));
+            assertLimitHolds(unmutated, Fleet.run(schedule, new Workload(original, rates, 5500, unmutated)));
         } finally {
             Files.delete(file);
         }
--- a/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/ReplicasRigTest.java
@@ -37,10 +37,10 @@
 
     private static FleetResult play(String scheduleText, List<String> arguments) throws Exception {
         FaultSchedule schedule = FaultSchedule.read(scheduleText);
-        return Fleet.play(
+        return Fleet.run(
                 schedule,
                 new Workload(
-                        Launch.found(arguments),
+                        Launch.locate(arguments),
                         Collections.nCopies(schedule.gateways(), 5.0),
                         4500,
                         (request, server, now, started) -> {},
@@ -50,10 +50,10 @@
     private static FleetResult playWithReplication(String scheduleText) throws Exception {
         FleetResult result = play(scheduleText, List.of("--fleet", fleetFile.toString()));
         assertThat(result.broken()).as(() -> String.join("\n", result.log())).isEmpty();
-        assertThat(result.roamers().reads().getTotalCount())
+        assertThat(result.reconnectingClients().reads().getTotalCount())
                 .as("succeeded reads")
                 .isGreaterThan(100);
-        assertThat(result.roamers().writes().getTotalCount())
+        assertThat(result.reconnectingClients().writes().getTotalCount())
                 .as("succeeded writes")
                 .isGreaterThan(50);
         return result;
--- a/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
+++ b/tools/src/test/java/ploverdale/tools/rig/SoakTest.java
@@ -27,7 +27,7 @@
 
     private static List<Broken> play(Launch launch, String scheduleText) throws Exception {
         FaultSchedule schedule = FaultSchedule.read(scheduleText);
-        return Fleet.play(schedule, Soak.workload(launch, schedule)).broken();
+        return Fleet.run(schedule, Soak.workload(launch, schedule)).broken();
     }
 
     /**
@@ -35,7 +35,7 @@
      */
     private static void assertBrokenOnlyByMutation(
             String scheduleText, String file, String original, String replacement) throws Exception {
-        Launch launch = Launch.found(List.of());
+        Launch launch = Launch.locate(List.of());
         assertThat(play(launch, scheduleText)).isEmpty();
         try (MutationCheck mutation = MutationCheck.of(launch, file, original, replacement)) {
             assertThat(play(mutation.launch(launch), scheduleText))
