--- a/gateway/src/test/java/ploverdale/AnsweringServer.java
+++ b/gateway/src/test/java/ploverdale/AnsweringServer.java
@@ -11,17 +11,17 @@
 
     /** What is done with a query. */
     interface Reply {
-        void to(Got query) throws IOException;
+        void to(ReceivedQuery query) throws IOException;
     }
 
     /** Texts of all queries that came, in the order of their coming. */
     final List<String> queries = new CopyOnWriteArrayList<>();
 
-    private final Server server;
+    private final FakeDatabaseServer server;
     private final Reply reply;
     private volatile boolean closed;
 
-    AnsweringServer(Server server, Reply reply) {
+    AnsweringServer(FakeDatabaseServer server, Reply reply) {
         this.server = server;
         this.reply = reply;
         Thread answers = new Thread(this::run, "answering-server");
@@ -32,7 +32,7 @@
     private void run() {
         try {
             while (!closed) {
-                Got query = server.got.poll(POLL_MS, TimeUnit.MILLISECONDS);
+                ReceivedQuery query = server.got.poll(POLL_MS, TimeUnit.MILLISECONDS);
                 if (query != null) {
                     answer(query);
                 }
@@ -42,7 +42,7 @@
         }
     }
 
-    private void answer(Got query) {
+    private void answer(ReceivedQuery query) {
         queries.add(query.text());
         try {
             reply.to(query);
--- a/gateway/src/test/java/ploverdale/AttemptRecorder.java
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -9,7 +9,7 @@
 /** Records when each attempt of a request arrived, complete, at a stand-in database server. */
 final class AttemptRecorder implements AutoCloseable {
     /** An attempt and the time of its last byte, by the monotonic clock. */
-    record Arrival(Got attempt, long atNanos) {
+    record Arrival(ReceivedQuery attempt, long atNanos) {
         private String id() {
             return attempt.text().replaceAll(".*/\\* id=([^,]*),.*", "$1");
         }
@@ -21,16 +21,16 @@
     private final List<Arrival> arrivals = new CopyOnWriteArrayList<>();
     private final Thread recorder;
 
-    AttemptRecorder(Server server) {
+    AttemptRecorder(FakeDatabaseServer server) {
         recorder = new Thread(() -> record(server));
         recorder.setDaemon(true);
         recorder.start();
     }
 
-    private void record(Server server) {
+    private void record(FakeDatabaseServer server) {
         try {
             while (true) {
-                Got attempt = server.got.take();
+                ReceivedQuery attempt = server.got.take();
                 arrivals.add(new Arrival(attempt, System.nanoTime()));
             }
         } catch (InterruptedException e) {
@@ -40,7 +40,7 @@
 
     /** Waits until so many attempts have arrived in all. */
     List<Arrival> await(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
         while (arrivals.size() < count) {
             assertThat(System.nanoTime())
                     .as("%d attempts, there are %s", count, arrivals)
--- a/gateway/src/test/java/ploverdale/ClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/ClassArchiveTest.java
@@ -27,7 +27,7 @@
     private static DeployedGateway deployed;
     private static byte[] whole;
 
-    private Net net;
+    private GatewayTestFixture net;
     private Path configuration;
 
     @BeforeAll
@@ -40,9 +40,9 @@
 
     @BeforeEach
     void standIns() throws IOException {
-        net = new Net("p", "r1").readable();
+        net = new GatewayTestFixture("p", "r1").readable();
         configuration = root.resolve("gateway.json");
-        Files.writeString(configuration, Net.configuration(net.registry, 256, 30_000));
+        Files.writeString(configuration, GatewayTestFixture.configuration(net.registry, 256, 30_000));
     }
 
     @AfterEach
@@ -54,7 +54,7 @@
 
     private ServingProcess serves(String before, String behind) throws Exception {
         ServingProcess gateway = deployed.start(configuration, before, behind);
-        try (Client client = new Client(gateway.port()).greeted()) {
+        try (TestClient client = new TestClient(gateway.port()).greeted()) {
             System.out.println("ready after " + gateway.ageMs() + " ms");
             for (int i = 0; i < 20; i++) {
                 assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -45,7 +45,7 @@
             this.port = port;
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
             write(MessageWriter.startup());
             DataInputStream in = new DataInputStream(socket.getInputStream());
             for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -116,7 +116,7 @@
     }
 
     /** Blocks the event loop for so long; what is written meanwhile is read after it, in one turn. */
-    private static void holdUp(Net net, long ms, Net.ThrowingRunnable meanwhile) throws Exception {
+    private static void holdUp(GatewayTestFixture net, long ms, GatewayTestFixture.ThrowingRunnable meanwhile) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch on = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
@@ -134,12 +134,12 @@
         on.countDown();
     }
 
-    private static String longStatement(Net net) {
+    private static String longStatement(GatewayTestFixture net) {
         return net.request("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
     }
 
     /** Lets whatever could still begin do so, and asserts that nothing began late. */
-    private static void assertNothingBeginsAfter(long leftAt, Net net, AttemptRecorder recorder) throws Exception {
+    private static void assertNothingBeginsAfter(long leftAt, GatewayTestFixture net, AttemptRecorder recorder) throws Exception {
         Thread.sleep(SETTLES_MS);
         assertThat(recorder.begunAfter(leftAt)).as(net::log).isEmpty();
     }
@@ -147,7 +147,7 @@
     @ParameterizedTest
     @EnumSource
     void noRequestBehindThoseInHandIsForwardedOnceItsClientHasLeft(Departure how) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
@@ -177,7 +177,7 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE"})
     void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure how) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
@@ -199,10 +199,10 @@
     @ParameterizedTest
     @EnumSource
     void aRequestThatWaitsForAConnectionThatComesUpLateIsNotWrittenThen(Departure how) throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // the router cannot call it off
             net.started();
-            Server p = net.servers.get("p");
+            FakeDatabaseServer p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
                     LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
@@ -210,7 +210,7 @@
                 p.holdsGreetings = new CountDownLatch(1);
                 p.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
                 p.holdsGreetings.countDown();
@@ -223,8 +223,8 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE", "TERMINATE"})
     void aConnectionThatComesUpDuringAPauseIsNotUsedForAClientThatLeftInIt(Departure how) throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
                     LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
@@ -232,7 +232,7 @@
                 p.holdsGreetings = new CountDownLatch(1);
                 p.connects.clear();
                 client.ask(net.request("order"));
-                assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
                 holdUp(net, 180, () -> {
@@ -250,8 +250,8 @@
     @ParameterizedTest
     @EnumSource
     void aRequestHeldForAPrimaryIsNotForwardedWhenThatIsHeard(Departure how) throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
             p.holdsProbes = new CountDownLatch(1);
             Thread.sleep(2200); // by now the primary was last heard too long ago, and a health check is under way
             try (AttemptRecorder recorder = new AttemptRecorder(p);
@@ -269,7 +269,7 @@
     @ParameterizedTest
     @EnumSource
     void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure how) throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // so that it stays out
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
@@ -286,7 +286,7 @@
     @ParameterizedTest
     @EnumSource
     void aRequestAndItsClientsDepartureDuringAPauseOfTheLoopCauseNoAttempt(Departure how) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             List<LeavingClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
@@ -338,7 +338,7 @@
     @ParameterizedTest
     @EnumSource
     void aDepartureDuringAPauseBetweenReadingARequestAndForwardingItCausesNoAttempt(Departure how) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
@@ -358,7 +358,7 @@
     @ParameterizedTest
     @EnumSource
     void noAttemptBeginsForAClientThatLeftDuringAGracefulShutdown(Departure how) throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false");
             net.started();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
@@ -378,7 +378,7 @@
 
     @Test
     void aCancelMessageIsAnsweredOnTheConnectionThatItNamesAndTheAttemptIsGivenUp() throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
@@ -390,7 +390,7 @@
 
     @Test
     void aCancelMessageWithAnotherSecretCancelsNothing() throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
             Arrival first = recorder.await(1).get(0);
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -25,8 +25,8 @@
     private final SteppedClock clock = SteppedClock.correct();
 
     /** A gateway whose reads may be no older than {@link #BOUND_MS}. */
-    private static Net net(SteppedClock clock, String... servers) throws Exception {
-        Net net = new Net(servers);
+    private static GatewayTestFixture net(SteppedClock clock, String... servers) throws Exception {
+        GatewayTestFixture net = new GatewayTestFixture(servers);
         net.clock = clock;
         net.settings = settings -> settings.replace("\"oldestDataMs\":[30000,0,0]", "\"oldestDataMs\":[" + BOUND_MS + ",0,0]");
         return net;
@@ -38,7 +38,7 @@
     }
 
     /** Reads periodically for this long, and checks that each read succeeds. */
-    private static void assertReadsSucceedFor(Net net, Client client, long ms) throws Exception {
+    private static void assertReadsSucceedFor(GatewayTestFixture net, TestClient client, long ms) throws Exception {
         for (long began = System.nanoTime(); sinceMs(began) < ms; ) {
             assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
             Thread.sleep(10);
@@ -51,22 +51,22 @@
     }
 
     /** Sets the start time of the servers in the endpoint list, as Unix time in milliseconds. */
-    private static void setStartTime(Net net, long ms) {
+    private static void setStartTime(GatewayTestFixture net, long ms) {
         net.registry.whole = net.registry.whole.replace("\"cell\"", "\"up_since_ms\":" + ms + ",\"cell\"");
     }
 
     /** Checks that the log shows no ejection, no event loop lag and no doubt about the clock. */
-    private static void assertUndisturbed(Net net) {
+    private static void assertUndisturbed(GatewayTestFixture net) {
         assertThat(net.log()).doesNotContain("silent", "stood still", "in doubt", "corrected");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void stepUnderLoadEndsNoRequestEarlyAndIsLoggedOnce(long step) throws Exception {
-        try (Net net = net(clock, "p", "r1", "r2").readable().started()) {
-            Client reader = net.client();
-            Client writer = net.client().ask(net.request("order"));
-            Got inFlight = net.servers.get("p").next();
+        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").readable().started()) {
+            TestClient reader = net.client();
+            TestClient writer = net.client().ask(net.request("order"));
+            ReceivedQuery inFlight = net.servers.get("p").next();
             assertReadsSucceedFor(net, reader, 200);
             clock.step(step);
             assertReadsSucceedFor(net, reader, 700);
@@ -86,12 +86,12 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void replicaThatStopsReplicatingIsNotReadBeyondStalenessBoundDespiteStep(long step) throws Exception {
-        try (Net net = net(clock, "p", "r1").readable()) {
-            Server r1 = net.servers.get("r1");
+        try (GatewayTestFixture net = net(clock, "p", "r1").readable()) {
+            FakeDatabaseServer r1 = net.servers.get("r1");
             long stopped = System.nanoTime();
             r1.vitals = laggingBy(0);
             net.started();
-            Client client = net.client();
+            TestClient client = net.client();
             assertReadsSucceedFor(net, client, 100);
             clock.step(step);
             assertReadsSucceedFor(net, client, BOUND_MS + 100 - sinceMs(stopped));
@@ -105,7 +105,7 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void hungServerIsEjectedInTimeDespiteStep(long step) throws Exception {
-        try (Net net = net(clock, "p", "r1", "r2").readable().started()) {
+        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").readable().started()) {
             assertReadsSucceedFor(net, net.client(), 200);
             clock.step(step);
             net.logged("wall clock stepped by ");
@@ -123,8 +123,8 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void drainingServerReceivesNoRequestDespiteStep(long step) throws Exception {
-        try (Net net = net(clock, "p", "r1", "r2").readable().started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").readable().started()) {
+            TestClient client = net.client();
             net.registry.news.add(net.list(2, false, "r1:DRAINING"));
             net.logged("server r1 listed DRAINING");
             clock.step(step);
@@ -138,14 +138,14 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void stepDuringGracefulShutdownEndsNoRequestEarlyAndDoesNotDelayShutdown(long step) throws Exception {
-        try (Net net = net(clock, "p")) {
+        try (GatewayTestFixture net = net(clock, "p")) {
             // With this deadline, the shutdown takes 1.7 s.
             net.settings = settings -> settings.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000")
                     .replace("\"aimMs\":10000", "\"aimMs\":500");
             net.started();
-            Client client = net.client();
+            TestClient client = net.client();
             client.ask(net.request("order", 900));
-            Got attempt = net.servers.get("p").next();
+            ReceivedQuery attempt = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             long began = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
@@ -155,7 +155,7 @@
             assertThat(net.servers.get("p").got).isEmpty();
             attempt.row(new byte[] {7});
             assertThat(client.answer()).as(net::log).startsWith("row 07 ");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(sinceMs(began)).isLessThan(3_000);
         }
     }
@@ -163,19 +163,19 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void slowStartLimitsAttemptsAsBeforeDespiteStep(long step) throws Exception {
-        try (Net net = net(clock, "p").readable()) {
+        try (GatewayTestFixture net = net(clock, "p").readable()) {
             net.servers.get("p").writes = true;
             // Without servers past slow start to compare with, slow start is based on the agreed traffic.
             net.settings = settings -> settings.replace("\"quotaPerS\":1000", "\"quotaPerS\":15");
             setStartTime(net, Clock.system().wallMs());
             net.started();
-            Client one = net.client();
+            TestClient one = net.client();
             assertThat(one.ask(net.request("order", 5_000)).answer())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             clock.step(step);
             net.servers.get("p").writes = false;
-            List<Client> others = new ArrayList<>();
+            List<TestClient> others = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 others.add(net.client().ask(net.request("order", 5_000)));
             }
@@ -190,9 +190,9 @@
     @ParameterizedTest
     @ValueSource(longs = {-5_000, -3_600_000})
     void stepBackwardDoesNotExtendDeduplicationWindow(long step) throws Exception {
-        try (Net net = withDeduplicationWindow()) {
-            Client client = net.client().ask(net.request("order"));
-            Got attempt = net.servers.get("p").next();
+        try (GatewayTestFixture net = withDeduplicationWindow()) {
+            TestClient client = net.client().ask(net.request("order"));
+            ReceivedQuery attempt = net.servers.get("p").next();
             clock.step(step);
             Thread.sleep(1_200);
             attempt.reset();
@@ -204,9 +204,9 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, 3_600_000})
     void stepForwardDoesNotEndDeduplicationWindow(long step) throws Exception {
-        try (Net net = withDeduplicationWindow()) {
-            Client client = net.client().ask(net.request("order"));
-            Got attempt = net.servers.get("p").next();
+        try (GatewayTestFixture net = withDeduplicationWindow()) {
+            TestClient client = net.client().ask(net.request("order"));
+            ReceivedQuery attempt = net.servers.get("p").next();
             clock.step(step);
             attempt.reset();
             net.servers.get("p").next().row(new byte[] {7});
@@ -217,8 +217,8 @@
     /**
      * Starts a gateway whose writes may be retried with their idempotency key, within a deduplication window of 1 s.
      */
-    private Net withDeduplicationWindow() throws Exception {
-        Net net = net(clock, "p").readable();
+    private GatewayTestFixture withDeduplicationWindow() throws Exception {
+        GatewayTestFixture net = net(clock, "p").readable();
         net.settings = settings -> settings.replace(
                 "\"effect\":\"once\"", "\"effect\":\"by_key\",\"dedupScope\":\"cell\",\"dedupWindowMs\":1000");
         return net.started();
@@ -227,18 +227,18 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void gatewayStartedWithWrongClockReadsReplicaOnlyOnceItNoLongerLags(long clockError) throws Exception {
-        try (Net net = net(SteppedClock.startedWithError(clockError), "p", "r1").readable()) {
-            Server r1 = net.servers.get("r1");
+        try (GatewayTestFixture net = net(SteppedClock.startedWithError(clockError), "p", "r1").readable()) {
+            FakeDatabaseServer r1 = net.servers.get("r1");
             r1.reads = false;
             r1.vitals = laggingBy(BOUND_MS + 4_000);
             net.started();
-            Client client = net.client();
+            TestClient client = net.client();
             assertReadsSucceedFor(net, client, 500);
             net.logged("clock corrected: the servers' wall clock is ");
             assertReadsSucceedFor(net, client, 500);
             assertThat(r1.got).as(net::log).isEmpty();
             r1.vitals = null; // no longer lags
-            Client toReplica = null;
+            TestClient toReplica = null;
             for (long began = System.nanoTime(); r1.got.isEmpty(); Thread.sleep(20)) {
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
                 toReplica = net.client().ask(net.request("page"));
@@ -254,8 +254,8 @@
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void correctingWallClockAfterStartDoesNotChangeOffsetAgain(long clockError) throws Exception {
         SteppedClock wrongClock = SteppedClock.startedWithError(clockError);
-        try (Net net = net(wrongClock, "p", "r1").readable().started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = net(wrongClock, "p", "r1").readable().started()) {
+            TestClient client = net.client();
             assertReadsSucceedFor(net, client, 500);
             net.logged("clock corrected: ");
             wrongClock.step(-clockError);
@@ -269,11 +269,11 @@
 
     @Test
     void serverThatStartedLongAgoIsPastSlowStartForGatewayWhoseClockIsAnHourBehind() throws Exception {
-        try (Net net = net(SteppedClock.startedWithError(-3_600_000), "p").readable()) {
+        try (GatewayTestFixture net = net(SteppedClock.startedWithError(-3_600_000), "p").readable()) {
             net.servers.get("p").writes = true;
             setStartTime(net, Clock.system().wallMs() - 600_000);
             net.started();
-            Client client = net.client();
+            TestClient client = net.client();
             for (long began = System.nanoTime(); !net.log().contains("clock corrected: "); Thread.sleep(10)) {
                 // May be rejected: until the clock is corrected, the server seems to have just started.
                 client.ask(net.request("page")).answer();
--- a/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
@@ -29,8 +29,8 @@
     private static final int QUERY_EVERY_MS = 50; // at each group
 
     private String[] ids;
-    private Net net;
-    private List<Server> servers;
+    private GatewayTestFixture net;
+    private List<FakeDatabaseServer> servers;
     private final Path configuration = Files.createTempFile("gateway", ".json");
     private final Path log = Files.createTempFile("gateway", ".log");
     private volatile boolean ended;
@@ -43,7 +43,7 @@
         for (int i = 0; i < count; i++) {
             ids[i] = (i % GROUP_SIZE == 0 ? "p" : "r") + i;
         }
-        net = new Net(ids).readable();
+        net = new GatewayTestFixture(ids).readable();
         servers = List.copyOf(net.servers.values());
         servers.forEach(s -> s.writes = true);
         List<String> rows = new ArrayList<>();
@@ -54,7 +54,7 @@
         net.registry.whole = "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", rows) + "]}";
         Files.writeString(
                 configuration,
-                Net.configuration(net.registry, 2000, 30_000)
+                GatewayTestFixture.configuration(net.registry, 2000, 30_000)
                         .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":250")
                         .replace("[30000,0,0]", "[500,0,0]"));
     }
@@ -153,7 +153,7 @@
     }
 
     private Thread load(String listens) {
-        Thread load = new Thread(() -> queries(listens, TimeUnit.SECONDS.toMillis(2 * Net.PATIENCE_S)));
+        Thread load = new Thread(() -> queries(listens, TimeUnit.SECONDS.toMillis(2 * GatewayTestFixture.PATIENCE_S)));
         load.start();
         return load;
     }
@@ -179,10 +179,10 @@
     /** Sends each group's queries at a steady pace, whatever becomes of those before. */
     private void queries(String listens, long forMs) {
         int port = Integer.parseInt(listens.replaceAll(".*:(\\d+), .*", "$1"));
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         try {
             for (int group = 0; group * GROUP_SIZE < servers.size(); group++) {
-                Client c = new Client(port).greeted();
+                TestClient c = new TestClient(port).greeted();
                 clients.add(c);
                 Thread reads = new Thread(() -> {
                     try {
@@ -201,7 +201,7 @@
                 }
                 Thread.sleep(QUERY_EVERY_MS);
             }
-            for (Client c : clients) {
+            for (TestClient c : clients) {
                 c.close();
             }
         } catch (IOException | InterruptedException e) {
@@ -257,7 +257,7 @@
     }
 
     private void awaits(BooleanSupplier so, String what) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Net.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * GatewayTestFixture.PATIENCE_S);
         while (!so.getAsBoolean()) {
             assertThat(System.nanoTime())
                     .as("%s:\n%s", what, Files.readString(log))
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -26,14 +26,14 @@
     @TempDir
     private Path directory;
 
-    private static String configuration(int discoveryPort, Net net) {
-        return Net.configuration(net.registry, SOCKETS, 30_000)
+    private static String configuration(int discoveryPort, GatewayTestFixture net) {
+        return GatewayTestFixture.configuration(net.registry, SOCKETS, 30_000)
                 .replace(
                         "\"discovery\":\"127.0.0.1:" + net.registry.port(),
                         "\"discovery\":\"127.0.0.1:" + discoveryPort);
     }
 
-    private void reload(Net net, int discoveryPort) throws IOException {
+    private void reload(GatewayTestFixture net, int discoveryPort) throws IOException {
         Path file = directory.resolve("gateway.json");
         Files.writeString(file, configuration(discoveryPort, net));
         net.gateway.reloadConfiguration(file);
@@ -46,8 +46,8 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1100, 1500, 2500})
     void theListOfASlowDiscoveryIsInForceInTimeAfterTheLastOfManyConfigurations(long answersAfterMs) throws Exception {
-        try (Net net = new Net("p", "r1", "r2").started();
-                Registry silent = new Registry(net.list(9, true, "p"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started();
+                FakeDiscovery silent = new FakeDiscovery(net.list(9, true, "p"));
                 SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r2"), answersAfterMs);
                 SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r1"), answersAfterMs)) {
             silent.mute = true;
@@ -70,7 +70,7 @@
 
     @Test
     void noConnectionToAFormerDiscoveryStaysOpen() throws Exception {
-        try (Net net = new Net("p", "r1").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
                 SlowDiscovery one = new SlowDiscovery(net.list(3, true, "p", "r1"), 100);
                 SlowDiscovery other = new SlowDiscovery(net.list(4, true, "p", "r1"), 100);
                 SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r1"), 0)) {
@@ -101,7 +101,7 @@
     @Test
     void theConfigurationReadLastHoldsWhereAnEarlierReadTakesLonger() throws Exception {
         Path file = directory.resolve("gateway.json");
-        try (Net net = new Net("p", "r1", "r2").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started();
                 SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r1"), 0);
                 SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r2"), 0)) {
             assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor())
@@ -119,13 +119,13 @@
                 second.join(500); // done by now, unless it waits for the first
                 slow.write(configuration(former.port(), net).getBytes(StandardCharsets.UTF_8));
             }
-            first.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
-            second.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            first.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+            second.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
             List<String> taken = new ArrayList<>(net.log()
                     .lines()
                     .filter(l -> l.contains("new configuration: "))
                     .toList());
-            for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
                     taken.size() < 2 && System.nanoTime() < end;
                     Thread.sleep(20)) {
                 taken = new ArrayList<>(net.log()
@@ -139,7 +139,7 @@
 
     /** Waits until this thread is in the system call that reads the named pipe. */
     private static void awaitReading(Thread reader) throws InterruptedException {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
                 System.nanoTime() < end;
                 Thread.sleep(10)) {
             if (List.of(reader.getStackTrace()).toString().contains("read0")) {
@@ -151,7 +151,7 @@
 
     @Test
     void aConfigurationThatIsCutOffAnywhereChangesNothing() throws Exception {
-        try (Net net = new Net("p", "r1").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
                 SlowDiscovery elsewhere = new SlowDiscovery(net.list(3, true, "p"), 0)) {
             Path file = directory.resolve("gateway.json");
             String whole = configuration(elsewhere.port(), net);
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -54,7 +54,7 @@
 
         private void run(SplittableRandom random) {
             while (!stopped) {
-                try (Client client = new Client(port).greeted()) {
+                try (TestClient client = new TestClient(port).greeted()) {
                     session(client, random);
                 } catch (IOException | AssertionError e) {
                     Thread.onSpinWait(); // turned away or not let in; another connection is tried
@@ -64,7 +64,7 @@
             }
         }
 
-        private void session(Client client, SplittableRandom random) throws InterruptedException {
+        private void session(TestClient client, SplittableRandom random) throws InterruptedException {
             boolean open = true;
             while (open && !stopped) {
                 Thread.sleep(random.nextInt(RESTS_LEAST_MS, RESTS_MOST_MS));
@@ -73,7 +73,7 @@
             }
         }
 
-        private boolean ask(Client client, String id) {
+        private boolean ask(TestClient client, String id) {
             String answer;
             try {
                 answer = client.ask("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=" + id
@@ -93,7 +93,7 @@
         void stop() throws InterruptedException {
             stopped = true;
             for (Thread thread : threads) {
-                thread.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+                thread.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
             }
         }
     }
@@ -104,7 +104,7 @@
         long seed = System.nanoTime();
         System.out.println("CrossingCloseTest " + end + " seed " + seed);
         int descriptors = end == End.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
-        try (Net net = new Net("p", "r1").readable().started(descriptors, 30_000);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable().started(descriptors, 30_000);
                 AnsweringServer answers =
                         new AnsweringServer(net.servers.get("p"), query -> query.row(new byte[] {7}))) {
             RestingClients clients = new RestingClients(net.gateway.port(), seed);
@@ -114,7 +114,7 @@
                 net.renew(FEW_DESCRIPTORS);
             } else if (end == End.GRACEFUL_SHUTDOWN) {
                 net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-                assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isTrue();
             }
--- a/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -34,11 +34,11 @@
     void aGatewayServesWithoutIt(int length) throws Exception {
         Files.delete(deployed.classArchive());
         Files.write(deployed.classArchive(), Arrays.copyOf(whole, length));
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
             Path configuration = root.resolve("gateway.json");
-            Files.writeString(configuration, Net.configuration(net.registry, 256, 30_000));
+            Files.writeString(configuration, GatewayTestFixture.configuration(net.registry, 256, 30_000));
             try (ServingProcess gateway = deployed.start(configuration, "", "");
-                    Client client = new Client(gateway.port()).greeted()) {
+                    TestClient client = new TestClient(gateway.port()).greeted()) {
                 assertThat(net.read(client)).isEqualTo("row 07 ready");
             }
         }
--- a/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
@@ -19,7 +19,7 @@
     private static final int CALLS_A_SECOND_MOST =
             3; // the gateway waits at least a third of a second between calls that fail
 
-    private static void moveDiscovery(Net net, FaultyDiscovery to) {
+    private static void moveDiscovery(GatewayTestFixture net, FaultyDiscovery to) {
         net.settings = told -> told.replace(
                 "\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + to.port());
         net.renew(256);
@@ -30,11 +30,11 @@
     @EnumSource(value = FaultyDiscovery.State.class, names = "WORKS", mode = EnumSource.Mode.EXCLUDE)
     void serviceGoesOnThroughALongOutageAndADrainAtItsEndIsInForceInTime(FaultyDiscovery.State outage)
             throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery discovery = new FaultyDiscovery(5, net.list(5, true, "p", "r1"))) {
             moveDiscovery(net, discovery);
             discovery.state = outage;
-            Client client = net.client();
+            TestClient client = net.client();
             int calls = discovery.calls.get();
             long outageMs = outage == FaultyDiscovery.State.SILENT ? LONG_OUTAGE_MS : OUTAGE_MS;
             for (long began = System.nanoTime();
@@ -57,11 +57,11 @@
 
     @Test
     void aDrainThatDiscoveryTellsAtItsReturnDuringAGracefulShutdownIsInForce() throws Exception {
-        try (Net net = new Net("p", "r1", "r2", "r3").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2", "r3").readable().started();
                 FaultyDiscovery discovery = new FaultyDiscovery(5, net.list(5, true, "p", "r1", "r3"))) {
             moveDiscovery(net, discovery);
             discovery.state = FaultyDiscovery.State.RESETS;
-            Client client = net.client();
+            TestClient client = net.client();
             for (int i = 0; i < 20; i++) {
                 assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
             }
@@ -83,7 +83,7 @@
             assertThat(answer).as(net::log).isEqualTo("closed");
             assertThat(servedWhileDraining).as(net::log).isGreaterThan(20);
             assertThat(net.servers.get("r1").got).isEmpty();
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -17,14 +17,14 @@
 
     @Test
     void anAttemptThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server primary = net.servers.get("p");
-            Client first = net.client().ask(net.request("order"));
-            Got inHand = primary.next(); // has the connection that the probe opened
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient first = net.client().ask(net.request("order"));
+            ReceivedQuery inHand = primary.next(); // has the connection that the probe opened
             primary.holdsGreetings = new CountDownLatch(1);
             primary.connects.clear();
-            Client second = net.client().ask(net.request("order", 4000));
-            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+            TestClient second = net.client().ask(net.request("order", 4000));
+            assertThat(primary.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isNotNull();
             net.registry.news.add(net.list(2, false, "p:DRAINING"));
@@ -40,12 +40,12 @@
 
     @Test
     void aHealthCheckThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
-            Server draining = net.servers.get("r1");
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
+            FakeDatabaseServer draining = net.servers.get("r1");
             draining.holdsGreetings = new CountDownLatch(1);
             net.started();
             draining.connects.clear();
-            Client client = net.client();
+            TestClient client = net.client();
             while (draining.connects.isEmpty()) {
                 assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
                 Thread.sleep(5);
@@ -61,11 +61,11 @@
 
     @Test
     void whatComesWhileTheGatewayIsHeldUpAndItsServerBeginsToDrainIsForwardedWithinTheGraceOrNot() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started()) {
-            Server draining = net.servers.get("r1");
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started()) {
+            FakeDatabaseServer draining = net.servers.get("r1");
             draining.reads = false;
             try (AnsweringServer answers = new AnsweringServer(draining, got -> got.row(new byte[] {7}))) {
-                Client client = net.client();
+                TestClient client = net.client();
                 for (int i = 0; i < 20; i++) {
                     assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
                 }
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -30,20 +30,20 @@
 
     @Test
     void aClientThatAskedForMuchAtOnceAndWentIsSeenToHaveGone() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client c = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient c = net.client();
             for (int i = 0; i < 60; i++) {
                 c.ask(net.request("order"));
                 Thread.sleep(2); // so that each is read by itself
             }
-            List<Got> out = new ArrayList<>();
+            List<ReceivedQuery> out = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 out.add(p.next()); // as many as are taken before the first answer
             }
             long gone = System.nanoTime();
             c.close();
-            for (Got g : out) {
+            for (ReceivedQuery g : out) {
                 g.endedByGateway();
             }
             assertThat(since(gone)).as(net::log).isLessThan(5000); // not when their time is up
@@ -53,11 +53,11 @@
 
     @Test
     void whatAClientStillWritesDoesNotTakeBackTheAnswersBeforeAnEnd() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client c = new Client(net.gateway.port(), 4000).greeted(); // takes little at a time
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient c = new TestClient(net.gateway.port(), 4000).greeted(); // takes little at a time
             c.ask(net.request("order"));
-            Got g = p.next();
+            ReceivedQuery g = p.next();
             Thread writes = new Thread(() -> {
                 try {
                     c.write(Buffer.buffer().appendByte((byte) '?').appendInt(4));
@@ -76,29 +76,29 @@
             assertThat(c.answer()).isEqualTo("08P01 closed");
             assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
             c.close();
-            writes.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            writes.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
         }
     }
 
     @Test
     void aSendThatWaitsForItsConnectionIsNotWrittenForAClientThatHasGone() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             net.settings =
                     told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
             net.started();
-            Server p = net.servers.get("p");
-            Client other = net.client().ask(net.request("order"));
-            Got first = p.next(); // has the connection that the probe opened
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient other = net.client().ask(net.request("order"));
+            ReceivedQuery first = p.next(); // has the connection that the probe opened
             p.holdsGreetings = new CountDownLatch(1);
             p.connects.clear();
-            Client c = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+            TestClient c = net.client().ask(net.request("order"));
+            assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             c.close();
             other.ask(net.request("order"));
             first.row(new byte[] {7}); // read after the close
             assertThat(other.answer()).isEqualTo(ROW_7);
             p.holdsGreetings.countDown();
-            Got next = p.next();
+            ReceivedQuery next = p.next();
             assertThat(next.text()).contains("id=3,");
             next.row(new byte[] {7});
             assertThat(other.answer()).isEqualTo(ROW_7);
@@ -108,11 +108,11 @@
 
     @Test
     void whatWasAskedAndLeftWhileTheGatewayStoodStillIsNotSentOn() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
             CountDownLatch still = new CountDownLatch(1);
             CountDownLatch on = new CountDownLatch(1);
-            List<Client> left = new ArrayList<>();
+            List<TestClient> left = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 left.add(net.client());
             }
@@ -125,13 +125,13 @@
                 }
             });
             still.await();
-            for (Client c : left) {
+            for (TestClient c : left) {
                 c.ask(net.request("order")).close();
             }
             Thread.sleep(500); // the standstill itself
             on.countDown();
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
+            TestClient c = net.client().ask(net.request("order"));
+            ReceivedQuery g = p.next();
             assertThat(g.text()).as(net::log).contains("id=b,");
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
@@ -139,8 +139,8 @@
         }
     }
 
-    private static List<Client> clients(Net net, int many) throws IOException {
-        List<Client> all = new ArrayList<>();
+    private static List<TestClient> clients(GatewayTestFixture net, int many) throws IOException {
+        List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             all.add(net.client());
         }
@@ -149,16 +149,16 @@
 
     @Test
     void whatWasAskedDuringAPauseIsAnsweredAlsoWhereIdleConnectionsAreToEnd() throws Exception {
-        try (Net net = new Net("p").started(512, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(512, 30_000)) {
             net.servers.get("p").writes = true;
-            List<Client> idle = clients(net, 80);
+            List<TestClient> idle = clients(net, 80);
             net.pauseBeforeTimers(() -> net.renew(256)); // 80 clients are too many then, and idle ones end
-            for (Client c : idle) {
+            for (TestClient c : idle) {
                 c.ask(net.request("order"));
             }
             Thread.sleep(400); // the pause itself, longer than idle ones are left then
             net.goOn();
-            for (Client c : idle) {
+            for (TestClient c : idle) {
                 assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
             }
             net.logged("256 descriptors");
@@ -167,42 +167,42 @@
 
     @Test
     void whatWasAskedDuringAPauseIsAnsweredAlsoWhereAPlannedRestartEndsIdleConnections() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             net.servers.get("p").writes = true;
-            List<Client> idle = clients(net, 20);
+            List<TestClient> idle = clients(net, 20);
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 20 connections");
             net.pauseBeforeTimers(() -> {});
-            for (Client c : idle) {
+            for (TestClient c : idle) {
                 c.ask(net.request("order"));
             }
             Thread.sleep(2600); // so that idle ones are to end by then
             net.goOn();
-            for (Client c : idle) { // refused, since no server has been heard for so long
+            for (TestClient c : idle) { // refused, since no server has been heard for so long
                 assertThat(c.answer()).as(net::log).matches("53300 after \\d+ ready");
                 assertThat(c.answer()).isEqualTo("closed");
             }
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
     void whoGreetedAndAskedDuringAPauseIsAnsweredAlsoWhereThoseWithoutAGreetingAreToEnd() throws Exception {
-        try (Net net = new Net("p").started(512, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(512, 30_000)) {
             net.servers.get("p").writes = true;
-            List<Client> strangers = new ArrayList<>();
+            List<TestClient> strangers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                strangers.add(new Client(net.gateway.port()));
+                strangers.add(new TestClient(net.gateway.port()));
             }
             net.client(); // greeted behind those, so they have been let in
             net.pauseBeforeTimers(() -> net.renew(64)); // 20 without a greeting are too many then
-            for (Client c : strangers) {
+            for (TestClient c : strangers) {
                 c.write(MessageWriter.startup()).ask(net.request("order"));
             }
             Thread.sleep(400); // the pause itself
             net.goOn();
-            for (Client c : strangers) {
+            for (TestClient c : strangers) {
                 assertThat(c.answer()).as(net::log).isEqualTo("ready");
                 assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
                 c.close();
@@ -213,9 +213,9 @@
 
     @Test
     void anAnswerThatCameDuringAPauseCountsThoughItsAttemptTimedOutMeanwhile() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("quick", 5000)); // an attempt is given up after some 600 ms
-            Got g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("quick", 5000)); // an attempt is given up after some 600 ms
+            ReceivedQuery g = net.servers.get("p").next();
             net.pauseWhileReading();
             g.row(new byte[] {7});
             Thread.sleep(800); // the pause itself
@@ -226,22 +226,22 @@
 
     @Test
     void aMessageInPiecesIsRefusedBeforeAPlannedRestartEnds() throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
             net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
             net.started();
-            Client c = net.client();
+            TestClient c = net.client();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 1 connections");
             c.write(begun(200)); // its own time for being whole, 2.2 s, is later than the end
             assertThat(c.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
     void aWatchThatFallsSilentAtOnceIsGivenUpInTime() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started()) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000"); // never answered
             long silent = System.nanoTime();
             net.registry.changes = net.list(2, false, "r1:DRAINING");
@@ -252,12 +252,12 @@
 
     @Test
     void whatDiscoveryHasAtItsReturnIsHeardInTimeHoweverLongItWasAway() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started()) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             net.registry.mute = true;
             net.logged("discovery lost: no answer");
             for (int i = 0; i < 5; i++) { // so many further calls have failed
-                assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                assertThat(net.registry.asked.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isNotNull();
             }
@@ -274,16 +274,16 @@
 
     @Test
     void aServerThatTellsEverMoreOnAConnectionThatNobodyUsesLosesIt() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("order"));
-            Got g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("order"));
+            ReceivedQuery g = net.servers.get("p").next();
             Buffer notices = Buffer.buffer();
             for (int i = 0; i < 1100; i++) {
                 notices.appendByte((byte) 'N').appendInt(5).appendByte((byte) 0);
             }
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
-            Server.write(g.socket(), notices, false);
+            FakeDatabaseServer.write(g.socket(), notices, false);
             long began = System.nanoTime();
             g.endedByGateway();
             assertThat(since(began)).isLessThan(5000); // not when it has been idle for long
@@ -296,8 +296,8 @@
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
-        try (Net net = new Net("p")) {
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
+            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
             gateway = new ProcessBuilder(
                             "sh",
                             "-c",
@@ -313,7 +313,7 @@
                             file.toString())
                     .redirectError(log.toFile())
                     .start();
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
             while (!Files.readString(log).contains("SIGHUP is ignored by what started this program")) {
                 assertThat(System.nanoTime()).as(Files.readString(log)).isLessThan(end);
                 Thread.sleep(20);
--- a/gateway/src/test/java/ploverdale/Server.java
+++ b/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A database server: answers health checks by itself and passes each request's query to the test. Each connection has its thread. */
-final class Server extends Stand {
-    final BlockingQueue<Got> got = new LinkedBlockingQueue<>();
+final class FakeDatabaseServer extends LoopbackServer {
+    final BlockingQueue<ReceivedQuery> got = new LinkedBlockingQueue<>();
     final BlockingQueue<String> connects = new LinkedBlockingQueue<>();
     final BlockingQueue<String> ran =
             new LinkedBlockingQueue<>(); // the query of each request that was received completely
@@ -34,7 +34,7 @@
     volatile boolean dropsSilently; // where it forgets a connection, says nothing on it instead of a reset
     volatile String vitals; // overrides its load report unless null
 
-    Server(boolean primary) throws IOException {
+    FakeDatabaseServer(boolean primary) throws IOException {
         this.primary = primary;
     }
 
@@ -68,7 +68,7 @@
                 }
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
-                Got g = new Got(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), ended);
+                ReceivedQuery g = new ReceivedQuery(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), ended);
                 if (!g.text().startsWith("SHOW")) {
                     ran.add(g.text());
                 }
@@ -106,8 +106,8 @@
     }
 
     /** Waits for the next query of a request. */
-    Got next() throws InterruptedException {
-        Got g = got.poll(Net.PATIENCE_S, TimeUnit.SECONDS);
+    ReceivedQuery next() throws InterruptedException {
+        ReceivedQuery g = got.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS);
         assertThat(g).as("a query comes").isNotNull();
         return g;
     }
--- a/gateway/src/test/java/ploverdale/Registry.java
+++ b/gateway/src/test/java/ploverdale/FakeDiscovery.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** Discovery: serves the complete endpoint list, and answers each watch when the test adds an update. */
-final class Registry extends Stand {
+final class FakeDiscovery extends LoopbackServer {
     final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
     final BlockingQueue<String> news = new LinkedBlockingQueue<>();
     volatile String whole;
     volatile boolean mute; // takes calls, answers none
     volatile String changes; // answers each watch at once where it is there
 
-    Registry(String whole) throws IOException {
+    FakeDiscovery(String whole) throws IOException {
         this.whole = whole;
     }
 
@@ -52,7 +52,7 @@
     /** Waits for a call, and skips those before it. */
     void asked(String uri) throws InterruptedException {
         for (String a = ""; !a.equals(uri); ) {
-            a = asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS);
+            a = asked.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS);
             assertThat(a).as("discovery is asked for %s", uri).isNotNull();
         }
     }
--- a/gateway/src/test/java/ploverdale/FaultyDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FaultyDiscovery.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Discovery with outages of several kinds; while it works, it answers each call with its list at once but holds a watch without news. */
-final class FaultyDiscovery extends Stand {
+final class FaultyDiscovery extends LoopbackServer {
     /** What discovery does with a call. */
     enum State {
         WORKS,
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -35,12 +35,12 @@
 
     @Test
     void aRequestIsAnsweredInTimeThoughOtherClientsHoldAsMuchAsTheGatewayKeeps() throws Exception {
-        try (Net net = new Net("p").started(1024, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(1024, 30_000)) {
             for (int valueBytes :
                     new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
                 fill(net, valueBytes, valueBytes == 60_000 ? 145 : 20);
             }
-            Client client = net.client();
+            TestClient client = net.client();
             long asked = System.nanoTime();
             String answer = client.ask(net.request("quick", 1000)).answer();
             assertThat(answer).as(net::log).startsWith("53300");
@@ -49,7 +49,7 @@
     }
 
     /** So many clients, each with a request that the server does not answer. */
-    private static void fill(Net net, int valueBytes, int clients) throws Exception {
+    private static void fill(GatewayTestFixture net, int valueBytes, int clients) throws Exception {
         for (int i = 0; i < clients; i++) {
             net.client().ask(net.request("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
         }
@@ -85,10 +85,10 @@
     @Test
     void aRequestThatNobodyAnswersFailsRightAfterItsTime() throws Exception {
         Vertx vertx = SingleLoopVertx.create();
-        try (Registry registry = new Registry("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
+        try (FakeDiscovery registry = new FakeDiscovery("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
             ConfigurationFile settings =
-                    ConfigurationFile.read(Files.writeString(file, Net.configuration(registry, 256, 30_000)));
+                    ConfigurationFile.read(Files.writeString(file, GatewayTestFixture.configuration(registry, 256, 30_000)));
             Files.delete(file);
             ByteArrayOutputStream lines = new ByteArrayOutputStream();
             Log log = new Log(new PrintStream(lines, true));
@@ -106,15 +106,15 @@
                         .listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
             });
-            int port = listening.get(Net.PATIENCE_S, TimeUnit.SECONDS).actualPort();
-            try (Client client = new Client(port).greeted()) {
+            int port = listening.get(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS).actualPort();
+            try (TestClient client = new TestClient(port).greeted()) {
                 long asked = System.nanoTime();
                 String query = "SELECT val FROM state WHERE uid = 'k' /* id=1,c=quick,t=north,d=400,cluster=1 */";
                 assertThat(client.ask(query).answer()).as(lines::toString).isEqualTo("58000 ready");
                 assertThat(sinceMs(asked)).as(lines::toString).isBetween(400L, 400 + ANSWER_SLACK_MS);
             }
         } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(Net.PATIENCE_S, TimeUnit.SECONDS);
+            vertx.close().toCompletionStage().toCompletableFuture().get(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS);
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -29,13 +29,13 @@
 
     @Test
     void aValueIsPassedOnByteForByteAndTheWaitIsStatedToTheServer() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             byte[] value = new byte[64 * 1024];
             for (int i = 0; i < value.length; i++) {
                 value[i] = (byte) i;
             }
-            Client c = net.client().ask(net.request("order", 9000));
-            Got g = net.servers.get("p").next();
+            TestClient c = net.client().ask(net.request("order", 9000));
+            ReceivedQuery g = net.servers.get("p").next();
             assertThat(g.text())
                     .startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
             String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
@@ -47,8 +47,8 @@
 
     @Test
     void theFirstClientIsLetInOnceTheFirstProbesHaveEnded() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
-            for (Server s : net.servers.values()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started()) {
+            for (FakeDatabaseServer s : net.servers.values()) {
                 assertThat(s.probed).as(net::log).isPositive();
                 assertThat(s.got).isEmpty(); // no made-up op of the practice reaches a server
             }
@@ -65,16 +65,16 @@
 
     @Test
     void theTimeOfAnOpThatCameBeforeServiceBeganIsCountedFromItsComing() throws Exception {
-        try (Net net = new Net("p")) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
+            FakeDatabaseServer p = net.servers.get("p");
             p.holdsProbes = new CountDownLatch(1);
-            Client c = net.early(net.request("order", 9000));
+            TestClient c = net.early(net.request("order", 9000));
             long came = System.nanoTime();
             while (System.nanoTime() - came < TimeUnit.MILLISECONDS.toNanos(300)) {
                 Thread.onSpinWait(); // service cannot begin before its first probe has ended
             }
             p.holdsProbes.countDown();
-            Got g = p.next();
+            ReceivedQuery g = p.next();
             assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1")))
                     .as(net::log)
                     .isLessThanOrEqualTo(8700);
@@ -85,18 +85,18 @@
 
     @Test
     void theFirstQueryMayComeRightBehindTheGreetingAndQueriesAreAnsweredInTheirOrder() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = new Client(net.gateway.port());
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = new TestClient(net.gateway.port());
             c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
             assertThat(c.answer()).startsWith("08P01");
-            c = new Client(net.gateway.port());
+            c = new TestClient(net.gateway.port());
             c.write(MessageWriter.startup()
                     .appendBuffer(MessageWriter.query(net.request("order")))
                     .appendBuffer(MessageWriter.query(net.request("order")))
                     .appendBuffer(MessageWriter.query(" ;")));
             assertThat(c.answer()).isEqualTo("ready");
-            Got one = net.servers.get("p").next();
-            Got other = net.servers.get("p").next();
+            ReceivedQuery one = net.servers.get("p").next();
+            ReceivedQuery other = net.servers.get("p").next();
             boolean first = one.text().contains("id=1,");
             (first ? other : one).row(new byte[] {7});
             (first ? one : other).row(new byte[] {1});
@@ -108,7 +108,7 @@
 
     @Test
     void aReadWithNobodyToAnswerItIsBusyRepliedWithATimeToComeBack() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             net.servers.get("p").close();
             net.started().logged("server p silent");
             assertThat(net.client().ask(net.request("quick", 900)).answer()).matches("53300 after \\d+ ready");
@@ -117,9 +117,9 @@
 
     @Test
     void aWriteTurnedAwayByAReplicaGoesToThePrimary() throws Exception {
-        try (Net net = new Net("r1", "p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("r1", "p").started()) {
             net.logged("primary p");
-            Client c = net.client().ask(net.request("order"));
+            TestClient c = net.client().ask(net.request("order"));
             net.servers.get("p").next().problem("25006");
             assertThat(net.servers.get("p").next().text()).contains("id=1,");
             assertThat(net.servers.get("r1").got).isEmpty();
@@ -129,12 +129,12 @@
 
     @Test
     void aNonRetryableOpWhoseConnectionBreaksAfterTheLastByteIsWrittenOnceAndErrored() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("order"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("order"));
             net.servers.get("p").next().reset();
             assertThat(c.answer()).isEqualTo("58000 ready");
             c.ask(net.request("order"));
-            Got second = net.servers.get("p").next();
+            ReceivedQuery second = net.servers.get("p").next();
             assertThat(second.text()).contains("id=2,");
             second.row(new byte[] {2});
             assertThat(c.answer()).isEqualTo("row 02 ready");
@@ -144,12 +144,12 @@
 
     @Test
     void anOpThatFoundAServerFullIsNotWrittenToTheConnectionThatItCloses() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("order"));
-            Got full = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("order"));
+            ReceivedQuery full = net.servers.get("p").next();
             full.problem("53300");
             full.socket().close(); // as servers do that have too many of them
-            Got again = net.servers.get("p").next();
+            ReceivedQuery again = net.servers.get("p").next();
             assertThat(again.text()).contains("id=1,");
             assertThat(again.socket()).isNotSameAs(full.socket());
             again.row(new byte[] {7});
@@ -159,18 +159,18 @@
 
     @Test
     void aNonRetryableOpWhoseConnectionNeverComesUpHasNotRunAndGoesAgain() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client first = net.client().ask(net.request("order"));
-            Got out = p.next(); // keeps the connection that the probe opened
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient first = net.client().ask(net.request("order"));
+            ReceivedQuery out = p.next(); // keeps the connection that the probe opened
             p.shut = true;
             p.connects.clear();
-            Client c = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+            TestClient c = net.client().ask(net.request("order"));
+            assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             p.shut = false;
             out.row(new byte[] {1});
             assertThat(first.answer()).isEqualTo("row 01 ready");
-            Got again = p.next();
+            ReceivedQuery again = p.next();
             assertThat(again.text()).contains("id=2,");
             again.row(new byte[] {2});
             assertThat(c.answer()).isEqualTo("row 02 ready");
@@ -180,23 +180,23 @@
 
     @Test
     void aConnectionThatAnsweredJustNowRestsWhileAnotherIsFree() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client one = net.client();
-            Client other = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient one = net.client();
+            TestClient other = net.client();
             boolean rested = false;
             for (int i = 0; i < 50 && !rested; i++) { // often, since the moment is short and this machine may be slow
                 one.ask(net.request("order"));
-                Got first = p.next();
+                ReceivedQuery first = p.next();
                 other.ask(net.request("order"));
-                Got second = p.next();
+                ReceivedQuery second = p.next();
                 first.row(new byte[] {7});
                 assertThat(one.answer()).isEqualTo(ROW_7);
                 Thread.sleep(20);
                 second.row(new byte[] {7});
                 assertThat(other.answer()).isEqualTo(ROW_7);
                 one.ask(net.request("order"));
-                Got third = p.next();
+                ReceivedQuery third = p.next();
                 rested = third.socket() == first.socket();
                 third.row(new byte[] {7});
                 assertThat(one.answer()).isEqualTo(ROW_7);
@@ -207,10 +207,10 @@
 
     @Test
     void connectionsIdleForAsLongAsManyThatWereLostAreNotUsedAgain() throws Exception {
-        try (Net net = new Net("p").started().readable()) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started().readable()) {
+            FakeDatabaseServer p = net.servers.get("p");
             p.forgetsMs = 60;
-            Client c = net.client();
+            TestClient c = net.client();
             for (int i = 0; i < 20; i++) {
                 assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
                 Thread.sleep(130);
@@ -221,9 +221,9 @@
 
     @Test
     void givingUpClosesTheConnectionAndALateAnswerReachesNoOtherOp() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("quick", 700));
-            Got late = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("quick", 700));
+            ReceivedQuery late = net.servers.get("p").next();
             assertThat(c.answer()).startsWith("53300");
             late.endedByGateway();
             try {
@@ -239,9 +239,9 @@
 
     @Test
     void anAnswerThatNobodyAskedForEndsTheConnectionAndReachesNoOp() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("page"));
-            Got g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("page"));
+            ReceivedQuery g = net.servers.get("p").next();
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             g.row("unasked".getBytes(UTF_8));
@@ -255,19 +255,19 @@
 
     @Test
     void aSurplusAnswerReachesNoOpThatWaitsForTheConnection() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client first = net.client().ask(net.request("order"));
-            Got g = p.next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient first = net.client().ask(net.request("order"));
+            ReceivedQuery g = p.next();
             p.mute = true;
             p.connects.clear();
-            Client second = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+            TestClient second = net.client().ask(net.request("order"));
+            assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
             g.row(new byte[] {7}, g.answer(new byte[] {7})); // a second copy in the same breath
             assertThat(first.answer()).isEqualTo(ROW_7);
             g.endedByGateway();
             p.mute = false;
-            Got own = p.next();
+            ReceivedQuery own = p.next();
             assertThat(own.text()).contains("id=2,");
             own.row(new byte[] {9}, bytes('?', 1 << 30)); // noise that is no whole message
             assertThat(second.answer()).as(net::log).isEqualTo("row 09 ready");
@@ -277,8 +277,8 @@
 
     @Test
     void aSpoiltAnswerIsNoneWhateverItBeginsWith() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client();
             Buffer cut = Buffer.buffer()
                     .appendBuffer(MessageWriter.resultRow(new ResultRow(
                             new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
@@ -290,8 +290,8 @@
             for (Buffer b : List.of(
                     cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
                 c.ask(net.request("order"));
-                Got g = net.servers.get("p").next();
-                Server.write(g.socket(), b, false);
+                ReceivedQuery g = net.servers.get("p").next();
+                FakeDatabaseServer.write(g.socket(), b, false);
                 assertThat(c.answer()).isEqualTo("58000 ready"); // it may have run: neither acked nor sent again
                 g.endedByGateway();
                 assertThat(net.servers.get("p").got).isEmpty();
@@ -304,13 +304,13 @@
             strings = {"x0=99999999999.000,x1=0,busy=0.1", "x0=NOW,x1=0,busy=\u0007", "x0=NOW,x1=7,busy=0", "x0=NOW,=,"
             })
     void aReportThatIsSpoiltIsNotBelieved(String vitals) throws Exception {
-        try (Net net = new Net("p", "r1")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1")) {
             net.servers.get("p").vitals = "x0=0.000,x1=0,busy=0"; // has made none yet, and is the primary all the same
             net.registry.whole = net.registry.whole.replaceFirst("\"cell\"", "\"rank\":\"source\",\"cell\"");
             net.servers.get("r1").vitals = vitals.replace("NOW", Long.toString(System.currentTimeMillis() / 1000));
             net.readable().started();
             net.servers.get("r1").reads = false;
-            Client c = net.client();
+            TestClient c = net.client();
             for (int i = 0; i < 5; i++) {
                 assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
             }
@@ -321,13 +321,13 @@
 
     @Test
     void anAnswerCutShortOrOversizedMayHaveRun() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client();
             for (Buffer b :
                     List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
                 c.ask(net.request("order"));
-                Got g = net.servers.get("p").next();
-                Server.write(g.socket(), b, false);
+                ReceivedQuery g = net.servers.get("p").next();
+                FakeDatabaseServer.write(g.socket(), b, false);
                 if (b.getByte(0) == 'T') {
                     g.socket().close();
                 }
@@ -339,9 +339,9 @@
 
     @Test
     void theSendOfAClientThatHasGoneIsGivenUp() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("page"));
-            Got g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient c = net.client().ask(net.request("page"));
+            ReceivedQuery g = net.servers.get("p").next();
             c.close();
             g.endedByGateway();
         }
@@ -349,13 +349,13 @@
 
     @Test
     void aServerThatAWatchSaysIsDrainingGetsNothingNew() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started()) {
             net.readable().registry.asked("/registry/instances?from=1&hold_ms=2000");
             net.registry.news.add(net.list(2, false, "r1:DRAINING"));
             net.logged("server r1 listed DRAINING");
-            Server r1 = net.servers.get("r1");
+            FakeDatabaseServer r1 = net.servers.get("r1");
             r1.reads = false;
-            Client c = net.client();
+            TestClient c = net.client();
             for (int i = 0; i < 30; i++) {
                 assertThat(net.read(c)).isEqualTo(ROW_7);
             }
@@ -366,7 +366,7 @@
 
     @Test
     void discoveryThatTalksNonsenseOrGoesBackIsAskedAgainAndChangesNothing() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             net.registry.news.add("{\"revision\":");
             net.logged("discovery lost: list is not JSON");
@@ -378,7 +378,7 @@
             net.registry.news.add(net.list(4, false));
             net.logged("discovery went back from revision 9 to 4");
             net.registry.asked("/registry/instances");
-            Client c = net.client().ask(net.request("page"));
+            TestClient c = net.client().ask(net.request("page"));
             net.servers.get("p").next().row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
         }
@@ -386,10 +386,10 @@
 
     @Test
     void aServerThatAcceptsAndStaysSilentHoldsNothingUp() throws Exception {
-        try (Net net = new Net("p", "r1", "r2")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2")) {
             net.servers.get("r1").mute = true;
             net.readable().started();
-            Client c = net.client();
+            TestClient c = net.client();
             for (int i = 0; i < 5; i++) {
                 assertThat(net.read(c)).isEqualTo(ROW_7);
             }
@@ -399,9 +399,9 @@
 
     @Test
     void idleConnectionsAreClosedBeforeTheServerWould() throws Exception {
-        try (Net net = new Net("p").started(256, 4000)) {
-            Client c = net.client().ask(net.request("page"));
-            Got g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(256, 4000)) {
+            TestClient c = net.client().ask(net.request("page"));
+            ReceivedQuery g = net.servers.get("p").next();
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             long answered = System.nanoTime();
@@ -413,20 +413,20 @@
 
     @Test
     void overTheDescriptorBudgetClientsAreTurnedAwayAndThoseTakenAreAnswered() throws Exception {
-        try (Net net = new Net("p").started(64, 30_000)) {
-            Server p = net.servers.get("p");
-            List<Client> taken = new ArrayList<>();
-            List<Got> out = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(64, 30_000)) {
+            FakeDatabaseServer p = net.servers.get("p");
+            List<TestClient> taken = new ArrayList<>();
+            List<ReceivedQuery> out = new ArrayList<>();
             boolean away = false;
             for (int i = 0; i < 64 && !away; i++) {
-                Client c = new Client(net.gateway.port());
+                TestClient c = new TestClient(net.gateway.port());
                 c.write(MessageWriter.startup());
                 String greeting = c.answer();
                 away = greeting.equals("53300 closed");
                 if (!away) {
                     assertThat(greeting).isEqualTo("ready");
                     taken.add(c.ask(net.request("order")));
-                    Got g = p.got.poll(20, TimeUnit.MILLISECONDS); // read by the gateway, so no longer idle there
+                    ReceivedQuery g = p.got.poll(20, TimeUnit.MILLISECONDS); // read by the gateway, so no longer idle there
                     if (g != null) {
                         out.add(g);
                     }
@@ -435,16 +435,16 @@
             assertThat(away).isTrue();
             assertThat(taken).hasSizeBetween(16, 48);
             p.writes = true;
-            for (Got g : out) {
+            for (ReceivedQuery g : out) {
                 g.row(new byte[] {7});
             }
-            for (Client c : taken) {
+            for (TestClient c : taken) {
                 assertThat(c.answer()).isIn(ROW_7, "53300 ready", "53300 after 1000 ready");
             }
             net.logged("no room for a connection");
             String greeting = "53300 closed";
             while (greeting.equals("53300 closed")) { // until those that were answered have been idle for a moment
-                Client c = new Client(net.gateway.port()).write(MessageWriter.startup());
+                TestClient c = new TestClient(net.gateway.port()).write(MessageWriter.startup());
                 greeting = c.answer();
                 if (greeting.equals("ready")) {
                     assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
@@ -456,19 +456,19 @@
 
     @Test
     void opsThatFindNoDescriptorWaitAMomentForOne() throws Exception {
-        try (Net net = new Net("p", "r1").started(64, 30_000).readable()) { // 40 connections, and 8 more that may cross
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started(64, 30_000).readable()) { // 40 connections, and 8 more that may cross
             net.servers.values().forEach(x -> x.value = new byte[60_000]);
-            List<Client> all = new ArrayList<>();
+            List<TestClient> all = new ArrayList<>();
             for (int i = 0; i < 28; i++) {
-                all.add(new Client(net.gateway.port()).write(MessageWriter.startup()));
+                all.add(new TestClient(net.gateway.port()).write(MessageWriter.startup()));
             }
-            for (Client c : all) {
+            for (TestClient c : all) {
                 assertThat(c.answer()).isEqualTo("ready");
             }
-            for (Client c : all) {
+            for (TestClient c : all) {
                 c.ask(net.request("page"));
             }
-            for (Client c : all) {
+            for (TestClient c : all) {
                 assertThat(c.answer()).as(net::log).startsWith("row ");
             }
         }
@@ -476,21 +476,21 @@
 
     @Test
     void aPlannedRestartServesOnAnswersAllAndEnds() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
-            Client idle = net.client();
-            Client held = net.client().ask(net.request("order"));
-            Got g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started().readable()) {
+            TestClient idle = net.client();
+            TestClient held = net.client().ask(net.request("order"));
+            ReceivedQuery g = net.servers.get("p").next();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 2 connections, 1 ops in hand");
-            Client later = net.client();
+            TestClient later = net.client();
             for (int i = 0; i < 10; i++) { // how long a read takes is known by the time that little of it is left
                 assertThat(net.read(later)).isEqualTo(ROW_7);
             }
             Thread.sleep(1000); // nobody else may be there to serve those that are connected
             assertThat(net.read(later)).isEqualTo(ROW_7);
             net.logged("planned restart: idle connections end");
-            Client last = new Client(net.gateway.port());
+            TestClient last = new TestClient(net.gateway.port());
             last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.request("page"))));
             assertThat(List.of(last.answer(), last.answer(), last.answer())).containsExactly("ready", ROW_7, "closed");
             assertThat(idle.answer()).isEqualTo("closed");
@@ -498,19 +498,19 @@
             g.row(new byte[] {3});
             assertThat(held.answer()).isEqualTo("row 03 ready");
             assertThat(held.answer()).isEqualTo("closed");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             net.logged("0 ops unanswered");
         }
     }
 
     @Test
     void anOpThatWaitsForLongerThanAPlannedRestartLastsIsAnsweredBeforeTheEnd() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
-            Client patient = net.client().ask(net.request("order", 9000));
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started().readable()) {
+            TestClient patient = net.client().ask(net.request("order", 9000));
             net.servers.get("p").next(); // never answered
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(net.log())
                     .contains("0 ops unanswered")
                     .doesNotContain("1 ops unanswered"); // here a process would exit
@@ -523,9 +523,9 @@
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable();
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
+            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -539,13 +539,13 @@
                     .start();
             int port = Integer.parseInt(line(log, "listens at").replaceAll(".*:(\\d+), .*", "$1"));
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            Client c = new Client(port).greeted();
+            TestClient c = new TestClient(port).greeted();
             assertThat(net.read(c)).isEqualTo(ROW_7);
 
             Files.writeString(file, "{\"name\":");
             hangUp(gateway);
             line(log, "new configuration not taken");
-            Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+            Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
             hangUp(gateway);
             elsewhere.asked("/registry/instances");
             elsewhere.asked("/registry/instances?from=5&hold_ms=2000");
@@ -553,7 +553,7 @@
             assertThat(net.read(c)).isEqualTo(ROW_7);
             c.close();
             gateway.destroy();
-            assertThat(gateway.waitFor(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(gateway.waitFor(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(gateway.exitValue()).isZero();
         } finally {
             if (gateway != null) {
@@ -573,7 +573,7 @@
 
     /** Waits for a line of the log with this. */
     private static String line(Path log, String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
         while (true) {
             for (String line : Files.readAllLines(log)) {
                 if (line.contains(part)) {
@@ -589,9 +589,9 @@
 
     @Test
     void badInputIsAnsweredWhereItCanBeAndEndsNoOtherConnection() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
-            Client good = net.client();
-            Client c = new Client(net.gateway.port());
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started().readable()) {
+            TestClient good = net.client();
+            TestClient c = new TestClient(net.gateway.port());
             c.write(Buffer.buffer().appendInt(8).appendInt(80877103));
             assertThat(c.readByte()).isEqualTo('N');
             c.write(Buffer.buffer().appendInt(8).appendInt(80877104));
@@ -608,18 +608,18 @@
             assertThat(c.answer()).isEqualTo("0A000 ready");
             String request = net.request("order");
             c.ask(request);
-            Got g = net.servers.get("p").next();
+            ReceivedQuery g = net.servers.get("p").next();
             assertThat(good.ask(request).answer()).isEqualTo("42710 ready");
             g.row(new byte[] {7});
             assertThat(c.answer()).isEqualTo(ROW_7);
             for (Buffer b : List.of(bytes('?', 4), bytes('Q', 3), bytes('Q', 1 << 30))) {
                 assertThat(net.client().write(b).answer()).isEqualTo("08P01 closed");
             }
-            assertThat(new Client(net.gateway.port())
+            assertThat(new TestClient(net.gateway.port())
                             .write(Buffer.buffer().appendInt(8).appendInt(2 << 16))
                             .answer())
                     .isEqualTo("0A000 closed");
-            assertThat(new Client(net.gateway.port())
+            assertThat(new TestClient(net.gateway.port())
                             .write(Buffer.buffer()
                                     .appendInt(16)
                                     .appendInt(80877102)
@@ -632,12 +632,12 @@
 
     @Test
     void aClientThatDoesNotReadIsHeldBackAndClosedAndHarmsNoOther() throws Exception {
-        try (Net net = new Net("p", "r1")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1")) {
             net.settings = told ->
                     told.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no op takes longer than its 5 s
             net.started();
             net.readable().servers.values().forEach(s -> s.value = new byte[60_000]);
-            Client deaf = net.client();
+            TestClient deaf = net.client();
             Thread asks = new Thread(() -> {
                 try {
                     for (int i = 0; i < 1000; i++) {
@@ -649,7 +649,7 @@
             });
             asks.start();
             net.logged("client that does not read");
-            asks.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            asks.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
             assertThat(asks.isAlive()).isFalse();
             net.servers.values().forEach(s -> s.value = new byte[] {7});
             assertThat(net.read(net.client())).isEqualTo(ROW_7);
@@ -658,13 +658,13 @@
 
     @Test
     void whatAClientBeginsAndDoesNotEndIsEndedAndAnOpTakenBeforeItIsAnswered() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
-            Client silent = new Client(net.gateway.port());
-            Client half = new Client(net.gateway.port()).write(Buffer.buffer().appendInt(40));
-            Client lateHalf = net.client().write(bytes('Q', 50));
-            Client taken = net.client().ask(net.request("order")).write(bytes('Q', 50));
-            Got g = net.servers.get("p").next();
-            for (Client c : List.of(silent, half, lateHalf)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started()) {
+            TestClient silent = new TestClient(net.gateway.port());
+            TestClient half = new TestClient(net.gateway.port()).write(Buffer.buffer().appendInt(40));
+            TestClient lateHalf = net.client().write(bytes('Q', 50));
+            TestClient taken = net.client().ask(net.request("order")).write(bytes('Q', 50));
+            ReceivedQuery g = net.servers.get("p").next();
+            for (TestClient c : List.of(silent, half, lateHalf)) {
                 assertThat(c.answer()).isEqualTo("08P01 closed");
             }
             net.logged("client with an unfinished message");
@@ -675,14 +675,14 @@
 
     @Test
     void whereClientsHoldAboutAllTheyMayThoseThatDoNothingMakeWaySoon() throws Exception {
-        try (Net net =
-                new Net("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
-            List<Client> all = new ArrayList<>();
+        try (GatewayTestFixture net =
+                new GatewayTestFixture("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
+            List<TestClient> all = new ArrayList<>();
             for (int i = 0; i < 15; i++) {
                 all.add(net.client());
             }
             long since = System.nanoTime();
-            for (Client c : all.subList(0, 3)) {
+            for (TestClient c : all.subList(0, 3)) {
                 assertThat(c.answer()).isEqualTo("closed");
             }
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since))
@@ -693,7 +693,7 @@
 
     @Test
     void messagesThatAreBegunAndNotEndedCostTheirClientsTheConnectionsAndOthersAreServed() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started().readable()) {
             for (int i = 0; i < 140; i++) {
                 net.client().write(bytes('Q', 130_000).appendBytes(new byte[125_000]));
             }
--- a/gateway/src/test/java/ploverdale/Net.java
+++ b/gateway/src/test/java/ploverdale/GatewayTestFixture.java
@@ -25,7 +25,7 @@
 import ploverdale.settings.ConfigurationFile;
 
 /** A real gateway and, on loopback, stand-ins for its surroundings: database servers, discovery, clients; tests drive them. */
-final class Net implements AutoCloseable {
+final class GatewayTestFixture implements AutoCloseable {
     static final long PATIENCE_S = 20; // long, for loaded machines; nothing waits so long when all is well
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
     private volatile String pausesAt;
@@ -33,8 +33,8 @@
     private volatile CountDownLatch goesOn;
     private final List<AutoCloseable> open = new ArrayList<>();
     final Vertx vertx;
-    final Map<String, Server> servers = new LinkedHashMap<>();
-    final Registry registry;
+    final Map<String, FakeDatabaseServer> servers = new LinkedHashMap<>();
+    final FakeDiscovery registry;
     Gateway gateway;
     UnaryOperator<String> settings = told -> told; // what a test changes of the configuration
     Clock clock = Clock.system(); // the gateway's
@@ -42,17 +42,17 @@
     private int names;
 
     /** A gateway among servers, the first of them the primary; not yet started. */
-    Net(String... ids) throws IOException {
+    GatewayTestFixture(String... ids) throws IOException {
         this(SingleLoopVertx.create(), ids);
     }
 
     /** The same, with an event loop of the test's. */
-    Net(Vertx vertx, String... ids) throws IOException {
+    GatewayTestFixture(Vertx vertx, String... ids) throws IOException {
         this.vertx = vertx;
         for (String id : ids) {
-            servers.put(id, new Server(id.startsWith("p")));
+            servers.put(id, new FakeDatabaseServer(id.startsWith("p")));
         }
-        registry = new Registry(list(1, true, ids));
+        registry = new FakeDiscovery(list(1, true, ids));
     }
 
     /** The endpoint list in the format of discovery; an id may be followed by a colon and its phase. */
@@ -68,12 +68,12 @@
                 + "]}";
     }
 
-    Net started() throws Exception {
+    GatewayTestFixture started() throws Exception {
         return started(256, 30_000);
     }
 
     /** A configuration of the gateway, with discovery there. */
-    static String configuration(Registry registry, int sockets, long idleMs) {
+    static String configuration(FakeDiscovery registry, int sockets, long idleMs) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + registry.port()
                 + "\",\"seed\":\"7\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + registry.whole + ","
                 + "\"settings\":{\"balancers\":1,\"accounts\":[{\"name\":\"north\",\"quotaPerS\":1000}],\"profiles\":["
@@ -89,7 +89,7 @@
                 + "\"startCapacity\":0.3,\"coldMs\":10000,\"overloadFactor\":3,\"overloadForMs\":1000}}}";
     }
 
-    Net started(int sockets, long idleMs) throws Exception {
+    GatewayTestFixture started(int sockets, long idleMs) throws Exception {
         gateway = starting(sockets, idleMs).get(PATIENCE_S, TimeUnit.SECONDS);
         return this;
     }
@@ -120,7 +120,7 @@
 
     /** Pauses the gateway's event loop while it reads what a client wrote; {@link #goOn} ends that. */
     void pauseWhileReading() throws Exception {
-        Client bad = client();
+        TestClient bad = client();
         pauseWhileReading(() -> bad.ask(request("no such type")));
     }
 
@@ -197,14 +197,14 @@
     }
 
     /** A client whose greeting, with this right behind it, is answered before the gateway is ready. */
-    Client early(String text) throws Exception {
+    TestClient early(String text) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
             listen = free.getLocalPort();
         }
         CompletableFuture<Gateway> ready = starting(256, 30_000);
-        for (Client c = null; true; Thread.onSpinWait()) {
+        for (TestClient c = null; true; Thread.onSpinWait()) {
             try {
-                c = new Client(listen);
+                c = new TestClient(listen);
             } catch (java.net.ConnectException e) {
                 assertThat(ready).as(this::log).isNotDone();
                 continue;
@@ -249,7 +249,7 @@
     }
 
     /** Reads as clients do, which come back when told that it does no harm, for instance before any probe is in. */
-    String read(Client c) throws IOException {
+    String read(TestClient c) throws IOException {
         String answer = "53300";
         for (int i = 0; i < 100 && answer.startsWith("53300"); i++) {
             answer = c.ask(request("page")).answer();
@@ -258,13 +258,13 @@
     }
 
     /** From now on every server answers reads by itself, whichever the module picks. */
-    Net readable() {
+    GatewayTestFixture readable() {
         servers.values().forEach(s -> s.reads = true);
         return this;
     }
 
-    Client client() throws IOException {
-        Client c = new Client(gateway.port());
+    TestClient client() throws IOException {
+        TestClient c = new TestClient(gateway.port());
         open.add(c);
         return c.greeted();
     }
@@ -275,7 +275,7 @@
             o.close();
         }
         vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
-        for (Server s : servers.values()) {
+        for (FakeDatabaseServer s : servers.values()) {
             s.close();
         }
         registry.close();
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -21,11 +21,11 @@
         Path file = directory.resolve("gateway.json");
         Path log = directory.resolve("gateway.log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable();
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
             CountDownLatch probes = new CountDownLatch(1);
             net.servers.values().forEach(server -> server.holdsProbes = probes); // service begins once they have ended
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -38,7 +38,7 @@
                     .redirectError(log.toFile())
                     .start();
             net.registry.asked("/registry/instances");
-            Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+            Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
             assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid()))
                             .start()
                             .waitFor())
--- a/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -30,12 +30,12 @@
         configuration = root.resolve("gateway.json");
     }
 
-    private void configure(Registry discovery) throws IOException {
-        Files.writeString(configuration, Net.configuration(discovery, 256, 30_000));
+    private void configure(FakeDiscovery discovery) throws IOException {
+        Files.writeString(configuration, GatewayTestFixture.configuration(discovery, 256, 30_000));
     }
 
-    private static void serves(Net net, ServingProcess gateway) throws Exception {
-        try (Client client = new Client(gateway.port()).greeted()) {
+    private static void serves(GatewayTestFixture net, ServingProcess gateway) throws Exception {
+        try (TestClient client = new TestClient(gateway.port()).greeted()) {
             assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
         }
     }
@@ -43,8 +43,8 @@
     @Test
     void aHangUpMovesDiscovery() throws Exception {
         deployed.launcher(Map.of());
-        try (Net net = new Net("p", "r1").readable();
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
             configure(net.registry);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "")) {
                 serves(net, gateway);
@@ -65,7 +65,7 @@
         Files.setPosixFilePermissions(env, PosixFilePermissions.fromString("rwxr-xr-x"));
         Map<String, String> path = Map.of("PATH", tools + ":" + System.getenv("PATH"));
         deployed.launcher(path);
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
             configure(net.registry);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "", path)) {
                 serves(net, gateway);
@@ -78,7 +78,7 @@
 
     @Test
     void withoutTheFileOfTheLauncherTheGatewayServes() throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
             configure(net.registry);
             try (ServingProcess gateway = deployed.start(configuration, "", "")) {
                 serves(net, gateway);
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -25,8 +25,8 @@
         NEW_CONNECTIONS_TOO
     }
 
-    private static void hang(Net net, boolean newConnections) {
-        for (Server server : net.servers.values()) {
+    private static void hang(GatewayTestFixture net, boolean newConnections) {
+        for (FakeDatabaseServer server : net.servers.values()) {
             server.reads = false;
             server.writes = false;
             server.holdsProbes = new CountDownLatch(1);
@@ -36,14 +36,14 @@
         }
     }
 
-    private static void resume(Net net) {
-        for (Server server : net.servers.values()) {
+    private static void resume(GatewayTestFixture net) {
+        for (FakeDatabaseServer server : net.servers.values()) {
             server.holdsProbes.countDown();
             server.holdsGreetings.countDown();
         }
     }
 
-    private static void askAll(Net net, List<Client> clients, int pipelined) throws Exception {
+    private static void askAll(GatewayTestFixture net, List<TestClient> clients, int pipelined) throws Exception {
         for (int i = 0; i < clients.size(); i++) {
             for (int j = 0; j < pipelined; j++) {
                 clients.get(i).ask(net.request(CLASSES.get((i + j) % CLASSES.size()), 9000));
@@ -54,9 +54,9 @@
     @ParameterizedTest
     @EnumSource(Hang.class)
     void eachRequestTakenIsAnsweredBeforeTheEnd(Hang hang) throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started()) {
             net.servers.get("p").writes = true;
-            List<Client> clients = new ArrayList<>();
+            List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 clients.add(net.client());
                 assertThat(net.read(clients.get(i))).as(net::log).isEqualTo("row 07 ready");
@@ -71,12 +71,12 @@
             net.logged("planned restart: 12 connections");
             hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
             askAll(net, clients, 3); // clients go on on open connections
-            for (Client client : clients) {
+            for (TestClient client : clients) {
                 for (int i = 0; i < 5; i++) {
                     assertThat(client.answer()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
                 }
             }
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
                     .as(net::log)
                     .isLessThan(LONGEST_COUNTED_MS + KILLED_AFTER_MS);
@@ -88,13 +88,13 @@
     @ParameterizedTest
     @ValueSource(longs = {100, 400, 1000})
     void withShortDeadlinesToo(long deadlineMs) throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
             net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
                     .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
             net.started();
-            Client client = net.client();
+            TestClient client = net.client();
             net.read(client);
             hang(net, false);
             CountDownLatch ended = new CountDownLatch(1);
@@ -106,7 +106,7 @@
                         .answer();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
                     .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -26,7 +26,7 @@
         SILENT
     }
 
-    private static void end(Server server, IdleEnd how) throws Exception {
+    private static void end(FakeDatabaseServer server, IdleEnd how) throws Exception {
         switch (how) {
             case CLOSED -> server.endConnections(false);
             case RESET -> server.endConnections(true);
@@ -35,22 +35,22 @@
         }
     }
 
-    private static void forgetIdle(Server server, IdleEnd how) {
+    private static void forgetIdle(FakeDatabaseServer server, IdleEnd how) {
         server.dropsSilently = how == IdleEnd.SILENT;
         server.forgetsMs = how == IdleEnd.CLOSED || how == IdleEnd.RESET ? 0 : FORGOTTEN_AFTER_MS;
     }
 
-    private static void quietTime(Net net, IdleEnd how) throws Exception {
-        for (Server server : net.servers.values()) {
+    private static void quietTime(GatewayTestFixture net, IdleEnd how) throws Exception {
+        for (FakeDatabaseServer server : net.servers.values()) {
             forgetIdle(server, how);
         }
         Thread.sleep(QUIET_MS); // the quiet time itself
-        for (Server server : net.servers.values()) {
+        for (FakeDatabaseServer server : net.servers.values()) {
             end(server, how);
         }
     }
 
-    private static void warmUp(Net net, Client client) throws Exception {
+    private static void warmUp(GatewayTestFixture net, TestClient client) throws Exception {
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
             assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
             assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
@@ -58,11 +58,11 @@
     }
 
     /** Leaves this many connections to the primary idle, by as many writes at once. */
-    private static List<Client> idleConnections(Net net, int many) throws Exception {
-        Server primary = net.servers.get("p");
+    private static List<TestClient> idleConnections(GatewayTestFixture net, int many) throws Exception {
+        FakeDatabaseServer primary = net.servers.get("p");
         primary.writes = false;
-        List<Client> clients = new ArrayList<>();
-        List<Got> out = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
+        List<ReceivedQuery> out = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             clients.add(net.client().ask(net.request("order")));
             out.add(primary.next());
@@ -70,7 +70,7 @@
         for (int i = 0; i < many; i++) {
             out.get(i).row(new byte[] {7});
         }
-        for (Client client : clients) {
+        for (TestClient client : clients) {
             assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
         }
         primary.writes = true;
@@ -80,9 +80,9 @@
     @ParameterizedTest
     @EnumSource(IdleEnd.class)
     void theFirstReadAfterAQuietTimeIsServedInTime(IdleEnd how) throws Exception {
-        try (Net net = new Net("p", "r1").readable().started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable().started()) {
             net.servers.get("p").writes = true;
-            Client client = net.client();
+            TestClient client = net.client();
             warmUp(net, client);
             for (int round = 0; round < 3; round++) {
                 quietTime(net, how);
@@ -100,18 +100,18 @@
     @ParameterizedTest
     @EnumSource(IdleEnd.class)
     void theFirstNonIdempotentWritesAfterAQuietTimeAreServedAndRunOnce(IdleEnd how) throws Exception {
-        try (Net net = new Net("p").readable().started()) {
-            Server primary = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").readable().started()) {
+            FakeDatabaseServer primary = net.servers.get("p");
             primary.writes = true;
             warmUp(net, net.client());
-            List<Client> clients = idleConnections(net, 3);
+            List<TestClient> clients = idleConnections(net, 3);
             primary.writes = false;
             try (AnsweringServer answers = new AnsweringServer(primary, query -> query.row(new byte[] {7}))) {
                 quietTime(net, how);
-                for (Client client : clients) {
+                for (TestClient client : clients) {
                     client.ask(net.request("order", 4000));
                 }
-                for (Client client : clients) {
+                for (TestClient client : clients) {
                     assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
                 }
                 assertThat(answers.queries).doesNotHaveDuplicates().hasSize(clients.size());
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -15,25 +15,25 @@
     private static final long KILLED_AFTER_MS = 1000; // with a longest deadline of 300 ms
     private static final long ANSWERS_BY_MS = 500;
 
-    private static Net shortDeadlines(Net net) throws Exception {
+    private static GatewayTestFixture shortDeadlines(GatewayTestFixture net) throws Exception {
         net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":300")
                 .replace("\"deadlineMs\":1000", "\"deadlineMs\":300");
         return net.started();
     }
 
     /** Begins a graceful shutdown whose signal came so long ago, and waits for its end. */
-    private static void ends(Net net, long signalledMsAgo) throws Exception {
+    private static void ends(GatewayTestFixture net, long signalledMsAgo) throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(signalledMsAgo);
         net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
-        assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
     }
 
     @Test
     void whatComesOnAnOpenConnectionBehindTheEndIsLeftUnread() throws Exception {
-        try (Net net = shortDeadlines(new Net("p"))) {
+        try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
             net.servers.get("p").writes = true;
-            Client client = net.client();
+            TestClient client = net.client();
             ends(net, KILLED_AFTER_MS); // so late that idle connections have not been ended
             client.ask(net.request("order", 300));
             Thread.sleep(300); // in which it would be answered
@@ -43,10 +43,10 @@
 
     @Test
     void whatComesOnANewConnectionBehindTheEndIsLeftUnread() throws Exception {
-        try (Net net = shortDeadlines(new Net("p"))) {
+        try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
             net.servers.get("p").writes = true;
             ends(net, 0);
-            try (Client late = new Client(net.gateway.port())) {
+            try (TestClient late = new TestClient(net.gateway.port())) {
                 late.write(MessageWriter.startup()).ask(net.request("order", 300));
                 Thread.sleep(300); // in which it would be answered
                 assertThat(late.hasAnswer()).as(net::log).isFalse();
@@ -56,9 +56,9 @@
 
     @Test
     void whatIsReadInTheLastTurnIsAnswered() throws Exception {
-        try (Net net = shortDeadlines(new Net("p"))) {
+        try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
             net.servers.get("p").writes = true;
-            Client client = net.client();
+            TestClient client = net.client();
             CountDownLatch ended = new CountDownLatch(1);
             long signalNanos = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
@@ -68,26 +68,26 @@
             Thread.sleep(KILLED_AFTER_MS - 140 - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos));
             net.goOn(); // it reads the request, and then comes the look that is due, when nothing more is to be read
             assertThat(client.answer()).as(net::log).endsWith("ready");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(net.log()).contains(" 0 ops unanswered");
         }
     }
 
     @Test
     void aRequestThatBeginsBehindTheDeadlineOfAnswersAndNeverEndsIsRefused() throws Exception {
-        try (Net net = shortDeadlines(new Net("p"))) {
-            Client half = net.client();
+        try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
+            TestClient half = net.client();
             CountDownLatch ended = new CountDownLatch(1);
             CountDownLatch endsIdle = net.pauseAtLog("planned restart: idle connections end");
             long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ANSWERS_BY_MS + 100);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
-            assertThat(endsIdle.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+            assertThat(endsIdle.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
             half.write(halfARequest()); // is read right before its connection would end as idle
             net.goOn();
             assertThat(half.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
@@ -97,7 +97,7 @@
 
     @Test
     void theTimesOfAShutdownCountFromItsSignalThoughTheLoopCameToItLate() throws Exception {
-        try (Net net = shortDeadlines(new Net("p"))) {
+        try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
             net.client();
             ends(net, 650);
             String end = net.log().replaceAll("(?s).*ends after (\\d+) ms.*", "$1");
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -25,7 +25,7 @@
     private static final int READY_FOR_QUERY_LENGTH = 6;
 
     /** Discovery whose answers have no length. */
-    private static final class LengthlessDiscovery extends Stand {
+    private static final class LengthlessDiscovery extends LoopbackServer {
         final AtomicInteger calls = new AtomicInteger();
         private final String version;
         private final String list;
@@ -65,7 +65,7 @@
         }
     }
 
-    private static void moveDiscovery(Net net, LengthlessDiscovery to) {
+    private static void moveDiscovery(GatewayTestFixture net, LengthlessDiscovery to) {
         net.settings = told -> told.replace(
                 "\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + to.port());
         net.renew(256);
@@ -74,7 +74,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"1.0", "1.1"})
     void aListWithoutALengthThatEndsInOrderIsInForce(String version) throws Exception {
-        try (Net net = new Net("p", "r1").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
                 LengthlessDiscovery discovery = new LengthlessDiscovery(version, net.list(5, true, "p"), false)) {
             long moved = System.nanoTime();
             moveDiscovery(net, discovery);
@@ -88,10 +88,10 @@
 
     @Test
     void aListWithoutALengthThatEndsByAResetChangesNothingAndIsAskedForAgain() throws Exception {
-        try (Net net = new Net("p", "r1").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
                 LengthlessDiscovery discovery = new LengthlessDiscovery("1.1", net.list(5, true, "p"), true)) {
             moveDiscovery(net, discovery);
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
             while (discovery.calls.get() < 4) {
                 assertThat(System.nanoTime()).as(net::log).isLessThan(end);
                 Thread.sleep(20);
@@ -103,11 +103,11 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRowWithItsCommandCompleteIsForwardedThoughReadyForQueryNeverComes(boolean resets) throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("order"));
-            Got query = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient client = net.client().ask(net.request("order"));
+            ReceivedQuery query = net.servers.get("p").next();
             Buffer answer = query.answer(new byte[] {7});
-            Server.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
+            FakeDatabaseServer.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
             Thread.sleep(100); // so that the answer and the end are read one by one
             query.socket().setSoLinger(resets, 0);
             query.socket().close();
--- a/gateway/src/test/java/ploverdale/Stand.java
+++ b/gateway/src/test/java/ploverdale/LoopbackServer.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /** A server on loopback: listens at a free port and serves each connection on a thread of its own. */
-abstract class Stand implements AutoCloseable {
+abstract class LoopbackServer implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
 
-    Stand() throws IOException {
+    LoopbackServer() throws IOException {
         Thread t = new Thread(() -> {
             while (!listener.isClosed()) {
                 try {
--- a/gateway/src/test/java/ploverdale/OutdatedAgentTest.java
+++ b/gateway/src/test/java/ploverdale/OutdatedAgentTest.java
@@ -11,20 +11,20 @@
     private static final String ROW_7 = "row 07 ready";
     private static final int READS = 200;
 
-    private static void moveDiscovery(Net net, FaultyDiscovery to) throws InterruptedException {
+    private static void moveDiscovery(GatewayTestFixture net, FaultyDiscovery to) throws InterruptedException {
         net.settings = told -> told.replace(
                 "\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + to.port());
         net.renew(256);
-        long end = System.nanoTime() + Net.PATIENCE_S * 1_000_000_000L;
+        long end = System.nanoTime() + GatewayTestFixture.PATIENCE_S * 1_000_000_000L;
         while (to.calls.get() < 2) { // its list has been read, since the watch behind it is open
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
             Thread.sleep(5);
         }
     }
 
-    private static int readsServedByR1(Net net) throws Exception {
-        Client client = net.client();
-        Server r1 = net.servers.get("r1");
+    private static int readsServedByR1(GatewayTestFixture net) throws Exception {
+        TestClient client = net.client();
+        FakeDatabaseServer r1 = net.servers.get("r1");
         r1.ran.clear();
         for (int i = 0; i < READS; i++) {
             assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
@@ -32,14 +32,14 @@
         return r1.ran.size();
     }
 
-    private static void drain(Net net) {
+    private static void drain(GatewayTestFixture net) {
         net.registry.news.add(net.list(5, false, "r1:DRAINING"));
         net.logged("server r1 listed DRAINING");
     }
 
     @Test
     void anOlderListDoesNotUndoADrain() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery behind = new FaultyDiscovery(3, net.list(3, true, "p", "r1", "r2"))) {
             drain(net);
             moveDiscovery(net, behind);
@@ -49,7 +49,7 @@
 
     @Test
     void anOlderListDoesNotBringBackAServerThatDrainedAndWasRemoved() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery behind = new FaultyDiscovery(3, net.list(3, true, "p", "r1", "r2"))) {
             drain(net);
             net.registry.news.add(net.list(6, false, "r1:DELETED"));
@@ -62,7 +62,7 @@
     @Test
     void anOlderListDoesNotBringBackARemovedServerWhoseStartLiesAheadOfTheClock() throws Exception {
         String started = "\"cell\":1,\"up_since_ms\":" + (System.currentTimeMillis() + 60_000) + ",";
-        try (Net net = new Net("p", "r1", "r2").readable();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
                 FaultyDiscovery behind = new FaultyDiscovery(
                         3, net.list(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
             net.registry.whole = net.registry.whole.replace("\"cell\":1,", started);
@@ -78,7 +78,7 @@
 
     @Test
     void aDrainInAnUpdateOfALowerRevisionIsInForceThoughNoCompleteListFollows() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started()) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             net.registry.mute = true; // but for the watch that is open
             net.registry.news.add(net.list(0, false, "r1:DRAINING"));
@@ -89,7 +89,7 @@
 
     @Test
     void aDrainThatTheFormerAgentWritesWhileTheNewOneIsSilentIsInForce() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery silent = new FaultyDiscovery(3, net.list(3, true, "p", "r1", "r2"))) {
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             silent.state = FaultyDiscovery.State.SILENT;
@@ -106,7 +106,7 @@
     @Test
     void aLaterStartInAnOlderListEndsADrain() throws Exception {
         String started = "\"cell\":1,\"up_since_ms\":" + System.currentTimeMillis() + ",";
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery behind = new FaultyDiscovery(
                         3, net.list(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
             drain(net);
@@ -117,7 +117,7 @@
 
     @Test
     void aNewerListEndsADrain() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery ahead = new FaultyDiscovery(6, net.list(6, true, "p", "r1", "r2"))) {
             drain(net);
             moveDiscovery(net, ahead);
@@ -127,7 +127,7 @@
 
     @Test
     void aDrainToldByAnAgentThatIsBehindIsInForce() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
                 FaultyDiscovery behind = new FaultyDiscovery(0, net.list(0, true, "p", "r1:DRAINING", "r2"))) {
             moveDiscovery(net, behind);
             assertThat(readsServedByR1(net)).as(net::log).isZero();
--- a/gateway/src/test/java/ploverdale/Got.java
+++ b/gateway/src/test/java/ploverdale/ReceivedQuery.java
@@ -12,14 +12,14 @@
 import ploverdale.net.postgres.ServerMessage;
 
 /** A query that a database server received, and the answers that a test may give to it. */
-record Got(Server at, Socket socket, String text, CountDownLatch ended) {
+record ReceivedQuery(FakeDatabaseServer at, Socket socket, String text, CountDownLatch ended) {
     void row(byte[] value) throws IOException {
         row(value, Buffer.buffer());
     }
 
     /** An answer with more right behind it. */
     void row(byte[] value, Buffer behind) throws IOException {
-        Server.write(socket, answer(value).appendBuffer(behind), false);
+        FakeDatabaseServer.write(socket, answer(value).appendBuffer(behind), false);
     }
 
     Buffer answer(byte[] value) {
@@ -36,7 +36,7 @@
     }
 
     void problem(String code) throws IOException {
-        Server.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
+        FakeDatabaseServer.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
     }
 
     void reset() throws IOException {
@@ -46,7 +46,7 @@
 
     /** Waits until the gateway has ended the connection. */
     void endedByGateway() throws InterruptedException {
-        assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+        assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
                 .as("the connection ends")
                 .isTrue();
     }
--- a/gateway/src/test/java/ploverdale/RetryFailureTest.java
+++ b/gateway/src/test/java/ploverdale/RetryFailureTest.java
@@ -35,7 +35,7 @@
             this.mayHaveRun = mayHaveRun;
         }
 
-        private void reply(Got query) throws java.io.IOException {
+        private void reply(ReceivedQuery query) throws java.io.IOException {
             if (code == null) {
                 query.reset();
             } else {
@@ -44,9 +44,9 @@
         }
     }
 
-    private static List<AnsweringServer> failing(Net net, Failure failure) {
+    private static List<AnsweringServer> failing(GatewayTestFixture net, Failure failure) {
         List<AnsweringServer> all = new ArrayList<>();
-        for (Server server : net.servers.values()) {
+        for (FakeDatabaseServer server : net.servers.values()) {
             all.add(new AnsweringServer(server, failure::reply));
         }
         return all;
@@ -55,9 +55,9 @@
     @ParameterizedTest
     @EnumSource(Failure.class)
     void eachRequestIsAnsweredInTimeWithinItsAttemptsAndAWriteRunsOnce(Failure failure) throws Exception {
-        try (Net net = new Net("p", "r1", "r2").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started()) {
             List<AnsweringServer> servers = failing(net, failure);
-            Client client = net.client();
+            TestClient client = net.client();
             for (int i = 1; i <= REQUESTS; i++) {
                 boolean write = i % 2 == 0;
                 long asked = System.nanoTime();
@@ -86,9 +86,9 @@
     @ParameterizedTest
     @EnumSource(Failure.class)
     void serversThatHaveRecoveredServeAgainSoon(Failure failure) throws Exception {
-        try (Net net = new Net("p", "r1", "r2").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started()) {
             List<AnsweringServer> servers = failing(net, failure);
-            Client client = net.client();
+            TestClient client = net.client();
             for (int i = 0; i < REQUESTS; i++) {
                 client.ask(i % 2 == 0 ? net.request("order", WRITE_TIME_MS) : net.request("quick", READ_TIME_MS))
                         .answer();
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -18,8 +18,8 @@
     private static final long DEADLINE_MS = 2000;
 
     /** A request that a client sends now. */
-    private record Sent(Client client, long atNanos, long deadlineMs) {
-        static Sent by(Client client, Net net, String type, long deadlineMs) throws Exception {
+    private record Sent(TestClient client, long atNanos, long deadlineMs) {
+        static Sent by(TestClient client, GatewayTestFixture net, String type, long deadlineMs) throws Exception {
             String query = net.request(type, deadlineMs);
             long now = System.nanoTime();
             client.ask(query);
@@ -33,8 +33,8 @@
     }
 
     /** The next query at the server, with a deadline that its client can still wait for. */
-    private static Got arrivesInTime(Net net, Server server, Sent sent) throws Exception {
-        Got query = server.next();
+    private static ReceivedQuery arrivesInTime(GatewayTestFixture net, FakeDatabaseServer server, Sent sent) throws Exception {
+        ReceivedQuery query = server.next();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
         assertThat(passedMs)
@@ -43,7 +43,7 @@
         return query;
     }
 
-    private static void holdLoop(Net net, CountDownLatch goesOn) throws Exception {
+    private static void holdLoop(GatewayTestFixture net, CountDownLatch goesOn) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
             held.countDown();
@@ -58,7 +58,7 @@
 
     @Test
     void ofAFirstAttempt() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             for (long deadlineMs : new long[] {100, 300, DEADLINE_MS}) {
                 Sent sent = Sent.by(net.client(), net, "quick", deadlineMs);
                 arrivesInTime(net, net.servers.get("p"), sent).row(new byte[] {7});
@@ -69,8 +69,8 @@
 
     @Test
     void ofARequestThatWasReadLate() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient client = net.client();
             CountDownLatch goesOn = new CountDownLatch(1);
             holdLoop(net, goesOn);
             Sent sent = Sent.by(client, net, "order", DEADLINE_MS);
@@ -87,31 +87,31 @@
 
     @Test
     void ofARetryBehindABrokenConnection() throws Exception {
-        retry(Got::reset);
+        retry(ReceivedQuery::reset);
     }
 
     /** How a first attempt fails. */
     private interface Failure {
-        void of(Got first) throws Exception;
+        void of(ReceivedQuery first) throws Exception;
     }
 
     private static void retry(Failure failure) throws Exception {
-        try (Net net = new Net("p", "r1")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1")) {
             net.settings =
                     told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
             net.started();
             Sent sent = Sent.by(net.client(), net, "quick", DEADLINE_MS);
-            Got first = arrivesInTime(net, firstAsked(net), sent);
+            ReceivedQuery first = arrivesInTime(net, firstAsked(net), sent);
             Thread.sleep(HELD_MS); // in which the server worked in vain
             failure.of(first);
             arrivesInTime(net, firstAsked(net), sent);
         }
     }
 
-    private static Server firstAsked(Net net) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+    private static FakeDatabaseServer firstAsked(GatewayTestFixture net) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
         while (true) {
-            for (Server server : net.servers.values()) {
+            for (FakeDatabaseServer server : net.servers.values()) {
                 if (!server.got.isEmpty()) {
                     return server;
                 }
@@ -123,8 +123,8 @@
 
     @Test
     void ofAnAttemptThatWaitedForItsConnection() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server server = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            FakeDatabaseServer server = net.servers.get("p");
             net.client().ask(net.request("order"));
             server.next(); // has the connection that the health check opened
             server.holdsGreetings = new CountDownLatch(1);
@@ -139,17 +139,17 @@
      * The write waits for its primary, which is silent; the health check that it answers has the module log that and send the write
      * in the same turn, which pauses in between.
      */
-    private static Sent pausedBetweenDecidingAndWriting(Net net, long deadlineMs, long heldMs) throws Exception {
-        Server server = net.servers.get("p");
+    private static Sent pausedBetweenDecidingAndWriting(GatewayTestFixture net, long deadlineMs, long heldMs) throws Exception {
+        FakeDatabaseServer server = net.servers.get("p");
         server.holdsProbes = new CountDownLatch(1);
         net.settings = told -> told.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
                 .replace("\"aimMs\":10000", "\"aimMs\":400");
         net.started(); // without an answer from anyone
-        Client client = net.client();
+        TestClient client = net.client();
         CountDownLatch paused = net.pauseAtLog("server p returns");
         Sent sent = Sent.by(client, net, "order", deadlineMs);
         server.holdsProbes.countDown();
-        assertThat(paused.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        assertThat(paused.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
         Thread.sleep(heldMs);
         net.goOn();
         return sent;
@@ -157,7 +157,7 @@
 
     @Test
     void ofAnAttemptWrittenLongAfterItWasDecidedOn() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             Sent sent = pausedBetweenDecidingAndWriting(net, 4000, HELD_MS);
             arrivesInTime(net, net.servers.get("p"), sent);
         }
@@ -165,7 +165,7 @@
 
     @Test
     void anAttemptWhoseClientHasNoTimeLeftIsNotWritten() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             Sent sent = pausedBetweenDecidingAndWriting(net, 1000, 1100);
             assertThat(sent.client.answer()).as(net::log).startsWith("53300");
             assertThat(net.servers.get("p").got).isEmpty();
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -18,7 +18,7 @@
     private static final long OTHERS_MS = 9000;
     private static final int LEARNING_REQUESTS = 120; // until the gateway knows that this class takes a few ms
 
-    private static void answerUnlessShort(Got query) throws IOException {
+    private static void answerUnlessShort(ReceivedQuery query) throws IOException {
         boolean isShort = query.text().matches("(?s).*,d=(\\d|1\\d|20),.*");
         if (!isShort) {
             query.row(new byte[] {7});
@@ -28,13 +28,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"quick", "page", "order"})
     void eachIsAnsweredInTimeAndAServerThatAnswersOthersIsNotEjected(String requestClass) throws Exception {
-        try (Net net = new Net("p", "r1").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
                 AnsweringServer primary =
                         new AnsweringServer(net.servers.get("p"), ShortDeadlineTest::answerUnlessShort);
                 AnsweringServer replica =
                         new AnsweringServer(net.servers.get("r1"), ShortDeadlineTest::answerUnlessShort)) {
-            Client client = net.client();
-            Client other = net.client();
+            TestClient client = net.client();
+            TestClient other = net.client();
             for (int i = 0; i < LEARNING_REQUESTS; i++) {
                 assertThat(other.ask(net.request(requestClass, OTHERS_MS)).answer())
                         .as(net::log)
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -32,8 +32,8 @@
     @TempDir
     Path directory;
 
-    private Path configuration(Net net) throws IOException {
-        String settings = Net.configuration(net.registry, 256, 30_000)
+    private Path configuration(GatewayTestFixture net) throws IOException {
+        String settings = GatewayTestFixture.configuration(net.registry, 256, 30_000)
                 .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + DEADLINE_MS)
                 .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + DEADLINE_MS)
                 .replace("\"aimMs\":10000", "\"aimMs\":200");
@@ -43,13 +43,13 @@
     /** Clients that go on sending, on new connections where theirs have ended, until there is nobody to connect to. */
     private static final class Load {
         private final int port;
-        private final Net net;
+        private final GatewayTestFixture net;
         private final AtomicInteger names = new AtomicInteger();
         private final Map<String, String> answers = new ConcurrentHashMap<>();
         private final Map<String, Long> lost = new ConcurrentHashMap<>(); // how long before the end it was sent
         private final List<Thread> threads = new ArrayList<>();
 
-        private Load(Net net, int port) {
+        private Load(GatewayTestFixture net, int port) {
             this.net = net;
             this.port = port;
             for (int i = 0; i < CLIENTS; i++) {
@@ -61,7 +61,7 @@
 
         private void sendsOn() {
             while (true) {
-                try (Client client = new Client(port)) {
+                try (TestClient client = new TestClient(port)) {
                     client.write(MessageWriter.startup());
                     if (client.answer().equals("ready")) {
                         asksUntilItEnds(client);
@@ -74,7 +74,7 @@
             }
         }
 
-        private void asksUntilItEnds(Client client) throws IOException {
+        private void asksUntilItEnds(TestClient client) throws IOException {
             while (true) {
                 String id = "f" + Integer.toHexString(names.incrementAndGet());
                 long sent = System.nanoTime();
@@ -101,9 +101,9 @@
     }
 
     /** Queries that have reached the server, answered or not. */
-    private static List<String> forwarded(Server server) {
+    private static List<String> forwarded(FakeDatabaseServer server) {
         List<String> ids = new ArrayList<>();
-        for (Got query = server.got.poll(); query != null; query = server.got.poll()) {
+        for (ReceivedQuery query = server.got.poll(); query != null; query = server.got.poll()) {
             ids.add(query.text().replaceAll("(?s).*id=([0-9a-f]+),.*", "$1"));
         }
         return ids;
@@ -112,10 +112,10 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void noRequestThatWasReadIsLeftUnansweredAndTheProcessExitsByItself(boolean serversAnswer) throws Exception {
-        try (Net net = new Net("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p");
                 ServingProcess gateway =
                         ServingProcess.start(directory, ServingProcess.onClassPath(configuration(net)))) {
-            Server server = net.servers.get("p");
+            FakeDatabaseServer server = net.servers.get("p");
             server.writes = serversAnswer;
             Load load = new Load(net, gateway.port());
             Thread.sleep(1000); // of load
@@ -142,13 +142,13 @@
     @Test
     void aHangUpDuringTheStartIsActedOnBehindIt() throws Exception {
         Path file = directory.resolve("gateway.json");
-        try (Net net = new Net("p");
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p");
+                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
             net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these are in
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
                 gateway.line("warm-up took");
-                Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+                Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
                 gateway.hangUp();
                 net.servers.get("p").holdsProbes.countDown();
                 elsewhere.asked("/registry/instances");
--- a/gateway/src/test/java/ploverdale/SkippedDrainTest.java
+++ b/gateway/src/test/java/ploverdale/SkippedDrainTest.java
@@ -11,18 +11,18 @@
     private static final String ROW_7 = "row 07 ready";
     private static final int READS = 200;
 
-    private static Net started() throws Exception {
-        Net net = new Net("p", "r1", "r2").readable();
+    private static GatewayTestFixture started() throws Exception {
+        GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
         net.settings = told -> told.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
         return net.started();
     }
 
-    private static int readsServedByR1After(Net net, String update) throws Exception {
+    private static int readsServedByR1After(GatewayTestFixture net, String update) throws Exception {
         net.registry.asked("/registry/instances?from=1&hold_ms=2000");
         net.registry.news.add(update);
         net.registry.asked("/registry/instances?from=4&hold_ms=2000"); // so the update has been read
-        Client client = net.client();
-        Server r1 = net.servers.get("r1");
+        TestClient client = net.client();
+        FakeDatabaseServer r1 = net.servers.get("r1");
         r1.ran.clear();
         for (int i = 0; i < READS; i++) {
             assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
@@ -32,7 +32,7 @@
 
     @Test
     void aServerRemovedInAnUpdateThatSkipsRevisionsMayHaveDrainedAndGetsNothing() throws Exception {
-        try (Net net = started()) {
+        try (GatewayTestFixture net = started()) {
             assertThat(readsServedByR1After(net, net.list(4, false, "r1:DELETED")))
                     .as(net::log)
                     .isZero();
@@ -41,7 +41,7 @@
 
     @Test
     void aServerLeftOutOfACompleteListThatSkipsRevisionsMayHaveDrainedAndGetsNothing() throws Exception {
-        try (Net net = started()) {
+        try (GatewayTestFixture net = started()) {
             assertThat(readsServedByR1After(net, net.list(4, true, "p", "r2")))
                     .as(net::log)
                     .isZero();
@@ -50,7 +50,7 @@
 
     @Test
     void aServerRemovedAfterAnUpdateWithoutEntriesDidNotDrainAndIsStillUsed() throws Exception {
-        try (Net net = started()) {
+        try (GatewayTestFixture net = started()) {
             net.registry.news.add(net.list(3, false));
             assertThat(readsServedByR1After(net, net.list(4, false, "r1:DELETED")))
                     .as(net::log)
--- a/gateway/src/test/java/ploverdale/SlowDiscovery.java
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -12,7 +12,7 @@
  * Discovery that answers each call for the whole list some time after it came, as one that is crowded does, and holds each
  * watch until the gateway gives it up.
  */
-final class SlowDiscovery extends Stand {
+final class SlowDiscovery extends LoopbackServer {
     /** Connections that the gateway has not ended yet. */
     final AtomicInteger open = new AtomicInteger();
 
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -50,7 +50,7 @@
         }
     }
 
-    private static void readToTheEnd(Client client) throws Exception {
+    private static void readToTheEnd(TestClient client) throws Exception {
         for (int read = client.readByte(); read >= 0; ) {
             read = client.readByte();
         }
@@ -58,11 +58,11 @@
 
     @Test
     void clientsThatStopBeforeTheirFirstRequestIsWholeAreEndedInTimeAtEveryStage() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Map<EndpointState, Client> stalled = new EnumMap<>(EndpointState.class);
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            Map<EndpointState, TestClient> stalled = new EnumMap<>(EndpointState.class);
             long stopped = System.nanoTime();
             for (EndpointState stage : EndpointState.values()) {
-                stalled.put(stage, new Client(net.gateway.port()).write(stage.written));
+                stalled.put(stage, new TestClient(net.gateway.port()).write(stage.written));
             }
             for (EndpointState stage : EndpointState.values()) {
                 readToTheEnd(stalled.get(stage));
@@ -75,15 +75,15 @@
 
     @Test
     void aClientThatStopsInAMessageThatIsNotTakenHasItsErrorByThen() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             long began = System.nanoTime();
-            Client tooLong = net.client()
+            TestClient tooLong = net.client()
                     .write(Buffer.buffer()
                             .appendByte((byte) 'Q')
                             .appendInt(1_000_000)
                             .appendInt(0));
             assertThat(tooLong.answer()).as(net::log).isEqualTo("54000 ready");
-            Client notSpoken = net.client()
+            TestClient notSpoken = net.client()
                     .write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
             assertThat((char) notSpoken.readByte()).as(net::log).isEqualTo('E');
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
@@ -94,8 +94,8 @@
 
     @Test
     void aClientThatWritesAByteNowAndThenIsEndedInTime() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient client = net.client();
             Buffer query = MessageWriter.query(net.request("page"));
             long began = System.nanoTime();
             Thread writes = new Thread(() -> {
@@ -114,15 +114,15 @@
                     .as(net::log)
                     .isLessThan(OWED_WITHIN_MS);
             client.close();
-            writes.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            writes.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
         }
     }
 
     @Test
     void aClientThatStopsInItsSecondRequestGetsTheFirstAnswerAndThenItsError() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("order"));
-            Got first = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient client = net.client().ask(net.request("order"));
+            ReceivedQuery first = net.servers.get("p").next();
             Buffer second = MessageWriter.query(net.request("order"));
             client.write(second.getBuffer(0, second.length() / 2));
             net.logged("client with an unfinished message");
@@ -138,9 +138,9 @@
 
     @Test
     void aClientThatStopsBehindMoreRequestsThanAreTakenAtOnceGetsItsAnswersAndThenItsError() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             net.servers.get("p").writes = true;
-            Client client = net.client();
+            TestClient client = net.client();
             Buffer all = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
                 all.appendBuffer(MessageWriter.query(net.request("order")));
@@ -159,14 +159,14 @@
 
     @Test
     void clientsThatStopInTheirSecondRequestKeepNoOtherFromBeingServed() throws Exception {
-        try (Net net = new Net("p", "r1").started(64, 30_000).readable()) {
-            List<Client> stalled = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started(64, 30_000).readable()) {
+            List<TestClient> stalled = new ArrayList<>();
             for (int i = 0; i < 20; i++) { // of 28 that clients may hold
                 stalled.add(net.client()
                         .write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
             }
             assertThat(net.read(net.client())).as(net::log).isEqualTo("row 07 ready");
-            for (Client client : stalled) {
+            for (TestClient client : stalled) {
                 assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
             }
         }
--- a/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
+++ b/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
@@ -40,9 +40,9 @@
         clients.forEach(Thread::interrupt);
     }
 
-    private ServingProcess start(Net net, int discoveryPort) throws IOException {
+    private ServingProcess start(GatewayTestFixture net, int discoveryPort) throws IOException {
         int port = freePort();
-        String configuration = Net.configuration(net.registry, 256, 30_000)
+        String configuration = GatewayTestFixture.configuration(net.registry, 256, 30_000)
                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
                 .replace(
                         "\"discovery\":\"127.0.0.1:" + net.registry.port(),
@@ -70,9 +70,9 @@
         }
     }
 
-    private void readUntilInterrupted(Net net, int port) {
+    private void readUntilInterrupted(GatewayTestFixture net, int port) {
         while (!Thread.currentThread().isInterrupted()) {
-            try (Client client = new Client(port)) {
+            try (TestClient client = new TestClient(port)) {
                 client.greeted();
                 while (!Thread.currentThread().isInterrupted()) {
                     String answer = client.ask(net.request("page")).answer();
@@ -87,7 +87,7 @@
     }
 
     private void awaitServed(int reads, ServingProcess gateway) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
         while (served.get() < reads) {
             assertThat(System.nanoTime())
                     .as("%d reads served:\n%s", served.get(), gateway.log())
@@ -99,14 +99,14 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 20, 300, 1500, 4000})
     void nothingIsSentToAServerThatBeganToDrainBeforeTheStart(long answersAfterMs) throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
                 SlowDiscovery agent = new SlowDiscovery(net.list(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
                 ServingProcess gateway = start(net, agent.port())) {
             gateway.line("server r1 listed DRAINING");
             gateway.line("listens at");
             int before = served.get();
             awaitServed(before + 100, gateway);
-            Server draining = net.servers.get("r1");
+            FakeDatabaseServer draining = net.servers.get("r1");
             assertThat(draining.ran).as("%s", gateway.log()).isEmpty();
             assertThat(draining.probed).as("health checks:\n%s", gateway.log()).isZero();
         }
@@ -114,8 +114,8 @@
 
     @Test
     void aGatewayWhoseAgentIsSilentServesFromTheConfiguredListInTime() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable();
-                Registry agent = new Registry(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
+                FakeDiscovery agent = new FakeDiscovery(net.list(5, true, "p"))) {
             agent.mute = true;
             try (ServingProcess gateway = start(net, agent.port())) {
                 awaitServed(20, gateway);
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -54,16 +54,16 @@
         LIBRARIES.forEach(l -> l.setLevel(null));
     }
 
-    private Net net(String... servers) throws IOException {
-        return new Net(SingleLoopVertx.create(system), servers);
+    private GatewayTestFixture net(String... servers) throws IOException {
+        return new GatewayTestFixture(SingleLoopVertx.create(system), servers);
     }
 
     private static long since(long began) {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
     }
 
-    private static void waitForNoConnection(Net net, Server server) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+    private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
         while (server.open.get() > 0) {
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
             Thread.sleep(5);
@@ -76,7 +76,7 @@
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void aGatewayStartsThoughItsListenerCannotBeOpenedForAMoment(Errno errno) throws Exception {
         Fault fault = system.fail(Call.LISTENER_SOCKET, errno, A_MOMENT); // the first of them is the practice's
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").started()) {
             net.servers.get("p").writes = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
             assertThat(net.client().ask(net.request("order")).answer())
@@ -88,12 +88,12 @@
     @Test
     void anAddressThatIsTakenIsToldAtOnce() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Net net = net("p")) {
+                GatewayTestFixture net = net("p")) {
             net.settings = told ->
                     told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long began = System.nanoTime();
             assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
-            assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
             assertThat(net.log()).doesNotContain("cannot listen yet");
         }
     }
@@ -101,12 +101,12 @@
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR"})
     void aClientIsServedSoonAfterAcceptsThatFailedForAMoment(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").started()) {
             net.servers.get("p").writes = true;
-            Client other = net.client();
+            TestClient other = net.client();
             Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
             long began = System.nanoTime();
-            Client c = net.client();
+            TestClient c = net.client();
             assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
             assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(A_MOMENT);
@@ -116,13 +116,13 @@
 
     @Test
     void acceptsThatFailForLongNeitherEndTheListenerNorSpin() throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").started()) {
             net.servers.get("p").writes = true;
-            Client other = net.client();
+            TestClient other = net.client();
             Fault fault = system.fail(Call.ACCEPT, Errno.EMFILE, LASTING);
             long callsBefore = system.calls(Call.ACCEPT);
             long began = System.nanoTime();
-            Client waits = new Client(net.gateway.port());
+            TestClient waits = new TestClient(net.gateway.port());
             while (since(began) < 500) {
                 assertThat(other.ask(net.request("order")).answer())
                         .as(net::log)
@@ -143,11 +143,11 @@
 
     @Test
     void aClientWhoseSocketTakesNoOptionsHarmsNoOther() throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").started()) {
             net.servers.get("p").writes = true;
-            Client other = net.client();
+            TestClient other = net.client();
             Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
-            Client reset = new Client(net.gateway.port());
+            TestClient reset = new TestClient(net.gateway.port());
             assertThat(net.client().ask(net.request("order")).answer())
                     .as(net::log)
                     .isEqualTo(ROW_7);
@@ -175,10 +175,10 @@
         "SET_OPTION,EINVAL"
     })
     void aRequestWhoseConnectionCannotBeMadeForAMomentIsServedAllTheSame(Call call, Errno errno) throws Exception {
-        try (Net net = net("p").started(256, SHORT_IDLE_MS)) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = net("p").started(256, SHORT_IDLE_MS)) {
+            FakeDatabaseServer p = net.servers.get("p");
             p.writes = true;
-            Client c = net.client();
+            TestClient c = net.client();
             waitForNoConnection(net, p);
             boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
             Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
@@ -192,11 +192,11 @@
     @ParameterizedTest
     @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENOMEM"})
     void aLackOfThisMachineEjectsNoServerHoweverLongItLasts(Call call, Errno errno) throws Exception {
-        try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            Client c = net.client();
+        try (GatewayTestFixture net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
+            TestClient c = net.client();
             assertThat(net.read(c)).isEqualTo(ROW_7);
             Fault fault = system.fail(call, errno, LASTING);
-            for (Server s : net.servers.values()) {
+            for (FakeDatabaseServer s : net.servers.values()) {
                 waitForNoConnection(net, s);
             }
             long began = System.nanoTime();
@@ -224,10 +224,10 @@
         "FINISH_CONNECT,ECONNREFUSED"
     })
     void aServerThatCannotBeReachedLeavesItsRequestsToOthers(Call call, Errno errno) throws Exception {
-        try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            Client c = net.client();
+        try (GatewayTestFixture net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
+            TestClient c = net.client();
             assertThat(net.read(c)).isEqualTo(ROW_7);
-            Server r1 = net.servers.get("r1");
+            FakeDatabaseServer r1 = net.servers.get("r1");
             Fault fault = system.fail(call, r1.port(), errno, LASTING);
             waitForNoConnection(net, r1);
             int before = r1.ran.size();
@@ -250,7 +250,7 @@
     @ParameterizedTest
     @CsvSource({"1,ETIMEDOUT", "1,EHOSTUNREACH", "40,ECONNRESET", "40,ENOBUFS", "40,ENOMEM"})
     void aQueryOfWhichAPartWasTakenCountsAsNotRun(int taken, Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").started()) {
             aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteAfter(taken, port, errno));
         }
     }
@@ -258,15 +258,15 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"})
     void aQueryOfWhichOnlyTheLastByteWasNotTakenCountsAsNotRun(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").started()) {
             aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteBeforeLastByte(port, errno));
         }
     }
 
-    private static void aQueryNotTakenWholeRunsOnce(Net net, IntFunction<Fault> installs) throws Exception {
-        Server p = net.servers.get("p");
+    private static void aQueryNotTakenWholeRunsOnce(GatewayTestFixture net, IntFunction<Fault> installs) throws Exception {
+        FakeDatabaseServer p = net.servers.get("p");
         p.writes = true;
-        Client c = net.client();
+        TestClient c = net.client();
         assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
         Fault fault = installs.apply(p.port());
         assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
@@ -279,10 +279,10 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENOMEM"})
     void aQueryThatWasTakenWholeIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            Server p = net.servers.get("p");
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
+        try (GatewayTestFixture net = net("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient c = net.client().ask(net.request("order"));
+            ReceivedQuery g = p.next();
             Fault fault = system.fail(Call.READ, p.port(), errno, 1);
             g.row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo("58000 ready");
@@ -296,14 +296,14 @@
 
     @Test
     void readsAndWritesOfAByteAtATimeChangeNothing() throws Exception {
-        try (Net net = net("p", "r1").started()) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = net("p", "r1").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
             system.shorten(1);
-            Client c = net.client();
+            TestClient c = net.client();
             byte[] value = new byte[1000];
             for (int i = 0; i < 3; i++) {
                 c.ask(net.request("order"));
-                Got g = p.next();
+                ReceivedQuery g = p.next();
                 g.row(value);
                 assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
             }
@@ -316,11 +316,11 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOMEM"})
     void aClientWhoseConnectionFailsToBeReadHasGone(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            Server p = net.servers.get("p");
-            Client other = net.client();
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
+        try (GatewayTestFixture net = net("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient other = net.client();
+            TestClient c = net.client().ask(net.request("order"));
+            ReceivedQuery g = p.next();
             Fault fault = system.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
             c.ask(net.request("order"));
             g.endedByGateway();
@@ -335,11 +335,11 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"})
     void aClientWhoseConnectionFailsToBeWrittenHarmsNoOther(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            Server p = net.servers.get("p");
-            Client other = net.client();
-            Client c = net.client().ask(net.request("order"));
-            Got g = p.next();
+        try (GatewayTestFixture net = net("p").started()) {
+            FakeDatabaseServer p = net.servers.get("p");
+            TestClient other = net.client();
+            TestClient c = net.client().ask(net.request("order"));
+            ReceivedQuery g = p.next();
             Fault fault = system.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
             g.row(new byte[] {7});
             assertThat(c.answer()).as(net::log).isEqualTo("closed");
@@ -352,14 +352,14 @@
 
     @Test
     void anIdleClientWhoseOutputCannotBeShutIsClosedAllTheSame() throws Exception {
-        try (Net net = net("p").started()) {
-            Client idle = net.client();
+        try (GatewayTestFixture net = net("p").started()) {
+            TestClient idle = net.client();
             Fault fault = system.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             assertThat(idle.answer()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
         }
@@ -380,14 +380,14 @@
         "READ,EHOSTUNREACH"
     })
     void aChangeIsHeardInTimeThoughCallsToDiscoveryFail(Call call, Errno errno) throws Exception {
-        try (Net net = net("p", "r1").started()) {
+        try (GatewayTestFixture net = net("p", "r1").started()) {
             int port = net.registry.port();
             net.registry.asked("/registry/instances?from=1&hold_ms=2000");
             Fault fault =
                     call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
             net.registry.changes = net.list(2, false, "r1:DRAINING");
             net.registry.closeConnections(); // so that the next call needs a new one
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
             while (fault.failed() < A_MOMENT) {
                 assertThat(System.nanoTime()).as(net::log).isLessThan(end);
                 Thread.sleep(5);
@@ -414,13 +414,13 @@
         errnos.put(Call.FINISH_CONNECT, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH));
         errnos.put(Call.READ, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
         errnos.put(Call.WRITE, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
-        try (Net net = net("p", "r1").readable().started()) {
-            Server p = net.servers.get("p");
+        try (GatewayTestFixture net = net("p", "r1").readable().started()) {
+            FakeDatabaseServer p = net.servers.get("p");
             p.writes = true;
             system.storm(seed, 0.05, errnos, clientsToo);
             system.shorten(50);
             Map<String, String> answers = new LinkedHashMap<>(); // by the id of a request
-            Client c = null;
+            TestClient c = null;
             for (int i = 0; i < 300; i++) {
                 c = c == null ? clientInStorm(net) : c;
                 String query = net.request("order");
@@ -429,7 +429,7 @@
                 c = answer.endsWith("closed") ? null : c;
             }
             system.calm();
-            Client after = net.client();
+            TestClient after = net.client();
             long began = System.nanoTime();
             String last = "";
             while (!last.equals(ROW_7) && since(began) < 5000) {
@@ -462,9 +462,9 @@
     }
 
     /** Its connection may fail as well; then it comes back. */
-    private static Client clientInStorm(Net net) throws IOException {
+    private static TestClient clientInStorm(GatewayTestFixture net) throws IOException {
         for (int i = 0; i < 50; i++) {
-            Client c = new Client(net.gateway.port());
+            TestClient c = new TestClient(net.gateway.port());
             try {
                 if (c.write(MessageWriter.startup()).answer().equals("ready")) {
                     return c;
@@ -477,7 +477,7 @@
     }
 
     /** What the client got, "closed" where its connection failed. */
-    private static String answerInStorm(Client c, String query) throws IOException {
+    private static String answerInStorm(TestClient c, String query) throws IOException {
         try {
             return c.ask(query).answer();
         } catch (EOFException | SocketException e) {
--- a/gateway/src/test/java/ploverdale/Client.java
+++ b/gateway/src/test/java/ploverdale/TestClient.java
@@ -14,37 +14,37 @@
 import ploverdale.net.postgres.MessageWriter;
 
 /** A client's connection to the gateway. */
-final class Client implements AutoCloseable {
+final class TestClient implements AutoCloseable {
     private final Socket socket;
     private final DataInputStream in;
 
-    Client(int port) throws IOException {
+    TestClient(int port) throws IOException {
         this(port, 0);
     }
 
     /** One whose system takes no more than about so many bytes that it has not read, unless 0. */
-    Client(int port, int receiveBuffer) throws IOException {
+    TestClient(int port, int receiveBuffer) throws IOException {
         socket = new Socket();
         if (receiveBuffer > 0) {
             socket.setReceiveBufferSize(receiveBuffer);
         }
         socket.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
         in = new DataInputStream(socket.getInputStream());
     }
 
-    Client greeted() throws IOException {
+    TestClient greeted() throws IOException {
         write(MessageWriter.startup());
         assertThat(answer()).isEqualTo("ready");
         return this;
     }
 
-    Client write(Buffer b) throws IOException {
+    TestClient write(Buffer b) throws IOException {
         socket.getOutputStream().write(b.getBytes());
         return this;
     }
 
-    Client ask(String text) throws IOException {
+    TestClient ask(String text) throws IOException {
         return write(MessageWriter.query(text));
     }
 
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -20,12 +20,12 @@
     private static final Buffer UNKNOWN_MESSAGE =
             Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
-    private static Buffer order(Net net) {
+    private static Buffer order(GatewayTestFixture net) {
         return MessageWriter.query(net.request("order"));
     }
 
     /** As many clients as there may be, each with a request that waits for a group without servers, so that none is idle. */
-    private static void fill(Net net) throws Exception {
+    private static void fill(GatewayTestFixture net) throws Exception {
         for (int i = 0; i < CLIENTS_MOST; i++) {
             net.client().ask(net.request("order").replace("cluster=1", "cluster=2"));
         }
@@ -34,10 +34,10 @@
 
     @Test
     void aRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            Client client =
-                    new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
+            TestClient client =
+                    new TestClient(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo("53300 closed");
             assertThat(client.howItEnds()).isEqualTo("end");
         }
@@ -45,13 +45,13 @@
 
     @Test
     void eachRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
             Buffer all = MessageWriter.startup()
                     .appendBuffer(order(net))
                     .appendBuffer(order(net))
                     .appendBuffer(order(net));
-            Client client = new Client(net.gateway.port()).write(all);
+            TestClient client = new TestClient(net.gateway.port()).write(all);
             assertThat(client.answer())
                     .as(net::log)
                     .isEqualTo("53300 53300 ready"); // the first is fatal, without a ready
@@ -62,9 +62,9 @@
 
     @Test
     void aRequestBehindAMalformedMessageIsRefusedBeforeTheConnectionEnds() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
             net.servers.get("p").writes = true;
-            Client client =
+            TestClient client =
                     net.client().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
             assertThat(client.answer()).as(net::log).isEqualTo(SERVED);
             assertThat(client.answer()).isEqualTo("08P01 53300 ready");
@@ -74,9 +74,9 @@
 
     @Test
     void aRequestReadWhileTheAnswerBeforeAMalformedMessageIsAwaitedIsRefusedAndNotForwarded() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("order"));
-            Got first = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient client = net.client().ask(net.request("order"));
+            ReceivedQuery first = net.servers.get("p").next();
             client.write(UNKNOWN_MESSAGE);
             net.logged("bad input from a client");
             client.write(order(net));
@@ -91,10 +91,10 @@
 
     @Test
     void anUnfinishedRequestBehindOneInHandIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
             net.started();
-            Client client = net.client();
+            TestClient client = net.client();
             Buffer order = order(net);
             client.ask(net.request("order")).write(order.getBuffer(0, 20));
             net.servers.get("p").next();
@@ -107,21 +107,21 @@
 
     @Test
     void eachOfManyPipelinedRequestsIsAnswered() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient client = net.client();
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
                 all.appendBuffer(MessageWriter.query(net.request("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
-            List<Got> inHand = new ArrayList<>();
+            List<ReceivedQuery> inHand = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 inHand.add(net.servers.get("p").next());
             }
             Thread.sleep(100); // the others have been read meanwhile
             net.servers.get("p").writes = true;
-            for (Got g : inHand) {
+            for (ReceivedQuery g : inHand) {
                 g.row(new byte[] {7});
             }
             List<String> answers = new ArrayList<>();
@@ -135,12 +135,12 @@
 
     @Test
     void aNewConnectionWithoutAStartupMessageIsRefusedNotFailedWhenAGracefulShutdownEndsIt() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client other = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            TestClient other = net.client();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             net.logged("planned restart: 1 connections");
-            Client silent = new Client(net.gateway.port());
+            TestClient silent = new TestClient(net.gateway.port());
             assertThat(silent.answer()).as(net::log).isEqualTo("57P03 closed");
             assertThat(other.answer()).isEqualTo("closed");
         }
@@ -148,13 +148,13 @@
 
     @Test
     void aNewConnectionThatEndsForLackOfRoomBeforeItsStartupMessageIsRefusedNotFailed() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            List<Client> silent = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(FEW_DESCRIPTORS, 30_000)) {
+            List<TestClient> silent = new ArrayList<>();
             for (int i = 0; i < CLIENTS_MOST / 2; i++) { // more than a third of the clients' share
-                silent.add(new Client(net.gateway.port()));
+                silent.add(new TestClient(net.gateway.port()));
             }
             assertThat(silent.get(0).answer()).as(net::log).isEqualTo("53300 closed");
-            for (Client c : silent) {
+            for (TestClient c : silent) {
                 c.close();
             }
         }
@@ -162,8 +162,8 @@
 
     @Test
     void anUnfinishedRequestThatEndsForLackOfMemoryIsRefusedNotFailed() throws Exception {
-        try (Net net = new Net("p").started()) {
-            List<Client> unfinished = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+            List<TestClient> unfinished = new ArrayList<>();
             for (int i = 0; i < 140; i++) {
                 Buffer begun = Buffer.buffer()
                         .appendByte((byte) 'Q')
@@ -177,12 +177,12 @@
 
     @Test
     void aRequestThatCrossesTheEndOfAnIdleConnectionIsNotForwardedAndItsClientSeesAnOrderlyEnd() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            List<Client> idle = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").started(FEW_DESCRIPTORS, 30_000)) {
+            List<TestClient> idle = new ArrayList<>();
             for (int i = 0; i < 15; i++) { // so many that idle connections end soon
                 idle.add(net.client());
             }
-            for (Client c : idle.subList(0, 3)) {
+            for (TestClient c : idle.subList(0, 3)) {
                 assertThat(c.readByte()).isEqualTo(-1);
                 c.ask(net.request("order")); // written before the end was known, for all that the gateway can tell
                 assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
