--- a/gateway/src/test/java/ploverdale/AnsweringServer.java
+++ b/gateway/src/test/java/ploverdale/AnsweringServer.java
@@ -32,7 +32,7 @@
     private void run() {
         try {
             while (!closed) {
-                ReceivedQuery query = server.got.poll(POLL_MS, TimeUnit.MILLISECONDS);
+                ReceivedQuery query = server.pendingQueries.poll(POLL_MS, TimeUnit.MILLISECONDS);
                 if (query != null) {
                     answer(query);
                 }
--- a/gateway/src/test/java/ploverdale/AttemptRecorder.java
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -30,7 +30,7 @@
     private void record(FakeDatabaseServer server) {
         try {
             while (true) {
-                ReceivedQuery attempt = server.got.take();
+                ReceivedQuery attempt = server.pendingQueries.take();
                 arrivals.add(new Arrival(attempt, System.nanoTime()));
             }
         } catch (InterruptedException e) {
@@ -40,7 +40,7 @@
 
     /** Waits until so many attempts have arrived in all. */
     List<Arrival> await(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (arrivals.size() < count) {
             assertThat(System.nanoTime())
                     .as("%d attempts, there are %s", count, arrivals)
--- a/gateway/src/test/java/ploverdale/ClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/ClassArchiveTest.java
@@ -40,9 +40,9 @@
 
     @BeforeEach
     void standIns() throws IOException {
-        net = new GatewayTestFixture("p", "r1").readable();
+        net = new GatewayTestFixture("p", "r1").answerReads();
         configuration = root.resolve("gateway.json");
-        Files.writeString(configuration, GatewayTestFixture.configuration(net.registry, 256, 30_000));
+        Files.writeString(configuration, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
     }
 
     @AfterEach
@@ -54,10 +54,10 @@
 
     private ServingProcess serves(String before, String behind) throws Exception {
         ServingProcess gateway = deployed.start(configuration, before, behind);
-        try (TestClient client = new TestClient(gateway.port()).greeted()) {
+        try (TestClient client = new TestClient(gateway.port()).completeStartup()) {
             System.out.println("ready after " + gateway.ageMs() + " ms");
             for (int i = 0; i < 20; i++) {
-                assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
+                assertThat(net.readWithRetries(client)).as(gateway.log()).isEqualTo("row 07 ready");
             }
         }
         return gateway;
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -45,7 +45,7 @@
             this.port = port;
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             write(MessageWriter.startup());
             DataInputStream in = new DataInputStream(socket.getInputStream());
             for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -65,7 +65,7 @@
             return this;
         }
 
-        LeavingClient ask(String text) throws IOException {
+        LeavingClient sendQuery(String text) throws IOException {
             return write(MessageWriter.query(text));
         }
 
@@ -135,7 +135,7 @@
     }
 
     private static String longStatement(GatewayTestFixture net) {
-        return net.request("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
+        return net.queryText("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
     }
 
     /** Lets whatever could still begin do so, and asserts that nothing began late. */
@@ -147,12 +147,12 @@
     @ParameterizedTest
     @EnumSource
     void noRequestBehindThoseInHandIsForwardedOnceItsClientHasLeft(Departure how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
                 for (int i = 0; i < 3 * IN_HAND_MOST; i++) {
-                    all.appendBuffer(MessageWriter.query(net.request("order")));
+                    all.appendBuffer(MessageWriter.query(net.queryText("order")));
                 }
                 client.write(all);
                 List<Arrival> inHand = recorder.await(IN_HAND_MOST);
@@ -168,7 +168,7 @@
 
     private static void tryToAnswer(Arrival a) {
         try {
-            a.attempt().row(new byte[] {7});
+            a.attempt().sendRow(new byte[] {7});
         } catch (IOException e) {
             assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*"); // given up, as it should be
         }
@@ -177,7 +177,7 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE"})
     void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer all = Buffer.buffer();
@@ -200,20 +200,20 @@
     @EnumSource
     void aRequestThatWaitsForAConnectionThatComesUpLateIsNotWrittenThen(Departure how) throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // the router cannot call it off
-            net.started();
+            net.configurationEdit = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // the router cannot call it off
+            net.start();
             FakeDatabaseServer p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1); // has the connection that the health check opened
-                p.holdsGreetings = new CountDownLatch(1);
-                p.connects.clear();
-                client.ask(net.request("order"));
-                assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                p.startupGate = new CountDownLatch(1);
+                p.acceptedConnections.clear();
+                client.sendQuery(net.queryText("order"));
+                assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                p.holdsGreetings.countDown();
+                p.startupGate.countDown();
                 assertNothingBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -223,20 +223,20 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE", "TERMINATE"})
     void aConnectionThatComesUpDuringAPauseIsNotUsedForAClientThatLeftInIt(Departure how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1);
-                p.holdsGreetings = new CountDownLatch(1);
-                p.connects.clear();
-                client.ask(net.request("order"));
-                assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+                p.startupGate = new CountDownLatch(1);
+                p.acceptedConnections.clear();
+                client.sendQuery(net.queryText("order"));
+                assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
                 holdUp(net, 180, () -> {
-                    p.holdsGreetings.countDown();
+                    p.startupGate.countDown();
                     Thread.sleep(20);
                     leftAt[0] = client.leave(how);
                 });
@@ -250,17 +250,17 @@
     @ParameterizedTest
     @EnumSource
     void aRequestHeldForAPrimaryIsNotForwardedWhenThatIsHeard(Departure how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            p.holdsProbes = new CountDownLatch(1);
+            p.healthCheckGate = new CountDownLatch(1);
             Thread.sleep(2200); // by now the primary was last heard too long ago, and a health check is under way
             try (AttemptRecorder recorder = new AttemptRecorder(p);
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
                 Thread.sleep(50); // held
                 assertThat(recorder.count()).isZero();
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                p.holdsProbes.countDown();
+                p.healthCheckGate.countDown();
                 assertNothingBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -270,14 +270,14 @@
     @EnumSource
     void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure how) throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // so that it stays out
-            net.started();
+            net.configurationEdit = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // so that it stays out
+            net.start();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                first.attempt().problem("53300"); // proves that it never ran, so it may go again
+                first.attempt().sendError("53300"); // proves that it never ran, so it may go again
                 assertNothingBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -286,7 +286,7 @@
     @ParameterizedTest
     @EnumSource
     void aRequestAndItsClientsDepartureDuringAPauseOfTheLoopCauseNoAttempt(Departure how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             List<LeavingClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
@@ -296,7 +296,7 @@
             Thread[] cancels = {null};
             holdUp(net, 150, () -> {
                 for (LeavingClient c : clients) {
-                    c.ask(net.request("order"));
+                    c.sendQuery(net.queryText("order"));
                 }
                 Runnable leave = () -> leaveAll(clients, how);
                 leftAt[0] = System.nanoTime();
@@ -338,18 +338,18 @@
     @ParameterizedTest
     @EnumSource
     void aDepartureDuringAPauseBetweenReadingARequestAndForwardingItCausesNoAttempt(Departure how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first is forwarded; the error of the second is logged in the same turn, where the gateway pauses.
-            Buffer both = MessageWriter.query(net.request("order"))
-                    .appendBuffer(MessageWriter.query(net.request("no such type")));
-            net.pauseWhileReading(() -> client.write(both));
+            Buffer both = MessageWriter.query(net.queryText("order"))
+                    .appendBuffer(MessageWriter.query(net.queryText("no such type")));
+            net.pauseLoopWhileReading(() -> client.write(both));
             long leftAt = System.nanoTime();
             Thread leaves = new Thread(() -> leaveAll(List.of(client), how));
             leaves.start();
             Thread.sleep(150); // the pause itself
-            net.goOn();
+            net.resume();
             leaves.join();
             assertNothingBeginsAfter(leftAt, net, recorder);
         }
@@ -359,18 +359,18 @@
     @EnumSource
     void noAttemptBeginsForAClientThatLeftDuringAGracefulShutdown(Departure how) throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            net.settings = told -> told.replace("\"cancel\":true", "\"cancel\":false");
-            net.started();
+            net.configurationEdit = told -> told.replace("\"cancel\":true", "\"cancel\":false");
+            net.start();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 CountDownLatch ended = new CountDownLatch(1);
                 net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-                net.logged("planned restart: 1 connections");
-                client.ask(net.request("order"));
+                net.awaitLog("planned restart: 1 connections");
+                client.sendQuery(net.queryText("order"));
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                first.attempt().problem("53300");
+                first.attempt().sendError("53300");
                 assertNothingBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -378,25 +378,25 @@
 
     @Test
     void aCancelMessageIsAnsweredOnTheConnectionThatItNamesAndTheAttemptIsGivenUp() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.leave(Departure.CANCEL);
             assertThat(client.errorCode()).as(net::log).isEqualTo("57014");
-            first.attempt().endedByGateway();
+            first.attempt().awaitClosedByGateway();
         }
     }
 
     @Test
     void aCancelMessageWithAnotherSecretCancelsNothing() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.secret++;
             client.leave(Departure.CANCEL);
-            first.attempt().row(new byte[] {7});
+            first.attempt().sendRow(new byte[] {7});
             assertThat((char) client.socket.getInputStream().read())
                     .as(net::log)
                     .isEqualTo('T');
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -28,7 +28,7 @@
     private static GatewayTestFixture net(SteppedClock clock, String... servers) throws Exception {
         GatewayTestFixture net = new GatewayTestFixture(servers);
         net.clock = clock;
-        net.settings = settings -> settings.replace("\"oldestDataMs\":[30000,0,0]", "\"oldestDataMs\":[" + BOUND_MS + ",0,0]");
+        net.configurationEdit = settings -> settings.replace("\"oldestDataMs\":[30000,0,0]", "\"oldestDataMs\":[" + BOUND_MS + ",0,0]");
         return net;
     }
 
@@ -40,7 +40,7 @@
     /** Reads periodically for this long, and checks that each read succeeds. */
     private static void assertReadsSucceedFor(GatewayTestFixture net, TestClient client, long ms) throws Exception {
         for (long began = System.nanoTime(); sinceMs(began) < ms; ) {
-            assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
             Thread.sleep(10);
         }
     }
@@ -52,7 +52,7 @@
 
     /** Sets the start time of the servers in the endpoint list, as Unix time in milliseconds. */
     private static void setStartTime(GatewayTestFixture net, long ms) {
-        net.registry.whole = net.registry.whole.replace("\"cell\"", "\"up_since_ms\":" + ms + ",\"cell\"");
+        net.discovery.completeList = net.discovery.completeList.replace("\"cell\"", "\"up_since_ms\":" + ms + ",\"cell\"");
     }
 
     /** Checks that the log shows no ejection, no event loop lag and no doubt about the clock. */
@@ -63,20 +63,20 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void stepUnderLoadEndsNoRequestEarlyAndIsLoggedOnce(long step) throws Exception {
-        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").readable().started()) {
-            TestClient reader = net.client();
-            TestClient writer = net.client().ask(net.request("order"));
-            ReceivedQuery inFlight = net.servers.get("p").next();
+        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").answerReads().start()) {
+            TestClient reader = net.connect();
+            TestClient writer = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery inFlight = net.servers.get("p").nextQuery();
             assertReadsSucceedFor(net, reader, 200);
             clock.step(step);
             assertReadsSucceedFor(net, reader, 700);
-            net.logged("wall clock stepped by ");
-            assertThat(net.servers.get("p").got).isEmpty(); // no retry
-            inFlight.row(new byte[] {7});
-            assertThat(writer.answer()).as(net::log).isEqualTo(ROW_7);
-            writer.ask(net.request("order"));
-            net.servers.get("p").next().row(new byte[] {1});
-            assertThat(writer.answer()).isEqualTo("row 01 ready");
+            net.awaitLog("wall clock stepped by ");
+            assertThat(net.servers.get("p").pendingQueries).isEmpty(); // no retry
+            inFlight.sendRow(new byte[] {7});
+            assertThat(writer.readResponse()).as(net::log).isEqualTo(ROW_7);
+            writer.sendQuery(net.queryText("order"));
+            net.servers.get("p").nextQuery().sendRow(new byte[] {1});
+            assertThat(writer.readResponse()).isEqualTo("row 01 ready");
             assertUndisturbed(net);
             assertThat(net.log().lines().filter(line -> line.contains("wall clock stepped by ")))
                     .hasSize(1);
@@ -86,18 +86,18 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void replicaThatStopsReplicatingIsNotReadBeyondStalenessBoundDespiteStep(long step) throws Exception {
-        try (GatewayTestFixture net = net(clock, "p", "r1").readable()) {
+        try (GatewayTestFixture net = net(clock, "p", "r1").answerReads()) {
             FakeDatabaseServer r1 = net.servers.get("r1");
             long stopped = System.nanoTime();
-            r1.vitals = laggingBy(0);
-            net.started();
-            TestClient client = net.client();
+            r1.loadReportOverride = laggingBy(0);
+            net.start();
+            TestClient client = net.connect();
             assertReadsSucceedFor(net, client, 100);
             clock.step(step);
             assertReadsSucceedFor(net, client, BOUND_MS + 100 - sinceMs(stopped));
-            r1.reads = false;
+            r1.answersReads = false;
             assertReadsSucceedFor(net, client, 500);
-            assertThat(r1.got).as(net::log).isEmpty();
+            assertThat(r1.pendingQueries).as(net::log).isEmpty();
             assertUndisturbed(net);
         }
     }
@@ -105,14 +105,14 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void hungServerIsEjectedInTimeDespiteStep(long step) throws Exception {
-        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").readable().started()) {
-            assertReadsSucceedFor(net, net.client(), 200);
+        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").answerReads().start()) {
+            assertReadsSucceedFor(net, net.connect(), 200);
             clock.step(step);
-            net.logged("wall clock stepped by ");
-            net.servers.get("r1").mute = true;
+            net.awaitLog("wall clock stepped by ");
+            net.servers.get("r1").unresponsive = true;
             long hangsSince = System.nanoTime();
             while (!net.log().contains("server r1 silent")) {
-                net.client().ask(net.request("page", 1000)); // those sent to r1 are not answered
+                net.connect().sendQuery(net.queryText("page", 1000)); // those sent to r1 are not answered
                 assertThat(sinceMs(hangsSince)).as(net::log).isLessThan(5_000);
                 Thread.sleep(20);
             }
@@ -123,14 +123,14 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void drainingServerReceivesNoRequestDespiteStep(long step) throws Exception {
-        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").readable().started()) {
-            TestClient client = net.client();
-            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
-            net.logged("server r1 listed DRAINING");
+        try (GatewayTestFixture net = net(clock, "p", "r1", "r2").answerReads().start()) {
+            TestClient client = net.connect();
+            net.discovery.updates.add(net.endpointList(2, false, "r1:DRAINING"));
+            net.awaitLog("server r1 listed DRAINING");
             clock.step(step);
-            net.servers.get("r1").reads = false;
+            net.servers.get("r1").answersReads = false;
             assertReadsSucceedFor(net, client, 700);
-            assertThat(net.servers.get("r1").got).as(net::log).isEmpty();
+            assertThat(net.servers.get("r1").pendingQueries).as(net::log).isEmpty();
             assertUndisturbed(net);
         }
     }
@@ -140,22 +140,22 @@
     void stepDuringGracefulShutdownEndsNoRequestEarlyAndDoesNotDelayShutdown(long step) throws Exception {
         try (GatewayTestFixture net = net(clock, "p")) {
             // With this deadline, the shutdown takes 1.7 s.
-            net.settings = settings -> settings.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000")
+            net.configurationEdit = settings -> settings.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000")
                     .replace("\"aimMs\":10000", "\"aimMs\":500");
-            net.started();
-            TestClient client = net.client();
-            client.ask(net.request("order", 900));
-            ReceivedQuery attempt = net.servers.get("p").next();
+            net.start();
+            TestClient client = net.connect();
+            client.sendQuery(net.queryText("order", 900));
+            ReceivedQuery attempt = net.servers.get("p").nextQuery();
             CountDownLatch ended = new CountDownLatch(1);
             long began = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            net.logged("planned restart: 1 connections");
+            net.awaitLog("planned restart: 1 connections");
             clock.step(step);
             Thread.sleep(300);
-            assertThat(net.servers.get("p").got).isEmpty();
-            attempt.row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).startsWith("row 07 ");
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
+            attempt.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).startsWith("row 07 ");
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(sinceMs(began)).isLessThan(3_000);
         }
     }
@@ -163,24 +163,24 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void slowStartLimitsAttemptsAsBeforeDespiteStep(long step) throws Exception {
-        try (GatewayTestFixture net = net(clock, "p").readable()) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = net(clock, "p").answerReads()) {
+            net.servers.get("p").answersWrites = true;
             // Without servers past slow start to compare with, slow start is based on the agreed traffic.
-            net.settings = settings -> settings.replace("\"quotaPerS\":1000", "\"quotaPerS\":15");
+            net.configurationEdit = settings -> settings.replace("\"quotaPerS\":1000", "\"quotaPerS\":15");
             setStartTime(net, Clock.system().wallMs());
-            net.started();
-            TestClient one = net.client();
-            assertThat(one.ask(net.request("order", 5_000)).answer())
+            net.start();
+            TestClient one = net.connect();
+            assertThat(one.sendQuery(net.queryText("order", 5_000)).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             clock.step(step);
-            net.servers.get("p").writes = false;
+            net.servers.get("p").answersWrites = false;
             List<TestClient> others = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                others.add(net.client().ask(net.request("order", 5_000)));
+                others.add(net.connect().sendQuery(net.queryText("order", 5_000)));
             }
             Thread.sleep(500);
-            int attempts = net.servers.get("p").got.size(); // about 10 at the usual duration, at 30 % of its capacity
+            int attempts = net.servers.get("p").pendingQueries.size(); // about 10 at the usual duration, at 30 % of its capacity
             assertThat(attempts).as(net::log).isBetween(2, 15);
             assertUndisturbed(net);
         }
@@ -191,13 +191,13 @@
     @ValueSource(longs = {-5_000, -3_600_000})
     void stepBackwardDoesNotExtendDeduplicationWindow(long step) throws Exception {
         try (GatewayTestFixture net = withDeduplicationWindow()) {
-            TestClient client = net.client().ask(net.request("order"));
-            ReceivedQuery attempt = net.servers.get("p").next();
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery attempt = net.servers.get("p").nextQuery();
             clock.step(step);
             Thread.sleep(1_200);
-            attempt.reset();
-            assertThat(client.answer()).as(net::log).isEqualTo("58000 ready");
-            assertThat(net.servers.get("p").got).isEmpty();
+            attempt.resetConnection();
+            assertThat(client.readResponse()).as(net::log).isEqualTo("58000 ready");
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 
@@ -205,12 +205,12 @@
     @ValueSource(longs = {5_000, 3_600_000})
     void stepForwardDoesNotEndDeduplicationWindow(long step) throws Exception {
         try (GatewayTestFixture net = withDeduplicationWindow()) {
-            TestClient client = net.client().ask(net.request("order"));
-            ReceivedQuery attempt = net.servers.get("p").next();
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery attempt = net.servers.get("p").nextQuery();
             clock.step(step);
-            attempt.reset();
-            net.servers.get("p").next().row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+            attempt.resetConnection();
+            net.servers.get("p").nextQuery().sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
@@ -218,34 +218,34 @@
      * Starts a gateway whose writes may be retried with their idempotency key, within a deduplication window of 1 s.
      */
     private GatewayTestFixture withDeduplicationWindow() throws Exception {
-        GatewayTestFixture net = net(clock, "p").readable();
-        net.settings = settings -> settings.replace(
+        GatewayTestFixture net = net(clock, "p").answerReads();
+        net.configurationEdit = settings -> settings.replace(
                 "\"effect\":\"once\"", "\"effect\":\"by_key\",\"dedupScope\":\"cell\",\"dedupWindowMs\":1000");
-        return net.started();
+        return net.start();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void gatewayStartedWithWrongClockReadsReplicaOnlyOnceItNoLongerLags(long clockError) throws Exception {
-        try (GatewayTestFixture net = net(SteppedClock.startedWithError(clockError), "p", "r1").readable()) {
+        try (GatewayTestFixture net = net(SteppedClock.startedWithError(clockError), "p", "r1").answerReads()) {
             FakeDatabaseServer r1 = net.servers.get("r1");
-            r1.reads = false;
-            r1.vitals = laggingBy(BOUND_MS + 4_000);
-            net.started();
-            TestClient client = net.client();
+            r1.answersReads = false;
+            r1.loadReportOverride = laggingBy(BOUND_MS + 4_000);
+            net.start();
+            TestClient client = net.connect();
             assertReadsSucceedFor(net, client, 500);
-            net.logged("clock corrected: the servers' wall clock is ");
+            net.awaitLog("clock corrected: the servers' wall clock is ");
             assertReadsSucceedFor(net, client, 500);
-            assertThat(r1.got).as(net::log).isEmpty();
-            r1.vitals = null; // no longer lags
+            assertThat(r1.pendingQueries).as(net::log).isEmpty();
+            r1.loadReportOverride = null; // no longer lags
             TestClient toReplica = null;
-            for (long began = System.nanoTime(); r1.got.isEmpty(); Thread.sleep(20)) {
+            for (long began = System.nanoTime(); r1.pendingQueries.isEmpty(); Thread.sleep(20)) {
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
-                toReplica = net.client().ask(net.request("page"));
+                toReplica = net.connect().sendQuery(net.queryText("page"));
             }
-            r1.reads = true;
-            r1.next().row(new byte[] {7});
-            assertThat(toReplica.answer()).as(net::log).isEqualTo(ROW_7);
+            r1.answersReads = true;
+            r1.nextQuery().sendRow(new byte[] {7});
+            assertThat(toReplica.readResponse()).as(net::log).isEqualTo(ROW_7);
             assertThat(net.log()).doesNotContain("silent");
         }
     }
@@ -254,12 +254,12 @@
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void correctingWallClockAfterStartDoesNotChangeOffsetAgain(long clockError) throws Exception {
         SteppedClock wrongClock = SteppedClock.startedWithError(clockError);
-        try (GatewayTestFixture net = net(wrongClock, "p", "r1").readable().started()) {
-            TestClient client = net.client();
+        try (GatewayTestFixture net = net(wrongClock, "p", "r1").answerReads().start()) {
+            TestClient client = net.connect();
             assertReadsSucceedFor(net, client, 500);
-            net.logged("clock corrected: ");
+            net.awaitLog("clock corrected: ");
             wrongClock.step(-clockError);
-            net.logged("wall clock stepped by ");
+            net.awaitLog("wall clock stepped by ");
             assertReadsSucceedFor(net, client, 500);
             assertThat(net.log().lines().filter(line -> line.contains("clock corrected")))
                     .hasSize(1);
@@ -269,19 +269,19 @@
 
     @Test
     void serverThatStartedLongAgoIsPastSlowStartForGatewayWhoseClockIsAnHourBehind() throws Exception {
-        try (GatewayTestFixture net = net(SteppedClock.startedWithError(-3_600_000), "p").readable()) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = net(SteppedClock.startedWithError(-3_600_000), "p").answerReads()) {
+            net.servers.get("p").answersWrites = true;
             setStartTime(net, Clock.system().wallMs() - 600_000);
-            net.started();
-            TestClient client = net.client();
+            net.start();
+            TestClient client = net.connect();
             for (long began = System.nanoTime(); !net.log().contains("clock corrected: "); Thread.sleep(10)) {
                 // May be rejected: until the clock is corrected, the server seems to have just started.
-                client.ask(net.request("page")).answer();
+                client.sendQuery(net.queryText("page")).readResponse();
                 assertThat(sinceMs(began)).as(net::log).isLessThan(5_000);
             }
             long began = System.nanoTime();
             for (int i = 0; i < 40; i++) { // in slow start, it would get 10 per second
-                assertThat(client.ask(net.request("order", 5_000)).answer())
+                assertThat(client.sendQuery(net.queryText("order", 5_000)).readResponse())
                         .as(net::log)
                         .isEqualTo(ROW_7);
             }
--- a/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonSilenceOnSocketsTest.java
@@ -43,18 +43,18 @@
         for (int i = 0; i < count; i++) {
             ids[i] = (i % GROUP_SIZE == 0 ? "p" : "r") + i;
         }
-        net = new GatewayTestFixture(ids).readable();
+        net = new GatewayTestFixture(ids).answerReads();
         servers = List.copyOf(net.servers.values());
-        servers.forEach(s -> s.writes = true);
+        servers.forEach(s -> s.answersWrites = true);
         List<String> rows = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             rows.add("{\"id\":\"" + ids[i] + "\",\"host_port\":\"127.0.0.1:"
                     + servers.get(i).port() + "\",\"cell\":" + i / GROUP_SIZE + ",\"phase\":\"SERVING\"}");
         }
-        net.registry.whole = "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", rows) + "]}";
+        net.discovery.completeList = "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", rows) + "]}";
         Files.writeString(
                 configuration,
-                GatewayTestFixture.configuration(net.registry, 2000, 30_000)
+                GatewayTestFixture.configuration(net.discovery, 2000, 30_000)
                         .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":250")
                         .replace("[30000,0,0]", "[500,0,0]"));
     }
@@ -76,10 +76,10 @@
     void aHoldUpOfTheGatewayAndAllServersRightAfterTheStartEjectsNobody(int count) throws Exception {
         standIns(count);
         CountDownLatch heldUp = new CountDownLatch(1);
-        servers.forEach(s -> s.holdsGreetings = heldUp);
+        servers.forEach(s -> s.startupGate = heldUp);
         start();
         awaits(
-                () -> count(i -> !servers.get(i).connects.isEmpty()) >= Math.min(count, CHECKS_OUT),
+                () -> count(i -> !servers.get(i).acceptedConnections.isEmpty()) >= Math.min(count, CHECKS_OUT),
                 "the first health checks are out");
         signal("-STOP");
         Thread.sleep(HOLD_UP_MS);
@@ -88,7 +88,7 @@
         long since = System.nanoTime();
         Thread load = load(line("listens at"));
         awaits(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size() && silent().isEmpty(),
+                () -> count(i -> servers.get(i).healthChecks > 0) == servers.size() && silent().isEmpty(),
                 "all have answered, none is silent");
         long back = millisSince(since);
         Thread.sleep(1000); // what was wrongly taken for dead would be found by now
@@ -109,13 +109,13 @@
         start();
         Thread load = load(line("listens at"));
         awaits(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size() && silent().isEmpty(),
+                () -> count(i -> servers.get(i).healthChecks > 0) == servers.size() && silent().isEmpty(),
                 "all have answered, none is silent");
         Set<String> dead = new HashSet<>();
         for (int i = 0; i < MANY; i++) {
             if (i % 3 != 0) {
                 dead.add(ids[i]);
-                servers.get(i).mute = true;
+                servers.get(i).unresponsive = true;
             }
         }
         long died = System.nanoTime();
@@ -153,7 +153,7 @@
     }
 
     private Thread load(String listens) {
-        Thread load = new Thread(() -> queries(listens, TimeUnit.SECONDS.toMillis(2 * GatewayTestFixture.PATIENCE_S)));
+        Thread load = new Thread(() -> queries(listens, TimeUnit.SECONDS.toMillis(2 * GatewayTestFixture.TIMEOUT_S)));
         load.start();
         return load;
     }
@@ -182,11 +182,11 @@
         List<TestClient> clients = new ArrayList<>();
         try {
             for (int group = 0; group * GROUP_SIZE < servers.size(); group++) {
-                TestClient c = new TestClient(port).greeted();
+                TestClient c = new TestClient(port).completeStartup();
                 clients.add(c);
                 Thread reads = new Thread(() -> {
                     try {
-                        c.howItEnds();
+                        c.readUntilClosed();
                     } catch (IOException e) {
                         ended |= gateway.isAlive() && !ended;
                     }
@@ -197,7 +197,7 @@
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(forMs);
             for (int i = 0; System.nanoTime() < end && !ended; i++) {
                 for (int group = 0; group < clients.size(); group++) {
-                    clients.get(group).ask(query(i, group));
+                    clients.get(group).sendQuery(query(i, group));
                 }
                 Thread.sleep(QUERY_EVERY_MS);
             }
@@ -257,7 +257,7 @@
     }
 
     private void awaits(BooleanSupplier so, String what) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * GatewayTestFixture.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * GatewayTestFixture.TIMEOUT_S);
         while (!so.getAsBoolean()) {
             assertThat(System.nanoTime())
                     .as("%s:\n%s", what, Files.readString(log))
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -27,9 +27,9 @@
     private Path directory;
 
     private static String configuration(int discoveryPort, GatewayTestFixture net) {
-        return GatewayTestFixture.configuration(net.registry, SOCKETS, 30_000)
+        return GatewayTestFixture.configuration(net.discovery, SOCKETS, 30_000)
                 .replace(
-                        "\"discovery\":\"127.0.0.1:" + net.registry.port(),
+                        "\"discovery\":\"127.0.0.1:" + net.discovery.port(),
                         "\"discovery\":\"127.0.0.1:" + discoveryPort);
     }
 
@@ -46,17 +46,17 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1100, 1500, 2500})
     void theListOfASlowDiscoveryIsInForceInTimeAfterTheLastOfManyConfigurations(long answersAfterMs) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started();
-                FakeDiscovery silent = new FakeDiscovery(net.list(9, true, "p"));
-                SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r2"), answersAfterMs);
-                SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r1"), answersAfterMs)) {
-            silent.mute = true;
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").start();
+                FakeDiscovery silent = new FakeDiscovery(net.endpointList(9, true, "p"));
+                SlowDiscovery former = new SlowDiscovery(net.endpointList(3, true, "p", "r2"), answersAfterMs);
+                SlowDiscovery last = new SlowDiscovery(net.endpointList(5, true, "p", "r1"), answersAfterMs)) {
+            silent.unresponsive = true;
             for (int i = 0; i < RELOADS; i++) {
                 reload(net, i % 2 == 0 ? silent.port() : former.port());
             }
             reload(net, last.port());
             long reloaded = System.nanoTime();
-            net.logged("server r2 listed GONE");
+            net.awaitLog("server r2 listed GONE");
             assertThat(msSince(reloaded)).as(net::log).isLessThan(IN_FORCE_WITHIN_MS);
             List<String> r1 = net.log()
                     .lines()
@@ -70,10 +70,10 @@
 
     @Test
     void noConnectionToAFormerDiscoveryStaysOpen() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
-                SlowDiscovery one = new SlowDiscovery(net.list(3, true, "p", "r1"), 100);
-                SlowDiscovery other = new SlowDiscovery(net.list(4, true, "p", "r1"), 100);
-                SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r1"), 0)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
+                SlowDiscovery one = new SlowDiscovery(net.endpointList(3, true, "p", "r1"), 100);
+                SlowDiscovery other = new SlowDiscovery(net.endpointList(4, true, "p", "r1"), 100);
+                SlowDiscovery last = new SlowDiscovery(net.endpointList(5, true, "p", "r1"), 0)) {
             List<SlowDiscovery> former = List.of(one, other);
             for (int i = 0; i < RELOADS; i++) {
                 reload(net, former.get(i % 2).port());
@@ -81,11 +81,11 @@
             }
             reload(net, last.port());
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-            while (one.open.get() + other.open.get() > 0) {
+            while (one.openConnections.get() + other.openConnections.get() > 0) {
                 assertThat(System.nanoTime())
                         .as(
                                 "%d and %d connections are open, %d to the last:\n%s",
-                                one.open.get(), other.open.get(), last.open.get(), net.log())
+                                one.openConnections.get(), other.openConnections.get(), last.openConnections.get(), net.log())
                         .isLessThan(end);
                 Thread.sleep(20);
             }
@@ -94,16 +94,16 @@
             assertThat(one.calls.get() + other.calls.get())
                     .as("calls to former ones")
                     .isEqualTo(calls);
-            assertThat(last.open.get()).as(net::log).isBetween(1, 3);
+            assertThat(last.openConnections.get()).as(net::log).isBetween(1, 3);
         }
     }
 
     @Test
     void theConfigurationReadLastHoldsWhereAnEarlierReadTakesLonger() throws Exception {
         Path file = directory.resolve("gateway.json");
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started();
-                SlowDiscovery former = new SlowDiscovery(net.list(3, true, "p", "r1"), 0);
-                SlowDiscovery last = new SlowDiscovery(net.list(5, true, "p", "r2"), 0)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").start();
+                SlowDiscovery former = new SlowDiscovery(net.endpointList(3, true, "p", "r1"), 0);
+                SlowDiscovery last = new SlowDiscovery(net.endpointList(5, true, "p", "r2"), 0)) {
             assertThat(new ProcessBuilder("mkfifo", file.toString()).start().waitFor())
                     .isZero();
             Thread first = new Thread(
@@ -119,13 +119,13 @@
                 second.join(500); // done by now, unless it waits for the first
                 slow.write(configuration(former.port(), net).getBytes(StandardCharsets.UTF_8));
             }
-            first.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
-            second.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+            first.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
+            second.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             List<String> taken = new ArrayList<>(net.log()
                     .lines()
                     .filter(l -> l.contains("new configuration: "))
                     .toList());
-            for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+            for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
                     taken.size() < 2 && System.nanoTime() < end;
                     Thread.sleep(20)) {
                 taken = new ArrayList<>(net.log()
@@ -139,7 +139,7 @@
 
     /** Waits until this thread is in the system call that reads the named pipe. */
     private static void awaitReading(Thread reader) throws InterruptedException {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
                 System.nanoTime() < end;
                 Thread.sleep(10)) {
             if (List.of(reader.getStackTrace()).toString().contains("read0")) {
@@ -151,8 +151,8 @@
 
     @Test
     void aConfigurationThatIsCutOffAnywhereChangesNothing() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
-                SlowDiscovery elsewhere = new SlowDiscovery(net.list(3, true, "p"), 0)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
+                SlowDiscovery elsewhere = new SlowDiscovery(net.endpointList(3, true, "p"), 0)) {
             Path file = directory.resolve("gateway.json");
             String whole = configuration(elsewhere.port(), net);
             for (int length = 0; length < whole.length(); length++) {
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -54,7 +54,7 @@
 
         private void run(SplittableRandom random) {
             while (!stopped) {
-                try (TestClient client = new TestClient(port).greeted()) {
+                try (TestClient client = new TestClient(port).completeStartup()) {
                     session(client, random);
                 } catch (IOException | AssertionError e) {
                     Thread.onSpinWait(); // turned away or not let in; another connection is tried
@@ -76,9 +76,9 @@
         private boolean ask(TestClient client, String id) {
             String answer;
             try {
-                answer = client.ask("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=" + id
+                answer = client.sendQuery("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=" + id
                                 + ",c=order,t=north,d=4000,cluster=1 */")
-                        .answer();
+                        .readResponse();
             } catch (IOException e) {
                 answer = "closed";
             }
@@ -93,7 +93,7 @@
         void stop() throws InterruptedException {
             stopped = true;
             for (Thread thread : threads) {
-                thread.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+                thread.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             }
         }
     }
@@ -104,17 +104,17 @@
         long seed = System.nanoTime();
         System.out.println("CrossingCloseTest " + end + " seed " + seed);
         int descriptors = end == End.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable().started(descriptors, 30_000);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads().start(descriptors, 30_000);
                 AnsweringServer answers =
-                        new AnsweringServer(net.servers.get("p"), query -> query.row(new byte[] {7}))) {
+                        new AnsweringServer(net.servers.get("p"), query -> query.sendRow(new byte[] {7}))) {
             RestingClients clients = new RestingClients(net.gateway.port(), seed);
             Thread.sleep(PLAYS_MS / 2);
             CountDownLatch ended = new CountDownLatch(1);
             if (end == End.FEWER_DESCRIPTORS) {
-                net.renew(FEW_DESCRIPTORS);
+                net.reloadConfiguration(FEW_DESCRIPTORS);
             } else if (end == End.GRACEFUL_SHUTDOWN) {
                 net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-                assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
+                assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isTrue();
             }
--- a/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
+++ b/gateway/src/test/java/ploverdale/CutClassArchiveTest.java
@@ -34,12 +34,12 @@
     void aGatewayServesWithoutIt(int length) throws Exception {
         Files.delete(deployed.classArchive());
         Files.write(deployed.classArchive(), Arrays.copyOf(whole, length));
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Path configuration = root.resolve("gateway.json");
-            Files.writeString(configuration, GatewayTestFixture.configuration(net.registry, 256, 30_000));
+            Files.writeString(configuration, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             try (ServingProcess gateway = deployed.start(configuration, "", "");
-                    TestClient client = new TestClient(gateway.port()).greeted()) {
-                assertThat(net.read(client)).isEqualTo("row 07 ready");
+                    TestClient client = new TestClient(gateway.port()).completeStartup()) {
+                assertThat(net.readWithRetries(client)).isEqualTo("row 07 ready");
             }
         }
     }
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -17,77 +17,77 @@
 
     @Test
     void anAttemptThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer primary = net.servers.get("p");
-            TestClient first = net.client().ask(net.request("order"));
-            ReceivedQuery inHand = primary.next(); // has the connection that the probe opened
-            primary.holdsGreetings = new CountDownLatch(1);
-            primary.connects.clear();
-            TestClient second = net.client().ask(net.request("order", 4000));
-            assertThat(primary.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
+            TestClient first = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery inHand = primary.nextQuery(); // has the connection that the probe opened
+            primary.startupGate = new CountDownLatch(1);
+            primary.acceptedConnections.clear();
+            TestClient second = net.connect().sendQuery(net.queryText("order", 4000));
+            assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isNotNull();
-            net.registry.news.add(net.list(2, false, "p:DRAINING"));
-            net.logged("server p listed DRAINING");
+            net.discovery.updates.add(net.endpointList(2, false, "p:DRAINING"));
+            net.awaitLog("server p listed DRAINING");
             Thread.sleep(DRAIN_GRACE_MS + 100); // the connection comes up later than the grace ends
-            primary.holdsGreetings.countDown();
-            assertThat(second.answer()).as(net::log).startsWith("53300");
-            assertThat(primary.got).as("attempts after the grace").isEmpty();
-            inHand.row(new byte[] {7}); // what it has begun it ends
-            assertThat(first.answer()).isEqualTo(ROW_7);
+            primary.startupGate.countDown();
+            assertThat(second.readResponse()).as(net::log).startsWith("53300");
+            assertThat(primary.pendingQueries).as("attempts after the grace").isEmpty();
+            inHand.sendRow(new byte[] {7}); // what it has begun it ends
+            assertThat(first.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void aHealthCheckThatWaitedForItsConnectionIsNotWrittenToAServerThatDrainsByThen() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             FakeDatabaseServer draining = net.servers.get("r1");
-            draining.holdsGreetings = new CountDownLatch(1);
-            net.started();
-            draining.connects.clear();
-            TestClient client = net.client();
-            while (draining.connects.isEmpty()) {
-                assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+            draining.startupGate = new CountDownLatch(1);
+            net.start();
+            draining.acceptedConnections.clear();
+            TestClient client = net.connect();
+            while (draining.acceptedConnections.isEmpty()) {
+                assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
                 Thread.sleep(5);
             }
-            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
-            net.logged("server r1 listed DRAINING");
+            net.discovery.updates.add(net.endpointList(2, false, "r1:DRAINING"));
+            net.awaitLog("server r1 listed DRAINING");
             Thread.sleep(DRAIN_GRACE_MS + 100);
-            draining.holdsGreetings.countDown();
+            draining.startupGate.countDown();
             Thread.sleep(300); // many times what a written check takes
-            assertThat(draining.probed).as(net::log).isZero();
+            assertThat(draining.healthChecks).as(net::log).isZero();
         }
     }
 
     @Test
     void whatComesWhileTheGatewayIsHeldUpAndItsServerBeginsToDrainIsForwardedWithinTheGraceOrNot() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
             FakeDatabaseServer draining = net.servers.get("r1");
-            draining.reads = false;
-            try (AnsweringServer answers = new AnsweringServer(draining, got -> got.row(new byte[] {7}))) {
-                TestClient client = net.client();
+            draining.answersReads = false;
+            try (AnsweringServer answers = new AnsweringServer(draining, got -> got.sendRow(new byte[] {7}))) {
+                TestClient client = net.connect();
                 for (int i = 0; i < 20; i++) {
-                    assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+                    assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
                 }
-                net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-                net.pauseWhileReading();
-                net.registry.news.add(net.list(2, false, "r1:DRAINING"));
+                net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+                net.pauseLoopWhileReading();
+                net.discovery.updates.add(net.endpointList(2, false, "r1:DRAINING"));
                 long told = System.nanoTime();
                 for (int i = 0; i < 8; i++) {
-                    client.ask(net.request("page"));
+                    client.sendQuery(net.queryText("page"));
                 }
                 Thread.sleep(HELD_UP_MS); // the pause itself
-                net.goOn();
+                net.resume();
                 for (int i = 0; i < 8; i++) {
-                    assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+                    assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
                 }
-                net.logged("server r1 listed DRAINING");
+                net.awaitLog("server r1 listed DRAINING");
                 assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told))
                         .as(net::log)
                         .isLessThan(DRAIN_GRACE_MS);
                 int before = answers.queries.size();
                 for (int i = 0; i < 50; i++) {
-                    assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+                    assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
                 }
                 assertThat(answers.queries).hasSize(before);
             }
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -30,34 +30,34 @@
 
     @Test
     void aClientThatAskedForMuchAtOnceAndWentIsSeenToHaveGone() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            TestClient c = net.client();
+            TestClient c = net.connect();
             for (int i = 0; i < 60; i++) {
-                c.ask(net.request("order"));
+                c.sendQuery(net.queryText("order"));
                 Thread.sleep(2); // so that each is read by itself
             }
             List<ReceivedQuery> out = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                out.add(p.next()); // as many as are taken before the first answer
+                out.add(p.nextQuery()); // as many as are taken before the first answer
             }
             long gone = System.nanoTime();
             c.close();
             for (ReceivedQuery g : out) {
-                g.endedByGateway();
+                g.awaitClosedByGateway();
             }
             assertThat(since(gone)).as(net::log).isLessThan(5000); // not when their time is up
-            assertThat(p.got).isEmpty();
+            assertThat(p.pendingQueries).isEmpty();
         }
     }
 
     @Test
     void whatAClientStillWritesDoesNotTakeBackTheAnswersBeforeAnEnd() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            TestClient c = new TestClient(net.gateway.port(), 4000).greeted(); // takes little at a time
-            c.ask(net.request("order"));
-            ReceivedQuery g = p.next();
+            TestClient c = new TestClient(net.gateway.port(), 4000).completeStartup(); // takes little at a time
+            c.sendQuery(net.queryText("order"));
+            ReceivedQuery g = p.nextQuery();
             Thread writes = new Thread(() -> {
                 try {
                     c.write(Buffer.buffer().appendByte((byte) '?').appendInt(4));
@@ -69,52 +69,52 @@
                 }
             });
             writes.start();
-            net.logged("bad input from a client");
-            g.row(new byte[60_000]);
+            net.awaitLog("bad input from a client");
+            g.sendRow(new byte[60_000]);
             Thread.sleep(200); // the gateway has written its last by now, and most of it is still on its way
-            assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(60_000) + " ready");
-            assertThat(c.answer()).isEqualTo("08P01 closed");
-            assertThat(c.howItEnds()).as(net::log).isEqualTo("end");
+            assertThat(c.readResponse()).as(net::log).isEqualTo("row " + "00".repeat(60_000) + " ready");
+            assertThat(c.readResponse()).isEqualTo("08P01 closed");
+            assertThat(c.readUntilClosed()).as(net::log).isEqualTo("end");
             c.close();
-            writes.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+            writes.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
         }
     }
 
     @Test
     void aSendThatWaitsForItsConnectionIsNotWrittenForAClientThatHasGone() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            net.settings =
+            net.configurationEdit =
                     told -> told.replace("\"cancel\":true", "\"cancel\":false"); // nothing may be called off here
-            net.started();
+            net.start();
             FakeDatabaseServer p = net.servers.get("p");
-            TestClient other = net.client().ask(net.request("order"));
-            ReceivedQuery first = p.next(); // has the connection that the probe opened
-            p.holdsGreetings = new CountDownLatch(1);
-            p.connects.clear();
-            TestClient c = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+            TestClient other = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery first = p.nextQuery(); // has the connection that the probe opened
+            p.startupGate = new CountDownLatch(1);
+            p.acceptedConnections.clear();
+            TestClient c = net.connect().sendQuery(net.queryText("order"));
+            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
             c.close();
-            other.ask(net.request("order"));
-            first.row(new byte[] {7}); // read after the close
-            assertThat(other.answer()).isEqualTo(ROW_7);
-            p.holdsGreetings.countDown();
-            ReceivedQuery next = p.next();
+            other.sendQuery(net.queryText("order"));
+            first.sendRow(new byte[] {7}); // read after the close
+            assertThat(other.readResponse()).isEqualTo(ROW_7);
+            p.startupGate.countDown();
+            ReceivedQuery next = p.nextQuery();
             assertThat(next.text()).contains("id=3,");
-            next.row(new byte[] {7});
-            assertThat(other.answer()).isEqualTo(ROW_7);
-            assertThat(p.got).isEmpty();
+            next.sendRow(new byte[] {7});
+            assertThat(other.readResponse()).isEqualTo(ROW_7);
+            assertThat(p.pendingQueries).isEmpty();
         }
     }
 
     @Test
     void whatWasAskedAndLeftWhileTheGatewayStoodStillIsNotSentOn() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
             CountDownLatch still = new CountDownLatch(1);
             CountDownLatch on = new CountDownLatch(1);
             List<TestClient> left = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                left.add(net.client());
+                left.add(net.connect());
             }
             net.gateway.runOnLoop(() -> {
                 still.countDown();
@@ -126,145 +126,145 @@
             });
             still.await();
             for (TestClient c : left) {
-                c.ask(net.request("order")).close();
+                c.sendQuery(net.queryText("order")).close();
             }
             Thread.sleep(500); // the standstill itself
             on.countDown();
-            TestClient c = net.client().ask(net.request("order"));
-            ReceivedQuery g = p.next();
+            TestClient c = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery g = p.nextQuery();
             assertThat(g.text()).as(net::log).contains("id=b,");
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
-            assertThat(p.got).isEmpty();
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            assertThat(p.pendingQueries).isEmpty();
         }
     }
 
     private static List<TestClient> clients(GatewayTestFixture net, int many) throws IOException {
         List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            all.add(net.client());
+            all.add(net.connect());
         }
         return all;
     }
 
     @Test
     void whatWasAskedDuringAPauseIsAnsweredAlsoWhereIdleConnectionsAreToEnd() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started(512, 30_000)) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(512, 30_000)) {
+            net.servers.get("p").answersWrites = true;
             List<TestClient> idle = clients(net, 80);
-            net.pauseBeforeTimers(() -> net.renew(256)); // 80 clients are too many then, and idle ones end
+            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(256)); // 80 clients are too many then, and idle ones end
             for (TestClient c : idle) {
-                c.ask(net.request("order"));
+                c.sendQuery(net.queryText("order"));
             }
             Thread.sleep(400); // the pause itself, longer than idle ones are left then
-            net.goOn();
+            net.resume();
             for (TestClient c : idle) {
-                assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(c.readResponse()).as(net::log).isEqualTo(ROW_7);
             }
-            net.logged("256 descriptors");
+            net.awaitLog("256 descriptors");
         }
     }
 
     @Test
     void whatWasAskedDuringAPauseIsAnsweredAlsoWhereAPlannedRestartEndsIdleConnections() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            net.servers.get("p").answersWrites = true;
             List<TestClient> idle = clients(net, 20);
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            net.logged("planned restart: 20 connections");
-            net.pauseBeforeTimers(() -> {});
+            net.awaitLog("planned restart: 20 connections");
+            net.pauseLoopBeforeTimers(() -> {});
             for (TestClient c : idle) {
-                c.ask(net.request("order"));
+                c.sendQuery(net.queryText("order"));
             }
             Thread.sleep(2600); // so that idle ones are to end by then
-            net.goOn();
+            net.resume();
             for (TestClient c : idle) { // refused, since no server has been heard for so long
-                assertThat(c.answer()).as(net::log).matches("53300 after \\d+ ready");
-                assertThat(c.answer()).isEqualTo("closed");
+                assertThat(c.readResponse()).as(net::log).matches("53300 after \\d+ ready");
+                assertThat(c.readResponse()).isEqualTo("closed");
             }
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
     void whoGreetedAndAskedDuringAPauseIsAnsweredAlsoWhereThoseWithoutAGreetingAreToEnd() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started(512, 30_000)) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(512, 30_000)) {
+            net.servers.get("p").answersWrites = true;
             List<TestClient> strangers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 strangers.add(new TestClient(net.gateway.port()));
             }
-            net.client(); // greeted behind those, so they have been let in
-            net.pauseBeforeTimers(() -> net.renew(64)); // 20 without a greeting are too many then
+            net.connect(); // greeted behind those, so they have been let in
+            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(64)); // 20 without a greeting are too many then
             for (TestClient c : strangers) {
-                c.write(MessageWriter.startup()).ask(net.request("order"));
+                c.write(MessageWriter.startup()).sendQuery(net.queryText("order"));
             }
             Thread.sleep(400); // the pause itself
-            net.goOn();
+            net.resume();
             for (TestClient c : strangers) {
-                assertThat(c.answer()).as(net::log).isEqualTo("ready");
-                assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
+                assertThat(c.readResponse()).as(net::log).isEqualTo("ready");
+                assertThat(c.readResponse()).as(net::log).isEqualTo(ROW_7);
                 c.close();
             }
-            net.logged("64 descriptors");
+            net.awaitLog("64 descriptors");
         }
     }
 
     @Test
     void anAnswerThatCameDuringAPauseCountsThoughItsAttemptTimedOutMeanwhile() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            TestClient c = net.client().ask(net.request("quick", 5000)); // an attempt is given up after some 600 ms
-            ReceivedQuery g = net.servers.get("p").next();
-            net.pauseWhileReading();
-            g.row(new byte[] {7});
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient c = net.connect().sendQuery(net.queryText("quick", 5000)); // an attempt is given up after some 600 ms
+            ReceivedQuery g = net.servers.get("p").nextQuery();
+            net.pauseLoopWhileReading();
+            g.sendRow(new byte[] {7});
             Thread.sleep(800); // the pause itself
-            net.goOn();
-            assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
+            net.resume();
+            assertThat(c.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void aMessageInPiecesIsRefusedBeforeAPlannedRestartEnds() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
-            net.started();
-            TestClient c = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            net.configurationEdit = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
+            net.start();
+            TestClient c = net.connect();
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            net.logged("planned restart: 1 connections");
+            net.awaitLog("planned restart: 1 connections");
             c.write(begun(200)); // its own time for being whole, 2.2 s, is later than the end
-            assertThat(c.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(c.readResponse()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
     void aWatchThatFallsSilentAtOnceIsGivenUpInTime() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started()) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000"); // never answered
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start()) {
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000"); // never answered
             long silent = System.nanoTime();
-            net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.logged("server r1 listed DRAINING");
+            net.discovery.firstWatchResponse = net.endpointList(2, false, "r1:DRAINING");
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(since(silent)).as(net::log).isLessThan(TOLD_WITHIN_MS);
         }
     }
 
     @Test
     void whatDiscoveryHasAtItsReturnIsHeardInTimeHoweverLongItWasAway() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started()) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            net.registry.mute = true;
-            net.logged("discovery lost: no answer");
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start()) {
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+            net.discovery.unresponsive = true;
+            net.awaitLog("discovery lost: no answer");
             for (int i = 0; i < 5; i++) { // so many further calls have failed
-                assertThat(net.registry.asked.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
+                assertThat(net.discovery.requestedUris.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isNotNull();
             }
-            net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.registry.mute = false;
+            net.discovery.firstWatchResponse = net.endpointList(2, false, "r1:DRAINING");
+            net.discovery.unresponsive = false;
             long back = System.nanoTime();
-            net.logged("server r1 listed DRAINING");
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(since(back))
                     .as(net::log)
                     .isLessThan(
@@ -274,20 +274,20 @@
 
     @Test
     void aServerThatTellsEverMoreOnAConnectionThatNobodyUsesLosesIt() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            TestClient c = net.client().ask(net.request("order"));
-            ReceivedQuery g = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient c = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery g = net.servers.get("p").nextQuery();
             Buffer notices = Buffer.buffer();
             for (int i = 0; i < 1100; i++) {
                 notices.appendByte((byte) 'N').appendInt(5).appendByte((byte) 0);
             }
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
             FakeDatabaseServer.write(g.socket(), notices, false);
             long began = System.nanoTime();
-            g.endedByGateway();
+            g.awaitClosedByGateway();
             assertThat(since(began)).isLessThan(5000); // not when it has been idle for long
-            net.logged("values and notices beside an answer");
+            net.awaitLog("values and notices beside an answer");
         }
     }
 
@@ -297,7 +297,7 @@
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
+            Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             gateway = new ProcessBuilder(
                             "sh",
                             "-c",
@@ -313,7 +313,7 @@
                             file.toString())
                     .redirectError(log.toFile())
                     .start();
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (!Files.readString(log).contains("SIGHUP is ignored by what started this program")) {
                 assertThat(System.nanoTime()).as(Files.readString(log)).isLessThan(end);
                 Thread.sleep(20);
--- a/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
+++ b/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
@@ -15,24 +15,24 @@
 
 /** A database server: answers health checks by itself and passes each request's query to the test. Each connection has its thread. */
 final class FakeDatabaseServer extends LoopbackServer {
-    final BlockingQueue<ReceivedQuery> got = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> connects = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> ran =
+    final BlockingQueue<ReceivedQuery> pendingQueries = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> acceptedConnections = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> receivedRequests =
             new LinkedBlockingQueue<>(); // the query of each request that was received completely
-    final AtomicInteger open = new AtomicInteger(); // connections on which a startup message was received
+    final AtomicInteger openConnections = new AtomicInteger(); // connections on which a startup message was received
     final boolean primary;
-    volatile boolean mute; // accepts connections, answers nothing
-    volatile boolean shut; // accepts connections, closes them at once
-    volatile boolean reads; // answers reads by itself
-    volatile boolean writes; // and writes
-    volatile byte[] value = {7}; // with this
-    volatile CountDownLatch holdsProbes = new CountDownLatch(0); // their answers wait for it
-    volatile CountDownLatch holdsGreetings = new CountDownLatch(0); // connections come up once it is down
-    volatile int probed;
-    volatile long forgetsMs; // resets a connection that was idle for so long, at its next query
-    volatile int forgotten;
+    volatile boolean unresponsive; // accepts connections, answers nothing
+    volatile boolean closesOnAccept; // accepts connections, closes them at once
+    volatile boolean answersReads; // answers reads by itself
+    volatile boolean answersWrites; // and writes
+    volatile byte[] rowValue = {7}; // with this
+    volatile CountDownLatch healthCheckGate = new CountDownLatch(0); // their answers wait for it
+    volatile CountDownLatch startupGate = new CountDownLatch(0); // connections come up once it is down
+    volatile int healthChecks;
+    volatile long idleResetAfterMs; // resets a connection that was idle for so long, at its next query
+    volatile int idleResets;
     volatile boolean dropsSilently; // where it forgets a connection, says nothing on it instead of a reset
-    volatile String vitals; // overrides its load report unless null
+    volatile String loadReportOverride; // overrides its load report unless null
 
     FakeDatabaseServer(boolean primary) throws IOException {
         this.primary = primary;
@@ -40,24 +40,24 @@
 
     @Override
     void serve(Socket s) throws IOException {
-        connects.add("one");
-        if (shut) {
+        acceptedConnections.add("one");
+        if (closesOnAccept) {
             s.close();
             return;
         }
         DataInputStream in = new DataInputStream(s.getInputStream());
         in.readFully(new byte[in.readInt() - 4]);
-        CountDownLatch ended = new CountDownLatch(1);
-        open.incrementAndGet();
+        CountDownLatch closed = new CountDownLatch(1);
+        openConnections.incrementAndGet();
         try {
-            awaits(holdsGreetings);
-            if (!mute) {
+            await(startupGate);
+            if (!unresponsive) {
                 write(s, Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0), true);
             }
             for (long last = System.nanoTime(); true; last = System.nanoTime()) {
                 in.readByte();
-                if (forgetsMs > 0 && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(forgetsMs)) {
-                    forgotten++;
+                if (idleResetAfterMs > 0 && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(idleResetAfterMs)) {
+                    idleResets++;
                     if (dropsSilently) {
                         in.transferTo(java.io.OutputStream.nullOutputStream());
                         return;
@@ -68,30 +68,30 @@
                 }
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
-                ReceivedQuery g = new ReceivedQuery(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), ended);
+                ReceivedQuery g = new ReceivedQuery(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), closed);
                 if (!g.text().startsWith("SHOW")) {
-                    ran.add(g.text());
+                    receivedRequests.add(g.text());
                 }
-                if (mute) {
+                if (unresponsive) {
                     continue;
                 }
                 if (g.text().startsWith("SHOW")) {
-                    probed++;
-                    awaits(holdsProbes);
-                    g.row(report().getBytes(UTF_8));
-                } else if (g.text().startsWith("SELECT") ? reads : writes) {
-                    g.row(value);
+                    healthChecks++;
+                    await(healthCheckGate);
+                    g.sendRow(loadReport().getBytes(UTF_8));
+                } else if (g.text().startsWith("SELECT") ? answersReads : answersWrites) {
+                    g.sendRow(rowValue);
                 } else {
-                    got.add(g);
+                    pendingQueries.add(g);
                 }
             }
         } finally {
-            ended.countDown();
-            open.decrementAndGet();
+            closed.countDown();
+            openConnections.decrementAndGet();
         }
     }
 
-    private static void awaits(CountDownLatch latch) throws IOException {
+    private static void await(CountDownLatch latch) throws IOException {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -99,15 +99,15 @@
         }
     }
 
-    String report() {
-        return vitals != null
-                ? vitals
+    String loadReport() {
+        return loadReportOverride != null
+                ? loadReportOverride
                 : "x0=" + System.currentTimeMillis() / 1000 + ",x1=" + (primary ? 1 : 0) + ",busy=0.1";
     }
 
     /** Waits for the next query of a request. */
-    ReceivedQuery next() throws InterruptedException {
-        ReceivedQuery g = got.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS);
+    ReceivedQuery nextQuery() throws InterruptedException {
+        ReceivedQuery g = pendingQueries.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
         assertThat(g).as("a query comes").isNotNull();
         return g;
     }
--- a/gateway/src/test/java/ploverdale/FakeDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FakeDiscovery.java
@@ -13,14 +13,14 @@
 
 /** Discovery: serves the complete endpoint list, and answers each watch when the test adds an update. */
 final class FakeDiscovery extends LoopbackServer {
-    final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> news = new LinkedBlockingQueue<>();
-    volatile String whole;
-    volatile boolean mute; // takes calls, answers none
-    volatile String changes; // answers each watch at once where it is there
+    final BlockingQueue<String> requestedUris = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
+    volatile String completeList;
+    volatile boolean unresponsive; // takes calls, answers none
+    volatile String firstWatchResponse; // answers each watch at once where it is there
 
-    FakeDiscovery(String whole) throws IOException {
-        this.whole = whole;
+    FakeDiscovery(String completeList) throws IOException {
+        this.completeList = completeList;
     }
 
     @Override
@@ -31,13 +31,13 @@
                 continue;
             }
             String uri = line.split(" ")[1];
-            asked.add(uri);
-            if (mute) {
+            requestedUris.add(uri);
+            if (unresponsive) {
                 continue;
             }
             String body;
             try {
-                body = !uri.contains("?") ? whole : changes != null && uri.contains("from=1&") ? changes : news.take();
+                body = !uri.contains("?") ? completeList : firstWatchResponse != null && uri.contains("from=1&") ? firstWatchResponse : updates.take();
             } catch (InterruptedException e) {
                 return;
             }
@@ -50,10 +50,10 @@
     }
 
     /** Waits for a call, and skips those before it. */
-    void asked(String uri) throws InterruptedException {
-        for (String a = ""; !a.equals(uri); ) {
-            a = asked.poll(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS);
-            assertThat(a).as("discovery is asked for %s", uri).isNotNull();
+    void awaitRequest(String uri) throws InterruptedException {
+        for (String requested = ""; !requested.equals(uri); ) {
+            requested = requestedUris.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
+            assertThat(requested).as("discovery is asked for %s", uri).isNotNull();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/FaultyDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FaultyDiscovery.java
@@ -28,11 +28,11 @@
     private volatile int revision;
 
     FaultyDiscovery(int revision, String list) throws IOException {
-        list(revision, list);
+        publish(revision, list);
     }
 
     /** What it knows from now on. */
-    void list(int newRevision, String newList) {
+    void publish(int newRevision, String newList) {
         list = newList;
         revision = newRevision;
     }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -35,14 +35,14 @@
 
     @Test
     void aRequestIsAnsweredInTimeThoughOtherClientsHoldAsMuchAsTheGatewayKeeps() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started(1024, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(1024, 30_000)) {
             for (int valueBytes :
                     new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
                 fill(net, valueBytes, valueBytes == 60_000 ? 145 : 20);
             }
-            TestClient client = net.client();
+            TestClient client = net.connect();
             long asked = System.nanoTime();
-            String answer = client.ask(net.request("quick", 1000)).answer();
+            String answer = client.sendQuery(net.queryText("quick", 1000)).readResponse();
             assertThat(answer).as(net::log).startsWith("53300");
             assertThat(sinceMs(asked)).as(net::log).isLessThan(1000 + ANSWER_SLACK_MS);
         }
@@ -51,7 +51,7 @@
     /** So many clients, each with a request that the server does not answer. */
     private static void fill(GatewayTestFixture net, int valueBytes, int clients) throws Exception {
         for (int i = 0; i < clients; i++) {
-            net.client().ask(net.request("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
+            net.connect().sendQuery(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
         }
     }
 
@@ -106,15 +106,15 @@
                         .listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
             });
-            int port = listening.get(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS).actualPort();
-            try (TestClient client = new TestClient(port).greeted()) {
+            int port = listening.get(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS).actualPort();
+            try (TestClient client = new TestClient(port).completeStartup()) {
                 long asked = System.nanoTime();
                 String query = "SELECT val FROM state WHERE uid = 'k' /* id=1,c=quick,t=north,d=400,cluster=1 */";
-                assertThat(client.ask(query).answer()).as(lines::toString).isEqualTo("58000 ready");
+                assertThat(client.sendQuery(query).readResponse()).as(lines::toString).isEqualTo("58000 ready");
                 assertThat(sinceMs(asked)).as(lines::toString).isBetween(400L, 400 + ANSWER_SLACK_MS);
             }
         } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS);
+            vertx.close().toCompletionStage().toCompletableFuture().get(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/GatewayTestFixture.java
+++ b/gateway/src/test/java/ploverdale/GatewayTestFixture.java
@@ -26,20 +26,20 @@
 
 /** A real gateway and, on loopback, stand-ins for its surroundings: database servers, discovery, clients; tests drive them. */
 final class GatewayTestFixture implements AutoCloseable {
-    static final long PATIENCE_S = 20; // long, for loaded machines; nothing waits so long when all is well
-    private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
-    private volatile String pausesAt;
-    private volatile CountDownLatch paused;
-    private volatile CountDownLatch goesOn;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    static final long TIMEOUT_S = 20; // long, for loaded machines; nothing waits so long when all is well
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
+    private volatile String pauseAtText;
+    private volatile CountDownLatch pauseReached;
+    private volatile CountDownLatch resumed;
+    private final List<AutoCloseable> openClients = new ArrayList<>();
     final Vertx vertx;
     final Map<String, FakeDatabaseServer> servers = new LinkedHashMap<>();
-    final FakeDiscovery registry;
+    final FakeDiscovery discovery;
     Gateway gateway;
-    UnaryOperator<String> settings = told -> told; // what a test changes of the configuration
+    UnaryOperator<String> configurationEdit = configuration -> configuration; // what a test changes of the configuration
     Clock clock = Clock.system(); // the gateway's
-    private int listen; // 0: at a free port
-    private int names;
+    private int listenPort; // 0: at a free port
+    private int queryCount;
 
     /** A gateway among servers, the first of them the primary; not yet started. */
     GatewayTestFixture(String... ids) throws IOException {
@@ -52,11 +52,11 @@
         for (String id : ids) {
             servers.put(id, new FakeDatabaseServer(id.startsWith("p")));
         }
-        registry = new FakeDiscovery(list(1, true, ids));
+        discovery = new FakeDiscovery(endpointList(1, true, ids));
     }
 
     /** The endpoint list in the format of discovery; an id may be followed by a colon and its phase. */
-    String list(int revision, boolean whole, String... ids) {
+    String endpointList(int revision, boolean complete, String... ids) {
         List<String> rows = new ArrayList<>();
         for (String id : ids) {
             String[] parts = id.split(":");
@@ -64,18 +64,18 @@
                     + servers.get(parts[0]).port() + "\",\"cell\":1,\"phase\":\""
                     + (parts.length > 1 ? parts[1] : "SERVING") + "\"}");
         }
-        return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":[" + String.join(",", rows)
+        return "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[" + String.join(",", rows)
                 + "]}";
     }
 
-    GatewayTestFixture started() throws Exception {
-        return started(256, 30_000);
+    GatewayTestFixture start() throws Exception {
+        return start(256, 30_000);
     }
 
     /** A configuration of the gateway, with discovery there. */
-    static String configuration(FakeDiscovery registry, int sockets, long idleMs) {
-        return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + registry.port()
-                + "\",\"seed\":\"7\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + registry.whole + ","
+    static String configuration(FakeDiscovery discovery, int sockets, long idleMs) {
+        return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.port()
+                + "\",\"seed\":\"7\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + discovery.completeList + ","
                 + "\"settings\":{\"balancers\":1,\"accounts\":[{\"name\":\"north\",\"quotaPerS\":1000}],\"profiles\":["
                 + "{\"name\":\"page\",\"aimMs\":10000,\"deadlineMs\":20000,\"effect\":\"repeatable\",\"worth\":1},"
                 + "{\"name\":\"quick\",\"aimMs\":600,\"deadlineMs\":1000,\"effect\":\"repeatable\",\"worth\":1},"
@@ -89,24 +89,24 @@
                 + "\"startCapacity\":0.3,\"coldMs\":10000,\"overloadFactor\":3,\"overloadForMs\":1000}}}";
     }
 
-    GatewayTestFixture started(int sockets, long idleMs) throws Exception {
-        gateway = starting(sockets, idleMs).get(PATIENCE_S, TimeUnit.SECONDS);
+    GatewayTestFixture start(int sockets, long idleMs) throws Exception {
+        gateway = startAsync(sockets, idleMs).get(TIMEOUT_S, TimeUnit.SECONDS);
         return this;
     }
 
-    private CompletableFuture<Gateway> starting(int sockets, long idleMs) throws IOException {
+    private CompletableFuture<Gateway> startAsync(int sockets, long idleMs) throws IOException {
         Path file = Files.createTempFile("gateway", ".json");
-        String told = configuration(registry, sockets, idleMs).replace("127.0.0.1:0", "127.0.0.1:" + listen);
-        ConfigurationFile read = ConfigurationFile.read(Files.writeString(file, settings.apply(told)));
+        String configuration = configuration(discovery, sockets, idleMs).replace("127.0.0.1:0", "127.0.0.1:" + listenPort);
+        ConfigurationFile configurationFile = ConfigurationFile.read(Files.writeString(file, configurationEdit.apply(configuration)));
         Files.delete(file);
-        PrintStream log = new PrintStream(lines, true) {
+        PrintStream log = new PrintStream(logOutput, true) {
             @Override
             public void println(String line) {
                 super.println(line);
-                pauseAt(line);
+                pauseIfLogged(line);
             }
         };
-        return Gateway.builder(vertx, new Log(log, clock), read)
+        return Gateway.builder(vertx, new Log(log, clock), configurationFile)
                 .clock(clock)
                 .start()
                 .toCompletionStage()
@@ -118,77 +118,77 @@
         void run() throws Exception;
     }
 
-    /** Pauses the gateway's event loop while it reads what a client wrote; {@link #goOn} ends that. */
-    void pauseWhileReading() throws Exception {
-        TestClient bad = client();
-        pauseWhileReading(() -> bad.ask(request("no such type")));
+    /** Pauses the gateway's event loop while it reads what a client wrote; {@link #resume} ends that. */
+    void pauseLoopWhileReading() throws Exception {
+        TestClient bad = connect();
+        pauseLoopWhileReading(() -> bad.sendQuery(queryText("no such type")));
     }
 
     /** The same; what is done has a client write something whose error is logged. */
-    void pauseWhileReading(ThrowingRunnable writes) throws Exception {
-        paused = new CountDownLatch(1);
-        goesOn = new CountDownLatch(1);
-        pausesAt = "bad input from a client"; // the log is written in the middle of reading
+    void pauseLoopWhileReading(ThrowingRunnable writes) throws Exception {
+        pauseReached = new CountDownLatch(1);
+        resumed = new CountDownLatch(1);
+        pauseAtText = "bad input from a client"; // the log is written in the middle of reading
         writes.run();
-        assertThat(paused.await(PATIENCE_S, TimeUnit.SECONDS)).as(this::log).isTrue();
+        assertThat(pauseReached.await(TIMEOUT_S, TimeUnit.SECONDS)).as(this::log).isTrue();
     }
 
     /**
-     * Pauses the event loop behind its reading, with timers due that it runs next; {@link #goOn} ends that.
+     * Pauses the event loop behind its reading, with timers due that it runs next; {@link #resume} ends that.
      *
      * @param first is done right before those timers
      */
-    void pauseBeforeTimers(Runnable first) throws Exception {
-        pauseWhileReading();
-        CountDownLatch reads = goesOn;
-        CountDownLatch pausedAgain = new CountDownLatch(1);
-        CountDownLatch goesOnAgain = new CountDownLatch(1);
+    void pauseLoopBeforeTimers(Runnable first) throws Exception {
+        pauseLoopWhileReading();
+        CountDownLatch reads = resumed;
+        CountDownLatch pauseReachedAgain = new CountDownLatch(1);
+        CountDownLatch resumedAgain = new CountDownLatch(1);
         gateway.runOnLoop(() -> {
-            pausedAgain.countDown();
-            await(goesOnAgain);
+            pauseReachedAgain.countDown();
+            await(resumedAgain);
         });
         first.run();
         Thread.sleep(50); // by now the timers that look for idle connections are due
-        goesOn = goesOnAgain;
+        resumed = resumedAgain;
         reads.countDown();
-        assertThat(pausedAgain.await(PATIENCE_S, TimeUnit.SECONDS))
+        assertThat(pauseReachedAgain.await(TIMEOUT_S, TimeUnit.SECONDS))
                 .as(this::log)
                 .isTrue();
     }
 
-    /** Pauses whoever logs a line with this, once; {@link #goOn} ends that. */
+    /** Pauses whoever logs a line with this, once; {@link #resume} ends that. */
     CountDownLatch pauseAtLog(String part) {
-        paused = new CountDownLatch(1);
-        goesOn = new CountDownLatch(1);
-        pausesAt = part;
-        return paused;
+        pauseReached = new CountDownLatch(1);
+        resumed = new CountDownLatch(1);
+        pauseAtText = part;
+        return pauseReached;
     }
 
-    void goOn() {
-        goesOn.countDown();
+    void resume() {
+        resumed.countDown();
     }
 
-    private void pauseAt(String line) {
-        if (pausesAt != null && line.contains(pausesAt)) {
-            pausesAt = null;
-            paused.countDown();
-            await(goesOn);
+    private void pauseIfLogged(String line) {
+        if (pauseAtText != null && line.contains(pauseAtText)) {
+            pauseAtText = null;
+            pauseReached.countDown();
+            await(resumed);
         }
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            latch.await(PATIENCE_S, TimeUnit.SECONDS);
+            latch.await(TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** Has the gateway read its configuration again, with so many descriptors. */
-    void renew(int sockets) {
+    void reloadConfiguration(int sockets) {
         try {
             Path file = Files.createTempFile("gateway", ".json");
-            Files.writeString(file, settings.apply(configuration(registry, sockets, 30_000)));
+            Files.writeString(file, configurationEdit.apply(configuration(discovery, sockets, 30_000)));
             gateway.reloadConfiguration(file);
             Files.delete(file);
         } catch (IOException e) {
@@ -197,21 +197,21 @@
     }
 
     /** A client whose greeting, with this right behind it, is answered before the gateway is ready. */
-    TestClient early(String text) throws Exception {
+    TestClient connectDuringStartup(String text) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
-            listen = free.getLocalPort();
+            listenPort = free.getLocalPort();
         }
-        CompletableFuture<Gateway> ready = starting(256, 30_000);
+        CompletableFuture<Gateway> ready = startAsync(256, 30_000);
         for (TestClient c = null; true; Thread.onSpinWait()) {
             try {
-                c = new TestClient(listen);
+                c = new TestClient(listenPort);
             } catch (java.net.ConnectException e) {
                 assertThat(ready).as(this::log).isNotDone();
                 continue;
             }
-            open.add(c);
+            openClients.add(c);
             c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(text)));
-            assertThat(c.answer()).isEqualTo("ready");
+            assertThat(c.readResponse()).isEqualTo("ready");
             assertThat(ready).as(this::log).isNotDone();
             ready.thenAccept(g -> gateway = g);
             return c;
@@ -219,11 +219,11 @@
     }
 
     /** Waits until the log contains this text. */
-    void logged(String part) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!lines.toString().contains(part)) {
+    void awaitLog(String part) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!logOutput.toString().contains(part)) {
             assertThat(System.nanoTime())
-                    .as("the log has \"%s\":\n%s", part, lines)
+                    .as("the log has \"%s\":\n%s", part, logOutput)
                     .isLessThan(end);
             Thread.onSpinWait();
         }
@@ -231,53 +231,53 @@
 
     /** What the log says, for a story that goes wrong. */
     String log() {
-        return lines.toString();
+        return logOutput.toString();
     }
 
     /** The text of a query; each call another op. */
-    String request(String type) {
-        return request(type, 15_000);
+    String queryText(String requestClass) {
+        return queryText(requestClass, 15_000);
     }
 
-    String request(String type, long waitMs) {
+    String queryText(String requestClass, long waitMs) {
         String comment =
-                " /* id=" + Integer.toHexString(++names) + ",c=" + type + ",t=north,d=" + waitMs + ",cluster=1 */";
-        return (type.equals("order")
+                " /* id=" + Integer.toHexString(++queryCount) + ",c=" + requestClass + ",t=north,d=" + waitMs + ",cluster=1 */";
+        return (requestClass.equals("order")
                         ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
                         : "SELECT val FROM state WHERE uid = 'k'")
                 + comment;
     }
 
     /** Reads as clients do, which come back when told that it does no harm, for instance before any probe is in. */
-    String read(TestClient c) throws IOException {
+    String readWithRetries(TestClient c) throws IOException {
         String answer = "53300";
         for (int i = 0; i < 100 && answer.startsWith("53300"); i++) {
-            answer = c.ask(request("page")).answer();
+            answer = c.sendQuery(queryText("page")).readResponse();
         }
         return answer;
     }
 
     /** From now on every server answers reads by itself, whichever the module picks. */
-    GatewayTestFixture readable() {
-        servers.values().forEach(s -> s.reads = true);
+    GatewayTestFixture answerReads() {
+        servers.values().forEach(s -> s.answersReads = true);
         return this;
     }
 
-    TestClient client() throws IOException {
+    TestClient connect() throws IOException {
         TestClient c = new TestClient(gateway.port());
-        open.add(c);
-        return c.greeted();
+        openClients.add(c);
+        return c.completeStartup();
     }
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable o : open) {
+        for (AutoCloseable o : openClients) {
             o.close();
         }
-        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         for (FakeDatabaseServer s : servers.values()) {
             s.close();
         }
-        registry.close();
+        discovery.close();
     }
 }
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -21,11 +21,11 @@
         Path file = directory.resolve("gateway.json");
         Path log = directory.resolve("gateway.log");
         Process gateway = null;
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable();
-                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
             CountDownLatch probes = new CountDownLatch(1);
-            net.servers.values().forEach(server -> server.holdsProbes = probes); // service begins once they have ended
-            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
+            net.servers.values().forEach(server -> server.healthCheckGate = probes); // service begins once they have ended
+            Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -37,7 +37,7 @@
                             file.toString())
                     .redirectError(log.toFile())
                     .start();
-            net.registry.asked("/registry/instances");
+            net.discovery.awaitRequest("/registry/instances");
             Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
             assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid()))
                             .start()
@@ -47,8 +47,8 @@
                     .as("ended: %s", Files.readString(log))
                     .isFalse();
             probes.countDown();
-            elsewhere.asked("/registry/instances");
-            elsewhere.asked("/registry/instances?from=5&hold_ms=2000");
+            elsewhere.awaitRequest("/registry/instances");
+            elsewhere.awaitRequest("/registry/instances?from=5&hold_ms=2000");
         } finally {
             if (gateway != null) {
                 gateway.destroyForcibly();
--- a/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -35,23 +35,23 @@
     }
 
     private static void serves(GatewayTestFixture net, ServingProcess gateway) throws Exception {
-        try (TestClient client = new TestClient(gateway.port()).greeted()) {
-            assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
+        try (TestClient client = new TestClient(gateway.port()).completeStartup()) {
+            assertThat(net.readWithRetries(client)).as(gateway.log()).isEqualTo("row 07 ready");
         }
     }
 
     @Test
     void aHangUpMovesDiscovery() throws Exception {
         deployed.launcher(Map.of());
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable();
-                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
-            configure(net.registry);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
+            configure(net.discovery);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "")) {
                 serves(net, gateway);
                 configure(elsewhere);
                 gateway.hangUp();
                 gateway.line("new configuration: discovery at 127.0.0.1:" + elsewhere.port());
-                elsewhere.asked("/registry/instances");
+                elsewhere.awaitRequest("/registry/instances");
                 gateway.line("server r1 listed GONE");
                 assertThat(gateway.log()).doesNotContain(WILL_NOT_BE_READ);
             }
@@ -65,8 +65,8 @@
         Files.setPosixFilePermissions(env, PosixFilePermissions.fromString("rwxr-xr-x"));
         Map<String, String> path = Map.of("PATH", tools + ":" + System.getenv("PATH"));
         deployed.launcher(path);
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
-            configure(net.registry);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            configure(net.discovery);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "", path)) {
                 serves(net, gateway);
                 gateway.line(WILL_NOT_BE_READ);
@@ -78,8 +78,8 @@
 
     @Test
     void withoutTheFileOfTheLauncherTheGatewayServes() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
-            configure(net.registry);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            configure(net.discovery);
             try (ServingProcess gateway = deployed.start(configuration, "", "")) {
                 serves(net, gateway);
             }
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -27,26 +27,26 @@
 
     private static void hang(GatewayTestFixture net, boolean newConnections) {
         for (FakeDatabaseServer server : net.servers.values()) {
-            server.reads = false;
-            server.writes = false;
-            server.holdsProbes = new CountDownLatch(1);
+            server.answersReads = false;
+            server.answersWrites = false;
+            server.healthCheckGate = new CountDownLatch(1);
             if (newConnections) {
-                server.holdsGreetings = new CountDownLatch(1);
+                server.startupGate = new CountDownLatch(1);
             }
         }
     }
 
     private static void resume(GatewayTestFixture net) {
         for (FakeDatabaseServer server : net.servers.values()) {
-            server.holdsProbes.countDown();
-            server.holdsGreetings.countDown();
+            server.healthCheckGate.countDown();
+            server.startupGate.countDown();
         }
     }
 
     private static void askAll(GatewayTestFixture net, List<TestClient> clients, int pipelined) throws Exception {
         for (int i = 0; i < clients.size(); i++) {
             for (int j = 0; j < pipelined; j++) {
-                clients.get(i).ask(net.request(CLASSES.get((i + j) % CLASSES.size()), 9000));
+                clients.get(i).sendQuery(net.queryText(CLASSES.get((i + j) % CLASSES.size()), 9000));
             }
         }
     }
@@ -54,12 +54,12 @@
     @ParameterizedTest
     @EnumSource(Hang.class)
     void eachRequestTakenIsAnsweredBeforeTheEnd(Hang hang) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started()) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+            net.servers.get("p").answersWrites = true;
             List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                clients.add(net.client());
-                assertThat(net.read(clients.get(i))).as(net::log).isEqualTo("row 07 ready");
+                clients.add(net.connect());
+                assertThat(net.readWithRetries(clients.get(i))).as(net::log).isEqualTo("row 07 ready");
             }
             if (hang != Hang.AFTER_SIGTERM) {
                 hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
@@ -68,15 +68,15 @@
             CountDownLatch ended = new CountDownLatch(1);
             long sigterm = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            net.logged("planned restart: 12 connections");
+            net.awaitLog("planned restart: 12 connections");
             hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
             askAll(net, clients, 3); // clients go on on open connections
             for (TestClient client : clients) {
                 for (int i = 0; i < 5; i++) {
-                    assertThat(client.answer()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
+                    assertThat(client.readResponse()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
                 }
             }
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
                     .as(net::log)
                     .isLessThan(LONGEST_COUNTED_MS + KILLED_AFTER_MS);
@@ -88,25 +88,25 @@
     @ParameterizedTest
     @ValueSource(longs = {100, 400, 1000})
     void withShortDeadlinesToo(long deadlineMs) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
-            net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            net.configurationEdit = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
                     .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
-            net.started();
-            TestClient client = net.client();
-            net.read(client);
+            net.start();
+            TestClient client = net.connect();
+            net.readWithRetries(client);
             hang(net, false);
             CountDownLatch ended = new CountDownLatch(1);
             long sigterm = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
-                answer = client.ask(net.request(CLASSES.get(answered % CLASSES.size()), deadlineMs))
-                        .answer();
+                answer = client.sendQuery(net.queryText(CLASSES.get(answered % CLASSES.size()), deadlineMs))
+                        .readResponse();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
                     .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -28,8 +28,8 @@
 
     private static void end(FakeDatabaseServer server, IdleEnd how) throws Exception {
         switch (how) {
-            case CLOSED -> server.endConnections(false);
-            case RESET -> server.endConnections(true);
+            case CLOSED -> server.closeConnections(false);
+            case RESET -> server.closeConnections(true);
             case SILENT -> server.dropsSilently = true;
             default -> {}
         }
@@ -37,7 +37,7 @@
 
     private static void forgetIdle(FakeDatabaseServer server, IdleEnd how) {
         server.dropsSilently = how == IdleEnd.SILENT;
-        server.forgetsMs = how == IdleEnd.CLOSED || how == IdleEnd.RESET ? 0 : FORGOTTEN_AFTER_MS;
+        server.idleResetAfterMs = how == IdleEnd.CLOSED || how == IdleEnd.RESET ? 0 : FORGOTTEN_AFTER_MS;
     }
 
     private static void quietTime(GatewayTestFixture net, IdleEnd how) throws Exception {
@@ -52,42 +52,42 @@
 
     private static void warmUp(GatewayTestFixture net, TestClient client) throws Exception {
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
-            assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
-            assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     /** Leaves this many connections to the primary idle, by as many writes at once. */
     private static List<TestClient> idleConnections(GatewayTestFixture net, int many) throws Exception {
         FakeDatabaseServer primary = net.servers.get("p");
-        primary.writes = false;
+        primary.answersWrites = false;
         List<TestClient> clients = new ArrayList<>();
         List<ReceivedQuery> out = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            clients.add(net.client().ask(net.request("order")));
-            out.add(primary.next());
+            clients.add(net.connect().sendQuery(net.queryText("order")));
+            out.add(primary.nextQuery());
         }
         for (int i = 0; i < many; i++) {
-            out.get(i).row(new byte[] {7});
+            out.get(i).sendRow(new byte[] {7});
         }
         for (TestClient client : clients) {
-            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
-        primary.writes = true;
+        primary.answersWrites = true;
         return clients;
     }
 
     @ParameterizedTest
     @EnumSource(IdleEnd.class)
     void theFirstReadAfterAQuietTimeIsServedInTime(IdleEnd how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable().started()) {
-            net.servers.get("p").writes = true;
-            TestClient client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads().start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient client = net.connect();
             warmUp(net, client);
             for (int round = 0; round < 3; round++) {
                 quietTime(net, how);
                 long asked = System.nanoTime();
-                assertThat(client.ask(net.request("quick", 900)).answer())
+                assertThat(client.sendQuery(net.queryText("quick", 900)).readResponse())
                         .as("round %d:\n%s", round, net.log())
                         .isEqualTo(ROW_7);
                 assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked))
@@ -100,19 +100,19 @@
     @ParameterizedTest
     @EnumSource(IdleEnd.class)
     void theFirstNonIdempotentWritesAfterAQuietTimeAreServedAndRunOnce(IdleEnd how) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").readable().started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").answerReads().start()) {
             FakeDatabaseServer primary = net.servers.get("p");
-            primary.writes = true;
-            warmUp(net, net.client());
+            primary.answersWrites = true;
+            warmUp(net, net.connect());
             List<TestClient> clients = idleConnections(net, 3);
-            primary.writes = false;
-            try (AnsweringServer answers = new AnsweringServer(primary, query -> query.row(new byte[] {7}))) {
+            primary.answersWrites = false;
+            try (AnsweringServer answers = new AnsweringServer(primary, query -> query.sendRow(new byte[] {7}))) {
                 quietTime(net, how);
                 for (TestClient client : clients) {
-                    client.ask(net.request("order", 4000));
+                    client.sendQuery(net.queryText("order", 4000));
                 }
                 for (TestClient client : clients) {
-                    assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+                    assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
                 }
                 assertThat(answers.queries).doesNotHaveDuplicates().hasSize(clients.size());
             }
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -16,9 +16,9 @@
     private static final long ANSWERS_BY_MS = 500;
 
     private static GatewayTestFixture shortDeadlines(GatewayTestFixture net) throws Exception {
-        net.settings = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":300")
+        net.configurationEdit = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":300")
                 .replace("\"deadlineMs\":1000", "\"deadlineMs\":300");
-        return net.started();
+        return net.start();
     }
 
     /** Begins a graceful shutdown whose signal came so long ago, and waits for its end. */
@@ -26,30 +26,30 @@
         CountDownLatch ended = new CountDownLatch(1);
         long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(signalledMsAgo);
         net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
-        assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).as(net::log).isTrue();
     }
 
     @Test
     void whatComesOnAnOpenConnectionBehindTheEndIsLeftUnread() throws Exception {
         try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
-            net.servers.get("p").writes = true;
-            TestClient client = net.client();
+            net.servers.get("p").answersWrites = true;
+            TestClient client = net.connect();
             ends(net, KILLED_AFTER_MS); // so late that idle connections have not been ended
-            client.ask(net.request("order", 300));
+            client.sendQuery(net.queryText("order", 300));
             Thread.sleep(300); // in which it would be answered
-            assertThat(client.hasAnswer()).as(net::log).isFalse();
+            assertThat(client.hasUnreadBytes()).as(net::log).isFalse();
         }
     }
 
     @Test
     void whatComesOnANewConnectionBehindTheEndIsLeftUnread() throws Exception {
         try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
-            net.servers.get("p").writes = true;
+            net.servers.get("p").answersWrites = true;
             ends(net, 0);
             try (TestClient late = new TestClient(net.gateway.port())) {
-                late.write(MessageWriter.startup()).ask(net.request("order", 300));
+                late.write(MessageWriter.startup()).sendQuery(net.queryText("order", 300));
                 Thread.sleep(300); // in which it would be answered
-                assertThat(late.hasAnswer()).as(net::log).isFalse();
+                assertThat(late.hasUnreadBytes()).as(net::log).isFalse();
             }
         }
     }
@@ -57,18 +57,18 @@
     @Test
     void whatIsReadInTheLastTurnIsAnswered() throws Exception {
         try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
-            net.servers.get("p").writes = true;
-            TestClient client = net.client();
+            net.servers.get("p").answersWrites = true;
+            TestClient client = net.connect();
             CountDownLatch ended = new CountDownLatch(1);
             long signalNanos = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
-            net.logged("planned restart");
-            net.pauseWhileReading();
-            client.ask(net.request("order", 300));
+            net.awaitLog("planned restart");
+            net.pauseLoopWhileReading();
+            client.sendQuery(net.queryText("order", 300));
             Thread.sleep(KILLED_AFTER_MS - 140 - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos));
-            net.goOn(); // it reads the request, and then comes the look that is due, when nothing more is to be read
-            assertThat(client.answer()).as(net::log).endsWith("ready");
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            net.resume(); // it reads the request, and then comes the look that is due, when nothing more is to be read
+            assertThat(client.readResponse()).as(net::log).endsWith("ready");
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(net.log()).contains(" 0 ops unanswered");
         }
     }
@@ -76,18 +76,18 @@
     @Test
     void aRequestThatBeginsBehindTheDeadlineOfAnswersAndNeverEndsIsRefused() throws Exception {
         try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
-            TestClient half = net.client();
+            TestClient half = net.connect();
             CountDownLatch ended = new CountDownLatch(1);
             CountDownLatch endsIdle = net.pauseAtLog("planned restart: idle connections end");
             long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ANSWERS_BY_MS + 100);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(signalNanos, ended));
-            assertThat(endsIdle.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
+            assertThat(endsIdle.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
             half.write(halfARequest()); // is read right before its connection would end as idle
-            net.goOn();
-            assertThat(half.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            net.resume();
+            assertThat(half.readResponse()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
@@ -98,7 +98,7 @@
     @Test
     void theTimesOfAShutdownCountFromItsSignalThoughTheLoopCameToItLate() throws Exception {
         try (GatewayTestFixture net = shortDeadlines(new GatewayTestFixture("p"))) {
-            net.client();
+            net.connect();
             ends(net, 650);
             String end = net.log().replaceAll("(?s).*ends after (\\d+) ms.*", "$1");
             assertThat(Integer.parseInt(end)).as(net::log).isGreaterThanOrEqualTo(650);
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -66,19 +66,19 @@
     }
 
     private static void moveDiscovery(GatewayTestFixture net, LengthlessDiscovery to) {
-        net.settings = told -> told.replace(
-                "\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + to.port());
-        net.renew(256);
+        net.configurationEdit = told -> told.replace(
+                "\"discovery\":\"127.0.0.1:" + net.discovery.port(), "\"discovery\":\"127.0.0.1:" + to.port());
+        net.reloadConfiguration(256);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"1.0", "1.1"})
     void aListWithoutALengthThatEndsInOrderIsInForce(String version) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
-                LengthlessDiscovery discovery = new LengthlessDiscovery(version, net.list(5, true, "p"), false)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
+                LengthlessDiscovery discovery = new LengthlessDiscovery(version, net.endpointList(5, true, "p"), false)) {
             long moved = System.nanoTime();
             moveDiscovery(net, discovery);
-            net.logged("server r1 listed GONE");
+            net.awaitLog("server r1 listed GONE");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - moved))
                     .as(net::log)
                     .isLessThan(TOLD_WITHIN_MS);
@@ -88,10 +88,10 @@
 
     @Test
     void aListWithoutALengthThatEndsByAResetChangesNothingAndIsAskedForAgain() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
-                LengthlessDiscovery discovery = new LengthlessDiscovery("1.1", net.list(5, true, "p"), true)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
+                LengthlessDiscovery discovery = new LengthlessDiscovery("1.1", net.endpointList(5, true, "p"), true)) {
             moveDiscovery(net, discovery);
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (discovery.calls.get() < 4) {
                 assertThat(System.nanoTime()).as(net::log).isLessThan(end);
                 Thread.sleep(20);
@@ -103,15 +103,15 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRowWithItsCommandCompleteIsForwardedThoughReadyForQueryNeverComes(boolean resets) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            TestClient client = net.client().ask(net.request("order"));
-            ReceivedQuery query = net.servers.get("p").next();
-            Buffer answer = query.answer(new byte[] {7});
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery query = net.servers.get("p").nextQuery();
+            Buffer answer = query.resultMessages(new byte[] {7});
             FakeDatabaseServer.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
             Thread.sleep(100); // so that the answer and the end are read one by one
             query.socket().setSoLinger(resets, 0);
             query.socket().close();
-            assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("row 07 ready");
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/LoopbackServer.java
+++ b/gateway/src/test/java/ploverdale/LoopbackServer.java
@@ -23,7 +23,7 @@
                         try {
                             serve(s);
                         } catch (IOException e) {
-                            ended(s);
+                            connectionFailed(s);
                         }
                     });
                     own.setDaemon(true);
@@ -39,7 +39,7 @@
 
     abstract void serve(Socket s) throws IOException;
 
-    void ended(Socket s) {}
+    void connectionFailed(Socket s) {}
 
     int port() {
         return listener.getLocalPort();
@@ -47,11 +47,11 @@
 
     /** Closes the connections that there are; new ones may come. */
     void closeConnections() throws IOException {
-        endConnections(false);
+        closeConnections(false);
     }
 
     /** Ends every connection accepted so far, by a reset or in order. */
-    void endConnections(boolean reset) throws IOException {
+    void closeConnections(boolean reset) throws IOException {
         for (Socket s : List.copyOf(sockets)) {
             if (reset && !s.isClosed()) {
                 s.setSoLinger(true, 0);
--- a/gateway/src/test/java/ploverdale/OutdatedAgentTest.java
+++ b/gateway/src/test/java/ploverdale/OutdatedAgentTest.java
@@ -12,10 +12,10 @@
     private static final int READS = 200;
 
     private static void moveDiscovery(GatewayTestFixture net, FaultyDiscovery to) throws InterruptedException {
-        net.settings = told -> told.replace(
-                "\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + to.port());
-        net.renew(256);
-        long end = System.nanoTime() + GatewayTestFixture.PATIENCE_S * 1_000_000_000L;
+        net.configurationEdit = told -> told.replace(
+                "\"discovery\":\"127.0.0.1:" + net.discovery.port(), "\"discovery\":\"127.0.0.1:" + to.port());
+        net.reloadConfiguration(256);
+        long end = System.nanoTime() + GatewayTestFixture.TIMEOUT_S * 1_000_000_000L;
         while (to.calls.get() < 2) { // its list has been read, since the watch behind it is open
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
             Thread.sleep(5);
@@ -23,24 +23,24 @@
     }
 
     private static int readsServedByR1(GatewayTestFixture net) throws Exception {
-        TestClient client = net.client();
+        TestClient client = net.connect();
         FakeDatabaseServer r1 = net.servers.get("r1");
-        r1.ran.clear();
+        r1.receivedRequests.clear();
         for (int i = 0; i < READS; i++) {
-            assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
         }
-        return r1.ran.size();
+        return r1.receivedRequests.size();
     }
 
     private static void drain(GatewayTestFixture net) {
-        net.registry.news.add(net.list(5, false, "r1:DRAINING"));
-        net.logged("server r1 listed DRAINING");
+        net.discovery.updates.add(net.endpointList(5, false, "r1:DRAINING"));
+        net.awaitLog("server r1 listed DRAINING");
     }
 
     @Test
     void anOlderListDoesNotUndoADrain() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
-                FaultyDiscovery behind = new FaultyDiscovery(3, net.list(3, true, "p", "r1", "r2"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+                FaultyDiscovery behind = new FaultyDiscovery(3, net.endpointList(3, true, "p", "r1", "r2"))) {
             drain(net);
             moveDiscovery(net, behind);
             assertThat(readsServedByR1(net)).as(net::log).isZero();
@@ -49,11 +49,11 @@
 
     @Test
     void anOlderListDoesNotBringBackAServerThatDrainedAndWasRemoved() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
-                FaultyDiscovery behind = new FaultyDiscovery(3, net.list(3, true, "p", "r1", "r2"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+                FaultyDiscovery behind = new FaultyDiscovery(3, net.endpointList(3, true, "p", "r1", "r2"))) {
             drain(net);
-            net.registry.news.add(net.list(6, false, "r1:DELETED"));
-            net.logged("server r1 listed GONE");
+            net.discovery.updates.add(net.endpointList(6, false, "r1:DELETED"));
+            net.awaitLog("server r1 listed GONE");
             moveDiscovery(net, behind);
             assertThat(readsServedByR1(net)).as(net::log).isZero();
         }
@@ -62,14 +62,14 @@
     @Test
     void anOlderListDoesNotBringBackARemovedServerWhoseStartLiesAheadOfTheClock() throws Exception {
         String started = "\"cell\":1,\"up_since_ms\":" + (System.currentTimeMillis() + 60_000) + ",";
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
                 FaultyDiscovery behind = new FaultyDiscovery(
-                        3, net.list(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
-            net.registry.whole = net.registry.whole.replace("\"cell\":1,", started);
-            net.started();
-            net.registry.news.add(net.list(5, false, "r1:DRAINING").replace("\"cell\":1,", started));
-            net.registry.news.add(net.list(6, false, "r1:DELETED").replace("\"cell\":1,", started));
-            net.logged("server r1 listed GONE");
+                        3, net.endpointList(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
+            net.discovery.completeList = net.discovery.completeList.replace("\"cell\":1,", started);
+            net.start();
+            net.discovery.updates.add(net.endpointList(5, false, "r1:DRAINING").replace("\"cell\":1,", started));
+            net.discovery.updates.add(net.endpointList(6, false, "r1:DELETED").replace("\"cell\":1,", started));
+            net.awaitLog("server r1 listed GONE");
             moveDiscovery(net, behind);
             assertThat(readsServedByR1(net)).as(net::log).isZero();
             assertThat(net.log()).doesNotContain("server r1 listed IN");
@@ -78,27 +78,27 @@
 
     @Test
     void aDrainInAnUpdateOfALowerRevisionIsInForceThoughNoCompleteListFollows() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started()) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            net.registry.mute = true; // but for the watch that is open
-            net.registry.news.add(net.list(0, false, "r1:DRAINING"));
-            net.logged("discovery went back from revision 1 to 0");
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+            net.discovery.unresponsive = true; // but for the watch that is open
+            net.discovery.updates.add(net.endpointList(0, false, "r1:DRAINING"));
+            net.awaitLog("discovery went back from revision 1 to 0");
             assertThat(readsServedByR1(net)).as(net::log).isZero();
         }
     }
 
     @Test
     void aDrainThatTheFormerAgentWritesWhileTheNewOneIsSilentIsInForce() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
-                FaultyDiscovery silent = new FaultyDiscovery(3, net.list(3, true, "p", "r1", "r2"))) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+                FaultyDiscovery silent = new FaultyDiscovery(3, net.endpointList(3, true, "p", "r1", "r2"))) {
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
             silent.state = FaultyDiscovery.State.SILENT;
-            net.settings = told -> told.replace(
-                    "\"discovery\":\"127.0.0.1:" + net.registry.port(), "\"discovery\":\"127.0.0.1:" + silent.port());
-            net.renew(256);
-            net.logged("new configuration: ");
-            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
-            net.logged("server r1 listed DRAINING");
+            net.configurationEdit = told -> told.replace(
+                    "\"discovery\":\"127.0.0.1:" + net.discovery.port(), "\"discovery\":\"127.0.0.1:" + silent.port());
+            net.reloadConfiguration(256);
+            net.awaitLog("new configuration: ");
+            net.discovery.updates.add(net.endpointList(2, false, "r1:DRAINING"));
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(readsServedByR1(net)).as(net::log).isZero();
         }
     }
@@ -106,19 +106,19 @@
     @Test
     void aLaterStartInAnOlderListEndsADrain() throws Exception {
         String started = "\"cell\":1,\"up_since_ms\":" + System.currentTimeMillis() + ",";
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery behind = new FaultyDiscovery(
-                        3, net.list(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
+                        3, net.endpointList(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
             drain(net);
             moveDiscovery(net, behind);
-            net.logged("server r1 listed IN");
+            net.awaitLog("server r1 listed IN");
         }
     }
 
     @Test
     void aNewerListEndsADrain() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
-                FaultyDiscovery ahead = new FaultyDiscovery(6, net.list(6, true, "p", "r1", "r2"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+                FaultyDiscovery ahead = new FaultyDiscovery(6, net.endpointList(6, true, "p", "r1", "r2"))) {
             drain(net);
             moveDiscovery(net, ahead);
             assertThat(readsServedByR1(net)).as(net::log).isPositive();
@@ -127,8 +127,8 @@
 
     @Test
     void aDrainToldByAnAgentThatIsBehindIsInForce() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable().started();
-                FaultyDiscovery behind = new FaultyDiscovery(0, net.list(0, true, "p", "r1:DRAINING", "r2"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+                FaultyDiscovery behind = new FaultyDiscovery(0, net.endpointList(0, true, "p", "r1:DRAINING", "r2"))) {
             moveDiscovery(net, behind);
             assertThat(readsServedByR1(net)).as(net::log).isZero();
         }
--- a/gateway/src/test/java/ploverdale/ReceivedQuery.java
+++ b/gateway/src/test/java/ploverdale/ReceivedQuery.java
@@ -12,41 +12,41 @@
 import ploverdale.net.postgres.ServerMessage;
 
 /** A query that a database server received, and the answers that a test may give to it. */
-record ReceivedQuery(FakeDatabaseServer at, Socket socket, String text, CountDownLatch ended) {
-    void row(byte[] value) throws IOException {
-        row(value, Buffer.buffer());
+record ReceivedQuery(FakeDatabaseServer server, Socket socket, String text, CountDownLatch closed) {
+    void sendRow(byte[] value) throws IOException {
+        sendRow(value, Buffer.buffer());
     }
 
     /** An answer with more right behind it. */
-    void row(byte[] value, Buffer behind) throws IOException {
-        FakeDatabaseServer.write(socket, answer(value).appendBuffer(behind), false);
+    void sendRow(byte[] value, Buffer trailingBytes) throws IOException {
+        FakeDatabaseServer.write(socket, resultMessages(value).appendBuffer(trailingBytes), false);
     }
 
-    Buffer answer(byte[] value) {
+    Buffer resultMessages(byte[] value) {
         Buffer b = Buffer.buffer();
-        MessageWriter.parameterStatus(b, "rank", at.primary ? "source" : "copy");
-        if (at.vitals == null) {
+        MessageWriter.parameterStatus(b, "rank", server.primary ? "source" : "copy");
+        if (server.loadReportOverride == null) {
             MessageWriter.parameterStatus(b, "as_of", Long.toString(System.currentTimeMillis()));
         }
-        MessageWriter.parameterStatus(b, "vitals", at.report());
+        MessageWriter.parameterStatus(b, "vitals", server.loadReport());
         return b.appendBuffer(MessageWriter.resultRow(new ResultRow(
                 new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
                 value,
                 "SELECT 1")));
     }
 
-    void problem(String code) throws IOException {
+    void sendError(String code) throws IOException {
         FakeDatabaseServer.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
     }
 
-    void reset() throws IOException {
+    void resetConnection() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
     /** Waits until the gateway has ended the connection. */
-    void endedByGateway() throws InterruptedException {
-        assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
+    void awaitClosedByGateway() throws InterruptedException {
+        assertThat(closed.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                 .as("the connection ends")
                 .isTrue();
     }
--- a/gateway/src/test/java/ploverdale/RetryFailureTest.java
+++ b/gateway/src/test/java/ploverdale/RetryFailureTest.java
@@ -37,9 +37,9 @@
 
         private void reply(ReceivedQuery query) throws java.io.IOException {
             if (code == null) {
-                query.reset();
+                query.resetConnection();
             } else {
-                query.problem(code);
+                query.sendError(code);
             }
         }
     }
@@ -55,15 +55,15 @@
     @ParameterizedTest
     @EnumSource(Failure.class)
     void eachRequestIsAnsweredInTimeWithinItsAttemptsAndAWriteRunsOnce(Failure failure) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").start()) {
             List<AnsweringServer> servers = failing(net, failure);
-            TestClient client = net.client();
+            TestClient client = net.connect();
             for (int i = 1; i <= REQUESTS; i++) {
                 boolean write = i % 2 == 0;
                 long asked = System.nanoTime();
                 long timeMs = write ? WRITE_TIME_MS : READ_TIME_MS;
-                String answer = client.ask(net.request(write ? "order" : "quick", timeMs))
-                        .answer();
+                String answer = client.sendQuery(net.queryText(write ? "order" : "quick", timeMs))
+                        .readResponse();
                 assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked))
                         .as(net::log)
                         .isLessThan(timeMs + ANSWER_SLACK_MS);
@@ -86,22 +86,22 @@
     @ParameterizedTest
     @EnumSource(Failure.class)
     void serversThatHaveRecoveredServeAgainSoon(Failure failure) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").start()) {
             List<AnsweringServer> servers = failing(net, failure);
-            TestClient client = net.client();
+            TestClient client = net.connect();
             for (int i = 0; i < REQUESTS; i++) {
-                client.ask(i % 2 == 0 ? net.request("order", WRITE_TIME_MS) : net.request("quick", READ_TIME_MS))
-                        .answer();
+                client.sendQuery(i % 2 == 0 ? net.queryText("order", WRITE_TIME_MS) : net.queryText("quick", READ_TIME_MS))
+                        .readResponse();
             }
             servers.forEach(AnsweringServer::close);
-            net.servers.values().forEach(s -> s.writes = true);
-            net.readable();
+            net.servers.values().forEach(s -> s.answersWrites = true);
+            net.answerReads();
             long recovered = System.nanoTime();
             for (String type : List.of("order", "quick")) {
                 String answer = "";
                 while (!answer.equals(ROW_7)) {
-                    answer = client.ask(net.request(type, type.equals("order") ? WRITE_TIME_MS : READ_TIME_MS))
-                            .answer();
+                    answer = client.sendQuery(net.queryText(type, type.equals("order") ? WRITE_TIME_MS : READ_TIME_MS))
+                            .readResponse();
                     assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - recovered))
                             .as(net::log)
                             .isLessThan(RECOVERS_WITHIN_MS);
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -20,9 +20,9 @@
     /** A request that a client sends now. */
     private record Sent(TestClient client, long atNanos, long deadlineMs) {
         static Sent by(TestClient client, GatewayTestFixture net, String type, long deadlineMs) throws Exception {
-            String query = net.request(type, deadlineMs);
+            String query = net.queryText(type, deadlineMs);
             long now = System.nanoTime();
-            client.ask(query);
+            client.sendQuery(query);
             return new Sent(client, now, deadlineMs);
         }
 
@@ -34,7 +34,7 @@
 
     /** The next query at the server, with a deadline that its client can still wait for. */
     private static ReceivedQuery arrivesInTime(GatewayTestFixture net, FakeDatabaseServer server, Sent sent) throws Exception {
-        ReceivedQuery query = server.next();
+        ReceivedQuery query = server.nextQuery();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
         assertThat(passedMs)
@@ -58,19 +58,19 @@
 
     @Test
     void ofAFirstAttempt() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             for (long deadlineMs : new long[] {100, 300, DEADLINE_MS}) {
-                Sent sent = Sent.by(net.client(), net, "quick", deadlineMs);
-                arrivesInTime(net, net.servers.get("p"), sent).row(new byte[] {7});
-                sent.client.answer();
+                Sent sent = Sent.by(net.connect(), net, "quick", deadlineMs);
+                arrivesInTime(net, net.servers.get("p"), sent).sendRow(new byte[] {7});
+                sent.client.readResponse();
             }
         }
     }
 
     @Test
     void ofARequestThatWasReadLate() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            TestClient client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect();
             CountDownLatch goesOn = new CountDownLatch(1);
             holdLoop(net, goesOn);
             Sent sent = Sent.by(client, net, "order", DEADLINE_MS);
@@ -82,12 +82,12 @@
 
     @Test
     void ofARetryBehindAnError() throws Exception {
-        retry(first -> first.problem("XX000"));
+        retry(first -> first.sendError("XX000"));
     }
 
     @Test
     void ofARetryBehindABrokenConnection() throws Exception {
-        retry(ReceivedQuery::reset);
+        retry(ReceivedQuery::resetConnection);
     }
 
     /** How a first attempt fails. */
@@ -97,10 +97,10 @@
 
     private static void retry(Failure failure) throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p", "r1")) {
-            net.settings =
+            net.configurationEdit =
                     told -> told.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
-            net.started();
-            Sent sent = Sent.by(net.client(), net, "quick", DEADLINE_MS);
+            net.start();
+            Sent sent = Sent.by(net.connect(), net, "quick", DEADLINE_MS);
             ReceivedQuery first = arrivesInTime(net, firstAsked(net), sent);
             Thread.sleep(HELD_MS); // in which the server worked in vain
             failure.of(first);
@@ -109,10 +109,10 @@
     }
 
     private static FakeDatabaseServer firstAsked(GatewayTestFixture net) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
             for (FakeDatabaseServer server : net.servers.values()) {
-                if (!server.got.isEmpty()) {
+                if (!server.pendingQueries.isEmpty()) {
                     return server;
                 }
             }
@@ -123,14 +123,14 @@
 
     @Test
     void ofAnAttemptThatWaitedForItsConnection() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             FakeDatabaseServer server = net.servers.get("p");
-            net.client().ask(net.request("order"));
-            server.next(); // has the connection that the health check opened
-            server.holdsGreetings = new CountDownLatch(1);
-            Sent sent = Sent.by(net.client(), net, "order", DEADLINE_MS);
+            net.connect().sendQuery(net.queryText("order"));
+            server.nextQuery(); // has the connection that the health check opened
+            server.startupGate = new CountDownLatch(1);
+            Sent sent = Sent.by(net.connect(), net, "order", DEADLINE_MS);
             Thread.sleep(HELD_MS); // while the connection does not come up
-            server.holdsGreetings.countDown();
+            server.startupGate.countDown();
             arrivesInTime(net, server, sent);
         }
     }
@@ -141,17 +141,17 @@
      */
     private static Sent pausedBetweenDecidingAndWriting(GatewayTestFixture net, long deadlineMs, long heldMs) throws Exception {
         FakeDatabaseServer server = net.servers.get("p");
-        server.holdsProbes = new CountDownLatch(1);
-        net.settings = told -> told.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
+        server.healthCheckGate = new CountDownLatch(1);
+        net.configurationEdit = told -> told.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
                 .replace("\"aimMs\":10000", "\"aimMs\":400");
-        net.started(); // without an answer from anyone
-        TestClient client = net.client();
+        net.start(); // without an answer from anyone
+        TestClient client = net.connect();
         CountDownLatch paused = net.pauseAtLog("server p returns");
         Sent sent = Sent.by(client, net, "order", deadlineMs);
-        server.holdsProbes.countDown();
-        assertThat(paused.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        server.healthCheckGate.countDown();
+        assertThat(paused.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).as(net::log).isTrue();
         Thread.sleep(heldMs);
-        net.goOn();
+        net.resume();
         return sent;
     }
 
@@ -167,8 +167,8 @@
     void anAttemptWhoseClientHasNoTimeLeftIsNotWritten() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             Sent sent = pausedBetweenDecidingAndWriting(net, 1000, 1100);
-            assertThat(sent.client.answer()).as(net::log).startsWith("53300");
-            assertThat(net.servers.get("p").got).isEmpty();
+            assertThat(sent.client.readResponse()).as(net::log).startsWith("53300");
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/ServingProcess.java
+++ b/gateway/src/test/java/ploverdale/ServingProcess.java
@@ -67,7 +67,7 @@
 
     /** Waits for a line of the log with this. */
     String line(String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
             for (String line : Files.readAllLines(log)) {
                 if (line.contains(part)) {
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -21,34 +21,34 @@
     private static void answerUnlessShort(ReceivedQuery query) throws IOException {
         boolean isShort = query.text().matches("(?s).*,d=(\\d|1\\d|20),.*");
         if (!isShort) {
-            query.row(new byte[] {7});
+            query.sendRow(new byte[] {7});
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"quick", "page", "order"})
     void eachIsAnsweredInTimeAndAServerThatAnswersOthersIsNotEjected(String requestClass) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
                 AnsweringServer primary =
                         new AnsweringServer(net.servers.get("p"), ShortDeadlineTest::answerUnlessShort);
                 AnsweringServer replica =
                         new AnsweringServer(net.servers.get("r1"), ShortDeadlineTest::answerUnlessShort)) {
-            TestClient client = net.client();
-            TestClient other = net.client();
+            TestClient client = net.connect();
+            TestClient other = net.connect();
             for (int i = 0; i < LEARNING_REQUESTS; i++) {
-                assertThat(other.ask(net.request(requestClass, OTHERS_MS)).answer())
+                assertThat(other.sendQuery(net.queryText(requestClass, OTHERS_MS)).readResponse())
                         .as(net::log)
                         .isEqualTo(ROW_7);
             }
             for (int i = 0; i < REQUESTS; i++) {
                 long asked = System.nanoTime();
-                String answer = client.ask(net.request(requestClass, LEFT_MS)).answer();
+                String answer = client.sendQuery(net.queryText(requestClass, LEFT_MS)).readResponse();
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
                 assertThat(answer).as(net::log).matches("(53300|58000).* ready");
                 assertThat(tookMs).as(net::log).isLessThan(LEFT_MS + ANSWER_SLACK_MS);
-                String text = net.request(requestClass, OTHERS_MS);
+                String text = net.queryText(requestClass, OTHERS_MS);
                 String id = text.replaceAll(".*id=(\\w+),.*", "$1");
-                assertThat(other.ask(text).answer())
+                assertThat(other.sendQuery(text).readResponse())
                         .as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id), replica.attempts(id), net.log())
                         .isEqualTo(ROW_7);
             }
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -33,7 +33,7 @@
     Path directory;
 
     private Path configuration(GatewayTestFixture net) throws IOException {
-        String settings = GatewayTestFixture.configuration(net.registry, 256, 30_000)
+        String settings = GatewayTestFixture.configuration(net.discovery, 256, 30_000)
                 .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + DEADLINE_MS)
                 .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + DEADLINE_MS)
                 .replace("\"aimMs\":10000", "\"aimMs\":200");
@@ -63,7 +63,7 @@
             while (true) {
                 try (TestClient client = new TestClient(port)) {
                     client.write(MessageWriter.startup());
-                    if (client.answer().equals("ready")) {
+                    if (client.readResponse().equals("ready")) {
                         asksUntilItEnds(client);
                     }
                 } catch (ConnectException e) {
@@ -80,8 +80,8 @@
                 long sent = System.nanoTime();
                 String answer;
                 try {
-                    client.ask(net.request("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
-                    answer = client.answer();
+                    client.sendQuery(net.queryText("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
+                    answer = client.readResponse();
                 } catch (IOException e) {
                     answer = "closed";
                 }
@@ -103,7 +103,7 @@
     /** Queries that have reached the server, answered or not. */
     private static List<String> forwarded(FakeDatabaseServer server) {
         List<String> ids = new ArrayList<>();
-        for (ReceivedQuery query = server.got.poll(); query != null; query = server.got.poll()) {
+        for (ReceivedQuery query = server.pendingQueries.poll(); query != null; query = server.pendingQueries.poll()) {
             ids.add(query.text().replaceAll("(?s).*id=([0-9a-f]+),.*", "$1"));
         }
         return ids;
@@ -116,7 +116,7 @@
                 ServingProcess gateway =
                         ServingProcess.start(directory, ServingProcess.onClassPath(configuration(net)))) {
             FakeDatabaseServer server = net.servers.get("p");
-            server.writes = serversAnswer;
+            server.answersWrites = serversAnswer;
             Load load = new Load(net, gateway.port());
             Thread.sleep(1000); // of load
             CountDownLatch exited = new CountDownLatch(1);
@@ -143,15 +143,15 @@
     void aHangUpDuringTheStartIsActedOnBehindIt() throws Exception {
         Path file = directory.resolve("gateway.json");
         try (GatewayTestFixture net = new GatewayTestFixture("p");
-                FakeDiscovery elsewhere = new FakeDiscovery(net.list(5, true, "p"))) {
-            net.servers.get("p").holdsProbes = new CountDownLatch(1); // the gateway does not serve before these are in
-            Files.writeString(file, GatewayTestFixture.configuration(net.registry, 256, 30_000));
+                FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
+            net.servers.get("p").healthCheckGate = new CountDownLatch(1); // the gateway does not serve before these are in
+            Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
                 gateway.line("warm-up took");
                 Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
                 gateway.hangUp();
-                net.servers.get("p").holdsProbes.countDown();
-                elsewhere.asked("/registry/instances");
+                net.servers.get("p").healthCheckGate.countDown();
+                elsewhere.awaitRequest("/registry/instances");
                 assertThat(gateway.process.isAlive()).isTrue();
             }
         }
--- a/gateway/src/test/java/ploverdale/SkippedDrainTest.java
+++ b/gateway/src/test/java/ploverdale/SkippedDrainTest.java
@@ -12,28 +12,28 @@
     private static final int READS = 200;
 
     private static GatewayTestFixture started() throws Exception {
-        GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
-        net.settings = told -> told.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
-        return net.started();
+        GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
+        net.configurationEdit = told -> told.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
+        return net.start();
     }
 
     private static int readsServedByR1After(GatewayTestFixture net, String update) throws Exception {
-        net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-        net.registry.news.add(update);
-        net.registry.asked("/registry/instances?from=4&hold_ms=2000"); // so the update has been read
-        TestClient client = net.client();
+        net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+        net.discovery.updates.add(update);
+        net.discovery.awaitRequest("/registry/instances?from=4&hold_ms=2000"); // so the update has been read
+        TestClient client = net.connect();
         FakeDatabaseServer r1 = net.servers.get("r1");
-        r1.ran.clear();
+        r1.receivedRequests.clear();
         for (int i = 0; i < READS; i++) {
-            assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+            assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
         }
-        return r1.ran.size();
+        return r1.receivedRequests.size();
     }
 
     @Test
     void aServerRemovedInAnUpdateThatSkipsRevisionsMayHaveDrainedAndGetsNothing() throws Exception {
         try (GatewayTestFixture net = started()) {
-            assertThat(readsServedByR1After(net, net.list(4, false, "r1:DELETED")))
+            assertThat(readsServedByR1After(net, net.endpointList(4, false, "r1:DELETED")))
                     .as(net::log)
                     .isZero();
         }
@@ -42,7 +42,7 @@
     @Test
     void aServerLeftOutOfACompleteListThatSkipsRevisionsMayHaveDrainedAndGetsNothing() throws Exception {
         try (GatewayTestFixture net = started()) {
-            assertThat(readsServedByR1After(net, net.list(4, true, "p", "r2")))
+            assertThat(readsServedByR1After(net, net.endpointList(4, true, "p", "r2")))
                     .as(net::log)
                     .isZero();
         }
@@ -51,8 +51,8 @@
     @Test
     void aServerRemovedAfterAnUpdateWithoutEntriesDidNotDrainAndIsStillUsed() throws Exception {
         try (GatewayTestFixture net = started()) {
-            net.registry.news.add(net.list(3, false));
-            assertThat(readsServedByR1After(net, net.list(4, false, "r1:DELETED")))
+            net.discovery.updates.add(net.endpointList(3, false));
+            assertThat(readsServedByR1After(net, net.endpointList(4, false, "r1:DELETED")))
                     .as(net::log)
                     .isPositive();
         }
--- a/gateway/src/test/java/ploverdale/SlowDiscovery.java
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -14,7 +14,7 @@
  */
 final class SlowDiscovery extends LoopbackServer {
     /** Connections that the gateway has not ended yet. */
-    final AtomicInteger open = new AtomicInteger();
+    final AtomicInteger openConnections = new AtomicInteger();
 
     /** Calls that came, the watches included. */
     final AtomicInteger calls = new AtomicInteger();
@@ -29,7 +29,7 @@
 
     @Override
     void serve(Socket socket) throws IOException {
-        open.incrementAndGet();
+        openConnections.incrementAndGet();
         try {
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -39,7 +39,7 @@
                 }
             }
         } finally {
-            open.decrementAndGet();
+            openConnections.decrementAndGet();
             socket.close();
         }
     }
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -58,7 +58,7 @@
 
     @Test
     void clientsThatStopBeforeTheirFirstRequestIsWholeAreEndedInTimeAtEveryStage() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             Map<EndpointState, TestClient> stalled = new EnumMap<>(EndpointState.class);
             long stopped = System.nanoTime();
             for (EndpointState stage : EndpointState.values()) {
@@ -75,15 +75,15 @@
 
     @Test
     void aClientThatStopsInAMessageThatIsNotTakenHasItsErrorByThen() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             long began = System.nanoTime();
-            TestClient tooLong = net.client()
+            TestClient tooLong = net.connect()
                     .write(Buffer.buffer()
                             .appendByte((byte) 'Q')
                             .appendInt(1_000_000)
                             .appendInt(0));
-            assertThat(tooLong.answer()).as(net::log).isEqualTo("54000 ready");
-            TestClient notSpoken = net.client()
+            assertThat(tooLong.readResponse()).as(net::log).isEqualTo("54000 ready");
+            TestClient notSpoken = net.connect()
                     .write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
             assertThat((char) notSpoken.readByte()).as(net::log).isEqualTo('E');
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
@@ -94,9 +94,9 @@
 
     @Test
     void aClientThatWritesAByteNowAndThenIsEndedInTime() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            TestClient client = net.client();
-            Buffer query = MessageWriter.query(net.request("page"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect();
+            Buffer query = MessageWriter.query(net.queryText("page"));
             long began = System.nanoTime();
             Thread writes = new Thread(() -> {
                 try {
@@ -109,49 +109,49 @@
                 }
             });
             writes.start();
-            assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began))
                     .as(net::log)
                     .isLessThan(OWED_WITHIN_MS);
             client.close();
-            writes.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+            writes.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
         }
     }
 
     @Test
     void aClientThatStopsInItsSecondRequestGetsTheFirstAnswerAndThenItsError() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            TestClient client = net.client().ask(net.request("order"));
-            ReceivedQuery first = net.servers.get("p").next();
-            Buffer second = MessageWriter.query(net.request("order"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery first = net.servers.get("p").nextQuery();
+            Buffer second = MessageWriter.query(net.queryText("order"));
             client.write(second.getBuffer(0, second.length() / 2));
-            net.logged("client with an unfinished message");
-            first.row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
+            net.awaitLog("client with an unfinished message");
+            first.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo("row 07 ready");
             long answered = System.nanoTime();
-            assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
                     .isLessThan(OWED_WITHIN_MS);
-            assertThat(net.servers.get("p").got).isEmpty();
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 
     @Test
     void aClientThatStopsBehindMoreRequestsThanAreTakenAtOnceGetsItsAnswersAndThenItsError() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").started()) {
-            net.servers.get("p").writes = true;
-            TestClient client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient client = net.connect();
             Buffer all = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
-                all.appendBuffer(MessageWriter.query(net.request("order")));
+                all.appendBuffer(MessageWriter.query(net.queryText("order")));
             }
-            Buffer last = MessageWriter.query(net.request("order"));
+            Buffer last = MessageWriter.query(net.queryText("order"));
             client.write(all.appendBuffer(last.getBuffer(0, last.length() / 2)));
             for (int i = 0; i < PIPELINED; i++) {
-                assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
+                assertThat(client.readResponse()).as(net::log).isEqualTo("row 07 ready");
             }
             long answered = System.nanoTime();
-            assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
                     .isLessThan(OWED_WITHIN_MS);
         }
@@ -159,15 +159,15 @@
 
     @Test
     void clientsThatStopInTheirSecondRequestKeepNoOtherFromBeingServed() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").started(64, 30_000).readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) {
             List<TestClient> stalled = new ArrayList<>();
             for (int i = 0; i < 20; i++) { // of 28 that clients may hold
-                stalled.add(net.client()
+                stalled.add(net.connect()
                         .write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
             }
-            assertThat(net.read(net.client())).as(net::log).isEqualTo("row 07 ready");
+            assertThat(net.readWithRetries(net.connect())).as(net::log).isEqualTo("row 07 ready");
             for (TestClient client : stalled) {
-                assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+                assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             }
         }
     }
--- a/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
+++ b/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
@@ -42,10 +42,10 @@
 
     private ServingProcess start(GatewayTestFixture net, int discoveryPort) throws IOException {
         int port = freePort();
-        String configuration = GatewayTestFixture.configuration(net.registry, 256, 30_000)
+        String configuration = GatewayTestFixture.configuration(net.discovery, 256, 30_000)
                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
                 .replace(
-                        "\"discovery\":\"127.0.0.1:" + net.registry.port(),
+                        "\"discovery\":\"127.0.0.1:" + net.discovery.port(),
                         "\"discovery\":\"127.0.0.1:" + discoveryPort);
         Path file = Files.writeString(directory.resolve("gateway.json"), configuration);
         ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file));
@@ -73,9 +73,9 @@
     private void readUntilInterrupted(GatewayTestFixture net, int port) {
         while (!Thread.currentThread().isInterrupted()) {
             try (TestClient client = new TestClient(port)) {
-                client.greeted();
+                client.completeStartup();
                 while (!Thread.currentThread().isInterrupted()) {
-                    String answer = client.ask(net.request("page")).answer();
+                    String answer = client.sendQuery(net.queryText("page")).readResponse();
                     served.addAndGet(answer.equals(ROW_7) ? 1 : 0);
                 }
             } catch (ConnectException notListening) {
@@ -87,7 +87,7 @@
     }
 
     private void awaitServed(int reads, ServingProcess gateway) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (served.get() < reads) {
             assertThat(System.nanoTime())
                     .as("%d reads served:\n%s", served.get(), gateway.log())
@@ -99,24 +99,24 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 20, 300, 1500, 4000})
     void nothingIsSentToAServerThatBeganToDrainBeforeTheStart(long answersAfterMs) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
-                SlowDiscovery agent = new SlowDiscovery(net.list(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
+                SlowDiscovery agent = new SlowDiscovery(net.endpointList(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
                 ServingProcess gateway = start(net, agent.port())) {
             gateway.line("server r1 listed DRAINING");
             gateway.line("listens at");
             int before = served.get();
             awaitServed(before + 100, gateway);
             FakeDatabaseServer draining = net.servers.get("r1");
-            assertThat(draining.ran).as("%s", gateway.log()).isEmpty();
-            assertThat(draining.probed).as("health checks:\n%s", gateway.log()).isZero();
+            assertThat(draining.receivedRequests).as("%s", gateway.log()).isEmpty();
+            assertThat(draining.healthChecks).as("health checks:\n%s", gateway.log()).isZero();
         }
     }
 
     @Test
     void aGatewayWhoseAgentIsSilentServesFromTheConfiguredListInTime() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").readable();
-                FakeDiscovery agent = new FakeDiscovery(net.list(5, true, "p"))) {
-            agent.mute = true;
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
+                FakeDiscovery agent = new FakeDiscovery(net.endpointList(5, true, "p"))) {
+            agent.unresponsive = true;
             try (ServingProcess gateway = start(net, agent.port())) {
                 awaitServed(20, gateway);
                 assertThat(gateway.ageMs()).as("%s", gateway.log()).isLessThan(READY_WITHIN_MS);
