--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -63,8 +63,8 @@
     }
 
     private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
-        while (server.open.get() > 0) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
+        while (server.openConnections.get() > 0) {
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
             Thread.sleep(5);
         }
@@ -76,10 +76,10 @@
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void aGatewayStartsThoughItsListenerCannotBeOpenedForAMoment(Errno errno) throws Exception {
         Fault fault = system.fail(Call.LISTENER_SOCKET, errno, A_MOMENT); // the first of them is the practice's
-        try (GatewayTestFixture net = net("p").started()) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(A_MOMENT);
-            assertThat(net.client().ask(net.request("order")).answer())
+            assertThat(net.connect().sendQuery(net.queryText("order")).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
         }
@@ -89,11 +89,11 @@
     void anAddressThatIsTakenIsToldAtOnce() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 GatewayTestFixture net = net("p")) {
-            net.settings = told ->
+            net.configurationEdit = told ->
                     told.replaceFirst("\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long began = System.nanoTime();
-            assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
-            assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+            assertThatThrownBy(net::start).hasRootCauseInstanceOf(BindException.class);
+            assertThat(since(began)).isLessThan(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             assertThat(net.log()).doesNotContain("cannot listen yet");
         }
     }
@@ -101,30 +101,30 @@
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR"})
     void aClientIsServedSoonAfterAcceptsThatFailedForAMoment(Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
-            net.servers.get("p").writes = true;
-            TestClient other = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient other = net.connect();
             Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
             long began = System.nanoTime();
-            TestClient c = net.client();
-            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            TestClient c = net.connect();
+            assertThat(c.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
             assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(A_MOMENT);
-            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void acceptsThatFailForLongNeitherEndTheListenerNorSpin() throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
-            net.servers.get("p").writes = true;
-            TestClient other = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient other = net.connect();
             Fault fault = system.fail(Call.ACCEPT, Errno.EMFILE, LASTING);
             long callsBefore = system.calls(Call.ACCEPT);
             long began = System.nanoTime();
             TestClient waits = new TestClient(net.gateway.port());
             while (since(began) < 500) {
-                assertThat(other.ask(net.request("order")).answer())
+                assertThat(other.sendQuery(net.queryText("order")).readResponse())
                         .as(net::log)
                         .isEqualTo(ROW_7);
             }
@@ -133,7 +133,7 @@
                     .isBetween(2L, 200L);
             fault.end();
             long ended = System.nanoTime();
-            assertThat(waits.greeted().ask(net.request("order")).answer())
+            assertThat(waits.completeStartup().sendQuery(net.queryText("order")).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             assertThat(since(ended)).isLessThan(NETTY_PAUSE_MS / 2);
@@ -143,16 +143,16 @@
 
     @Test
     void aClientWhoseSocketTakesNoOptionsHarmsNoOther() throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
-            net.servers.get("p").writes = true;
-            TestClient other = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient other = net.connect();
             Fault fault = system.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
             TestClient reset = new TestClient(net.gateway.port());
-            assertThat(net.client().ask(net.request("order")).answer())
+            assertThat(net.connect().sendQuery(net.queryText("order")).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
             reset.close();
         }
     }
@@ -175,14 +175,14 @@
         "SET_OPTION,EINVAL"
     })
     void aRequestWhoseConnectionCannotBeMadeForAMomentIsServedAllTheSame(Call call, Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started(256, SHORT_IDLE_MS)) {
+        try (GatewayTestFixture net = net("p").start(256, SHORT_IDLE_MS)) {
             FakeDatabaseServer p = net.servers.get("p");
-            p.writes = true;
-            TestClient c = net.client();
+            p.answersWrites = true;
+            TestClient c = net.connect();
             waitForNoConnection(net, p);
             boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
             Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
-            assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(c.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed())
                     .isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
             assertThat(net.log()).doesNotContain("silent");
@@ -192,9 +192,9 @@
     @ParameterizedTest
     @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENOMEM"})
     void aLackOfThisMachineEjectsNoServerHoweverLongItLasts(Call call, Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            TestClient c = net.client();
-            assertThat(net.read(c)).isEqualTo(ROW_7);
+        try (GatewayTestFixture net = net("p", "r1", "r2").answerReads().start(256, SHORT_IDLE_MS)) {
+            TestClient c = net.connect();
+            assertThat(net.readWithRetries(c)).isEqualTo(ROW_7);
             Fault fault = system.fail(call, errno, LASTING);
             for (FakeDatabaseServer s : net.servers.values()) {
                 waitForNoConnection(net, s);
@@ -202,14 +202,14 @@
             long began = System.nanoTime();
             int rejected = 0;
             while (since(began) < 3500) { // longer than a server counts as heard, so that health checks come in, too
-                rejected += c.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
+                rejected += c.sendQuery(net.queryText("quick", 200)).readResponse().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
             assertThat(net.log()).doesNotContain("silent");
             fault.end();
             long ended = System.nanoTime();
-            while (!c.ask(net.request("quick", 200)).answer().equals(ROW_7)) {
+            while (!c.sendQuery(net.queryText("quick", 200)).readResponse().equals(ROW_7)) {
                 assertThat(since(ended)).as(net::log).isLessThan(1500);
             }
             assertThat(net.log()).doesNotContain("silent");
@@ -224,22 +224,22 @@
         "FINISH_CONNECT,ECONNREFUSED"
     })
     void aServerThatCannotBeReachedLeavesItsRequestsToOthers(Call call, Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            TestClient c = net.client();
-            assertThat(net.read(c)).isEqualTo(ROW_7);
+        try (GatewayTestFixture net = net("p", "r1", "r2").answerReads().start(256, SHORT_IDLE_MS)) {
+            TestClient c = net.connect();
+            assertThat(net.readWithRetries(c)).isEqualTo(ROW_7);
             FakeDatabaseServer r1 = net.servers.get("r1");
             Fault fault = system.fail(call, r1.port(), errno, LASTING);
             waitForNoConnection(net, r1);
-            int before = r1.ran.size();
+            int before = r1.receivedRequests.size();
             for (int i = 0; i < 40; i++) {
-                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+                assertThat(net.readWithRetries(c)).as(net::log).isEqualTo(ROW_7);
             }
             assertThat(fault.failed()).isPositive();
-            assertThat(r1.ran).as(net::log).hasSize(before);
+            assertThat(r1.receivedRequests).as(net::log).hasSize(before);
             fault.end();
             long ended = System.nanoTime();
-            while (r1.ran.size() == before) {
-                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+            while (r1.receivedRequests.size() == before) {
+                assertThat(net.readWithRetries(c)).as(net::log).isEqualTo(ROW_7);
                 assertThat(since(ended)).as(net::log).isLessThan(10_000);
             }
         }
@@ -250,7 +250,7 @@
     @ParameterizedTest
     @CsvSource({"1,ETIMEDOUT", "1,EHOSTUNREACH", "40,ECONNRESET", "40,ENOBUFS", "40,ENOMEM"})
     void aQueryOfWhichAPartWasTakenCountsAsNotRun(int taken, Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteAfter(taken, port, errno));
         }
     }
@@ -258,108 +258,108 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"})
     void aQueryOfWhichOnlyTheLastByteWasNotTakenCountsAsNotRun(Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             aQueryNotTakenWholeRunsOnce(net, port -> system.failWriteBeforeLastByte(port, errno));
         }
     }
 
     private static void aQueryNotTakenWholeRunsOnce(GatewayTestFixture net, IntFunction<Fault> installs) throws Exception {
         FakeDatabaseServer p = net.servers.get("p");
-        p.writes = true;
-        TestClient c = net.client();
-        assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+        p.answersWrites = true;
+        TestClient c = net.connect();
+        assertThat(c.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
         Fault fault = installs.apply(p.port());
-        assertThat(c.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        assertThat(c.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
-        assertThat(p.ran).as("queries that came whole").hasSize(2);
-        net.logged("NOT_WRITTEN");
+        assertThat(p.receivedRequests).as("queries that came whole").hasSize(2);
+        net.awaitLog("NOT_WRITTEN");
         assertThat(net.log()).doesNotContain("silent");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENOMEM"})
     void aQueryThatWasTakenWholeIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            TestClient c = net.client().ask(net.request("order"));
-            ReceivedQuery g = p.next();
+            TestClient c = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery g = p.nextQuery();
             Fault fault = system.fail(Call.READ, p.port(), errno, 1);
-            g.row(new byte[] {7});
-            assertThat(c.answer()).as(net::log).isEqualTo("58000 ready");
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).as(net::log).isEqualTo("58000 ready");
             assertThat(fault.failed()).isEqualTo(1);
-            c.ask(net.request("order"));
-            p.next().row(new byte[] {7});
-            assertThat(c.answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(p.ran).hasSize(2);
+            c.sendQuery(net.queryText("order"));
+            p.nextQuery().sendRow(new byte[] {7});
+            assertThat(c.readResponse()).as(net::log).isEqualTo(ROW_7);
+            assertThat(p.receivedRequests).hasSize(2);
         }
     }
 
     @Test
     void readsAndWritesOfAByteAtATimeChangeNothing() throws Exception {
-        try (GatewayTestFixture net = net("p", "r1").started()) {
+        try (GatewayTestFixture net = net("p", "r1").start()) {
             FakeDatabaseServer p = net.servers.get("p");
             system.shorten(1);
-            TestClient c = net.client();
+            TestClient c = net.connect();
             byte[] value = new byte[1000];
             for (int i = 0; i < 3; i++) {
-                c.ask(net.request("order"));
-                ReceivedQuery g = p.next();
-                g.row(value);
-                assertThat(c.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
+                c.sendQuery(net.queryText("order"));
+                ReceivedQuery g = p.nextQuery();
+                g.sendRow(value);
+                assertThat(c.readResponse()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
             }
-            assertThat(p.ran).hasSize(3);
-            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
-            net.logged("server r1 listed DRAINING");
+            assertThat(p.receivedRequests).hasSize(3);
+            net.discovery.updates.add(net.endpointList(2, false, "r1:DRAINING"));
+            net.awaitLog("server r1 listed DRAINING");
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOMEM"})
     void aClientWhoseConnectionFailsToBeReadHasGone(Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            TestClient other = net.client();
-            TestClient c = net.client().ask(net.request("order"));
-            ReceivedQuery g = p.next();
+            TestClient other = net.connect();
+            TestClient c = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery g = p.nextQuery();
             Fault fault = system.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
-            c.ask(net.request("order"));
-            g.endedByGateway();
+            c.sendQuery(net.queryText("order"));
+            g.awaitClosedByGateway();
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(p.got).isEmpty();
-            other.ask(net.request("order"));
-            p.next().row(new byte[] {7});
-            assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(p.pendingQueries).isEmpty();
+            other.sendQuery(net.queryText("order"));
+            p.nextQuery().sendRow(new byte[] {7});
+            assertThat(other.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"})
     void aClientWhoseConnectionFailsToBeWrittenHarmsNoOther(Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            TestClient other = net.client();
-            TestClient c = net.client().ask(net.request("order"));
-            ReceivedQuery g = p.next();
+            TestClient other = net.connect();
+            TestClient c = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery g = p.nextQuery();
             Fault fault = system.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
-            g.row(new byte[] {7});
-            assertThat(c.answer()).as(net::log).isEqualTo("closed");
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            other.ask(net.request("order"));
-            p.next().row(new byte[] {7});
-            assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
+            other.sendQuery(net.queryText("order"));
+            p.nextQuery().sendRow(new byte[] {7});
+            assertThat(other.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void anIdleClientWhoseOutputCannotBeShutIsClosedAllTheSame() throws Exception {
-        try (GatewayTestFixture net = net("p").started()) {
-            TestClient idle = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            TestClient idle = net.connect();
             Fault fault = system.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
             CountDownLatch ended = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            assertThat(idle.answer()).as(net::log).isEqualTo("closed");
+            assertThat(idle.readResponse()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(ended.await(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS))
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
         }
@@ -380,21 +380,21 @@
         "READ,EHOSTUNREACH"
     })
     void aChangeIsHeardInTimeThoughCallsToDiscoveryFail(Call call, Errno errno) throws Exception {
-        try (GatewayTestFixture net = net("p", "r1").started()) {
-            int port = net.registry.port();
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
+        try (GatewayTestFixture net = net("p", "r1").start()) {
+            int port = net.discovery.port();
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
             Fault fault =
                     call == Call.SOCKET ? system.fail(call, errno, LASTING) : system.fail(call, port, errno, LASTING);
-            net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.registry.closeConnections(); // so that the next call needs a new one
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+            net.discovery.firstWatchResponse = net.endpointList(2, false, "r1:DRAINING");
+            net.discovery.closeConnections(); // so that the next call needs a new one
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (fault.failed() < A_MOMENT) {
                 assertThat(System.nanoTime()).as(net::log).isLessThan(end);
                 Thread.sleep(5);
             }
             fault.end();
             long reachable = System.nanoTime();
-            net.logged("server r1 listed DRAINING");
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(since(reachable)).as(net::log).isLessThan(TOLD_WITHIN_MS);
         }
     }
@@ -414,30 +414,30 @@
         errnos.put(Call.FINISH_CONNECT, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH));
         errnos.put(Call.READ, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
         errnos.put(Call.WRITE, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
-        try (GatewayTestFixture net = net("p", "r1").readable().started()) {
+        try (GatewayTestFixture net = net("p", "r1").answerReads().start()) {
             FakeDatabaseServer p = net.servers.get("p");
-            p.writes = true;
+            p.answersWrites = true;
             system.storm(seed, 0.05, errnos, clientsToo);
             system.shorten(50);
             Map<String, String> answers = new LinkedHashMap<>(); // by the id of a request
             TestClient c = null;
             for (int i = 0; i < 300; i++) {
                 c = c == null ? clientInStorm(net) : c;
-                String query = net.request("order");
+                String query = net.queryText("order");
                 String answer = answerInStorm(c, query);
                 answers.put(query.replaceAll(".* id=(\\w+),.*", "$1"), answer);
                 c = answer.endsWith("closed") ? null : c;
             }
             system.calm();
-            TestClient after = net.client();
+            TestClient after = net.connect();
             long began = System.nanoTime();
             String last = "";
             while (!last.equals(ROW_7) && since(began) < 5000) {
-                last = after.ask(net.request("order")).answer();
+                last = after.sendQuery(net.queryText("order")).readResponse();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
             for (Map.Entry<String, String> e : answers.entrySet()) {
-                long runs = p.ran.stream()
+                long runs = p.receivedRequests.stream()
                         .filter(q -> q.contains(" id=" + e.getKey() + ","))
                         .count();
                 String what =
@@ -466,7 +466,7 @@
         for (int i = 0; i < 50; i++) {
             TestClient c = new TestClient(net.gateway.port());
             try {
-                if (c.write(MessageWriter.startup()).answer().equals("ready")) {
+                if (c.write(MessageWriter.startup()).readResponse().equals("ready")) {
                     return c;
                 }
             } catch (EOFException | SocketException e) {
@@ -479,7 +479,7 @@
     /** What the client got, "closed" where its connection failed. */
     private static String answerInStorm(TestClient c, String query) throws IOException {
         try {
-            return c.ask(query).answer();
+            return c.sendQuery(query).readResponse();
         } catch (EOFException | SocketException e) {
             return "closed";
         }
--- a/gateway/src/test/java/ploverdale/TestClient.java
+++ b/gateway/src/test/java/ploverdale/TestClient.java
@@ -29,13 +29,13 @@
             socket.setReceiveBufferSize(receiveBuffer);
         }
         socket.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
         in = new DataInputStream(socket.getInputStream());
     }
 
-    TestClient greeted() throws IOException {
+    TestClient completeStartup() throws IOException {
         write(MessageWriter.startup());
-        assertThat(answer()).isEqualTo("ready");
+        assertThat(readResponse()).isEqualTo("ready");
         return this;
     }
 
@@ -44,12 +44,12 @@
         return this;
     }
 
-    TestClient ask(String text) throws IOException {
+    TestClient sendQuery(String text) throws IOException {
         return write(MessageWriter.query(text));
     }
 
     /** Reads to the end: "end" where it is one in order, "reset" else. */
-    String howItEnds() throws IOException {
+    String readUntilClosed() throws IOException {
         try {
             while (in.read() >= 0) {
                 Thread.onSpinWait();
@@ -61,7 +61,7 @@
     }
 
     /** Whether anything has come that was not read yet. */
-    boolean hasAnswer() throws IOException {
+    boolean hasUnreadBytes() throws IOException {
         return in.available() > 0;
     }
 
@@ -70,34 +70,34 @@
     }
 
     /** What came up to the next ReadyForQuery or the end: the value in hex, the code with its time, or a word. */
-    String answer() throws IOException {
-        StringBuilder all = new StringBuilder();
+    String readResponse() throws IOException {
+        StringBuilder response = new StringBuilder();
         try {
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 if (type < 0) {
-                    return all + "closed";
+                    return response + "closed";
                 }
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
                 String text = new String(body, UTF_8);
                 if (type == 'D') {
-                    all.append("row ")
+                    response.append("row ")
                             .append(HexFormat.of().formatHex(body, 6, body.length))
                             .append(' ');
                 } else if (type == 'I') {
-                    all.append("empty ");
+                    response.append("empty ");
                 } else if (type == 'E') {
-                    int d = text.indexOf("\0D");
-                    all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
+                    int detail = text.indexOf("\0D");
+                    response.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
                             .append(' ')
-                            .append(d < 0 ? "" : "after " + text.substring(d + 2, text.indexOf(0, d + 1)) + " ");
+                            .append(detail < 0 ? "" : "after " + text.substring(detail + 2, text.indexOf(0, detail + 1)) + " ");
                 }
             }
             in.readFully(new byte[5]);
         } catch (SocketException e) {
-            return all + "closed";
+            return response + "closed";
         }
-        return all.append("ready").toString();
+        return response.append("ready").toString();
     }
 
     @Override
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -24,7 +24,7 @@
     Path directory;
 
     private Path configuration(GatewayTestFixture net, int port) throws IOException {
-        String settings = GatewayTestFixture.configuration(net.registry, 256, 30_000).replace("127.0.0.1:0", "127.0.0.1:" + port);
+        String settings = GatewayTestFixture.configuration(net.discovery, 256, 30_000).replace("127.0.0.1:0", "127.0.0.1:" + port);
         return Files.writeString(directory.resolve("gateway.json"), settings);
     }
 
@@ -36,10 +36,10 @@
 
     /** A client of a gateway whose log cannot be read, once that serves. */
     private static TestClient connects(int port, Process gateway) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
             try {
-                return new TestClient(port).greeted();
+                return new TestClient(port).completeStartup();
             } catch (ConnectException e) {
                 assertThat(gateway.isAlive()).isTrue();
                 assertThat(System.nanoTime()).isLessThan(end);
@@ -65,13 +65,13 @@
     private static void serves(GatewayTestFixture net, Process gateway, int port) throws Exception {
         try (TestClient client = connects(port, gateway)) {
             for (int i = 0; i < 20; i++) {
-                assertThat(net.read(client)).isEqualTo("row 07 ready");
-                assertThat(client.ask(net.request("no such type")).answer())
+                assertThat(net.readWithRetries(client)).isEqualTo("row 07 ready");
+                assertThat(client.sendQuery(net.queryText("no such type")).readResponse())
                         .isEqualTo("22023 ready"); // which is logged
             }
         }
         gateway.destroy();
-        assertThat(gateway.waitFor(GatewayTestFixture.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         assertThat(gateway.exitValue()).isZero();
     }
 
@@ -79,7 +79,7 @@
     @ValueSource(strings = {" 2>/dev/full", " 2>&-", " <&- >&- 2>&-", " >/dev/full 2>/dev/full"})
     void whereItsLogCannotBeWritten(String redirection) throws Exception {
         int port = freePort();
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Process gateway = start(configuration(net, port), directory, "", redirection);
             try {
                 connects(port, gateway).close();
@@ -99,7 +99,7 @@
     @Test
     void whereTheDiskIsFull() throws Exception { // of no file, the log included, may any byte be written
         int port = freePort();
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Path log = directory.resolve("log");
             Process gateway = start(configuration(net, port), directory, "ulimit -f 0; ", " 2>" + log);
             try {
@@ -114,7 +114,7 @@
     @Test
     void whereWorkingAndTemporaryDirectoriesCannotBeWritten() throws Exception {
         int port = freePort();
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Process gateway = start(configuration(net, port), Path.of("/proc"), "", "", "-Djava.io.tmpdir=/proc/none");
             try {
                 serves(net, gateway, port);
