--- a/gateway/src/test/java/ploverdale/AnsweringServer.java
+++ b/gateway/src/test/java/ploverdale/AnsweringServer.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** Answers the queries that reach a stand-in server, on a thread of its own, and keeps their texts. */
+/** Answers the queries that a fake database server receives, on a thread of its own, and records their texts. */
 final class AnsweringServer implements AutoCloseable {
     private static final long POLL_MS = 50;
 
-    /** What is done with a query. */
+    /** How a query is answered. */
     interface Reply {
         void to(ReceivedQuery query) throws IOException;
     }
 
-    /** Texts of all queries that came, in the order of their coming. */
+    /** Texts of all queries received, in order of arrival. */
     final List<String> queries = new CopyOnWriteArrayList<>();
 
     private final FakeDatabaseServer server;
@@ -47,11 +47,11 @@
         try {
             reply.to(query);
         } catch (IOException e) {
-            return; // the gateway has given this attempt up
+            return; // the gateway has cancelled this attempt
         }
     }
 
-    /** How many attempts of the request with this id came. */
+    /** Returns the number of attempts received for the request with this id. */
     long attempts(String id) {
         return queries.stream().filter(text -> text.contains("id=" + id + ",")).count();
     }
--- a/gateway/src/test/java/ploverdale/AttemptRecorder.java
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -6,16 +6,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** Records when each attempt of a request arrived, complete, at a stand-in database server. */
+/** Records when each attempt was received completely at a fake database server. */
 final class AttemptRecorder implements AutoCloseable {
-    /** An attempt and the time of its last byte, by the monotonic clock. */
+    /** An attempt and the time at which its last byte arrived, by the monotonic clock. */
     record Arrival(ReceivedQuery attempt, long atNanos) {
         private String id() {
             return attempt.text().replaceAll(".*/\\* id=([^,]*),.*", "$1");
         }
     }
 
-    /** How long after its client closed an attempt may begin. */
+    /** How long after its client closed the connection an attempt may still start. */
     static final long GRACE_MS = 100;
 
     private final List<Arrival> arrivals = new CopyOnWriteArrayList<>();
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Waits until so many attempts have arrived in all. */
+    /** Waits until this many attempts have arrived in total, and returns them. */
     List<Arrival> await(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (arrivals.size() < count) {
@@ -54,7 +54,7 @@
         return arrivals.size();
     }
 
-    /** The ids of the attempts that began later than the grace after this time, by the monotonic clock. */
+    /** Returns the request ids of attempts received more than {@link #GRACE_MS} after this time of the monotonic clock. */
     List<String> begunAfter(long closedAtNanos) {
         long latest = closedAtNanos + TimeUnit.MILLISECONDS.toNanos(GRACE_MS);
         return arrivals.stream()
--- a/gateway/src/test/java/ploverdale/DeployedGateway.java
+++ b/gateway/src/test/java/ploverdale/DeployedGateway.java
@@ -25,15 +25,15 @@
 import java.util.stream.Stream;
 
 /**
- * A directory as {@code build} of deploy/balancer.toml leaves it, with one jar of the classes under test and their libraries,
- * and gateways started there as {@code run} says.
+ * A directory as the {@code build} command of deploy/balancer.toml leaves it, with one jar of the classes under test and their
+ * libraries, in which gateways are started by the {@code run} command.
  */
 final class DeployedGateway {
-    private static final long BUILD_WITHIN_S = 60;
+    private static final long BUILD_TIMEOUT_S = 60;
 
     final Path root;
 
-    /** Lays it out; the class archive and the launcher are made by {@link #archive} and {@link #launcher}. */
+    /** Creates the directories and the jar; {@link #archive} and {@link #launcher} create the class archive and the launcher. */
     DeployedGateway(Path root) throws IOException {
         this.root = root;
         for (String directory : List.of("deploy", "gateway/target", "example")) {
@@ -49,41 +49,41 @@
         return root.resolve("gateway/target/ploverdale.jsa");
     }
 
-    /** Makes the class archive, by the commands that {@code build} has for it, with more shell words before them. */
+    /** Creates the class archive by the part of {@code build} that does so, with {@code before} in front of that command. */
     void archive(String before) throws Exception {
         Matcher commands = Pattern.compile("\\(rm -f .*\\)$").matcher(entry("build"));
         assertThat(commands.find()).isTrue();
-        finishes(new ProcessBuilder("sh", "-c", before + commands.group()));
+        runToCompletion(new ProcessBuilder("sh", "-c", before + commands.group()));
     }
 
-    /** Makes the file of the launcher, by the command that {@code build} has for it. */
+    /** Creates the launcher's file by the part of {@code build} that does so. */
     void launcher(Map<String, String> environment) throws Exception {
         Matcher command = Pattern.compile("sh deploy/launcher.sh[^&|]*").matcher(entry("build"));
         assertThat(command.find()).isTrue();
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", command.group().strip());
         builder.environment().putAll(environment);
-        finishes(builder);
+        runToCompletion(builder);
     }
 
-    private void finishes(ProcessBuilder builder) throws Exception {
+    private void runToCompletion(ProcessBuilder builder) throws Exception {
         File output = Files.createTempFile(root, "build", ".log").toFile();
         Process process = builder.directory(root.toFile())
                 .redirectErrorStream(true)
                 .redirectOutput(output)
                 .start();
-        assertThat(process.waitFor(BUILD_WITHIN_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(process.waitFor(BUILD_TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         assertThat(process.exitValue()).as(Files.readString(output.toPath())).isZero();
     }
 
-    /** Starts a gateway by {@code run}, with more shell words before it and behind it. */
-    ServingProcess start(Path configuration, String before, String behind) throws IOException {
-        return start(configuration, before, behind, Map.of());
+    /** Starts a gateway by {@code run}, with these shell words before and after it. */
+    ServingProcess start(Path configuration, String before, String after) throws IOException {
+        return start(configuration, before, after, Map.of());
     }
 
-    ServingProcess start(Path configuration, String before, String behind, Map<String, String> environment)
+    ServingProcess start(Path configuration, String before, String after, Map<String, String> environment)
             throws IOException {
         File log = Files.createTempFile(root, "gateway", ".log").toFile();
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", before + "exec sh -c \"$RUN\"" + behind)
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", before + "exec sh -c \"$RUN\"" + after)
                 .directory(root.toFile())
                 .redirectError(log);
         builder.environment().putAll(environment);
@@ -92,7 +92,7 @@
         return ServingProcess.start(builder, log);
     }
 
-    /** A command of the deployment file. */
+    /** Returns a command of deploy/balancer.toml. */
     private static String entry(String name) throws IOException {
         String file = Files.readString(ServingProcess.root().resolve("deploy/balancer.toml"));
         Matcher line = Pattern.compile("(?m)^" + name + " = \"([^\"]*)\"").matcher(file);
@@ -103,8 +103,8 @@
     private static void writeJar(Path jar) throws IOException {
         Map<String, byte[]> entries = new LinkedHashMap<>();
         List<Path> libraries = new ArrayList<>();
-        for (String place : ServingProcess.classPath().split(File.pathSeparator)) {
-            Path path = Path.of(place);
+        for (String location : ServingProcess.classPath().split(File.pathSeparator)) {
+            Path path = Path.of(location);
             if (Files.isDirectory(path)) {
                 addDirectory(path, entries);
             } else if (Files.exists(path)) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /** The first of a name counts; what names the services of a library is put together. */
+    /** Adds an entry unless its name is present; files of META-INF/services are concatenated. */
     private static void add(String name, byte[] content, Map<String, byte[]> entries) throws IOException {
         if (name.startsWith("META-INF/services/") && entries.containsKey(name)) {
             ByteArrayOutputStream both = new ByteArrayOutputStream();
--- a/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
+++ b/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
@@ -13,26 +13,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A database server: answers health checks by itself and passes each request's query to the test. Each connection has its thread. */
+/** A database server that answers health checks by itself and queues the query of each request for the test. */
 final class FakeDatabaseServer extends LoopbackServer {
+    /** Queries that the test has to answer. */
     final BlockingQueue<ReceivedQuery> pendingQueries = new LinkedBlockingQueue<>();
+
+    /** One element per accepted connection. */
     final BlockingQueue<String> acceptedConnections = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> receivedRequests =
-            new LinkedBlockingQueue<>(); // the query of each request that was received completely
-    final AtomicInteger openConnections = new AtomicInteger(); // connections on which a startup message was received
+
+    /** The query of each request that was received completely. */
+    final BlockingQueue<String> receivedRequests = new LinkedBlockingQueue<>();
+
+    /** Number of open connections on which a startup message was received. */
+    final AtomicInteger openConnections = new AtomicInteger();
+
     final boolean primary;
-    volatile boolean unresponsive; // accepts connections, answers nothing
-    volatile boolean closesOnAccept; // accepts connections, closes them at once
-    volatile boolean answersReads; // answers reads by itself
-    volatile boolean answersWrites; // and writes
-    volatile byte[] rowValue = {7}; // with this
-    volatile CountDownLatch healthCheckGate = new CountDownLatch(0); // their answers wait for it
-    volatile CountDownLatch startupGate = new CountDownLatch(0); // connections come up once it is down
-    volatile int healthChecks;
-    volatile long idleResetAfterMs; // resets a connection that was idle for so long, at its next query
-    volatile int idleResets;
-    volatile boolean dropsSilently; // where it forgets a connection, says nothing on it instead of a reset
-    volatile String loadReportOverride; // overrides its load report unless null
+    volatile boolean unresponsive; // accepts connections and reads, but answers nothing
+    volatile boolean closesOnAccept; // closes each connection as soon as it is accepted
+    volatile boolean answersReads; // answers reads by itself with rowValue
+    volatile boolean answersWrites; // answers writes by itself with rowValue
+    volatile byte[] rowValue = {7};
+    volatile CountDownLatch healthCheckGate = new CountDownLatch(0); // responses to health checks wait for it
+    volatile CountDownLatch startupGate = new CountDownLatch(0); // responses to startup messages wait for it
+    volatile int healthChecks; // received so far
+    volatile long idleResetAfterMs; // if positive, drops a connection idle for longer at its next query
+    volatile int idleResets; // connections dropped because of idleResetAfterMs
+    volatile boolean dropsSilently; // drops idle connections without a reset: reads on, answers nothing
+    volatile String loadReportOverride; // null: the usual load report
 
     FakeDatabaseServer(boolean primary) throws IOException {
         this.primary = primary;
@@ -99,6 +106,7 @@
         }
     }
 
+    /** Returns the load report that the server sends now. */
     String loadReport() {
         return loadReportOverride != null
                 ? loadReportOverride
@@ -108,10 +116,11 @@
     /** Waits for the next query of a request. */
     ReceivedQuery nextQuery() throws InterruptedException {
         ReceivedQuery g = pendingQueries.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
-        assertThat(g).as("a query comes").isNotNull();
+        assertThat(g).as("a query is received").isNotNull();
         return g;
     }
 
+    /** Writes these messages, followed by ReadyForQuery if {@code ready}. */
     static void write(Socket s, Buffer b, boolean ready) throws IOException {
         if (ready) {
             b.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
--- a/gateway/src/test/java/ploverdale/FakeDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FakeDiscovery.java
@@ -11,13 +11,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery: serves the complete endpoint list, and answers each watch when the test adds an update. */
+/** Discovery that serves the complete endpoint list, and answers each watch when the test adds an update. */
 final class FakeDiscovery extends LoopbackServer {
+    /** URIs of the requests received, in order. */
     final BlockingQueue<String> requestedUris = new LinkedBlockingQueue<>();
+
+    /** Responses to the next watches; one that begins with "status " is sent as the HTTP status line instead. */
     final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
+
     volatile String completeList;
-    volatile boolean unresponsive; // takes calls, answers none
-    volatile String firstWatchResponse; // answers each watch at once where it is there
+    volatile boolean unresponsive; // accepts requests, answers none
+    volatile String firstWatchResponse; // unless null, answers each watch from revision 1 at once
 
     FakeDiscovery(String completeList) throws IOException {
         this.completeList = completeList;
@@ -49,11 +53,11 @@
         }
     }
 
-    /** Waits for a call, and skips those before it. */
+    /** Waits for a request of this URI and discards those before it. */
     void awaitRequest(String uri) throws InterruptedException {
         for (String requested = ""; !requested.equals(uri); ) {
             requested = requestedUris.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
-            assertThat(requested).as("discovery is asked for %s", uri).isNotNull();
+            assertThat(requested).as("discovery receives a request for %s", uri).isNotNull();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/FaultyDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FaultyDiscovery.java
@@ -8,9 +8,9 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Discovery with outages of several kinds; while it works, it answers each call with its list at once but holds a watch without news. */
+/** Discovery with several kinds of outage; while it works, it answers each request at once but leaves a watch open while there is no update. */
 final class FaultyDiscovery extends LoopbackServer {
-    /** What discovery does with a call. */
+    /** How discovery treats a request. */
     enum State {
         WORKS,
         SILENT,
@@ -20,7 +20,7 @@
         ANSWERS_HALF
     }
 
-    /** Calls that came, the watches included. */
+    /** Number of requests received, watches included. */
     final AtomicInteger calls = new AtomicInteger();
 
     volatile State state = State.WORKS;
@@ -31,7 +31,7 @@
         publish(revision, list);
     }
 
-    /** What it knows from now on. */
+    /** Replaces the endpoint list and its revision. */
     void publish(int newRevision, String newList) {
         list = newList;
         revision = newRevision;
@@ -48,11 +48,11 @@
         }
     }
 
-    private void answer(Socket socket, boolean watchWithoutNews) throws IOException {
+    private void answer(Socket socket, boolean watchWithoutUpdate) throws IOException {
         byte[] body = list.getBytes(UTF_8);
         switch (state) {
             case WORKS -> {
-                if (!watchWithoutNews) {
+                if (!watchWithoutUpdate) {
                     write(socket, "200 OK", body, body.length);
                 }
             }
--- a/gateway/src/test/java/ploverdale/FaultyTransport.java
+++ b/gateway/src/test/java/ploverdale/FaultyTransport.java
@@ -36,12 +36,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Real sockets whose system calls fail or come short as a test says: by call, errno and the remote port. A failure shows as the
- * JDK shows that errno: {@code handleSocketError} of {@code sun.nio.ch.Net} for sockets and connects, a plain
+ * Real sockets whose system calls fail or transfer fewer bytes as a test specifies, by call, errno and remote port. A failure is
+ * reported as the JDK reports that errno: {@code handleSocketError} of {@code sun.nio.ch.Net} for sockets and connects, a plain
  * {@link IOException} with the system's text for accepts, reads and writes; EINTR as nothing done.
  */
 public final class FaultyTransport implements Transport {
-    /** Stands for the connections that clients made. */
+    /** Instead of a remote port: connections accepted from clients. */
     public static final int CLIENTS = 0;
 
     private static final int ANY = -1;
@@ -63,7 +63,7 @@
         RECEIVE
     }
 
-    /** A failure, with the C library's text for it. */
+    /** An errno, with the C library's text for it. */
     public enum Errno {
         ECONNABORTED("Software caused connection abort"),
         ECONNREFUSED("Connection refused"),
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Calls that fail: so many, or until {@link #end}. */
+    /** A fault that makes a given number of calls fail, or fewer if {@link #end} is called before. */
     public final class Fault {
         private final Call call;
         private final int port;
@@ -121,7 +121,7 @@
             return which == call && (port == ANY || port == remote);
         }
 
-        /** How many calls have failed of it. */
+        /** Returns how many calls have failed because of this fault. */
         public int failed() {
             return failed.get();
         }
@@ -150,22 +150,22 @@
         }
     }
 
-    /** From now on this call fails so many times, for whatever remote port. */
+    /** From now on this call fails the given number of times, for any remote port. */
     public Fault fail(Call call, Errno errno, int times) {
         return fail(call, ANY, errno, times);
     }
 
-    /** The same, for sockets of this remote port, or {@link #CLIENTS}. */
+    /** Does the same for sockets with this remote port, or for {@link #CLIENTS}. */
     public Fault fail(Call call, int port, Errno errno, int times) {
         return added(new Fault(call, port, errno, times, 0));
     }
 
-    /** A write to this port fails once so many bytes have been taken. */
+    /** Makes one write to this port fail after this many bytes have been written. */
     public Fault failWriteAfter(int bytes, int port, Errno errno) {
         return added(new Fault(Call.WRITE, port, errno, 1, bytes));
     }
 
-    /** The next write to this port fails once all but its last byte have been taken. */
+    /** Makes the next write to this port fail after all but its last byte have been written. */
     public Fault failWriteBeforeLastByte(int port, Errno errno) {
         return added(new Fault(Call.WRITE, port, errno, 1, ALL_BUT_LAST));
     }
@@ -176,9 +176,10 @@
     }
 
     /**
-     * From now on this share of the calls named fails, with one of their errnos, by chance from the seed.
+     * From now on this share of the given calls fails at random, each with one of its errnos.
      *
-     * @param clientsToo whether reads and writes of the clients' connections are among them
+     * @param seed seed of the random choices
+     * @param clientsToo whether reads and writes on client connections fail too
      */
     public void storm(long seed, double share, Map<Call, List<Errno>> errnos, boolean clientsToo) {
         storm = new Storm(new Random(seed), share, errnos, clientsToo);
@@ -189,12 +190,12 @@
         faults.clear();
     }
 
-    /** From now on a read or a write takes no more bytes than this. */
+    /** From now on a read or a write transfers at most this many bytes. */
     public void shorten(int bytes) {
         bytesAtOnce = bytes;
     }
 
-    /** How often this was called, also where it failed. */
+    /** Returns how often this call was made, failed calls included. */
     public long calls(Call call) {
         return calls.get(call).get();
     }
@@ -212,12 +213,12 @@
             return null;
         }
         List<Errno> errnos = now.errnos.get(call);
-        synchronized (now.random) { // the listener has an event loop of its own
+        synchronized (now.random) { // the listening socket has an event loop of its own
             return now.random.nextDouble() < now.share ? errnos.get(now.random.nextInt(errnos.size())) : null;
         }
     }
 
-    /** Whether the call was interrupted and did nothing; throws where it failed. */
+    /** Returns whether the call is interrupted (EINTR) and does nothing; throws for any other errno. */
     private boolean interrupted(Call call, int port) throws IOException {
         Errno errno = errno(call, port);
         if (errno != null && errno != Errno.EINTR) {
@@ -226,7 +227,7 @@
         return errno != null;
     }
 
-    /** How many of so many bytes are written next, before a fault that lets some through. */
+    /** Returns how many of these bytes the next write may take, considering faults that start after some bytes. */
     private int writable(int port, int bytes) {
         int most = Math.min(bytes, bytesAtOnce);
         for (Fault fault : faults) {
@@ -346,14 +347,14 @@
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
             port = ((InetSocketAddress) remote).getPort();
             try {
-                interrupted(Call.CONNECT, port); // and so goes on by itself
+                interrupted(Call.CONNECT, port); // EINTR: the connect proceeds all the same
                 boolean connected = super.doConnect(remote, local);
-                if (connected) { // at once, as on loopback often; what else would fail later fails now
+                if (connected) { // often at once on loopback: faults of FINISH_CONNECT apply here then
                     interrupted(Call.FINISH_CONNECT, port);
                 }
                 return connected;
             } catch (IOException e) {
-                doClose(); // as the JDK does
+                doClose(); // as the JDK does on failure
                 throw e;
             }
         }
@@ -407,7 +408,7 @@
         }
     }
 
-    /** Netty's datagram channel is final; it hands on failures of its calls like this. */
+    /** Netty's datagram channel is final, so this handler reports failures in the way the channel does. */
     private final class Datagrams extends ChannelDuplexHandler {
         @Override
         public void write(ChannelHandlerContext context, Object datagram, ChannelPromise promise) {
--- a/gateway/src/test/java/ploverdale/GatewayTestFixture.java
+++ b/gateway/src/test/java/ploverdale/GatewayTestFixture.java
@@ -24,9 +24,11 @@
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.settings.ConfigurationFile;
 
-/** A real gateway and, on loopback, stand-ins for its surroundings: database servers, discovery, clients; tests drive them. */
+/** Runs a real gateway on loopback among fake database servers, a fake discovery and test clients, all driven by the test. */
 final class GatewayTestFixture implements AutoCloseable {
-    static final long TIMEOUT_S = 20; // long, for loaded machines; nothing waits so long when all is well
+    /** Limit of every wait in these tests; generous, so that a loaded machine causes no failure. */
+    static final long TIMEOUT_S = 20;
+
     private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private volatile String pauseAtText;
     private volatile CountDownLatch pauseReached;
@@ -36,17 +38,20 @@
     final Map<String, FakeDatabaseServer> servers = new LinkedHashMap<>();
     final FakeDiscovery discovery;
     Gateway gateway;
-    UnaryOperator<String> configurationEdit = configuration -> configuration; // what a test changes of the configuration
-    Clock clock = Clock.system(); // the gateway's
-    private int listenPort; // 0: at a free port
+    /** Applied to the text of each configuration before the gateway reads it. */
+    UnaryOperator<String> configurationEdit = configuration -> configuration;
+    /** The clock of the gateway. */
+    Clock clock = Clock.system();
+
+    private int listenPort; // 0 stands for any free port
     private int queryCount;
 
-    /** A gateway among servers, the first of them the primary; not yet started. */
+    /** Starts a fake server per id, a primary where the id begins with "p"; the gateway itself is not yet started. */
     GatewayTestFixture(String... ids) throws IOException {
         this(SingleLoopVertx.create(), ids);
     }
 
-    /** The same, with an event loop of the test's. */
+    /** Does the same with the given Vert.x instance. */
     GatewayTestFixture(Vertx vertx, String... ids) throws IOException {
         this.vertx = vertx;
         for (String id : ids) {
@@ -55,7 +60,7 @@
         discovery = new FakeDiscovery(endpointList(1, true, ids));
     }
 
-    /** The endpoint list in the format of discovery; an id may be followed by a colon and its phase. */
+    /** Returns an endpoint list in the format of discovery; an id may be followed by a colon and its listed state. */
     String endpointList(int revision, boolean complete, String... ids) {
         List<String> rows = new ArrayList<>();
         for (String id : ids) {
@@ -72,7 +77,7 @@
         return start(256, 30_000);
     }
 
-    /** A configuration of the gateway, with discovery there. */
+    /** Returns a configuration of the gateway that uses this discovery, at most this many descriptors and this idle timeout. */
     static String configuration(FakeDiscovery discovery, int sockets, long idleMs) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.port()
                 + "\",\"seed\":\"7\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + discovery.completeList + ","
@@ -113,34 +118,38 @@
                 .toCompletableFuture();
     }
 
-    /** An action that may throw. */
+    /** A step of a test that may throw. */
     interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    /** Pauses the gateway's event loop while it reads what a client wrote; {@link #resume} ends that. */
+    /** Pauses the gateway's event loop while it reads bytes from a client, until {@link #resume}. */
     void pauseLoopWhileReading() throws Exception {
         TestClient bad = connect();
         pauseLoopWhileReading(() -> bad.sendQuery(queryText("no such type")));
     }
 
-    /** The same; what is done has a client write something whose error is logged. */
-    void pauseLoopWhileReading(ThrowingRunnable writes) throws Exception {
+    /**
+     * Pauses the gateway's event loop while it reads bytes from a client, until {@link #resume}.
+     *
+     * @param writeBadInput makes a client write malformed input, for which the gateway logs an error
+     */
+    void pauseLoopWhileReading(ThrowingRunnable writeBadInput) throws Exception {
         pauseReached = new CountDownLatch(1);
         resumed = new CountDownLatch(1);
-        pauseAtText = "bad input from a client"; // the log is written in the middle of reading
-        writes.run();
+        pauseAtText = "bad input from a client"; // logged from within the read handler
+        writeBadInput.run();
         assertThat(pauseReached.await(TIMEOUT_S, TimeUnit.SECONDS)).as(this::log).isTrue();
     }
 
     /**
-     * Pauses the event loop behind its reading, with timers due that it runs next; {@link #resume} ends that.
+     * Pauses the event loop after it has read from its sockets, with due timers that it runs next, until {@link #resume}.
      *
-     * @param first is done right before those timers
+     * @param first runs during the pause, before those timers
      */
     void pauseLoopBeforeTimers(Runnable first) throws Exception {
         pauseLoopWhileReading();
-        CountDownLatch reads = resumed;
+        CountDownLatch readResumed = resumed;
         CountDownLatch pauseReachedAgain = new CountDownLatch(1);
         CountDownLatch resumedAgain = new CountDownLatch(1);
         gateway.runOnLoop(() -> {
@@ -148,15 +157,19 @@
             await(resumedAgain);
         });
         first.run();
-        Thread.sleep(50); // by now the timers that look for idle connections are due
+        Thread.sleep(50); // so that the timers that check for idle connections are due
         resumed = resumedAgain;
-        reads.countDown();
+        readResumed.countDown();
         assertThat(pauseReachedAgain.await(TIMEOUT_S, TimeUnit.SECONDS))
                 .as(this::log)
                 .isTrue();
     }
 
-    /** Pauses whoever logs a line with this, once; {@link #resume} ends that. */
+    /**
+     * Pauses the thread that next logs a line with this text, until {@link #resume}.
+     *
+     * @return a latch that is released when the thread is paused
+     */
     CountDownLatch pauseAtLog(String part) {
         pauseReached = new CountDownLatch(1);
         resumed = new CountDownLatch(1);
@@ -176,6 +189,7 @@
         }
     }
 
+    /** Waits for the latch, at most {@link #TIMEOUT_S}. */
     private static void await(CountDownLatch latch) {
         try {
             latch.await(TIMEOUT_S, TimeUnit.SECONDS);
@@ -184,7 +198,7 @@
         }
     }
 
-    /** Has the gateway read its configuration again, with so many descriptors. */
+    /** Makes the gateway reload its configuration, with this many descriptors. */
     void reloadConfiguration(int sockets) {
         try {
             Path file = Files.createTempFile("gateway", ".json");
@@ -196,7 +210,7 @@
         }
     }
 
-    /** A client whose greeting, with this right behind it, is answered before the gateway is ready. */
+    /** Returns a client that sent its startup message and this query, and was accepted before the gateway was ready. */
     TestClient connectDuringStartup(String text) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
             listenPort = free.getLocalPort();
@@ -218,7 +232,7 @@
         }
     }
 
-    /** Waits until the log contains this text. */
+    /** Waits until the gateway's log contains this text. */
     void awaitLog(String part) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!logOutput.toString().contains(part)) {
@@ -229,12 +243,12 @@
         }
     }
 
-    /** What the log says, for a story that goes wrong. */
+    /** Returns the gateway's log so far, also as the description of failed assertions. */
     String log() {
         return logOutput.toString();
     }
 
-    /** The text of a query; each call another op. */
+    /** Returns the text of a query of this class, with a new request id on each call. */
     String queryText(String requestClass) {
         return queryText(requestClass, 15_000);
     }
@@ -248,7 +262,7 @@
                 + comment;
     }
 
-    /** Reads as clients do, which come back when told that it does no harm, for instance before any probe is in. */
+    /** Reads with retries while the gateway rejects, for instance before the first health check has succeeded. */
     String readWithRetries(TestClient c) throws IOException {
         String answer = "53300";
         for (int i = 0; i < 100 && answer.startsWith("53300"); i++) {
@@ -257,12 +271,13 @@
         return answer;
     }
 
-    /** From now on every server answers reads by itself, whichever the module picks. */
+    /** From now on each server answers reads by itself, so that a test need not know which one the gateway chooses. */
     GatewayTestFixture answerReads() {
         servers.values().forEach(s -> s.answersReads = true);
         return this;
     }
 
+    /** Returns a client that has completed its startup. */
     TestClient connect() throws IOException {
         TestClient c = new TestClient(gateway.port());
         openClients.add(c);
@@ -271,8 +286,8 @@
 
     @Override
     public void close() throws Exception {
-        for (AutoCloseable o : openClients) {
-            o.close();
+        for (AutoCloseable client : openClients) {
+            client.close();
         }
         vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         for (FakeDatabaseServer s : servers.values()) {
--- a/gateway/src/test/java/ploverdale/LoopbackServer.java
+++ b/gateway/src/test/java/ploverdale/LoopbackServer.java
@@ -8,49 +8,51 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A server on loopback: listens at a free port and serves each connection on a thread of its own. */
+/** A server on a free loopback port that serves each connection on a thread of its own. */
 abstract class LoopbackServer implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
 
     LoopbackServer() throws IOException {
-        Thread t = new Thread(() -> {
+        Thread acceptor = new Thread(() -> {
             while (!listener.isClosed()) {
                 try {
                     Socket s = listener.accept();
                     sockets.add(s);
-                    Thread own = new Thread(() -> {
+                    Thread handler = new Thread(() -> {
                         try {
                             serve(s);
                         } catch (IOException e) {
                             connectionFailed(s);
                         }
                     });
-                    own.setDaemon(true);
-                    own.start();
+                    handler.setDaemon(true);
+                    handler.start();
                 } catch (IOException e) {
                     return;
                 }
             }
         });
-        t.setDaemon(true);
-        t.start();
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
+    /** Serves a connection on its own thread until it returns or fails. */
     abstract void serve(Socket s) throws IOException;
 
+    /** Called when {@link #serve} failed, as it does when the connection is closed. */
     void connectionFailed(Socket s) {}
 
     int port() {
         return listener.getLocalPort();
     }
 
-    /** Closes the connections that there are; new ones may come. */
+    /** Closes all connections accepted so far; new ones are still accepted. */
     void closeConnections() throws IOException {
         closeConnections(false);
     }
 
-    /** Ends every connection accepted so far, by a reset or in order. */
+    /** Closes all connections accepted so far, by a TCP reset or in the ordinary way. */
     void closeConnections(boolean reset) throws IOException {
         for (Socket s : List.copyOf(sockets)) {
             if (reset && !s.isClosed()) {
--- a/gateway/src/test/java/ploverdale/ReceivedQuery.java
+++ b/gateway/src/test/java/ploverdale/ReceivedQuery.java
@@ -11,17 +11,22 @@
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
 
-/** A query that a database server received, and the answers that a test may give to it. */
+/**
+ * A query that a fake database server received, with the responses that a test may send to it.
+ *
+ * @param closed released when the gateway has closed the connection
+ */
 record ReceivedQuery(FakeDatabaseServer server, Socket socket, String text, CountDownLatch closed) {
     void sendRow(byte[] value) throws IOException {
         sendRow(value, Buffer.buffer());
     }
 
-    /** An answer with more right behind it. */
+    /** Sends a row and further bytes in the same write. */
     void sendRow(byte[] value, Buffer trailingBytes) throws IOException {
         FakeDatabaseServer.write(socket, resultMessages(value).appendBuffer(trailingBytes), false);
     }
 
+    /** Returns all messages of a successful response with this value, ReadyForQuery included. */
     Buffer resultMessages(byte[] value) {
         Buffer b = Buffer.buffer();
         MessageWriter.parameterStatus(b, "rank", server.primary ? "source" : "copy");
@@ -35,6 +40,7 @@
                 "SELECT 1")));
     }
 
+    /** Sends an error response with this SQLSTATE. */
     void sendError(String code) throws IOException {
         FakeDatabaseServer.write(socket, MessageWriter.errorResponse(code, "no", null, false, true), false);
     }
@@ -44,10 +50,10 @@
         socket.close();
     }
 
-    /** Waits until the gateway has ended the connection. */
+    /** Waits until the gateway has closed the connection. */
     void awaitClosedByGateway() throws InterruptedException {
         assertThat(closed.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
-                .as("the connection ends")
+                .as("the gateway closes the connection")
                 .isTrue();
     }
 }
--- a/gateway/src/test/java/ploverdale/ServingProcess.java
+++ b/gateway/src/test/java/ploverdale/ServingProcess.java
@@ -10,21 +10,21 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A gateway in a process of its own, whose configuration and log are files in a directory of the test. */
+/** A gateway in a process of its own, with its configuration and log in a directory of the test. */
 final class ServingProcess implements AutoCloseable {
     private static final String JAVA =
             Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     final Process process;
     private final Path log;
-    private final long begunNanos = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
     private ServingProcess(Process process, Path log) {
         this.process = process;
         this.log = log;
     }
 
-    /** The repository's root. */
+    /** Returns the root directory of the repository. */
     static Path root() {
         Path directory = Path.of("").toAbsolutePath();
         while (!Files.exists(directory.resolve("deploy/gateway.args"))) {
@@ -33,14 +33,14 @@
         return directory;
     }
 
-    /** The command line of {@code serve} on the classes under test, within the bounds of the deployment. */
+    /** Returns the command line of {@code serve} for the classes under test, with the JVM options of the deployment. */
     static List<String> onClassPath(Path configuration) {
         List<String> command = new ArrayList<>(java());
         command.addAll(List.of("-cp", classPath(), "ploverdale.Main", "serve", "--config", configuration.toString()));
         return command;
     }
 
-    /** Java within the bounds of the deployment. */
+    /** Returns the java command with the JVM options of the deployment. */
     static List<String> java() {
         return List.of(JAVA, "@" + root().resolve("deploy/gateway.args"));
     }
@@ -49,23 +49,23 @@
         return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     }
 
-    /** Starts the command; its log goes to a file of the directory. */
+    /** Starts the command, with its log in a new file in the directory. */
     static ServingProcess start(Path directory, List<String> command) throws IOException {
         File log = Files.createTempFile(directory, "gateway", ".log").toFile();
         return start(new ProcessBuilder(command).redirectError(log), log);
     }
 
-    /** Starts what the builder says, whose log is in this file. */
+    /** Starts the process of the builder, which writes its log to this file. */
     static ServingProcess start(ProcessBuilder builder, File log) throws IOException {
         return new ServingProcess(builder.start(), log.toPath());
     }
 
-    /** Where it listens, once it serves. */
+    /** Waits until the gateway listens, and returns its port. */
     int port() throws Exception {
         return Integer.parseInt(line("listens at").replaceAll(".*:(\\d+), .*", "$1"));
     }
 
-    /** Waits for a line of the log with this. */
+    /** Waits for a line of the log that contains this text, and returns it. */
     String line(String part) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
@@ -81,9 +81,9 @@
         }
     }
 
-    /** How long ago it was started. */
+    /** Returns the time since the process was started, in ms. */
     long ageMs() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunNanos);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     String log() throws IOException {
--- a/gateway/src/test/java/ploverdale/SlowDiscovery.java
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -8,15 +8,12 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/**
- * Discovery that answers each call for the whole list some time after it came, as one that is crowded does, and holds each
- * watch until the gateway gives it up.
- */
+/** Discovery that answers each request for the complete list with a delay, as an overloaded one does, and never answers a watch. */
 final class SlowDiscovery extends LoopbackServer {
-    /** Connections that the gateway has not ended yet. */
+    /** Number of connections that the gateway has not closed yet. */
     final AtomicInteger openConnections = new AtomicInteger();
 
-    /** Calls that came, the watches included. */
+    /** Number of requests received, watches included. */
     final AtomicInteger calls = new AtomicInteger();
 
     private final String list;
--- a/gateway/src/test/java/ploverdale/TestClient.java
+++ b/gateway/src/test/java/ploverdale/TestClient.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import ploverdale.net.postgres.MessageWriter;
 
-/** A client's connection to the gateway. */
+/** A client connection to the gateway. */
 final class TestClient implements AutoCloseable {
     private final Socket socket;
     private final DataInputStream in;
@@ -22,7 +22,11 @@
         this(port, 0);
     }
 
-    /** One whose system takes no more than about so many bytes that it has not read, unless 0. */
+    /**
+     * Connects to the gateway.
+     *
+     * @param receiveBuffer size of the socket's receive buffer in bytes, or 0 for the system's default
+     */
     TestClient(int port, int receiveBuffer) throws IOException {
         socket = new Socket();
         if (receiveBuffer > 0) {
@@ -33,6 +37,7 @@
         in = new DataInputStream(socket.getInputStream());
     }
 
+    /** Sends the startup message and waits until the gateway is ready for a query. */
     TestClient completeStartup() throws IOException {
         write(MessageWriter.startup());
         assertThat(readResponse()).isEqualTo("ready");
@@ -48,7 +53,7 @@
         return write(MessageWriter.query(text));
     }
 
-    /** Reads to the end: "end" where it is one in order, "reset" else. */
+    /** Reads until the connection is closed; returns "end" after an ordinary close and "reset" after a TCP reset. */
     String readUntilClosed() throws IOException {
         try {
             while (in.read() >= 0) {
@@ -60,7 +65,7 @@
         }
     }
 
-    /** Whether anything has come that was not read yet. */
+    /** Returns whether bytes have arrived that were not read yet. */
     boolean hasUnreadBytes() throws IOException {
         return in.available() > 0;
     }
@@ -69,7 +74,10 @@
         return in.read();
     }
 
-    /** What came up to the next ReadyForQuery or the end: the value in hex, the code with its time, or a word. */
+    /**
+     * Reads up to the next ReadyForQuery or the end of the connection and returns a summary: "row" and the value in hex,
+     * "empty", or the SQLSTATE and the retry time in ms, followed by "ready" or "closed".
+     */
     String readResponse() throws IOException {
         StringBuilder response = new StringBuilder();
         try {
