--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -24,39 +24,39 @@
 import ploverdale.net.eventloop.SingleLoopVertx;
 import ploverdale.settings.ConfigurationFile;
 
-/** Every request that was read gets its final answer in time, whatever happens at servers or with other clients. */
+/** Every request that was read receives its final answer in time, whatever servers and other clients do. */
 @Timeout(120)
 class FinalAnswerTest {
-    private static final long ANSWER_SLACK_MS = 500; // how late a final answer may be
+    private static final long ANSWER_SLACK_MS = 500; // tolerated after the deadline
 
-    private static long sinceMs(long beganNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
+    private static long elapsedMs(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     @Test
-    void aRequestIsAnsweredInTimeThoughOtherClientsHoldAsMuchAsTheGatewayKeeps() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").start(1024, 30_000)) {
+    void aRequestIsAnsweredInTimeWhenOtherClientsUseAllMemoryForRequests() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start(1024, 30_000)) {
             for (int valueBytes :
-                    new int[] {60_000, 4_000, 400, 20}) { // until not even a small request fits into 16 MB
-                fill(net, valueBytes, valueBytes == 60_000 ? 145 : 20);
+                    new int[] {60_000, 4_000, 400, 20}) { // until the limit of 16 MB has no room even for a small request
+                fill(fixture, valueBytes, valueBytes == 60_000 ? 145 : 20);
             }
-            TestClient client = net.connect();
-            long asked = System.nanoTime();
-            String answer = client.sendQuery(net.queryText("quick", 1000)).readResponse();
-            assertThat(answer).as(net::log).startsWith("53300");
-            assertThat(sinceMs(asked)).as(net::log).isLessThan(1000 + ANSWER_SLACK_MS);
+            TestClient client = fixture.connect();
+            long sentNanos = System.nanoTime();
+            String answer = client.sendQuery(fixture.queryText("quick", 1000)).readResponse();
+            assertThat(answer).as(fixture::log).startsWith("53300");
+            assertThat(elapsedMs(sentNanos)).as(fixture::log).isLessThan(1000 + ANSWER_SLACK_MS);
         }
     }
 
-    /** So many clients, each with a request that the server does not answer. */
-    private static void fill(GatewayTestFixture net, int valueBytes, int clients) throws Exception {
+    /** Connects this many clients, each with a request that the server does not answer. */
+    private static void fill(GatewayTestFixture fixture, int valueBytes, int clients) throws Exception {
         for (int i = 0; i < clients; i++) {
-            net.connect().sendQuery(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
+            fixture.connect().sendQuery(fixture.queryText("order").replace("\\x01", "\\x" + "01".repeat(valueBytes)));
         }
     }
 
-    /** Takes every action of the router and carries none out, as if its answers were lost. */
-    private static final class LosesActions implements OutboundActionHandler {
+    /** Ignores every action of the router, as if its answers were lost. */
+    private static final class IgnoringActionHandler implements OutboundActionHandler {
         @Override
         public void startAttempt(Action.StartAttempt attempt) {}
 
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aRequestThatNobodyAnswersFailsRightAfterItsTime() throws Exception {
+    void aRequestWithoutAnAnswerFailsRightAfterItsDeadline() throws Exception {
         Vertx vertx = SingleLoopVertx.create();
         try (FakeDiscovery registry = new FakeDiscovery("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
@@ -96,7 +96,7 @@
             Context context = vertx.getOrCreateContext();
             context.runOnContext(x -> {
                 RouterEventLoop loop = new RouterEventLoop(vertx, context, log, null, Clock.system());
-                loop.setActionHandler(new LosesActions());
+                loop.setActionHandler(new IgnoringActionHandler());
                 ServerClock time = new ServerClock(log::line, Clock.system());
                 ClientConnections clients =
                         new ClientConnections(vertx, log, loop, settings.settings(), new ConnectionLimits<>(256), time);
@@ -108,10 +108,10 @@
             });
             int port = listening.get(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS).actualPort();
             try (TestClient client = new TestClient(port).completeStartup()) {
-                long asked = System.nanoTime();
+                long sentNanos = System.nanoTime();
                 String query = "SELECT val FROM state WHERE uid = 'k' /* id=1,c=quick,t=north,d=400,cluster=1 */";
                 assertThat(client.sendQuery(query).readResponse()).as(lines::toString).isEqualTo("58000 ready");
-                assertThat(sinceMs(asked)).as(lines::toString).isBetween(400L, 400 + ANSWER_SLACK_MS);
+                assertThat(elapsedMs(sentNanos)).as(lines::toString).isBetween(400L, 400 + ANSWER_SLACK_MS);
             }
         } finally {
             vertx.close().toCompletionStage().toCompletableFuture().get(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Answers over HTTP without a length, whose end is the end of their connection. Only discovery speaks HTTP here; messages
- * of the PostgreSQL protocol always carry their length.
+ * HTTP responses of discovery without Content-Length, which end where their connection is closed, and PostgreSQL responses
+ * whose connection is closed before ReadyForQuery.
  */
 @Timeout(120)
 class LengthlessAnswerTest {
-    private static final long TOLD_WITHIN_MS = 6000;
+    private static final long UPDATE_WITHIN_MS = 6000;
     private static final int READY_FOR_QUERY_LENGTH = 6;
 
-    /** Discovery whose answers have no length. */
+    /** Discovery whose responses have no Content-Length. */
     private static final class LengthlessDiscovery extends LoopbackServer {
         final AtomicInteger calls = new AtomicInteger();
         private final String version;
@@ -42,7 +42,7 @@
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8));
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                 if (line.contains("?")) {
-                    return; // a watch is held
+                    return; // no response to a watch
                 }
             }
             calls.incrementAndGet();
@@ -58,60 +58,60 @@
 
         private static void pause() throws IOException {
             try {
-                Thread.sleep(100); // so that the parts and the end are read one by one
+                Thread.sleep(100); // so that the parts and the close are read separately
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
         }
     }
 
-    private static void moveDiscovery(GatewayTestFixture net, LengthlessDiscovery to) {
-        net.configurationEdit = told -> told.replace(
-                "\"discovery\":\"127.0.0.1:" + net.discovery.port(), "\"discovery\":\"127.0.0.1:" + to.port());
-        net.reloadConfiguration(256);
+    private static void moveDiscovery(GatewayTestFixture fixture, LengthlessDiscovery to) {
+        fixture.configurationEdit = configuration -> configuration.replace(
+                "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(), "\"discovery\":\"127.0.0.1:" + to.port());
+        fixture.reloadConfiguration(256);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"1.0", "1.1"})
-    void aListWithoutALengthThatEndsInOrderIsInForce(String version) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
-                LengthlessDiscovery discovery = new LengthlessDiscovery(version, net.endpointList(5, true, "p"), false)) {
-            long moved = System.nanoTime();
-            moveDiscovery(net, discovery);
-            net.awaitLog("server r1 listed GONE");
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - moved))
-                    .as(net::log)
-                    .isLessThan(TOLD_WITHIN_MS);
+    void aListWithoutLengthThatEndsWithAnOrdinaryCloseIsApplied(String version) throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start();
+                LengthlessDiscovery discovery = new LengthlessDiscovery(version, fixture.endpointList(5, true, "p"), false)) {
+            long movedNanos = System.nanoTime();
+            moveDiscovery(fixture, discovery);
+            fixture.awaitLog("server r1 listed GONE");
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - movedNanos))
+                    .as(fixture::log)
+                    .isLessThan(UPDATE_WITHIN_MS);
             assertThat(discovery.calls).hasValue(1);
         }
     }
 
     @Test
-    void aListWithoutALengthThatEndsByAResetChangesNothingAndIsAskedForAgain() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
-                LengthlessDiscovery discovery = new LengthlessDiscovery("1.1", net.endpointList(5, true, "p"), true)) {
-            moveDiscovery(net, discovery);
+    void aListWithoutLengthThatEndsWithAResetIsIgnoredAndRequestedAgain() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start();
+                LengthlessDiscovery discovery = new LengthlessDiscovery("1.1", fixture.endpointList(5, true, "p"), true)) {
+            moveDiscovery(fixture, discovery);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (discovery.calls.get() < 4) {
-                assertThat(System.nanoTime()).as(net::log).isLessThan(end);
+                assertThat(System.nanoTime()).as(fixture::log).isLessThan(end);
                 Thread.sleep(20);
             }
-            assertThat(net.log()).doesNotContain("server r1 listed GONE");
+            assertThat(fixture.log()).doesNotContain("server r1 listed GONE");
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRowWithItsCommandCompleteIsForwardedThoughReadyForQueryNeverComes(boolean resets) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
-            TestClient client = net.connect().sendQuery(net.queryText("order"));
-            ReceivedQuery query = net.servers.get("p").nextQuery();
+    void aRowWithCommandCompleteIsForwardedThoughReadyForQueryIsMissing(boolean resets) throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order"));
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
             Buffer answer = query.resultMessages(new byte[] {7});
             FakeDatabaseServer.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
-            Thread.sleep(100); // so that the answer and the end are read one by one
+            Thread.sleep(100); // so that the response and the close are read separately
             query.socket().setSoLinger(resets, 0);
             query.socket().close();
-            assertThat(client.readResponse()).as(net::log).isEqualTo("row 07 ready");
+            assertThat(client.readResponse()).as(fixture::log).isEqualTo("row 07 ready");
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -8,15 +8,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests with 20 ms left, which servers may drop without a word. */
+/** Requests with a deadline of 20 ms, which servers may drop without an answer. */
 @Timeout(120)
 class ShortDeadlineTest {
     private static final String ROW_7 = "row 07 ready";
-    private static final long LEFT_MS = 20;
-    private static final long ANSWER_SLACK_MS = 500; // up to which a late answer is worth nothing but is not lost
+    private static final long SHORT_DEADLINE_MS = 20;
+    private static final long ANSWER_SLACK_MS = 500; // tolerated after the deadline
     private static final int REQUESTS = 60;
-    private static final long OTHERS_MS = 9000;
-    private static final int LEARNING_REQUESTS = 120; // until the gateway knows that this class takes a few ms
+    private static final long LONG_DEADLINE_MS = 9000;
+    private static final int LEARNING_REQUESTS = 120; // so that the gateway learns that this class takes a few ms
 
     private static void answerUnlessShort(ReceivedQuery query) throws IOException {
         boolean isShort = query.text().matches("(?s).*,d=(\\d|1\\d|20),.*");
@@ -27,35 +27,35 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"quick", "page", "order"})
-    void eachIsAnsweredInTimeAndAServerThatAnswersOthersIsNotEjected(String requestClass) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start();
+    void eachIsAnsweredInTimeAndAServerThatAnswersOtherRequestsIsNotEjected(String requestClass) throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start();
                 AnsweringServer primary =
-                        new AnsweringServer(net.servers.get("p"), ShortDeadlineTest::answerUnlessShort);
+                        new AnsweringServer(fixture.servers.get("p"), ShortDeadlineTest::answerUnlessShort);
                 AnsweringServer replica =
-                        new AnsweringServer(net.servers.get("r1"), ShortDeadlineTest::answerUnlessShort)) {
-            TestClient client = net.connect();
-            TestClient other = net.connect();
+                        new AnsweringServer(fixture.servers.get("r1"), ShortDeadlineTest::answerUnlessShort)) {
+            TestClient client = fixture.connect();
+            TestClient other = fixture.connect();
             for (int i = 0; i < LEARNING_REQUESTS; i++) {
-                assertThat(other.sendQuery(net.queryText(requestClass, OTHERS_MS)).readResponse())
-                        .as(net::log)
+                assertThat(other.sendQuery(fixture.queryText(requestClass, LONG_DEADLINE_MS)).readResponse())
+                        .as(fixture::log)
                         .isEqualTo(ROW_7);
             }
             for (int i = 0; i < REQUESTS; i++) {
-                long asked = System.nanoTime();
-                String answer = client.sendQuery(net.queryText(requestClass, LEFT_MS)).readResponse();
-                long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-                assertThat(answer).as(net::log).matches("(53300|58000).* ready");
-                assertThat(tookMs).as(net::log).isLessThan(LEFT_MS + ANSWER_SLACK_MS);
-                String text = net.queryText(requestClass, OTHERS_MS);
+                long sentNanos = System.nanoTime();
+                String answer = client.sendQuery(fixture.queryText(requestClass, SHORT_DEADLINE_MS)).readResponse();
+                long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
+                assertThat(answer).as(fixture::log).matches("(53300|58000).* ready");
+                assertThat(tookMs).as(fixture::log).isLessThan(SHORT_DEADLINE_MS + ANSWER_SLACK_MS);
+                String text = fixture.queryText(requestClass, LONG_DEADLINE_MS);
                 String id = text.replaceAll(".*id=(\\w+),.*", "$1");
                 assertThat(other.sendQuery(text).readResponse())
-                        .as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id), replica.attempts(id), net.log())
+                        .as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id), replica.attempts(id), fixture.log())
                         .isEqualTo(ROW_7);
             }
             assertThat(primary.queries.size() + replica.queries.size())
                     .as("some were forwarded")
                     .isGreaterThan(REQUESTS);
-            assertThat(net.log()).doesNotContain(" silent: ");
+            assertThat(fixture.log()).doesNotContain(" silent: ");
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/SkippedDrainTest.java
+++ b/gateway/src/test/java/ploverdale/SkippedDrainTest.java
@@ -5,55 +5,58 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Removals where only a drain binds, and one may have begun and ended between two answers of discovery. */
+/**
+ * With removalNotBinding, a removed server may still be used unless it drained before. A drain that started and ended between
+ * two responses of discovery must not be missed.
+ */
 @Timeout(120)
 class SkippedDrainTest {
     private static final String ROW_7 = "row 07 ready";
     private static final int READS = 200;
 
     private static GatewayTestFixture started() throws Exception {
-        GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
-        net.configurationEdit = told -> told.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
-        return net.start();
+        GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads();
+        fixture.configurationEdit = configuration -> configuration.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
+        return fixture.start();
     }
 
-    private static int readsServedByR1After(GatewayTestFixture net, String update) throws Exception {
-        net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
-        net.discovery.updates.add(update);
-        net.discovery.awaitRequest("/registry/instances?from=4&hold_ms=2000"); // so the update has been read
-        TestClient client = net.connect();
-        FakeDatabaseServer r1 = net.servers.get("r1");
+    private static int readsServedByR1After(GatewayTestFixture fixture, String update) throws Exception {
+        fixture.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+        fixture.discovery.updates.add(update);
+        fixture.discovery.awaitRequest("/registry/instances?from=4&hold_ms=2000"); // so the update has been applied
+        TestClient client = fixture.connect();
+        FakeDatabaseServer r1 = fixture.servers.get("r1");
         r1.receivedRequests.clear();
         for (int i = 0; i < READS; i++) {
-            assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
+            assertThat(fixture.readWithRetries(client)).as(fixture::log).isEqualTo(ROW_7);
         }
         return r1.receivedRequests.size();
     }
 
     @Test
-    void aServerRemovedInAnUpdateThatSkipsRevisionsMayHaveDrainedAndGetsNothing() throws Exception {
-        try (GatewayTestFixture net = started()) {
-            assertThat(readsServedByR1After(net, net.endpointList(4, false, "r1:DELETED")))
-                    .as(net::log)
+    void aServerRemovedInAnUpdateThatSkipsRevisionsReceivesNothingSinceItMayHaveDrained() throws Exception {
+        try (GatewayTestFixture fixture = started()) {
+            assertThat(readsServedByR1After(fixture, fixture.endpointList(4, false, "r1:DELETED")))
+                    .as(fixture::log)
                     .isZero();
         }
     }
 
     @Test
-    void aServerLeftOutOfACompleteListThatSkipsRevisionsMayHaveDrainedAndGetsNothing() throws Exception {
-        try (GatewayTestFixture net = started()) {
-            assertThat(readsServedByR1After(net, net.endpointList(4, true, "p", "r2")))
-                    .as(net::log)
+    void aServerMissingFromACompleteListThatSkipsRevisionsReceivesNothingSinceItMayHaveDrained() throws Exception {
+        try (GatewayTestFixture fixture = started()) {
+            assertThat(readsServedByR1After(fixture, fixture.endpointList(4, true, "p", "r2")))
+                    .as(fixture::log)
                     .isZero();
         }
     }
 
     @Test
-    void aServerRemovedAfterAnUpdateWithoutEntriesDidNotDrainAndIsStillUsed() throws Exception {
-        try (GatewayTestFixture net = started()) {
-            net.discovery.updates.add(net.endpointList(3, false));
-            assertThat(readsServedByR1After(net, net.endpointList(4, false, "r1:DELETED")))
-                    .as(net::log)
+    void aServerRemovedWithoutASkippedRevisionIsStillUsed() throws Exception {
+        try (GatewayTestFixture fixture = started()) {
+            fixture.discovery.updates.add(fixture.endpointList(3, false));
+            assertThat(readsServedByR1After(fixture, fixture.endpointList(4, false, "r1:DELETED")))
+                    .as(fixture::log)
                     .isPositive();
         }
     }
--- a/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
+++ b/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A gateway process that starts with an endpoint list older than its discovery agent's, while clients already wait for it. */
+/** A gateway process starts with an endpoint list older than its discovery agent's, while clients already try to connect. */
 @Timeout(120)
 class StartBeforeDiscoveryAnswersTest {
     private static final String ROW_7 = "row 07 ready";
     private static final int CLIENTS = 4;
-    private static final int LEAST_PORT = 20_000;
-    private static final int MOST_PORT = 30_000;
-    private static final long READY_WITHIN_MS = 10_000; // of the process's start
+    private static final int MIN_PORT = 20_000;
+    private static final int MAX_PORT = 30_000;
+    private static final long READY_WITHIN_MS = 10_000; // after the start of the process
 
     @TempDir
     private Path directory;
@@ -40,17 +40,17 @@
         clients.forEach(Thread::interrupt);
     }
 
-    private ServingProcess start(GatewayTestFixture net, int discoveryPort) throws IOException {
+    private ServingProcess start(GatewayTestFixture fixture, int discoveryPort) throws IOException {
         int port = freePort();
-        String configuration = GatewayTestFixture.configuration(net.discovery, 256, 30_000)
+        String configuration = GatewayTestFixture.configuration(fixture.discovery, 256, 30_000)
                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
                 .replace(
-                        "\"discovery\":\"127.0.0.1:" + net.discovery.port(),
+                        "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
                         "\"discovery\":\"127.0.0.1:" + discoveryPort);
         Path file = Files.writeString(directory.resolve("gateway.json"), configuration);
         ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file));
         for (int i = 0; i < CLIENTS; i++) {
-            Thread client = new Thread(() -> readUntilInterrupted(net, port));
+            Thread client = new Thread(() -> readUntilInterrupted(fixture, port));
             client.setDaemon(true);
             client.start();
             clients.add(client);
@@ -58,10 +58,10 @@
         return gateway;
     }
 
-    /** Below the ports that systems give to clients: a client that connects to one of those may meet itself and occupy it. */
+    /** Returns a free port below the ephemeral range: in that range, a connecting client may connect to itself and occupy the port. */
     private static int freePort() {
         while (true) {
-            int port = ThreadLocalRandom.current().nextInt(LEAST_PORT, MOST_PORT);
+            int port = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
             try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return free.getLocalPort();
             } catch (IOException occupied) {
@@ -70,12 +70,12 @@
         }
     }
 
-    private void readUntilInterrupted(GatewayTestFixture net, int port) {
+    private void readUntilInterrupted(GatewayTestFixture fixture, int port) {
         while (!Thread.currentThread().isInterrupted()) {
             try (TestClient client = new TestClient(port)) {
                 client.completeStartup();
                 while (!Thread.currentThread().isInterrupted()) {
-                    String answer = client.sendQuery(net.queryText("page")).readResponse();
+                    String answer = client.sendQuery(fixture.queryText("page")).readResponse();
                     served.addAndGet(answer.equals(ROW_7) ? 1 : 0);
                 }
             } catch (ConnectException notListening) {
@@ -98,26 +98,26 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 20, 300, 1500, 4000})
-    void nothingIsSentToAServerThatBeganToDrainBeforeTheStart(long answersAfterMs) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
-                SlowDiscovery agent = new SlowDiscovery(net.endpointList(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
-                ServingProcess gateway = start(net, agent.port())) {
+    void nothingIsSentToAServerThatStartedToDrainBeforeTheGatewayStarted(long answersAfterMs) throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads();
+                SlowDiscovery agent = new SlowDiscovery(fixture.endpointList(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
+                ServingProcess gateway = start(fixture, agent.port())) {
             gateway.line("server r1 listed DRAINING");
             gateway.line("listens at");
             int before = served.get();
             awaitServed(before + 100, gateway);
-            FakeDatabaseServer draining = net.servers.get("r1");
+            FakeDatabaseServer draining = fixture.servers.get("r1");
             assertThat(draining.receivedRequests).as("%s", gateway.log()).isEmpty();
             assertThat(draining.healthChecks).as("health checks:\n%s", gateway.log()).isZero();
         }
     }
 
     @Test
-    void aGatewayWhoseAgentIsSilentServesFromTheConfiguredListInTime() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads();
-                FakeDiscovery agent = new FakeDiscovery(net.endpointList(5, true, "p"))) {
+    void aGatewayWithAnUnresponsiveAgentServesFromTheConfiguredListInTime() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads();
+                FakeDiscovery agent = new FakeDiscovery(fixture.endpointList(5, true, "p"))) {
             agent.unresponsive = true;
-            try (ServingProcess gateway = start(net, agent.port())) {
+            try (ServingProcess gateway = start(fixture, agent.port())) {
                 awaitServed(20, gateway);
                 assertThat(gateway.ageMs()).as("%s", gateway.log()).isLessThan(READY_WITHIN_MS);
             }
