--- a/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
+++ b/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
@@ -81,7 +81,11 @@
             case "SERVING" -> EndpointState.IN;
             default ->
                 throw InvalidSettingsException.ofField(
-                        id + ": field phase has an unknown value: " + phase, id, "phase", phase, "SERVING, DRAINING or DELETED");
+                        id + ": field phase has an unknown value: " + phase,
+                        id,
+                        "phase",
+                        phase,
+                        "SERVING, DRAINING or DELETED");
         };
     }
 }
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -116,7 +116,8 @@
     }
 
     /** Blocks the event loop for so long; what is written meanwhile is read after it, in one turn. */
-    private static void holdUp(GatewayTestFixture net, long ms, GatewayTestFixture.ThrowingRunnable meanwhile) throws Exception {
+    private static void holdUp(GatewayTestFixture net, long ms, GatewayTestFixture.ThrowingRunnable meanwhile)
+            throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch on = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
@@ -139,7 +140,8 @@
     }
 
     /** Lets whatever could still begin do so, and asserts that nothing began late. */
-    private static void assertNothingBeginsAfter(long leftAt, GatewayTestFixture net, AttemptRecorder recorder) throws Exception {
+    private static void assertNothingBeginsAfter(long leftAt, GatewayTestFixture net, AttemptRecorder recorder)
+            throws Exception {
         Thread.sleep(SETTLES_MS);
         assertThat(recorder.begunAfter(leftAt)).as(net::log).isEmpty();
     }
@@ -200,7 +202,8 @@
     @EnumSource
     void aRequestThatWaitsForAConnectionThatComesUpLateIsNotWrittenThen(Departure how) throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            net.configurationEdit = told -> told.replace("\"cancel\":true", "\"cancel\":false"); // the router cannot call it off
+            net.configurationEdit =
+                    told -> told.replace("\"cancel\":true", "\"cancel\":false"); // the router cannot call it off
             net.start();
             FakeDatabaseServer p = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(p);
@@ -210,7 +213,8 @@
                 p.startupGate = new CountDownLatch(1);
                 p.acceptedConnections.clear();
                 client.sendQuery(net.queryText("order"));
-                assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                        .isNotNull();
                 long leftAt = client.leave(how);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
                 p.startupGate.countDown();
@@ -232,7 +236,8 @@
                 p.startupGate = new CountDownLatch(1);
                 p.acceptedConnections.clear();
                 client.sendQuery(net.queryText("order"));
-                assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
+                assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                        .isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
                 holdUp(net, 180, () -> {
--- a/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
+++ b/gateway/src/test/java/ploverdale/DiscoveryOutageTest.java
@@ -30,7 +30,8 @@
     @EnumSource(value = FaultyDiscovery.State.class, names = "WORKS", mode = EnumSource.Mode.EXCLUDE)
     void serviceContinuesThroughALongOutageAndADrainAtItsEndTakesEffectInTime(FaultyDiscovery.State outage)
             throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery discovery = new FaultyDiscovery(5, fixture.endpointList(5, true, "p", "r1"))) {
             moveDiscovery(fixture, discovery);
             discovery.state = outage;
@@ -57,7 +58,9 @@
 
     @Test
     void aDrainReportedWhenDiscoveryReturnsDuringAGracefulShutdownTakesEffect() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2", "r3").answerReads().start();
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2", "r3")
+                        .answerReads()
+                        .start();
                 FaultyDiscovery discovery = new FaultyDiscovery(5, fixture.endpointList(5, true, "p", "r1", "r3"))) {
             moveDiscovery(fixture, discovery);
             discovery.state = FaultyDiscovery.State.RESETS;
@@ -75,7 +78,8 @@
             String answer = ROW_7;
             while (answer.equals(ROW_7)) {
                 if (fixture.log().contains("server r1 listed DRAINING")) {
-                    fixture.servers.get("r1").answersReads = false; // a read sent to it now would be queued without an answer
+                    fixture.servers.get("r1").answersReads =
+                            false; // a read sent to it now would be queued without an answer
                     servedWhileDraining++;
                 }
                 answer = client.sendQuery(fixture.queryText("page")).readResponse();
@@ -83,7 +87,8 @@
             assertThat(answer).as(fixture::log).isEqualTo("closed");
             assertThat(servedWhileDraining).as(fixture::log).isGreaterThan(20);
             assertThat(fixture.servers.get("r1").pendingQueries).isEmpty();
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
+++ b/gateway/src/test/java/ploverdale/DrainWhileConnectingTest.java
@@ -32,7 +32,9 @@
             Thread.sleep(DRAIN_GRACE_MS + 100); // the connection is established after the grace period
             primary.startupGate.countDown();
             assertThat(second.readResponse()).as(fixture::log).startsWith("53300");
-            assertThat(primary.pendingQueries).as("attempts after the grace period").isEmpty();
+            assertThat(primary.pendingQueries)
+                    .as("attempts after the grace period")
+                    .isEmpty();
             inFlight.sendRow(new byte[] {7}); // an attempt in flight is completed
             assertThat(first.readResponse()).isEqualTo(ROW_7);
         }
@@ -61,7 +63,8 @@
 
     @Test
     void requestsReceivedDuringAPauseAreSentToADrainingServerWithinTheGracePeriodOrNotAtAll() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
             FakeDatabaseServer draining = fixture.servers.get("r1");
             draining.answersReads = false;
             try (AnsweringServer answers = new AnsweringServer(draining, query -> query.sendRow(new byte[] {7}))) {
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -92,7 +92,8 @@
             p.startupGate = new CountDownLatch(1);
             p.acceptedConnections.clear();
             TestClient c = net.connect().sendQuery(net.queryText("order"));
-            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
+            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isNotNull();
             c.close();
             other.sendQuery(net.queryText("order"));
             first.sendRow(new byte[] {7}); // read after the close
@@ -152,7 +153,8 @@
         try (GatewayTestFixture net = new GatewayTestFixture("p").start(512, 30_000)) {
             net.servers.get("p").answersWrites = true;
             List<TestClient> idle = clients(net, 80);
-            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(256)); // 80 clients are too many then, and idle ones end
+            net.pauseLoopBeforeTimers(
+                    () -> net.reloadConfiguration(256)); // 80 clients are too many then, and idle ones end
             for (TestClient c : idle) {
                 c.sendQuery(net.queryText("order"));
             }
@@ -183,7 +185,8 @@
                 assertThat(c.readResponse()).as(net::log).matches("53300 after \\d+ ready");
                 assertThat(c.readResponse()).isEqualTo("closed");
             }
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
         }
     }
 
@@ -214,7 +217,8 @@
     @Test
     void anAnswerThatCameDuringAPauseCountsThoughItsAttemptTimedOutMeanwhile() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
-            TestClient c = net.connect().sendQuery(net.queryText("quick", 5000)); // an attempt is given up after some 600 ms
+            TestClient c =
+                    net.connect().sendQuery(net.queryText("quick", 5000)); // an attempt is given up after some 600 ms
             ReceivedQuery g = net.servers.get("p").nextQuery();
             net.pauseLoopWhileReading();
             g.sendRow(new byte[] {7});
@@ -227,7 +231,8 @@
     @Test
     void aMessageInPiecesIsRefusedBeforeAPlannedRestartEnds() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
-            net.configurationEdit = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
+            net.configurationEdit =
+                    told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
             net.start();
             TestClient c = net.connect();
             CountDownLatch ended = new CountDownLatch(1);
@@ -235,7 +240,8 @@
             net.awaitLog("planned restart: 1 connections");
             c.write(begun(200)); // its own time for being whole, 2.2 s, is later than the end
             assertThat(c.readResponse()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
         }
     }
 
--- a/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
+++ b/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
@@ -63,7 +63,8 @@
             }
             for (long last = System.nanoTime(); true; last = System.nanoTime()) {
                 in.readByte();
-                if (idleResetAfterMs > 0 && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(idleResetAfterMs)) {
+                if (idleResetAfterMs > 0
+                        && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(idleResetAfterMs)) {
                     idleResets++;
                     if (dropsSilently) {
                         in.transferTo(java.io.OutputStream.nullOutputStream());
@@ -75,7 +76,8 @@
                 }
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
-                ReceivedQuery g = new ReceivedQuery(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), closed);
+                ReceivedQuery g =
+                        new ReceivedQuery(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), closed);
                 if (!g.text().startsWith("SHOW")) {
                     receivedRequests.add(g.text());
                 }
--- a/gateway/src/test/java/ploverdale/FakeDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FakeDiscovery.java
@@ -41,7 +41,9 @@
             }
             String body;
             try {
-                body = !uri.contains("?") ? completeList : firstWatchResponse != null && uri.contains("from=1&") ? firstWatchResponse : updates.take();
+                body = !uri.contains("?")
+                        ? completeList
+                        : firstWatchResponse != null && uri.contains("from=1&") ? firstWatchResponse : updates.take();
             } catch (InterruptedException e) {
                 return;
             }
--- a/gateway/src/test/java/ploverdale/FinalAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/FinalAnswerTest.java
@@ -36,8 +36,8 @@
     @Test
     void aRequestIsAnsweredInTimeWhenOtherClientsUseAllMemoryForRequests() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start(1024, 30_000)) {
-            for (int valueBytes :
-                    new int[] {60_000, 4_000, 400, 20}) { // until the limit of 16 MB has no room even for a small request
+            for (int valueBytes : new int[] {60_000, 4_000, 400, 20
+            }) { // until the limit of 16 MB has no room even for a small request
                 fill(fixture, valueBytes, valueBytes == 60_000 ? 145 : 20);
             }
             TestClient client = fixture.connect();
@@ -87,8 +87,8 @@
         Vertx vertx = SingleLoopVertx.create();
         try (FakeDiscovery registry = new FakeDiscovery("{\"revision\":1,\"complete\":true,\"members\":[]}")) {
             Path file = Files.createTempFile("gateway", ".json");
-            ConfigurationFile settings =
-                    ConfigurationFile.read(Files.writeString(file, GatewayTestFixture.configuration(registry, 256, 30_000)));
+            ConfigurationFile settings = ConfigurationFile.read(
+                    Files.writeString(file, GatewayTestFixture.configuration(registry, 256, 30_000)));
             Files.delete(file);
             ByteArrayOutputStream lines = new ByteArrayOutputStream();
             Log log = new Log(new PrintStream(lines, true));
@@ -106,11 +106,15 @@
                         .listen(0, "127.0.0.1")
                         .onComplete(r -> listening.complete(r.result()));
             });
-            int port = listening.get(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS).actualPort();
+            int port = listening
+                    .get(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)
+                    .actualPort();
             try (TestClient client = new TestClient(port).completeStartup()) {
                 long sentNanos = System.nanoTime();
                 String query = "SELECT val FROM state WHERE uid = 'k' /* id=1,c=quick,t=north,d=400,cluster=1 */";
-                assertThat(client.sendQuery(query).readResponse()).as(lines::toString).isEqualTo("58000 ready");
+                assertThat(client.sendQuery(query).readResponse())
+                        .as(lines::toString)
+                        .isEqualTo("58000 ready");
                 assertThat(elapsedMs(sentNanos)).as(lines::toString).isBetween(400L, 400 + ANSWER_SLACK_MS);
             }
         } finally {
--- a/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
+++ b/gateway/src/test/java/ploverdale/FleetConfigurationFileTest.java
@@ -29,7 +29,8 @@
     void entitlementsOfExampleFileAddUpToCapacityForAnyNumberOfGateways() {
         QuotaSettings quotaSettings = FleetConfigurationFile.read(Path.of("../deploy/fleet.json"));
         ConfigurationFile configuration = ConfigurationFile.read(Path.of("../example/gateway.json"));
-        QuotaAllocation example = quotaSettings.allocation(configuration.settings().started());
+        QuotaAllocation example =
+                quotaSettings.allocation(configuration.settings().started());
         assertThat(example.limits()).hasSize(2 + 64 + 64 + 1 + 1);
         for (int gateways : new int[] {1, 2, 7, 64, 300}) {
             QuotaAllocation allocation = new QuotaAllocation(example.limits(), gateways, 0.5);
@@ -80,7 +81,8 @@
                 FleetConfigurationFile.read(Path.of("../deploy/replicas.json")), configuration.settings());
         assertThat(replicated.replication().replicatesSessions()).isTrue();
         assertThat(replicated.replication().replicatesOutcomes()).isTrue();
-        assertThat(replicated.allocation(configuration.settings().started()).limits()).isEmpty();
+        assertThat(replicated.allocation(configuration.settings().started()).limits())
+                .isEmpty();
         assertThat(read("{\"tenants\":true}").replication()).isNull();
         assertThat(read("{\"sessions\":{}}").replication().replicatesOutcomes()).isFalse();
         QuotaSettings unknownClass = read("{\"sessions\":{},\"wait_for_copies\":[\"no such class\"]}");
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -41,7 +41,8 @@
             String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
             assertThat(Integer.parseInt(wait)).isBetween(1, 9000);
             g.sendRow(value);
-            assertThat(c.readResponse()).isEqualTo("row " + java.util.HexFormat.of().formatHex(value) + " ready");
+            assertThat(c.readResponse())
+                    .isEqualTo("row " + java.util.HexFormat.of().formatHex(value) + " ready");
         }
     }
 
@@ -87,7 +88,8 @@
     void theFirstQueryMayFollowTheStartupMessageAtOnceAndQueriesAreAnsweredInOrder() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
             TestClient c = new TestClient(fixture.gateway.port());
-            c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // closed, since no startup message was sent before
+            c.write(MessageWriter.query("")
+                    .appendBuffer(Buffer.buffer())); // closed, since no startup message was sent before
             assertThat(c.readResponse()).startsWith("08P01");
             c = new TestClient(fixture.gateway.port());
             c.write(MessageWriter.startup()
@@ -111,7 +113,10 @@
         try (GatewayTestFixture fixture = new GatewayTestFixture("p")) {
             fixture.servers.get("p").close();
             fixture.start().awaitLog("server p silent");
-            assertThat(fixture.connect().sendQuery(fixture.queryText("quick", 900)).readResponse()).matches("53300 after \\d+ ready");
+            assertThat(fixture.connect()
+                            .sendQuery(fixture.queryText("quick", 900))
+                            .readResponse())
+                    .matches("53300 after \\d+ ready");
         }
     }
 
@@ -166,7 +171,8 @@
             p.closesOnAccept = true;
             p.acceptedConnections.clear();
             TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
-            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
+            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isNotNull();
             p.closesOnAccept = false;
             inFlight.sendRow(new byte[] {1});
             assertThat(first.readResponse()).isEqualTo("row 01 ready");
@@ -185,7 +191,9 @@
             TestClient one = fixture.connect();
             TestClient other = fixture.connect();
             boolean reusedOlder = false;
-            for (int i = 0; i < 50 && !reusedOlder; i++) { // repeated, since the interval is short and the machine may be slow
+            for (int i = 0;
+                    i < 50 && !reusedOlder;
+                    i++) { // repeated, since the interval is short and the machine may be slow
                 one.sendQuery(fixture.queryText("order"));
                 ReceivedQuery first = p.nextQuery();
                 other.sendQuery(fixture.queryText("order"));
@@ -262,7 +270,8 @@
             p.unresponsive = true;
             p.acceptedConnections.clear();
             TestClient second = fixture.connect().sendQuery(fixture.queryText("order"));
-            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
+            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isNotNull();
             g.sendRow(new byte[] {7}, g.resultMessages(new byte[] {7})); // a duplicate in the same write
             assertThat(first.readResponse()).isEqualTo(ROW_7);
             g.awaitClosedByGateway();
@@ -288,11 +297,14 @@
             corrupt.setInt(valueLength, 2); // states a length shorter than the value
             Buffer full = MessageWriter.errorResponse("53300", "full", null, false, false);
             for (Buffer b : List.of(
-                    corrupt, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(corrupt))) {
+                    corrupt,
+                    full.copy().appendBuffer(bytes('?', 9)),
+                    full.copy().appendBuffer(corrupt))) {
                 c.sendQuery(fixture.queryText("order"));
                 ReceivedQuery g = fixture.servers.get("p").nextQuery();
                 FakeDatabaseServer.write(g.socket(), b, false);
-                assertThat(c.readResponse()).isEqualTo("58000 ready"); // it may have run: neither reported as succeeded nor retried
+                assertThat(c.readResponse())
+                        .isEqualTo("58000 ready"); // it may have run: neither reported as succeeded nor retried
                 g.awaitClosedByGateway();
                 assertThat(fixture.servers.get("p").pendingQueries).isEmpty();
             }
@@ -305,16 +317,20 @@
             })
     void aCorruptLoadReportIsIgnored(String loadReport) throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1")) {
-            fixture.servers.get("p").loadReportOverride = "x0=0.000,x1=0,busy=0"; // no valid report, but the list names it the primary
-            fixture.discovery.completeList = fixture.discovery.completeList.replaceFirst("\"cell\"", "\"rank\":\"source\",\"cell\"");
-            fixture.servers.get("r1").loadReportOverride = loadReport.replace("NOW", Long.toString(System.currentTimeMillis() / 1000));
+            fixture.servers.get("p").loadReportOverride =
+                    "x0=0.000,x1=0,busy=0"; // no valid report, but the list names it the primary
+            fixture.discovery.completeList =
+                    fixture.discovery.completeList.replaceFirst("\"cell\"", "\"rank\":\"source\",\"cell\"");
+            fixture.servers.get("r1").loadReportOverride =
+                    loadReport.replace("NOW", Long.toString(System.currentTimeMillis() / 1000));
             fixture.answerReads().start();
             fixture.servers.get("r1").answersReads = false;
             TestClient c = fixture.connect();
             for (int i = 0; i < 5; i++) {
                 assertThat(fixture.readWithRetries(c)).as(fixture::log).isEqualTo(ROW_7);
             }
-            assertThat(fixture.servers.get("r1").pendingQueries).isEmpty(); // its log position is unknown, so its data may be too old
+            assertThat(fixture.servers.get("r1").pendingQueries)
+                    .isEmpty(); // its log position is unknown, so its data may be too old
             assertThat(fixture.log()).doesNotContain("primary no longer");
         }
     }
@@ -426,7 +442,8 @@
                 if (!refused) {
                     assertThat(startupResponse).isEqualTo("ready");
                     accepted.add(c.sendQuery(fixture.queryText("order")));
-                    ReceivedQuery g = p.pendingQueries.poll(20, TimeUnit.MILLISECONDS); // forwarded, so its connection is no longer idle
+                    ReceivedQuery g = p.pendingQueries.poll(
+                            20, TimeUnit.MILLISECONDS); // forwarded, so its connection is no longer idle
                     if (g != null) {
                         inFlight.add(g);
                     }
@@ -447,7 +464,8 @@
                 TestClient c = new TestClient(fixture.gateway.port()).write(MessageWriter.startup());
                 startupResponse = c.readResponse();
                 if (startupResponse.equals("ready")) {
-                    assertThat(c.sendQuery(fixture.queryText("order")).readResponse()).isEqualTo(ROW_7);
+                    assertThat(c.sendQuery(fixture.queryText("order")).readResponse())
+                            .isEqualTo(ROW_7);
                 }
             }
             assertThat(startupResponse).isEqualTo("ready");
@@ -456,7 +474,8 @@
 
     @Test
     void requestsWithoutAFreeDescriptorWaitForOne() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) { // 40 connections and 8 in reserve
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) { // 40 connections and 8 in reserve
             fixture.servers.values().forEach(x -> x.rowValue = new byte[60_000]);
             List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 28; i++) {
@@ -476,7 +495,8 @@
 
     @Test
     void aGracefulShutdownServesOnAnswersAllRequestsAndCompletes() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start().answerReads()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
             TestClient idle = fixture.connect();
             TestClient held = fixture.connect().sendQuery(fixture.queryText("order"));
             ReceivedQuery g = fixture.servers.get("p").nextQuery();
@@ -492,25 +512,29 @@
             fixture.awaitLog("planned restart: idle connections end");
             TestClient last = new TestClient(fixture.gateway.port());
             last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(fixture.queryText("page"))));
-            assertThat(List.of(last.readResponse(), last.readResponse(), last.readResponse())).containsExactly("ready", ROW_7, "closed");
+            assertThat(List.of(last.readResponse(), last.readResponse(), last.readResponse()))
+                    .containsExactly("ready", ROW_7, "closed");
             assertThat(idle.readResponse()).isEqualTo("closed");
             assertThat(ended.getCount()).isEqualTo(1);
             g.sendRow(new byte[] {3});
             assertThat(held.readResponse()).isEqualTo("row 03 ready");
             assertThat(held.readResponse()).isEqualTo("closed");
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             fixture.awaitLog("0 ops unanswered");
         }
     }
 
     @Test
     void aRequestWhoseDeadlineExceedsAGracefulShutdownIsAnsweredBeforeItsEnd() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start().answerReads()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
             TestClient client = fixture.connect().sendQuery(fixture.queryText("order", 9000));
             fixture.servers.get("p").nextQuery(); // never answered
             CountDownLatch ended = new CountDownLatch(1);
             fixture.gateway.runOnLoop(() -> fixture.gateway.shutdownGracefully(ended));
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(fixture.log())
                     .contains("0 ops unanswered")
                     .doesNotContain("1 ops unanswered"); // a process would exit now
@@ -553,7 +577,8 @@
             assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
             c.close();
             gateway.destroy();
-            assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(gateway.exitValue()).isZero();
         } finally {
             if (gateway != null) {
@@ -589,7 +614,8 @@
 
     @Test
     void invalidInputIsAnsweredWherePossibleAndAffectsNoOtherConnection() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start().answerReads()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
             TestClient good = fixture.connect();
             TestClient c = new TestClient(fixture.gateway.port());
             c.write(Buffer.buffer().appendInt(8).appendInt(80877103));
@@ -633,8 +659,9 @@
     @Test
     void aClientThatDoesNotReadIsThrottledAndClosedWithoutEffectOnOthers() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1")) {
-            fixture.configurationEdit = configuration ->
-                    configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no request outlasts the client's 5 s write timeout
+            fixture.configurationEdit = configuration -> configuration.replace(
+                    "\"deadlineMs\":20000",
+                    "\"deadlineMs\":4000"); // no request outlasts the client's 5 s write timeout
             fixture.start();
             fixture.answerReads().servers.values().forEach(s -> s.rowValue = new byte[60_000]);
             TestClient notReading = fixture.connect();
@@ -660,23 +687,27 @@
     void aConnectionWithAnIncompleteMessageIsClosedAfterItsEarlierRequestIsAnswered() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start()) {
             TestClient silent = new TestClient(fixture.gateway.port());
-            TestClient halfStartup = new TestClient(fixture.gateway.port()).write(Buffer.buffer().appendInt(40));
+            TestClient halfStartup =
+                    new TestClient(fixture.gateway.port()).write(Buffer.buffer().appendInt(40));
             TestClient halfQuery = fixture.connect().write(bytes('Q', 50));
-            TestClient withRequest = fixture.connect().sendQuery(fixture.queryText("order")).write(bytes('Q', 50));
+            TestClient withRequest =
+                    fixture.connect().sendQuery(fixture.queryText("order")).write(bytes('Q', 50));
             ReceivedQuery g = fixture.servers.get("p").nextQuery();
             for (TestClient c : List.of(silent, halfStartup, halfQuery)) {
                 assertThat(c.readResponse()).isEqualTo("08P01 closed");
             }
             fixture.awaitLog("client with an unfinished message");
             g.sendRow(new byte[] {7});
-            assertThat(List.of(withRequest.readResponse(), withRequest.readResponse())).containsExactly(ROW_7, "08P01 closed");
+            assertThat(List.of(withRequest.readResponse(), withRequest.readResponse()))
+                    .containsExactly(ROW_7, "08P01 closed");
         }
     }
 
     @Test
     void idleClientsAreEvictedSoonerWhenClientConnectionsAreScarce() throws Exception {
-        try (GatewayTestFixture fixture =
-                new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) { // 28 client connections; above 12 idle ones are evicted soon
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1")
+                .start(64, 30_000)
+                .answerReads()) { // 28 client connections; above 12 idle ones are evicted soon
             List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 15; i++) {
                 clients.add(fixture.connect());
@@ -693,7 +724,8 @@
 
     @Test
     void clientsWithIncompleteMessagesAreClosedWhenMemoryIsScarceAndOthersAreServed() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start().answerReads()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
             for (int i = 0; i < 140; i++) {
                 fixture.connect().write(bytes('Q', 130_000).appendBytes(new byte[125_000]));
             }
--- a/gateway/src/test/java/ploverdale/GatewayTestFixture.java
+++ b/gateway/src/test/java/ploverdale/GatewayTestFixture.java
@@ -101,8 +101,10 @@
 
     private CompletableFuture<Gateway> startAsync(int sockets, long idleMs) throws IOException {
         Path file = Files.createTempFile("gateway", ".json");
-        String configuration = configuration(discovery, sockets, idleMs).replace("127.0.0.1:0", "127.0.0.1:" + listenPort);
-        ConfigurationFile configurationFile = ConfigurationFile.read(Files.writeString(file, configurationEdit.apply(configuration)));
+        String configuration =
+                configuration(discovery, sockets, idleMs).replace("127.0.0.1:0", "127.0.0.1:" + listenPort);
+        ConfigurationFile configurationFile =
+                ConfigurationFile.read(Files.writeString(file, configurationEdit.apply(configuration)));
         Files.delete(file);
         PrintStream log = new PrintStream(logOutput, true) {
             @Override
@@ -139,7 +141,9 @@
         resumed = new CountDownLatch(1);
         pauseAtText = "bad input from a client"; // logged from within the read handler
         writeBadInput.run();
-        assertThat(pauseReached.await(TIMEOUT_S, TimeUnit.SECONDS)).as(this::log).isTrue();
+        assertThat(pauseReached.await(TIMEOUT_S, TimeUnit.SECONDS))
+                .as(this::log)
+                .isTrue();
     }
 
     /**
@@ -254,8 +258,8 @@
     }
 
     String queryText(String requestClass, long waitMs) {
-        String comment =
-                " /* id=" + Integer.toHexString(++queryCount) + ",c=" + requestClass + ",t=north,d=" + waitMs + ",cluster=1 */";
+        String comment = " /* id=" + Integer.toHexString(++queryCount) + ",c=" + requestClass + ",t=north,d=" + waitMs
+                + ",cluster=1 */";
         return (requestClass.equals("order")
                         ? "INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val"
                         : "SELECT val FROM state WHERE uid = 'k'")
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -24,7 +24,9 @@
         try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads();
                 FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
             CountDownLatch probes = new CountDownLatch(1);
-            net.servers.values().forEach(server -> server.healthCheckGate = probes); // service begins once they have ended
+            net.servers
+                    .values()
+                    .forEach(server -> server.healthCheckGate = probes); // service begins once they have ended
             Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -54,7 +54,8 @@
     @ParameterizedTest
     @EnumSource(Hang.class)
     void eachRequestTakenIsAnsweredBeforeTheEnd(Hang hang) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+        try (GatewayTestFixture net =
+                new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
             net.servers.get("p").answersWrites = true;
             List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
@@ -76,7 +77,8 @@
                     assertThat(client.readResponse()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
                 }
             }
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
                     .as(net::log)
                     .isLessThan(LONGEST_COUNTED_MS + KILLED_AFTER_MS);
@@ -106,7 +108,8 @@
                         .readResponse();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigterm))
                     .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -53,7 +53,9 @@
     private static void warmUp(GatewayTestFixture fixture, TestClient client) throws Exception {
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
             assertThat(fixture.readWithRetries(client)).as(fixture::log).isEqualTo(ROW_7);
-            assertThat(client.sendQuery(fixture.queryText("order")).readResponse()).as(fixture::log).isEqualTo(ROW_7);
+            assertThat(client.sendQuery(fixture.queryText("order")).readResponse())
+                    .as(fixture::log)
+                    .isEqualTo(ROW_7);
         }
     }
 
@@ -80,7 +82,8 @@
     @ParameterizedTest
     @EnumSource(IdleTreatment.class)
     void theFirstReadAfterAQuietPeriodIsAnsweredInTime(IdleTreatment how) throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").answerReads().start()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").answerReads().start()) {
             fixture.servers.get("p").answersWrites = true;
             TestClient client = fixture.connect();
             warmUp(fixture, client);
@@ -100,7 +103,8 @@
     @ParameterizedTest
     @EnumSource(IdleTreatment.class)
     void theFirstNonIdempotentWritesAfterAQuietPeriodSucceedAndRunOnce(IdleTreatment how) throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p").answerReads().start()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p").answerReads().start()) {
             FakeDatabaseServer primary = fixture.servers.get("p");
             primary.answersWrites = true;
             warmUp(fixture, fixture.connect());
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -16,7 +16,8 @@
     private static final long ANSWER_DEADLINE_MS = 500;
 
     private static GatewayTestFixture shortDeadlines(GatewayTestFixture fixture) throws Exception {
-        fixture.configurationEdit = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":300")
+        fixture.configurationEdit = configuration -> configuration
+                .replace("\"deadlineMs\":20000", "\"deadlineMs\":300")
                 .replace("\"deadlineMs\":1000", "\"deadlineMs\":300");
         return fixture.start();
     }
@@ -26,7 +27,9 @@
         CountDownLatch ended = new CountDownLatch(1);
         long signalNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(signalledMsAgo);
         fixture.gateway.runOnLoop(() -> fixture.gateway.shutdownGracefully(signalNanos, ended));
-        assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).as(fixture::log).isTrue();
+        assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                .as(fixture::log)
+                .isTrue();
     }
 
     @Test
@@ -66,9 +69,11 @@
             fixture.pauseLoopWhileReading();
             client.sendQuery(fixture.queryText("order", 300));
             Thread.sleep(SHUTDOWN_LIMIT_MS - 140 - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos));
-            fixture.resume(); // it reads the request, then runs the periodic check that is due, with nothing left to read
+            fixture.resume(); // it reads the request, then runs the periodic check that is due, with nothing left to
+            // read
             assertThat(client.readResponse()).as(fixture::log).endsWith("ready");
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(fixture.log()).contains(" 0 ops unanswered");
         }
     }
@@ -87,7 +92,8 @@
             client.write(incompleteQuery()); // read right before its connection would be closed as idle
             fixture.resume();
             assertThat(client.readResponse()).as(fixture::log).isEqualTo("57P03 closed");
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
         }
     }
 
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -75,7 +75,8 @@
     @ValueSource(strings = {"1.0", "1.1"})
     void aListWithoutLengthThatEndsWithAnOrdinaryCloseIsApplied(String version) throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start();
-                LengthlessDiscovery discovery = new LengthlessDiscovery(version, fixture.endpointList(5, true, "p"), false)) {
+                LengthlessDiscovery discovery =
+                        new LengthlessDiscovery(version, fixture.endpointList(5, true, "p"), false)) {
             long movedNanos = System.nanoTime();
             moveDiscovery(fixture, discovery);
             fixture.awaitLog("server r1 listed GONE");
@@ -89,7 +90,8 @@
     @Test
     void aListWithoutLengthThatEndsWithAResetIsIgnoredAndRequestedAgain() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start();
-                LengthlessDiscovery discovery = new LengthlessDiscovery("1.1", fixture.endpointList(5, true, "p"), true)) {
+                LengthlessDiscovery discovery =
+                        new LengthlessDiscovery("1.1", fixture.endpointList(5, true, "p"), true)) {
             moveDiscovery(fixture, discovery);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (discovery.calls.get() < 4) {
@@ -107,7 +109,8 @@
             TestClient client = fixture.connect().sendQuery(fixture.queryText("order"));
             ReceivedQuery query = fixture.servers.get("p").nextQuery();
             Buffer answer = query.resultMessages(new byte[] {7});
-            FakeDatabaseServer.write(query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
+            FakeDatabaseServer.write(
+                    query.socket(), answer.getBuffer(0, answer.length() - READY_FOR_QUERY_LENGTH), false);
             Thread.sleep(100); // so that the response and the close are read separately
             query.socket().setSoLinger(resets, 0);
             query.socket().close();
--- a/gateway/src/test/java/ploverdale/OutdatedAgentTest.java
+++ b/gateway/src/test/java/ploverdale/OutdatedAgentTest.java
@@ -39,7 +39,8 @@
 
     @Test
     void anOlderListDoesNotUndoADrain() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery behind = new FaultyDiscovery(3, fixture.endpointList(3, true, "p", "r1", "r2"))) {
             drain(fixture);
             moveDiscovery(fixture, behind);
@@ -49,7 +50,8 @@
 
     @Test
     void anOlderListDoesNotReadmitAServerThatDrainedAndWasRemoved() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery behind = new FaultyDiscovery(3, fixture.endpointList(3, true, "p", "r1", "r2"))) {
             drain(fixture);
             fixture.discovery.updates.add(fixture.endpointList(6, false, "r1:DELETED"));
@@ -67,8 +69,10 @@
                         3, fixture.endpointList(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
             fixture.discovery.completeList = fixture.discovery.completeList.replace("\"cell\":1,", started);
             fixture.start();
-            fixture.discovery.updates.add(fixture.endpointList(5, false, "r1:DRAINING").replace("\"cell\":1,", started));
-            fixture.discovery.updates.add(fixture.endpointList(6, false, "r1:DELETED").replace("\"cell\":1,", started));
+            fixture.discovery.updates.add(
+                    fixture.endpointList(5, false, "r1:DRAINING").replace("\"cell\":1,", started));
+            fixture.discovery.updates.add(
+                    fixture.endpointList(6, false, "r1:DELETED").replace("\"cell\":1,", started));
             fixture.awaitLog("server r1 listed GONE");
             moveDiscovery(fixture, behind);
             assertThat(readsServedByR1(fixture)).as(fixture::log).isZero();
@@ -78,7 +82,8 @@
 
     @Test
     void aDrainInAnUpdateOfALowerRevisionTakesEffectThoughNoCompleteListFollows() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
             fixture.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
             fixture.discovery.unresponsive = true; // except for the watch that is open
             fixture.discovery.updates.add(fixture.endpointList(0, false, "r1:DRAINING"));
@@ -89,12 +94,14 @@
 
     @Test
     void aDrainFromTheFormerAgentTakesEffectWhileTheNewOneIsUnresponsive() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery unresponsive = new FaultyDiscovery(3, fixture.endpointList(3, true, "p", "r1", "r2"))) {
             fixture.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
             unresponsive.state = FaultyDiscovery.State.SILENT;
             fixture.configurationEdit = configuration -> configuration.replace(
-                    "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(), "\"discovery\":\"127.0.0.1:" + unresponsive.port());
+                    "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
+                    "\"discovery\":\"127.0.0.1:" + unresponsive.port());
             fixture.reloadConfiguration(256);
             fixture.awaitLog("new configuration: ");
             fixture.discovery.updates.add(fixture.endpointList(2, false, "r1:DRAINING"));
@@ -106,7 +113,8 @@
     @Test
     void aLaterStartInAnOlderListEndsADrain() throws Exception {
         String started = "\"cell\":1,\"up_since_ms\":" + System.currentTimeMillis() + ",";
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery behind = new FaultyDiscovery(
                         3, fixture.endpointList(3, true, "p", "r1", "r2").replace("\"cell\":1,", started))) {
             drain(fixture);
@@ -117,7 +125,8 @@
 
     @Test
     void aNewerListEndsADrain() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
                 FaultyDiscovery ahead = new FaultyDiscovery(6, fixture.endpointList(6, true, "p", "r1", "r2"))) {
             drain(fixture);
             moveDiscovery(fixture, ahead);
@@ -127,8 +136,10 @@
 
     @Test
     void aDrainReportedByAnOutdatedAgentTakesEffect() throws Exception {
-        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads().start();
-                FaultyDiscovery behind = new FaultyDiscovery(0, fixture.endpointList(0, true, "p", "r1:DRAINING", "r2"))) {
+        try (GatewayTestFixture fixture =
+                        new GatewayTestFixture("p", "r1", "r2").answerReads().start();
+                FaultyDiscovery behind =
+                        new FaultyDiscovery(0, fixture.endpointList(0, true, "p", "r1:DRAINING", "r2"))) {
             moveDiscovery(fixture, behind);
             assertThat(readsServedByR1(fixture)).as(fixture::log).isZero();
         }
--- a/gateway/src/test/java/ploverdale/RetryFailureTest.java
+++ b/gateway/src/test/java/ploverdale/RetryFailureTest.java
@@ -90,7 +90,10 @@
             List<AnsweringServer> servers = failing(fixture, failure);
             TestClient client = fixture.connect();
             for (int i = 0; i < REQUESTS; i++) {
-                client.sendQuery(i % 2 == 0 ? fixture.queryText("order", WRITE_DEADLINE_MS) : fixture.queryText("quick", READ_DEADLINE_MS))
+                client.sendQuery(
+                                i % 2 == 0
+                                        ? fixture.queryText("order", WRITE_DEADLINE_MS)
+                                        : fixture.queryText("quick", READ_DEADLINE_MS))
                         .readResponse();
             }
             servers.forEach(AnsweringServer::close);
@@ -100,7 +103,8 @@
             for (String type : List.of("order", "quick")) {
                 String answer = "";
                 while (!answer.equals(ROW_7)) {
-                    answer = client.sendQuery(fixture.queryText(type, type.equals("order") ? WRITE_DEADLINE_MS : READ_DEADLINE_MS))
+                    answer = client.sendQuery(fixture.queryText(
+                                    type, type.equals("order") ? WRITE_DEADLINE_MS : READ_DEADLINE_MS))
                             .readResponse();
                     assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - recoveredNanos))
                             .as(fixture::log)
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -33,7 +33,8 @@
     }
 
     /** The next query at the server, with a deadline that its client can still wait for. */
-    private static ReceivedQuery arrivesInTime(GatewayTestFixture net, FakeDatabaseServer server, Sent sent) throws Exception {
+    private static ReceivedQuery arrivesInTime(GatewayTestFixture net, FakeDatabaseServer server, Sent sent)
+            throws Exception {
         ReceivedQuery query = server.nextQuery();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
@@ -139,7 +140,8 @@
      * The write waits for its primary, which is silent; the health check that it answers has the module log that and send the write
      * in the same turn, which pauses in between.
      */
-    private static Sent pausedBetweenDecidingAndWriting(GatewayTestFixture net, long deadlineMs, long heldMs) throws Exception {
+    private static Sent pausedBetweenDecidingAndWriting(GatewayTestFixture net, long deadlineMs, long heldMs)
+            throws Exception {
         FakeDatabaseServer server = net.servers.get("p");
         server.healthCheckGate = new CountDownLatch(1);
         net.configurationEdit = told -> told.replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
@@ -149,7 +151,9 @@
         CountDownLatch paused = net.pauseAtLog("server p returns");
         Sent sent = Sent.by(client, net, "order", deadlineMs);
         server.healthCheckGate.countDown();
-        assertThat(paused.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        assertThat(paused.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                .as(net::log)
+                .isTrue();
         Thread.sleep(heldMs);
         net.resume();
         return sent;
--- a/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ShortDeadlineTest.java
@@ -36,20 +36,24 @@
             TestClient client = fixture.connect();
             TestClient other = fixture.connect();
             for (int i = 0; i < LEARNING_REQUESTS; i++) {
-                assertThat(other.sendQuery(fixture.queryText(requestClass, LONG_DEADLINE_MS)).readResponse())
+                assertThat(other.sendQuery(fixture.queryText(requestClass, LONG_DEADLINE_MS))
+                                .readResponse())
                         .as(fixture::log)
                         .isEqualTo(ROW_7);
             }
             for (int i = 0; i < REQUESTS; i++) {
                 long sentNanos = System.nanoTime();
-                String answer = client.sendQuery(fixture.queryText(requestClass, SHORT_DEADLINE_MS)).readResponse();
+                String answer = client.sendQuery(fixture.queryText(requestClass, SHORT_DEADLINE_MS))
+                        .readResponse();
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
                 assertThat(answer).as(fixture::log).matches("(53300|58000).* ready");
                 assertThat(tookMs).as(fixture::log).isLessThan(SHORT_DEADLINE_MS + ANSWER_SLACK_MS);
                 String text = fixture.queryText(requestClass, LONG_DEADLINE_MS);
                 String id = text.replaceAll(".*id=(\\w+),.*", "$1");
                 assertThat(other.sendQuery(text).readResponse())
-                        .as("round %d, %d + %d attempts:\n%s", i, primary.attempts(id), replica.attempts(id), fixture.log())
+                        .as(
+                                "round %d, %d + %d attempts:\n%s",
+                                i, primary.attempts(id), replica.attempts(id), fixture.log())
                         .isEqualTo(ROW_7);
             }
             assertThat(primary.queries.size() + replica.queries.size())
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -144,7 +144,8 @@
         Path file = directory.resolve("gateway.json");
         try (GatewayTestFixture net = new GatewayTestFixture("p");
                 FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
-            net.servers.get("p").healthCheckGate = new CountDownLatch(1); // the gateway does not serve before these are in
+            net.servers.get("p").healthCheckGate =
+                    new CountDownLatch(1); // the gateway does not serve before these are in
             Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
                 gateway.line("warm-up took");
--- a/gateway/src/test/java/ploverdale/SkippedDrainTest.java
+++ b/gateway/src/test/java/ploverdale/SkippedDrainTest.java
@@ -16,7 +16,8 @@
 
     private static GatewayTestFixture started() throws Exception {
         GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads();
-        fixture.configurationEdit = configuration -> configuration.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
+        fixture.configurationEdit =
+                configuration -> configuration.replace("\"contract\":{", "\"contract\":{\"removalNotBinding\":true,");
         return fixture.start();
     }
 
--- a/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
+++ b/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
@@ -100,7 +100,8 @@
     @ValueSource(longs = {0, 20, 300, 1500, 4000})
     void nothingIsSentToAServerThatStartedToDrainBeforeTheGatewayStarted(long answersAfterMs) throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").answerReads();
-                SlowDiscovery agent = new SlowDiscovery(fixture.endpointList(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
+                SlowDiscovery agent =
+                        new SlowDiscovery(fixture.endpointList(5, true, "p", "r1:DRAINING", "r2"), answersAfterMs);
                 ServingProcess gateway = start(fixture, agent.port())) {
             gateway.line("server r1 listed DRAINING");
             gateway.line("listens at");
@@ -108,7 +109,9 @@
             awaitServed(before + 100, gateway);
             FakeDatabaseServer draining = fixture.servers.get("r1");
             assertThat(draining.receivedRequests).as("%s", gateway.log()).isEmpty();
-            assertThat(draining.healthChecks).as("health checks:\n%s", gateway.log()).isZero();
+            assertThat(draining.healthChecks)
+                    .as("health checks:\n%s", gateway.log())
+                    .isZero();
         }
     }
 
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -62,7 +62,8 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
     }
 
-    private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server) throws InterruptedException {
+    private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server)
+            throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (server.openConnections.get() > 0) {
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
@@ -107,7 +108,9 @@
             Fault fault = system.fail(Call.ACCEPT, errno, A_MOMENT);
             long began = System.nanoTime();
             TestClient c = net.connect();
-            assertThat(c.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
+            assertThat(c.sendQuery(net.queryText("order")).readResponse())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(since(began)).as(net::log).isLessThan(NETTY_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(A_MOMENT);
             assertThat(other.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
@@ -182,7 +185,9 @@
             waitForNoConnection(net, p);
             boolean named = call != Call.SOCKET && call != Call.SET_OPTION; // those come before the address is known
             Fault fault = named ? system.fail(call, p.port(), errno, A_MOMENT) : system.fail(call, errno, A_MOMENT);
-            assertThat(c.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
+            assertThat(c.sendQuery(net.queryText("order")).readResponse())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(fault.failed())
                     .isEqualTo(errno == Errno.EINTR ? 1 : A_MOMENT); // an interrupted connect goes on by itself
             assertThat(net.log()).doesNotContain("silent");
@@ -202,7 +207,8 @@
             long began = System.nanoTime();
             int rejected = 0;
             while (since(began) < 3500) { // longer than a server counts as heard, so that health checks come in, too
-                rejected += c.sendQuery(net.queryText("quick", 200)).readResponse().startsWith("53300") ? 1 : 0;
+                rejected +=
+                        c.sendQuery(net.queryText("quick", 200)).readResponse().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
@@ -263,13 +269,16 @@
         }
     }
 
-    private static void aQueryNotTakenWholeRunsOnce(GatewayTestFixture net, IntFunction<Fault> installs) throws Exception {
+    private static void aQueryNotTakenWholeRunsOnce(GatewayTestFixture net, IntFunction<Fault> installs)
+            throws Exception {
         FakeDatabaseServer p = net.servers.get("p");
         p.answersWrites = true;
         TestClient c = net.connect();
         assertThat(c.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
         Fault fault = installs.apply(p.port());
-        assertThat(c.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
+        assertThat(c.sendQuery(net.queryText("order")).readResponse())
+                .as(net::log)
+                .isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
         assertThat(p.receivedRequests).as("queries that came whole").hasSize(2);
         net.awaitLog("NOT_WRITTEN");
--- a/gateway/src/test/java/ploverdale/TestClient.java
+++ b/gateway/src/test/java/ploverdale/TestClient.java
@@ -98,7 +98,10 @@
                     int detail = text.indexOf("\0D");
                     response.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
                             .append(' ')
-                            .append(detail < 0 ? "" : "after " + text.substring(detail + 2, text.indexOf(0, detail + 1)) + " ");
+                            .append(
+                                    detail < 0
+                                            ? ""
+                                            : "after " + text.substring(detail + 2, text.indexOf(0, detail + 1)) + " ");
                 }
             }
             in.readFully(new byte[5]);
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -36,8 +36,8 @@
     void aRequestBehindAStartupMessageIsRefusedWhereThereIsNoRoomForItsConnection() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p").start(FEW_DESCRIPTORS, 30_000)) {
             fill(net);
-            TestClient client =
-                    new TestClient(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
+            TestClient client = new TestClient(net.gateway.port())
+                    .write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.readResponse()).as(net::log).isEqualTo("53300 closed");
             assertThat(client.readUntilClosed()).isEqualTo("end");
         }
@@ -92,7 +92,8 @@
     @Test
     void anUnfinishedRequestBehindOneInHandIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
-            net.configurationEdit = told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
+            net.configurationEdit =
+                    told -> told.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000"); // it ends after 1.7 s
             net.start();
             TestClient client = net.connect();
             Buffer order = order(net);
@@ -112,7 +113,8 @@
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
-                all.appendBuffer(MessageWriter.query(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(4500))));
+                all.appendBuffer(
+                        MessageWriter.query(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
             List<ReceivedQuery> inHand = new ArrayList<>();
@@ -184,7 +186,8 @@
             }
             for (TestClient c : idle.subList(0, 3)) {
                 assertThat(c.readByte()).isEqualTo(-1);
-                c.sendQuery(net.queryText("order")); // written before the end was known, for all that the gateway can tell
+                c.sendQuery(
+                        net.queryText("order")); // written before the end was known, for all that the gateway can tell
                 assertThat(c.readUntilClosed()).as(net::log).isEqualTo("end");
             }
             Thread.sleep(600); // until the gateway has closed these connections
