--- a/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
+++ b/gateway/src/main/java/ploverdale/benchlink/BenchLink.java
@@ -143,13 +143,11 @@
         }
     }
 
-    private void deliver(String event, JsonFields fields, SimulatedGateway gateway, WireActionWriter writer)
-            throws IOException {
+    private void deliver(String event, JsonFields fields, SimulatedGateway gateway, WireActionWriter writer) throws IOException {
         switch (event) {
             case "ALARM" -> gateway.onTimer(now, fields.integer("tag"), writer);
             case "DATAGRAM" ->
-                gateway.onDatagram(
-                        now, (int) fields.integer("from"), WireEventReader.datagram(fields.text("body")), writer);
+                gateway.onDatagram(now, (int) fields.integer("from"), WireEventReader.datagram(fields.text("body")), writer);
             default -> gateway.onEvent(now, decode(event, fields, gateway.reader()), writer);
         }
     }
@@ -174,8 +172,7 @@
         List<Endpoint> endpoints = endpointListsByNumber.get(number);
         if (endpoints == null) {
             String message = "ANNOUNCE: field sheet is not the number of an endpoint list";
-            throw InvalidSettingsException.ofField(
-                    message, "ANNOUNCE", "sheet", number, "the number of an endpoint list");
+            throw InvalidSettingsException.ofField(message, "ANNOUNCE", "sheet", number, "the number of an endpoint list");
         }
         return endpoints;
     }
--- a/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
+++ b/gateway/src/main/java/ploverdale/benchlink/SimulatedGateway.java
@@ -49,8 +49,7 @@
             throw new InvalidSettingsException(
                     "fleet file: fields sessions and submits are not supported by the simulation");
         }
-        boolean sharesQuota =
-                quotaSettings != null && started.capabilities().peerMessagesAllowed() && started.gateways() >= 2;
+        boolean sharesQuota = quotaSettings != null && started.capabilities().peerMessagesAllowed() && started.gateways() >= 2;
         if (!sharesQuota) {
             return new SimulatedGateway(new Router(null), reader, null);
         }
--- a/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
+++ b/gateway/src/main/java/ploverdale/benchlink/WireEventReader.java
@@ -87,8 +87,7 @@
         if (requestClass < 0
                 || requestClass >= settings.started().requestClasses().size()) {
             String message = "REQ: field grade is not the index of a request class";
-            throw InvalidSettingsException.ofField(
-                    message, "REQ", "grade", requestClass, "the index of a request class");
+            throw InvalidSettingsException.ofField(message, "REQ", "grade", requestClass, "the index of a request class");
         }
         return new Event.RequestArrived(
                 new RequestId(fields.text("ref")),
--- a/gateway/src/main/java/ploverdale/cli/CheckCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/CheckCommand.java
@@ -26,9 +26,8 @@
 
     private static void printQuota(QuotaSettings quotaSettings, Event.Started settings) {
         QuotaAllocation allocation = quotaSettings.allocation(settings);
-        System.out.println("shared limits of " + allocation.gateways() + " gateways, allocation "
-                + Integer.toHexString(allocation.id()) + ", guaranteed share " + quotaSettings.guaranteedShare()
-                + " of each entitlement");
+        System.out.println("shared limits of " + allocation.gateways() + " gateways, allocation " + Integer.toHexString(allocation.id())
+                + ", guaranteed share " + quotaSettings.guaranteedShare() + " of each entitlement");
         for (int limit = 0; limit < allocation.limits().size(); limit++) {
             System.out.println("  " + allocation.limits().get(limit).name() + ": "
                     + allocation.limits().get(limit).capacity() + " units in total, "
--- a/gateway/src/main/java/ploverdale/cli/QuotaCommand.java
+++ b/gateway/src/main/java/ploverdale/cli/QuotaCommand.java
@@ -26,7 +26,7 @@
         if (fleet == null) {
             return Optional.empty();
         }
-        return Optional.of(FleetConfigurationFile.requireCompatible(
-                FleetConfigurationFile.read(Path.of(fleet)), configuration.settings()));
+        return Optional.of(
+                FleetConfigurationFile.requireCompatible(FleetConfigurationFile.read(Path.of(fleet)), configuration.settings()));
     }
 }
--- a/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
+++ b/gateway/src/main/java/ploverdale/clock/WallClockOffset.java
@@ -52,7 +52,6 @@
     private static final int MIN_SAMPLES = 3;
     /** The time that these samples have to span, so that a primary whose clock has stopped does not set the offset. */
     private static final long MIN_SPAN = 3_000;
-
     private static final long MILLISECOND = 10;
 
     /** The bounds of the offset that are consistent with all samples of one server. */
@@ -172,8 +171,7 @@
      */
     private boolean updateOffset(long now) {
         List<Bounds> voters = voters(now);
-        long confirming =
-                voters.stream().filter(bounds -> bounds.confirms(offset)).count();
+        long confirming = voters.stream().filter(bounds -> bounds.confirms(offset)).count();
         long contradicting = voters.size() - confirming;
         if (known && contradicting <= confirming) {
             return false;
@@ -188,8 +186,7 @@
         if (agreeing.isEmpty()) {
             return wasKnown;
         }
-        offset = roundedUp(
-                agreeing.stream().mapToLong(bounds -> bounds.upper).max().orElseThrow());
+        offset = roundedUp(agreeing.stream().mapToLong(bounds -> bounds.upper).max().orElseThrow());
         known = true;
         return true;
     }
--- a/gateway/src/main/java/ploverdale/dev/DevClient.java
+++ b/gateway/src/main/java/ploverdale/dev/DevClient.java
@@ -37,8 +37,7 @@
         this.socket = socket;
         unanswered.add(Promise.promise());
         socket.handler(this::onBytes);
-        socket.closeHandler(
-                ignored -> unanswered.forEach(pending -> pending.tryFail("the gateway closed the connection")));
+        socket.closeHandler(ignored -> unanswered.forEach(pending -> pending.tryFail("the gateway closed the connection")));
         socket.write(MessageWriter.startup());
     }
 
@@ -79,7 +78,10 @@
             } else if (message instanceof ServerMessage.CommandComplete completion) {
                 answer.append(completion.tag().isEmpty() ? "empty" : completion.tag());
             } else if (message instanceof ServerMessage.ErrorResponse error) {
-                answer.append("error ").append(error.code()).append(' ').append(error.message());
+                answer.append("error ")
+                        .append(error.code())
+                        .append(' ')
+                        .append(error.message());
             } else if (message instanceof ServerMessage.Malformed malformed) {
                 unanswered.poll().tryFail("malformed message from the gateway: " + malformed.description());
                 socket.close();
--- a/gateway/src/main/java/ploverdale/dev/DevServers.java
+++ b/gateway/src/main/java/ploverdale/dev/DevServers.java
@@ -33,7 +33,6 @@
     private final Map<String, String> table = new HashMap<>();
     /** The servers as discovery lists them, in JSON. */
     private final List<String> members = new ArrayList<>();
-
     private final List<EndpointList.Entry> entries = new ArrayList<>();
     /** Referenced here because Vert.x may close a listening server once it becomes unreachable. */
     private final List<Object> listeners = new ArrayList<>();
@@ -92,8 +91,8 @@
                 .listen(anyPort ? 0 : entry.address().getPort(), host)
                 .onSuccess(server -> {
                     listeners.add(server);
-                    entries.add(
-                            new EndpointList.Entry(entry.endpoint(), new InetSocketAddress(host, server.actualPort())));
+                    entries.add(new EndpointList.Entry(
+                            entry.endpoint(), new InetSocketAddress(host, server.actualPort())));
                     members.add("{\"id\":\"" + entry.endpoint().server().value() + "\",\"host_port\":\"" + host + ":"
                             + server.actualPort() + "\",\"cell\":"
                             + entry.endpoint().group().number()
@@ -225,10 +224,7 @@
     /** Appends an ErrorResponse message and ReadyForQuery. */
     private static Buffer error(Buffer answer, String code, String text) {
         answer.appendByte((byte) 'E').appendInt(4 + 7 + 1 + code.length() + 2 + text.length() + 2 - 1);
-        answer.appendString("SERROR")
-                .appendByte((byte) 0)
-                .appendString("C" + code)
-                .appendByte((byte) 0);
+        answer.appendString("SERROR").appendByte((byte) 0).appendString("C" + code).appendByte((byte) 0);
         answer.appendString("M" + text).appendByte((byte) 0).appendByte((byte) 0);
         return readyForQuery(answer);
     }
--- a/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
+++ b/gateway/src/main/java/ploverdale/net/EndpointUpdates.java
@@ -118,8 +118,7 @@
     void onClockOffsetChanged() {
         Map<ServerId, Long> startedAt = new HashMap<>();
         for (Map<ServerId, StartTime> starts : List.of(removedStartTimes, startTimes)) {
-            starts.replaceAll(
-                    (server, start) -> new StartTime(start.wallMs(), serverClock.serverStart(start.wallMs())));
+            starts.replaceAll((server, start) -> new StartTime(start.wallMs(), serverClock.serverStart(start.wallMs())));
             starts.forEach((server, start) -> startedAt.put(server, start.serviceTime()));
         }
         loop.enqueue(new Event.ClockOffsetChanged(startedAt));
--- a/gateway/src/main/java/ploverdale/net/GatewayActions.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayActions.java
@@ -123,14 +123,7 @@
         // Without a row, a request in flight is not settled: its answer may still be waiting to be replicated.
         boolean settled = hasRow || clients.requestInFlight(request) == null;
         loop.enqueue(new Event.AttemptEnded(
-                request,
-                attemptNumber,
-                server,
-                result.outcome(),
-                result.duration(),
-                settled,
-                result.answerReport(),
-                result.loadReport()));
+                request, attemptNumber, server, result.outcome(), result.duration(), settled, result.answerReport(), result.loadReport()));
     }
 
     @Override
--- a/gateway/src/main/java/ploverdale/net/GatewayStartup.java
+++ b/gateway/src/main/java/ploverdale/net/GatewayStartup.java
@@ -95,11 +95,7 @@
     private Future<Void> awaitLists(EndpointLists lists) {
         Promise<Void> known = Promise.promise();
         long deadlineMs = clock.monotonicMs() + FIRST_LIST_WAIT_MS;
-        poll(
-                () -> lists.hasDiscoveryAnswered() || clock.monotonicMs() >= deadlineMs,
-                Integer.MAX_VALUE,
-                1,
-                known::complete);
+        poll(() -> lists.hasDiscoveryAnswered() || clock.monotonicMs() >= deadlineMs, Integer.MAX_VALUE, 1, known::complete);
         return known.future();
     }
 
--- a/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
+++ b/gateway/src/main/java/ploverdale/net/StartupWarmUp.java
@@ -115,8 +115,7 @@
         }
 
         private Future<Gateway> startGateway(InetSocketAddress server, InetSocketAddress discovery) {
-            Log discardingLog =
-                    new Log(new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
+            Log discardingLog = new Log(new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
             return Gateway.builder(vertx, discardingLog, warmUpConfiguration(server, discovery))
                     .context(context)
                     .clock(clock)
--- a/gateway/src/main/java/ploverdale/net/WarmUpClient.java
+++ b/gateway/src/main/java/ploverdale/net/WarmUpClient.java
@@ -93,8 +93,7 @@
         private void onBytes(Buffer bytes) {
             reader.feed(bytes);
             for (ServerMessage message = reader.next(); message != null; message = reader.next()) {
-                if (message instanceof ServerMessage.ReadyForQuery
-                        && ++readyMessages == READY_MESSAGES_PER_CONNECTION) {
+                if (message instanceof ServerMessage.ReadyForQuery && ++readyMessages == READY_MESSAGES_PER_CONNECTION) {
                     socket.close();
                 }
             }
--- a/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
+++ b/gateway/src/main/java/ploverdale/net/eventloop/SleepingTransport.java
@@ -123,9 +123,7 @@
             long startedAt = Clock.system().nanos();
             long maxWait = loop.canBlock() ? roundUpToMs(loop.delayNanos(startedAt)) : 0;
             int handled = inner.run(new RoundedUpContext(loop, true));
-            for (int i = 0;
-                    i < MAX_EXTRA_READS && Clock.system().nanos() - startedAt - maxWait > PAUSE_THRESHOLD_NANOS;
-                    i++) {
+            for (int i = 0; i < MAX_EXTRA_READS && Clock.system().nanos() - startedAt - maxWait > PAUSE_THRESHOLD_NANOS; i++) {
                 startedAt = Clock.system().nanos();
                 maxWait = 0;
                 handled += inner.run(new RoundedUpContext(loop, false));
--- a/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
+++ b/gateway/src/main/java/ploverdale/net/peer/ReplicationCoordinator.java
@@ -85,10 +85,8 @@
 
     @Override
     public void onRequestArrived(RequestArrived request, String sessionKey) {
-        RequestClass requestClass = gatewaySettings
-                .started()
-                .requestClasses()
-                .get(request.requestClass().index());
+        RequestClass requestClass =
+                gatewaySettings.started().requestClasses().get(request.requestClass().index());
         if (settings.replicatesSessions() && requestClass.consistency() == Consistency.SESSION && sessionKey != null) {
             positions.lookUp(request, sessionKey);
         } else if (requestClass.consistency() != Consistency.WRITE) {
@@ -101,8 +99,7 @@
     }
 
     private void admitWrite(RequestArrived request, RequestClass requestClass) {
-        String className =
-                gatewaySettings.requestClasses().get(request.requestClass().index());
+        String className = gatewaySettings.requestClasses().get(request.requestClass().index());
         PendingWrite write =
                 new PendingWrite(request, settings.synchronousClasses().contains(className), clock.wallNow());
         writes.put(write.id(), write);
--- a/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
+++ b/gateway/src/main/java/ploverdale/net/server/LoadReportReader.java
@@ -54,8 +54,7 @@
         if (!Double.isNaN(positionMs)) {
             long wallPosition = (long) Math.floor(positionMs) * TICKS_PER_MS;
             clock.observePosition(server, wallPosition, writtenAt, role == Role.PRIMARY);
-            position =
-                    clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.positionToServiceTime(wallPosition);
+            position = clock.isAhead(wallPosition) ? LoadReport.UNKNOWN_TIME : clock.positionToServiceTime(wallPosition);
         }
         boolean unknown = role == Role.UNKNOWN && position == LoadReport.UNKNOWN_TIME;
         return unknown ? null : new LoadReport(role, position);
--- a/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
+++ b/gateway/src/main/java/ploverdale/net/server/ServerProtocol.java
@@ -90,8 +90,7 @@
     private boolean countAsynchronousMessage() {
         boolean accepted = response.acceptAsynchronousMessage();
         if (!accepted) {
-            listener.onProtocolViolation(
-                    ServerResponse.MAX_ASYNCHRONOUS_MESSAGES + " values and notices beside an answer");
+            listener.onProtocolViolation(ServerResponse.MAX_ASYNCHRONOUS_MESSAGES + " values and notices beside an answer");
         }
         return accepted;
     }
--- a/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
+++ b/gateway/src/main/java/ploverdale/routing/HealthCheckEvaluator.java
@@ -151,7 +151,8 @@
      */
     private long nextBackoff(ServerState server) {
         if (!outlierDetector.wasNeverUp(server)) {
-            return Math.min(OutlierDetector.MAX_BACKOFF / 4, server.ejection().backoff() * 2);
+            return Math.min(
+                    OutlierDetector.MAX_BACKOFF / 4, server.ejection().backoff() * 2);
         }
         return gossip.isNeededForPositions() ? 4 * OutlierDetector.MAX_BACKOFF : OutlierDetector.MAX_BACKOFF;
     }
--- a/gateway/src/main/java/ploverdale/routing/RequestDeadlines.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDeadlines.java
@@ -58,12 +58,10 @@
      */
     static long waitUntil(PendingRequest request) {
         long latest = Math.min(valuableUntil(request), request.retryUntil());
-        long waitLimit =
-                request.mayHaveRun() ? latest : (request.arrivedAt() + request.timeoutAt()) / 2 - DEADLINE_MARGIN;
+        long waitLimit = request.mayHaveRun() ? latest : (request.arrivedAt() + request.timeoutAt()) / 2 - DEADLINE_MARGIN;
         boolean hasValueWhenLate = request.requestClass().lateValueShare() > 0;
         long attemptDuration = hasValueWhenLate ? 0 : (long) (LatencyEstimate.RARELY_EXCEEDED * request.usualLatency());
         long shortWaitUntil = request.arrivedAt() + 2 * HealthChecker.PROMPT_ANSWER;
-        return Math.min(Math.min(latest, waitLimit), Math.max(latest - attemptDuration, shortWaitUntil))
-                - MAINTENANCE_INTERVAL;
+        return Math.min(Math.min(latest, waitLimit), Math.max(latest - attemptDuration, shortWaitUntil)) - MAINTENANCE_INTERVAL;
     }
 }
--- a/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
+++ b/gateway/src/main/java/ploverdale/routing/RequestDispatcher.java
@@ -83,8 +83,7 @@
     private long objectiveAt(RequestArrived arrival, RequestClass requestClass) {
         long objective =
                 requestClass.latencyObjective() + (long) (requestClass.objectivePerWork() * arrival.expectedWork());
-        long spent =
-                arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_DELAY_SHARE * requestClass.latencyObjective()) : 0;
+        long spent = arrival.resubmitted() ? (long) (RetryPolicy.RESUBMIT_DELAY_SHARE * requestClass.latencyObjective()) : 0;
         return context.now() + objective - spent;
     }
 
@@ -153,9 +152,7 @@
     private long writeBy(PendingRequest request, ServerState server) {
         boolean positionAges =
                 request.consistency() == Consistency.BOUNDED && !server.isPrimary() && !settings.replicasCheckReads();
-        return positionAges
-                ? server.replication().position() + request.requestClass().stalenessBound()
-                : Long.MAX_VALUE;
+        return positionAges ? server.replication().position() + request.requestClass().stalenessBound() : Long.MAX_VALUE;
     }
 
     /**
--- a/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
+++ b/gateway/src/main/java/ploverdale/routing/RetryPolicy.java
@@ -64,9 +64,8 @@
             return;
         }
         boolean hasKey = request.idempotence() == Idempotence.WITH_IDEMPOTENCY_KEY;
-        long windowEnd = request.attemptStartedAt()
-                + request.requestClass().idempotencyWindow()
-                - RequestDeadlines.DEADLINE_MARGIN;
+        long windowEnd =
+                request.attemptStartedAt() + request.requestClass().idempotencyWindow() - RequestDeadlines.DEADLINE_MARGIN;
         request.recordPossibleRun(server, hasKey ? windowEnd : Long.MAX_VALUE);
     }
 
@@ -128,8 +127,7 @@
         long quotaRetryAfter = request.isBeyondAgreedTraffic()
                 ? quota.retryAfter(context.now(), request.arrival().tenant())
                 : 0;
-        long resubmitDelay =
-                (long) (RESUBMIT_DELAY_SHARE * request.requestClass().latencyObjective());
+        long resubmitDelay = (long) (RESUBMIT_DELAY_SHARE * request.requestClass().latencyObjective());
         long delay = Math.min(Math.max(resubmitDelay, quotaRetryAfter), capabilities.maxRetryAfter());
         return capabilities.retryAfterAllowed() ? delay : 0;
     }
--- a/gateway/src/main/java/ploverdale/routing/SlowStart.java
+++ b/gateway/src/main/java/ploverdale/routing/SlowStart.java
@@ -127,8 +127,7 @@
     private double refillPerWindow(ServerState server, double meanWork, Collection<ServerState> servers, long now) {
         measureServersPastSlowStart(servers, now);
         double equalShare = agreedRequestsPerServer() * meanWork / gateways;
-        double gatewayShare =
-                hasServerPastSlowStart ? Math.max(meanWorkPastSlowStart, GUARANTEED_SHARE * equalShare) : equalShare;
+        double gatewayShare = hasServerPastSlowStart ? Math.max(meanWorkPastSlowStart, GUARANTEED_SHARE * equalShare) : equalShare;
         return BUDGET_SHARE * guarantees.overloadMultiple() * capacityFraction(server, now) * gatewayShare;
     }
 
--- a/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/ConfigurationFile.java
@@ -99,8 +99,7 @@
         int gateways = settings.started().gateways();
         if (!peers.isEmpty() && peers.size() != gateways) {
             throw InvalidSettingsException.ofField(
-                    SOURCE + ": field peers has " + peers.size() + " addresses, but the settings have " + gateways
-                            + " gateways",
+                    SOURCE + ": field peers has " + peers.size() + " addresses, but the settings have " + gateways + " gateways",
                     SOURCE,
                     "peers",
                     peers.size(),
@@ -114,7 +113,11 @@
             return Long.parseUnsignedLong(text, HEXADECIMAL);
         } catch (NumberFormatException notHexadecimal) {
             throw InvalidSettingsException.ofField(
-                    SOURCE + ": field seed is not a hexadecimal number", SOURCE, "seed", text, "a hexadecimal number");
+                    SOURCE + ": field seed is not a hexadecimal number",
+                    SOURCE,
+                    "seed",
+                    text,
+                    "a hexadecimal number");
         }
     }
 
--- a/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
+++ b/gateway/src/main/java/ploverdale/settings/EndpointListReader.java
@@ -81,11 +81,7 @@
             case "SERVING" -> EndpointState.IN;
             default ->
                 throw InvalidSettingsException.ofField(
-                        id + ": field phase has an unknown value: " + phase,
-                        id,
-                        "phase",
-                        phase,
-                        "SERVING, DRAINING or DELETED");
+                        id + ": field phase has an unknown value: " + phase, id, "phase", phase, "SERVING, DRAINING or DELETED");
         };
     }
 }
--- a/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
+++ b/gateway/src/main/java/ploverdale/settings/FleetConfigurationFile.java
@@ -149,29 +149,17 @@
         }
         for (String name : replication.synchronousClasses()) {
             if (!gatewaySettings.requestClasses().contains(name)) {
-                throw incompatible(
-                        "wait_for_copies",
-                        " names an unknown request class: " + name,
-                        name,
-                        "names of request classes");
+                throw incompatible("wait_for_copies", " names an unknown request class: " + name, name, "names of request classes");
             }
         }
         if (replication.replicatesSessions()
                 && gatewaySettings.started().replicaGuarantees().requestsCarryPositions()) {
-            throw incompatible(
-                    "sessions",
-                    " is not allowed where requests carry their sessions' positions",
-                    "a value",
-                    "no such field");
+            throw incompatible("sessions", " is not allowed where requests carry their sessions' positions", "a value", "no such field");
         }
         int gateways = gatewaySettings.started().gateways();
         int maxGateways = ReplicationSettings.maxGateways();
         if (gateways > maxGateways) {
-            throw incompatible(
-                    "copies",
-                    " is not allowed with more than " + maxGateways + " gateways",
-                    gateways,
-                    "at most " + maxGateways);
+            throw incompatible("copies", " is not allowed with more than " + maxGateways + " gateways", gateways, "at most " + maxGateways);
         }
         return quotaSettings;
     }
--- a/gateway/src/main/java/ploverdale/settings/InvalidSettingsException.java
+++ b/gateway/src/main/java/ploverdale/settings/InvalidSettingsException.java
@@ -34,8 +34,7 @@
 
     /** Creates an exception for a required field that is absent. */
     public static InvalidSettingsException missingField(String source, String field) {
-        return new InvalidSettingsException(
-                source + ": field " + field + " is missing", source, field, "nothing", "a value");
+        return new InvalidSettingsException(source + ": field " + field + " is missing", source, field, "nothing", "a value");
     }
 
     /** Creates an exception for a field that is not defined. */
--- a/gateway/src/test/java/ploverdale/benchlink/ScenarioRecorder.java
+++ b/gateway/src/test/java/ploverdale/benchlink/ScenarioRecorder.java
@@ -144,8 +144,7 @@
                 now + durationMs,
                 "{\"RESPONSE\":{\"gateway\":\"" + route.gateway() + "\",\"ref\":\"" + request + "\",\"roundNo\":"
                         + number
-                        + ",\"server\":\"" + server + "\",\"verdict\":\"" + verdict + "\",\"durationMs\":"
-                        + ms(durationMs)
+                        + ",\"server\":\"" + server + "\",\"verdict\":\"" + verdict + "\",\"durationMs\":" + ms(durationMs)
                         + settled
                         + reports + "}}");
     }
--- a/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
+++ b/gateway/src/test/java/ploverdale/clock/WallClockOffsetTest.java
@@ -175,8 +175,7 @@
                         primary ? writtenAt + random.nextLong(now - writtenAt + 1) : now - random.nextLong(20 * SECOND);
                 int server = random.nextInt(3) * 2 + (primary ? 1 : 0);
                 long error = random.nextInt(30) == 0 ? random.nextLong(7200 * SECOND) - 3600 * SECOND : 0;
-                randomEstimate.observe(
-                        server, Math.floorDiv(reportedTime + clockOffset + error, MS) * MS, writtenAt, now, primary);
+                randomEstimate.observe(server, Math.floorDiv(reportedTime + clockOffset + error, MS) * MS, writtenAt, now, primary);
                 corrected |= randomEstimate.offset() != 0;
                 if (randomEstimate.isKnown() && corrected) {
                     assertThat(randomEstimate.offset())
--- a/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/GossipTransportTest.java
@@ -47,11 +47,9 @@
                                         LOOPBACK, peer.localAddress().port())));
                 transport.setDatagramInterceptor((from, bytes) -> received.complete(bytes));
                 transport.send(1, new byte[] {1});
-                vertx.setTimer(
-                        20,
-                        timer -> transport
-                                .listen(address)
-                                .onSuccess(listening -> peer.send(Buffer.buffer(new byte[] {7}), port, LOOPBACK)));
+                vertx.setTimer(20, timer -> transport
+                        .listen(address)
+                        .onSuccess(listening -> peer.send(Buffer.buffer(new byte[] {7}), port, LOOPBACK)));
             });
             assertThat(received.get(20, TimeUnit.SECONDS)).containsExactly(7);
         } finally {
--- a/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
+++ b/gateway/src/test/java/ploverdale/net/eventloop/SleepingTransportTest.java
@@ -36,8 +36,7 @@
     @Test
     void aTurnDelayedByAPauseReadsAgainBeforeTimersRun() {
         FakeSelector selector = new FakeSelector(50);
-        assertThat(new SleepingTransport.SleepingIoHandler(selector)
-                        .run(new FakeLoop(TimeUnit.MILLISECONDS.toNanos(10))))
+        assertThat(new SleepingTransport.SleepingIoHandler(selector).run(new FakeLoop(TimeUnit.MILLISECONDS.toNanos(10))))
                 .isEqualTo(2);
         assertThat(selector.mayBlock).containsExactly(true, false);
     }
--- a/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
+++ b/gateway/src/test/java/ploverdale/net/server/ServerConnectionPoolTest.java
@@ -77,12 +77,7 @@
         Log log = new Log(new PrintStream(logOutput, true, UTF_8));
         GatewaySettings settings = new GatewaySettings(1, new JsonFields("settings", Map.of()));
         onEventLoop(() -> pool = new ServerConnectionPool(
-                vertx,
-                log,
-                settings,
-                limits,
-                limits::mayOpenServerConnection,
-                new ServerClock(log::line, Clock.system())));
+                vertx, log, settings, limits, limits::mayOpenServerConnection, new ServerClock(log::line, Clock.system())));
     }
 
     /** Creates a pool and a server that completes each handshake and calls the handler for each query. */
--- a/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RetryPolicyTest.java
@@ -41,7 +41,9 @@
     void aRejectedWriteIsRetriedAtThePrimaryWithBackoff() {
         RequestId write = driver.request(TestRouterSettings.WRITE);
         driver.attemptEnded(write, 0, "p", Outcome.REJECTED, null);
-        assertThat(driver.attempts(write)).as("not retried at once").containsExactly("p");
+        assertThat(driver.attempts(write))
+                .as("not retried at once")
+                .containsExactly("p");
         assertThat(driver.rejections(write)).isZero();
         driver.advance(120);
         assertThat(driver.attempts(write)).containsExactly("p", "p");
--- a/gateway/src/test/java/ploverdale/routing/RouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/RouterTest.java
@@ -35,6 +35,8 @@
             }
             eachDriver.advance(500);
         }
-        assertThat(drivers.get(0).actions).hasSizeGreaterThan(20).isEqualTo(drivers.get(1).actions);
+        assertThat(drivers.get(0).actions)
+                .hasSizeGreaterThan(20)
+                .isEqualTo(drivers.get(1).actions);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartBudget.java
@@ -24,8 +24,7 @@
     double capacityFraction(SimulatedServer server, long time) {
         double elapsedFraction = (time - restartedAt) / (double) (deployment.slowStartMs() * TICKS_PER_MS);
         return server.restarted
-                ? Math.min(
-                        1, deployment.startCapacity() + (1 - deployment.startCapacity()) * Math.max(0, elapsedFraction))
+                ? Math.min(1, deployment.startCapacity() + (1 - deployment.startCapacity()) * Math.max(0, elapsedFraction))
                 : 1;
     }
 
@@ -48,9 +47,7 @@
             while (arrivalsInWindow.peek().at() <= arrival.at() - window) {
                 load -= arrivalsInWindow.remove().work();
             }
-            maxShare = Math.max(
-                    maxShare,
-                    load / allowedLoad(capacity(server) * capacityFraction(server, arrival.at() - window / 2)));
+            maxShare = Math.max(maxShare, load / allowedLoad(capacity(server) * capacityFraction(server, arrival.at() - window / 2)));
         }
         return maxShare;
     }
@@ -58,15 +55,17 @@
     /** Returns the load allowed in a window, in requests: the budget and an allowance for random variation. */
     private double allowedLoad(double capacity) {
         double requests = deployment.overloadMultiple() * capacity * deployment.overloadWindowMs() / 1000;
-        return requests < 30 ? requests + 3 * Math.sqrt(requests) + 3 : requests + 2 * Math.sqrt(requests) + 2;
+        return requests < 30
+                ? requests + 3 * Math.sqrt(requests) + 3
+                : requests + 2 * Math.sqrt(requests) + 2;
     }
 
     /** Returns how much a recovering server can answer between these times, in requests of mean work. */
     double possibleAnswers(long from, long until) {
         double seconds = (until - from) / (1000.0 * TICKS_PER_MS);
         double midpoint = (from + until) / 2 - restartedAt;
-        double capacityFraction = deployment.startCapacity()
-                + (1 - deployment.startCapacity()) * midpoint / (deployment.slowStartMs() * TICKS_PER_MS);
+        double capacityFraction =
+                deployment.startCapacity() + (1 - deployment.startCapacity()) * midpoint / (deployment.slowStartMs() * TICKS_PER_MS);
         return seconds * capacityFraction * deployment.capacity() * RECOVERING_CAPACITY_SHARE;
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartDeployment.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartDeployment.java
@@ -12,10 +12,4 @@
  * @param capacity the full capacity of a server, in requests per second
  */
 record SlowStartDeployment(
-        String name,
-        double startCapacity,
-        long slowStartMs,
-        double overloadMultiple,
-        long overloadWindowMs,
-        int cores,
-        double capacity) {}
+        String name, double startCapacity, long slowStartMs, double overloadMultiple, long overloadWindowMs, int cores, double capacity) {}
--- a/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartFleet.java
@@ -48,11 +48,9 @@
     static final int SERVERS = GROUPS * GROUP_SIZE;
     /** The offered load, as a fraction of the full capacity of all servers. */
     private static final double OFFERED_LOAD = 0.6;
-
     private static final double HEALTH_CHECK_WORK = 0.005;
     /** Fraction of failed attempts at restarted servers in {@link SlowStartScenario#ALL_SERVERS_AND_FAILURES}. */
     private static final double FAILURE_SHARE = 0.15;
-
     private static final int BOUNDED_READ = 0;
     private static final int UNBOUNDED_READ = 1;
     private static final int WRITE = 2;
@@ -104,9 +102,8 @@
         time.runUntil(END_AT);
         double maxLoad =
                 restartingServers().stream().mapToDouble(budget::maxLoad).max().orElseThrow();
-        double answeredWork = restartingServers().stream()
-                .mapToDouble(server -> server.workAnsweredAfterRestart)
-                .sum();
+        double answeredWork =
+                restartingServers().stream().mapToDouble(server -> server.workAnsweredAfterRestart).sum();
         return new Result(
                 maxLoad,
                 served / (double) requestsAfterRestart,
@@ -172,8 +169,7 @@
     }
 
     private int pickGroup(boolean bursting) {
-        double firstGroupShare =
-                scenario != SlowStartScenario.QUIET_GROUP_THEN_BURST ? 1.0 / GROUPS : bursting ? 0.7 : 0.01;
+        double firstGroupShare = scenario != SlowStartScenario.QUIET_GROUP_THEN_BURST ? 1.0 / GROUPS : bursting ? 0.7 : 0.01;
         return random.nextDouble() < firstGroupShare ? 0 : 1 + random.nextInt(GROUPS - 1);
     }
 
@@ -189,9 +185,7 @@
     private void submit(Request request) {
         RequestId id = new RequestId("op" + submissions++);
         requests.put(id, request);
-        long timeout = request.requestClass == BOUNDED_READ
-                ? 2000 * TICKS_PER_MS
-                : request.requestClass == UNBOUNDED_READ ? 1000 * TICKS_PER_MS : 3000 * TICKS_PER_MS;
+        long timeout = request.requestClass == BOUNDED_READ ? 2000 * TICKS_PER_MS : request.requestClass == UNBOUNDED_READ ? 1000 * TICKS_PER_MS : 3000 * TICKS_PER_MS;
         deliver(
                 request.gateway,
                 new Event.RequestArrived(
@@ -210,12 +204,8 @@
         Request rejected = requests.remove(id);
         attempts.remove(id);
         if (rejected != null && rejected.resubmissions < 2 && random.nextDouble() < 0.6) {
-            Request resubmitted = new Request(
-                    pickGateway(),
-                    rejected.requestClass,
-                    rejected.group,
-                    rejected.resubmissions + 1,
-                    rejected.objectiveAt);
+            Request resubmitted =
+                    new Request(pickGateway(), rejected.requestClass, rejected.group, rejected.resubmissions + 1, rejected.objectiveAt);
             at(time.now() + (100 + random.nextInt(300)) * TICKS_PER_MS, () -> submit(resubmitted));
         }
     }
@@ -255,8 +245,8 @@
     private void startAttempt(int gateway, Action.StartAttempt start) {
         int number = attempts.merge(start.request(), 1, Integer::sum) - 1;
         double work = -(Math.log(1 - random.nextDouble()) + Math.log(1 - random.nextDouble())) / 2;
-        SimulatedAttempt attempt = new SimulatedAttempt(
-                gateway, start.request(), number, serversById.get(start.server()), time.now(), work);
+        SimulatedAttempt attempt =
+                new SimulatedAttempt(gateway, start.request(), number, serversById.get(start.server()), time.now(), work);
         inFlight.put(start.request(), attempt);
         at(time.now() + 3 + random.nextInt(7), () -> deliverToServer(attempt));
         at(time.now() + start.timeLimit(), () -> endAttempt(attempt, Outcome.TIMED_OUT));
@@ -303,9 +293,8 @@
     }
 
     private void notifyOfRestart() {
-        List<Endpoint> restarted = restartingServers().stream()
-                .map(server -> endpoint(server, RESTARTED_AT))
-                .toList();
+        List<Endpoint> restarted =
+                restartingServers().stream().map(server -> endpoint(server, RESTARTED_AT)).toList();
         for (int i = 0; i < gateways; i++) {
             int gateway = i;
             at(
@@ -345,9 +334,8 @@
             SimulatedAttempt attempt = server.queue.remove();
             server.running.add(attempt);
             int incarnation = server.incarnation;
-            double seconds = attempt.work
-                    * deployment.cores()
-                    / (budget.capacity(server) * budget.capacityFraction(server, time.now()));
+            double seconds =
+                    attempt.work * deployment.cores() / (budget.capacity(server) * budget.capacityFraction(server, time.now()));
             at(time.now() + Math.max(1, (long) (seconds * 1000 * TICKS_PER_MS)), () -> finish(attempt, incarnation));
         }
     }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartInRouterTest.java
@@ -70,8 +70,7 @@
         for (int i = 0; i < 12; i++) {
             RequestId read = freshDriver.request(TestRouterSettings.UNBOUNDED_READ);
             assertThat(freshDriver.attempts(read)).as("read " + i).containsExactly("r1");
-            freshDriver.attemptEnded(
-                    read, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, freshDriver.nowMs));
+            freshDriver.attemptEnded(read, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, freshDriver.nowMs));
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartSettings.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartSettings.java
@@ -49,16 +49,6 @@
     private static RequestClass requestClass(
             long timeout, Idempotence idempotence, double value, double lateValueShare, Consistency consistency) {
         return new RequestClass(
-                500 * TICKS_PER_MS,
-                0,
-                timeout,
-                idempotence,
-                RequestClass.Scope.GROUP,
-                0,
-                value,
-                lateValueShare,
-                false,
-                consistency,
-                STALENESS_BOUND);
+                500 * TICKS_PER_MS, 0, timeout, idempotence, RequestClass.Scope.GROUP, 0, value, lateValueShare, false, consistency, STALENESS_BOUND);
     }
 }
--- a/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
+++ b/gateway/src/test/java/ploverdale/routing/SlowStartTest.java
@@ -21,13 +21,12 @@
     private static final double WORK = 80 * TICKS_PER_MS;
     /** Requests per window that the server withstands right after its start. */
     private static final double BUDGET = 20;
-
     private static final double ALLOWED_REQUESTS = BUDGET + 3 * Math.sqrt(BUDGET) + 3;
     /** Agreed requests per window and server. */
     private static final double AGREED_PER_SERVER = 40;
     /** Slow start lasts so long that the server's capacity hardly changes during a test. */
-    private static final ServerGuarantees GUARANTEES = new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0);
-
+    private static final ServerGuarantees GUARANTEES =
+            new ServerGuarantees(0.25, 10_000 * WINDOW, 2, WINDOW, true, 0);
     private static final long STARTED_AT = 100 * WINDOW;
     private static final long SEED = 11;
 
@@ -128,8 +127,7 @@
             charged.slowStart.recordHealthCheckAnswer(charged.recovering, (long) WORK / 4, STARTED_AT + WINDOW);
         }
         int sentByUncharged = sentInAWindow(List.of(uncharged), STARTED_AT + WINDOW);
-        assertThat(sentInAWindow(List.of(charged), STARTED_AT + WINDOW))
-                .isBetween(sentByUncharged - 5, sentByUncharged - 3);
+        assertThat(sentInAWindow(List.of(charged), STARTED_AT + WINDOW)).isBetween(sentByUncharged - 5, sentByUncharged - 3);
     }
 
     @Test
--- a/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
+++ b/gateway/src/test/java/ploverdale/routing/StalenessFilterTest.java
@@ -53,8 +53,7 @@
         assertThat(checkingDriver.rejections(checkingDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .isEqualTo(1);
         checkingDriver.nowMs += 50;
-        checkingDriver.attemptEnded(
-                unverified, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, checkingDriver.nowMs - 10));
+        checkingDriver.attemptEnded(unverified, 0, "r1", Outcome.SUCCEEDED, RouterDriver.report(Role.REPLICA, checkingDriver.nowMs - 10));
         assertThat(checkingDriver.attempts(checkingDriver.request(TestRouterSettings.BOUNDED_READ)))
                 .containsExactly("r1");
     }
