--- a/gateway/src/test/java/ploverdale/AnsweringServer.java
+++ b/gateway/src/test/java/ploverdale/AnsweringServer.java
@@ -5,23 +5,23 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** Answers the queries that reach a stand-in server, on a thread of its own, and keeps their texts. */
+/** Answers the queries that a fake database server receives, on a thread of its own, and records their texts. */
 final class AnsweringServer implements AutoCloseable {
     private static final long POLL_MS = 50;
 
-    /** What is done with a query. */
+    /** How a query is answered. */
     interface Reply {
-        void to(Got query) throws IOException;
+        void to(ReceivedQuery query) throws IOException;
     }
 
-    /** Texts of all queries that came, in the order of their coming. */
+    /** Texts of all queries received, in order of arrival. */
     final List<String> queries = new CopyOnWriteArrayList<>();
 
-    private final Server server;
+    private final FakeDatabaseServer server;
     private final Reply reply;
     private volatile boolean closed;
 
-    AnsweringServer(Server server, Reply reply) {
+    AnsweringServer(FakeDatabaseServer server, Reply reply) {
         this.server = server;
         this.reply = reply;
         Thread answers = new Thread(this::run, "answering-server");
@@ -32,7 +32,7 @@
     private void run() {
         try {
             while (!closed) {
-                Got query = server.got.poll(POLL_MS, TimeUnit.MILLISECONDS);
+                ReceivedQuery query = server.pendingQueries.poll(POLL_MS, TimeUnit.MILLISECONDS);
                 if (query != null) {
                     answer(query);
                 }
@@ -42,16 +42,16 @@
         }
     }
 
-    private void answer(Got query) {
+    private void answer(ReceivedQuery query) {
         queries.add(query.text());
         try {
             reply.to(query);
         } catch (IOException e) {
-            return; // the gateway has given this attempt up
+            return; // the gateway has cancelled this attempt
         }
     }
 
-    /** How many attempts of the request with this id came. */
+    /** Returns the number of attempts received for the request with this id. */
     long attempts(String id) {
         return queries.stream().filter(text -> text.contains("id=" + id + ",")).count();
     }
--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -51,7 +51,7 @@
             this.port = port;
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             write(MessageWriter.startup());
             DataInputStream in = new DataInputStream(socket.getInputStream());
             for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -71,7 +71,7 @@
             return this;
         }
 
-        LeavingClient ask(String sql) throws IOException {
+        LeavingClient sendQuery(String sql) throws IOException {
             return write(MessageWriter.query(sql));
         }
 
@@ -125,7 +125,7 @@
      * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is
      * read after the pause, in one turn of the loop.
      */
-    private static void pauseLoop(Net net, long pauseMs, Net.ThrowingRunnable meanwhile) throws Exception {
+    private static void pauseLoop(GatewayTestFixture net, long pauseMs, GatewayTestFixture.ThrowingRunnable meanwhile) throws Exception {
         CountDownLatch paused = new CountDownLatch(1);
         CountDownLatch resume = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
@@ -143,12 +143,12 @@
         resume.countDown();
     }
 
-    private static String longStatement(Net net) {
-        return net.request("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
+    private static String longStatement(GatewayTestFixture net) {
+        return net.queryText("order").replace("\\x01", "\\x" + "01".repeat(STATEMENT_BYTES / 2));
     }
 
     /** Waits until any late attempt would have begun, and asserts that none did. */
-    private static void assertNoAttemptBeginsAfter(long leftAt, Net net, AttemptRecorder recorder) throws Exception {
+    private static void assertNoAttemptBeginsAfter(long leftAt, GatewayTestFixture net, AttemptRecorder recorder) throws Exception {
         Thread.sleep(SETTLE_MS);
         assertThat(recorder.begunAfter(leftAt)).as(net::log).isEmpty();
     }
@@ -156,12 +156,12 @@
     @ParameterizedTest
     @EnumSource
     void noQueuedPipelinedRequestIsForwardedOnceItsClientHasLeft(Departure departure) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer pipelined = Buffer.buffer();
                 for (int i = 0; i < 3 * PIPELINE_SLOTS; i++) {
-                    pipelined.appendBuffer(MessageWriter.query(net.request("order")));
+                    pipelined.appendBuffer(MessageWriter.query(net.queryText("order")));
                 }
                 client.write(pipelined);
                 List<Arrival> inFlight = recorder.await(PIPELINE_SLOTS);
@@ -177,7 +177,7 @@
 
     private static void tryToAnswer(Arrival arrival) {
         try {
-            arrival.attempt().row(new byte[] {7});
+            arrival.attempt().sendRow(new byte[] {7});
         } catch (IOException e) {
             // Expected: the attempt was cancelled.
             assertThat(e).hasMessageMatching("(?i).*(closed|reset|broken pipe).*");
@@ -187,7 +187,7 @@
     @ParameterizedTest
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE"})
     void noRequestIsForwardedForAClientThatWroteMoreThanIsReadAheadAndLeft(Departure departure) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             try (LeavingClient client = new LeavingClient(net.gateway.port())) {
                 Buffer pipelined = Buffer.buffer();
@@ -209,23 +209,23 @@
     @ParameterizedTest
     @EnumSource
     void aRequestWaitingForASlowConnectionIsNotWrittenOnceItsClientHasLeft(Departure departure) throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             // The router can't cancel the attempt.
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
-            net.started();
-            Server primary = net.servers.get("p");
+            net.configurationEdit = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
+            net.start();
+            FakeDatabaseServer primary = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1); // uses the connection that the health check opened
-                primary.holdsGreetings = new CountDownLatch(1);
-                primary.connects.clear();
-                client.ask(net.request("order"));
-                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                primary.startupGate = new CountDownLatch(1);
+                primary.acceptedConnections.clear();
+                client.sendQuery(net.queryText("order"));
+                assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                         .isNotNull();
                 long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                primary.holdsGreetings.countDown();
+                primary.startupGate.countDown();
                 assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -236,21 +236,21 @@
     @EnumSource(names = {"CLOSE", "RESET", "HALF_CLOSE", "TERMINATE"})
     void aConnectionEstablishedDuringAPauseIsNotUsedForAClientThatLeftDuringThePause(Departure departure)
             throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server primary = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
-                    LeavingClient other = new LeavingClient(net.gateway.port()).ask(net.request("order"));
+                    LeavingClient other = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 recorder.await(1);
-                primary.holdsGreetings = new CountDownLatch(1);
-                primary.connects.clear();
-                client.ask(net.request("order"));
-                assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                primary.startupGate = new CountDownLatch(1);
+                primary.acceptedConnections.clear();
+                client.sendQuery(net.queryText("order"));
+                assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                         .isNotNull();
                 Thread.sleep(20); // the startup message has been written by now
                 long[] leftAt = {0};
                 pauseLoop(net, 180, () -> {
-                    primary.holdsGreetings.countDown();
+                    primary.startupGate.countDown();
                     Thread.sleep(20);
                     leftAt[0] = client.leave(departure);
                 });
@@ -265,17 +265,17 @@
     @EnumSource
     void aRequestWaitingForItsPrimaryIsNotForwardedWhenThePrimaryAnswersAfterItsClientLeft(Departure departure)
             throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server primary = net.servers.get("p");
-            primary.holdsProbes = new CountDownLatch(1);
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            primary.healthCheckGate = new CountDownLatch(1);
             Thread.sleep(2200); // by now the primary's last answer is too old and a health check is in flight
             try (AttemptRecorder recorder = new AttemptRecorder(primary);
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
                 Thread.sleep(50); // the request waits for the primary
                 assertThat(recorder.count()).isZero();
                 long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                primary.holdsProbes.countDown();
+                primary.healthCheckGate.countDown();
                 assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -284,16 +284,16 @@
     @ParameterizedTest
     @EnumSource
     void anAttemptThatFailsAfterItsClientLeftIsNotRetried(Departure departure) throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             // So that the attempt stays in flight.
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
-            net.started();
+            net.configurationEdit = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
+            net.start();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                    LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                    LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                first.attempt().problem("53300"); // proves that the query did not run, so a retry would be allowed
+                first.attempt().sendError("53300"); // proves that the query did not run, so a retry would be allowed
                 assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -302,7 +302,7 @@
     @ParameterizedTest
     @EnumSource
     void noAttemptBeginsForAClientThatAskedAndLeftDuringAPause(Departure departure) throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"))) {
             List<LeavingClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
@@ -312,7 +312,7 @@
             Thread[] departures = {null};
             pauseLoop(net, 150, () -> {
                 for (LeavingClient client : clients) {
-                    client.ask(net.request("order"));
+                    client.sendQuery(net.queryText("order"));
                 }
                 Runnable leaveAll = () -> leaveAll(clients, departure);
                 leftAt[0] = System.nanoTime();
@@ -356,19 +356,19 @@
     @EnumSource
     void noAttemptBeginsForAClientThatLeftBetweenReadingAndForwardingOfItsRequest(Departure departure)
             throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                 LeavingClient client = new LeavingClient(net.gateway.port())) {
             // The first would be forwarded; the error of the second is logged in the same turn, and the gateway pauses
             // there.
-            Buffer queries = MessageWriter.query(net.request("order"))
-                    .appendBuffer(MessageWriter.query(net.request("no such type")));
-            net.pauseWhileReading(() -> client.write(queries));
+            Buffer queries = MessageWriter.query(net.queryText("order"))
+                    .appendBuffer(MessageWriter.query(net.queryText("no such type")));
+            net.pauseLoopWhileReading(() -> client.write(queries));
             long leftAt = System.nanoTime();
             Thread departing = new Thread(() -> leaveAll(List.of(client), departure));
             departing.start();
             Thread.sleep(150); // duration of the pause
-            net.goOn();
+            net.resume();
             departing.join();
             assertNoAttemptBeginsAfter(leftAt, net, recorder);
         }
@@ -377,19 +377,19 @@
     @ParameterizedTest
     @EnumSource
     void noAttemptBeginsForAClientThatLeftDuringAGracefulShutdown(Departure departure) throws Exception {
-        try (Net net = new Net("p")) {
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
-            net.started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
+            net.configurationEdit = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
+            net.start();
             try (AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
                     LeavingClient client = new LeavingClient(net.gateway.port())) {
                 CountDownLatch shutdownEnded = new CountDownLatch(1);
                 net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-                net.logged("planned restart: 1 connections");
-                client.ask(net.request("order"));
+                net.awaitLog("planned restart: 1 connections");
+                client.sendQuery(net.queryText("order"));
                 Arrival first = recorder.await(1).get(0);
                 long leftAt = client.leave(departure);
                 Thread.sleep(AttemptRecorder.GRACE_MS + 20);
-                first.attempt().problem("53300");
+                first.attempt().sendError("53300");
                 assertNoAttemptBeginsAfter(leftAt, net, recorder);
             }
         }
@@ -397,25 +397,25 @@
 
     @Test
     void aCancelRequestIsAnsweredOnTheConnectionItNamesAndTheAttemptIsCancelled() throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.leave(Departure.CANCEL);
             assertThat(client.errorCode()).as(net::log).isEqualTo("57014");
-            first.attempt().endedByGateway();
+            first.attempt().awaitClosedByGateway();
         }
     }
 
     @Test
     void aCancelRequestWithAWrongSecretKeyCancelsNothing() throws Exception {
-        try (Net net = new Net("p").started();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start();
                 AttemptRecorder recorder = new AttemptRecorder(net.servers.get("p"));
-                LeavingClient client = new LeavingClient(net.gateway.port()).ask(net.request("order"))) {
+                LeavingClient client = new LeavingClient(net.gateway.port()).sendQuery(net.queryText("order"))) {
             Arrival first = recorder.await(1).get(0);
             client.secretKey++;
             client.leave(Departure.CANCEL);
-            first.attempt().row(new byte[] {7});
+            first.attempt().sendRow(new byte[] {7});
             assertThat((char) client.socket.getInputStream().read())
                     .as(net::log)
                     .isEqualTo('T');
--- a/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
@@ -36,8 +36,8 @@
     private static final int QUERY_INTERVAL_MS = 50;
 
     private String[] ids;
-    private Net net;
-    private List<Server> servers;
+    private GatewayTestFixture net;
+    private List<FakeDatabaseServer> servers;
     private final Path configuration = Files.createTempFile("gateway", ".json");
     private final Path log = Files.createTempFile("gateway", ".log");
     private volatile boolean stopLoad;
@@ -50,18 +50,18 @@
         for (int i = 0; i < count; i++) {
             ids[i] = (i % GROUP_SIZE == 0 ? "p" : "r") + i;
         }
-        net = new Net(ids).readable();
+        net = new GatewayTestFixture(ids).answerReads();
         servers = List.copyOf(net.servers.values());
-        servers.forEach(s -> s.writes = true);
+        servers.forEach(s -> s.answersWrites = true);
         List<String> rows = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             rows.add("{\"id\":\"" + ids[i] + "\",\"host_port\":\"127.0.0.1:"
                     + servers.get(i).port() + "\",\"cell\":" + i / GROUP_SIZE + ",\"phase\":\"SERVING\"}");
         }
-        net.registry.whole = "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", rows) + "]}";
+        net.discovery.completeList = "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", rows) + "]}";
         Files.writeString(
                 configuration,
-                Net.configuration(net.registry, 2000, 30_000)
+                GatewayTestFixture.configuration(net.discovery, 2000, 30_000)
                         .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":250")
                         .replace("[30000,0,0]", "[500,0,0]"));
     }
@@ -83,10 +83,10 @@
     void aPauseOfTheGatewayAndAllServersRightAfterTheStartEjectsNoServer(int count) throws Exception {
         createServers(count);
         CountDownLatch resume = new CountDownLatch(1);
-        servers.forEach(s -> s.holdsGreetings = resume);
+        servers.forEach(s -> s.startupGate = resume);
         start();
         await(
-                () -> count(i -> !servers.get(i).connects.isEmpty()) >= Math.min(count, FIRST_HEALTH_CHECKS),
+                () -> count(i -> !servers.get(i).acceptedConnections.isEmpty()) >= Math.min(count, FIRST_HEALTH_CHECKS),
                 "the first health checks are in flight");
         signal("-STOP");
         Thread.sleep(PAUSE_MS);
@@ -95,7 +95,7 @@
         long resumed = System.nanoTime();
         Thread load = startLoad(line("listens at"));
         await(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size()
+                () -> count(i -> servers.get(i).healthChecks > 0) == servers.size()
                         && ejectedServers().isEmpty(),
                 "all servers have answered and none is ejected");
         long recoveryMs = millisSince(resumed);
@@ -118,14 +118,14 @@
         start();
         Thread load = startLoad(line("listens at"));
         await(
-                () -> count(i -> servers.get(i).probed > 0) == servers.size()
+                () -> count(i -> servers.get(i).healthChecks > 0) == servers.size()
                         && ejectedServers().isEmpty(),
                 "all servers have answered and none is ejected");
         Set<String> unresponsive = new HashSet<>();
         for (int i = 0; i < MANY_SERVERS; i++) {
             if (i % 3 != 0) {
                 unresponsive.add(ids[i]);
-                servers.get(i).mute = true;
+                servers.get(i).unresponsive = true;
             }
         }
         long stopped = System.nanoTime();
@@ -164,7 +164,7 @@
     }
 
     private Thread startLoad(String listeningLine) {
-        Thread load = new Thread(() -> sendQueries(listeningLine, TimeUnit.SECONDS.toMillis(2 * Net.PATIENCE_S)));
+        Thread load = new Thread(() -> sendQueries(listeningLine, TimeUnit.SECONDS.toMillis(2 * GatewayTestFixture.TIMEOUT_S)));
         load.start();
         return load;
     }
@@ -190,14 +190,14 @@
     /** Sends queries to each replica group at a fixed rate, without waiting for answers. */
     private void sendQueries(String listeningLine, long durationMs) {
         int port = Integer.parseInt(listeningLine.replaceAll(".*:(\\d+), .*", "$1"));
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         try {
             for (int group = 0; group * GROUP_SIZE < servers.size(); group++) {
-                Client client = new Client(port).greeted();
+                TestClient client = new TestClient(port).completeStartup();
                 clients.add(client);
                 Thread reader = new Thread(() -> {
                     try {
-                        client.howItEnds();
+                        client.readUntilClosed();
                     } catch (IOException e) {
                         stopLoad |= gateway.isAlive() && !stopLoad;
                     }
@@ -208,11 +208,11 @@
             long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
             for (int i = 0; System.nanoTime() < endNanos && !stopLoad; i++) {
                 for (int group = 0; group < clients.size(); group++) {
-                    clients.get(group).ask(query(i, group));
+                    clients.get(group).sendQuery(query(i, group));
                 }
                 Thread.sleep(QUERY_INTERVAL_MS);
             }
-            for (Client client : clients) {
+            for (TestClient client : clients) {
                 client.close();
             }
         } catch (IOException | InterruptedException e) {
@@ -268,7 +268,7 @@
     }
 
     private void await(BooleanSupplier condition, String description) throws Exception {
-        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Net.PATIENCE_S);
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * GatewayTestFixture.TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime())
                     .as("%s:\n%s", description, Files.readString(log))
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -57,7 +57,7 @@
 
         private void run(SplittableRandom random) {
             while (!stopped) {
-                try (Client client = new Client(port).greeted()) {
+                try (TestClient client = new TestClient(port).completeStartup()) {
                     session(client, random);
                 } catch (IOException | AssertionError e) {
                     Thread.onSpinWait(); // the connection was refused or reset; the loop opens another one
@@ -67,7 +67,7 @@
             }
         }
 
-        private void session(Client client, SplittableRandom random) throws InterruptedException {
+        private void session(TestClient client, SplittableRandom random) throws InterruptedException {
             boolean open = true;
             while (open && !stopped) {
                 Thread.sleep(random.nextInt(MIN_IDLE_MS, MAX_IDLE_MS));
@@ -76,12 +76,12 @@
             }
         }
 
-        private boolean ask(Client client, String id) {
+        private boolean ask(TestClient client, String id) {
             String answer;
             try {
-                answer = client.ask("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=" + id
+                answer = client.sendQuery("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=" + id
                                 + ",c=order,t=north,d=4000,cluster=1 */")
-                        .answer();
+                        .readResponse();
             } catch (IOException e) {
                 answer = "closed";
             }
@@ -96,7 +96,7 @@
         void stop() throws InterruptedException {
             stopped = true;
             for (Thread thread : threads) {
-                thread.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+                thread.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             }
         }
     }
@@ -107,17 +107,17 @@
         long seed = System.nanoTime();
         System.out.println("CrossingCloseTest " + cause + " seed " + seed);
         int descriptors = cause == CloseCause.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
-        try (Net net = new Net("p", "r1").readable().started(descriptors, 30_000);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads().start(descriptors, 30_000);
                 AnsweringServer answers =
-                        new AnsweringServer(net.servers.get("p"), query -> query.row(new byte[] {7}))) {
+                        new AnsweringServer(net.servers.get("p"), query -> query.sendRow(new byte[] {7}))) {
             IdlingClients clients = new IdlingClients(net.gateway.port(), seed);
             Thread.sleep(DURATION_MS / 2);
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             if (cause == CloseCause.FEWER_DESCRIPTORS) {
-                net.renew(FEW_DESCRIPTORS);
+                net.reloadConfiguration(FEW_DESCRIPTORS);
             } else if (cause == CloseCause.GRACEFUL_SHUTDOWN) {
                 net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-                assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+                assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isTrue();
             }
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -36,34 +36,34 @@
 
     @Test
     void attemptsAreCancelledWhenAClientWithManyPipelinedRequestsCloses() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server primary = net.servers.get("p");
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient client = net.connect();
             for (int i = 0; i < 60; i++) {
-                client.ask(net.request("order"));
+                client.sendQuery(net.queryText("order"));
                 Thread.sleep(2); // so that the gateway reads each of them separately
             }
-            List<Got> inFlight = new ArrayList<>();
+            List<ReceivedQuery> inFlight = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                inFlight.add(primary.next()); // as many as are forwarded before the first answer
+                inFlight.add(primary.nextQuery()); // as many as are forwarded before the first answer
             }
             long closedAt = System.nanoTime();
             client.close();
-            for (Got query : inFlight) {
-                query.endedByGateway();
+            for (ReceivedQuery query : inFlight) {
+                query.awaitClosedByGateway();
             }
             assertThat(msSince(closedAt)).as(net::log).isLessThan(5000); // long before their deadlines
-            assertThat(primary.got).isEmpty();
+            assertThat(primary.pendingQueries).isEmpty();
         }
     }
 
     @Test
     void answersArriveInFullThoughTheClientKeepsWritingAfterAProtocolError() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server primary = net.servers.get("p");
-            Client client = new Client(net.gateway.port(), 4000).greeted(); // a small receive buffer
-            client.ask(net.request("order"));
-            Got query = primary.next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient client = new TestClient(net.gateway.port(), 4000).completeStartup(); // a small receive buffer
+            client.sendQuery(net.queryText("order"));
+            ReceivedQuery query = primary.nextQuery();
             Thread writer = new Thread(() -> {
                 try {
                     client.write(Buffer.buffer().appendByte((byte) '?').appendInt(4));
@@ -75,52 +75,52 @@
                 }
             });
             writer.start();
-            net.logged("bad input from a client");
-            query.row(new byte[60_000]);
+            net.awaitLog("bad input from a client");
+            query.sendRow(new byte[60_000]);
             Thread.sleep(200); // the gateway has written everything by now; most of it has not reached the client
-            assertThat(client.answer()).as(net::log).isEqualTo("row " + "00".repeat(60_000) + " ready");
-            assertThat(client.answer()).isEqualTo("08P01 closed");
-            assertThat(client.howItEnds()).as(net::log).isEqualTo("end");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("row " + "00".repeat(60_000) + " ready");
+            assertThat(client.readResponse()).isEqualTo("08P01 closed");
+            assertThat(client.readUntilClosed()).as(net::log).isEqualTo("end");
             client.close();
-            writer.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            writer.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
         }
     }
 
     @Test
     void anAttemptWaitingForAConnectionIsNotWrittenOnceItsClientHasClosed() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             // The router can't cancel attempts.
-            net.settings = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
-            net.started();
-            Server primary = net.servers.get("p");
-            Client other = net.client().ask(net.request("order"));
-            Got first = primary.next(); // uses the connection that the health check opened
-            primary.holdsGreetings = new CountDownLatch(1);
-            primary.connects.clear();
-            Client client = net.client().ask(net.request("order"));
-            assertThat(primary.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
+            net.configurationEdit = configuration -> configuration.replace("\"cancel\":true", "\"cancel\":false");
+            net.start();
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient other = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery first = primary.nextQuery(); // uses the connection that the health check opened
+            primary.startupGate = new CountDownLatch(1);
+            primary.acceptedConnections.clear();
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
             client.close();
-            other.ask(net.request("order"));
-            first.row(new byte[] {7}); // the gateway reads this after the close
-            assertThat(other.answer()).isEqualTo(ROW_7);
-            primary.holdsGreetings.countDown();
-            Got next = primary.next();
+            other.sendQuery(net.queryText("order"));
+            first.sendRow(new byte[] {7}); // the gateway reads this after the close
+            assertThat(other.readResponse()).isEqualTo(ROW_7);
+            primary.startupGate.countDown();
+            ReceivedQuery next = primary.nextQuery();
             assertThat(next.text()).contains("id=3,");
-            next.row(new byte[] {7});
-            assertThat(other.answer()).isEqualTo(ROW_7);
-            assertThat(primary.got).isEmpty();
+            next.sendRow(new byte[] {7});
+            assertThat(other.readResponse()).isEqualTo(ROW_7);
+            assertThat(primary.pendingQueries).isEmpty();
         }
     }
 
     @Test
     void requestsWhoseClientsClosedDuringAPauseAreNotForwarded() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server primary = net.servers.get("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
             CountDownLatch paused = new CountDownLatch(1);
             CountDownLatch resume = new CountDownLatch(1);
-            List<Client> leavingClients = new ArrayList<>();
+            List<TestClient> leavingClients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                leavingClients.add(net.client());
+                leavingClients.add(net.connect());
             }
             net.gateway.runOnLoop(() -> {
                 paused.countDown();
@@ -131,148 +131,148 @@
                 }
             });
             paused.await();
-            for (Client client : leavingClients) {
-                client.ask(net.request("order")).close();
+            for (TestClient client : leavingClients) {
+                client.sendQuery(net.queryText("order")).close();
             }
             Thread.sleep(500); // duration of the pause
             resume.countDown();
-            Client client = net.client().ask(net.request("order"));
-            Got query = primary.next();
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery query = primary.nextQuery();
             assertThat(query.text()).as(net::log).contains("id=b,");
-            query.row(new byte[] {7});
-            assertThat(client.answer()).isEqualTo(ROW_7);
-            assertThat(primary.got).isEmpty();
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
+            assertThat(primary.pendingQueries).isEmpty();
         }
     }
 
-    private static List<Client> connectClients(Net net, int count) throws IOException {
-        List<Client> clients = new ArrayList<>();
+    private static List<TestClient> connectClients(GatewayTestFixture net, int count) throws IOException {
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            clients.add(net.client());
+            clients.add(net.connect());
         }
         return clients;
     }
 
     @Test
     void requestsSentDuringAPauseAreAnsweredThoughIdleConnectionsAreToBeEvicted() throws Exception {
-        try (Net net = new Net("p").started(512, 30_000)) {
-            net.servers.get("p").writes = true;
-            List<Client> idle = connectClients(net, 80);
-            net.pauseBeforeTimers(() -> net.renew(256)); // too few for 80 clients, so idle connections are evicted
-            for (Client client : idle) {
-                client.ask(net.request("order"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(512, 30_000)) {
+            net.servers.get("p").answersWrites = true;
+            List<TestClient> idle = connectClients(net, 80);
+            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(256)); // too few for 80 clients, so idle connections are evicted
+            for (TestClient client : idle) {
+                client.sendQuery(net.queryText("order"));
             }
             Thread.sleep(400); // duration of the pause, longer than the idle time after which they are evicted
-            net.goOn();
-            for (Client client : idle) {
-                assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+            net.resume();
+            for (TestClient client : idle) {
+                assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
             }
-            net.logged("256 descriptors");
+            net.awaitLog("256 descriptors");
         }
     }
 
     @Test
     void requestsSentDuringAPauseAreAnsweredThoughAShutdownClosesIdleConnections() throws Exception {
-        try (Net net = new Net("p").started()) {
-            net.servers.get("p").writes = true;
-            List<Client> idle = connectClients(net, 20);
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            List<TestClient> idle = connectClients(net, 20);
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-            net.logged("planned restart: 20 connections");
-            net.pauseBeforeTimers(() -> {});
-            for (Client client : idle) {
-                client.ask(net.request("order"));
+            net.awaitLog("planned restart: 20 connections");
+            net.pauseLoopBeforeTimers(() -> {});
+            for (TestClient client : idle) {
+                client.sendQuery(net.queryText("order"));
             }
             Thread.sleep(2600); // duration of the pause; idle connections are due to close before it ends
-            net.goOn();
-            for (Client client : idle) { // rejected: no server was heard from during the pause
-                assertThat(client.answer()).as(net::log).matches("53300 after \\d+ ready");
-                assertThat(client.answer()).isEqualTo("closed");
+            net.resume();
+            for (TestClient client : idle) { // rejected: no server was heard from during the pause
+                assertThat(client.readResponse()).as(net::log).matches("53300 after \\d+ ready");
+                assertThat(client.readResponse()).isEqualTo("closed");
             }
-            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
     void clientsThatStartUpDuringAPauseAreAnsweredThoughPreStartupConnectionsAreToBeEvicted() throws Exception {
-        try (Net net = new Net("p").started(512, 30_000)) {
-            net.servers.get("p").writes = true;
-            List<Client> preStartupClients = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(512, 30_000)) {
+            net.servers.get("p").answersWrites = true;
+            List<TestClient> preStartupClients = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                preStartupClients.add(new Client(net.gateway.port()));
+                preStartupClients.add(new TestClient(net.gateway.port()));
             }
-            net.client(); // connected after the others, so those have been accepted too
-            net.pauseBeforeTimers(() -> net.renew(64)); // too few for 20 pre-startup connections, so these are evicted
-            for (Client client : preStartupClients) {
-                client.write(MessageWriter.startup()).ask(net.request("order"));
+            net.connect(); // connected after the others, so those have been accepted too
+            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(64)); // too few for 20 pre-startup connections, so these are evicted
+            for (TestClient client : preStartupClients) {
+                client.write(MessageWriter.startup()).sendQuery(net.queryText("order"));
             }
             Thread.sleep(400); // duration of the pause
-            net.goOn();
-            for (Client client : preStartupClients) {
-                assertThat(client.answer()).as(net::log).isEqualTo("ready");
-                assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+            net.resume();
+            for (TestClient client : preStartupClients) {
+                assertThat(client.readResponse()).as(net::log).isEqualTo("ready");
+                assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
                 client.close();
             }
-            net.logged("64 descriptors");
+            net.awaitLog("64 descriptors");
         }
     }
 
     @Test
     void anAnswerReceivedDuringAPauseIsUsedThoughItsAttemptTimedOutMeanwhile() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("quick", 5000)); // an attempt times out after about 600 ms
-            Got query = net.servers.get("p").next();
-            net.pauseWhileReading();
-            query.row(new byte[] {7});
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect().sendQuery(net.queryText("quick", 5000)); // an attempt times out after about 600 ms
+            ReceivedQuery query = net.servers.get("p").nextQuery();
+            net.pauseLoopWhileReading();
+            query.sendRow(new byte[] {7});
             Thread.sleep(800); // duration of the pause
-            net.goOn();
-            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
+            net.resume();
+            assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void anIncompleteMessageIsAnsweredWithAnErrorBeforeAGracefulShutdownEnds() throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             // The shutdown ends after 1.7 s.
-            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
-            net.started();
-            Client client = net.client();
+            net.configurationEdit = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
+            net.start();
+            TestClient client = net.connect();
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-            net.logged("planned restart: 1 connections");
+            net.awaitLog("planned restart: 1 connections");
             // An incomplete message would time out after 2.2 s, later than the shutdown ends.
             client.write(startOfQuery(200));
-            assertThat(client.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(client.readResponse()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
     void aWatchThatIsNeverAnsweredIsAbandonedInTime() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000"); // never answered
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start()) {
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000"); // never answered
             long watchStarted = System.nanoTime();
-            net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.logged("server r1 listed DRAINING");
+            net.discovery.firstWatchResponse = net.endpointList(2, false, "r1:DRAINING");
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(msSince(watchStarted)).as(net::log).isLessThan(CHANGE_WITHIN_MS);
         }
     }
 
     @Test
     void aChangeIsReceivedInTimeAfterAnOutageOfDiscovery() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            net.registry.mute = true;
-            net.logged("discovery lost: no answer");
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start()) {
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+            net.discovery.unresponsive = true;
+            net.awaitLog("discovery lost: no answer");
             for (int i = 0; i < 5; i++) { // until this many further calls have failed
-                assertThat(net.registry.asked.poll(Net.PATIENCE_S, TimeUnit.SECONDS))
+                assertThat(net.discovery.requestedUris.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                         .as(net::log)
                         .isNotNull();
             }
-            net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.registry.mute = false;
+            net.discovery.firstWatchResponse = net.endpointList(2, false, "r1:DRAINING");
+            net.discovery.unresponsive = false;
             long reachable = System.nanoTime();
-            net.logged("server r1 listed DRAINING");
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(msSince(reachable))
                     .as(net::log)
                     .isLessThan(
@@ -282,20 +282,20 @@
 
     @Test
     void aServerThatSendsTooManyNoticesOnAnIdleConnectionLosesIt() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("order"));
-            Got query = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery query = net.servers.get("p").nextQuery();
             Buffer notices = Buffer.buffer();
             for (int i = 0; i < 1100; i++) {
                 notices.appendByte((byte) 'N').appendInt(5).appendByte((byte) 0);
             }
-            query.row(new byte[] {7});
-            assertThat(client.answer()).isEqualTo(ROW_7);
-            Server.write(query.socket(), notices, false);
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
+            FakeDatabaseServer.write(query.socket(), notices, false);
             long noticesWritten = System.nanoTime();
-            query.endedByGateway();
+            query.awaitClosedByGateway();
             assertThat(msSince(noticesWritten)).isLessThan(5000); // long before the idle timeout
-            net.logged("values and notices beside an answer");
+            net.awaitLog("values and notices beside an answer");
         }
     }
 
@@ -304,8 +304,8 @@
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
-        try (Net net = new Net("p")) {
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
+            Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             gateway = new ProcessBuilder(
                             "sh",
                             "-c",
@@ -321,7 +321,7 @@
                             file.toString())
                     .redirectError(log.toFile())
                     .start();
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (!Files.readString(log).contains("SIGHUP is ignored by what started this program")) {
                 assertThat(System.nanoTime()).as(Files.readString(log)).isLessThan(end);
                 Thread.sleep(20);
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -18,7 +18,7 @@
 import ploverdale.net.postgres.ResultRow;
 import ploverdale.net.postgres.ServerMessage;
 
-/** Stories of a real gateway between stand-ins on loopback. */
+/** Tests a real gateway among fake servers, a fake discovery and clients on loopback. */
 @Timeout(120)
 class GatewayTest {
     private static final String ROW_7 = "row 07 ready";
@@ -28,31 +28,32 @@
     }
 
     @Test
-    void aValueIsPassedOnByteForByteAndTheWaitIsStatedToTheServer() throws Exception {
-        try (Net net = new Net("p").started()) {
+    void aValueIsForwardedUnchangedAndTheServerIsSentTheRemainingDeadline() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
             byte[] value = new byte[64 * 1024];
             for (int i = 0; i < value.length; i++) {
                 value[i] = (byte) i;
             }
-            Client c = net.client().ask(net.request("order", 9000));
-            Got g = net.servers.get("p").next();
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("order", 9000));
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
             assertThat(g.text())
                     .startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
             String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
             assertThat(Integer.parseInt(wait)).isBetween(1, 9000);
-            g.row(value);
-            assertThat(c.answer()).isEqualTo("row " + java.util.HexFormat.of().formatHex(value) + " ready");
+            g.sendRow(value);
+            assertThat(c.readResponse())
+                    .isEqualTo("row " + java.util.HexFormat.of().formatHex(value) + " ready");
         }
     }
 
     @Test
-    void theFirstClientIsLetInOnceTheFirstProbesHaveEnded() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
-            for (Server s : net.servers.values()) {
-                assertThat(s.probed).as(net::log).isPositive();
-                assertThat(s.got).isEmpty(); // no made-up op of the practice reaches a server
+    void theGatewayListensOnlyAfterTheFirstHealthChecks() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start()) {
+            for (FakeDatabaseServer s : fixture.servers.values()) {
+                assertThat(s.healthChecks).as(fixture::log).isPositive();
+                assertThat(s.pendingQueries).isEmpty(); // no request of the warm-up run reaches a server
             }
-            assertThat(net.log()
+            assertThat(fixture.log()
                             .lines()
                             .filter(l -> l.contains("primary p") || l.contains("listens"))
                             .toList())
@@ -64,237 +65,248 @@
     }
 
     @Test
-    void theTimeOfAnOpThatCameBeforeServiceBeganIsCountedFromItsComing() throws Exception {
-        try (Net net = new Net("p")) {
-            Server p = net.servers.get("p");
-            p.holdsProbes = new CountDownLatch(1);
-            Client c = net.early(net.request("order", 9000));
-            long came = System.nanoTime();
-            while (System.nanoTime() - came < TimeUnit.MILLISECONDS.toNanos(300)) {
-                Thread.onSpinWait(); // service cannot begin before its first probe has ended
+    void theDeadlineOfARequestReceivedBeforeServiceStartsCountsFromItsArrival() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p")) {
+            FakeDatabaseServer p = fixture.servers.get("p");
+            p.healthCheckGate = new CountDownLatch(1);
+            TestClient c = fixture.connectDuringStartup(fixture.queryText("order", 9000));
+            long receivedNanos = System.nanoTime();
+            while (System.nanoTime() - receivedNanos < TimeUnit.MILLISECONDS.toNanos(300)) {
+                Thread.onSpinWait(); // service cannot start before the first health check has completed
             }
-            p.holdsProbes.countDown();
-            Got g = p.next();
+            p.healthCheckGate.countDown();
+            ReceivedQuery g = p.nextQuery();
             assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1")))
-                    .as(net::log)
+                    .as(fixture::log)
                     .isLessThanOrEqualTo(8700);
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void theFirstQueryMayComeRightBehindTheGreetingAndQueriesAreAnsweredInTheirOrder() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = new Client(net.gateway.port());
-            c.write(MessageWriter.query("").appendBuffer(Buffer.buffer())); // ends: no greeting yet
-            assertThat(c.answer()).startsWith("08P01");
-            c = new Client(net.gateway.port());
+    void theFirstQueryMayFollowTheStartupMessageAtOnceAndQueriesAreAnsweredInOrder() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = new TestClient(fixture.gateway.port());
+            c.write(MessageWriter.query("")
+                    .appendBuffer(Buffer.buffer())); // closed, since no startup message was sent before
+            assertThat(c.readResponse()).startsWith("08P01");
+            c = new TestClient(fixture.gateway.port());
             c.write(MessageWriter.startup()
-                    .appendBuffer(MessageWriter.query(net.request("order")))
-                    .appendBuffer(MessageWriter.query(net.request("order")))
+                    .appendBuffer(MessageWriter.query(fixture.queryText("order")))
+                    .appendBuffer(MessageWriter.query(fixture.queryText("order")))
                     .appendBuffer(MessageWriter.query(" ;")));
-            assertThat(c.answer()).isEqualTo("ready");
-            Got one = net.servers.get("p").next();
-            Got other = net.servers.get("p").next();
+            assertThat(c.readResponse()).isEqualTo("ready");
+            ReceivedQuery one = fixture.servers.get("p").nextQuery();
+            ReceivedQuery other = fixture.servers.get("p").nextQuery();
             boolean first = one.text().contains("id=1,");
-            (first ? other : one).row(new byte[] {7});
-            (first ? one : other).row(new byte[] {1});
-            assertThat(c.answer()).as(net::log).isEqualTo("row 01 ready");
-            assertThat(c.answer()).isEqualTo(ROW_7);
-            assertThat(c.answer()).isEqualTo("empty ready");
+            (first ? other : one).sendRow(new byte[] {7});
+            (first ? one : other).sendRow(new byte[] {1});
+            assertThat(c.readResponse()).as(fixture::log).isEqualTo("row 01 ready");
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            assertThat(c.readResponse()).isEqualTo("empty ready");
         }
     }
 
     @Test
-    void aReadWithNobodyToAnswerItIsBusyRepliedWithATimeToComeBack() throws Exception {
-        try (Net net = new Net("p")) {
-            net.servers.get("p").close();
-            net.started().logged("server p silent");
-            assertThat(net.client().ask(net.request("quick", 900)).answer()).matches("53300 after \\d+ ready");
+    void aReadWithoutAnAvailableServerIsRejectedWithARetryTime() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p")) {
+            fixture.servers.get("p").close();
+            fixture.start().awaitLog("server p silent");
+            assertThat(fixture.connect()
+                            .sendQuery(fixture.queryText("quick", 900))
+                            .readResponse())
+                    .matches("53300 after \\d+ ready");
         }
     }
 
     @Test
-    void aWriteTurnedAwayByAReplicaGoesToThePrimary() throws Exception {
-        try (Net net = new Net("r1", "p").started()) {
-            net.logged("primary p");
-            Client c = net.client().ask(net.request("order"));
-            net.servers.get("p").next().problem("25006");
-            assertThat(net.servers.get("p").next().text()).contains("id=1,");
-            assertThat(net.servers.get("r1").got).isEmpty();
+    void aWriteRejectedAsReadOnlyIsRetriedAtThePrimary() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("r1", "p").start()) {
+            fixture.awaitLog("primary p");
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            fixture.servers.get("p").nextQuery().sendError("25006");
+            assertThat(fixture.servers.get("p").nextQuery().text()).contains("id=1,");
+            assertThat(fixture.servers.get("r1").pendingQueries).isEmpty();
             c.close();
         }
     }
 
     @Test
-    void aNonRetryableOpWhoseConnectionBreaksAfterTheLastByteIsWrittenOnceAndErrored() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("order"));
-            net.servers.get("p").next().reset();
-            assertThat(c.answer()).isEqualTo("58000 ready");
-            c.ask(net.request("order"));
-            Got second = net.servers.get("p").next();
+    void aNonRetryableRequestFailsWithoutRetryWhenItsConnectionBreaksAfterTheLastByte() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            fixture.servers.get("p").nextQuery().resetConnection();
+            assertThat(c.readResponse()).isEqualTo("58000 ready");
+            c.sendQuery(fixture.queryText("order"));
+            ReceivedQuery second = fixture.servers.get("p").nextQuery();
             assertThat(second.text()).contains("id=2,");
-            second.row(new byte[] {2});
-            assertThat(c.answer()).isEqualTo("row 02 ready");
-            assertThat(net.servers.get("p").got).isEmpty();
+            second.sendRow(new byte[] {2});
+            assertThat(c.readResponse()).isEqualTo("row 02 ready");
+            assertThat(fixture.servers.get("p").pendingQueries).isEmpty();
         }
     }
 
     @Test
-    void anOpThatFoundAServerFullIsNotWrittenToTheConnectionThatItCloses() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("order"));
-            Got full = net.servers.get("p").next();
-            full.problem("53300");
-            full.socket().close(); // as servers do that have too many of them
-            Got again = net.servers.get("p").next();
+    void aRequestRejectedByAFullServerIsNotRetriedOnTheConnectionThatTheServerCloses() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            ReceivedQuery full = fixture.servers.get("p").nextQuery();
+            full.sendError("53300");
+            full.socket().close(); // as servers with too many connections do
+            ReceivedQuery again = fixture.servers.get("p").nextQuery();
             assertThat(again.text()).contains("id=1,");
             assertThat(again.socket()).isNotSameAs(full.socket());
-            again.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+            again.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void aNonRetryableOpWhoseConnectionNeverComesUpHasNotRunAndGoesAgain() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client first = net.client().ask(net.request("order"));
-            Got out = p.next(); // keeps the connection that the probe opened
-            p.shut = true;
-            p.connects.clear();
-            Client c = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
-            p.shut = false;
-            out.row(new byte[] {1});
-            assertThat(first.answer()).isEqualTo("row 01 ready");
-            Got again = p.next();
+    void aNonRetryableRequestIsRetriedWhenItsConnectionCouldNotBeOpened() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer p = fixture.servers.get("p");
+            TestClient first = fixture.connect().sendQuery(fixture.queryText("order"));
+            ReceivedQuery inFlight = p.nextQuery(); // occupies the connection opened for the health check
+            p.closesOnAccept = true;
+            p.acceptedConnections.clear();
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isNotNull();
+            p.closesOnAccept = false;
+            inFlight.sendRow(new byte[] {1});
+            assertThat(first.readResponse()).isEqualTo("row 01 ready");
+            ReceivedQuery again = p.nextQuery();
             assertThat(again.text()).contains("id=2,");
-            again.row(new byte[] {2});
-            assertThat(c.answer()).isEqualTo("row 02 ready");
-            assertThat(p.got).isEmpty();
+            again.sendRow(new byte[] {2});
+            assertThat(c.readResponse()).isEqualTo("row 02 ready");
+            assertThat(p.pendingQueries).isEmpty();
         }
     }
 
     @Test
-    void aConnectionThatAnsweredJustNowRestsWhileAnotherIsFree() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client one = net.client();
-            Client other = net.client();
-            boolean rested = false;
-            for (int i = 0; i < 50 && !rested; i++) { // often, since the moment is short and this machine may be slow
-                one.ask(net.request("order"));
-                Got first = p.next();
-                other.ask(net.request("order"));
-                Got second = p.next();
-                first.row(new byte[] {7});
-                assertThat(one.answer()).isEqualTo(ROW_7);
+    void aConnectionThatJustAnsweredIsNotReusedWhileAnotherIsIdle() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer p = fixture.servers.get("p");
+            TestClient one = fixture.connect();
+            TestClient other = fixture.connect();
+            boolean reusedOlder = false;
+            for (int i = 0;
+                    i < 50 && !reusedOlder;
+                    i++) { // repeated, since the interval is short and the machine may be slow
+                one.sendQuery(fixture.queryText("order"));
+                ReceivedQuery first = p.nextQuery();
+                other.sendQuery(fixture.queryText("order"));
+                ReceivedQuery second = p.nextQuery();
+                first.sendRow(new byte[] {7});
+                assertThat(one.readResponse()).isEqualTo(ROW_7);
                 Thread.sleep(20);
-                second.row(new byte[] {7});
-                assertThat(other.answer()).isEqualTo(ROW_7);
-                one.ask(net.request("order"));
-                Got third = p.next();
-                rested = third.socket() == first.socket();
-                third.row(new byte[] {7});
-                assertThat(one.answer()).isEqualTo(ROW_7);
+                second.sendRow(new byte[] {7});
+                assertThat(other.readResponse()).isEqualTo(ROW_7);
+                one.sendQuery(fixture.queryText("order"));
+                ReceivedQuery third = p.nextQuery();
+                reusedOlder = third.socket() == first.socket();
+                third.sendRow(new byte[] {7});
+                assertThat(one.readResponse()).isEqualTo(ROW_7);
             }
-            assertThat(rested).isTrue();
+            assertThat(reusedOlder).isTrue();
         }
     }
 
     @Test
-    void connectionsIdleForAsLongAsManyThatWereLostAreNotUsedAgain() throws Exception {
-        try (Net net = new Net("p").started().readable()) {
-            Server p = net.servers.get("p");
-            p.forgetsMs = 60;
-            Client c = net.client();
+    void connectionsIdleForAsLongAsEarlierOnesThatWereResetAreNotReused() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start().answerReads()) {
+            FakeDatabaseServer p = fixture.servers.get("p");
+            p.idleResetAfterMs = 60;
+            TestClient c = fixture.connect();
             for (int i = 0; i < 20; i++) {
-                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(c)).as(fixture::log).isEqualTo(ROW_7);
                 Thread.sleep(130);
             }
-            assertThat(p.forgotten).isBetween(1, 12);
+            assertThat(p.idleResets).isBetween(1, 12);
         }
     }
 
     @Test
-    void givingUpClosesTheConnectionAndALateAnswerReachesNoOtherOp() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("quick", 700));
-            Got late = net.servers.get("p").next();
-            assertThat(c.answer()).startsWith("53300");
-            late.endedByGateway();
+    void cancellingAnAttemptClosesTheConnectionAndALateAnswerReachesNoOtherRequest() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("quick", 700));
+            ReceivedQuery late = fixture.servers.get("p").nextQuery();
+            assertThat(c.readResponse()).startsWith("53300");
+            late.awaitClosedByGateway();
             try {
-                late.row("late".getBytes(UTF_8));
+                late.sendRow("late".getBytes(UTF_8));
             } catch (java.io.IOException e) {
                 assertThat(late.socket().isClosed() || e.getMessage() != null).isTrue();
             }
-            c.ask(net.request("page"));
-            net.servers.get("p").next().row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+            c.sendQuery(fixture.queryText("page"));
+            fixture.servers.get("p").nextQuery().sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void anAnswerThatNobodyAskedForEndsTheConnectionAndReachesNoOp() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("page"));
-            Got g = net.servers.get("p").next();
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
-            g.row("unasked".getBytes(UTF_8));
-            g.endedByGateway();
-            c.ask(net.request("page"));
-            net.servers.get("p").next().row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
-            net.logged("server out of order");
+    void anUnsolicitedAnswerClosesTheConnectionAndReachesNoRequest() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            g.sendRow("unasked".getBytes(UTF_8));
+            g.awaitClosedByGateway();
+            c.sendQuery(fixture.queryText("page"));
+            fixture.servers.get("p").nextQuery().sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            fixture.awaitLog("server out of order");
         }
     }
 
     @Test
-    void aSurplusAnswerReachesNoOpThatWaitsForTheConnection() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server p = net.servers.get("p");
-            Client first = net.client().ask(net.request("order"));
-            Got g = p.next();
-            p.mute = true;
-            p.connects.clear();
-            Client second = net.client().ask(net.request("order"));
-            assertThat(p.connects.poll(Net.PATIENCE_S, TimeUnit.SECONDS)).isNotNull();
-            g.row(new byte[] {7}, g.answer(new byte[] {7})); // a second copy in the same breath
-            assertThat(first.answer()).isEqualTo(ROW_7);
-            g.endedByGateway();
-            p.mute = false;
-            Got own = p.next();
-            assertThat(own.text()).contains("id=2,");
-            own.row(new byte[] {9}, bytes('?', 1 << 30)); // noise that is no whole message
-            assertThat(second.answer()).as(net::log).isEqualTo("row 09 ready");
-            own.endedByGateway();
+    void aDuplicateAnswerReachesNoRequestThatWaitsForTheConnection() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer p = fixture.servers.get("p");
+            TestClient first = fixture.connect().sendQuery(fixture.queryText("order"));
+            ReceivedQuery g = p.nextQuery();
+            p.unresponsive = true;
+            p.acceptedConnections.clear();
+            TestClient second = fixture.connect().sendQuery(fixture.queryText("order"));
+            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isNotNull();
+            g.sendRow(new byte[] {7}, g.resultMessages(new byte[] {7})); // a duplicate in the same write
+            assertThat(first.readResponse()).isEqualTo(ROW_7);
+            g.awaitClosedByGateway();
+            p.unresponsive = false;
+            ReceivedQuery retried = p.nextQuery();
+            assertThat(retried.text()).contains("id=2,");
+            retried.sendRow(new byte[] {9}, bytes('?', 1 << 30)); // unexpected bytes that are no complete message
+            assertThat(second.readResponse()).as(fixture::log).isEqualTo("row 09 ready");
+            retried.awaitClosedByGateway();
         }
     }
 
     @Test
-    void aSpoiltAnswerIsNoneWhateverItBeginsWith() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client();
-            Buffer cut = Buffer.buffer()
+    void aCorruptAnswerCountsAsNoAnswerWhateverItBeginsWith() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect();
+            Buffer corrupt = Buffer.buffer()
                     .appendBuffer(MessageWriter.resultRow(new ResultRow(
                             new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
                             new byte[] {1, 2, 3},
                             "SELECT 1")));
-            int value = 1 + cut.getInt(1) + 7;
-            cut.setInt(value, 2); // says that the value is shorter than its message
+            int valueLength = 1 + corrupt.getInt(1) + 7;
+            corrupt.setInt(valueLength, 2); // states a length shorter than the value
             Buffer full = MessageWriter.errorResponse("53300", "full", null, false, false);
             for (Buffer b : List.of(
-                    cut, full.copy().appendBuffer(bytes('?', 9)), full.copy().appendBuffer(cut))) {
-                c.ask(net.request("order"));
-                Got g = net.servers.get("p").next();
-                Server.write(g.socket(), b, false);
-                assertThat(c.answer()).isEqualTo("58000 ready"); // it may have run: neither acked nor sent again
-                g.endedByGateway();
-                assertThat(net.servers.get("p").got).isEmpty();
+                    corrupt,
+                    full.copy().appendBuffer(bytes('?', 9)),
+                    full.copy().appendBuffer(corrupt))) {
+                c.sendQuery(fixture.queryText("order"));
+                ReceivedQuery g = fixture.servers.get("p").nextQuery();
+                FakeDatabaseServer.write(g.socket(), b, false);
+                assertThat(c.readResponse())
+                        .isEqualTo("58000 ready"); // it may have run: neither reported as succeeded nor retried
+                g.awaitClosedByGateway();
+                assertThat(fixture.servers.get("p").pendingQueries).isEmpty();
             }
         }
     }
@@ -303,229 +315,241 @@
     @ValueSource(
             strings = {"x0=99999999999.000,x1=0,busy=0.1", "x0=NOW,x1=0,busy=\u0007", "x0=NOW,x1=7,busy=0", "x0=NOW,=,"
             })
-    void aReportThatIsSpoiltIsNotBelieved(String vitals) throws Exception {
-        try (Net net = new Net("p", "r1")) {
-            net.servers.get("p").vitals = "x0=0.000,x1=0,busy=0"; // has made none yet, and is the primary all the same
-            net.registry.whole = net.registry.whole.replaceFirst("\"cell\"", "\"rank\":\"source\",\"cell\"");
-            net.servers.get("r1").vitals = vitals.replace("NOW", Long.toString(System.currentTimeMillis() / 1000));
-            net.readable().started();
-            net.servers.get("r1").reads = false;
-            Client c = net.client();
+    void aCorruptLoadReportIsIgnored(String loadReport) throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1")) {
+            fixture.servers.get("p").loadReportOverride =
+                    "x0=0.000,x1=0,busy=0"; // no valid report, but the list names it the primary
+            fixture.discovery.completeList =
+                    fixture.discovery.completeList.replaceFirst("\"cell\"", "\"rank\":\"source\",\"cell\"");
+            fixture.servers.get("r1").loadReportOverride =
+                    loadReport.replace("NOW", Long.toString(System.currentTimeMillis() / 1000));
+            fixture.answerReads().start();
+            fixture.servers.get("r1").answersReads = false;
+            TestClient c = fixture.connect();
             for (int i = 0; i < 5; i++) {
-                assertThat(net.read(c)).as(net::log).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(c)).as(fixture::log).isEqualTo(ROW_7);
             }
-            assertThat(net.servers.get("r1").got).isEmpty(); // its position is unknown, so too old
-            assertThat(net.log()).doesNotContain("primary no longer");
+            assertThat(fixture.servers.get("r1").pendingQueries)
+                    .isEmpty(); // its log position is unknown, so its data may be too old
+            assertThat(fixture.log()).doesNotContain("primary no longer");
         }
     }
 
     @Test
-    void anAnswerCutShortOrOversizedMayHaveRun() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client();
+    void aRequestWithATruncatedOrOversizedAnswerFailsAsPossiblyRun() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect();
             for (Buffer b :
                     List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
-                c.ask(net.request("order"));
-                Got g = net.servers.get("p").next();
-                Server.write(g.socket(), b, false);
+                c.sendQuery(fixture.queryText("order"));
+                ReceivedQuery g = fixture.servers.get("p").nextQuery();
+                FakeDatabaseServer.write(g.socket(), b, false);
                 if (b.getByte(0) == 'T') {
                     g.socket().close();
                 }
-                assertThat(c.answer()).isEqualTo("58000 ready");
-                g.endedByGateway();
+                assertThat(c.readResponse()).isEqualTo("58000 ready");
+                g.awaitClosedByGateway();
             }
         }
     }
 
     @Test
-    void theSendOfAClientThatHasGoneIsGivenUp() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client c = net.client().ask(net.request("page"));
-            Got g = net.servers.get("p").next();
+    void theAttemptOfADisconnectedClientIsCancelled() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
             c.close();
-            g.endedByGateway();
+            g.awaitClosedByGateway();
         }
     }
 
     @Test
-    void aServerThatAWatchSaysIsDrainingGetsNothingNew() throws Exception {
-        try (Net net = new Net("p", "r1", "r2").started()) {
-            net.readable().registry.asked("/registry/instances?from=1&hold_ms=2000");
-            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
-            net.logged("server r1 listed DRAINING");
-            Server r1 = net.servers.get("r1");
-            r1.reads = false;
-            Client c = net.client();
+    void aServerThatDiscoveryReportsAsDrainingReceivesNoNewRequests() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2").start()) {
+            fixture.answerReads().discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+            fixture.discovery.updates.add(fixture.endpointList(2, false, "r1:DRAINING"));
+            fixture.awaitLog("server r1 listed DRAINING");
+            FakeDatabaseServer r1 = fixture.servers.get("r1");
+            r1.answersReads = false;
+            TestClient c = fixture.connect();
             for (int i = 0; i < 30; i++) {
-                assertThat(net.read(c)).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
             }
-            assertThat(r1.got).isEmpty();
-            net.registry.asked("/registry/instances?from=2&hold_ms=2000");
+            assertThat(r1.pendingQueries).isEmpty();
+            fixture.discovery.awaitRequest("/registry/instances?from=2&hold_ms=2000");
         }
     }
 
     @Test
     void discoveryThatTalksNonsenseOrGoesBackIsAskedAgainAndChangesNothing() throws Exception {
-        try (Net net = new Net("p").started()) {
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            net.registry.news.add("{\"revision\":");
-            net.logged("discovery lost: list is not JSON");
-            net.registry.news.add("status 500 Oops");
-            net.registry.news.add("{\"complete\":true}");
-            net.registry.news.add(net.list(9, false, "p:SERVING"));
-            net.registry.asked("/registry/instances?from=9&hold_ms=2000");
-            net.logged("discovery back after");
-            net.registry.news.add(net.list(4, false));
-            net.logged("discovery went back from revision 9 to 4");
-            net.registry.asked("/registry/instances");
-            Client c = net.client().ask(net.request("page"));
-            net.servers.get("p").next().row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
+            fixture.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+            fixture.discovery.updates.add("{\"revision\":");
+            fixture.awaitLog("discovery lost: list is not JSON");
+            fixture.discovery.updates.add("status 500 Oops");
+            fixture.discovery.updates.add("{\"complete\":true}");
+            fixture.discovery.updates.add(fixture.endpointList(9, false, "p:SERVING"));
+            fixture.discovery.awaitRequest("/registry/instances?from=9&hold_ms=2000");
+            fixture.awaitLog("discovery back after");
+            fixture.discovery.updates.add(fixture.endpointList(4, false));
+            fixture.awaitLog("discovery went back from revision 9 to 4");
+            fixture.discovery.awaitRequest("/registry/instances");
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
+            fixture.servers.get("p").nextQuery().sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void aServerThatAcceptsAndStaysSilentHoldsNothingUp() throws Exception {
-        try (Net net = new Net("p", "r1", "r2")) {
-            net.servers.get("r1").mute = true;
-            net.readable().started();
-            Client c = net.client();
+    void aServerThatAcceptsConnectionsButNeverAnswersDelaysNoRequest() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2")) {
+            fixture.servers.get("r1").unresponsive = true;
+            fixture.answerReads().start();
+            TestClient c = fixture.connect();
             for (int i = 0; i < 5; i++) {
-                assertThat(net.read(c)).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
             }
-            net.logged("server r1 silent: probes unanswered");
+            fixture.awaitLog("server r1 silent: probes unanswered");
         }
     }
 
     @Test
     void idleConnectionsAreClosedBeforeTheServerWould() throws Exception {
-        try (Net net = new Net("p").started(256, 4000)) {
-            Client c = net.client().ask(net.request("page"));
-            Got g = net.servers.get("p").next();
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start(256, 4000)) {
+            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
             long answered = System.nanoTime();
-            g.endedByGateway();
+            g.awaitClosedByGateway();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
                     .isBetween(1000L, 4000L);
         }
     }
 
     @Test
-    void overTheDescriptorBudgetClientsAreTurnedAwayAndThoseTakenAreAnswered() throws Exception {
-        try (Net net = new Net("p").started(64, 30_000)) {
-            Server p = net.servers.get("p");
-            List<Client> taken = new ArrayList<>();
-            List<Got> out = new ArrayList<>();
-            boolean away = false;
-            for (int i = 0; i < 64 && !away; i++) {
-                Client c = new Client(net.gateway.port());
+    void clientsBeyondTheDescriptorLimitAreRefusedAndTheOthersAreAnswered() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p").start(64, 30_000)) {
+            FakeDatabaseServer p = fixture.servers.get("p");
+            List<TestClient> accepted = new ArrayList<>();
+            List<ReceivedQuery> inFlight = new ArrayList<>();
+            boolean refused = false;
+            for (int i = 0; i < 64 && !refused; i++) {
+                TestClient c = new TestClient(fixture.gateway.port());
                 c.write(MessageWriter.startup());
-                String greeting = c.answer();
-                away = greeting.equals("53300 closed");
-                if (!away) {
-                    assertThat(greeting).isEqualTo("ready");
-                    taken.add(c.ask(net.request("order")));
-                    Got g = p.got.poll(20, TimeUnit.MILLISECONDS); // read by the gateway, so no longer idle there
+                String startupResponse = c.readResponse();
+                refused = startupResponse.equals("53300 closed");
+                if (!refused) {
+                    assertThat(startupResponse).isEqualTo("ready");
+                    accepted.add(c.sendQuery(fixture.queryText("order")));
+                    ReceivedQuery g = p.pendingQueries.poll(
+                            20, TimeUnit.MILLISECONDS); // forwarded, so its connection is no longer idle
                     if (g != null) {
-                        out.add(g);
+                        inFlight.add(g);
                     }
                 }
             }
-            assertThat(away).isTrue();
-            assertThat(taken).hasSizeBetween(16, 48);
-            p.writes = true;
-            for (Got g : out) {
-                g.row(new byte[] {7});
+            assertThat(refused).isTrue();
+            assertThat(accepted).hasSizeBetween(16, 48);
+            p.answersWrites = true;
+            for (ReceivedQuery g : inFlight) {
+                g.sendRow(new byte[] {7});
             }
-            for (Client c : taken) {
-                assertThat(c.answer()).isIn(ROW_7, "53300 ready", "53300 after 1000 ready");
+            for (TestClient c : accepted) {
+                assertThat(c.readResponse()).isIn(ROW_7, "53300 ready", "53300 after 1000 ready");
             }
-            net.logged("no room for a connection");
-            String greeting = "53300 closed";
-            while (greeting.equals("53300 closed")) { // until those that were answered have been idle for a moment
-                Client c = new Client(net.gateway.port()).write(MessageWriter.startup());
-                greeting = c.answer();
-                if (greeting.equals("ready")) {
-                    assertThat(c.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+            fixture.awaitLog("no room for a connection");
+            String startupResponse = "53300 closed";
+            while (startupResponse.equals("53300 closed")) { // until answered clients have been idle for long enough
+                TestClient c = new TestClient(fixture.gateway.port()).write(MessageWriter.startup());
+                startupResponse = c.readResponse();
+                if (startupResponse.equals("ready")) {
+                    assertThat(c.sendQuery(fixture.queryText("order")).readResponse())
+                            .isEqualTo(ROW_7);
                 }
             }
-            assertThat(greeting).isEqualTo("ready");
+            assertThat(startupResponse).isEqualTo("ready");
         }
     }
 
     @Test
-    void opsThatFindNoDescriptorWaitAMomentForOne() throws Exception {
-        try (Net net = new Net("p", "r1").started(64, 30_000).readable()) { // 40 connections, and 8 more that may cross
-            net.servers.values().forEach(x -> x.value = new byte[60_000]);
-            List<Client> all = new ArrayList<>();
+    void requestsWithoutAFreeDescriptorWaitForOne() throws Exception {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) { // 40 connections and 8 in reserve
+            fixture.servers.values().forEach(x -> x.rowValue = new byte[60_000]);
+            List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 28; i++) {
-                all.add(new Client(net.gateway.port()).write(MessageWriter.startup()));
+                clients.add(new TestClient(fixture.gateway.port()).write(MessageWriter.startup()));
             }
-            for (Client c : all) {
-                assertThat(c.answer()).isEqualTo("ready");
+            for (TestClient c : clients) {
+                assertThat(c.readResponse()).isEqualTo("ready");
             }
-            for (Client c : all) {
-                c.ask(net.request("page"));
+            for (TestClient c : clients) {
+                c.sendQuery(fixture.queryText("page"));
             }
-            for (Client c : all) {
-                assertThat(c.answer()).as(net::log).startsWith("row ");
+            for (TestClient c : clients) {
+                assertThat(c.readResponse()).as(fixture::log).startsWith("row ");
             }
         }
     }
 
     @Test
-    void aPlannedRestartServesOnAnswersAllAndEnds() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
-            Client idle = net.client();
-            Client held = net.client().ask(net.request("order"));
-            Got g = net.servers.get("p").next();
+    void aGracefulShutdownServesOnAnswersAllRequestsAndCompletes() throws Exception {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
+            TestClient idle = fixture.connect();
+            TestClient held = fixture.connect().sendQuery(fixture.queryText("order"));
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            net.logged("planned restart: 2 connections, 1 ops in hand");
-            Client later = net.client();
-            for (int i = 0; i < 10; i++) { // how long a read takes is known by the time that little of it is left
-                assertThat(net.read(later)).isEqualTo(ROW_7);
+            fixture.gateway.runOnLoop(() -> fixture.gateway.shutdownGracefully(ended));
+            fixture.awaitLog("planned restart: 2 connections, 1 ops in hand");
+            TestClient later = fixture.connect();
+            for (int i = 0; i < 10; i++) { // so that the gateway has learnt the latency of reads
+                assertThat(fixture.readWithRetries(later)).isEqualTo(ROW_7);
             }
-            Thread.sleep(1000); // nobody else may be there to serve those that are connected
-            assertThat(net.read(later)).isEqualTo(ROW_7);
-            net.logged("planned restart: idle connections end");
-            Client last = new Client(net.gateway.port());
-            last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(net.request("page"))));
-            assertThat(List.of(last.answer(), last.answer(), last.answer())).containsExactly("ready", ROW_7, "closed");
-            assertThat(idle.answer()).isEqualTo("closed");
+            Thread.sleep(1000); // other gateways may not be available to connected clients yet
+            assertThat(fixture.readWithRetries(later)).isEqualTo(ROW_7);
+            fixture.awaitLog("planned restart: idle connections end");
+            TestClient last = new TestClient(fixture.gateway.port());
+            last.write(MessageWriter.startup().appendBuffer(MessageWriter.query(fixture.queryText("page"))));
+            assertThat(List.of(last.readResponse(), last.readResponse(), last.readResponse()))
+                    .containsExactly("ready", ROW_7, "closed");
+            assertThat(idle.readResponse()).isEqualTo("closed");
             assertThat(ended.getCount()).isEqualTo(1);
-            g.row(new byte[] {3});
-            assertThat(held.answer()).isEqualTo("row 03 ready");
-            assertThat(held.answer()).isEqualTo("closed");
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            net.logged("0 ops unanswered");
+            g.sendRow(new byte[] {3});
+            assertThat(held.readResponse()).isEqualTo("row 03 ready");
+            assertThat(held.readResponse()).isEqualTo("closed");
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
+            fixture.awaitLog("0 ops unanswered");
         }
     }
 
     @Test
-    void anOpThatWaitsForLongerThanAPlannedRestartLastsIsAnsweredBeforeTheEnd() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
-            Client patient = net.client().ask(net.request("order", 9000));
-            net.servers.get("p").next(); // never answered
+    void aRequestWhoseDeadlineExceedsAGracefulShutdownIsAnsweredBeforeItsEnd() throws Exception {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order", 9000));
+            fixture.servers.get("p").nextQuery(); // never answered
             CountDownLatch ended = new CountDownLatch(1);
-            net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(ended));
-            assertThat(ended.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(net.log())
+            fixture.gateway.runOnLoop(() -> fixture.gateway.shutdownGracefully(ended));
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
+            assertThat(fixture.log())
                     .contains("0 ops unanswered")
-                    .doesNotContain("1 ops unanswered"); // here a process would exit
-            assertThat(patient.answer()).startsWith("58000");
+                    .doesNotContain("1 ops unanswered"); // a process would exit now
+            assertThat(client.readResponse()).startsWith("58000");
         }
     }
 
     @Test
-    void aHangUpReadsTheConfigurationAgainAndABadOneChangesNothing() throws Exception {
+    void sighupReloadsTheConfigurationAndAnInvalidOneChangesNothing() throws Exception {
         Path file = Files.createTempFile("gateway", ".json");
         Path log = Files.createTempFile("gateway", ".log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable();
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").answerReads();
+                FakeDiscovery elsewhere = new FakeDiscovery(fixture.endpointList(5, true, "p"))) {
+            Files.writeString(file, GatewayTestFixture.configuration(fixture.discovery, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -538,22 +562,23 @@
                     .redirectError(log.toFile())
                     .start();
             int port = Integer.parseInt(line(log, "listens at").replaceAll(".*:(\\d+), .*", "$1"));
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
-            Client c = new Client(port).greeted();
-            assertThat(net.read(c)).isEqualTo(ROW_7);
+            fixture.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
+            TestClient c = new TestClient(port).completeStartup();
+            assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
 
             Files.writeString(file, "{\"name\":");
             hangUp(gateway);
             line(log, "new configuration not taken");
-            Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+            Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
             hangUp(gateway);
-            elsewhere.asked("/registry/instances");
-            elsewhere.asked("/registry/instances?from=5&hold_ms=2000");
+            elsewhere.awaitRequest("/registry/instances");
+            elsewhere.awaitRequest("/registry/instances?from=5&hold_ms=2000");
             line(log, "server r1 listed GONE");
-            assertThat(net.read(c)).isEqualTo(ROW_7);
+            assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
             c.close();
             gateway.destroy();
-            assertThat(gateway.waitFor(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(gateway.exitValue()).isZero();
         } finally {
             if (gateway != null) {
@@ -571,9 +596,9 @@
                 .isZero();
     }
 
-    /** Waits for a line of the log with this. */
+    /** Waits for a line of the log that contains this text, and returns it. */
     private static String line(Path log, String part) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
             for (String line : Files.readAllLines(log)) {
                 if (line.contains(part)) {
@@ -588,117 +613,124 @@
     }
 
     @Test
-    void badInputIsAnsweredWhereItCanBeAndEndsNoOtherConnection() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
-            Client good = net.client();
-            Client c = new Client(net.gateway.port());
+    void invalidInputIsAnsweredWherePossibleAndAffectsNoOtherConnection() throws Exception {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
+            TestClient good = fixture.connect();
+            TestClient c = new TestClient(fixture.gateway.port());
             c.write(Buffer.buffer().appendInt(8).appendInt(80877103));
             assertThat(c.readByte()).isEqualTo('N');
             c.write(Buffer.buffer().appendInt(8).appendInt(80877104));
             assertThat(c.readByte()).isEqualTo('N');
-            c.greeted();
+            c.completeStartup();
             for (String text : List.of(
                     "SELECT 1",
                     "SELECT 1 /* id=a,c=nothing,t=north,d=5 */",
                     "SELECT 1 /* id=a,c=page,t=nobody,d=5 */",
                     "SELECT 1 /* id=a,c=page,t=north,d=-1 */")) {
-                assertThat(c.ask(text).answer()).matches("(42601|22023) ready");
+                assertThat(c.sendQuery(text).readResponse()).matches("(42601|22023) ready");
             }
             c.write(bytes('P', 8).appendInt(0).appendBuffer(bytes('B', 4)).appendBuffer(bytes('S', 4)));
-            assertThat(c.answer()).isEqualTo("0A000 ready");
-            String request = net.request("order");
-            c.ask(request);
-            Got g = net.servers.get("p").next();
-            assertThat(good.ask(request).answer()).isEqualTo("42710 ready");
-            g.row(new byte[] {7});
-            assertThat(c.answer()).isEqualTo(ROW_7);
+            assertThat(c.readResponse()).isEqualTo("0A000 ready");
+            String request = fixture.queryText("order");
+            c.sendQuery(request);
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
+            assertThat(good.sendQuery(request).readResponse()).isEqualTo("42710 ready");
+            g.sendRow(new byte[] {7});
+            assertThat(c.readResponse()).isEqualTo(ROW_7);
             for (Buffer b : List.of(bytes('?', 4), bytes('Q', 3), bytes('Q', 1 << 30))) {
-                assertThat(net.client().write(b).answer()).isEqualTo("08P01 closed");
+                assertThat(fixture.connect().write(b).readResponse()).isEqualTo("08P01 closed");
             }
-            assertThat(new Client(net.gateway.port())
+            assertThat(new TestClient(fixture.gateway.port())
                             .write(Buffer.buffer().appendInt(8).appendInt(2 << 16))
-                            .answer())
+                            .readResponse())
                     .isEqualTo("0A000 closed");
-            assertThat(new Client(net.gateway.port())
+            assertThat(new TestClient(fixture.gateway.port())
                             .write(Buffer.buffer()
                                     .appendInt(16)
                                     .appendInt(80877102)
                                     .appendLong(0))
-                            .answer())
+                            .readResponse())
                     .isEqualTo("closed");
-            assertThat(net.read(good)).isEqualTo(ROW_7);
+            assertThat(fixture.readWithRetries(good)).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void aClientThatDoesNotReadIsHeldBackAndClosedAndHarmsNoOther() throws Exception {
-        try (Net net = new Net("p", "r1")) {
-            net.settings = told ->
-                    told.replace("\"deadlineMs\":20000", "\"deadlineMs\":4000"); // no op takes longer than its 5 s
-            net.started();
-            net.readable().servers.values().forEach(s -> s.value = new byte[60_000]);
-            Client deaf = net.client();
-            Thread asks = new Thread(() -> {
+    void aClientThatDoesNotReadIsThrottledAndClosedWithoutEffectOnOthers() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1")) {
+            fixture.configurationEdit = configuration -> configuration.replace(
+                    "\"deadlineMs\":20000",
+                    "\"deadlineMs\":4000"); // no request outlasts the client's 5 s write timeout
+            fixture.start();
+            fixture.answerReads().servers.values().forEach(s -> s.rowValue = new byte[60_000]);
+            TestClient notReading = fixture.connect();
+            Thread sender = new Thread(() -> {
                 try {
                     for (int i = 0; i < 1000; i++) {
-                        deaf.ask(net.request("page")); // more than all buffers on the way can take
+                        notReading.sendQuery(fixture.queryText("page")); // more responses than all buffers can hold
                     }
                 } catch (java.io.IOException e) {
-                    return; // closed, as it should be
+                    return; // closed by the gateway, as expected
                 }
             });
-            asks.start();
-            net.logged("client that does not read");
-            asks.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
-            assertThat(asks.isAlive()).isFalse();
-            net.servers.values().forEach(s -> s.value = new byte[] {7});
-            assertThat(net.read(net.client())).isEqualTo(ROW_7);
+            sender.start();
+            fixture.awaitLog("client that does not read");
+            sender.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
+            assertThat(sender.isAlive()).isFalse();
+            fixture.servers.values().forEach(s -> s.rowValue = new byte[] {7});
+            assertThat(fixture.readWithRetries(fixture.connect())).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void whatAClientBeginsAndDoesNotEndIsEndedAndAnOpTakenBeforeItIsAnswered() throws Exception {
-        try (Net net = new Net("p", "r1").started()) {
-            Client silent = new Client(net.gateway.port());
-            Client half = new Client(net.gateway.port()).write(Buffer.buffer().appendInt(40));
-            Client lateHalf = net.client().write(bytes('Q', 50));
-            Client taken = net.client().ask(net.request("order")).write(bytes('Q', 50));
-            Got g = net.servers.get("p").next();
-            for (Client c : List.of(silent, half, lateHalf)) {
-                assertThat(c.answer()).isEqualTo("08P01 closed");
+    void aConnectionWithAnIncompleteMessageIsClosedAfterItsEarlierRequestIsAnswered() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start()) {
+            TestClient silent = new TestClient(fixture.gateway.port());
+            TestClient halfStartup =
+                    new TestClient(fixture.gateway.port()).write(Buffer.buffer().appendInt(40));
+            TestClient halfQuery = fixture.connect().write(bytes('Q', 50));
+            TestClient withRequest =
+                    fixture.connect().sendQuery(fixture.queryText("order")).write(bytes('Q', 50));
+            ReceivedQuery g = fixture.servers.get("p").nextQuery();
+            for (TestClient c : List.of(silent, halfStartup, halfQuery)) {
+                assertThat(c.readResponse()).isEqualTo("08P01 closed");
             }
-            net.logged("client with an unfinished message");
-            g.row(new byte[] {7});
-            assertThat(List.of(taken.answer(), taken.answer())).containsExactly(ROW_7, "08P01 closed");
+            fixture.awaitLog("client with an unfinished message");
+            g.sendRow(new byte[] {7});
+            assertThat(List.of(withRequest.readResponse(), withRequest.readResponse()))
+                    .containsExactly(ROW_7, "08P01 closed");
         }
     }
 
     @Test
-    void whereClientsHoldAboutAllTheyMayThoseThatDoNothingMakeWaySoon() throws Exception {
-        try (Net net =
-                new Net("p", "r1").started(64, 30_000).readable()) { // 28 for clients, 12 before idle ones end soon
-            List<Client> all = new ArrayList<>();
+    void idleClientsAreEvictedSoonerWhenClientConnectionsAreScarce() throws Exception {
+        try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1")
+                .start(64, 30_000)
+                .answerReads()) { // 28 client connections; above 12 idle ones are evicted soon
+            List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 15; i++) {
-                all.add(net.client());
+                clients.add(fixture.connect());
             }
             long since = System.nanoTime();
-            for (Client c : all.subList(0, 3)) {
-                assertThat(c.answer()).isEqualTo("closed");
+            for (TestClient c : clients.subList(0, 3)) {
+                assertThat(c.readResponse()).isEqualTo("closed");
             }
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since))
                     .isLessThan(1900); // not the usual 2.1 s
-            assertThat(net.read(all.get(14))).isEqualTo(ROW_7);
+            assertThat(fixture.readWithRetries(clients.get(14))).isEqualTo(ROW_7);
         }
     }
 
     @Test
-    void messagesThatAreBegunAndNotEndedCostTheirClientsTheConnectionsAndOthersAreServed() throws Exception {
-        try (Net net = new Net("p", "r1").started().readable()) {
+    void clientsWithIncompleteMessagesAreClosedWhenMemoryIsScarceAndOthersAreServed() throws Exception {
+        try (GatewayTestFixture fixture =
+                new GatewayTestFixture("p", "r1").start().answerReads()) {
             for (int i = 0; i < 140; i++) {
-                net.client().write(bytes('Q', 130_000).appendBytes(new byte[125_000]));
+                fixture.connect().write(bytes('Q', 130_000).appendBytes(new byte[125_000]));
             }
-            net.logged("too much unfinished");
-            assertThat(net.read(net.client())).isEqualTo(ROW_7);
+            fixture.awaitLog("too much unfinished");
+            assertThat(fixture.readWithRetries(fixture.connect())).isEqualTo(ROW_7);
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpDuringStartTest.java
@@ -24,12 +24,12 @@
         Path file = directory.resolve("gateway.json");
         Path log = directory.resolve("gateway.log");
         Process gateway = null;
-        try (Net net = new Net("p", "r1").readable();
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
             CountDownLatch healthChecks = new CountDownLatch(1);
             // The gateway serves once these health checks are answered.
-            net.servers.values().forEach(server -> server.holdsProbes = healthChecks);
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+            net.servers.values().forEach(server -> server.healthCheckGate = healthChecks);
+            Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             gateway = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -41,8 +41,8 @@
                             file.toString())
                     .redirectError(log.toFile())
                     .start();
-            net.registry.asked("/registry/instances");
-            Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+            net.discovery.awaitRequest("/registry/instances");
+            Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
             assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(gateway.pid()))
                             .start()
                             .waitFor())
@@ -51,8 +51,8 @@
                     .as("terminated: %s", Files.readString(log))
                     .isFalse();
             healthChecks.countDown();
-            elsewhere.asked("/registry/instances");
-            elsewhere.asked("/registry/instances?from=5&hold_ms=2000");
+            elsewhere.awaitRequest("/registry/instances");
+            elsewhere.awaitRequest("/registry/instances?from=5&hold_ms=2000");
         } finally {
             if (gateway != null) {
                 gateway.destroyForcibly();
--- a/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
+++ b/gateway/src/test/java/ploverdale/HangUpIgnoredTest.java
@@ -33,28 +33,28 @@
         configuration = root.resolve("gateway.json");
     }
 
-    private void configure(Registry discovery) throws IOException {
-        Files.writeString(configuration, Net.configuration(discovery, 256, 30_000));
+    private void configure(FakeDiscovery discovery) throws IOException {
+        Files.writeString(configuration, GatewayTestFixture.configuration(discovery, 256, 30_000));
     }
 
-    private static void assertServes(Net net, ServingProcess gateway) throws Exception {
-        try (Client client = new Client(gateway.port()).greeted()) {
-            assertThat(net.read(client)).as(gateway.log()).isEqualTo("row 07 ready");
+    private static void assertServes(GatewayTestFixture net, ServingProcess gateway) throws Exception {
+        try (TestClient client = new TestClient(gateway.port()).completeStartup()) {
+            assertThat(net.readWithRetries(client)).as(gateway.log()).isEqualTo("row 07 ready");
         }
     }
 
     @Test
     void aHangUpReloadsTheConfigurationThoughTheParentIgnoresSighup() throws Exception {
         deployed.launcher(Map.of());
-        try (Net net = new Net("p", "r1").readable();
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
-            configure(net.registry);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads();
+                FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
+            configure(net.discovery);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "")) {
                 assertServes(net, gateway);
                 configure(elsewhere);
                 gateway.hangUp();
                 gateway.line("new configuration: discovery at 127.0.0.1:" + elsewhere.port());
-                elsewhere.asked("/registry/instances");
+                elsewhere.awaitRequest("/registry/instances");
                 gateway.line("server r1 listed GONE");
                 assertThat(gateway.log()).doesNotContain(WILL_NOT_BE_READ);
             }
@@ -68,8 +68,8 @@
         Files.setPosixFilePermissions(env, PosixFilePermissions.fromString("rwxr-xr-x"));
         Map<String, String> path = Map.of("PATH", tools + ":" + System.getenv("PATH"));
         deployed.launcher(path);
-        try (Net net = new Net("p", "r1").readable()) {
-            configure(net.registry);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            configure(net.discovery);
             try (ServingProcess gateway = deployed.start(configuration, IGNORED, "", path)) {
                 assertServes(net, gateway);
                 gateway.line(WILL_NOT_BE_READ);
@@ -81,8 +81,8 @@
 
     @Test
     void theGatewayServesWithoutTheLauncherFile() throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
-            configure(net.registry);
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            configure(net.discovery);
             try (ServingProcess gateway = deployed.start(configuration, "", "")) {
                 assertServes(net, gateway);
             }
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -30,28 +30,28 @@
         NEW_CONNECTIONS_TOO
     }
 
-    private static void hang(Net net, boolean newConnections) {
-        for (Server server : net.servers.values()) {
-            server.reads = false;
-            server.writes = false;
-            server.holdsProbes = new CountDownLatch(1);
+    private static void hang(GatewayTestFixture net, boolean newConnections) {
+        for (FakeDatabaseServer server : net.servers.values()) {
+            server.answersReads = false;
+            server.answersWrites = false;
+            server.healthCheckGate = new CountDownLatch(1);
             if (newConnections) {
-                server.holdsGreetings = new CountDownLatch(1);
+                server.startupGate = new CountDownLatch(1);
             }
         }
     }
 
-    private static void resume(Net net) {
-        for (Server server : net.servers.values()) {
-            server.holdsProbes.countDown();
-            server.holdsGreetings.countDown();
+    private static void resume(GatewayTestFixture net) {
+        for (FakeDatabaseServer server : net.servers.values()) {
+            server.healthCheckGate.countDown();
+            server.startupGate.countDown();
         }
     }
 
-    private static void askAll(Net net, List<Client> clients, int pipelined) throws Exception {
+    private static void askAll(GatewayTestFixture net, List<TestClient> clients, int pipelined) throws Exception {
         for (int i = 0; i < clients.size(); i++) {
             for (int j = 0; j < pipelined; j++) {
-                clients.get(i).ask(net.request(REQUEST_CLASSES.get((i + j) % REQUEST_CLASSES.size()), 9000));
+                clients.get(i).sendQuery(net.queryText(REQUEST_CLASSES.get((i + j) % REQUEST_CLASSES.size()), 9000));
             }
         }
     }
@@ -59,12 +59,12 @@
     @ParameterizedTest
     @EnumSource(Hang.class)
     void eachRequestIsAnsweredBeforeTheShutdownEnds(Hang hang) throws Exception {
-        try (Net net = new Net("p", "r1", "r2").readable().started()) {
-            net.servers.get("p").writes = true;
-            List<Client> clients = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+            net.servers.get("p").answersWrites = true;
+            List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                clients.add(net.client());
-                assertThat(net.read(clients.get(i))).as(net::log).isEqualTo("row 07 ready");
+                clients.add(net.connect());
+                assertThat(net.readWithRetries(clients.get(i))).as(net::log).isEqualTo("row 07 ready");
             }
             if (hang != Hang.AFTER_SIGTERM) {
                 hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
@@ -73,15 +73,15 @@
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             long sigtermNanos = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-            net.logged("planned restart: 12 connections");
+            net.awaitLog("planned restart: 12 connections");
             hang(net, hang == Hang.NEW_CONNECTIONS_TOO);
             askAll(net, clients, 3); // clients keep sending on their open connections
-            for (Client client : clients) {
+            for (TestClient client : clients) {
                 for (int i = 0; i < 5; i++) {
-                    assertThat(client.answer()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
+                    assertThat(client.readResponse()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
                 }
             }
-            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos))
                     .as(net::log)
                     .isLessThan(MAX_COUNTED_DEADLINE_MS + KILLED_AFTER_MS);
@@ -93,26 +93,26 @@
     @ParameterizedTest
     @ValueSource(longs = {100, 400, 1000})
     void eachRequestIsAnsweredBeforeTheShutdownEndsWithShortDeadlines(long deadlineMs) throws Exception {
-        try (Net net = new Net("p", "r1").readable()) {
-            net.settings = configuration -> configuration
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
+            net.configurationEdit = configuration -> configuration
                     .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + deadlineMs)
                     .replace("\"aimMs\":10000", "\"aimMs\":" + deadlineMs / 2)
                     .replace("\"aimMs\":600", "\"aimMs\":" + deadlineMs / 2);
-            net.started();
-            Client client = net.client();
-            net.read(client);
+            net.start();
+            TestClient client = net.connect();
+            net.readWithRetries(client);
             hang(net, false);
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             long sigtermNanos = System.nanoTime();
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
-                answer = client.ask(net.request(REQUEST_CLASSES.get(answered % REQUEST_CLASSES.size()), deadlineMs))
-                        .answer();
+                answer = client.sendQuery(net.queryText(REQUEST_CLASSES.get(answered % REQUEST_CLASSES.size()), deadlineMs))
+                        .readResponse();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
-            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos))
                     .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -18,11 +18,11 @@
     private static final long DEADLINE_MS = 2000;
 
     /** A request that a client has sent. */
-    private record SentRequest(Client client, long atNanos, long deadlineMs) {
-        static SentRequest send(Client client, Net net, String type, long deadlineMs) throws Exception {
-            String query = net.request(type, deadlineMs);
+    private record SentRequest(TestClient client, long atNanos, long deadlineMs) {
+        static SentRequest send(TestClient client, GatewayTestFixture net, String type, long deadlineMs) throws Exception {
+            String query = net.queryText(type, deadlineMs);
             long now = System.nanoTime();
-            client.ask(query);
+            client.sendQuery(query);
             return new SentRequest(client, now, deadlineMs);
         }
 
@@ -36,8 +36,8 @@
      * Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the
      * slack.
      */
-    private static Got awaitQueryWithinDeadline(Net net, Server server, SentRequest sent) throws Exception {
-        Got query = server.next();
+    private static ReceivedQuery awaitQueryWithinDeadline(GatewayTestFixture net, FakeDatabaseServer server, SentRequest sent) throws Exception {
+        ReceivedQuery query = server.nextQuery();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
         assertThat(passedMs)
@@ -46,7 +46,7 @@
         return query;
     }
 
-    private static void pauseLoop(Net net, CountDownLatch resume) throws Exception {
+    private static void pauseLoop(GatewayTestFixture net, CountDownLatch resume) throws Exception {
         CountDownLatch paused = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
             paused.countDown();
@@ -61,19 +61,19 @@
 
     @Test
     void aFirstAttemptPassesTheTimeLeft() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             for (long deadlineMs : new long[] {100, 300, DEADLINE_MS}) {
-                SentRequest sent = SentRequest.send(net.client(), net, "quick", deadlineMs);
-                awaitQueryWithinDeadline(net, net.servers.get("p"), sent).row(new byte[] {7});
-                sent.client.answer();
+                SentRequest sent = SentRequest.send(net.connect(), net, "quick", deadlineMs);
+                awaitQueryWithinDeadline(net, net.servers.get("p"), sent).sendRow(new byte[] {7});
+                sent.client.readResponse();
             }
         }
     }
 
     @Test
     void anAttemptOfARequestReadLatePassesTheTimeLeft() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect();
             CountDownLatch resume = new CountDownLatch(1);
             pauseLoop(net, resume);
             SentRequest sent = SentRequest.send(client, net, "order", DEADLINE_MS);
@@ -85,37 +85,37 @@
 
     @Test
     void aRetryAfterAnErrorPassesTheTimeLeft() throws Exception {
-        assertRetryArrivesInTime(first -> first.problem("XX000"));
+        assertRetryArrivesInTime(first -> first.sendError("XX000"));
     }
 
     @Test
     void aRetryAfterABrokenConnectionPassesTheTimeLeft() throws Exception {
-        assertRetryArrivesInTime(Got::reset);
+        assertRetryArrivesInTime(ReceivedQuery::resetConnection);
     }
 
     /** The way in which the first attempt fails. */
     private interface Failure {
-        void inject(Got first) throws Exception;
+        void inject(ReceivedQuery first) throws Exception;
     }
 
     private static void assertRetryArrivesInTime(Failure failure) throws Exception {
-        try (Net net = new Net("p", "r1")) {
-            net.settings = configuration ->
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1")) {
+            net.configurationEdit = configuration ->
                     configuration.replace("\"aimMs\":600,\"deadlineMs\":1000", "\"aimMs\":1500,\"deadlineMs\":2000");
-            net.started();
-            SentRequest sent = SentRequest.send(net.client(), net, "quick", DEADLINE_MS);
-            Got first = awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
+            net.start();
+            SentRequest sent = SentRequest.send(net.connect(), net, "quick", DEADLINE_MS);
+            ReceivedQuery first = awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
             Thread.sleep(DELAY_MS); // time that the failed attempt takes
             failure.inject(first);
             awaitQueryWithinDeadline(net, firstServerWithAQuery(net), sent);
         }
     }
 
-    private static Server firstServerWithAQuery(Net net) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+    private static FakeDatabaseServer firstServerWithAQuery(GatewayTestFixture net) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
-            for (Server server : net.servers.values()) {
-                if (!server.got.isEmpty()) {
+            for (FakeDatabaseServer server : net.servers.values()) {
+                if (!server.pendingQueries.isEmpty()) {
                     return server;
                 }
             }
@@ -126,14 +126,14 @@
 
     @Test
     void anAttemptThatWaitedForItsConnectionPassesTheTimeLeft() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Server server = net.servers.get("p");
-            net.client().ask(net.request("order"));
-            server.next(); // uses the connection that the health check opened
-            server.holdsGreetings = new CountDownLatch(1);
-            SentRequest sent = SentRequest.send(net.client(), net, "order", DEADLINE_MS);
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            FakeDatabaseServer server = net.servers.get("p");
+            net.connect().sendQuery(net.queryText("order"));
+            server.nextQuery(); // uses the connection that the health check opened
+            server.startupGate = new CountDownLatch(1);
+            SentRequest sent = SentRequest.send(net.connect(), net, "order", DEADLINE_MS);
             Thread.sleep(DELAY_MS); // the connection is not established meanwhile
-            server.holdsGreetings.countDown();
+            server.startupGate.countDown();
             awaitQueryWithinDeadline(net, server, sent);
         }
     }
@@ -144,27 +144,27 @@
      * the attempt in the same turn of the loop; the pause begins at the log line. Returns the request once the pause
      * has ended.
      */
-    private static SentRequest sendWithPauseBetweenDecisionAndWrite(Net net, long deadlineMs, long pauseMs)
+    private static SentRequest sendWithPauseBetweenDecisionAndWrite(GatewayTestFixture net, long deadlineMs, long pauseMs)
             throws Exception {
-        Server server = net.servers.get("p");
-        server.holdsProbes = new CountDownLatch(1);
-        net.settings = configuration -> configuration
+        FakeDatabaseServer server = net.servers.get("p");
+        server.healthCheckGate = new CountDownLatch(1);
+        net.configurationEdit = configuration -> configuration
                 .replace("\"connectTimeoutMs\":2000", "\"connectTimeoutMs\":300")
                 .replace("\"aimMs\":10000", "\"aimMs\":400");
-        net.started(); // no server has answered a health check
-        Client client = net.client();
+        net.start(); // no server has answered a health check
+        TestClient client = net.connect();
         CountDownLatch paused = net.pauseAtLog("server p returns");
         SentRequest sent = SentRequest.send(client, net, "order", deadlineMs);
-        server.holdsProbes.countDown();
-        assertThat(paused.await(Net.PATIENCE_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        server.healthCheckGate.countDown();
+        assertThat(paused.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).as(net::log).isTrue();
         Thread.sleep(pauseMs);
-        net.goOn();
+        net.resume();
         return sent;
     }
 
     @Test
     void anAttemptWrittenLongAfterItWasDecidedOnPassesTheTimeLeft() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             SentRequest sent = sendWithPauseBetweenDecisionAndWrite(net, 4000, DELAY_MS);
             awaitQueryWithinDeadline(net, net.servers.get("p"), sent);
         }
@@ -172,10 +172,10 @@
 
     @Test
     void anAttemptWhoseClientHasNoTimeLeftIsNotWritten() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             SentRequest sent = sendWithPauseBetweenDecisionAndWrite(net, 1000, 1100);
-            assertThat(sent.client.answer()).as(net::log).startsWith("53300");
-            assertThat(net.servers.get("p").got).isEmpty();
+            assertThat(sent.client.readResponse()).as(net::log).startsWith("53300");
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
+++ b/gateway/src/test/java/ploverdale/ShutdownProcessTest.java
@@ -35,8 +35,8 @@
     @TempDir
     Path directory;
 
-    private Path configuration(Net net) throws IOException {
-        String settings = Net.configuration(net.registry, 256, 30_000)
+    private Path configuration(GatewayTestFixture net) throws IOException {
+        String settings = GatewayTestFixture.configuration(net.discovery, 256, 30_000)
                 .replace("\"deadlineMs\":20000", "\"deadlineMs\":" + DEADLINE_MS)
                 .replace("\"deadlineMs\":1000", "\"deadlineMs\":" + DEADLINE_MS)
                 .replace("\"aimMs\":10000", "\"aimMs\":200");
@@ -49,13 +49,13 @@
      */
     private static final class Load {
         private final int port;
-        private final Net net;
+        private final GatewayTestFixture net;
         private final AtomicInteger nextId = new AtomicInteger();
         private final Map<String, String> answers = new ConcurrentHashMap<>();
         private final Map<String, Long> lost = new ConcurrentHashMap<>(); // ms from sending to the close
         private final List<Thread> threads = new ArrayList<>();
 
-        private Load(Net net, int port) {
+        private Load(GatewayTestFixture net, int port) {
             this.net = net;
             this.port = port;
             for (int i = 0; i < CLIENTS; i++) {
@@ -67,9 +67,9 @@
 
         private void sendUntilRefused() {
             while (true) {
-                try (Client client = new Client(port)) {
+                try (TestClient client = new TestClient(port)) {
                     client.write(MessageWriter.startup());
-                    if (client.answer().equals("ready")) {
+                    if (client.readResponse().equals("ready")) {
                         sendUntilClosed(client);
                     }
                 } catch (ConnectException e) {
@@ -80,14 +80,14 @@
             }
         }
 
-        private void sendUntilClosed(Client client) throws IOException {
+        private void sendUntilClosed(TestClient client) throws IOException {
             while (true) {
                 String id = "f" + Integer.toHexString(nextId.incrementAndGet());
                 long sentNanos = System.nanoTime();
                 String answer;
                 try {
-                    client.ask(net.request("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
-                    answer = client.answer();
+                    client.sendQuery(net.queryText("order", DEADLINE_MS).replaceAll("id=[0-9a-f]+,", "id=" + id + ","));
+                    answer = client.readResponse();
                 } catch (IOException e) {
                     answer = "closed";
                 }
@@ -107,9 +107,9 @@
     }
 
     /** Returns the ids of the queries that have reached the server, answered or not. */
-    private static List<String> forwardedIds(Server server) {
+    private static List<String> forwardedIds(FakeDatabaseServer server) {
         List<String> ids = new ArrayList<>();
-        for (Got query = server.got.poll(); query != null; query = server.got.poll()) {
+        for (ReceivedQuery query = server.pendingQueries.poll(); query != null; query = server.pendingQueries.poll()) {
             ids.add(query.text().replaceAll("(?s).*id=([0-9a-f]+),.*", "$1"));
         }
         return ids;
@@ -118,11 +118,11 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void noRequestThatWasReadIsLeftUnansweredAndTheProcessExitsByItself(boolean serversAnswer) throws Exception {
-        try (Net net = new Net("p");
+        try (GatewayTestFixture net = new GatewayTestFixture("p");
                 ServingProcess gateway =
                         ServingProcess.start(directory, ServingProcess.onClassPath(configuration(net)))) {
-            Server server = net.servers.get("p");
-            server.writes = serversAnswer;
+            FakeDatabaseServer server = net.servers.get("p");
+            server.answersWrites = serversAnswer;
             Load load = new Load(net, gateway.port());
             Thread.sleep(1000); // time under load
             CountDownLatch exited = new CountDownLatch(1);
@@ -148,17 +148,17 @@
     @Test
     void aHangUpDuringTheStartIsHandledAfterIt() throws Exception {
         Path file = directory.resolve("gateway.json");
-        try (Net net = new Net("p");
-                Registry elsewhere = new Registry(net.list(5, true, "p"))) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p");
+                FakeDiscovery elsewhere = new FakeDiscovery(net.endpointList(5, true, "p"))) {
             // The gateway does not serve before these health checks are answered.
-            net.servers.get("p").holdsProbes = new CountDownLatch(1);
-            Files.writeString(file, Net.configuration(net.registry, 256, 30_000));
+            net.servers.get("p").healthCheckGate = new CountDownLatch(1);
+            Files.writeString(file, GatewayTestFixture.configuration(net.discovery, 256, 30_000));
             try (ServingProcess gateway = ServingProcess.start(directory, ServingProcess.onClassPath(file))) {
                 gateway.line("warm-up took");
-                Files.writeString(file, Net.configuration(elsewhere, 256, 30_000));
+                Files.writeString(file, GatewayTestFixture.configuration(elsewhere, 256, 30_000));
                 gateway.hangUp();
-                net.servers.get("p").holdsProbes.countDown();
-                elsewhere.asked("/registry/instances");
+                net.servers.get("p").healthCheckGate.countDown();
+                elsewhere.awaitRequest("/registry/instances");
                 assertThat(gateway.process.isAlive()).isTrue();
             }
         }
--- a/gateway/src/test/java/ploverdale/SlowDiscovery.java
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -8,15 +8,12 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/**
- * Discovery that answers each call for the whole list some time after it came, as one that is crowded does, and holds each
- * watch until the gateway gives it up.
- */
-final class SlowDiscovery extends Stand {
-    /** Connections that the gateway has not ended yet. */
-    final AtomicInteger open = new AtomicInteger();
-
-    /** Calls that came, the watches included. */
+/** Discovery that answers each request for the complete list with a delay, as an overloaded one does, and never answers a watch. */
+final class SlowDiscovery extends LoopbackServer {
+    /** Number of connections that the gateway has not closed yet. */
+    final AtomicInteger openConnections = new AtomicInteger();
+
+    /** Number of requests received, watches included. */
     final AtomicInteger calls = new AtomicInteger();
 
     private final String list;
@@ -29,7 +26,7 @@
 
     @Override
     void serve(Socket socket) throws IOException {
-        open.incrementAndGet();
+        openConnections.incrementAndGet();
         try {
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -39,7 +36,7 @@
                 }
             }
         } finally {
-            open.decrementAndGet();
+            openConnections.decrementAndGet();
             socket.close();
         }
     }
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -50,7 +50,7 @@
         }
     }
 
-    private static void readToTheEnd(Client client) throws Exception {
+    private static void readToTheEnd(TestClient client) throws Exception {
         for (int read = client.readByte(); read >= 0; ) {
             read = client.readByte();
         }
@@ -58,11 +58,11 @@
 
     @Test
     void connectionsThatStallBeforeTheirFirstRequestIsCompleteAreClosedInTime() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Map<StallPoint, Client> stalled = new EnumMap<>(StallPoint.class);
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            Map<StallPoint, TestClient> stalled = new EnumMap<>(StallPoint.class);
             long stalledNanos = System.nanoTime();
             for (StallPoint stallPoint : StallPoint.values()) {
-                stalled.put(stallPoint, new Client(net.gateway.port()).write(stallPoint.written));
+                stalled.put(stallPoint, new TestClient(net.gateway.port()).write(stallPoint.written));
             }
             for (StallPoint stallPoint : StallPoint.values()) {
                 readToTheEnd(stalled.get(stallPoint));
@@ -75,15 +75,15 @@
 
     @Test
     void aClientThatStallsInAMessageThatIsNotAcceptedGetsItsErrorInTime() throws Exception {
-        try (Net net = new Net("p").started()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
             long startNanos = System.nanoTime();
-            Client tooLong = net.client()
+            TestClient tooLong = net.connect()
                     .write(Buffer.buffer()
                             .appendByte((byte) 'Q')
                             .appendInt(1_000_000)
                             .appendInt(0));
-            assertThat(tooLong.answer()).as(net::log).isEqualTo("54000 ready");
-            Client unsupported = net.client()
+            assertThat(tooLong.readResponse()).as(net::log).isEqualTo("54000 ready");
+            TestClient unsupported = net.connect()
                     .write(Buffer.buffer().appendByte((byte) 'P').appendInt(20).appendInt(0));
             assertThat((char) unsupported.readByte()).as(net::log).isEqualTo('E');
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos))
@@ -94,9 +94,9 @@
 
     @Test
     void aClientThatWritesOneByteAtATimeIsClosedInTime() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client();
-            Buffer query = MessageWriter.query(net.request("page"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect();
+            Buffer query = MessageWriter.query(net.queryText("page"));
             long startNanos = System.nanoTime();
             Thread writer = new Thread(() -> {
                 try {
@@ -109,49 +109,49 @@
                 }
             });
             writer.start();
-            assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos))
                     .as(net::log)
                     .isLessThan(ANSWER_WITHIN_MS);
             client.close();
-            writer.join(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            writer.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
         }
     }
 
     @Test
     void aClientThatStallsInItsSecondRequestGetsTheFirstAnswerAndThenAnError() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("order"));
-            Got first = net.servers.get("p").next();
-            Buffer second = MessageWriter.query(net.request("order"));
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery first = net.servers.get("p").nextQuery();
+            Buffer second = MessageWriter.query(net.queryText("order"));
             client.write(second.getBuffer(0, second.length() / 2));
-            net.logged("client with an unfinished message");
-            first.row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
+            net.awaitLog("client with an unfinished message");
+            first.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo("row 07 ready");
             long answeredNanos = System.nanoTime();
-            assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answeredNanos))
                     .isLessThan(ANSWER_WITHIN_MS);
-            assertThat(net.servers.get("p").got).isEmpty();
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 
     @Test
     void aClientThatStallsAfterMoreRequestsThanPipelineSlotsGetsItsAnswersAndThenAnError() throws Exception {
-        try (Net net = new Net("p").started()) {
-            net.servers.get("p").writes = true;
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient client = net.connect();
             Buffer messages = Buffer.buffer();
             for (int i = 0; i < PIPELINED; i++) {
-                messages.appendBuffer(MessageWriter.query(net.request("order")));
+                messages.appendBuffer(MessageWriter.query(net.queryText("order")));
             }
-            Buffer last = MessageWriter.query(net.request("order"));
+            Buffer last = MessageWriter.query(net.queryText("order"));
             client.write(messages.appendBuffer(last.getBuffer(0, last.length() / 2)));
             for (int i = 0; i < PIPELINED; i++) {
-                assertThat(client.answer()).as(net::log).isEqualTo("row 07 ready");
+                assertThat(client.readResponse()).as(net::log).isEqualTo("row 07 ready");
             }
             long answeredNanos = System.nanoTime();
-            assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answeredNanos))
                     .isLessThan(ANSWER_WITHIN_MS);
         }
@@ -159,15 +159,15 @@
 
     @Test
     void clientsThatStallInAMessageDoNotKeepOthersFromBeingServed() throws Exception {
-        try (Net net = new Net("p", "r1").started(64, 30_000).readable()) {
-            List<Client> stalled = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) {
+            List<TestClient> stalled = new ArrayList<>();
             for (int i = 0; i < 20; i++) { // of 28 client connections allowed
-                stalled.add(net.client()
+                stalled.add(net.connect()
                         .write(Buffer.buffer().appendByte((byte) 'Q').appendInt(50)));
             }
-            assertThat(net.read(net.client())).as(net::log).isEqualTo("row 07 ready");
-            for (Client client : stalled) {
-                assertThat(client.answer()).as(net::log).isEqualTo("08P01 closed");
+            assertThat(net.readWithRetries(net.connect())).as(net::log).isEqualTo("row 07 ready");
+            for (TestClient client : stalled) {
+                assertThat(client.readResponse()).as(net::log).isEqualTo("08P01 closed");
             }
         }
     }
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -63,17 +63,17 @@
         LIBRARY_LOGGERS.forEach(l -> l.setLevel(null));
     }
 
-    private Net net(String... servers) throws IOException {
-        return new Net(SingleLoopVertx.create(systemCalls), servers);
+    private GatewayTestFixture net(String... servers) throws IOException {
+        return new GatewayTestFixture(SingleLoopVertx.create(systemCalls), servers);
     }
 
     private static long msSince(long startNanos) {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    private static void waitForNoConnection(Net net, Server server) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
-        while (server.open.get() > 0) {
+    private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
+        while (server.openConnections.get() > 0) {
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
             Thread.sleep(5);
         }
@@ -86,10 +86,10 @@
     void aGatewayStartsThoughItsListenerTemporarilyCannotBeOpened(Errno errno) throws Exception {
         // The first of them hits the warm-up run.
         Fault fault = systemCalls.fail(Call.LISTENER_SOCKET, errno, FEW_CALLS);
-        try (Net net = net("p").started()) {
-            net.servers.get("p").writes = true;
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
             assertThat(fault.failed()).as(net::log).isEqualTo(FEW_CALLS);
-            assertThat(net.client().ask(net.request("order")).answer())
+            assertThat(net.connect().sendQuery(net.queryText("order")).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
         }
@@ -98,12 +98,12 @@
     @Test
     void anAddressInUseIsReportedAtOnce() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Net net = net("p")) {
-            net.settings = configuration -> configuration.replaceFirst(
+                GatewayTestFixture net = net("p")) {
+            net.configurationEdit = configuration -> configuration.replaceFirst(
                     "\"listen\":\"127.0.0.1:\\d+", "\"listen\":\"127.0.0.1:" + taken.getLocalPort());
             long startNanos = System.nanoTime();
-            assertThatThrownBy(net::started).hasRootCauseInstanceOf(BindException.class);
-            assertThat(msSince(startNanos)).isLessThan(TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+            assertThatThrownBy(net::start).hasRootCauseInstanceOf(BindException.class);
+            assertThat(msSince(startNanos)).isLessThan(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             assertThat(net.log()).doesNotContain("cannot listen yet");
         }
     }
@@ -111,30 +111,30 @@
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR"})
     void aClientIsServedSoonAfterAcceptsFailedTemporarily(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            net.servers.get("p").writes = true;
-            Client other = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient other = net.connect();
             Fault fault = systemCalls.fail(Call.ACCEPT, errno, FEW_CALLS);
             long startNanos = System.nanoTime();
-            Client client = net.client();
-            assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            TestClient client = net.connect();
+            assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
             assertThat(msSince(startNanos)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(FEW_CALLS);
-            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void acceptsThatKeepFailingNeitherCloseTheListenerNorSpin() throws Exception {
-        try (Net net = net("p").started()) {
-            net.servers.get("p").writes = true;
-            Client other = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient other = net.connect();
             Fault fault = systemCalls.fail(Call.ACCEPT, Errno.EMFILE, UNLIMITED_CALLS);
             long callsBefore = systemCalls.calls(Call.ACCEPT);
             long startNanos = System.nanoTime();
-            Client waiting = new Client(net.gateway.port());
+            TestClient waiting = new TestClient(net.gateway.port());
             while (msSince(startNanos) < 500) {
-                assertThat(other.ask(net.request("order")).answer())
+                assertThat(other.sendQuery(net.queryText("order")).readResponse())
                         .as(net::log)
                         .isEqualTo(ROW_7);
             }
@@ -143,7 +143,7 @@
                     .isBetween(2L, 200L);
             fault.end();
             long faultEnded = System.nanoTime();
-            assertThat(waiting.greeted().ask(net.request("order")).answer())
+            assertThat(waiting.completeStartup().sendQuery(net.queryText("order")).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             assertThat(msSince(faultEnded)).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
@@ -153,16 +153,16 @@
 
     @Test
     void aClientWhoseSocketOptionsCannotBeSetDoesNotAffectOthers() throws Exception {
-        try (Net net = net("p").started()) {
-            net.servers.get("p").writes = true;
-            Client other = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient other = net.connect();
             Fault fault = systemCalls.fail(Call.SET_OPTION, FaultyTransport.CLIENTS, Errno.EINVAL, 1);
-            Client failing = new Client(net.gateway.port());
-            assertThat(net.client().ask(net.request("order")).answer())
+            TestClient failing = new TestClient(net.gateway.port());
+            assertThat(net.connect().sendQuery(net.queryText("order")).readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(other.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+            assertThat(other.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
             failing.close();
         }
     }
@@ -185,17 +185,17 @@
         "SET_OPTION,EINVAL"
     })
     void aRequestIsServedThoughItsConnectionTemporarilyCannotBeOpened(Call call, Errno errno) throws Exception {
-        try (Net net = net("p").started(256, SHORT_IDLE_MS)) {
-            Server primary = net.servers.get("p");
-            primary.writes = true;
-            Client client = net.client();
+        try (GatewayTestFixture net = net("p").start(256, SHORT_IDLE_MS)) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            primary.answersWrites = true;
+            TestClient client = net.connect();
             waitForNoConnection(net, primary);
             // These two precede connect, so they can't be matched by address.
             boolean matchedByAddress = call != Call.SOCKET && call != Call.SET_OPTION;
             Fault fault = matchedByAddress
                     ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS)
                     : systemCalls.fail(call, errno, FEW_CALLS);
-            assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
             assertThat(fault.failed())
                     .isEqualTo(errno == Errno.EINTR ? 1 : FEW_CALLS); // the kernel completes an interrupted connect
             assertThat(net.log()).doesNotContain("silent");
@@ -205,25 +205,25 @@
     @ParameterizedTest
     @CsvSource({"SOCKET,EMFILE", "SOCKET,ENFILE", "CONNECT,EADDRNOTAVAIL", "CONNECT,ENOBUFS", "CONNECT,ENOMEM"})
     void aLackOfLocalResourcesEjectsNoServerHoweverLongItLasts(Call call, Errno errno) throws Exception {
-        try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            Client client = net.client();
-            assertThat(net.read(client)).isEqualTo(ROW_7);
+        try (GatewayTestFixture net = net("p", "r1", "r2").answerReads().start(256, SHORT_IDLE_MS)) {
+            TestClient client = net.connect();
+            assertThat(net.readWithRetries(client)).isEqualTo(ROW_7);
             Fault fault = systemCalls.fail(call, errno, UNLIMITED_CALLS);
-            for (Server server : net.servers.values()) {
+            for (FakeDatabaseServer server : net.servers.values()) {
                 waitForNoConnection(net, server);
             }
             long startNanos = System.nanoTime();
             int rejected = 0;
             // Longer than a server's last answer is valid, so that health checks are sent as well.
             while (msSince(startNanos) < 3500) {
-                rejected += client.ask(net.request("quick", 200)).answer().startsWith("53300") ? 1 : 0;
+                rejected += client.sendQuery(net.queryText("quick", 200)).readResponse().startsWith("53300") ? 1 : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
             assertThat(net.log()).doesNotContain("silent");
             fault.end();
             long faultEnded = System.nanoTime();
-            while (!client.ask(net.request("quick", 200)).answer().equals(ROW_7)) {
+            while (!client.sendQuery(net.queryText("quick", 200)).readResponse().equals(ROW_7)) {
                 assertThat(msSince(faultEnded)).as(net::log).isLessThan(1500);
             }
             assertThat(net.log()).doesNotContain("silent");
@@ -238,22 +238,22 @@
         "FINISH_CONNECT,ECONNREFUSED"
     })
     void requestsOfAnUnreachableServerAreServedByOthers(Call call, Errno errno) throws Exception {
-        try (Net net = net("p", "r1", "r2").readable().started(256, SHORT_IDLE_MS)) {
-            Client client = net.client();
-            assertThat(net.read(client)).isEqualTo(ROW_7);
-            Server r1 = net.servers.get("r1");
+        try (GatewayTestFixture net = net("p", "r1", "r2").answerReads().start(256, SHORT_IDLE_MS)) {
+            TestClient client = net.connect();
+            assertThat(net.readWithRetries(client)).isEqualTo(ROW_7);
+            FakeDatabaseServer r1 = net.servers.get("r1");
             Fault fault = systemCalls.fail(call, r1.port(), errno, UNLIMITED_CALLS);
             waitForNoConnection(net, r1);
-            int queriesBefore = r1.ran.size();
+            int queriesBefore = r1.receivedRequests.size();
             for (int i = 0; i < 40; i++) {
-                assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+                assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
             }
             assertThat(fault.failed()).isPositive();
-            assertThat(r1.ran).as(net::log).hasSize(queriesBefore);
+            assertThat(r1.receivedRequests).as(net::log).hasSize(queriesBefore);
             fault.end();
             long faultEnded = System.nanoTime();
-            while (r1.ran.size() == queriesBefore) {
-                assertThat(net.read(client)).as(net::log).isEqualTo(ROW_7);
+            while (r1.receivedRequests.size() == queriesBefore) {
+                assertThat(net.readWithRetries(client)).as(net::log).isEqualTo(ROW_7);
                 assertThat(msSince(faultEnded)).as(net::log).isLessThan(10_000);
             }
         }
@@ -264,7 +264,7 @@
     @ParameterizedTest
     @CsvSource({"1,ETIMEDOUT", "1,EHOSTUNREACH", "40,ECONNRESET", "40,ENOBUFS", "40,ENOMEM"})
     void aQueryOfWhichOnlyAPartWasWrittenCountsAsNotRun(int bytesTaken, Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             assertPartlyWrittenQueryRunsOnce(net, port -> systemCalls.failWriteAfter(bytesTaken, port, errno));
         }
     }
@@ -272,108 +272,108 @@
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"})
     void aQueryOfWhichOnlyTheLastByteWasNotWrittenCountsAsNotRun(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
+        try (GatewayTestFixture net = net("p").start()) {
             assertPartlyWrittenQueryRunsOnce(net, port -> systemCalls.failWriteBeforeLastByte(port, errno));
         }
     }
 
-    private static void assertPartlyWrittenQueryRunsOnce(Net net, IntFunction<Fault> installFault) throws Exception {
-        Server primary = net.servers.get("p");
-        primary.writes = true;
-        Client client = net.client();
-        assertThat(client.ask(net.request("order")).answer()).isEqualTo(ROW_7);
+    private static void assertPartlyWrittenQueryRunsOnce(GatewayTestFixture net, IntFunction<Fault> installFault) throws Exception {
+        FakeDatabaseServer primary = net.servers.get("p");
+        primary.answersWrites = true;
+        TestClient client = net.connect();
+        assertThat(client.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
         Fault fault = installFault.apply(primary.port());
-        assertThat(client.ask(net.request("order")).answer()).as(net::log).isEqualTo(ROW_7);
+        assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
-        assertThat(primary.ran).as("queries received in full").hasSize(2);
-        net.logged("NOT_WRITTEN");
+        assertThat(primary.receivedRequests).as("queries received in full").hasSize(2);
+        net.awaitLog("NOT_WRITTEN");
         assertThat(net.log()).doesNotContain("silent");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENOMEM"})
     void aQueryWrittenInFullIsNotRunAgainWhenItsAnswerCannotBeRead(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            Server primary = net.servers.get("p");
-            Client client = net.client().ask(net.request("order"));
-            Got query = primary.next();
+        try (GatewayTestFixture net = net("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery query = primary.nextQuery();
             Fault fault = systemCalls.fail(Call.READ, primary.port(), errno, 1);
-            query.row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo("58000 ready");
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo("58000 ready");
             assertThat(fault.failed()).isEqualTo(1);
-            client.ask(net.request("order"));
-            primary.next().row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo(ROW_7);
-            assertThat(primary.ran).hasSize(2);
+            client.sendQuery(net.queryText("order"));
+            primary.nextQuery().sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo(ROW_7);
+            assertThat(primary.receivedRequests).hasSize(2);
         }
     }
 
     @Test
     void readsAndWritesOfAByteAtATimeChangeNothing() throws Exception {
-        try (Net net = net("p", "r1").started()) {
-            Server primary = net.servers.get("p");
+        try (GatewayTestFixture net = net("p", "r1").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
             systemCalls.shorten(1);
-            Client client = net.client();
+            TestClient client = net.connect();
             byte[] value = new byte[1000];
             for (int i = 0; i < 3; i++) {
-                client.ask(net.request("order"));
-                Got query = primary.next();
-                query.row(value);
-                assertThat(client.answer()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
+                client.sendQuery(net.queryText("order"));
+                ReceivedQuery query = primary.nextQuery();
+                query.sendRow(value);
+                assertThat(client.readResponse()).as(net::log).isEqualTo("row " + "00".repeat(value.length) + " ready");
             }
-            assertThat(primary.ran).hasSize(3);
-            net.registry.news.add(net.list(2, false, "r1:DRAINING"));
-            net.logged("server r1 listed DRAINING");
+            assertThat(primary.receivedRequests).hasSize(3);
+            net.discovery.updates.add(net.endpointList(2, false, "r1:DRAINING"));
+            net.awaitLog("server r1 listed DRAINING");
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOMEM"})
     void attemptsAreCancelledWhenTheirClientsConnectionCannotBeRead(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            Server primary = net.servers.get("p");
-            Client other = net.client();
-            Client client = net.client().ask(net.request("order"));
-            Got query = primary.next();
+        try (GatewayTestFixture net = net("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient other = net.connect();
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery query = primary.nextQuery();
             Fault fault = systemCalls.fail(Call.READ, FaultyTransport.CLIENTS, errno, 1);
-            client.ask(net.request("order"));
-            query.endedByGateway();
+            client.sendQuery(net.queryText("order"));
+            query.awaitClosedByGateway();
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(primary.got).isEmpty();
-            other.ask(net.request("order"));
-            primary.next().row(new byte[] {7});
-            assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
+            assertThat(primary.pendingQueries).isEmpty();
+            other.sendQuery(net.queryText("order"));
+            primary.nextQuery().sendRow(new byte[] {7});
+            assertThat(other.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"})
     void aClientWhoseConnectionCannotBeWrittenDoesNotAffectOthers(Errno errno) throws Exception {
-        try (Net net = net("p").started()) {
-            Server primary = net.servers.get("p");
-            Client other = net.client();
-            Client client = net.client().ask(net.request("order"));
-            Got query = primary.next();
+        try (GatewayTestFixture net = net("p").start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            TestClient other = net.connect();
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery query = primary.nextQuery();
             Fault fault = systemCalls.fail(Call.WRITE, FaultyTransport.CLIENTS, errno, 1);
-            query.row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo("closed");
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            other.ask(net.request("order"));
-            primary.next().row(new byte[] {7});
-            assertThat(other.answer()).as(net::log).isEqualTo(ROW_7);
+            other.sendQuery(net.queryText("order"));
+            primary.nextQuery().sendRow(new byte[] {7});
+            assertThat(other.readResponse()).as(net::log).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void anIdleConnectionIsClosedThoughItsOutputCannotBeShutDown() throws Exception {
-        try (Net net = net("p").started()) {
-            Client idle = net.client();
+        try (GatewayTestFixture net = net("p").start()) {
+            TestClient idle = net.connect();
             Fault fault = systemCalls.fail(Call.SHUTDOWN, FaultyTransport.CLIENTS, Errno.ENOTCONN, 1);
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-            assertThat(idle.answer()).as(net::log).isEqualTo("closed");
+            assertThat(idle.readResponse()).as(net::log).isEqualTo("closed");
             assertThat(fault.failed()).isEqualTo(1);
-            assertThat(shutdownEnded.await(Net.PATIENCE_S, TimeUnit.SECONDS))
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .as(net::log)
                     .isTrue();
         }
@@ -394,22 +394,22 @@
         "READ,EHOSTUNREACH"
     })
     void aChangeIsReceivedInTimeThoughCallsToDiscoveryFailed(Call call, Errno errno) throws Exception {
-        try (Net net = net("p", "r1").started()) {
-            int port = net.registry.port();
-            net.registry.asked("/registry/instances?from=1&hold_ms=2000");
+        try (GatewayTestFixture net = net("p", "r1").start()) {
+            int port = net.discovery.port();
+            net.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
             Fault fault = call == Call.SOCKET
                     ? systemCalls.fail(call, errno, UNLIMITED_CALLS)
                     : systemCalls.fail(call, port, errno, UNLIMITED_CALLS);
-            net.registry.changes = net.list(2, false, "r1:DRAINING");
-            net.registry.closeConnections(); // so that the next call needs a new connection
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+            net.discovery.firstWatchResponse = net.endpointList(2, false, "r1:DRAINING");
+            net.discovery.closeConnections(); // so that the next call needs a new connection
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
             while (fault.failed() < FEW_CALLS) {
                 assertThat(System.nanoTime()).as(net::log).isLessThan(end);
                 Thread.sleep(5);
             }
             fault.end();
             long reachable = System.nanoTime();
-            net.logged("server r1 listed DRAINING");
+            net.awaitLog("server r1 listed DRAINING");
             assertThat(msSince(reachable)).as(net::log).isLessThan(CHANGE_WITHIN_MS);
         }
     }
@@ -428,30 +428,30 @@
         errnos.put(Call.FINISH_CONNECT, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH));
         errnos.put(Call.READ, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
         errnos.put(Call.WRITE, List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH, Errno.EINTR, Errno.EINTR));
-        try (Net net = net("p", "r1").readable().started()) {
-            Server primary = net.servers.get("p");
-            primary.writes = true;
+        try (GatewayTestFixture net = net("p", "r1").answerReads().start()) {
+            FakeDatabaseServer primary = net.servers.get("p");
+            primary.answersWrites = true;
             systemCalls.storm(seed, 0.05, errnos, clientsToo);
             systemCalls.shorten(50);
             Map<String, String> answers = new LinkedHashMap<>(); // by request id
-            Client client = null;
+            TestClient client = null;
             for (int i = 0; i < 300; i++) {
                 client = client == null ? connectDespiteFaults(net) : client;
-                String query = net.request("order");
+                String query = net.queryText("order");
                 String answer = answerOrClosed(client, query);
                 answers.put(query.replaceAll(".* id=(\\w+),.*", "$1"), answer);
                 client = answer.endsWith("closed") ? null : client;
             }
             systemCalls.calm();
-            Client after = net.client();
+            TestClient after = net.connect();
             long startNanos = System.nanoTime();
             String last = "";
             while (!last.equals(ROW_7) && msSince(startNanos) < 5000) {
-                last = after.ask(net.request("order")).answer();
+                last = after.sendQuery(net.queryText("order")).readResponse();
             }
             assertThat(last).as("seed %s\n%s", seed, net.log()).isEqualTo(ROW_7);
             for (Map.Entry<String, String> answered : answers.entrySet()) {
-                long runs = primary.ran.stream()
+                long runs = primary.receivedRequests.stream()
                         .filter(q -> q.contains(" id=" + answered.getKey() + ","))
                         .count();
                 String description = "seed " + seed + ", request " + answered.getKey() + " answered "
@@ -477,11 +477,11 @@
     }
 
     /** Connects a client; retries where its connection fails as well. */
-    private static Client connectDespiteFaults(Net net) throws IOException {
+    private static TestClient connectDespiteFaults(GatewayTestFixture net) throws IOException {
         for (int i = 0; i < 50; i++) {
-            Client client = new Client(net.gateway.port());
+            TestClient client = new TestClient(net.gateway.port());
             try {
-                if (client.write(MessageWriter.startup()).answer().equals("ready")) {
+                if (client.write(MessageWriter.startup()).readResponse().equals("ready")) {
                     return client;
                 }
             } catch (EOFException | SocketException e) {
@@ -492,9 +492,9 @@
     }
 
     /** Sends the query and returns its answer, or "closed" if the connection failed. */
-    private static String answerOrClosed(Client client, String query) throws IOException {
+    private static String answerOrClosed(TestClient client, String query) throws IOException {
         try {
-            return client.ask(query).answer();
+            return client.sendQuery(query).readResponse();
         } catch (EOFException | SocketException e) {
             return "closed";
         }
--- a/gateway/src/test/java/ploverdale/Client.java
+++ b/gateway/src/test/java/ploverdale/TestClient.java
@@ -13,43 +13,48 @@
 import java.util.concurrent.TimeUnit;
 import ploverdale.net.postgres.MessageWriter;
 
-/** A client's connection to the gateway. */
-final class Client implements AutoCloseable {
+/** A client connection to the gateway. */
+final class TestClient implements AutoCloseable {
     private final Socket socket;
     private final DataInputStream in;
 
-    Client(int port) throws IOException {
+    TestClient(int port) throws IOException {
         this(port, 0);
     }
 
-    /** One whose system takes no more than about so many bytes that it has not read, unless 0. */
-    Client(int port, int receiveBuffer) throws IOException {
+    /**
+     * Connects to the gateway.
+     *
+     * @param receiveBuffer size of the socket's receive buffer in bytes, or 0 for the system's default
+     */
+    TestClient(int port, int receiveBuffer) throws IOException {
         socket = new Socket();
         if (receiveBuffer > 0) {
             socket.setReceiveBufferSize(receiveBuffer);
         }
         socket.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Net.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
         in = new DataInputStream(socket.getInputStream());
     }
 
-    Client greeted() throws IOException {
+    /** Sends the startup message and waits until the gateway is ready for a query. */
+    TestClient completeStartup() throws IOException {
         write(MessageWriter.startup());
-        assertThat(answer()).isEqualTo("ready");
+        assertThat(readResponse()).isEqualTo("ready");
         return this;
     }
 
-    Client write(Buffer b) throws IOException {
+    TestClient write(Buffer b) throws IOException {
         socket.getOutputStream().write(b.getBytes());
         return this;
     }
 
-    Client ask(String text) throws IOException {
+    TestClient sendQuery(String text) throws IOException {
         return write(MessageWriter.query(text));
     }
 
-    /** Reads to the end: "end" where it is one in order, "reset" else. */
-    String howItEnds() throws IOException {
+    /** Reads until the connection is closed; returns "end" after an ordinary close and "reset" after a TCP reset. */
+    String readUntilClosed() throws IOException {
         try {
             while (in.read() >= 0) {
                 Thread.onSpinWait();
@@ -60,8 +65,8 @@
         }
     }
 
-    /** Whether anything has come that was not read yet. */
-    boolean hasAnswer() throws IOException {
+    /** Returns whether bytes have arrived that were not read yet. */
+    boolean hasUnreadBytes() throws IOException {
         return in.available() > 0;
     }
 
@@ -69,35 +74,41 @@
         return in.read();
     }
 
-    /** What came up to the next ReadyForQuery or the end: the value in hex, the code with its time, or a word. */
-    String answer() throws IOException {
-        StringBuilder all = new StringBuilder();
+    /**
+     * Reads up to the next ReadyForQuery or the end of the connection and returns a summary: "row" and the value in hex,
+     * "empty", or the SQLSTATE and the retry time in ms, followed by "ready" or "closed".
+     */
+    String readResponse() throws IOException {
+        StringBuilder response = new StringBuilder();
         try {
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 if (type < 0) {
-                    return all + "closed";
+                    return response + "closed";
                 }
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
                 String text = new String(body, UTF_8);
                 if (type == 'D') {
-                    all.append("row ")
+                    response.append("row ")
                             .append(HexFormat.of().formatHex(body, 6, body.length))
                             .append(' ');
                 } else if (type == 'I') {
-                    all.append("empty ");
+                    response.append("empty ");
                 } else if (type == 'E') {
-                    int d = text.indexOf("\0D");
-                    all.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
+                    int detail = text.indexOf("\0D");
+                    response.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7)
                             .append(' ')
-                            .append(d < 0 ? "" : "after " + text.substring(d + 2, text.indexOf(0, d + 1)) + " ");
+                            .append(
+                                    detail < 0
+                                            ? ""
+                                            : "after " + text.substring(detail + 2, text.indexOf(0, detail + 1)) + " ");
                 }
             }
             in.readFully(new byte[5]);
         } catch (SocketException e) {
-            return all + "closed";
+            return response + "closed";
         }
-        return all.append("ready").toString();
+        return response.append("ready").toString();
     }
 
     @Override
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -25,117 +25,117 @@
     private static final Buffer UNKNOWN_MESSAGE =
             Buffer.buffer().appendByte((byte) '?').appendInt(4);
 
-    private static Buffer order(Net net) {
-        return MessageWriter.query(net.request("order"));
+    private static Buffer order(GatewayTestFixture net) {
+        return MessageWriter.query(net.queryText("order"));
     }
 
     /**
      * Connects as many clients as are allowed. Each has a request waiting for a replica group without servers, so that
      * no connection is idle and could be evicted.
      */
-    private static void occupyAllClientConnections(Net net) throws Exception {
+    private static void occupyAllClientConnections(GatewayTestFixture net) throws Exception {
         for (int i = 0; i < MAX_CLIENTS; i++) {
-            net.client().ask(net.request("order").replace("cluster=1", "cluster=2"));
+            net.connect().sendQuery(net.queryText("order").replace("cluster=1", "cluster=2"));
         }
         Thread.sleep(50); // the gateway has read all of them by now
     }
 
     @Test
     void aRequestAfterAStartupMessageIsRejectedWhenThereIsNoCapacityForItsConnection() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(FEW_DESCRIPTORS, 30_000)) {
             occupyAllClientConnections(net);
-            Client client =
-                    new Client(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
-            assertThat(client.answer()).as(net::log).isEqualTo("53300 closed");
-            assertThat(client.howItEnds()).isEqualTo("end");
+            TestClient client =
+                    new TestClient(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
+            assertThat(client.readResponse()).as(net::log).isEqualTo("53300 closed");
+            assertThat(client.readUntilClosed()).isEqualTo("end");
         }
     }
 
     @Test
     void eachRequestAfterAStartupMessageIsRejectedWhenThereIsNoCapacityForItsConnection() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(FEW_DESCRIPTORS, 30_000)) {
             occupyAllClientConnections(net);
             Buffer all = MessageWriter.startup()
                     .appendBuffer(order(net))
                     .appendBuffer(order(net))
                     .appendBuffer(order(net));
-            Client client = new Client(net.gateway.port()).write(all);
-            assertThat(client.answer())
+            TestClient client = new TestClient(net.gateway.port()).write(all);
+            assertThat(client.readResponse())
                     .as(net::log)
                     .isEqualTo("53300 53300 ready"); // the first error is FATAL and has no ReadyForQuery
-            assertThat(client.answer()).isEqualTo(REJECTED);
-            assertThat(client.answer()).isEqualTo("closed");
+            assertThat(client.readResponse()).isEqualTo(REJECTED);
+            assertThat(client.readResponse()).isEqualTo("closed");
         }
     }
 
     @Test
     void aRequestAfterAMalformedMessageIsRejectedBeforeTheConnectionCloses() throws Exception {
-        try (Net net = new Net("p").started()) {
-            net.servers.get("p").writes = true;
-            Client client =
-                    net.client().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
-            assertThat(client.answer()).as(net::log).isEqualTo(SERVED);
-            assertThat(client.answer()).isEqualTo("08P01 53300 ready");
-            assertThat(client.answer()).isEqualTo("closed");
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            net.servers.get("p").answersWrites = true;
+            TestClient client =
+                    net.connect().write(order(net).appendBuffer(UNKNOWN_MESSAGE).appendBuffer(order(net)));
+            assertThat(client.readResponse()).as(net::log).isEqualTo(SERVED);
+            assertThat(client.readResponse()).isEqualTo("08P01 53300 ready");
+            assertThat(client.readResponse()).isEqualTo("closed");
         }
     }
 
     @Test
     void aRequestReadAfterAMalformedMessageIsRejectedThoughAnEarlierRequestIsInFlight() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client().ask(net.request("order"));
-            Got first = net.servers.get("p").next();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect().sendQuery(net.queryText("order"));
+            ReceivedQuery first = net.servers.get("p").nextQuery();
             client.write(UNKNOWN_MESSAGE);
-            net.logged("bad input from a client");
+            net.awaitLog("bad input from a client");
             client.write(order(net));
             Thread.sleep(100); // the gateway has read it by now
-            first.row(new byte[] {7});
-            assertThat(client.answer()).as(net::log).isEqualTo(SERVED);
-            assertThat(client.answer()).isEqualTo("08P01 53300 ready");
-            assertThat(client.answer()).isEqualTo("closed");
-            assertThat(net.servers.get("p").got).isEmpty();
+            first.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).as(net::log).isEqualTo(SERVED);
+            assertThat(client.readResponse()).isEqualTo("08P01 53300 ready");
+            assertThat(client.readResponse()).isEqualTo("closed");
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 
     @Test
     void anIncompleteRequestAfterOneInFlightIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
-        try (Net net = new Net("p")) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             // The shutdown ends after 1.7 s.
-            net.settings = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
-            net.started();
-            Client client = net.client();
+            net.configurationEdit = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
+            net.start();
+            TestClient client = net.connect();
             Buffer order = order(net);
-            client.ask(net.request("order")).write(order.getBuffer(0, 20));
-            net.servers.get("p").next();
+            client.sendQuery(net.queryText("order")).write(order.getBuffer(0, 20));
+            net.servers.get("p").nextQuery();
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-            assertThat(client.answer()).as(net::log).startsWith("58000");
-            assertThat(client.answer()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(client.readResponse()).as(net::log).startsWith("58000");
+            assertThat(client.readResponse()).as(net::log).isEqualTo("57P03 closed");
         }
     }
 
     @Test
     void eachOfManyPipelinedRequestsIsAnswered() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client client = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient client = net.connect();
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
-                all.appendBuffer(MessageWriter.query(net.request("order").replace("\\x01", "\\x" + "01".repeat(4500))));
+                all.appendBuffer(MessageWriter.query(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
-            List<Got> inFlight = new ArrayList<>();
+            List<ReceivedQuery> inFlight = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                inFlight.add(net.servers.get("p").next());
+                inFlight.add(net.servers.get("p").nextQuery());
             }
             Thread.sleep(100); // the gateway reads the others meanwhile
-            net.servers.get("p").writes = true;
-            for (Got query : inFlight) {
-                query.row(new byte[] {7});
+            net.servers.get("p").answersWrites = true;
+            for (ReceivedQuery query : inFlight) {
+                query.sendRow(new byte[] {7});
             }
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < requests; i++) {
-                answers.add(client.answer());
+                answers.add(client.readResponse());
             }
             assertThat(answers).as(net::log).allMatch(a -> a.equals(SERVED) || a.startsWith("53300"));
             assertThat(answers.subList(0, 8)).containsOnly(SERVED);
@@ -144,26 +144,26 @@
 
     @Test
     void aPreStartupConnectionIsRefusedNotFailedWhenAGracefulShutdownClosesIt() throws Exception {
-        try (Net net = new Net("p").started()) {
-            Client other = net.client();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            TestClient other = net.connect();
             CountDownLatch shutdownEnded = new CountDownLatch(1);
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
-            net.logged("planned restart: 1 connections");
-            Client preStartup = new Client(net.gateway.port());
-            assertThat(preStartup.answer()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(other.answer()).isEqualTo("closed");
+            net.awaitLog("planned restart: 1 connections");
+            TestClient preStartup = new TestClient(net.gateway.port());
+            assertThat(preStartup.readResponse()).as(net::log).isEqualTo("57P03 closed");
+            assertThat(other.readResponse()).isEqualTo("closed");
         }
     }
 
     @Test
     void aPreStartupConnectionIsRefusedNotFailedWhenItIsEvicted() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            List<Client> preStartup = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(FEW_DESCRIPTORS, 30_000)) {
+            List<TestClient> preStartup = new ArrayList<>();
             for (int i = 0; i < MAX_CLIENTS / 2; i++) { // more than a third of the client connections allowed
-                preStartup.add(new Client(net.gateway.port()));
+                preStartup.add(new TestClient(net.gateway.port()));
             }
-            assertThat(preStartup.get(0).answer()).as(net::log).isEqualTo("53300 closed");
-            for (Client client : preStartup) {
+            assertThat(preStartup.get(0).readResponse()).as(net::log).isEqualTo("53300 closed");
+            for (TestClient client : preStartup) {
                 client.close();
             }
         }
@@ -171,34 +171,34 @@
 
     @Test
     void anIncompleteRequestIsRefusedNotFailedWhenItIsDroppedForLackOfMemory() throws Exception {
-        try (Net net = new Net("p").started()) {
-            List<Client> incomplete = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
+            List<TestClient> incomplete = new ArrayList<>();
             for (int i = 0; i < 140; i++) {
                 Buffer truncated = Buffer.buffer()
                         .appendByte((byte) 'Q')
                         .appendInt(130_000)
                         .appendBytes(new byte[125_000]);
-                incomplete.add(net.client().write(truncated));
+                incomplete.add(net.connect().write(truncated));
             }
-            assertThat(incomplete.get(0).answer()).as(net::log).isEqualTo("53300 closed");
+            assertThat(incomplete.get(0).readResponse()).as(net::log).isEqualTo("53300 closed");
         }
     }
 
     @Test
     void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotForwardedAndItsClientSeesAnOrderlyClose() throws Exception {
-        try (Net net = new Net("p").started(FEW_DESCRIPTORS, 30_000)) {
-            List<Client> idle = new ArrayList<>();
+        try (GatewayTestFixture net = new GatewayTestFixture("p").start(FEW_DESCRIPTORS, 30_000)) {
+            List<TestClient> idle = new ArrayList<>();
             for (int i = 0; i < 15; i++) { // so many that idle connections are evicted soon
-                idle.add(net.client());
+                idle.add(net.connect());
             }
-            for (Client client : idle.subList(0, 3)) {
+            for (TestClient client : idle.subList(0, 3)) {
                 assertThat(client.readByte()).isEqualTo(-1);
                 // The gateway must assume that this was written before the close arrived.
-                client.ask(net.request("order"));
-                assertThat(client.howItEnds()).as(net::log).isEqualTo("end");
+                client.sendQuery(net.queryText("order"));
+                assertThat(client.readUntilClosed()).as(net::log).isEqualTo("end");
             }
             Thread.sleep(600); // until the gateway has closed these connections
-            assertThat(net.servers.get("p").got).isEmpty();
+            assertThat(net.servers.get("p").pendingQueries).isEmpty();
         }
     }
 }
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -23,8 +23,8 @@
     @TempDir
     Path directory;
 
-    private Path configuration(Net net, int port) throws IOException {
-        String settings = Net.configuration(net.registry, 256, 30_000).replace("127.0.0.1:0", "127.0.0.1:" + port);
+    private Path configuration(GatewayTestFixture net, int port) throws IOException {
+        String settings = GatewayTestFixture.configuration(net.discovery, 256, 30_000).replace("127.0.0.1:0", "127.0.0.1:" + port);
         return Files.writeString(directory.resolve("gateway.json"), settings);
     }
 
@@ -38,11 +38,11 @@
      * Retries until the gateway accepts connections, and returns a connected client. The log, which may not be written,
      * can't tell when.
      */
-    private static Client connect(int port, Process gateway) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Net.PATIENCE_S);
+    private static TestClient connect(int port, Process gateway) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (true) {
             try {
-                return new Client(port).greeted();
+                return new TestClient(port).completeStartup();
             } catch (ConnectException e) {
                 assertThat(gateway.isAlive()).isTrue();
                 assertThat(System.nanoTime()).isLessThan(end);
@@ -67,16 +67,16 @@
     }
 
     /** Asserts that the gateway serves, also after it tried to log, and exits normally on SIGTERM. */
-    private static void assertServes(Net net, Process gateway, int port) throws Exception {
-        try (Client client = connect(port, gateway)) {
+    private static void assertServes(GatewayTestFixture net, Process gateway, int port) throws Exception {
+        try (TestClient client = connect(port, gateway)) {
             for (int i = 0; i < 20; i++) {
-                assertThat(net.read(client)).isEqualTo("row 07 ready");
-                assertThat(client.ask(net.request("no such type")).answer())
+                assertThat(net.readWithRetries(client)).isEqualTo("row 07 ready");
+                assertThat(client.sendQuery(net.queryText("no such type")).readResponse())
                         .isEqualTo("22023 ready"); // the gateway tries to log this
             }
         }
         gateway.destroy();
-        assertThat(gateway.waitFor(Net.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         assertThat(gateway.exitValue()).isZero();
     }
 
@@ -84,7 +84,7 @@
     @ValueSource(strings = {" 2>/dev/full", " 2>&-", " <&- >&- 2>&-", " >/dev/full 2>/dev/full"})
     void theGatewayServesWhenItsLogCannotBeWritten(String redirection) throws Exception {
         int port = freePort();
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Process gateway = start(configuration(net, port), directory, "", redirection);
             try {
                 connect(port, gateway).close();
@@ -104,7 +104,7 @@
     @Test
     void theGatewayServesWhenTheDiskIsFull() throws Exception { // no byte may be written to any file, including the log
         int port = freePort();
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Path log = directory.resolve("log");
             Process gateway = start(configuration(net, port), directory, "ulimit -f 0; ", " 2>" + log);
             try {
@@ -119,7 +119,7 @@
     @Test
     void theGatewayServesWhenWorkingAndTemporaryDirectoriesCannotBeWritten() throws Exception {
         int port = freePort();
-        try (Net net = new Net("p", "r1").readable()) {
+        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             Process gateway = start(configuration(net, port), Path.of("/proc"), "", "", "-Djava.io.tmpdir=/proc/none");
             try {
                 assertServes(net, gateway, port);
