--- a/gateway/src/test/java/ploverdale/ClientDepartureTest.java
+++ b/gateway/src/test/java/ploverdale/ClientDepartureTest.java
@@ -125,7 +125,8 @@
      * Blocks the event loop for at least this many milliseconds and runs an action meanwhile. What the action writes is
      * read after the pause, in one turn of the loop.
      */
-    private static void pauseLoop(GatewayTestFixture net, long pauseMs, GatewayTestFixture.ThrowingRunnable meanwhile) throws Exception {
+    private static void pauseLoop(GatewayTestFixture net, long pauseMs, GatewayTestFixture.ThrowingRunnable meanwhile)
+            throws Exception {
         CountDownLatch paused = new CountDownLatch(1);
         CountDownLatch resume = new CountDownLatch(1);
         net.gateway.runOnLoop(() -> {
@@ -148,7 +149,8 @@
     }
 
     /** Waits until any late attempt would have begun, and asserts that none did. */
-    private static void assertNoAttemptBeginsAfter(long leftAt, GatewayTestFixture net, AttemptRecorder recorder) throws Exception {
+    private static void assertNoAttemptBeginsAfter(long leftAt, GatewayTestFixture net, AttemptRecorder recorder)
+            throws Exception {
         Thread.sleep(SETTLE_MS);
         assertThat(recorder.begunAfter(leftAt)).as(net::log).isEmpty();
     }
--- a/gateway/src/test/java/ploverdale/ClockStepTest.java
+++ b/gateway/src/test/java/ploverdale/ClockStepTest.java
@@ -53,7 +53,8 @@
 
     /** Sets the start time of the servers in the endpoint list, as Unix time in milliseconds. */
     private static void setStartTime(GatewayTestFixture net, long ms) {
-        net.discovery.completeList = net.discovery.completeList.replace("\"cell\"", "\"up_since_ms\":" + ms + ",\"cell\"");
+        net.discovery.completeList =
+                net.discovery.completeList.replace("\"cell\"", "\"up_since_ms\":" + ms + ",\"cell\"");
     }
 
     /** Checks that the log shows no ejection, no event loop lag and no doubt about the clock. */
@@ -156,7 +157,8 @@
             assertThat(net.servers.get("p").pendingQueries).isEmpty();
             attempt.sendRow(new byte[] {7});
             assertThat(client.readResponse()).as(net::log).startsWith("row 07 ");
-            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(sinceMs(began)).isLessThan(3_000);
         }
     }
@@ -181,7 +183,10 @@
                 others.add(net.connect().sendQuery(net.queryText("order", 5_000)));
             }
             Thread.sleep(500);
-            int attempts = net.servers.get("p").pendingQueries.size(); // about 10 at the usual duration, at 30 % of its capacity
+            int attempts = net.servers
+                    .get("p")
+                    .pendingQueries
+                    .size(); // about 10 at the usual duration, at 30 % of its capacity
             assertThat(attempts).as(net::log).isBetween(2, 15);
             assertUndisturbed(net);
         }
@@ -228,7 +233,8 @@
     @ParameterizedTest
     @ValueSource(longs = {5_000, -5_000, 3_600_000, -3_600_000})
     void gatewayStartedWithWrongClockReadsReplicaOnlyOnceItNoLongerLags(long clockError) throws Exception {
-        try (GatewayTestFixture net = net(SteppedClock.startedWithError(clockError), "p", "r1").answerReads()) {
+        try (GatewayTestFixture net =
+                net(SteppedClock.startedWithError(clockError), "p", "r1").answerReads()) {
             FakeDatabaseServer r1 = net.servers.get("r1");
             r1.answersReads = false;
             r1.loadReportOverride = laggingBy(BOUND_MS + 4_000);
@@ -270,7 +276,8 @@
 
     @Test
     void serverThatStartedLongAgoIsPastSlowStartForGatewayWhoseClockIsAnHourBehind() throws Exception {
-        try (GatewayTestFixture net = net(SteppedClock.startedWithError(-3_600_000), "p").answerReads()) {
+        try (GatewayTestFixture net =
+                net(SteppedClock.startedWithError(-3_600_000), "p").answerReads()) {
             net.servers.get("p").answersWrites = true;
             setStartTime(net, Clock.system().wallMs() - 600_000);
             net.start();
--- a/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
+++ b/gateway/src/test/java/ploverdale/CommonCauseOnSocketsTest.java
@@ -164,7 +164,8 @@
     }
 
     private Thread startLoad(String listeningLine) {
-        Thread load = new Thread(() -> sendQueries(listeningLine, TimeUnit.SECONDS.toMillis(2 * GatewayTestFixture.TIMEOUT_S)));
+        Thread load = new Thread(
+                () -> sendQueries(listeningLine, TimeUnit.SECONDS.toMillis(2 * GatewayTestFixture.TIMEOUT_S)));
         load.start();
         return load;
     }
--- a/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/ploverdale/ConfigurationReloadTest.java
@@ -87,7 +87,10 @@
                 assertThat(System.nanoTime())
                         .as(
                                 "%d and %d connections are open, %d to the last:\n%s",
-                                one.openConnections.get(), other.openConnections.get(), last.openConnections.get(), net.log())
+                                one.openConnections.get(),
+                                other.openConnections.get(),
+                                last.openConnections.get(),
+                                net.log())
                         .isLessThan(end);
                 Thread.sleep(20);
             }
--- a/gateway/src/test/java/ploverdale/CrossingCloseTest.java
+++ b/gateway/src/test/java/ploverdale/CrossingCloseTest.java
@@ -107,7 +107,8 @@
         long seed = System.nanoTime();
         System.out.println("CrossingCloseTest " + cause + " seed " + seed);
         int descriptors = cause == CloseCause.EVICTION ? FEW_DESCRIPTORS : MANY_DESCRIPTORS;
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads().start(descriptors, 30_000);
+        try (GatewayTestFixture net =
+                        new GatewayTestFixture("p", "r1").answerReads().start(descriptors, 30_000);
                 AnsweringServer answers =
                         new AnsweringServer(net.servers.get("p"), query -> query.sendRow(new byte[] {7}))) {
             IdlingClients clients = new IdlingClients(net.gateway.port(), seed);
--- a/gateway/src/test/java/ploverdale/EndingsTest.java
+++ b/gateway/src/test/java/ploverdale/EndingsTest.java
@@ -98,7 +98,8 @@
             primary.startupGate = new CountDownLatch(1);
             primary.acceptedConnections.clear();
             TestClient client = net.connect().sendQuery(net.queryText("order"));
-            assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isNotNull();
+            assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isNotNull();
             client.close();
             other.sendQuery(net.queryText("order"));
             first.sendRow(new byte[] {7}); // the gateway reads this after the close
@@ -158,7 +159,8 @@
         try (GatewayTestFixture net = new GatewayTestFixture("p").start(512, 30_000)) {
             net.servers.get("p").answersWrites = true;
             List<TestClient> idle = connectClients(net, 80);
-            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(256)); // too few for 80 clients, so idle connections are evicted
+            net.pauseLoopBeforeTimers(
+                    () -> net.reloadConfiguration(256)); // too few for 80 clients, so idle connections are evicted
             for (TestClient client : idle) {
                 client.sendQuery(net.queryText("order"));
             }
@@ -189,7 +191,8 @@
                 assertThat(client.readResponse()).as(net::log).matches("53300 after \\d+ ready");
                 assertThat(client.readResponse()).isEqualTo("closed");
             }
-            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
         }
     }
 
@@ -202,7 +205,8 @@
                 preStartupClients.add(new TestClient(net.gateway.port()));
             }
             net.connect(); // connected after the others, so those have been accepted too
-            net.pauseLoopBeforeTimers(() -> net.reloadConfiguration(64)); // too few for 20 pre-startup connections, so these are evicted
+            net.pauseLoopBeforeTimers(
+                    () -> net.reloadConfiguration(64)); // too few for 20 pre-startup connections, so these are evicted
             for (TestClient client : preStartupClients) {
                 client.write(MessageWriter.startup()).sendQuery(net.queryText("order"));
             }
@@ -220,7 +224,8 @@
     @Test
     void anAnswerReceivedDuringAPauseIsUsedThoughItsAttemptTimedOutMeanwhile() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p").start()) {
-            TestClient client = net.connect().sendQuery(net.queryText("quick", 5000)); // an attempt times out after about 600 ms
+            TestClient client =
+                    net.connect().sendQuery(net.queryText("quick", 5000)); // an attempt times out after about 600 ms
             ReceivedQuery query = net.servers.get("p").nextQuery();
             net.pauseLoopWhileReading();
             query.sendRow(new byte[] {7});
@@ -234,7 +239,8 @@
     void anIncompleteMessageIsAnsweredWithAnErrorBeforeAGracefulShutdownEnds() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").answerReads()) {
             // The shutdown ends after 1.7 s.
-            net.configurationEdit = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
+            net.configurationEdit =
+                    configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
             net.start();
             TestClient client = net.connect();
             CountDownLatch shutdownEnded = new CountDownLatch(1);
@@ -243,7 +249,8 @@
             // An incomplete message would time out after 2.2 s, later than the shutdown ends.
             client.write(startOfQuery(200));
             assertThat(client.readResponse()).as(net::log).isEqualTo("57P03 closed");
-            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
         }
     }
 
--- a/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
+++ b/gateway/src/test/java/ploverdale/HungServerShutdownTest.java
@@ -59,7 +59,8 @@
     @ParameterizedTest
     @EnumSource(Hang.class)
     void eachRequestIsAnsweredBeforeTheShutdownEnds(Hang hang) throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
+        try (GatewayTestFixture net =
+                new GatewayTestFixture("p", "r1", "r2").answerReads().start()) {
             net.servers.get("p").answersWrites = true;
             List<TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
@@ -81,7 +82,8 @@
                     assertThat(client.readResponse()).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready");
                 }
             }
-            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos))
                     .as(net::log)
                     .isLessThan(MAX_COUNTED_DEADLINE_MS + KILLED_AFTER_MS);
@@ -108,11 +110,13 @@
             net.gateway.runOnLoop(() -> net.gateway.shutdownGracefully(shutdownEnded));
             int answered = 0;
             for (String answer = "ready"; answer.endsWith("ready"); answered++) {
-                answer = client.sendQuery(net.queryText(REQUEST_CLASSES.get(answered % REQUEST_CLASSES.size()), deadlineMs))
+                answer = client.sendQuery(
+                                net.queryText(REQUEST_CLASSES.get(answered % REQUEST_CLASSES.size()), deadlineMs))
                         .readResponse();
                 assertThat(answer).as(net::log).matches("(row 07|53300.*|57P03.*|58000) ready|closed");
             }
-            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(shutdownEnded.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                    .isTrue();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos))
                     .as(net::log)
                     .isLessThan(deadlineMs + KILLED_AFTER_MS);
--- a/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
+++ b/gateway/src/test/java/ploverdale/ServerDeadlineTest.java
@@ -19,7 +19,8 @@
 
     /** A request that a client has sent. */
     private record SentRequest(TestClient client, long atNanos, long deadlineMs) {
-        static SentRequest send(TestClient client, GatewayTestFixture net, String type, long deadlineMs) throws Exception {
+        static SentRequest send(TestClient client, GatewayTestFixture net, String type, long deadlineMs)
+                throws Exception {
             String query = net.queryText(type, deadlineMs);
             long now = System.nanoTime();
             client.sendQuery(query);
@@ -36,7 +37,8 @@
      * Awaits the next query at the server and asserts that its deadline is no later than the client's, apart from the
      * slack.
      */
-    private static ReceivedQuery awaitQueryWithinDeadline(GatewayTestFixture net, FakeDatabaseServer server, SentRequest sent) throws Exception {
+    private static ReceivedQuery awaitQueryWithinDeadline(
+            GatewayTestFixture net, FakeDatabaseServer server, SentRequest sent) throws Exception {
         ReceivedQuery query = server.nextQuery();
         long leftMs = sent.leftMs();
         long passedMs = Long.parseLong(query.text().replaceAll("(?s).*,d=(\\d+),.*", "$1"));
@@ -144,8 +146,8 @@
      * the attempt in the same turn of the loop; the pause begins at the log line. Returns the request once the pause
      * has ended.
      */
-    private static SentRequest sendWithPauseBetweenDecisionAndWrite(GatewayTestFixture net, long deadlineMs, long pauseMs)
-            throws Exception {
+    private static SentRequest sendWithPauseBetweenDecisionAndWrite(
+            GatewayTestFixture net, long deadlineMs, long pauseMs) throws Exception {
         FakeDatabaseServer server = net.servers.get("p");
         server.healthCheckGate = new CountDownLatch(1);
         net.configurationEdit = configuration -> configuration
@@ -156,7 +158,9 @@
         CountDownLatch paused = net.pauseAtLog("server p returns");
         SentRequest sent = SentRequest.send(client, net, "order", deadlineMs);
         server.healthCheckGate.countDown();
-        assertThat(paused.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).as(net::log).isTrue();
+        assertThat(paused.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                .as(net::log)
+                .isTrue();
         Thread.sleep(pauseMs);
         net.resume();
         return sent;
--- a/gateway/src/test/java/ploverdale/StalledClientTest.java
+++ b/gateway/src/test/java/ploverdale/StalledClientTest.java
@@ -159,7 +159,8 @@
 
     @Test
     void clientsThatStallInAMessageDoNotKeepOthersFromBeingServed() throws Exception {
-        try (GatewayTestFixture net = new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) {
+        try (GatewayTestFixture net =
+                new GatewayTestFixture("p", "r1").start(64, 30_000).answerReads()) {
             List<TestClient> stalled = new ArrayList<>();
             for (int i = 0; i < 20; i++) { // of 28 client connections allowed
                 stalled.add(net.connect()
--- a/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/ploverdale/SystemCallFailuresTest.java
@@ -71,7 +71,8 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server) throws InterruptedException {
+    private static void waitForNoConnection(GatewayTestFixture net, FakeDatabaseServer server)
+            throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestFixture.TIMEOUT_S);
         while (server.openConnections.get() > 0) {
             assertThat(System.nanoTime()).as(net::log).isLessThan(end);
@@ -117,7 +118,9 @@
             Fault fault = systemCalls.fail(Call.ACCEPT, errno, FEW_CALLS);
             long startNanos = System.nanoTime();
             TestClient client = net.connect();
-            assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.sendQuery(net.queryText("order")).readResponse())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(msSince(startNanos)).as(net::log).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
             assertThat(fault.failed()).isEqualTo(FEW_CALLS);
             assertThat(other.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
@@ -143,7 +146,9 @@
                     .isBetween(2L, 200L);
             fault.end();
             long faultEnded = System.nanoTime();
-            assertThat(waiting.completeStartup().sendQuery(net.queryText("order")).readResponse())
+            assertThat(waiting.completeStartup()
+                            .sendQuery(net.queryText("order"))
+                            .readResponse())
                     .as(net::log)
                     .isEqualTo(ROW_7);
             assertThat(msSince(faultEnded)).isLessThan(NETTY_ACCEPT_PAUSE_MS / 2);
@@ -195,7 +200,9 @@
             Fault fault = matchedByAddress
                     ? systemCalls.fail(call, primary.port(), errno, FEW_CALLS)
                     : systemCalls.fail(call, errno, FEW_CALLS);
-            assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
+            assertThat(client.sendQuery(net.queryText("order")).readResponse())
+                    .as(net::log)
+                    .isEqualTo(ROW_7);
             assertThat(fault.failed())
                     .isEqualTo(errno == Errno.EINTR ? 1 : FEW_CALLS); // the kernel completes an interrupted connect
             assertThat(net.log()).doesNotContain("silent");
@@ -216,7 +223,11 @@
             int rejected = 0;
             // Longer than a server's last answer is valid, so that health checks are sent as well.
             while (msSince(startNanos) < 3500) {
-                rejected += client.sendQuery(net.queryText("quick", 200)).readResponse().startsWith("53300") ? 1 : 0;
+                rejected += client.sendQuery(net.queryText("quick", 200))
+                                .readResponse()
+                                .startsWith("53300")
+                        ? 1
+                        : 0;
             }
             assertThat(rejected).as(net::log).isPositive();
             assertThat(fault.failed()).isPositive();
@@ -277,13 +288,16 @@
         }
     }
 
-    private static void assertPartlyWrittenQueryRunsOnce(GatewayTestFixture net, IntFunction<Fault> installFault) throws Exception {
+    private static void assertPartlyWrittenQueryRunsOnce(GatewayTestFixture net, IntFunction<Fault> installFault)
+            throws Exception {
         FakeDatabaseServer primary = net.servers.get("p");
         primary.answersWrites = true;
         TestClient client = net.connect();
         assertThat(client.sendQuery(net.queryText("order")).readResponse()).isEqualTo(ROW_7);
         Fault fault = installFault.apply(primary.port());
-        assertThat(client.sendQuery(net.queryText("order")).readResponse()).as(net::log).isEqualTo(ROW_7);
+        assertThat(client.sendQuery(net.queryText("order")).readResponse())
+                .as(net::log)
+                .isEqualTo(ROW_7);
         assertThat(fault.failed()).isEqualTo(1);
         assertThat(primary.receivedRequests).as("queries received in full").hasSize(2);
         net.awaitLog("NOT_WRITTEN");
--- a/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
+++ b/gateway/src/test/java/ploverdale/UnansweredCloseTest.java
@@ -44,8 +44,8 @@
     void aRequestAfterAStartupMessageIsRejectedWhenThereIsNoCapacityForItsConnection() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p").start(FEW_DESCRIPTORS, 30_000)) {
             occupyAllClientConnections(net);
-            TestClient client =
-                    new TestClient(net.gateway.port()).write(MessageWriter.startup().appendBuffer(order(net)));
+            TestClient client = new TestClient(net.gateway.port())
+                    .write(MessageWriter.startup().appendBuffer(order(net)));
             assertThat(client.readResponse()).as(net::log).isEqualTo("53300 closed");
             assertThat(client.readUntilClosed()).isEqualTo("end");
         }
@@ -101,7 +101,8 @@
     void anIncompleteRequestAfterOneInFlightIsRefusedAtTheEndOfAGracefulShutdown() throws Exception {
         try (GatewayTestFixture net = new GatewayTestFixture("p")) {
             // The shutdown ends after 1.7 s.
-            net.configurationEdit = configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
+            net.configurationEdit =
+                    configuration -> configuration.replace("\"deadlineMs\":20000", "\"deadlineMs\":1000");
             net.start();
             TestClient client = net.connect();
             Buffer order = order(net);
@@ -121,7 +122,8 @@
             int requests = 60;
             Buffer all = Buffer.buffer();
             for (int i = 0; i < requests; i++) { // 540 KB: more than is read ahead
-                all.appendBuffer(MessageWriter.query(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(4500))));
+                all.appendBuffer(
+                        MessageWriter.query(net.queryText("order").replace("\\x01", "\\x" + "01".repeat(4500))));
             }
             client.write(all);
             List<ReceivedQuery> inFlight = new ArrayList<>();
--- a/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
+++ b/gateway/src/test/java/ploverdale/UnwritableFilesTest.java
@@ -24,7 +24,8 @@
     Path directory;
 
     private Path configuration(GatewayTestFixture net, int port) throws IOException {
-        String settings = GatewayTestFixture.configuration(net.discovery, 256, 30_000).replace("127.0.0.1:0", "127.0.0.1:" + port);
+        String settings = GatewayTestFixture.configuration(net.discovery, 256, 30_000)
+                .replace("127.0.0.1:0", "127.0.0.1:" + port);
         return Files.writeString(directory.resolve("gateway.json"), settings);
     }
 
@@ -76,7 +77,8 @@
             }
         }
         gateway.destroy();
-        assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+                .isTrue();
         assertThat(gateway.exitValue()).isZero();
     }
 
--- a/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/DiscoveryAgent.java
@@ -168,8 +168,9 @@
                 .filter(entry -> complete ? entry.server().isListed() : entry.changedIn() > from)
                 .map(Known::server)
                 .toList();
-        List<String> rows =
-                entries.stream().map(entry -> cluster.endpointEntry(gateway, entry)).toList();
+        List<String> rows = entries.stream()
+                .map(entry -> cluster.endpointEntry(gateway, entry))
+                .toList();
         String body = "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":["
                 + String.join(",", rows) + "]}";
         int answeredRevision = revision;
--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -241,7 +241,8 @@
                 .compose(x -> workload.ownAgents() ? agents.open(Integer.toString(number)) : openDiscovery(number));
         for (String server : SERVERS) {
             opened = opened.compose(x -> openLink(number, server, "127.0.0.1", cluster.port(server)))
-                    .onSuccess(link -> cluster.setServerPort(Integer.toString(number), server, ((FaultyLink) link).port()));
+                    .onSuccess(link ->
+                            cluster.setServerPort(Integer.toString(number), server, ((FaultyLink) link).port()));
         }
         return opened;
     }
@@ -313,7 +314,8 @@
                     ledger.unavailable(Integer.toString(number), Clock.system().now());
                     gateways.get(number).kill();
                 }
-                case START -> startWhenEnded(number).onFailure(e -> note("schedule", "start failed: " + e.getMessage()));
+                case START ->
+                    startWhenEnded(number).onFailure(e -> note("schedule", "start failed: " + e.getMessage()));
                 case STOP -> {
                     ledger.paused(Integer.toString(number), Clock.system().now());
                     gateways.get(number).pause();
--- a/tools/src/main/java/ploverdale/tools/rig/Pauses.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Pauses.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
@@ -77,8 +77,8 @@
                         lateness.getValueAtPercentile(50) / 1000.0,
                         lateness.getValueAtPercentile(99) / 1000.0,
                         lateness.getMaxValue() / 1000.0);
-        String name =
-                "seed " + result.schedule().seed() + ", " + result.schedule().steps().size() / 2 + " pauses: no rule broken";
+        String name = "seed " + result.schedule().seed() + ", "
+                + result.schedule().steps().size() / 2 + " pauses: no rule broken";
         if (result.broken().isEmpty()) {
             return new Check(name, figures, true);
         }
--- a/tools/src/main/java/ploverdale/tools/stand/Clients.java
+++ b/tools/src/main/java/ploverdale/tools/stand/Clients.java
@@ -297,8 +297,9 @@
                 } else if (m instanceof ServerMessage.CommandComplete) {
                     answer = Answer.SUCCEEDED;
                 } else if (m instanceof ServerMessage.ErrorResponse error) {
-                    answer =
-                            error.code().equals("53300") || error.code().equals("57P03") ? Answer.REJECTED : Answer.FAILED;
+                    answer = error.code().equals("53300") || error.code().equals("57P03")
+                            ? Answer.REJECTED
+                            : Answer.FAILED;
                 }
             }
         }
