--- a/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
+++ b/tools/src/main/java/ploverdale/tools/lab/QuotaExperiment.java
@@ -97,13 +97,11 @@
                     List.of(new SharedLimit("tenant", SharedLimit.Kind.RATE, UNITS_PER_GATEWAY * gateways, SECOND)),
                     gateways,
                     GUARANTEED_SHARE);
-            LeaseDurations leaseDurations = new LeaseDurations(subLeaseMs * MS * 3 / 2, subLeaseMs * MS, 0.05);
-            FleetModel model =
-                    new FleetModel(new Settings(allocation, leaseDurations, 0.05, loss, 0.05, 20 * MS, 2000), seed);
+            LeaseDurations leases = new LeaseDurations(subLeaseMs * MS * 3 / 2, subLeaseMs * MS, 0.05);
+            FleetModel model = new FleetModel(new Settings(allocation, leases, 0.05, loss, 0.05, 20 * MS, 2000), seed);
             SplittableRandom random = new SplittableRandom(~seed);
             model.gateways().forEach(gateway -> gateway.start(0));
-            model.runUntil(2 * leaseDurations.grantorTerm(leaseDurations.partitionLease())
-                    + 2 * leaseDurations.grantorTerm(leaseDurations.subLease()));
+            model.runUntil(2 * leases.grantorTerm(leases.partitionLease()) + 2 * leases.grantorTerm(leases.subLease()));
             long steadyFrom = model.now();
             long bytesFrom = bytesSent(model);
             double heldUnitsSum = 0;
