--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -54,7 +54,7 @@
     @Argument(index = 2, metaVar = "FILE")
     private String file;
 
-    @Option(name = "--sizes", usage = "numbers of gateways, or of servers for scale")
+    @Option(name = "--sizes", usage = "fleet sizes, or numbers of servers for scale")
     private String sizes = "16,128,512";
 
     @Option(name = "--loss", usage = "share of datagrams lost")
@@ -173,8 +173,8 @@
                     broken += model.broken().size();
                     System.out.println(
                             "seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
-                                    + " reads with a known position, "
-                                    + model.counts()[2] + " with an unknown one, "
+                                    + " reads with known history, "
+                                    + model.counts()[2] + " with unknown history, "
                                     + model.broken().size() + " promises broken"
                                     + (model.broken().isEmpty()
                                             ? ""
@@ -211,7 +211,7 @@
 
     private int rig() throws IOException, InterruptedException {
         if (name.equals("list")) {
-            Rigs.ALL.forEach((rigName, scenario) -> System.out.println(rigName + "  " + scenario.shows()));
+            Rigs.ALL.forEach((rigName, scenario) -> System.out.println(rigName + "  " + scenario.description()));
             return 0;
         }
         Rigs.Rig rig = Rigs.ALL.get(name);
--- a/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/BudgetsRig.java
@@ -90,7 +90,7 @@
             boolean holds = counter.firstAboveLimit == null && limited.broken().isEmpty() && servesEnough;
             return new Check(
                     "seed " + schedule.seed() + ", " + schedule.steps().size() + " steps: never more than " + LIMIT
-                            + " attempts in flight at a server, no rule broken, a quarter of the requests served",
+                            + " in flight at a server, no rule broken, over a quarter as many successes as without",
                     "at most " + counter.highest + " in flight; " + limited.figures()
                             + (holds
                                     ? ""
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -142,7 +142,7 @@
         return new Check(
                 "seed " + replicated.day().seed() + ", " + replicated.day().gateways() + " gateways, "
                         + replicated.day().steps().size()
-                        + " steps: no rule broken, at least half as many successes as without",
+                        + " steps: no rule broken, over half as many successes as without",
                 replicated.roamers().sessions() + " sessions, " + succeeded + " of "
                         + replicated.roamers().requests() + " requests succeeded, " + succeededWithout + " without, "
                         + replicated.roamers().resubmissions() + " submitted again"
--- a/tools/src/main/java/ploverdale/tools/rig/Rigs.java
+++ b/tools/src/main/java/ploverdale/tools/rig/Rigs.java
@@ -9,10 +9,10 @@
     /**
      * One scenario.
      *
-     * @param shows what it shows, for the list of scenarios
+     * @param description what it exercises, for the list of scenarios
      * @param player runs it
      */
-    public record Rig(String shows, Player player) {
+    public record Rig(String description, Player player) {
         /** Runs the given number of seeds, at most {@code atATime} of them concurrently, and waits for the end. */
         public List<Check> play(long firstSeed, int seeds, int atATime) throws InterruptedException {
             return player.play(firstSeed, seeds, atATime);
