--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -12,12 +12,12 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
-import ploverdale.tools.lab.BoundedQuotaModel;
 import ploverdale.tools.lab.Explorer;
 import ploverdale.tools.lab.Plot;
-import ploverdale.tools.lab.QuotaExperiment;
-import ploverdale.tools.lab.ReplicaExperiment;
 import ploverdale.tools.lab.ReplicaModel;
+import ploverdale.tools.lab.ReplicaExperiment;
+import ploverdale.tools.lab.BoundedQuotaModel;
+import ploverdale.tools.lab.QuotaExperiment;
 import ploverdale.tools.rig.Check;
 import ploverdale.tools.rig.Rigs;
 import ploverdale.tools.scale.CapacityTable;
@@ -54,7 +54,7 @@
     @Argument(index = 2, metaVar = "FILE")
     private String file;
 
-    @Option(name = "--sizes", usage = "numbers of gateways, or of servers for scale")
+    @Option(name = "--sizes", usage = "fleet sizes, or numbers of servers for scale")
     private String sizes = "16,128,512";
 
     @Option(name = "--loss", usage = "share of datagrams lost")
@@ -141,8 +141,7 @@
                 List<String> rows = new ArrayList<>(List.of(QuotaExperiment.Result.CSV_HEADER));
                 boolean holds = true;
                 for (String size : sizes.split(",")) {
-                    QuotaExperiment.Result found =
-                            QuotaExperiment.run(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
+                    QuotaExperiment.Result found = QuotaExperiment.run(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
                     holds &= found.violations() == 0;
                     rows.add(found.csvRow());
                     System.out.println(found.csvRow()); // shows the progress of a long run
@@ -162,9 +161,7 @@
                 return 0;
             }
             case "explore" -> {
-                Explorer.Result result = new Explorer(
-                                BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime())
-                        .explore(every);
+                Explorer.Result result = new Explorer(BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime()).explore(every);
                 System.out.println(result.runs() + " fault combinations, "
                         + (result.firstViolation() == null ? "no rule broken" : result.firstViolation()));
                 return result.firstViolation() == null ? 0 : 1;
@@ -176,8 +173,8 @@
                     violations += model.violations().size();
                     System.out.println(
                             "seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
-                                    + " reads with a known position, "
-                                    + model.counts()[2] + " with an unknown one, "
+                                    + " reads with known history, "
+                                    + model.counts()[2] + " with unknown history, "
                                     + model.violations().size() + " promises broken"
                                     + (model.violations().isEmpty()
                                             ? ""
@@ -214,7 +211,7 @@
 
     private int rig() throws IOException, InterruptedException {
         if (name.equals("list")) {
-            Rigs.ALL.forEach((rigName, scenario) -> System.out.println(rigName + "  " + scenario.shows()));
+            Rigs.ALL.forEach((rigName, scenario) -> System.out.println(rigName + "  " + scenario.description()));
             return 0;
         }
         Rigs.Rig rig = Rigs.ALL.get(name);
