--- a/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
+++ b/tools/src/main/java/ploverdale/tools/fleet/Fleet.java
@@ -313,7 +313,8 @@
                     ledger.unavailable(Integer.toString(number), Clock.system().now());
                     gateways.get(number).kill();
                 }
-                case START -> startWhenEnded(number).onFailure(e -> note("schedule", "start failed: " + e.getMessage()));
+                case START ->
+                    startWhenEnded(number).onFailure(e -> note("schedule", "start failed: " + e.getMessage()));
                 case STOP -> {
                     ledger.paused(Integer.toString(number), Clock.system().now());
                     gateways.get(number).pause();
