--- a/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
+++ b/tools/src/main/java/ploverdale/tools/ledger/Ledger.java
@@ -85,14 +85,13 @@
         private long sentAt;
         private long timeoutAt;
         private String session;
-
         private long requiredPosition = Long.MIN_VALUE / 2; // that the data of a session's read must have reached
         private long committedAt = Long.MIN_VALUE / 2; // the log position of a write's effect
         private int answers;
         private long answeredAt = Long.MAX_VALUE;
         private boolean clientLeft;
-
         private boolean attempted; // whether an attempt has reached a server
+
         /** Whether an attempt has reached a server that has not reported that it had no effect. */
         private boolean mayHaveRun;
 
