--- a/gateway/src/test/java/ploverdale/AttemptRecorder.java
+++ b/gateway/src/test/java/ploverdale/AttemptRecorder.java
@@ -54,7 +54,7 @@
         return arrivals.size();
     }
 
-    /** Returns the request ids of attempts received more than {@link #GRACE_MS} after this time of the monotonic clock. */
+    /** Returns the request ids of attempts received more than {@link #GRACE_MS} after this time. */
     List<String> begunAfter(long closedAtNanos) {
         long latest = closedAtNanos + TimeUnit.MILLISECONDS.toNanos(GRACE_MS);
         return arrivals.stream()
--- a/gateway/src/test/java/ploverdale/DeployedGateway.java
+++ b/gateway/src/test/java/ploverdale/DeployedGateway.java
@@ -25,15 +25,15 @@
 import java.util.stream.Stream;
 
 /**
- * A directory as the {@code build} command of deploy/balancer.toml leaves it, with one jar of the classes under test and their
- * libraries, in which gateways are started by the {@code run} command.
+ * A directory as the {@code build} command of deploy/balancer.toml leaves it, with one jar of the classes under test and
+ * their libraries, in which gateways are started by the {@code run} command.
  */
 final class DeployedGateway {
     private static final long BUILD_TIMEOUT_S = 60;
 
     final Path root;
 
-    /** Creates the directories and the jar; {@link #archive} and {@link #launcher} create the class archive and the launcher. */
+    /** Creates the directories and the jar; see {@link #archive} and {@link #launcher} for the remaining files. */
     DeployedGateway(Path root) throws IOException {
         this.root = root;
         for (String directory : List.of("deploy", "gateway/target", "example")) {
@@ -49,14 +49,14 @@
         return root.resolve("gateway/target/ploverdale.jsa");
     }
 
-    /** Creates the class archive by the part of {@code build} that does so, with {@code before} in front of that command. */
+    /** Creates the class archive by that part of {@code build}, with these shell words before it. */
     void archive(String before) throws Exception {
         Matcher commands = Pattern.compile("\\(rm -f .*\\)$").matcher(entry("build"));
         assertThat(commands.find()).isTrue();
         runToCompletion(new ProcessBuilder("sh", "-c", before + commands.group()));
     }
 
-    /** Creates the launcher's file by the part of {@code build} that does so. */
+    /** Creates the launcher's file by that part of {@code build}. */
     void launcher(Map<String, String> environment) throws Exception {
         Matcher command = Pattern.compile("sh deploy/launcher.sh[^&|]*").matcher(entry("build"));
         assertThat(command.find()).isTrue();
--- a/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
+++ b/gateway/src/test/java/ploverdale/FakeDatabaseServer.java
@@ -46,20 +46,23 @@
     }
 
     @Override
-    void serve(Socket s) throws IOException {
+    void serve(Socket socket) throws IOException {
         acceptedConnections.add("one");
         if (closesOnAccept) {
-            s.close();
+            socket.close();
             return;
         }
-        DataInputStream in = new DataInputStream(s.getInputStream());
+        DataInputStream in = new DataInputStream(socket.getInputStream());
         in.readFully(new byte[in.readInt() - 4]);
         CountDownLatch closed = new CountDownLatch(1);
         openConnections.incrementAndGet();
         try {
             await(startupGate);
             if (!unresponsive) {
-                write(s, Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0), true);
+                write(
+                        socket,
+                        Buffer.buffer().appendByte((byte) 'R').appendInt(8).appendInt(0),
+                        true);
             }
             for (long last = System.nanoTime(); true; last = System.nanoTime()) {
                 in.readByte();
@@ -70,28 +73,28 @@
                         in.transferTo(java.io.OutputStream.nullOutputStream());
                         return;
                     }
-                    s.setSoLinger(true, 0);
-                    s.close();
+                    socket.setSoLinger(true, 0);
+                    socket.close();
                     return;
                 }
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
-                ReceivedQuery g =
-                        new ReceivedQuery(this, s, new String(body, 0, Math.max(0, body.length - 1), UTF_8), closed);
-                if (!g.text().startsWith("SHOW")) {
-                    receivedRequests.add(g.text());
+                ReceivedQuery query = new ReceivedQuery(
+                        this, socket, new String(body, 0, Math.max(0, body.length - 1), UTF_8), closed);
+                if (!query.text().startsWith("SHOW")) {
+                    receivedRequests.add(query.text());
                 }
                 if (unresponsive) {
                     continue;
                 }
-                if (g.text().startsWith("SHOW")) {
+                if (query.text().startsWith("SHOW")) {
                     healthChecks++;
                     await(healthCheckGate);
-                    g.sendRow(loadReport().getBytes(UTF_8));
-                } else if (g.text().startsWith("SELECT") ? answersReads : answersWrites) {
-                    g.sendRow(rowValue);
+                    query.sendRow(loadReport().getBytes(UTF_8));
+                } else if (query.text().startsWith("SELECT") ? answersReads : answersWrites) {
+                    query.sendRow(rowValue);
                 } else {
-                    pendingQueries.add(g);
+                    pendingQueries.add(query);
                 }
             }
         } finally {
@@ -117,16 +120,16 @@
 
     /** Waits for the next query of a request. */
     ReceivedQuery nextQuery() throws InterruptedException {
-        ReceivedQuery g = pendingQueries.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
-        assertThat(g).as("a query is received").isNotNull();
-        return g;
+        ReceivedQuery query = pendingQueries.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS);
+        assertThat(query).as("a query is received").isNotNull();
+        return query;
     }
 
     /** Writes these messages, followed by ReadyForQuery if {@code ready}. */
-    static void write(Socket s, Buffer b, boolean ready) throws IOException {
+    static void write(Socket socket, Buffer b, boolean ready) throws IOException {
         if (ready) {
             b.appendByte((byte) 'Z').appendInt(5).appendByte((byte) 'I');
         }
-        s.getOutputStream().write(b.getBytes());
+        socket.getOutputStream().write(b.getBytes());
     }
 }
--- a/gateway/src/test/java/ploverdale/FaultyDiscovery.java
+++ b/gateway/src/test/java/ploverdale/FaultyDiscovery.java
@@ -8,7 +8,10 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Discovery with several kinds of outage; while it works, it answers each request at once but leaves a watch open while there is no update. */
+/**
+ * Discovery with several kinds of outage. While it works, it answers each request at once, but holds a watch while there is
+ * no update.
+ */
 final class FaultyDiscovery extends LoopbackServer {
     /** How discovery treats a request. */
     enum State {
--- a/gateway/src/test/java/ploverdale/FaultyTransport.java
+++ b/gateway/src/test/java/ploverdale/FaultyTransport.java
@@ -36,9 +36,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Real sockets whose system calls fail or transfer fewer bytes as a test specifies, by call, errno and remote port. A failure is
- * reported as the JDK reports that errno: {@code handleSocketError} of {@code sun.nio.ch.Net} for sockets and connects, a plain
- * {@link IOException} with the system's text for accepts, reads and writes; EINTR as nothing done.
+ * Real sockets whose system calls fail or transfer fewer bytes as a test specifies, by call, errno and remote port. A
+ * failure is reported as the JDK reports that errno: {@code handleSocketError} of {@code sun.nio.ch.Net} for sockets and
+ * connects, a plain {@link IOException} with the system's text for accepts, reads and writes; EINTR as nothing done.
  */
 public final class FaultyTransport implements Transport {
     /** Instead of a remote port: connections accepted from clients. */
--- a/gateway/src/test/java/ploverdale/GatewayTest.java
+++ b/gateway/src/test/java/ploverdale/GatewayTest.java
@@ -34,14 +34,14 @@
             for (int i = 0; i < value.length; i++) {
                 value[i] = (byte) i;
             }
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("order", 9000));
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
-            assertThat(g.text())
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order", 9000));
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
+            assertThat(query.text())
                     .startsWith("INSERT INTO state (uid, val) VALUES ('k', '\\x01') RETURNING val /* id=1,");
-            String wait = g.text().replaceAll(".*,d=(\\d+),.*", "$1");
+            String wait = query.text().replaceAll(".*,d=(\\d+),.*", "$1");
             assertThat(Integer.parseInt(wait)).isBetween(1, 9000);
-            g.sendRow(value);
-            assertThat(c.readResponse())
+            query.sendRow(value);
+            assertThat(client.readResponse())
                     .isEqualTo("row " + java.util.HexFormat.of().formatHex(value) + " ready");
         }
     }
@@ -49,9 +49,9 @@
     @Test
     void theGatewayListensOnlyAfterTheFirstHealthChecks() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1").start()) {
-            for (FakeDatabaseServer s : fixture.servers.values()) {
-                assertThat(s.healthChecks).as(fixture::log).isPositive();
-                assertThat(s.pendingQueries).isEmpty(); // no request of the warm-up run reaches a server
+            for (FakeDatabaseServer server : fixture.servers.values()) {
+                assertThat(server.healthChecks).as(fixture::log).isPositive();
+                assertThat(server.pendingQueries).isEmpty(); // no request of the warm-up run reaches a server
             }
             assertThat(fixture.log()
                             .lines()
@@ -67,44 +67,44 @@
     @Test
     void theDeadlineOfARequestReceivedBeforeServiceStartsCountsFromItsArrival() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p")) {
-            FakeDatabaseServer p = fixture.servers.get("p");
-            p.healthCheckGate = new CountDownLatch(1);
-            TestClient c = fixture.connectDuringStartup(fixture.queryText("order", 9000));
+            FakeDatabaseServer primary = fixture.servers.get("p");
+            primary.healthCheckGate = new CountDownLatch(1);
+            TestClient client = fixture.connectDuringStartup(fixture.queryText("order", 9000));
             long receivedNanos = System.nanoTime();
             while (System.nanoTime() - receivedNanos < TimeUnit.MILLISECONDS.toNanos(300)) {
                 Thread.onSpinWait(); // service cannot start before the first health check has completed
             }
-            p.healthCheckGate.countDown();
-            ReceivedQuery g = p.nextQuery();
-            assertThat(Integer.parseInt(g.text().replaceAll(".*,d=(\\d+),.*", "$1")))
+            primary.healthCheckGate.countDown();
+            ReceivedQuery query = primary.nextQuery();
+            assertThat(Integer.parseInt(query.text().replaceAll(".*,d=(\\d+),.*", "$1")))
                     .as(fixture::log)
                     .isLessThanOrEqualTo(8700);
-            g.sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void theFirstQueryMayFollowTheStartupMessageAtOnceAndQueriesAreAnsweredInOrder() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = new TestClient(fixture.gateway.port());
-            c.write(MessageWriter.query("")
+            TestClient client = new TestClient(fixture.gateway.port());
+            client.write(MessageWriter.query("")
                     .appendBuffer(Buffer.buffer())); // closed, since no startup message was sent before
-            assertThat(c.readResponse()).startsWith("08P01");
-            c = new TestClient(fixture.gateway.port());
-            c.write(MessageWriter.startup()
+            assertThat(client.readResponse()).startsWith("08P01");
+            client = new TestClient(fixture.gateway.port());
+            client.write(MessageWriter.startup()
                     .appendBuffer(MessageWriter.query(fixture.queryText("order")))
                     .appendBuffer(MessageWriter.query(fixture.queryText("order")))
                     .appendBuffer(MessageWriter.query(" ;")));
-            assertThat(c.readResponse()).isEqualTo("ready");
+            assertThat(client.readResponse()).isEqualTo("ready");
             ReceivedQuery one = fixture.servers.get("p").nextQuery();
             ReceivedQuery other = fixture.servers.get("p").nextQuery();
             boolean first = one.text().contains("id=1,");
             (first ? other : one).sendRow(new byte[] {7});
             (first ? one : other).sendRow(new byte[] {1});
-            assertThat(c.readResponse()).as(fixture::log).isEqualTo("row 01 ready");
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
-            assertThat(c.readResponse()).isEqualTo("empty ready");
+            assertThat(client.readResponse()).as(fixture::log).isEqualTo("row 01 ready");
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
+            assertThat(client.readResponse()).isEqualTo("empty ready");
         }
     }
 
@@ -124,25 +124,25 @@
     void aWriteRejectedAsReadOnlyIsRetriedAtThePrimary() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("r1", "p").start()) {
             fixture.awaitLog("primary p");
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order"));
             fixture.servers.get("p").nextQuery().sendError("25006");
             assertThat(fixture.servers.get("p").nextQuery().text()).contains("id=1,");
             assertThat(fixture.servers.get("r1").pendingQueries).isEmpty();
-            c.close();
+            client.close();
         }
     }
 
     @Test
     void aNonRetryableRequestFailsWithoutRetryWhenItsConnectionBreaksAfterTheLastByte() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order"));
             fixture.servers.get("p").nextQuery().resetConnection();
-            assertThat(c.readResponse()).isEqualTo("58000 ready");
-            c.sendQuery(fixture.queryText("order"));
+            assertThat(client.readResponse()).isEqualTo("58000 ready");
+            client.sendQuery(fixture.queryText("order"));
             ReceivedQuery second = fixture.servers.get("p").nextQuery();
             assertThat(second.text()).contains("id=2,");
             second.sendRow(new byte[] {2});
-            assertThat(c.readResponse()).isEqualTo("row 02 ready");
+            assertThat(client.readResponse()).isEqualTo("row 02 ready");
             assertThat(fixture.servers.get("p").pendingQueries).isEmpty();
         }
     }
@@ -150,7 +150,7 @@
     @Test
     void aRequestRejectedByAFullServerIsNotRetriedOnTheConnectionThatTheServerCloses() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order"));
             ReceivedQuery full = fixture.servers.get("p").nextQuery();
             full.sendError("53300");
             full.socket().close(); // as servers with too many connections do
@@ -158,36 +158,36 @@
             assertThat(again.text()).contains("id=1,");
             assertThat(again.socket()).isNotSameAs(full.socket());
             again.sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void aNonRetryableRequestIsRetriedWhenItsConnectionCouldNotBeOpened() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            FakeDatabaseServer p = fixture.servers.get("p");
+            FakeDatabaseServer primary = fixture.servers.get("p");
             TestClient first = fixture.connect().sendQuery(fixture.queryText("order"));
-            ReceivedQuery inFlight = p.nextQuery(); // occupies the connection opened for the health check
-            p.closesOnAccept = true;
-            p.acceptedConnections.clear();
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("order"));
-            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+            ReceivedQuery inFlight = primary.nextQuery(); // occupies the connection opened for the health check
+            primary.closesOnAccept = true;
+            primary.acceptedConnections.clear();
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("order"));
+            assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .isNotNull();
-            p.closesOnAccept = false;
+            primary.closesOnAccept = false;
             inFlight.sendRow(new byte[] {1});
             assertThat(first.readResponse()).isEqualTo("row 01 ready");
-            ReceivedQuery again = p.nextQuery();
+            ReceivedQuery again = primary.nextQuery();
             assertThat(again.text()).contains("id=2,");
             again.sendRow(new byte[] {2});
-            assertThat(c.readResponse()).isEqualTo("row 02 ready");
-            assertThat(p.pendingQueries).isEmpty();
+            assertThat(client.readResponse()).isEqualTo("row 02 ready");
+            assertThat(primary.pendingQueries).isEmpty();
         }
     }
 
     @Test
     void aConnectionThatJustAnsweredIsNotReusedWhileAnotherIsIdle() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            FakeDatabaseServer p = fixture.servers.get("p");
+            FakeDatabaseServer primary = fixture.servers.get("p");
             TestClient one = fixture.connect();
             TestClient other = fixture.connect();
             boolean reusedOlder = false;
@@ -195,16 +195,16 @@
                     i < 50 && !reusedOlder;
                     i++) { // repeated, since the interval is short and the machine may be slow
                 one.sendQuery(fixture.queryText("order"));
-                ReceivedQuery first = p.nextQuery();
+                ReceivedQuery first = primary.nextQuery();
                 other.sendQuery(fixture.queryText("order"));
-                ReceivedQuery second = p.nextQuery();
+                ReceivedQuery second = primary.nextQuery();
                 first.sendRow(new byte[] {7});
                 assertThat(one.readResponse()).isEqualTo(ROW_7);
                 Thread.sleep(20);
                 second.sendRow(new byte[] {7});
                 assertThat(other.readResponse()).isEqualTo(ROW_7);
                 one.sendQuery(fixture.queryText("order"));
-                ReceivedQuery third = p.nextQuery();
+                ReceivedQuery third = primary.nextQuery();
                 reusedOlder = third.socket() == first.socket();
                 third.sendRow(new byte[] {7});
                 assertThat(one.readResponse()).isEqualTo(ROW_7);
@@ -216,47 +216,47 @@
     @Test
     void connectionsIdleForAsLongAsEarlierOnesThatWereResetAreNotReused() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start().answerReads()) {
-            FakeDatabaseServer p = fixture.servers.get("p");
-            p.idleResetAfterMs = 60;
-            TestClient c = fixture.connect();
+            FakeDatabaseServer primary = fixture.servers.get("p");
+            primary.idleResetAfterMs = 60;
+            TestClient client = fixture.connect();
             for (int i = 0; i < 20; i++) {
-                assertThat(fixture.readWithRetries(c)).as(fixture::log).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(client)).as(fixture::log).isEqualTo(ROW_7);
                 Thread.sleep(130);
             }
-            assertThat(p.idleResets).isBetween(1, 12);
+            assertThat(primary.idleResets).isBetween(1, 12);
         }
     }
 
     @Test
     void cancellingAnAttemptClosesTheConnectionAndALateAnswerReachesNoOtherRequest() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("quick", 700));
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("quick", 700));
             ReceivedQuery late = fixture.servers.get("p").nextQuery();
-            assertThat(c.readResponse()).startsWith("53300");
+            assertThat(client.readResponse()).startsWith("53300");
             late.awaitClosedByGateway();
             try {
                 late.sendRow("late".getBytes(UTF_8));
             } catch (java.io.IOException e) {
                 assertThat(late.socket().isClosed() || e.getMessage() != null).isTrue();
             }
-            c.sendQuery(fixture.queryText("page"));
+            client.sendQuery(fixture.queryText("page"));
             fixture.servers.get("p").nextQuery().sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
         }
     }
 
     @Test
     void anUnsolicitedAnswerClosesTheConnectionAndReachesNoRequest() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
-            g.sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
-            g.sendRow("unasked".getBytes(UTF_8));
-            g.awaitClosedByGateway();
-            c.sendQuery(fixture.queryText("page"));
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("page"));
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
+            query.sendRow("unasked".getBytes(UTF_8));
+            query.awaitClosedByGateway();
+            client.sendQuery(fixture.queryText("page"));
             fixture.servers.get("p").nextQuery().sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
             fixture.awaitLog("server out of order");
         }
     }
@@ -264,19 +264,19 @@
     @Test
     void aDuplicateAnswerReachesNoRequestThatWaitsForTheConnection() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            FakeDatabaseServer p = fixture.servers.get("p");
+            FakeDatabaseServer primary = fixture.servers.get("p");
             TestClient first = fixture.connect().sendQuery(fixture.queryText("order"));
-            ReceivedQuery g = p.nextQuery();
-            p.unresponsive = true;
-            p.acceptedConnections.clear();
+            ReceivedQuery query = primary.nextQuery();
+            primary.unresponsive = true;
+            primary.acceptedConnections.clear();
             TestClient second = fixture.connect().sendQuery(fixture.queryText("order"));
-            assertThat(p.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
+            assertThat(primary.acceptedConnections.poll(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .isNotNull();
-            g.sendRow(new byte[] {7}, g.resultMessages(new byte[] {7})); // a duplicate in the same write
+            query.sendRow(new byte[] {7}, query.resultMessages(new byte[] {7})); // a duplicate in the same write
             assertThat(first.readResponse()).isEqualTo(ROW_7);
-            g.awaitClosedByGateway();
-            p.unresponsive = false;
-            ReceivedQuery retried = p.nextQuery();
+            query.awaitClosedByGateway();
+            primary.unresponsive = false;
+            ReceivedQuery retried = primary.nextQuery();
             assertThat(retried.text()).contains("id=2,");
             retried.sendRow(new byte[] {9}, bytes('?', 1 << 30)); // unexpected bytes that are no complete message
             assertThat(second.readResponse()).as(fixture::log).isEqualTo("row 09 ready");
@@ -287,7 +287,7 @@
     @Test
     void aCorruptAnswerCountsAsNoAnswerWhateverItBeginsWith() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect();
+            TestClient client = fixture.connect();
             Buffer corrupt = Buffer.buffer()
                     .appendBuffer(MessageWriter.resultRow(new ResultRow(
                             new ServerMessage.RowDescription("val", 0, (short) 0, 17, (short) -1, -1, (short) 1),
@@ -300,12 +300,12 @@
                     corrupt,
                     full.copy().appendBuffer(bytes('?', 9)),
                     full.copy().appendBuffer(corrupt))) {
-                c.sendQuery(fixture.queryText("order"));
-                ReceivedQuery g = fixture.servers.get("p").nextQuery();
-                FakeDatabaseServer.write(g.socket(), b, false);
-                assertThat(c.readResponse())
+                client.sendQuery(fixture.queryText("order"));
+                ReceivedQuery query = fixture.servers.get("p").nextQuery();
+                FakeDatabaseServer.write(query.socket(), b, false);
+                assertThat(client.readResponse())
                         .isEqualTo("58000 ready"); // it may have run: neither reported as succeeded nor retried
-                g.awaitClosedByGateway();
+                query.awaitClosedByGateway();
                 assertThat(fixture.servers.get("p").pendingQueries).isEmpty();
             }
         }
@@ -325,9 +325,9 @@
                     loadReport.replace("NOW", Long.toString(System.currentTimeMillis() / 1000));
             fixture.answerReads().start();
             fixture.servers.get("r1").answersReads = false;
-            TestClient c = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 5; i++) {
-                assertThat(fixture.readWithRetries(c)).as(fixture::log).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(client)).as(fixture::log).isEqualTo(ROW_7);
             }
             assertThat(fixture.servers.get("r1").pendingQueries)
                     .isEmpty(); // its log position is unknown, so its data may be too old
@@ -338,17 +338,17 @@
     @Test
     void aRequestWithATruncatedOrOversizedAnswerFailsAsPossiblyRun() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect();
+            TestClient client = fixture.connect();
             for (Buffer b :
                     List.of(bytes('T', 9).appendShort((short) 1), bytes('D', 1 << 30), bytes('?', 4), bytes('E', 3))) {
-                c.sendQuery(fixture.queryText("order"));
-                ReceivedQuery g = fixture.servers.get("p").nextQuery();
-                FakeDatabaseServer.write(g.socket(), b, false);
+                client.sendQuery(fixture.queryText("order"));
+                ReceivedQuery query = fixture.servers.get("p").nextQuery();
+                FakeDatabaseServer.write(query.socket(), b, false);
                 if (b.getByte(0) == 'T') {
-                    g.socket().close();
+                    query.socket().close();
                 }
-                assertThat(c.readResponse()).isEqualTo("58000 ready");
-                g.awaitClosedByGateway();
+                assertThat(client.readResponse()).isEqualTo("58000 ready");
+                query.awaitClosedByGateway();
             }
         }
     }
@@ -356,10 +356,10 @@
     @Test
     void theAttemptOfADisconnectedClientIsCancelled() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start()) {
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
-            c.close();
-            g.awaitClosedByGateway();
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("page"));
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
+            client.close();
+            query.awaitClosedByGateway();
         }
     }
 
@@ -371,9 +371,9 @@
             fixture.awaitLog("server r1 listed DRAINING");
             FakeDatabaseServer r1 = fixture.servers.get("r1");
             r1.answersReads = false;
-            TestClient c = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 30; i++) {
-                assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(client)).isEqualTo(ROW_7);
             }
             assertThat(r1.pendingQueries).isEmpty();
             fixture.discovery.awaitRequest("/registry/instances?from=2&hold_ms=2000");
@@ -394,9 +394,9 @@
             fixture.discovery.updates.add(fixture.endpointList(4, false));
             fixture.awaitLog("discovery went back from revision 9 to 4");
             fixture.discovery.awaitRequest("/registry/instances");
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("page"));
             fixture.servers.get("p").nextQuery().sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
         }
     }
 
@@ -405,9 +405,9 @@
         try (GatewayTestFixture fixture = new GatewayTestFixture("p", "r1", "r2")) {
             fixture.servers.get("r1").unresponsive = true;
             fixture.answerReads().start();
-            TestClient c = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 5; i++) {
-                assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
+                assertThat(fixture.readWithRetries(client)).isEqualTo(ROW_7);
             }
             fixture.awaitLog("server r1 silent: probes unanswered");
         }
@@ -416,12 +416,12 @@
     @Test
     void idleConnectionsAreClosedBeforeTheServerWould() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start(256, 4000)) {
-            TestClient c = fixture.connect().sendQuery(fixture.queryText("page"));
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
-            g.sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            TestClient client = fixture.connect().sendQuery(fixture.queryText("page"));
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
             long answered = System.nanoTime();
-            g.awaitClosedByGateway();
+            query.awaitClosedByGateway();
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answered))
                     .isBetween(1000L, 4000L);
         }
@@ -430,41 +430,41 @@
     @Test
     void clientsBeyondTheDescriptorLimitAreRefusedAndTheOthersAreAnswered() throws Exception {
         try (GatewayTestFixture fixture = new GatewayTestFixture("p").start(64, 30_000)) {
-            FakeDatabaseServer p = fixture.servers.get("p");
+            FakeDatabaseServer primary = fixture.servers.get("p");
             List<TestClient> accepted = new ArrayList<>();
             List<ReceivedQuery> inFlight = new ArrayList<>();
             boolean refused = false;
             for (int i = 0; i < 64 && !refused; i++) {
-                TestClient c = new TestClient(fixture.gateway.port());
-                c.write(MessageWriter.startup());
-                String startupResponse = c.readResponse();
+                TestClient client = new TestClient(fixture.gateway.port());
+                client.write(MessageWriter.startup());
+                String startupResponse = client.readResponse();
                 refused = startupResponse.equals("53300 closed");
                 if (!refused) {
                     assertThat(startupResponse).isEqualTo("ready");
-                    accepted.add(c.sendQuery(fixture.queryText("order")));
-                    ReceivedQuery g = p.pendingQueries.poll(
+                    accepted.add(client.sendQuery(fixture.queryText("order")));
+                    ReceivedQuery query = primary.pendingQueries.poll(
                             20, TimeUnit.MILLISECONDS); // forwarded, so its connection is no longer idle
-                    if (g != null) {
-                        inFlight.add(g);
+                    if (query != null) {
+                        inFlight.add(query);
                     }
                 }
             }
             assertThat(refused).isTrue();
             assertThat(accepted).hasSizeBetween(16, 48);
-            p.answersWrites = true;
-            for (ReceivedQuery g : inFlight) {
-                g.sendRow(new byte[] {7});
+            primary.answersWrites = true;
+            for (ReceivedQuery query : inFlight) {
+                query.sendRow(new byte[] {7});
             }
-            for (TestClient c : accepted) {
-                assertThat(c.readResponse()).isIn(ROW_7, "53300 ready", "53300 after 1000 ready");
+            for (TestClient client : accepted) {
+                assertThat(client.readResponse()).isIn(ROW_7, "53300 ready", "53300 after 1000 ready");
             }
             fixture.awaitLog("no room for a connection");
             String startupResponse = "53300 closed";
             while (startupResponse.equals("53300 closed")) { // until answered clients have been idle for long enough
-                TestClient c = new TestClient(fixture.gateway.port()).write(MessageWriter.startup());
-                startupResponse = c.readResponse();
+                TestClient client = new TestClient(fixture.gateway.port()).write(MessageWriter.startup());
+                startupResponse = client.readResponse();
                 if (startupResponse.equals("ready")) {
-                    assertThat(c.sendQuery(fixture.queryText("order")).readResponse())
+                    assertThat(client.sendQuery(fixture.queryText("order")).readResponse())
                             .isEqualTo(ROW_7);
                 }
             }
@@ -481,14 +481,14 @@
             for (int i = 0; i < 28; i++) {
                 clients.add(new TestClient(fixture.gateway.port()).write(MessageWriter.startup()));
             }
-            for (TestClient c : clients) {
-                assertThat(c.readResponse()).isEqualTo("ready");
+            for (TestClient client : clients) {
+                assertThat(client.readResponse()).isEqualTo("ready");
             }
-            for (TestClient c : clients) {
-                c.sendQuery(fixture.queryText("page"));
+            for (TestClient client : clients) {
+                client.sendQuery(fixture.queryText("page"));
             }
-            for (TestClient c : clients) {
-                assertThat(c.readResponse()).as(fixture::log).startsWith("row ");
+            for (TestClient client : clients) {
+                assertThat(client.readResponse()).as(fixture::log).startsWith("row ");
             }
         }
     }
@@ -499,7 +499,7 @@
                 new GatewayTestFixture("p", "r1").start().answerReads()) {
             TestClient idle = fixture.connect();
             TestClient held = fixture.connect().sendQuery(fixture.queryText("order"));
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
             CountDownLatch ended = new CountDownLatch(1);
             fixture.gateway.runOnLoop(() -> fixture.gateway.shutdownGracefully(ended));
             fixture.awaitLog("planned restart: 2 connections, 1 ops in hand");
@@ -516,7 +516,7 @@
                     .containsExactly("ready", ROW_7, "closed");
             assertThat(idle.readResponse()).isEqualTo("closed");
             assertThat(ended.getCount()).isEqualTo(1);
-            g.sendRow(new byte[] {3});
+            query.sendRow(new byte[] {3});
             assertThat(held.readResponse()).isEqualTo("row 03 ready");
             assertThat(held.readResponse()).isEqualTo("closed");
             assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
@@ -563,8 +563,8 @@
                     .start();
             int port = Integer.parseInt(line(log, "listens at").replaceAll(".*:(\\d+), .*", "$1"));
             fixture.discovery.awaitRequest("/registry/instances?from=1&hold_ms=2000");
-            TestClient c = new TestClient(port).completeStartup();
-            assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
+            TestClient client = new TestClient(port).completeStartup();
+            assertThat(fixture.readWithRetries(client)).isEqualTo(ROW_7);
 
             Files.writeString(file, "{\"name\":");
             hangUp(gateway);
@@ -574,8 +574,8 @@
             elsewhere.awaitRequest("/registry/instances");
             elsewhere.awaitRequest("/registry/instances?from=5&hold_ms=2000");
             line(log, "server r1 listed GONE");
-            assertThat(fixture.readWithRetries(c)).isEqualTo(ROW_7);
-            c.close();
+            assertThat(fixture.readWithRetries(client)).isEqualTo(ROW_7);
+            client.close();
             gateway.destroy();
             assertThat(gateway.waitFor(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .isTrue();
@@ -589,8 +589,8 @@
         }
     }
 
-    private static void hangUp(Process p) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
+    private static void hangUp(Process process) throws Exception {
+        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                         .start()
                         .waitFor())
                 .isZero();
@@ -617,27 +617,27 @@
         try (GatewayTestFixture fixture =
                 new GatewayTestFixture("p", "r1").start().answerReads()) {
             TestClient good = fixture.connect();
-            TestClient c = new TestClient(fixture.gateway.port());
-            c.write(Buffer.buffer().appendInt(8).appendInt(80877103));
-            assertThat(c.readByte()).isEqualTo('N');
-            c.write(Buffer.buffer().appendInt(8).appendInt(80877104));
-            assertThat(c.readByte()).isEqualTo('N');
-            c.completeStartup();
+            TestClient client = new TestClient(fixture.gateway.port());
+            client.write(Buffer.buffer().appendInt(8).appendInt(80877103));
+            assertThat(client.readByte()).isEqualTo('N');
+            client.write(Buffer.buffer().appendInt(8).appendInt(80877104));
+            assertThat(client.readByte()).isEqualTo('N');
+            client.completeStartup();
             for (String text : List.of(
                     "SELECT 1",
                     "SELECT 1 /* id=a,c=nothing,t=north,d=5 */",
                     "SELECT 1 /* id=a,c=page,t=nobody,d=5 */",
                     "SELECT 1 /* id=a,c=page,t=north,d=-1 */")) {
-                assertThat(c.sendQuery(text).readResponse()).matches("(42601|22023) ready");
+                assertThat(client.sendQuery(text).readResponse()).matches("(42601|22023) ready");
             }
-            c.write(bytes('P', 8).appendInt(0).appendBuffer(bytes('B', 4)).appendBuffer(bytes('S', 4)));
-            assertThat(c.readResponse()).isEqualTo("0A000 ready");
+            client.write(bytes('P', 8).appendInt(0).appendBuffer(bytes('B', 4)).appendBuffer(bytes('S', 4)));
+            assertThat(client.readResponse()).isEqualTo("0A000 ready");
             String request = fixture.queryText("order");
-            c.sendQuery(request);
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
+            client.sendQuery(request);
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
             assertThat(good.sendQuery(request).readResponse()).isEqualTo("42710 ready");
-            g.sendRow(new byte[] {7});
-            assertThat(c.readResponse()).isEqualTo(ROW_7);
+            query.sendRow(new byte[] {7});
+            assertThat(client.readResponse()).isEqualTo(ROW_7);
             for (Buffer b : List.of(bytes('?', 4), bytes('Q', 3), bytes('Q', 1 << 30))) {
                 assertThat(fixture.connect().write(b).readResponse()).isEqualTo("08P01 closed");
             }
@@ -663,7 +663,7 @@
                     "\"deadlineMs\":20000",
                     "\"deadlineMs\":4000"); // no request outlasts the client's 5 s write timeout
             fixture.start();
-            fixture.answerReads().servers.values().forEach(s -> s.rowValue = new byte[60_000]);
+            fixture.answerReads().servers.values().forEach(server -> server.rowValue = new byte[60_000]);
             TestClient notReading = fixture.connect();
             Thread sender = new Thread(() -> {
                 try {
@@ -678,7 +678,7 @@
             fixture.awaitLog("client that does not read");
             sender.join(TimeUnit.SECONDS.toMillis(GatewayTestFixture.TIMEOUT_S));
             assertThat(sender.isAlive()).isFalse();
-            fixture.servers.values().forEach(s -> s.rowValue = new byte[] {7});
+            fixture.servers.values().forEach(server -> server.rowValue = new byte[] {7});
             assertThat(fixture.readWithRetries(fixture.connect())).isEqualTo(ROW_7);
         }
     }
@@ -692,12 +692,12 @@
             TestClient halfQuery = fixture.connect().write(bytes('Q', 50));
             TestClient withRequest =
                     fixture.connect().sendQuery(fixture.queryText("order")).write(bytes('Q', 50));
-            ReceivedQuery g = fixture.servers.get("p").nextQuery();
-            for (TestClient c : List.of(silent, halfStartup, halfQuery)) {
-                assertThat(c.readResponse()).isEqualTo("08P01 closed");
+            ReceivedQuery query = fixture.servers.get("p").nextQuery();
+            for (TestClient client : List.of(silent, halfStartup, halfQuery)) {
+                assertThat(client.readResponse()).isEqualTo("08P01 closed");
             }
             fixture.awaitLog("client with an unfinished message");
-            g.sendRow(new byte[] {7});
+            query.sendRow(new byte[] {7});
             assertThat(List.of(withRequest.readResponse(), withRequest.readResponse()))
                     .containsExactly(ROW_7, "08P01 closed");
         }
@@ -713,11 +713,11 @@
                 clients.add(fixture.connect());
             }
             long since = System.nanoTime();
-            for (TestClient c : clients.subList(0, 3)) {
-                assertThat(c.readResponse()).isEqualTo("closed");
+            for (TestClient client : clients.subList(0, 3)) {
+                assertThat(client.readResponse()).isEqualTo("closed");
             }
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since))
-                    .isLessThan(1900); // not the usual 2.1 s
+                    .isLessThan(1900); // idle clients are otherwise closed after 2.1 s
             assertThat(fixture.readWithRetries(clients.get(14))).isEqualTo(ROW_7);
         }
     }
--- a/gateway/src/test/java/ploverdale/GatewayTestFixture.java
+++ b/gateway/src/test/java/ploverdale/GatewayTestFixture.java
@@ -24,7 +24,7 @@
 import ploverdale.net.postgres.MessageWriter;
 import ploverdale.settings.ConfigurationFile;
 
-/** Runs a real gateway on loopback among fake database servers, a fake discovery and test clients, all driven by the test. */
+/** Runs a real gateway on loopback with fake database servers, a fake discovery and test clients. */
 final class GatewayTestFixture implements AutoCloseable {
     /** Limit of every wait in these tests; generous, so that a loaded machine causes no failure. */
     static final long TIMEOUT_S = 20;
@@ -38,8 +38,10 @@
     final Map<String, FakeDatabaseServer> servers = new LinkedHashMap<>();
     final FakeDiscovery discovery;
     Gateway gateway;
+
     /** Applied to the text of each configuration before the gateway reads it. */
     UnaryOperator<String> configurationEdit = configuration -> configuration;
+
     /** The clock of the gateway. */
     Clock clock = Clock.system();
 
@@ -77,7 +79,7 @@
         return start(256, 30_000);
     }
 
-    /** Returns a configuration of the gateway that uses this discovery, at most this many descriptors and this idle timeout. */
+    /** Returns a configuration with this discovery, limit of descriptors and idle timeout of server connections. */
     static String configuration(FakeDiscovery discovery, int sockets, long idleMs) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.port()
                 + "\",\"seed\":\"7\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + discovery.completeList + ","
@@ -147,7 +149,8 @@
     }
 
     /**
-     * Pauses the event loop after it has read from its sockets, with due timers that it runs next, until {@link #resume}.
+     * Pauses the event loop after it has read from its sockets, with due timers that it runs next.
+     * {@link #resume} ends the pause.
      *
      * @param first runs during the pause, before those timers
      */
@@ -220,19 +223,19 @@
             listenPort = free.getLocalPort();
         }
         CompletableFuture<Gateway> ready = startAsync(256, 30_000);
-        for (TestClient c = null; true; Thread.onSpinWait()) {
+        for (TestClient client = null; true; Thread.onSpinWait()) {
             try {
-                c = new TestClient(listenPort);
+                client = new TestClient(listenPort);
             } catch (java.net.ConnectException e) {
                 assertThat(ready).as(this::log).isNotDone();
                 continue;
             }
-            openClients.add(c);
-            c.write(MessageWriter.startup().appendBuffer(MessageWriter.query(text)));
-            assertThat(c.readResponse()).isEqualTo("ready");
+            openClients.add(client);
+            client.write(MessageWriter.startup().appendBuffer(MessageWriter.query(text)));
+            assertThat(client.readResponse()).isEqualTo("ready");
             assertThat(ready).as(this::log).isNotDone();
             ready.thenAccept(g -> gateway = g);
-            return c;
+            return client;
         }
     }
 
@@ -267,25 +270,25 @@
     }
 
     /** Reads with retries while the gateway rejects, for instance before the first health check has succeeded. */
-    String readWithRetries(TestClient c) throws IOException {
+    String readWithRetries(TestClient client) throws IOException {
         String answer = "53300";
         for (int i = 0; i < 100 && answer.startsWith("53300"); i++) {
-            answer = c.sendQuery(queryText("page")).readResponse();
+            answer = client.sendQuery(queryText("page")).readResponse();
         }
         return answer;
     }
 
     /** From now on each server answers reads by itself, so that a test need not know which one the gateway chooses. */
     GatewayTestFixture answerReads() {
-        servers.values().forEach(s -> s.answersReads = true);
+        servers.values().forEach(server -> server.answersReads = true);
         return this;
     }
 
     /** Returns a client that has completed its startup. */
     TestClient connect() throws IOException {
-        TestClient c = new TestClient(gateway.port());
-        openClients.add(c);
-        return c.completeStartup();
+        TestClient client = new TestClient(gateway.port());
+        openClients.add(client);
+        return client.completeStartup();
     }
 
     @Override
@@ -294,8 +297,8 @@
             client.close();
         }
         vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
-        for (FakeDatabaseServer s : servers.values()) {
-            s.close();
+        for (FakeDatabaseServer server : servers.values()) {
+            server.close();
         }
         discovery.close();
     }
--- a/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
+++ b/gateway/src/test/java/ploverdale/IdleServerConnectionTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Database servers close or silently drop idle connections during a quiet period: the first requests after it succeed. */
+/** The first requests after a quiet period succeed though servers closed or silently dropped idle connections. */
 @Timeout(120)
 class IdleServerConnectionTest {
     private static final String ROW_7 = "row 07 ready";
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Sends this many writes at once, so that as many idle connections to the primary remain; returns their clients. */
+    /** Leaves this many idle connections to the primary by concurrent writes, and returns the clients of the writes. */
     private static List<TestClient> idleConnections(GatewayTestFixture fixture, int count) throws Exception {
         FakeDatabaseServer primary = fixture.servers.get("p");
         primary.answersWrites = false;
--- a/gateway/src/test/java/ploverdale/LastMomentTest.java
+++ b/gateway/src/test/java/ploverdale/LastMomentTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import ploverdale.net.postgres.MessageWriter;
 
-/** Requests that arrive at the end of a graceful shutdown are answered or left unread, but never read without an answer. */
+/** Requests at the end of a graceful shutdown are answered or left unread, but never read without an answer. */
 @Timeout(120)
 class LastMomentTest {
     private static final long SHUTDOWN_LIMIT_MS = 1000; // from the signal, for a longest deadline of 300 ms
@@ -69,8 +69,8 @@
             fixture.pauseLoopWhileReading();
             client.sendQuery(fixture.queryText("order", 300));
             Thread.sleep(SHUTDOWN_LIMIT_MS - 140 - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos));
-            fixture.resume(); // it reads the request, then runs the periodic check that is due, with nothing left to
-            // read
+            // The loop reads the request, then runs the periodic check that is due, with nothing left to read.
+            fixture.resume();
             assertThat(client.readResponse()).as(fixture::log).endsWith("ready");
             assertThat(ended.await(GatewayTestFixture.TIMEOUT_S, TimeUnit.SECONDS))
                     .isTrue();
--- a/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
+++ b/gateway/src/test/java/ploverdale/LengthlessAnswerTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * HTTP responses of discovery without Content-Length, which end where their connection is closed, and PostgreSQL responses
- * whose connection is closed before ReadyForQuery.
+ * HTTP responses of discovery without Content-Length, which end where their connection is closed, and PostgreSQL
+ * responses whose connection is closed before ReadyForQuery.
  */
 @Timeout(120)
 class LengthlessAnswerTest {
--- a/gateway/src/test/java/ploverdale/LoopbackServer.java
+++ b/gateway/src/test/java/ploverdale/LoopbackServer.java
@@ -17,13 +17,13 @@
         Thread acceptor = new Thread(() -> {
             while (!listener.isClosed()) {
                 try {
-                    Socket s = listener.accept();
-                    sockets.add(s);
+                    Socket socket = listener.accept();
+                    sockets.add(socket);
                     Thread handler = new Thread(() -> {
                         try {
-                            serve(s);
+                            serve(socket);
                         } catch (IOException e) {
-                            connectionFailed(s);
+                            connectionFailed(socket);
                         }
                     });
                     handler.setDaemon(true);
@@ -38,10 +38,10 @@
     }
 
     /** Serves a connection on its own thread until it returns or fails. */
-    abstract void serve(Socket s) throws IOException;
+    abstract void serve(Socket socket) throws IOException;
 
     /** Called when {@link #serve} failed, as it does when the connection is closed. */
-    void connectionFailed(Socket s) {}
+    void connectionFailed(Socket socket) {}
 
     int port() {
         return listener.getLocalPort();
@@ -54,11 +54,11 @@
 
     /** Closes all connections accepted so far, by a TCP reset or in the ordinary way. */
     void closeConnections(boolean reset) throws IOException {
-        for (Socket s : List.copyOf(sockets)) {
-            if (reset && !s.isClosed()) {
-                s.setSoLinger(true, 0);
+        for (Socket socket : List.copyOf(sockets)) {
+            if (reset && !socket.isClosed()) {
+                socket.setSoLinger(true, 0);
             }
-            s.close();
+            socket.close();
         }
     }
 
--- a/gateway/src/test/java/ploverdale/SkippedDrainTest.java
+++ b/gateway/src/test/java/ploverdale/SkippedDrainTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * With removalNotBinding, a removed server may still be used unless it drained before. A drain that started and ended between
- * two responses of discovery must not be missed.
+ * With removalNotBinding, a removed server may still be used unless it drained before. A drain that started and ended
+ * between two responses of discovery must not be missed.
  */
 @Timeout(120)
 class SkippedDrainTest {
--- a/gateway/src/test/java/ploverdale/SlowDiscovery.java
+++ b/gateway/src/test/java/ploverdale/SlowDiscovery.java
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Discovery that answers each request for the complete list with a delay, as an overloaded one does, and never answers a watch. */
+/** Discovery that answers requests for the complete list with a delay, as if overloaded, and never answers a watch. */
 final class SlowDiscovery extends LoopbackServer {
     /** Number of connections that the gateway has not closed yet. */
     final AtomicInteger openConnections = new AtomicInteger();
--- a/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
+++ b/gateway/src/test/java/ploverdale/StartBeforeDiscoveryAnswersTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A gateway process starts with an endpoint list older than its discovery agent's, while clients already try to connect. */
+/** A gateway process starts with an endpoint list older than discovery's, while clients already try to connect. */
 @Timeout(120)
 class StartBeforeDiscoveryAnswersTest {
     private static final String ROW_7 = "row 07 ready";
@@ -58,7 +58,7 @@
         return gateway;
     }
 
-    /** Returns a free port below the ephemeral range: in that range, a connecting client may connect to itself and occupy the port. */
+    /** Returns a free port below the ephemeral range, where a connecting client could connect to itself and occupy it. */
     private static int freePort() {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
--- a/gateway/src/test/java/ploverdale/TestClient.java
+++ b/gateway/src/test/java/ploverdale/TestClient.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Reads up to the next ReadyForQuery or the end of the connection and returns a summary: "row" and the value in hex,
-     * "empty", or the SQLSTATE and the retry time in ms, followed by "ready" or "closed".
+     * Reads up to the next ReadyForQuery or the end of the connection and returns a summary: "row" and the value in
+     * hex, "empty", or the SQLSTATE and the retry time in ms, followed by "ready" or "closed".
      */
     String readResponse() throws IOException {
         StringBuilder response = new StringBuilder();
