--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -12,12 +12,12 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
+import ploverdale.tools.lab.BoundedQuotaModel;
 import ploverdale.tools.lab.Explorer;
 import ploverdale.tools.lab.Plot;
-import ploverdale.tools.lab.ReplicaModel;
-import ploverdale.tools.lab.ReplicaExperiment;
-import ploverdale.tools.lab.BoundedQuotaModel;
 import ploverdale.tools.lab.QuotaExperiment;
+import ploverdale.tools.lab.ReplicaExperiment;
+import ploverdale.tools.lab.ReplicaModel;
 import ploverdale.tools.rig.Check;
 import ploverdale.tools.rig.Rigs;
 import ploverdale.tools.scale.CapacityTable;
@@ -141,7 +141,8 @@
                 List<String> rows = new ArrayList<>(List.of(QuotaExperiment.Result.CSV_HEADER));
                 boolean holds = true;
                 for (String size : sizes.split(",")) {
-                    QuotaExperiment.Result found = QuotaExperiment.run(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
+                    QuotaExperiment.Result found =
+                            QuotaExperiment.run(Integer.parseInt(size.strip()), LEASE_MS, loss, seed, seeds);
                     holds &= found.violations() == 0;
                     rows.add(found.csvRow());
                     System.out.println(found.csvRow()); // shows the progress of a long run
@@ -161,7 +162,9 @@
                 return 0;
             }
             case "explore" -> {
-                Explorer.Result result = new Explorer(BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime()).explore(every);
+                Explorer.Result result = new Explorer(
+                                BoundedQuotaModel.leaseDurations(0.1), 0.1, BoundedQuotaModel.holdTime())
+                        .explore(every);
                 System.out.println(result.runs() + " fault combinations, "
                         + (result.firstViolation() == null ? "no rule broken" : result.firstViolation()));
                 return result.firstViolation() == null ? 0 : 1;
--- a/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
+++ b/tools/src/main/java/ploverdale/tools/rig/ReplicasRig.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.Future;
 import org.HdrHistogram.Histogram;
 import ploverdale.tools.fleet.FaultSchedule;
-import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.FaultSchedule.Action;
+import ploverdale.tools.fleet.FaultSchedule.Step;
 import ploverdale.tools.fleet.Fleet;
 import ploverdale.tools.fleet.FleetResult;
 import ploverdale.tools.fleet.GatewayProcess.Launch;
@@ -120,7 +120,9 @@
                             + " times with replication and " + brokenWithout + " without",
                     brokenWithout > 0));
             checks.add(latencies(
-                    withReplication, Launch.locate(List.of("--fleet", withoutWaitFile.toString())), withoutReplication));
+                    withReplication,
+                    Launch.locate(List.of("--fleet", withoutWaitFile.toString())),
+                    withoutReplication));
             Files.delete(withWaitFile);
             Files.delete(withoutWaitFile);
         } catch (IOException e) {
@@ -140,16 +142,19 @@
                 + plain.reconnectingClients().reads().getTotalCount());
         boolean holds = replicated.broken().isEmpty() && 2 * succeeded > succeededWithout;
         return new Check(
-                "seed " + replicated.schedule().seed() + ", " + replicated.schedule().gateways() + " gateways, "
+                "seed " + replicated.schedule().seed() + ", "
+                        + replicated.schedule().gateways() + " gateways, "
                         + replicated.schedule().steps().size()
                         + " steps: no rule broken, over half as many successes as without",
                 replicated.reconnectingClients().sessions() + " sessions, " + succeeded + " of "
-                        + replicated.reconnectingClients().requests() + " requests succeeded, " + succeededWithout + " without, "
+                        + replicated.reconnectingClients().requests() + " requests succeeded, " + succeededWithout
+                        + " without, "
                         + replicated.reconnectingClients().resubmissions() + " submitted again"
                         + (holds
                                 ? ""
                                 : ", broken: " + replicated.broken() + "\n"
-                                        + replicated.schedule().text() + "log:\n" + String.join("\n", replicated.log())),
+                                        + replicated.schedule().text() + "log:\n"
+                                        + String.join("\n", replicated.log())),
                 holds);
     }
 
