--- a/tools/src/main/java/ploverdale/tools/Main.java
+++ b/tools/src/main/java/ploverdale/tools/Main.java
@@ -171,30 +171,24 @@
             }
             case "replicas" -> {
                 int violations = 0;
-                for (long modelSeed = seed; modelSeed < seed + seeds; modelSeed++) {
-                    ReplicaModel model = ReplicaExperiment.runWithRandomFaults(2 + (int) (modelSeed % 6), modelSeed);
-                    violations += model.violations().size();
-                    System.out.println(
-                            "seed " + modelSeed + ": " + model.counts()[0] + " writes succeeded, " + model.counts()[1]
-                                    + " reads with known history, "
-                                    + model.counts()[2] + " with unknown history, "
-                                    + model.violations().size() + " promises broken"
-                                    + (model.violations().isEmpty()
-                                            ? ""
-                                            : ", first " + model.violations().get(0)));
+                for (long each = seed; each < seed + seeds; each++) {
+                    ReplicaModel run = ReplicaExperiment.runWithRandomFaults(2 + (int) (each % 6), each);
+                    violations += run.violations().size();
+                    System.out.println("seed " + each + ": " + run.counts()[0] + " writes succeeded, " + run.counts()[1]
+                            + " reads with known history, " + run.counts()[2] + " with unknown history, "
+                            + run.violations().size() + " promises broken"
+                            + (run.violations().isEmpty()
+                                    ? ""
+                                    : ", first " + run.violations().get(0)));
                 }
                 return violations == 0 ? 0 : 1;
             }
             case "copies" -> {
                 List<String> rows = new ArrayList<>(List.of(ReplicaExperiment.CatchUpResult.CSV_HEADER));
                 for (String size : sizes.split(",")) {
-                    for (int differing : new int[] {10, 1000, facts}) {
+                    for (int changed : new int[] {10, 1000, facts}) {
                         rows.add(ReplicaExperiment.measureCatchUp(
-                                        Integer.parseInt(size.strip()),
-                                        facts,
-                                        differing,
-                                        CATCH_UP_BYTES_PER_SECOND,
-                                        seed)
+                                        Integer.parseInt(size.strip()), facts, changed, CATCH_UP_BYTES_PER_SECOND, seed)
                                 .csvRow());
                         System.out.println(rows.get(rows.size() - 1));
                     }
